--- a/src/main/java/pumicekeel/AdaptiveBalancer.java
+++ b/src/main/java/pumicekeel/AdaptiveBalancer.java
@@ -1,7 +1,5 @@
 package pumicekeel;
 
-import pumicekeel.Window.Metric;
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -11,6 +9,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.function.Consumer;
+import pumicekeel.Window.Metric;
 
 /**
  * Every decision of a balancer; its interface is in Balancer.java. Ordinary path: {@link #admit} refuses what
@@ -25,15 +24,18 @@
   private static final double WINDOW_AIMS = 2;
   /** The line, in parts of the class's aim: half an aim is healthy, one and a half critical. */
   private static final double MIN_VALUE = 0.5;
+
   private static final double MAX_VALUE = 1.5;
   /** maxRate is what the key was offered in the window and a tenth more; minRate this part of it. */
   private static final double HEADROOM = 1.1;
+
   private static final double MIN_PART = 0.02;
   /** The line of worthless excess lies at this part of the latencies: gone before in-share work suffers. */
   private static final double EXCESS_EARLY = 0.2;
   /** A key with fewer samples goes by its endpoint (class, tenant, inside or over the quota), that one by all
    * work inside or over quotas, so many windows back: few samples would let every window's first one pass. */
   private static final int ENOUGH = 10;
+
   private static final int REACH = 5;
   /** Requests that a tenant's bucket holds at least: chance alone would call a small share's work excess. */
   private static final double QUOTA_LEAST = 3;
@@ -41,12 +43,14 @@
   private static final int MAX_KEYS = 20_000;
   /** Windows that teach the usual in-flight (a crowd forms faster); step of usual latency and hint. */
   private static final double USUAL_WINDOWS = 2;
+
   private static final double USUAL_STEP = 0.005;
   /** Bounded load: an upstream may hold half more than the mean of in-flight requests. */
   private static final double SLACK = 0.5;
   /** Bounded load also counts in-flight time over this long: hundreds of balancers with hardly one request
    * out each are bound by nothing, and all would crowd the same keys' upstreams. */
   private static final long HISTORY = 10 * SECOND;
+
   private static final double HISTORY_SLACK = 1;
   /** Mean of in-flight requests an upstream under which the view is sparse and history counts. A failed or
    * full attempt counts this many aims: a crowded upstream rests, a failing one does not look idle. */
@@ -54,14 +58,17 @@
   /** With many balancers the view is sparse sooner: each may have one request at an upstream whatever the
    * bound says, and all would have it at the same keys' ones. So much for each balancer, and the most. */
   private static final double SPARSE_EACH = 0.05;
+
   private static final double SPARSE_MOST = 1;
   private static final double FAILED_AIMS = 4;
   /** A key goes to this many upstreams, and to this many times its share of all as well. */
   private static final int KEY_SPREAD = 2;
+
   private static final double KEY_PARTS = 2;
   /** Room: in-flight requests at which the mean latency would be this part of the aim (Little's law); never
    * below the least, or no upstream could show that it is idle. */
   private static final double ROOM_PART = 0.36;
+
   private static final int ROOM_LEAST = 2;
   /** Time out of a balancer's hands that is not the attempt's latency counts from so many ticks on. */
   private static final int OURS_TICKS = 3;
@@ -69,15 +76,18 @@
    * tried in vain after an outcome and in a sweep: bounds the work where nothing has room, or a balancer that
    * is asked too much has no time for its answers either. */
   private static final double HOLD_PART = 0.3;
+
   private static final int HELD_TRIES = 4;
   private static final int SWEEP_TRIES = 64;
   /** Silent: no answer for this many usual gaps between its answers and this part of the shortest aim. */
   private static final double SILENT_GAPS = 8;
+
   private static final double SILENT_PART = 0.3;
   /** And so many times what attempts at it usually spend in this balancer: pauses are seldom even. */
   private static final double SILENT_OWN = 2;
   /** Second copies earned by an admission and by a copy that wins, and the most saved: losing ones stop. */
   private static final double HEDGE_SHARE = 0.01;
+
   private static final double HEDGE_WIN = 1.3;
   private static final double HEDGE_MOST = 20;
   /** Retries earned by a request admitted: failures may add a fifth to the load. */
@@ -87,27 +97,33 @@
   /** Ring points of an upstream of ordinary weight: within some 15% of an even spread, the bound does more.
    * A weight counts for this many times the median at most, and no less than its inverse. */
   private static final int POINTS = 50;
+
   private static final double WEIGHT_MOST = 4;
   /** Period of the sweep while requests are held: short against any aim, long against a tick. And while
    * attempts are out, in parts of the shortest aim: a timer costs as much as a request. */
   private static final long SWEEP = 10 * MS;
+
   private static final int SWEEPS_PER_AIM = 8;
   /** Failures in a row that eject an upstream, the first and the longest ejection. With more than this share
    * of the ready upstreams ejected or silent, both are ignored (panic threshold). */
   private static final int EJECT_AFTER = 3;
+
   private static final long EJECT_FIRST = SECOND / 2;
   private static final long EJECT_MOST = 8 * SECOND;
   private static final double PANIC_SHARE = 0.5;
   /** Back-off of calls for the list. */
   private static final long ASK_FIRST = SECOND / 2;
+
   private static final long ASK_MOST = 2 * SECOND;
   /** Share of the cold budget's window that may be sent at once; sends a second that a cold upstream may
    * always get from all balancers together; how long usual sends are kept: longer than most outages. */
   private static final double COLD_BURST = 0.25;
+
   private static final double COLD_TRICKLE = 2;
   /** Under so many sends in the budget's window a balancer draws lots for a cold upstream instead of saving
    * up; and none for one that has had so many more than its part. */
   private static final double COLD_THIN = 1;
+
   private static final double COLD_DEBT = 1;
   private static final long SENDS_KEPT = 30 * SECOND;
   /** With less than this part of the usual ready ones left, usual sends no longer grow by what is left. */
@@ -124,9 +140,11 @@
   private final Map<Long, Upstream> upstreams = new LinkedHashMap<>();
   private final Map<String, PendingRequest> open = new LinkedHashMap<>();
   /** Requests without an attempt out, the most valuable first, then the oldest. */
-  private final TreeSet<PendingRequest> held = new TreeSet<>(Comparator
-      .<PendingRequest>comparingDouble(r -> -value(r)).thenComparingLong(r -> r.arrived)
-      .thenComparing(r -> r.request.id()));
+  private final TreeSet<PendingRequest> held =
+      new TreeSet<>(Comparator.<PendingRequest>comparingDouble(r -> -value(r))
+          .thenComparingLong(r -> r.arrived)
+          .thenComparing(r -> r.request.id()));
+
   private final Map<String, Window> windows = new LinkedHashMap<>(64, 0.75f, true);
   private final Window fleet;
   private final Window within;
@@ -145,6 +163,7 @@
   private long visits;
   /** In this event: no upstream has room for anything, and whether that was asked. */
   private boolean full;
+
   private boolean looked;
   private double retryTokens = 1;
   private double hedgeTokens = HEDGE_MOST;
@@ -160,7 +179,8 @@
   public AdaptiveBalancer(Settings settings, long seed) {
     random = new SplittableRandom(seed);
     tune(settings);
-    long longest = settings.classes().stream().mapToLong(RequestClass::aimNanos).max().getAsLong();
+    long longest =
+        settings.classes().stream().mapToLong(RequestClass::aimNanos).max().getAsLong();
     window = Math.max(SECOND, (long) (WINDOW_AIMS * longest));
     fleet = new Window(window, REACH, 0);
     within = new Window(window, REACH, 0);
@@ -179,12 +199,15 @@
     } else if (event instanceof Outcome e) {
       onOutcome(e);
     } else if (event instanceof TimerFired && now >= sweepAt - MS) {
-      // A balancer's timers may be coarser than the clock; one fired a little early must not end the sweeps.
+      // A balancer's timers may be coarser than the clock; one fired a little early must not end
+      // the sweeps.
       sweepAt = Long.MAX_VALUE;
       onSweep();
     } else if (event instanceof ListNews e) {
       onList(e);
-    } else if (event instanceof ClientGone e && open.containsKey(e.id()) && !open.get(e.id()).ended) {
+    } else if (event instanceof ClientGone e
+        && open.containsKey(e.id())
+        && !open.get(e.id()).ended) {
       release(open.get(e.id()));
     } else if (event instanceof AnswerStarted e && open.get(e.id()) != null) {
       started(open.get(e.id()), e.attempt());
@@ -206,7 +229,8 @@
     quotas.clear();
     next.classes().forEach(c -> classes.put(c.name(), c));
     next.tenants().forEach(t -> quotas.put(t.name(), t.quotaPerSecond() / next.groupSize()));
-    shortestAim = next.classes().stream().mapToLong(RequestClass::aimNanos).min().getAsLong();
+    shortestAim =
+        next.classes().stream().mapToLong(RequestClass::aimNanos).min().getAsLong();
   }
 
   private int maxAttempts(PendingRequest r) {
@@ -226,10 +250,12 @@
     sweepBy(Math.max(now + MS, Math.min(end, now + Math.max(SWEEP, shortestAim / SWEEPS_PER_AIM))));
   }
 
-  // ---- Admission: the straight line ---------------------------------------------------------------------
+  // ---- Admission: the straight line
+  // ---------------------------------------------------------------------
 
   /** The published line: from maxRate at or below minValue down to minRate at or above maxValue. */
-  static double allowedRate(double mean, double minValue, double maxValue, double maxRate, double minRate) {
+  static double allowedRate(
+      double mean, double minValue, double maxValue, double maxRate, double minRate) {
     double part = Math.min(1, Math.max(0, (mean - minValue) / (maxValue - minValue)));
     return maxRate + part * (minRate - maxRate);
   }
@@ -243,15 +269,23 @@
     }
     boolean excess = overQuota(request.tenant());
     String endpoint = request.className() + ' ' + request.tenant() + (excess ? " over" : "");
-    PendingRequest r = new PendingRequest(request, type, now, excess, excess ? over : within,
-        windowOf(endpoint), windowOf(endpoint + ' ' + request.key()), load(request.workHintNanos()),
+    PendingRequest r = new PendingRequest(
+        request,
+        type,
+        now,
+        excess,
+        excess ? over : within,
+        windowOf(endpoint),
+        windowOf(endpoint + ' ' + request.key()),
+        load(request.workHintNanos()),
         settings.limits().maxAttempts());
     if (open.size() >= settings.limits().maxOpen() || !admit(r)) {
       out.accept(new Refuse(request.id(), retryAfter()));
       return;
     }
     open.put(request.id(), r);
-    // No more saved than a window earns: a fixed number at hundreds of balancers would be the overload.
+    // No more saved than a window earns: a fixed number at hundreds of balancers would be the
+    // overload.
     double saved = Math.max(1, RETRY_SHARE * fleet.total(now, Metric.OFFERED));
     retryTokens = Math.min(saved, retryTokens + RETRY_SHARE);
     hedgeTokens = Math.min(HEDGE_MOST, hedgeTokens + HEDGE_SHARE);
@@ -274,7 +308,8 @@
   private Window windowOf(String name) {
     Window w = windows.computeIfAbsent(name, k -> new Window(window, now));
     Iterator<Window> idlest = windows.values().iterator();
-    for (Window idle = idlest.next(); idle != w && (idle.empty(now) || windows.size() > MAX_KEYS);
+    for (Window idle = idlest.next();
+        idle != w && (idle.empty(now) || windows.size() > MAX_KEYS);
         idle = idlest.next()) {
       idlest.remove();
     }
@@ -289,13 +324,16 @@
    * counts. Work over a quota is worth less, so its line falls sooner: a tenant throttles itself first. */
   private boolean admit(PendingRequest r) {
     count(r, Metric.OFFERED, 1);
-    Window own = r.key.total(now, Metric.SAMPLES) >= ENOUGH ? r.key
+    Window own = r.key.total(now, Metric.SAMPLES) >= ENOUGH
+        ? r.key
         : !sparse() || r.endpoint.total(now, Metric.SAMPLES) >= ENOUGH ? r.endpoint : r.share;
     double mean = Math.max(own.mean(now, ENOUGH), fleet.mean(now, ENOUGH));
     double maxRate = own.reach(now, Metric.OFFERED, ENOUGH) * HEADROOM;
     double early = r.excess ? EXCESS_EARLY + (1 - EXCESS_EARLY) * settings.overShareWorth() : 1;
-    double allowed = allowedRate(mean, MIN_VALUE * early, MAX_VALUE * early, maxRate, maxRate * MIN_PART);
-    // Guards work inside a quota from what this balancer did not cause: no more is out than while healthy.
+    double allowed =
+        allowedRate(mean, MIN_VALUE * early, MAX_VALUE * early, maxRate, maxRate * MIN_PART);
+    // Guards work inside a quota from what this balancer did not cause: no more is out than while
+    // healthy.
     boolean idle = quotaTokens.containsKey(r.request.tenant()) && readyLoad < usualInFlight * ready;
     if (own.reach(now, Metric.ADMITTED, ENOUGH) >= allowed && (r.excess || !idle)) {
       return false;
@@ -322,27 +360,40 @@
   }
 
   private long retryAfter() {
-    return settings.limits().retryAfter() ? random.nextLong(settings.limits().maxRetryAfterNanos() + 1) : 0;
+    return settings.limits().retryAfter()
+        ? random.nextLong(settings.limits().maxRetryAfterNanos() + 1)
+        : 0;
   }
 
-  // ---- Placement: bounded-load hashing on a ring of ready upstreams -------------------------------------
+  // ---- Placement: bounded-load hashing on a ring of ready upstreams
+  // -------------------------------------
 
   private void rebuildRing() {
-    List<Upstream> members = upstreams.values().stream().filter(u -> u.listed.state() == State.READY)
-        .sorted(Comparator.comparingLong(u -> u.id)).toList();
+    List<Upstream> members = upstreams.values().stream()
+        .filter(u -> u.listed.state() == State.READY)
+        .sorted(Comparator.comparingLong(u -> u.id))
+        .toList();
     ready = members.size();
     readyLoad = members.stream().mapToDouble(u -> u.load).sum();
-    // Guards a zone left with few upstreams: near ones get no more traffic than the zone is of the fleet.
+    // Guards a zone left with few upstreams: near ones get no more traffic than the zone is of the
+    // fleet.
     long near = members.stream().filter(this::near).count();
     long zones = members.stream().map(u -> u.listed.zone()).distinct().count();
     nearPart = Math.min(1.0 / Math.max(1, near), (double) zones / Math.max(1, ready));
     if (weightUnit == 0 && ready > 0) {
       // Kept for life, so that a change of the list moves the changed upstream's keys only.
-      weightUnit = members.stream().mapToDouble(u -> u.listed.weight()).sorted().toArray()[ready / 2];
+      weightUnit =
+          members.stream().mapToDouble(u -> u.listed.weight()).sorted().toArray()[ready / 2];
     }
-    boolean sized = settings.weightKind() == WeightKind.NOMINAL || settings.weightKind() == WeightKind.ROUGH;
-    ring = new Ring(members, u -> Math.round(POINTS * (!sized || weightUnit <= 0 ? 1
-        : Math.min(WEIGHT_MOST, Math.max(1 / WEIGHT_MOST, u.listed.weight() / weightUnit)))));
+    boolean sized =
+        settings.weightKind() == WeightKind.NOMINAL || settings.weightKind() == WeightKind.ROUGH;
+    ring = new Ring(
+        members,
+        u -> Math.round(POINTS
+            * (!sized || weightUnit <= 0
+                ? 1
+                : Math.min(
+                    WEIGHT_MOST, Math.max(1 / WEIGHT_MOST, u.listed.weight() / weightUnit)))));
   }
 
   /** The first upstream from the key's place on the ring that may take it, own zone first; or null. */
@@ -355,9 +406,11 @@
     double all = busy.total(now, Metric.SUM) / usualLatency + 1;
     double nearMost = Math.ceil((1 + HISTORY_SLACK) * all * nearPart);
     double awayMost = Math.ceil((1 + HISTORY_SLACK) * all / Math.max(1, ready));
-    // Guards against keys that leave their warm upstreams in a crowd: each move is work, and so more crowd.
+    // Guards against keys that leave their warm upstreams in a crowd: each move is work, and so
+    // more crowd.
     double part = r.key.total(now, Metric.OFFERED) / Math.max(1, fleet.total(now, Metric.OFFERED));
-    double most = sparse() || !settings.warmKeys() ? ready : KEY_SPREAD + Math.ceil(KEY_PARTS * ready * part);
+    double most =
+        sparse() || !settings.warmKeys() ? ready : KEY_SPREAD + Math.ceil(KEY_PARTS * ready * part);
     Upstream away = null;
     Upstream crowded = null;
     visits++;
@@ -380,10 +433,11 @@
     }
     Upstream found = away == null ? crowded : away;
     if (found == null && !looked) {
-      // Only sends follow within one event, so what is full stays full: the rest of those held need no walk.
+      // Only sends follow within one event, so what is full stays full: the rest of those held need
+      // no walk.
       looked = true;
-      full = upstreams.values().stream().noneMatch(u -> u.listed.state() == State.READY && usable(u)
-          && u.load < bound(u));
+      full = upstreams.values().stream()
+          .noneMatch(u -> u.listed.state() == State.READY && usable(u) && u.load < bound(u));
     }
     return found;
   }
@@ -422,8 +476,10 @@
       return Double.MAX_VALUE;
     }
     long served = Math.min(window / 2, Math.max(SWEEP, now - u.firstServed));
-    return Math.max(ROOM_LEAST,
-        (ROOM_PART * u.window.total(now, Metric.AIMS) * SECOND + u.window.total(now, Metric.OURS)) / served);
+    return Math.max(
+        ROOM_LEAST,
+        (ROOM_PART * u.window.total(now, Metric.AIMS) * SECOND + u.window.total(now, Metric.OURS))
+            / served);
   }
 
   /** Nothing heard for far longer than its answers usually lie apart: frozen or dead, before a time-out. What
@@ -435,12 +491,15 @@
       return false;
     }
     double gap = u.window.mean(now, 1) / u.inFlight;
-    double own = u.window.total(now, Metric.OURS) / Math.max(1, u.window.total(now, Metric.SAMPLES));
+    double own =
+        u.window.total(now, Metric.OURS) / Math.max(1, u.window.total(now, Metric.SAMPLES));
     return gap > 0
-        && now - u.heardAt > Math.max(SILENT_GAPS * gap, SILENT_PART * shortestAim) + SILENT_OWN * own;
+        && now - u.heardAt
+            > Math.max(SILENT_GAPS * gap, SILENT_PART * shortestAim) + SILENT_OWN * own;
   }
 
-  // ---- Rule 2: where a request may still go -------------------------------------------------------------
+  // ---- Rule 2: where a request may still go
+  // -------------------------------------------------------------
 
   private boolean mayGoTo(PendingRequest r, Upstream u) {
     if (!r.earlierAllows(u.listed, now + settings.tickNanos())) {
@@ -451,8 +510,10 @@
         return false;
       }
       if (a.mayHaveRun && r.type.effect() != Effect.SAFE) {
-        // The window is cut by a tick, against a balancer that carries the sending out a moment later.
-        if (r.type.effect() == Effect.UNSAFE || !r.type.dedupScope().covers(a.upstream.listed, u.listed)
+        // The window is cut by a tick, against a balancer that carries the sending out a moment
+        // later.
+        if (r.type.effect() == Effect.UNSAFE
+            || !r.type.dedupScope().covers(a.upstream.listed, u.listed)
             || now - a.sentAt >= r.type.dedupWindowNanos() - settings.tickNanos()) {
           return false;
         }
@@ -462,15 +523,18 @@
   }
 
   private boolean mayRefuse(PendingRequest r) {
-    return r.type.effect() == Effect.SAFE || !r.mayHaveRun()
+    return r.type.effect() == Effect.SAFE
+        || !r.mayHaveRun()
         || r.type.effect() == Effect.KEYED && r.type.dedupScope() == DedupScope.ALL;
   }
 
-  // ---- Rule 4: cold upstreams ---------------------------------------------------------------------------
+  // ---- Rule 4: cold upstreams
+  // ---------------------------------------------------------------------------
 
   /** The part of its capacity that an upstream surely has: from cold-from, evenly, to the whole. */
   private double warmth(Upstream u) {
-    double part = Math.max(0, now - u.started) / (double) Math.max(1, settings.contract().warmWithinNanos());
+    double part =
+        Math.max(0, now - u.started) / (double) Math.max(1, settings.contract().warmWithinNanos());
     return u.started <= 0 || part >= 1 ? 1 : settings.contract().coldFrom() * (1 - part) + part;
   }
 
@@ -489,22 +553,32 @@
   private Upstream drawn(PendingRequest r) {
     Upstream u = ring.owner(ring.placeOf(r.request.id()));
     double part = warmth(u) * ready / Math.max(ready, usualReady * LEAST_READY);
-    return thin(u) && coldTokens(u) > -COLD_DEBT && Ring.lot(r.request.id()) < part
-        && mayGoTo(r, u) && well(u) && u.load < bound(u) ? u : null;
+    return thin(u)
+            && coldTokens(u) > -COLD_DEBT
+            && Ring.lot(r.request.id()) < part
+            && mayGoTo(r, u)
+            && well(u)
+            && u.load < bound(u)
+        ? u
+        : null;
   }
 
   private boolean thin(Upstream u) {
     double warmth = warmth(u);
-    return warmth < 1 && warmth * usualSends * settings.contract().fallWindowNanos() / SECOND < COLD_THIN;
+    return warmth < 1
+        && warmth * usualSends * settings.contract().fallWindowNanos() / SECOND < COLD_THIN;
   }
 
-  // ---- Life of a request --------------------------------------------------------------------------------
+  // ---- Life of a request
+  // --------------------------------------------------------------------------------
 
   /** Sends a request that has no attempt out, or ends it, or holds it; true if it was sent or ended. */
   private boolean advance(PendingRequest r) {
     boolean first = r.attempts.isEmpty();
-    boolean over = r.attempts.size() >= maxAttempts(r) || !first && (retryTokens < 1 || r.spent)
-        || r.mayNotRunAgain(now + settings.tickNanos()) || now >= r.deadline - 2 * SWEEP;
+    boolean over = r.attempts.size() >= maxAttempts(r)
+        || !first && (retryTokens < 1 || r.spent)
+        || r.mayNotRunAgain(now + settings.tickNanos())
+        || now >= r.deadline - 2 * SWEEP;
     Upstream u = over ? null : place(r);
     if (u != null) {
       retryTokens -= first ? 0 : 1;
@@ -575,11 +649,15 @@
 
   /** A second copy past a silent upstream; none with the fleet above minValue: they would be its overload. */
   private void hedge(PendingRequest r) {
-    boolean mayCopy = r.out == 1 && !r.request.coming()
-        && settings.limits().secondCopies() && settings.limits().cancel()
-        && r.attempts.size() < maxAttempts(r) && hedgeTokens >= 1
+    boolean mayCopy = r.out == 1
+        && !r.request.coming()
+        && settings.limits().secondCopies()
+        && settings.limits().cancel()
+        && r.attempts.size() < maxAttempts(r)
+        && hedgeTokens >= 1
         && silent(r.attempts.get(r.attempts.size() - 1).upstream)
-        && now - r.arrived <= r.type.aimNanos() && fleet.mean(now, ENOUGH) <= MIN_VALUE;
+        && now - r.arrived <= r.type.aimNanos()
+        && fleet.mean(now, ENOUGH) <= MIN_VALUE;
     Upstream u = mayCopy ? place(r) : null;
     if (u != null) {
       hedgeTokens--;
@@ -630,7 +708,8 @@
     if (r.ended && r.out == 0) {
       open.remove(o.id());
     } else if (!r.ended && o.finished()) {
-      hedgeTokens = Math.min(HEDGE_MOST, hedgeTokens + (r.out > 0 && o.attempt() > 0 ? HEDGE_WIN : 0));
+      hedgeTokens =
+          Math.min(HEDGE_MOST, hedgeTokens + (r.out > 0 && o.attempt() > 0 ? HEDGE_WIN : 0));
       release(r);
     } else if (!r.ended && r.out == 0) {
       advance(r);
@@ -656,10 +735,13 @@
       sample(r, (double) (now - r.arrived - ours) / r.type.aimNanos());
       usualLatency += (o.latencyNanos() - usualLatency) * USUAL_STEP;
     } else if (o.stale()) {
-      // No sign of the upstream: kept connections break in a row, and three would eject one that is well.
+      // No sign of the upstream: kept connections break in a row, and three would eject one that is
+      // well.
       // A crash breaks them too, but then the next connects are refused, which counts.
       sample(r, (double) (now - r.arrived - ours) / r.type.aimNanos());
-    } else if (o.status() != Status.CANCELLED && o.status() != Status.NOT_SENT && o.status() != Status.FULL) {
+    } else if (o.status() != Status.CANCELLED
+        && o.status() != Status.NOT_SENT
+        && o.status() != Status.FULL) {
       if (!r.coming) {
         // One whose body still came took its client's time so far, which tells of no load.
         sampleFailure(r, o.status());
@@ -673,7 +755,8 @@
 
   private void sampleFailure(PendingRequest r, Status status) {
     if (status == Status.RESET || status == Status.ERROR) {
-      // Its latency, but no less than the aim that it missed, and for an error than what is critical. More
+      // Its latency, but no less than the aim that it missed, and for an error than what is
+      // critical. More
       // would take connections that break, spoilt answers, or one upstream's errors for load.
       double least = status == Status.RESET ? 1 : MAX_VALUE;
       sample(r, Math.max(least, (double) (now - r.arrived) / r.type.aimNanos()));
@@ -699,16 +782,20 @@
     double past = Math.min(SECOND, now - sweptAt);
     sweptAt = now;
     if (fleet.mean(now, ENOUGH) <= MIN_VALUE) {
-      usualInFlight += (readyLoad / Math.max(1, ready) - usualInFlight) * past / (USUAL_WINDOWS * window);
+      usualInFlight +=
+          (readyLoad / Math.max(1, ready) - usualInFlight) * past / (USUAL_WINDOWS * window);
     }
-    // By half of those ready a while ago at least: a release takes a part of them, but what was asked
+    // By half of those ready a while ago at least: a release takes a part of them, but what was
+    // asked
     // of many is no sign of what the last one can take.
     usualReady = Math.max(ready, usualReady * (1 - past / SENDS_KEPT));
     double among = Math.max(1, Math.max(ready, usualReady * LEAST_READY));
-    usualSends = Math.max(usualSends * (1 - past / SENDS_KEPT),
+    usualSends = Math.max(
+        usualSends * (1 - past / SENDS_KEPT),
         fleet.total(now, Metric.ADMITTED) * SECOND / window / among);
     long bad = upstreams.values().stream()
-        .filter(u -> u.listed.state() == State.READY && (u.ejectedUntil > now || silent(u))).count();
+        .filter(u -> u.listed.state() == State.READY && (u.ejectedUntil > now || silent(u)))
+        .count();
     panic = bad > PANIC_SHARE * ready;
     for (PendingRequest r : List.copyOf(open.values())) {
       if (r.out > 0 && !r.ended && !r.streaming) {
@@ -733,7 +820,8 @@
     sweepBy(askAt);
   }
 
-  // ---- Following the list -------------------------------------------------------------------------------
+  // ---- Following the list
+  // -------------------------------------------------------------------------------
 
   private void onList(ListNews news) {
     if (news.kind() == ListKind.FAILED) {
@@ -752,18 +840,22 @@
     news.entries().forEach(e -> entries.put(e.upstream(), e));
     if (news.kind() != ListKind.DELTA) {
       // One that is absent from a full list is gone.
-      upstreams.forEach((id, u) -> entries.putIfAbsent(id, new Listed(id, u.listed.zone(), u.listed.cell(),
-          State.GONE, u.started, u.listed.weight())));
+      upstreams.forEach((id, u) -> entries.putIfAbsent(
+          id,
+          new Listed(
+              id, u.listed.zone(), u.listed.cell(), State.GONE, u.started, u.listed.weight())));
     }
     for (Listed e : entries.values()) {
-      Upstream u = upstreams.computeIfAbsent(e.upstream(),
+      Upstream u = upstreams.computeIfAbsent(
+          e.upstream(),
           id -> new Upstream(id, new Window(window / 2, now), new Window(HISTORY, now)));
       if (e.startedNanos() > u.started) {
         u.started = e.startedNanos();
         u.failures = 0;
         u.ejections = 0;
         u.ejectedUntil = 0;
-        // Not in step: all hear of it at once, and would all have saved up for their first send at once.
+        // Not in step: all hear of it at once, and would all have saved up for their first send at
+        // once.
         u.cold.tokens = -random.nextDouble();
         u.cold.filledAt = now;
       }
--- a/src/main/java/pumicekeel/Attempt.java
+++ b/src/main/java/pumicekeel/Attempt.java
@@ -6,6 +6,7 @@
   long sentAt;
   /** In-flight time charged in advance. */
   double charged;
+
   boolean out = true;
   boolean mayHaveRun;
   /** It counts as work of its upstream: not before the request's last byte. */
--- a/src/main/java/pumicekeel/Balancer.java
+++ b/src/main/java/pumicekeel/Balancer.java
@@ -22,11 +22,17 @@
   void handle(long nowNanos, Event event, Consumer<Action> out);
 
   /** May a request of a class run again. */
-  enum Effect { SAFE, KEYED, UNSAFE }
+  enum Effect {
+    SAFE,
+    KEYED,
+    UNSAFE
+  }
 
   /** The upstreams that drop a repeat of a keyed request. */
   enum DedupScope {
-    ALL, ZONE, CELL;
+    ALL,
+    ZONE,
+    CELL;
 
     /** Whether two upstreams drop each other's repeats. */
     public boolean covers(Listed one, Listed other) {
@@ -41,7 +47,14 @@
 
   /** How an attempt or a probe ended. */
   enum Status {
-    SERVED, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT;
+    SERVED,
+    ERROR,
+    FULL,
+    TIMEOUT,
+    CONNECT_FAILED,
+    RESET,
+    CANCELLED,
+    NOT_SENT;
 
     /** Whether this outcome proves that the attempt never ran. */
     public boolean provesNotRun() {
@@ -50,40 +63,89 @@
   }
 
   /** What the list says of an upstream. */
-  enum State { READY, DRAINING, GONE }
+  enum State {
+    READY,
+    DRAINING,
+    GONE
+  }
 
   /** Changes only, the complete list, the complete list as last held (maybe stale), or a failed call. */
-  enum ListKind { DELTA, FULL, CACHED, FAILED }
+  enum ListKind {
+    DELTA,
+    FULL,
+    CACHED,
+    FAILED
+  }
 
   /** What an upstream's weight means. */
-  enum WeightKind { NONE, NOMINAL, ROUGH, LIVE }
+  enum WeightKind {
+    NONE,
+    NOMINAL,
+    ROUGH,
+    LIVE
+  }
 
   /**
    * A class of requests. An answer within {@code aimNanos + aimStretch x own work} earns {@code worth}, a later one
    * before the deadline {@code lateWorth} of it.
    */
-  record RequestClass(String name, Effect effect, DedupScope dedupScope, long dedupWindowNanos, long aimNanos,
-      double aimStretch, long deadlineNanos, double worth, double lateWorth, boolean stream) {}
+  record RequestClass(
+      String name,
+      Effect effect,
+      DedupScope dedupScope,
+      long dedupWindowNanos,
+      long aimNanos,
+      double aimStretch,
+      long deadlineNanos,
+      double worth,
+      double lateWorth,
+      boolean stream) {}
 
   /** A tenant; its quota (requests a second over all balancers) is 0 where none is stated. */
   record Tenant(String name, double share, double quotaPerSecond) {}
 
   /** What the deployment allows. {@code maxOpen} is the most requests one balancer holds. */
-  record Limits(boolean cancel, boolean probes, boolean peers, boolean secondCopies, boolean retryAfter,
-      long maxRetryAfterNanos, int maxAttempts, int maxOpen, int streamsPerConnection, long connectTimeoutNanos,
+  record Limits(
+      boolean cancel,
+      boolean probes,
+      boolean peers,
+      boolean secondCopies,
+      boolean retryAfter,
+      long maxRetryAfterNanos,
+      int maxAttempts,
+      int maxOpen,
+      int streamsPerConnection,
+      long connectTimeoutNanos,
       long connectionIdleNanos) {}
 
   /** The figures of the four rules. {@code askWithinNanos} is 0 where the list is pushed. */
-  record Contract(long answerSlackNanos, long askWithinNanos, long drainGraceNanos, double coldFrom,
-      long warmWithinNanos, double fallMultiple, long fallWindowNanos) {}
+  record Contract(
+      long answerSlackNanos,
+      long askWithinNanos,
+      long drainGraceNanos,
+      double coldFrom,
+      long warmWithinNanos,
+      double fallMultiple,
+      long fallWindowNanos) {}
 
   /** Points of the result that a unit costs. */
   record Prices(double crossZone, double waste, double lateFail) {}
 
   /** A balancer's settings, handed over once when the instance is made. */
-  record Settings(int me, int groupSize, String zone, List<RequestClass> classes, List<Tenant> tenants, Limits limits,
-      Contract contract, Prices prices, boolean listOnRequest, WeightKind weightKind, double overShareWorth,
-      boolean warmKeys, long tickNanos) {
+  record Settings(
+      int me,
+      int groupSize,
+      String zone,
+      List<RequestClass> classes,
+      List<Tenant> tenants,
+      Limits limits,
+      Contract contract,
+      Prices prices,
+      boolean listOnRequest,
+      WeightKind weightKind,
+      double overShareWorth,
+      boolean warmKeys,
+      long tickNanos) {
 
     /** Checks what cannot make sense, naming the setting. */
     public Settings {
@@ -93,10 +155,13 @@
         check(c.aimNanos > 0, "aim of class " + c.name + " must be above 0");
         check(c.deadlineNanos > 0, "deadline of class " + c.name + " must be above 0");
         check(c.dedupWindowNanos >= 0, "dedup window of class " + c.name + " must not be negative");
-        check(c.worth >= 0 && c.lateWorth >= 0, "worth of class " + c.name + " must not be negative");
+        check(
+            c.worth >= 0 && c.lateWorth >= 0, "worth of class " + c.name + " must not be negative");
       }
       for (Tenant t : tenants) {
-        check(t.share >= 0 && t.quotaPerSecond >= 0, "share and quota of tenant " + t.name + " must not be negative");
+        check(
+            t.share >= 0 && t.quotaPerSecond >= 0,
+            "share and quota of tenant " + t.name + " must not be negative");
       }
       check(limits.maxAttempts > 0, "max attempts must be above 0");
       check(limits.maxOpen > 0, "max open must be above 0");
@@ -106,9 +171,13 @@
       check(contract.answerSlackNanos >= 0, "answer slack must not be negative");
       check(contract.askWithinNanos >= 0, "ask-within must not be negative");
       check(contract.drainGraceNanos >= 0, "drain grace must not be negative");
-      check(contract.coldFrom > 0 && contract.coldFrom <= 1, "cold-from must be above 0 and at most 1");
+      check(
+          contract.coldFrom > 0 && contract.coldFrom <= 1,
+          "cold-from must be above 0 and at most 1");
       check(contract.warmWithinNanos >= 0, "warm-within must not be negative");
-      check(contract.fallMultiple > 0 && contract.fallWindowNanos >= 0, "fall figures must not be negative");
+      check(
+          contract.fallMultiple > 0 && contract.fallWindowNanos >= 0,
+          "fall figures must not be negative");
       check(tickNanos >= 0, "tick must not be negative");
     }
 
@@ -123,17 +192,35 @@
    * One line of the list. {@code startedNanos} is 0 where it started long ago; weight compares upstreams. So many
    * instances of this process ({@code sharers}, itself among them) send to it: its part of what a cold one may get.
    */
-  record Listed(long upstream, String zone, int cell, State state, long startedNanos, double weight, int sharers) {
+  record Listed(
+      long upstream,
+      String zone,
+      int cell,
+      State state,
+      long startedNanos,
+      double weight,
+      int sharers) {
 
     /** One that no other instance of the process sends to. */
-    public Listed(long upstream, String zone, int cell, State state, long startedNanos, double weight) {
+    public Listed(
+        long upstream, String zone, int cell, State state, long startedNanos, double weight) {
       this(upstream, zone, cell, state, startedNanos, weight, 1);
     }
   }
 
   /** What happened. */
-  sealed interface Event permits ListNews, Request, AnswerStarted, Outcome, ClientGone, TimerFired, ProbeResult,
-      PeerMessage, Retune, RequestCame, Quotas {}
+  sealed interface Event
+      permits ListNews,
+          Request,
+          AnswerStarted,
+          Outcome,
+          ClientGone,
+          TimerFired,
+          ProbeResult,
+          PeerMessage,
+          Retune,
+          RequestCame,
+          Quotas {}
 
   /**
    * The last byte of a request has come that was told of as {@code coming}: upstreams begin it now, and its time counts
@@ -161,17 +248,41 @@
    * {@link Retune} have it. {@code coming}: its body is too large to be kept and still comes; it may be sent at once, to
    * one upstream at a time, and {@link RequestCame} follows.
    */
-  record Request(String id, String className, String tenant, String key, long deadlineNanos, long workHintNanos,
-      boolean retry, List<Earlier> earlier, boolean former, boolean coming) implements Event {
+  record Request(
+      String id,
+      String className,
+      String tenant,
+      String key,
+      long deadlineNanos,
+      long workHintNanos,
+      boolean retry,
+      List<Earlier> earlier,
+      boolean former,
+      boolean coming)
+      implements Event {
 
     /** One that has come whole. */
-    public Request(String id, String className, String tenant, String key, long deadlineNanos, long workHintNanos,
-        boolean retry, List<Earlier> earlier, boolean former) {
+    public Request(
+        String id,
+        String className,
+        String tenant,
+        String key,
+        long deadlineNanos,
+        long workHintNanos,
+        boolean retry,
+        List<Earlier> earlier,
+        boolean former) {
       this(id, className, tenant, key, deadlineNanos, workHintNanos, retry, earlier, former, false);
     }
 
     /** One of which nothing may have run before. */
-    public Request(String id, String className, String tenant, String key, long deadlineNanos, long workHintNanos,
+    public Request(
+        String id,
+        String className,
+        String tenant,
+        String key,
+        long deadlineNanos,
+        long workHintNanos,
         boolean retry) {
       this(id, className, tenant, key, deadlineNanos, workHintNanos, retry, List.of(), false);
     }
@@ -192,17 +303,39 @@
    * connection was reset by the request with nothing heard, which tells of the connection and not of the upstream. {@code
    * spent}: the request's body was not kept and can't be sent again.
    */
-  record Outcome(String id, int attempt, long upstream, Status status, long latencyNanos, boolean finished,
-      Map<String, Double> load, boolean stale, boolean spent) implements Event {
+  record Outcome(
+      String id,
+      int attempt,
+      long upstream,
+      Status status,
+      long latencyNanos,
+      boolean finished,
+      Map<String, Double> load,
+      boolean stale,
+      boolean spent)
+      implements Event {
 
     /** One of a request that can be sent again. */
-    public Outcome(String id, int attempt, long upstream, Status status, long latencyNanos, boolean finished,
-        Map<String, Double> load, boolean stale) {
+    public Outcome(
+        String id,
+        int attempt,
+        long upstream,
+        Status status,
+        long latencyNanos,
+        boolean finished,
+        Map<String, Double> load,
+        boolean stale) {
       this(id, attempt, upstream, status, latencyNanos, finished, load, stale, false);
     }
 
     /** One that says nothing of its connection. */
-    public Outcome(String id, int attempt, long upstream, Status status, long latencyNanos, boolean finished,
+    public Outcome(
+        String id,
+        int attempt,
+        long upstream,
+        Status status,
+        long latencyNanos,
+        boolean finished,
         Map<String, Double> load) {
       this(id, attempt, upstream, status, latencyNanos, finished, load, false);
     }
@@ -215,14 +348,25 @@
   record TimerFired(String token) implements Event {}
 
   /** A probe ended. */
-  record ProbeResult(long upstream, Status status, long latencyNanos, Map<String, Double> load) implements Event {}
+  record ProbeResult(long upstream, Status status, long latencyNanos, Map<String, Double> load)
+      implements Event {}
 
   /** Another balancer of the group sent a message. */
   record PeerMessage(int from, byte[] data) implements Event {}
 
   /** What the balancer is asked to do. */
-  sealed interface Action permits Send, Cancel, Refuse, Fail, SetTimer, Watch, FetchList, Probe, CloseIdle, TellPeer,
-      Log {}
+  sealed interface Action
+      permits Send,
+          Cancel,
+          Refuse,
+          Fail,
+          SetTimer,
+          Watch,
+          FetchList,
+          Probe,
+          CloseIdle,
+          TellPeer,
+          Log {}
 
   /** Start an attempt; a request's attempts count 0, 1, 2 ... in sending order. Time-out 0: until the deadline. */
   record Send(String id, long upstream, long timeoutNanos) implements Action {}
--- a/src/main/java/pumicekeel/PendingRequest.java
+++ b/src/main/java/pumicekeel/PendingRequest.java
@@ -9,26 +9,38 @@
   final Balancer.RequestClass type;
   /** When it came; of one that still comes, when it was taken. */
   long arrived;
+
   long deadline;
   /** Its body still comes: no upstream works on it. */
   boolean coming;
   /** Its body can't be sent again. */
   boolean spent;
+
   final boolean excess;
   /** All work inside quotas, or all over them. */
   final Window share;
+
   final Window endpoint;
   final Window key;
   final double load;
   /** As the settings had it when it came. */
   final int maxAttempts;
+
   final List<Attempt> attempts = new ArrayList<>(1);
   int out;
   boolean ended;
   boolean streaming;
 
-  PendingRequest(Balancer.Request request, Balancer.RequestClass type, long arrived, boolean excess, Window share,
-      Window endpoint, Window key, double load, int maxAttempts) {
+  PendingRequest(
+      Balancer.Request request,
+      Balancer.RequestClass type,
+      long arrived,
+      boolean excess,
+      Window share,
+      Window endpoint,
+      Window key,
+      double load,
+      int maxAttempts) {
     this.request = request;
     deadline = request.deadlineNanos();
     coming = request.coming();
@@ -45,7 +57,8 @@
   /** Whether what may have run before this request came lets it go to an upstream: one of its group, in time. */
   boolean earlierAllows(Balancer.Listed upstream, long now) {
     for (Balancer.Earlier e : request.earlier()) {
-      if (!type.dedupScope().covers(e.zone(), e.cell(), upstream) || now - e.sentAtNanos() >= type.dedupWindowNanos()) {
+      if (!type.dedupScope().covers(e.zone(), e.cell(), upstream)
+          || now - e.sentAtNanos() >= type.dedupWindowNanos()) {
         return false;
       }
     }
--- a/src/main/java/pumicekeel/Ring.java
+++ b/src/main/java/pumicekeel/Ring.java
@@ -24,7 +24,9 @@
     }
     Arrays.sort(unsorted);
     points = unsorted;
-    owners = Arrays.stream(points).mapToObj(p -> members.get((int) (p & OWNERS - 1))).toArray(Upstream[]::new);
+    owners = Arrays.stream(points)
+        .mapToObj(p -> members.get((int) (p & OWNERS - 1)))
+        .toArray(Upstream[]::new);
   }
 
   private static long mix(long x) {
--- a/src/main/java/pumicekeel/Upstream.java
+++ b/src/main/java/pumicekeel/Upstream.java
@@ -14,6 +14,7 @@
       return super.fill(now, perSecond / sharers, Math.max(1, most / sharers));
     }
   };
+
   Balancer.Listed listed;
   long started;
   long firstServed;
--- a/src/main/java/pumicekeel/Window.java
+++ b/src/main/java/pumicekeel/Window.java
@@ -7,7 +7,14 @@
 
   /** What a window counts: offers, admissions, samples, the sum of their latencies, the sum of their aims,
    * the time that they spent in the balancer. */
-  enum Metric { OFFERED, ADMITTED, SAMPLES, SUM, AIMS, OURS }
+  enum Metric {
+    OFFERED,
+    ADMITTED,
+    SAMPLES,
+    SUM,
+    AIMS,
+    OURS
+  }
 
   /** A window forgets in steps of a twelfth. */
   private static final int SLOTS = 12;
@@ -44,7 +51,8 @@
   double total(long now, Metric metric) {
     long current = now / slotNanos;
     if (current - slot >= kept) {
-      // All lies further back. Turned slot by slot, some would be taken off that left the totals long ago, and the
+      // All lies further back. Turned slot by slot, some would be taken off that left the totals
+      // long ago, and the
       // last ones never: the difference would count from then on.
       clear();
       slot = current;
--- a/src/main/java/pumicekeel/adapter/Decoder.java
+++ b/src/main/java/pumicekeel/adapter/Decoder.java
@@ -1,5 +1,9 @@
 package pumicekeel.adapter;
 
+import java.util.ArrayList;
+import java.util.Base64;
+import java.util.List;
+import java.util.Map;
 import pumicekeel.Balancer.AnswerStarted;
 import pumicekeel.Balancer.ClientGone;
 import pumicekeel.Balancer.Contract;
@@ -22,31 +26,49 @@
 import pumicekeel.Balancer.Tenant;
 import pumicekeel.Balancer.TimerFired;
 import pumicekeel.Balancer.WeightKind;
-import java.util.ArrayList;
-import java.util.Base64;
-import java.util.List;
-import java.util.Map;
 
 /** Translates the wire's events and settings into the module's. */
 public final class Decoder {
 
   /** Where the settings say nothing: as the protocol's sites have them. */
   private static final long CONNECT_TIMEOUT = 250_000_000L;
+
   private static final long IDLE = 15_000_000_000L;
 
-  private static final Map<String, Status> STATUS = Map.of("served", Status.SERVED, "server_error", Status.ERROR,
-      "turned_away", Status.FULL, "no_answer", Status.TIMEOUT, "no_connection", Status.CONNECT_FAILED,
-      "connection_lost", Status.RESET, "called_off", Status.CANCELLED, "not_sent", Status.NOT_SENT);
+  private static final Map<String, Status> STATUS = Map.of(
+      "served",
+      Status.SERVED,
+      "server_error",
+      Status.ERROR,
+      "turned_away",
+      Status.FULL,
+      "no_answer",
+      Status.TIMEOUT,
+      "no_connection",
+      Status.CONNECT_FAILED,
+      "connection_lost",
+      Status.RESET,
+      "called_off",
+      Status.CANCELLED,
+      "not_sent",
+      Status.NOT_SENT);
   private static final Map<String, State> STATE =
       Map.of("up", State.READY, "draining", State.DRAINING, "removed", State.GONE);
   private static final Map<String, ListKind> LIST_KIND =
       Map.of("D", ListKind.DELTA, "F", ListKind.FULL, "C", ListKind.CACHED, "X", ListKind.FAILED);
-  private static final Map<String, Effect> EFFECT =
-      Map.of("idempotent", Effect.SAFE, "deduplicated", Effect.KEYED, "at_most_once", Effect.UNSAFE);
+  private static final Map<String, Effect> EFFECT = Map.of(
+      "idempotent", Effect.SAFE, "deduplicated", Effect.KEYED, "at_most_once", Effect.UNSAFE);
   private static final Map<String, DedupScope> SCOPE =
       Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL);
-  private static final Map<String, WeightKind> WEIGHTS = Map.of("none", WeightKind.NONE, "nominal",
-      WeightKind.NOMINAL, "rough", WeightKind.ROUGH, "live", WeightKind.LIVE);
+  private static final Map<String, WeightKind> WEIGHTS = Map.of(
+      "none",
+      WeightKind.NONE,
+      "nominal",
+      WeightKind.NOMINAL,
+      "rough",
+      WeightKind.ROUGH,
+      "live",
+      WeightKind.LIVE);
   private static final Map<String, Boolean> LIST_MODE = Map.of("pushed", false, "on_request", true);
 
   private Decoder() {}
@@ -55,16 +77,35 @@
   static Event event(String name, Fields f) {
     return switch (name) {
       case "Topology" -> topology(f);
-      case "JobIn" -> new Request(f.text("rid"), f.text("service"), tenant(f), f.text("object", null),
-          f.integer("drop-dead-ns"), f.integer("weight-hint-ns", 0), f.bool("retry", false));
-      case "First" -> new AnswerStarted(f.text("rid"), (int) f.integer("go"), f.integer("upstream"),
-          f.integer("wait-time-ns"));
-      case "Resolved" -> new Outcome(f.text("rid"), (int) f.integer("go"), f.integer("upstream"),
-          f.word("rc", STATUS), f.integer("wait-time-ns"), f.bool("done-flag"), f.load("usage"));
+      case "JobIn" ->
+        new Request(
+            f.text("rid"),
+            f.text("service"),
+            tenant(f),
+            f.text("object", null),
+            f.integer("drop-dead-ns"),
+            f.integer("weight-hint-ns", 0),
+            f.bool("retry", false));
+      case "First" ->
+        new AnswerStarted(
+            f.text("rid"), (int) f.integer("go"), f.integer("upstream"), f.integer("wait-time-ns"));
+      case "Resolved" ->
+        new Outcome(
+            f.text("rid"),
+            (int) f.integer("go"),
+            f.integer("upstream"),
+            f.word("rc", STATUS),
+            f.integer("wait-time-ns"),
+            f.bool("done-flag"),
+            f.load("usage"));
       case "Aborted" -> new ClientGone(f.text("rid"));
       case "Fired" -> new TimerFired(f.text("handle"));
-      case "HealthResult" -> new ProbeResult(f.integer("upstream"), f.word("rc", STATUS), f.integer("wait-time-ns"),
-          f.load("usage"));
+      case "HealthResult" ->
+        new ProbeResult(
+            f.integer("upstream"),
+            f.word("rc", STATUS),
+            f.integer("wait-time-ns"),
+            f.load("usage"));
       case "Datagram" -> new PeerMessage((int) f.integer("neighbour"), bytes(f));
       default -> throw new WireException("field " + f.path() + ": unknown event");
     };
@@ -72,7 +113,9 @@
 
   /** Sites without tenants leave the field out or write 0. */
   private static String tenant(Fields f) {
-    return f.values().get("user-group") instanceof Long none && none == 0 ? null : f.text("user-group", null);
+    return f.values().get("user-group") instanceof Long none && none == 0
+        ? null
+        : f.text("user-group", null);
   }
 
   private static byte[] bytes(Fields f) {
@@ -88,8 +131,13 @@
     List<Listed> entries = new ArrayList<>();
     if (kind != ListKind.FAILED || f.has("entries")) {
       for (Fields e : f.objects("entries")) {
-        entries.add(new Listed(e.integer("upstream"), e.text("region-part", ""), (int) e.integer("pack", 0),
-            e.word("stage-state", STATE), e.integer("launched-ns", 0), e.number("capacity-hint", 1)));
+        entries.add(new Listed(
+            e.integer("upstream"),
+            e.text("region-part", ""),
+            (int) e.integer("pack", 0),
+            e.word("stage-state", STATE),
+            e.integer("launched-ns", 0),
+            e.number("capacity-hint", 1)));
       }
     }
     return new ListNews(kind, entries);
@@ -106,9 +154,17 @@
     List<RequestClass> classes = new ArrayList<>();
     for (Fields c : f.objects("categories")) {
       long aim = c.integer("aim-ns");
-      classes.add(new RequestClass(c.text("name"), c.word("effect", EFFECT, Effect.UNSAFE),
-          c.word("dedup-scope", SCOPE, DedupScope.CELL), c.integer("window-ns", 0), aim, c.number("aim-stretch", 0),
-          c.integer("deadline-ns", aim), c.number("gain", 1), c.number("late-worth", 0), c.bool("stream", false)));
+      classes.add(new RequestClass(
+          c.text("name"),
+          c.word("effect", EFFECT, Effect.UNSAFE),
+          c.word("dedup-scope", SCOPE, DedupScope.CELL),
+          c.integer("window-ns", 0),
+          aim,
+          c.number("aim-stretch", 0),
+          c.integer("deadline-ns", aim),
+          c.number("gain", 1),
+          c.number("late-worth", 0),
+          c.bool("stream", false)));
     }
     List<Tenant> tenants = new ArrayList<>();
     if (f.has("projects")) {
@@ -117,22 +173,44 @@
       }
     }
     Fields l = f.nested("limits");
-    Limits limits = new Limits(l.bool("cancel", false), l.bool("probing", false), l.bool("peers", false),
-        l.bool("second-copies", false), l.bool("retry-after", false), l.integer("max-retry-after-ns", 0),
-        (int) l.integer("max-attempts", 1), (int) l.integer("most-held", Integer.MAX_VALUE),
-        (int) l.integer("multiplex", 1), orDefault(l, "connect-timeout-ns", CONNECT_TIMEOUT),
+    Limits limits = new Limits(
+        l.bool("cancel", false),
+        l.bool("probing", false),
+        l.bool("peers", false),
+        l.bool("second-copies", false),
+        l.bool("retry-after", false),
+        l.integer("max-retry-after-ns", 0),
+        (int) l.integer("max-attempts", 1),
+        (int) l.integer("most-held", Integer.MAX_VALUE),
+        (int) l.integer("multiplex", 1),
+        orDefault(l, "connect-timeout-ns", CONNECT_TIMEOUT),
         orDefault(l, "conn-idle-ns", IDLE));
     boolean onRequest = f.word("registry-mode", LIST_MODE, false);
     Fields c = f.nested("contract");
-    Contract contract = new Contract(c.integer("answer-slack-ns", 0),
-        c.integer("ask-within-ns", onRequest ? 10_000_000_000L : 0), c.integer("drain-grace-ns", 0),
-        c.number("cold-from", 0.1), c.integer("warm-within-ns", 30_000_000_000L), c.number("fall-multiple", 1),
+    Contract contract = new Contract(
+        c.integer("answer-slack-ns", 0),
+        c.integer("ask-within-ns", onRequest ? 10_000_000_000L : 0),
+        c.integer("drain-grace-ns", 0),
+        c.number("cold-from", 0.1),
+        c.integer("warm-within-ns", 30_000_000_000L),
+        c.number("fall-multiple", 1),
         c.integer("overload-for-ns", 1_000_000_000L));
     Fields p = f.nested("prices");
-    Prices prices = new Prices(p.number("cross-zone", 0), p.number("waste", 0), p.number("late-fail", 0));
-    return new Settings((int) f.integer("me", 0), (int) f.integer("group-size", 1), f.text("zone", ""), classes,
-        tenants, limits, contract, prices, onRequest, f.word("weight-kind", WEIGHTS, WeightKind.NONE),
-        f.number("over-share-worth", 1), f.nested("domain").bool("warm-keys", false),
+    Prices prices =
+        new Prices(p.number("cross-zone", 0), p.number("waste", 0), p.number("late-fail", 0));
+    return new Settings(
+        (int) f.integer("me", 0),
+        (int) f.integer("group-size", 1),
+        f.text("zone", ""),
+        classes,
+        tenants,
+        limits,
+        contract,
+        prices,
+        onRequest,
+        f.word("weight-kind", WEIGHTS, WeightKind.NONE),
+        f.number("over-share-worth", 1),
+        f.nested("domain").bool("warm-keys", false),
         f.integer("resolution-ns", 1_000_000L));
   }
 }
--- a/src/main/java/pumicekeel/adapter/Encoder.java
+++ b/src/main/java/pumicekeel/adapter/Encoder.java
@@ -1,5 +1,8 @@
 package pumicekeel.adapter;
 
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.util.Base64;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.Cancel;
 import pumicekeel.Balancer.CloseIdle;
@@ -12,9 +15,6 @@
 import pumicekeel.Balancer.SetTimer;
 import pumicekeel.Balancer.TellPeer;
 import pumicekeel.Balancer.Watch;
-import com.fasterxml.jackson.core.JsonGenerator;
-import java.io.IOException;
-import java.util.Base64;
 
 /** Writes the module's actions in the wire's words. */
 final class Encoder {
@@ -70,8 +70,10 @@
   static void writeFault(JsonGenerator out, RuntimeException e) throws IOException {
     open(out, "Fault");
     StackTraceElement[] trace = e.getStackTrace();
-    out.writeStringField("note-text", e.getClass().getName() + ": " + e.getMessage() + " at "
-        + (trace.length == 0 ? "unknown place" : trace[0].toString()));
+    out.writeStringField(
+        "note-text",
+        e.getClass().getName() + ": " + e.getMessage() + " at "
+            + (trace.length == 0 ? "unknown place" : trace[0].toString()));
     out.writeEndObject();
     out.writeEndObject();
   }
--- a/src/main/java/pumicekeel/adapter/Fields.java
+++ b/src/main/java/pumicekeel/adapter/Fields.java
@@ -87,7 +87,9 @@
 
   private static WireException bad(String path, String expected, Object value) {
     return new WireException("field " + path + ": expected " + expected + ", got "
-        + (value == null ? "nothing" : value instanceof String ? "\"" + value + "\"" : value.toString()));
+        + (value == null
+            ? "nothing"
+            : value instanceof String ? "\"" + value + "\"" : value.toString()));
   }
 
   private WireException bad(String name, String expected) {
@@ -153,7 +155,9 @@
 
   /** A nested object; an empty one where it is absent. */
   public Fields nested(String name) {
-    return has(name) ? object(path + "." + name, values.get(name)) : new Fields(path + "." + name, Map.of());
+    return has(name)
+        ? object(path + "." + name, values.get(name))
+        : new Fields(path + "." + name, Map.of());
   }
 
   /** An array of objects that has to be there. */
--- a/src/main/java/pumicekeel/adapter/Link.java
+++ b/src/main/java/pumicekeel/adapter/Link.java
@@ -1,7 +1,5 @@
 package pumicekeel.adapter;
 
-import pumicekeel.Balancer;
-import pumicekeel.AdaptiveBalancer;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -14,6 +12,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
+import pumicekeel.AdaptiveBalancer;
+import pumicekeel.Balancer;
 
 /** The conversation: a batch of events a line in, a line of actions out; one module instance for each balancer. */
 public final class Link {
@@ -67,17 +67,21 @@
     generator.writeEndObject();
   }
 
-  private void handle(long now, long id, Fields message, JsonGenerator generator) throws IOException {
+  private void handle(long now, long id, Fields message, JsonGenerator generator)
+      throws IOException {
     if (message.values().size() != 1) {
-      throw new WireException("field " + message.path() + ": expected one event, got " + message.values().size());
+      throw new WireException("field " + message.path() + ": expected one event, got "
+          + message.values().size());
     }
     String name = (String) message.values().keySet().iterator().next();
     Fields f = Fields.object(message.path() + "." + name, message.values().get(name));
     if (name.equals("Provision")) {
       if (!f.has("boot-info")) {
-        throw new WireException("field " + f.path() + ".boot-info: expected an object, got nothing");
+        throw new WireException(
+            "field " + f.path() + ".boot-info: expected an object, got nothing");
       }
-      instances.put(id, new AdaptiveBalancer(Decoder.settings(f.nested("boot-info")), f.integer("seed")));
+      instances.put(
+          id, new AdaptiveBalancer(Decoder.settings(f.nested("boot-info")), f.integer("seed")));
       return;
     }
     Balancer instance = instances.get(id);
--- a/src/main/java/pumicekeel/call/ClientRequest.java
+++ b/src/main/java/pumicekeel/call/ClientRequest.java
@@ -10,8 +10,16 @@
 import pumicekeel.Balancer.Settings;
 
 /** A client's request, checked against the protocol and the settings. */
-public record ClientRequest(String id, RequestClass type, String tenant, String key, long leftNanos, long hintNanos,
-    boolean retry, Payload payload, String idempotencyKey) {
+public record ClientRequest(
+    String id,
+    RequestClass type,
+    String tenant,
+    String key,
+    long leftNanos,
+    long hintNanos,
+    boolean retry,
+    Payload payload,
+    String idempotencyKey) {
 
   public static final String ID = "X-Correlation-Id";
   public static final String TIME_LEFT = "X-Time-Left-Ms";
@@ -38,13 +46,21 @@
   }
 
   /** The headers that say what a request is: each once, or readers would differ over which one counts. */
-  private static final List<String> ONCE = List.of(ID, "X-Service-Class", "X-Account", "X-Session-Key", TIME_LEFT,
-      IDEMPOTENCY_KEY, "X-Weight-Hint", "X-Repeat", HttpHeaderNames.HOST.toString());
+  private static final List<String> ONCE = List.of(
+      ID,
+      "X-Service-Class",
+      "X-Account",
+      "X-Session-Key",
+      TIME_LEFT,
+      IDEMPOTENCY_KEY,
+      "X-Weight-Hint",
+      "X-Repeat",
+      HttpHeaderNames.HOST.toString());
 
   /** One that does not fit the settings but those before them, where there are such, was asked by a client that has
    * not heard of the change yet, and keeps its class of then. */
-  public static ClientRequest of(HttpRequest head, byte[] body, Upload upload, Settings settings,
-      Settings former) throws Bad {
+  public static ClientRequest of(
+      HttpRequest head, byte[] body, Upload upload, Settings settings, Settings former) throws Bad {
     try {
       return of(head, body, upload, settings);
     } catch (Bad e) {
@@ -61,7 +77,8 @@
   /** The headers whose values are kept. */
   private static final List<String> KEPT = List.of(ID, "X-Session-Key", IDEMPOTENCY_KEY);
 
-  private static ClientRequest of(HttpRequest head, byte[] body, Upload upload, Settings settings) throws Bad {
+  private static ClientRequest of(HttpRequest head, byte[] body, Upload upload, Settings settings)
+      throws Bad {
     HttpHeaders h = head.headers();
     if (h.get(HttpHeaderNames.HOST) == null) {
       // RFC 9112, section 3.2.
@@ -92,9 +109,21 @@
     }
     long left = number(TIME_LEFT, needed(h, TIME_LEFT)) * 1_000_000L;
     long hint = number("X-Weight-Hint", h.get("X-Weight-Hint", "0")) * 1_000L;
-    return new ClientRequest(needed(h, ID), type, tenant, h.get("X-Session-Key"),
-        Math.min(left, type.deadlineNanos()), hint, "1".equals(h.get("X-Repeat")), new Payload.Http(head.method(),
-            head.uri(), h.get(HttpHeaderNames.HOST, ""), h.get(HttpHeaderNames.CONTENT_TYPE), body, upload),
+    return new ClientRequest(
+        needed(h, ID),
+        type,
+        tenant,
+        h.get("X-Session-Key"),
+        Math.min(left, type.deadlineNanos()),
+        hint,
+        "1".equals(h.get("X-Repeat")),
+        new Payload.Http(
+            head.method(),
+            head.uri(),
+            h.get(HttpHeaderNames.HOST, ""),
+            h.get(HttpHeaderNames.CONTENT_TYPE),
+            body,
+            upload),
         idempotencyKey);
   }
 
@@ -117,7 +146,8 @@
 
   /** Turns a tenant away that the settings don't know, where they know any. */
   public static void checkTenant(String tenant, Settings settings) throws Bad {
-    if (!settings.tenants().isEmpty() && settings.tenants().stream().noneMatch(t -> t.name().equals(tenant))) {
+    if (!settings.tenants().isEmpty()
+        && settings.tenants().stream().noneMatch(t -> t.name().equals(tenant))) {
       throw new Bad(400, "unknown tenant");
     }
   }
@@ -129,13 +159,14 @@
 
   /** The same request with less of its time left, at least none. */
   public ClientRequest withLeft(long nanos) {
-    return new ClientRequest(id, type, tenant, key, Math.max(0, nanos), hintNanos, retry, payload,
-        idempotencyKey);
+    return new ClientRequest(
+        id, type, tenant, key, Math.max(0, nanos), hintNanos, retry, payload, idempotencyKey);
   }
 
   /** The same request as another pool has its class. */
   public ClientRequest withType(RequestClass other) {
-    return new ClientRequest(id, other, tenant, key, leftNanos, hintNanos, retry, payload, idempotencyKey);
+    return new ClientRequest(
+        id, other, tenant, key, leftNanos, hintNanos, retry, payload, idempotencyKey);
   }
 
   private static String needed(HttpHeaders headers, String name) throws Bad {
--- a/src/main/java/pumicekeel/call/Payload.java
+++ b/src/main/java/pumicekeel/call/Payload.java
@@ -15,7 +15,8 @@
   Http http(Effect effect);
 
   /** An HTTP request; where {@code upload} is not null, its body is that, and still comes. */
-  record Http(HttpMethod method, String uri, String host, String contentType, byte[] body, Upload upload)
+  record Http(
+      HttpMethod method, String uri, String host, String contentType, byte[] body, Upload upload)
       implements Payload {
 
     /** One whose body has come whole. */
@@ -40,9 +41,11 @@
    * @param params raw JSON, an object or an array; null for none
    * @param uri where it goes as an HTTP request; null for the class, with the params in the query of a safe one
    */
-  record Call(String method, byte[] params, String className, String uri, String host) implements Payload {
+  record Call(String method, byte[] params, String className, String uri, String host)
+      implements Payload {
     /** Servers take lines of 4 KiB to 8 KiB; method and version are on it too. */
     public static final int MOST_TARGET = 4_000;
+
     private static final byte[] NONE = {};
 
     @Override
@@ -54,13 +57,23 @@
     @Override
     public Http http(Effect effect) {
       boolean safe = effect == Effect.SAFE;
-      return new Http(safe ? HttpMethod.GET : HttpMethod.POST, target(safe), host,
-          safe || params == null ? null : "application/json", safe || params == null ? NONE : params);
+      return new Http(
+          safe ? HttpMethod.GET : HttpMethod.POST,
+          target(safe),
+          host,
+          safe || params == null ? null : "application/json",
+          safe || params == null ? NONE : params);
     }
 
     private String target(boolean safe) {
-      return uri != null ? uri : "/" + className + (safe && params != null
-          ? "?params=" + URLEncoder.encode(new String(params, StandardCharsets.UTF_8), StandardCharsets.UTF_8) : "");
+      return uri != null
+          ? uri
+          : "/" + className
+              + (safe && params != null
+                  ? "?params="
+                      + URLEncoder.encode(
+                          new String(params, StandardCharsets.UTF_8), StandardCharsets.UTF_8)
+                  : "");
     }
 
     /** Whether it fits the line that HTTP upstreams take. */
--- a/src/main/java/pumicekeel/cli/CallCommand.java
+++ b/src/main/java/pumicekeel/cli/CallCommand.java
@@ -26,10 +26,14 @@
 import pumicekeel.standin.StandInRpcClient;
 
 /** One call, or one batch, as a partner's application would make it. */
-@Command(name = "call", mixinStandardHelpOptions = true,
+@Command(
+    name = "call",
+    mixinStandardHelpOptions = true,
     description = "Make a JSON-RPC call over TCP and print what is answered, a message a line.",
-    footer = {"Exit status: 0 where every answer is a result, 1 where one is an error object or none came in time, 2 for a"
-        + " wrong command line or an address that nobody listens at."})
+    footer = {
+      "Exit status: 0 where every answer is a result, 1 where one is an error object or none came in time, 2 for a"
+          + " wrong command line or an address that nobody listens at."
+    })
 final class CallCommand implements Callable<Integer> {
 
   private static final Limits LIMITS = new Limits(4 << 20, Limits.MOST_DEPTH, 10_000);
@@ -38,23 +42,40 @@
   @Parameters(index = "0", paramLabel = "ADDRESS", description = "HOST:PORT, by number.")
   private String address;
 
-  @Parameters(index = "1", arity = "0..1", paramLabel = "METHOD", description = "The method's name.")
+  @Parameters(
+      index = "1",
+      arity = "0..1",
+      paramLabel = "METHOD",
+      description = "The method's name.")
   private String method;
 
-  @Parameters(index = "2", arity = "0..1", paramLabel = "PARAMS", description = "A JSON object or array.")
+  @Parameters(
+      index = "2",
+      arity = "0..1",
+      paramLabel = "PARAMS",
+      description = "A JSON object or array.")
   private String params;
 
-  @Option(names = "--batch", paramLabel = "FILE", description = "Send this file instead: one JSON-RPC message.")
+  @Option(
+      names = "--batch",
+      paramLabel = "FILE",
+      description = "Send this file instead: one JSON-RPC message.")
   private Path batch;
 
   @Option(names = "--notify", description = "Send a notification, and wait for nothing.")
   private boolean notify;
 
-  @Option(names = "--framing", paramLabel = "NAME", defaultValue = "newline",
+  @Option(
+      names = "--framing",
+      paramLabel = "NAME",
+      defaultValue = "newline",
       description = "newline or content-length. Default: ${DEFAULT-VALUE}.")
   private String framing;
 
-  @Option(names = "--timeout-ms", paramLabel = "N", defaultValue = "10000",
+  @Option(
+      names = "--timeout-ms",
+      paramLabel = "N",
+      defaultValue = "10000",
       description = "How long to wait, 1 to 600000. Default: ${DEFAULT-VALUE}.")
   private long timeoutMillis;
 
@@ -63,10 +84,15 @@
 
   @Override
   public Integer call() throws Exception {
-    Framing by = framing.equals("newline") ? Framing.NEWLINE : framing.equals("content-length") ? Framing.CONTENT_LENGTH
-        : null;
-    if (by == null || timeoutMillis < 1 || timeoutMillis > 600_000 || (method == null) == (batch == null)) {
-      throw usage("expected METHOD or --batch FILE, --framing newline or content-length, --timeout-ms 1 to 600000");
+    Framing by = framing.equals("newline")
+        ? Framing.NEWLINE
+        : framing.equals("content-length") ? Framing.CONTENT_LENGTH : null;
+    if (by == null
+        || timeoutMillis < 1
+        || timeoutMillis > 600_000
+        || (method == null) == (batch == null)) {
+      throw usage(
+          "expected METHOD or --batch FILE, --framing newline or content-length, --timeout-ms 1 to 600000");
     }
     byte[] message = message();
     int wanted = owed(message);
@@ -105,13 +131,20 @@
   /** How many answers the message is owed; one that is no message is sent all the same, and owed one. */
   private int owed(byte[] message) {
     Message read = new MessageReader(LIMITS).read(message);
-    if (batch == null && !(read instanceof Message.One one && one.entry() instanceof Message.Call)) {
+    if (batch == null
+        && !(read instanceof Message.One one && one.entry() instanceof Message.Call)) {
       throw usage("PARAMS: expected a JSON object or array");
     }
     if (read instanceof Message.Batch many) {
-      return (int) many.entries().stream().filter(e -> !(e instanceof Message.Call c && c.id() == null)).count();
+      return (int) many.entries().stream()
+          .filter(e -> !(e instanceof Message.Call c && c.id() == null))
+          .count();
     }
-    return read instanceof Message.One one && one.entry() instanceof Message.Call c && c.id() == null ? 0 : 1;
+    return read instanceof Message.One one
+            && one.entry() instanceof Message.Call c
+            && c.id() == null
+        ? 0
+        : 1;
   }
 
   private StandInRpcClient connect(EventLoopGroup group, Framing by) throws InterruptedException {
@@ -136,17 +169,22 @@
     boolean good = true;
     int got = 0;
     while (got < wanted) {
-      String text = client.next(Math.max(0, TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())));
+      String text =
+          client.next(Math.max(0, TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())));
       if (text == null) {
         spec.commandLine().getErr().println(wanted - got + " answers did not come");
         return 1;
       }
       spec.commandLine().getOut().println(text);
       Message message = reader.read(text.getBytes(StandardCharsets.UTF_8));
-      java.util.List<Message.Entry> entries = message instanceof Message.Batch b ? b.entries()
-          : message instanceof Message.One one ? java.util.List.of(one.entry()) : java.util.List.of();
+      java.util.List<Message.Entry> entries = message instanceof Message.Batch b
+          ? b.entries()
+          : message instanceof Message.One one
+              ? java.util.List.of(one.entry())
+              : java.util.List.of();
       got += Math.max(1, entries.size());
-      good &= !entries.isEmpty() && entries.stream().allMatch(e -> e instanceof Message.Reply r && r.result() != null);
+      good &= !entries.isEmpty()
+          && entries.stream().allMatch(e -> e instanceof Message.Reply r && r.result() != null);
     }
     return good ? 0 : 1;
   }
--- a/src/main/java/pumicekeel/cli/CheckCommand.java
+++ b/src/main/java/pumicekeel/cli/CheckCommand.java
@@ -14,16 +14,22 @@
 import pumicekeel.node.Node;
 
 /** Checks an operator file as a start or a reload would. */
-@Command(name = "check", mixinStandardHelpOptions = true,
-    description = "Check an operator file: each fault is one line FILE:LINE: KEY: what was expected.",
+@Command(
+    name = "check",
+    mixinStandardHelpOptions = true,
+    description =
+        "Check an operator file: each fault is one line FILE:LINE: KEY: what was expected.",
     footer = {"Exit status: 0 for a good file, 2 for a faulty one."})
 final class CheckCommand implements Callable<Integer> {
 
   @Parameters(index = "0", paramLabel = "FILE", description = "The operator file.")
   private Path file;
 
-  @Option(names = "--config", paramLabel = "FILE",
-      description = "The platform's configuration: whether the rooms that the file asks for fit is checked as well.")
+  @Option(
+      names = "--config",
+      paramLabel = "FILE",
+      description =
+          "The platform's configuration: whether the rooms that the file asks for fit is checked as well.")
   private Path config;
 
   @Spec
@@ -43,12 +49,15 @@
       try {
         Node.check(Configuration.read(Map.of("PROXY_CONFIG", config.toString())), operator);
       } catch (java.io.IOException | RuntimeException e) {
-        err.println(file + ": with " + config + ": " + String.valueOf(e.getMessage()).replace('\n', ' '));
+        err.println(
+            file + ": with " + config + ": " + String.valueOf(e.getMessage()).replace('\n', ' '));
         return 2;
       }
     }
-    spec.commandLine().getOut().println(file + ": good: " + operator.pools().size() + " pools, "
-        + operator.routes().size() + " routes, " + operator.listeners().size() + " listeners");
+    spec.commandLine()
+        .getOut()
+        .println(file + ": good: " + operator.pools().size() + " pools, "
+            + operator.routes().size() + " routes, " + operator.listeners().size() + " listeners");
     return 0;
   }
 }
--- a/src/main/java/pumicekeel/cli/Commands.java
+++ b/src/main/java/pumicekeel/cli/Commands.java
@@ -7,11 +7,27 @@
 import picocli.CommandLine.Spec;
 
 /** The command that holds all others. */
-@Command(name = "pumicekeel", mixinStandardHelpOptions = true, version = Commands.VERSION,
+@Command(
+    name = "pumicekeel",
+    mixinStandardHelpOptions = true,
+    version = Commands.VERSION,
     description = "A load balancer for HTTP upstreams.",
-    subcommands = {ServeCommand.class, Commands.Rehearse.class, Commands.Adapter.class, CheckCommand.class,
-        RoutesCommand.class, DemoCommand.class, JournalCommand.class, MeasureCommand.class,
-        FuzzCommand.class, CallCommand.class, SimCommand.class, FleetCommand.class, RigCommand.class, LabCommand.class})
+    subcommands = {
+      ServeCommand.class,
+      Commands.Rehearse.class,
+      Commands.Adapter.class,
+      CheckCommand.class,
+      RoutesCommand.class,
+      DemoCommand.class,
+      JournalCommand.class,
+      MeasureCommand.class,
+      FuzzCommand.class,
+      CallCommand.class,
+      SimCommand.class,
+      FleetCommand.class,
+      RigCommand.class,
+      LabCommand.class
+    })
 final class Commands implements Callable<Integer> {
 
   /** As in pom.xml; a test holds the two together. */
@@ -26,7 +42,9 @@
   }
 
   /** Only described here: the platform's line never comes through the library. */
-  @Command(name = "rehearse", mixinStandardHelpOptions = true,
+  @Command(
+      name = "rehearse",
+      mixinStandardHelpOptions = true,
       description = "Start like serve and end once ready: for making a class-data archive.")
   static final class Rehearse implements Callable<Integer> {
     @Override
@@ -36,7 +54,9 @@
   }
 
   /** Described here for the help; {@link Main} runs it. */
-  @Command(name = "adapter", mixinStandardHelpOptions = true,
+  @Command(
+      name = "adapter",
+      mixinStandardHelpOptions = true,
       description = "Read batches of events from standard input, write actions to standard output.")
   static final class Adapter implements Callable<Integer> {
     @Override
--- a/src/main/java/pumicekeel/cli/LabCommand.java
+++ b/src/main/java/pumicekeel/cli/LabCommand.java
@@ -34,10 +34,21 @@
 import pumicekeel.lab.world.Worlds;
 
 /** Whole fleets in virtual time, by policy, world and seed. */
-@Command(name = "lab", mixinStandardHelpOptions = true,
+@Command(
+    name = "lab",
+    mixinStandardHelpOptions = true,
     description = "Try policies on whole fleets in virtual time, compare them, and see why.",
-    subcommands = {LabCommand.Run.class, LabCommand.Compare.class, LabCommand.MakeReport.class, LabCommand.Explain.class,
-        LabCommand.Shrink.class, LabCommand.Program.class, LabCommand.Play.class, LabCommand.Real.class, SubsetsCommand.class})
+    subcommands = {
+      LabCommand.Run.class,
+      LabCommand.Compare.class,
+      LabCommand.MakeReport.class,
+      LabCommand.Explain.class,
+      LabCommand.Shrink.class,
+      LabCommand.Program.class,
+      LabCommand.Play.class,
+      LabCommand.Real.class,
+      SubsetsCommand.class
+    })
 final class LabCommand implements Callable<Integer> {
 
   @Spec
@@ -51,7 +62,9 @@
   /** The program that is tried, for results that outlive it. */
   private static String build() {
     try {
-      Process git = new ProcessBuilder("git", "rev-parse", "--short", "HEAD").redirectErrorStream(true).start();
+      Process git = new ProcessBuilder("git", "rev-parse", "--short", "HEAD")
+          .redirectErrorStream(true)
+          .start();
       String out = new String(git.getInputStream().readNBytes(64), StandardCharsets.UTF_8).strip();
       return git.waitFor(2, TimeUnit.SECONDS) && git.exitValue() == 0 ? out : Commands.VERSION;
     } catch (IOException e) {
@@ -63,18 +76,29 @@
   }
 
   /** An experiment. */
-  @Command(name = "run", mixinStandardHelpOptions = true,
+  @Command(
+      name = "run",
+      mixinStandardHelpOptions = true,
       description = "Play an experiment. What the result file holds already is not played again.",
-      footer = {"Exit status: 0 where every run came to figures, 1 where some did not, 2 for a file that is no good."})
+      footer = {
+        "Exit status: 0 where every run came to figures, 1 where some did not, 2 for a file that is no good."
+      })
   static final class Run implements Callable<Integer> {
 
     @Parameters(paramLabel = "FILE", description = "The experiment, TOML.")
     private Path file;
 
-    @Option(names = "--out", paramLabel = "FILE", required = true, description = "Results, a line of JSON each; gone on with if it is there.")
+    @Option(
+        names = "--out",
+        paramLabel = "FILE",
+        required = true,
+        description = "Results, a line of JSON each; gone on with if it is there.")
     private Path out;
 
-    @Option(names = "--threads", paramLabel = "N", description = "Runs side by side, 1 to 256. Default: the processors.")
+    @Option(
+        names = "--threads",
+        paramLabel = "N",
+        description = "Runs side by side, 1 to 256. Default: the processors.")
     private Integer threads;
 
     @Spec
@@ -88,8 +112,12 @@
       PrintWriter err = spec.commandLine().getErr();
       try (ResultFile results = ResultFile.open(out)) {
         Experiment experiment = Experiment.read(file);
-        int without = new Runner(experiment, build(), threads == null ? Runtime.getRuntime().availableProcessors() : threads,
-            err::println).run(results);
+        int without = new Runner(
+                experiment,
+                build(),
+                threads == null ? Runtime.getRuntime().availableProcessors() : threads,
+                err::println)
+            .run(results);
         return without == 0 ? 0 : 1;
       } catch (Experiment.Faulty e) {
         e.lines().forEach(err::println);
@@ -102,18 +130,29 @@
   }
 
   /** Two results, or two policies of one. */
-  @Command(name = "compare", mixinStandardHelpOptions = true,
-      description = "Compare two files of results run by run, or two policies of one file, with a 95 %% interval for the mean difference.",
+  @Command(
+      name = "compare",
+      mixinStandardHelpOptions = true,
+      description =
+          "Compare two files of results run by run, or two policies of one file, with a 95 %% interval for the mean difference.",
       footer = {"Exit status: 0, or 1 where nothing could be paired."})
   static final class Compare implements Callable<Integer> {
 
     @Parameters(arity = "1..2", paramLabel = "FILE", description = "One file of results, or two.")
     private List<Path> files;
 
-    @Option(names = "--policies", arity = "2", paramLabel = "NAME", description = "Two policies: the second is held against the first.")
+    @Option(
+        names = "--policies",
+        arity = "2",
+        paramLabel = "NAME",
+        description = "Two policies: the second is held against the first.")
     private List<String> policies;
 
-    @Option(names = "--metric", paramLabel = "NAME", defaultValue = "worth", description = "One of a run's figures. Default: ${DEFAULT-VALUE}.")
+    @Option(
+        names = "--metric",
+        paramLabel = "NAME",
+        defaultValue = "worth",
+        description = "One of a run's figures. Default: ${DEFAULT-VALUE}.")
     private String metric;
 
     @Spec
@@ -122,32 +161,49 @@
     @Override
     public Integer call() throws Exception {
       if (!Figures.NAMES.contains(metric)) {
-        throw new ParameterException(spec.commandLine(), "--metric: expected one of " + Figures.NAMES + ", got " + metric);
+        throw new ParameterException(
+            spec.commandLine(), "--metric: expected one of " + Figures.NAMES + ", got " + metric);
       }
       if (files.size() == 1 && policies == null) {
         throw new ParameterException(spec.commandLine(), "expected two files, or --policies A B");
       }
       List<Result> a = ResultFile.read(files.get(0));
       List<Result> b = files.size() == 1 ? a : ResultFile.read(files.get(1));
-      List<Comparison.Line> lines = Comparison.of(a, policies == null ? null : policies.get(0), b,
-          policies == null ? null : policies.get(1), metric);
+      List<Comparison.Line> lines = Comparison.of(
+          a,
+          policies == null ? null : policies.get(0),
+          b,
+          policies == null ? null : policies.get(1),
+          metric);
       PrintWriter out = spec.commandLine().getOut();
-      out.printf("%-44s %5s %9s %9s %9s  %-20s %s%n", metric + " by setting", "pairs", "A", "B", "B - A", "95 %", "B is");
+      out.printf(
+          "%-44s %5s %9s %9s %9s  %-20s %s%n",
+          metric + " by setting", "pairs", "A", "B", "B - A", "95 %", "B is");
       for (Comparison.Line l : lines) {
         String verdict = switch (l.verdict()) {
           case BETTER -> "better";
           case WORSE -> "worse";
           default -> "not told from noise";
         };
-        out.printf("%-44s %5d %9.4f %9.4f %9.4f  %-20s %s%n", l.setting(), l.pairs(), l.a(), l.b(), l.mean(),
-            String.format("%.4f to %.4f", l.low(), l.high()), verdict);
+        out.printf(
+            "%-44s %5d %9.4f %9.4f %9.4f  %-20s %s%n",
+            l.setting(),
+            l.pairs(),
+            l.a(),
+            l.b(),
+            l.mean(),
+            String.format("%.4f to %.4f", l.low(), l.high()),
+            verdict);
       }
       return lines.isEmpty() ? 1 : 0;
     }
   }
 
   /** A page. */
-  @Command(name = "report", mixinStandardHelpOptions = true, description = "Write one self-contained page of results.")
+  @Command(
+      name = "report",
+      mixinStandardHelpOptions = true,
+      description = "Write one self-contained page of results.")
   static final class MakeReport implements Callable<Integer> {
 
     @Parameters(paramLabel = "FILE", description = "Results.")
@@ -156,7 +212,11 @@
     @Option(names = "--out", paramLabel = "FILE", required = true, description = "The page, HTML.")
     private Path out;
 
-    @Option(names = "--title", paramLabel = "TEXT", defaultValue = "lab", description = "Default: ${DEFAULT-VALUE}.")
+    @Option(
+        names = "--title",
+        paramLabel = "TEXT",
+        defaultValue = "lab",
+        description = "Default: ${DEFAULT-VALUE}.")
     private String title;
 
     @Override
@@ -170,22 +230,45 @@
   /** One run by name; what several commands take. */
   private abstract static class OneRun implements Callable<Integer> {
 
-    @Option(names = "--world", paramLabel = "NAME", defaultValue = "calm", description = "Default: ${DEFAULT-VALUE}.")
+    @Option(
+        names = "--world",
+        paramLabel = "NAME",
+        defaultValue = "calm",
+        description = "Default: ${DEFAULT-VALUE}.")
     protected String world;
 
-    @Option(names = "--policy", paramLabel = "NAME", defaultValue = Policies.OWN, description = "Default: ${DEFAULT-VALUE}.")
+    @Option(
+        names = "--policy",
+        paramLabel = "NAME",
+        defaultValue = Policies.OWN,
+        description = "Default: ${DEFAULT-VALUE}.")
     protected String policy;
 
-    @Option(names = "--balancers", paramLabel = "N", defaultValue = "2", description = "Default: ${DEFAULT-VALUE}.")
+    @Option(
+        names = "--balancers",
+        paramLabel = "N",
+        defaultValue = "2",
+        description = "Default: ${DEFAULT-VALUE}.")
     protected int balancers;
 
-    @Option(names = "--servers", paramLabel = "N", defaultValue = "10", description = "Default: ${DEFAULT-VALUE}.")
+    @Option(
+        names = "--servers",
+        paramLabel = "N",
+        defaultValue = "10",
+        description = "Default: ${DEFAULT-VALUE}.")
     protected int servers;
 
-    @Option(names = "--seconds", paramLabel = "S", defaultValue = "45", description = "Default: ${DEFAULT-VALUE}.")
+    @Option(
+        names = "--seconds",
+        paramLabel = "S",
+        defaultValue = "45",
+        description = "Default: ${DEFAULT-VALUE}.")
     protected double seconds;
 
-    @Option(names = "--load", paramLabel = "PART", description = "Of what the upstreams can do without remembered keys.")
+    @Option(
+        names = "--load",
+        paramLabel = "PART",
+        description = "Of what the upstreams can do without remembered keys.")
     protected Double load;
 
     @Parameters(paramLabel = "SEED", description = "The run's seed.")
@@ -198,10 +281,13 @@
       try {
         WorldSpec w = Worlds.of(world, balancers, servers);
         if (w == null) {
-          throw new ParameterException(spec.commandLine(), "--world: expected one of " + Worlds.names() + ", got " + world);
+          throw new ParameterException(
+              spec.commandLine(), "--world: expected one of " + Worlds.names() + ", got " + world);
         }
         if (Policies.of(policy) == null) {
-          throw new ParameterException(spec.commandLine(), "--policy: expected one of " + Policies.names() + ", got " + policy);
+          throw new ParameterException(
+              spec.commandLine(),
+              "--policy: expected one of " + Policies.names() + ", got " + policy);
         }
         return load == null ? w.withSeconds(seconds) : w.withSeconds(seconds).with("load", load);
       } catch (IllegalArgumentException e) {
@@ -211,7 +297,10 @@
   }
 
   /** One run. */
-  @Command(name = "play", mixinStandardHelpOptions = true, description = "Play one run and print its figures.",
+  @Command(
+      name = "play",
+      mixinStandardHelpOptions = true,
+      description = "Play one run and print its figures.",
       footer = {"Exit status: 0 where all rules held, else 1."})
   static final class Play extends OneRun {
     @Override
@@ -222,8 +311,16 @@
       for (String name : Figures.NAMES) {
         out.printf("%-18s %.4f%n", name, f.get(name));
       }
-      out.printf("%d requests, %d tries, %d served, %d refused, %d failed, %d found nobody; %d events in %.1f s%n", f.asked(), f.tries(),
-          f.served(), f.refused(), f.failed(), f.unreached(), f.events(), (System.nanoTime() - from) / 1e9);
+      out.printf(
+          "%d requests, %d tries, %d served, %d refused, %d failed, %d found nobody; %d events in %.1f s%n",
+          f.asked(),
+          f.tries(),
+          f.served(),
+          f.refused(),
+          f.failed(),
+          f.unreached(),
+          f.events(),
+          (System.nanoTime() - from) / 1e9);
       f.broken().forEach((rule, times) -> out.println("broken: " + rule + ", " + times + " times"));
       if (f.first() != null) {
         out.println("first: " + f.first());
@@ -233,10 +330,15 @@
   }
 
   /** Model against sockets. */
-  @Command(name = "real", mixinStandardHelpOptions = true,
-      description = "Play a small world in virtual time and on real sockets with the real program, and hold the two against each other."
-          + " Clients ask once; of troubles only bursts are played. Takes the world's seconds twice, and some.",
-      footer = {"Exit status: 0 where the served share lies within 0.03 and the median within 15 %%, else 1."})
+  @Command(
+      name = "real",
+      mixinStandardHelpOptions = true,
+      description =
+          "Play a small world in virtual time and on real sockets with the real program, and hold the two against each other."
+              + " Clients ask once; of troubles only bursts are played. Takes the world's seconds twice, and some.",
+      footer = {
+        "Exit status: 0 where the served share lies within 0.03 and the median within 15 %%, else 1."
+      })
   static final class Real extends OneRun {
 
     private static final double SERVED_WITHIN = 0.03;
@@ -256,48 +358,78 @@
       out.flush();
       RealRun.Figures real = new RealRun(world, seed).play();
       double served = (double) model.served() / model.tries();
-      out.printf("%-10s %9s %9s %9s %9s %9s %9s%n", "", "asked", "served", "refused", "worth", "p50 ms", "p99 ms");
-      out.printf("%-10s %9d %9.4f %9.4f %9.4f %9.1f %9.1f%n", "virtual", model.asked(), served, model.get("refused-part"), model.worth(),
-          model.p50Millis(), model.p99Millis());
-      out.printf("%-10s %9d %9.4f %9.4f %9.4f %9.1f %9.1f%n", "sockets", real.asked(), real.servedPart(), real.refusedPart(),
-          real.worth(), real.p50Millis(), real.p99Millis());
-      out.printf("without an answer or failed %d, another's answer %d; the world itself was late by %.1f ms at the worst%n",
+      out.printf(
+          "%-10s %9s %9s %9s %9s %9s %9s%n",
+          "", "asked", "served", "refused", "worth", "p50 ms", "p99 ms");
+      out.printf(
+          "%-10s %9d %9.4f %9.4f %9.4f %9.1f %9.1f%n",
+          "virtual",
+          model.asked(),
+          served,
+          model.get("refused-part"),
+          model.worth(),
+          model.p50Millis(),
+          model.p99Millis());
+      out.printf(
+          "%-10s %9d %9.4f %9.4f %9.4f %9.1f %9.1f%n",
+          "sockets",
+          real.asked(),
+          real.servedPart(),
+          real.refusedPart(),
+          real.worth(),
+          real.p50Millis(),
+          real.p99Millis());
+      out.printf(
+          "without an answer or failed %d, another's answer %d; the world itself was late by %.1f ms at the worst%n",
           real.otherOrNone(), real.wrong(), real.lateMillis());
       boolean close = Math.abs(real.servedPart() - served) <= SERVED_WITHIN
-          && Math.abs(real.p50Millis() / model.p50Millis() - 1) <= MEDIAN_WITHIN && real.wrong() == 0;
+          && Math.abs(real.p50Millis() / model.p50Millis() - 1) <= MEDIAN_WITHIN
+          && real.wrong() == 0;
       out.println(close ? "close" : "not close");
       return close ? 0 : 1;
     }
   }
 
   /** One request. */
-  @Command(name = "explain", mixinStandardHelpOptions = true, description = "Play one run and tell what became of one request.",
+  @Command(
+      name = "explain",
+      mixinStandardHelpOptions = true,
+      description = "Play one run and tell what became of one request.",
       footer = {"Exit status: 0, or 1 where there is no such request."})
   static final class Explain extends OneRun {
 
-    @Option(names = "--request", paramLabel = "ID", required = true, description = "Its number, as 17 or q17.")
+    @Option(
+        names = "--request",
+        paramLabel = "ID",
+        required = true,
+        description = "Its number, as 17 or q17.")
     private String request;
 
     @Override
     public Integer call() {
       String digits = request.replaceFirst("^q", "").replaceFirst("r\\d+$", "");
       if (!digits.matches("\\d{1,18}")) {
-        throw new ParameterException(spec.commandLine(), "--request: expected a number, as 17 or q17, got " + request);
+        throw new ParameterException(
+            spec.commandLine(), "--request: expected a number, as 17 or q17, got " + request);
       }
       long number = Long.parseLong(digits);
       List<String> lines = new ArrayList<>();
       new FleetRun(world(), Policies.of(policy), seed, (of, at, what) -> {
-        if (of == number) {
-          lines.add(String.format("%10.1f ms  %s", at / 1e6, what));
-        }
-      }).play(() -> false);
+            if (of == number) {
+              lines.add(String.format("%10.1f ms  %s", at / 1e6, what));
+            }
+          })
+          .play(() -> false);
       lines.forEach(spec.commandLine().getOut()::println);
       return lines.isEmpty() ? 1 : 0;
     }
   }
 
   /** A smaller world. */
-  @Command(name = "shrink", mixinStandardHelpOptions = true, description = "Cut a run in which a rule is broken down to a smaller one.",
+  @Command(
+      name = "shrink",
+      mixinStandardHelpOptions = true,
+      description = "Cut a run in which a rule is broken down to a smaller one.",
       footer = {"Exit status: 0 where one was found, 1 where no rule is broken."})
   static final class Shrink extends OneRun {
     @Override
@@ -310,28 +442,50 @@
   }
 
   /** The whole program, by seed. */
-  @Command(name = "program", mixinStandardHelpOptions = true,
-      description = "Play the whole serving program in virtual time on a simulated network, between clients, upstreams and a discovery"
-          + " that break in every way that the seed decides. Held against the four rules and against the bounds on sockets and memory.",
-      footer = {"Exit status: 0 where all held, 1 where something did not; its line says how to repeat it."})
+  @Command(
+      name = "program",
+      mixinStandardHelpOptions = true,
+      description =
+          "Play the whole serving program in virtual time on a simulated network, between clients, upstreams and a discovery"
+              + " that break in every way that the seed decides. Held against the four rules and against the bounds on sockets and memory.",
+      footer = {
+        "Exit status: 0 where all held, 1 where something did not; its line says how to repeat it."
+      })
   static final class Program implements Callable<Integer> {
 
-    @Option(names = "--seed", paramLabel = "S", defaultValue = "1", description = "The first seed. Default: ${DEFAULT-VALUE}.")
+    @Option(
+        names = "--seed",
+        paramLabel = "S",
+        defaultValue = "1",
+        description = "The first seed. Default: ${DEFAULT-VALUE}.")
     private long seed;
 
-    @Option(names = "--runs", paramLabel = "N", defaultValue = "1", description = "Seeds from the first on, 1 to 10000000. Default: ${DEFAULT-VALUE}.")
+    @Option(
+        names = "--runs",
+        paramLabel = "N",
+        defaultValue = "1",
+        description = "Seeds from the first on, 1 to 10000000. Default: ${DEFAULT-VALUE}.")
     private long runs;
 
-    @Option(names = "--threads", paramLabel = "N", description = "Runs side by side, 1 to 256. Default: the processors.")
+    @Option(
+        names = "--threads",
+        paramLabel = "N",
+        description = "Runs side by side, 1 to 256. Default: the processors.")
     private Integer threads;
 
     @Option(names = "--trace", description = "Tell every event of the one seed.")
     private boolean trace;
 
-    @Option(names = "--shrink", description = "Cut the one seed down to the fewest steps that still break the same.")
+    @Option(
+        names = "--shrink",
+        description = "Cut the one seed down to the fewest steps that still break the same.")
     private boolean shrink;
 
-    @Option(names = "--only", paramLabel = "N,N", split = ",", description = "Play only these steps of the one seed, as --shrink names them.")
+    @Option(
+        names = "--only",
+        paramLabel = "N,N",
+        split = ",",
+        description = "Play only these steps of the one seed, as --shrink names them.")
     private List<Integer> only;
 
     @Spec
@@ -340,10 +494,13 @@
     @Override
     public Integer call() throws Exception {
       if (runs < 1 || runs > 10_000_000 || threads != null && (threads < 1 || threads > 256)) {
-        throw new ParameterException(spec.commandLine(), "expected --runs 1 to 10000000, --threads 1 to 256");
+        throw new ParameterException(
+            spec.commandLine(), "expected --runs 1 to 10000000, --threads 1 to 256");
       }
       if (runs > 1 && (trace || shrink || only != null) || shrink && only != null) {
-        throw new ParameterException(spec.commandLine(), "expected one seed with --trace, --only or --shrink, and no --only with --shrink");
+        throw new ParameterException(
+            spec.commandLine(),
+            "expected one seed with --trace, --only or --shrink, and no --only with --shrink");
       }
       return shrink ? shrink() : runs == 1 ? one() : all();
     }
@@ -356,31 +513,53 @@
       } catch (IllegalArgumentException e) {
         throw new ParameterException(spec.commandLine(), "--only: " + e.getMessage());
       }
-      out.printf("seed %d: %d asked, %d served, %d refused; at most %d sockets, %d bytes of buffers; %s%n", seed, r.asked(), r.served(),
-          r.refused(), r.mostSockets(), r.mostBytes(), r.breach() == null ? "all rules held" : "BROKEN: " + r.breach());
+      out.printf(
+          "seed %d: %d asked, %d served, %d refused; at most %d sockets, %d bytes of buffers; %s%n",
+          seed,
+          r.asked(),
+          r.served(),
+          r.refused(),
+          r.mostSockets(),
+          r.mostBytes(),
+          r.breach() == null ? "all rules held" : "BROKEN: " + r.breach());
       return r.breach() == null ? 0 : 1;
     }
 
     private int all() throws InterruptedException {
       PrintWriter out = spec.commandLine().getOut();
-      ProgramSeeds.Total total = new ProgramSeeds(seed, runs, threads == null ? Runtime.getRuntime().availableProcessors() : threads,
-          spec.commandLine().getErr()::println).play();
-      out.printf("%d runs from seed %d: %d asked, %.1f %% served, %.1f %% refused; broken: %d%n", total.runs(), seed, total.asked(),
-          100.0 * total.served() / total.asked(), 100.0 * total.refused() / total.asked(), total.broken().size());
-      total.broken().forEach((s, what) -> out.println("seed " + s + ": " + what + "; again by lab program --seed " + s + " --trace"));
+      ProgramSeeds.Total total = new ProgramSeeds(
+              seed,
+              runs,
+              threads == null ? Runtime.getRuntime().availableProcessors() : threads,
+              spec.commandLine().getErr()::println)
+          .play();
+      out.printf(
+          "%d runs from seed %d: %d asked, %.1f %% served, %.1f %% refused; broken: %d%n",
+          total.runs(),
+          seed,
+          total.asked(),
+          100.0 * total.served() / total.asked(),
+          100.0 * total.refused() / total.asked(),
+          total.broken().size());
+      total
+          .broken()
+          .forEach((s, what) -> out.println(
+              "seed " + s + ": " + what + "; again by lab program --seed " + s + " --trace"));
       return total.broken().isEmpty() ? 0 : 1;
     }
 
     private int shrink() {
       PrintWriter out = spec.commandLine().getOut();
-      ProgramShrinker.Shrunk left = new ProgramShrinker(seed, spec.commandLine().getErr()::println).shrink();
+      ProgramShrinker.Shrunk left =
+          new ProgramShrinker(seed, spec.commandLine().getErr()::println).shrink();
       if (left == null) {
         out.println("seed " + seed + ": all rules held");
         return 0;
       }
       left.told().forEach(out::println);
-      out.println("BROKEN: " + left.breach() + "; again by lab program --seed " + seed + " --trace --only "
-          + left.steps().stream().map(String::valueOf).collect(Collectors.joining(",")));
+      out.println(
+          "BROKEN: " + left.breach() + "; again by lab program --seed " + seed + " --trace --only "
+              + left.steps().stream().map(String::valueOf).collect(Collectors.joining(",")));
       return 1;
     }
   }
--- a/src/main/java/pumicekeel/cli/Main.java
+++ b/src/main/java/pumicekeel/cli/Main.java
@@ -29,7 +29,8 @@
   }
 
   /** The exit status: 0 for success, 1 where the work itself failed, 2 for a wrong command line or a faulty file. */
-  static int run(String[] args, InputStream in, PrintStream out, PrintStream err) throws IOException {
+  static int run(String[] args, InputStream in, PrintStream out, PrintStream err)
+      throws IOException {
     if (args.length == 1 && args[0].equals("adapter")) {
       return adapter(in, out, err);
     }
--- a/src/main/java/pumicekeel/cli/MeasureCommand.java
+++ b/src/main/java/pumicekeel/cli/MeasureCommand.java
@@ -12,39 +12,65 @@
 import pumicekeel.measure.Measure;
 
 /** Measures on loopback; figures are ratios within one run. */
-@Command(name = "measure", mixinStandardHelpOptions = true,
-    description = "Measure on loopback. relay: against a bare relay, without and with an operator file; isolation: one"
-        + " pool's p99 beside another in trouble; pools: start and memory by pools; versus: against another build's jar; journal: keyed requests with"
-        + " none, process and host; writer: the journal's writer, query and recovery alone; jsonrpc: calls against a"
-        + " relay that only frames and against HTTP.")
+@Command(
+    name = "measure",
+    mixinStandardHelpOptions = true,
+    description =
+        "Measure on loopback. relay: against a bare relay, without and with an operator file; isolation: one"
+            + " pool's p99 beside another in trouble; pools: start and memory by pools; versus: against another build's jar; journal: keyed requests with"
+            + " none, process and host; writer: the journal's writer, query and recovery alone; jsonrpc: calls against a"
+            + " relay that only frames and against HTTP.")
 final class MeasureCommand implements Callable<Integer> {
 
   /** What can be measured. */
-  enum What { relay, isolation, pools, versus, journal, writer, jsonrpc }
+  enum What {
+    relay,
+    isolation,
+    pools,
+    versus,
+    journal,
+    writer,
+    jsonrpc
+  }
 
   @Parameters(index = "0", paramLabel = "WHAT", description = "One of ${COMPLETION-CANDIDATES}.")
   private What what;
 
-  @Option(names = "--seconds", paramLabel = "N", defaultValue = "5",
+  @Option(
+      names = "--seconds",
+      paramLabel = "N",
+      defaultValue = "5",
       description = "Each run's length, 1 to 600. Default: ${DEFAULT-VALUE}.")
   private int seconds;
 
-  @Option(names = "--rounds", paramLabel = "N", defaultValue = "5",
+  @Option(
+      names = "--rounds",
+      paramLabel = "N",
+      defaultValue = "5",
       description = "Runs of each kind, 1 to 100. Default: ${DEFAULT-VALUE}.")
   private int rounds;
 
-  @Option(names = "--jar", paramLabel = "FILE", defaultValue = "target/pumicekeel.jar",
+  @Option(
+      names = "--jar",
+      paramLabel = "FILE",
+      defaultValue = "target/pumicekeel.jar",
       description = "This build, for pools and versus. Default: ${DEFAULT-VALUE}.")
   private Path jar;
 
-  @Option(names = "--mib", paramLabel = "N", defaultValue = "1024",
+  @Option(
+      names = "--mib",
+      paramLabel = "N",
+      defaultValue = "1024",
       description = "How much writer writes, 1 to 16384. Default: ${DEFAULT-VALUE}.")
   private int mebibytes;
 
   @Option(names = "--other", paramLabel = "FILE", description = "The other build, for versus.")
   private Path other;
 
-  @Option(names = "--flag", paramLabel = "FLAG", description = "A flag for the started JVMs; any number.")
+  @Option(
+      names = "--flag",
+      paramLabel = "FLAG",
+      description = "A flag for the started JVMs; any number.")
   private List<String> flags = List.of();
 
   @Spec
@@ -52,9 +78,15 @@
 
   @Override
   public Integer call() throws Exception {
-    if (seconds < 1 || seconds > 600 || rounds < 1 || rounds > 100 || mebibytes < 1 || mebibytes > 16_384
+    if (seconds < 1
+        || seconds > 600
+        || rounds < 1
+        || rounds > 100
+        || mebibytes < 1
+        || mebibytes > 16_384
         || what == What.versus && other == null) {
-      throw new ParameterException(spec.commandLine(),
+      throw new ParameterException(
+          spec.commandLine(),
           "expected --seconds 1 to 600, --rounds 1 to 100, and --other FILE for versus");
     }
     Measure measure = new Measure(spec.commandLine().getOut(), seconds, rounds);
--- a/src/main/java/pumicekeel/cli/RoutesCommand.java
+++ b/src/main/java/pumicekeel/cli/RoutesCommand.java
@@ -24,22 +24,34 @@
 import pumicekeel.route.RouteTable;
 
 /** Says which route and pool take a request, and why each earlier route did not. */
-@Command(name = "routes", mixinStandardHelpOptions = true,
+@Command(
+    name = "routes",
+    mixinStandardHelpOptions = true,
     description = "List the routes of an operator file, or explain which one takes a request.",
-    footer = {"Exit status: 0 where a route takes the request, 1 where none does, 2 for a faulty file or request."})
+    footer = {
+      "Exit status: 0 where a route takes the request, 1 where none does, 2 for a faulty file or request."
+    })
 final class RoutesCommand implements Callable<Integer> {
 
   @Parameters(index = "0", paramLabel = "FILE", description = "The operator file.")
   private Path file;
 
-  @Option(names = "--explain", paramLabel = "REQUEST",
+  @Option(
+      names = "--explain",
+      paramLabel = "REQUEST",
       description = "Method and address, such as 'GET http://quote.example.org/quote-issue/7'.")
   private String request;
 
-  @Option(names = "--header", paramLabel = "'NAME: VALUE'", description = "A header of the request; any number.")
+  @Option(
+      names = "--header",
+      paramLabel = "'NAME: VALUE'",
+      description = "A header of the request; any number.")
   private List<String> headers = List.of();
 
-  @Option(names = "--listener", paramLabel = "NAME", defaultValue = Operator.PLATFORM,
+  @Option(
+      names = "--listener",
+      paramLabel = "NAME",
+      defaultValue = Operator.PLATFORM,
       description = "The listener that it comes in at. Default: ${DEFAULT-VALUE}.")
   private String listener;
 
@@ -50,14 +62,17 @@
   private CommandSpec spec;
 
   /** A request as the command line gives it. */
-  private record Asked(String listener, String method, String host, String path, Map<String, String> headers)
+  private record Asked(
+      String listener, String method, String host, String path, Map<String, String> headers)
       implements Facts {
     @Override
     public String className() {
       String named = headers.get("x-service-class");
       int end = path.indexOf('/', 1);
       // By the protocol the class is the first part of the path as well.
-      return named != null ? named : path.length() < 2 ? null : path.substring(1, end < 0 ? path.length() : end);
+      return named != null
+          ? named
+          : path.length() < 2 ? null : path.substring(1, end < 0 ? path.length() : end);
     }
 
     @Override
@@ -108,9 +123,11 @@
 
   private Asked asked() {
     String[] words = request.trim().split(" +");
-    String rest = words.length == 2 && words[1].startsWith("http://") ? words[1].substring(7) : null;
+    String rest =
+        words.length == 2 && words[1].startsWith("http://") ? words[1].substring(7) : null;
     if (rest == null) {
-      throw new ParameterException(spec.commandLine(),
+      throw new ParameterException(
+          spec.commandLine(),
           "--explain: expected 'METHOD http://HOST/PATH', got '" + request + "'");
     }
     int slash = rest.indexOf('/');
@@ -119,37 +136,57 @@
     for (String header : headers) {
       int colon = header.indexOf(':');
       if (colon < 1) {
-        throw new ParameterException(spec.commandLine(), "--header: expected 'NAME: VALUE', got '" + header + "'");
+        throw new ParameterException(
+            spec.commandLine(), "--header: expected 'NAME: VALUE', got '" + header + "'");
       }
-      named.put(header.substring(0, colon).trim().toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
+      named.put(
+          header.substring(0, colon).trim().toLowerCase(Locale.ROOT),
+          header.substring(colon + 1).trim());
     }
-    return new Asked(listener, words[0], slash < 0 ? rest : rest.substring(0, slash), target.split("\\?", 2)[0], named);
+    return new Asked(
+        listener,
+        words[0],
+        slash < 0 ? rest : rest.substring(0, slash),
+        target.split("\\?", 2)[0],
+        named);
   }
 
   private static void list(PrintWriter out, RouteTable table) {
     for (Route r : table.routes()) {
-      out.println(r.order() + 1 + " " + r.name() + ": " + (r.hosts().isEmpty() ? "any host" : r.hosts()) + ", "
-          + r.path() + " -> " + parts(r));
+      out.println(r.order() + 1 + " " + r.name() + ": "
+          + (r.hosts().isEmpty() ? "any host" : r.hosts()) + ", " + r.path() + " -> " + parts(r));
     }
   }
 
   private static String parts(Route r) {
-    String text = String.join(", ", r.split().parts().stream()
-        .map(p -> r.split().parts().size() == 1 ? p.pool() : p.pool() + " (" + p.weight() + ")").toList());
+    String text = String.join(
+        ", ",
+        r.split().parts().stream()
+            .map(p -> r.split().parts().size() == 1 ? p.pool() : p.pool() + " (" + p.weight() + ")")
+            .toList());
     return text + (r.fallback() == null ? "" : ", else " + r.fallback());
   }
 
-  private static void explain(PrintWriter out, List<RouteTable.Verdict> verdicts, Route taken, String pool) {
+  private static void explain(
+      PrintWriter out, List<RouteTable.Verdict> verdicts, Route taken, String pool) {
     for (RouteTable.Verdict v : verdicts) {
       out.println(v.route().order() + 1 + " " + v.route().name() + ": "
           + (v.objection() == null ? "takes it" : "no: " + v.objection()));
     }
-    out.println(taken == null ? "no route: answered 404" : "route " + taken.name() + ", pool " + pool
-        + (taken.fallback() == null ? "" : ", pool " + taken.fallback() + " while that has no ready upstream")
-        + (taken.split().parts().size() > 1 ? " (by the session key; weights " + parts(taken) + ")" : ""));
+    out.println(
+        taken == null
+            ? "no route: answered 404"
+            : "route " + taken.name() + ", pool " + pool
+                + (taken.fallback() == null
+                    ? ""
+                    : ", pool " + taken.fallback() + " while that has no ready upstream")
+                + (taken.split().parts().size() > 1
+                    ? " (by the session key; weights " + parts(taken) + ")"
+                    : ""));
   }
 
-  private static String asJson(List<RouteTable.Verdict> verdicts, Route taken, String pool) throws IOException {
+  private static String asJson(List<RouteTable.Verdict> verdicts, Route taken, String pool)
+      throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
       g.writeStartObject();
--- a/src/main/java/pumicekeel/config/Configuration.java
+++ b/src/main/java/pumicekeel/config/Configuration.java
@@ -21,15 +21,31 @@
  * @param inherited whether the clients' listening socket is the process's descriptor 0, which others may hold too
  * @param read the file as it was read; empty where there was none
  */
-public record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-    HostList known, Settings settings, boolean supervised, SocketAddress admin, boolean inherited, Map<?, ?> read) {
+public record Configuration(
+    String name,
+    InetSocketAddress listen,
+    InetSocketAddress discovery,
+    long seed,
+    int sockets,
+    HostList known,
+    Settings settings,
+    boolean supervised,
+    SocketAddress admin,
+    boolean inherited,
+    Map<?, ?> read) {
 
   /** An operators' door at a path of the file system, which only those reach who may enter there. */
   public static final String PATH = "unix:";
 
   /** One of which nothing is known of others. */
-  public Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-      HostList known, Settings settings) {
+  public Configuration(
+      String name,
+      InetSocketAddress listen,
+      InetSocketAddress discovery,
+      long seed,
+      int sockets,
+      HostList known,
+      Settings settings) {
     this(name, listen, discovery, seed, sockets, known, settings, false, null, false, Map.of());
   }
 
@@ -77,12 +93,25 @@
     if (group == null || group.isEmpty()) {
       return s;
     }
-    java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,5})/(\\d{1,5})").matcher(group);
+    java.util.regex.Matcher m =
+        java.util.regex.Pattern.compile("(\\d{1,5})/(\\d{1,5})").matcher(group);
     if (!m.matches() || Integer.parseInt(m.group(1)) >= Integer.parseInt(m.group(2))) {
-      throw new IllegalArgumentException("PROXY_GROUP: expected NUMBER/SIZE, got \"" + group + "\"");
+      throw new IllegalArgumentException(
+          "PROXY_GROUP: expected NUMBER/SIZE, got \"" + group + "\"");
     }
-    return new Settings(Integer.parseInt(m.group(1)), Integer.parseInt(m.group(2)), s.zone(), s.classes(), s.tenants(),
-        s.limits(), s.contract(), s.prices(), s.listOnRequest(), s.weightKind(), s.overShareWorth(), s.warmKeys(),
+    return new Settings(
+        Integer.parseInt(m.group(1)),
+        Integer.parseInt(m.group(2)),
+        s.zone(),
+        s.classes(),
+        s.tenants(),
+        s.limits(),
+        s.contract(),
+        s.prices(),
+        s.listOnRequest(),
+        s.weightKind(),
+        s.overShareWorth(),
+        s.warmKeys(),
         s.tickNanos());
   }
 
@@ -91,7 +120,10 @@
    * instance is in a fleet stays the daemon's word. One that lacks a key which this one had is no good.
    */
   public Configuration reread(Map<String, String> environment) throws IOException {
-    Configuration next = read(Map.of("PROXY_CONFIG", environment.getOrDefault("PROXY_CONFIG", ""), "PROXY_GROUP",
+    Configuration next = read(Map.of(
+        "PROXY_CONFIG",
+        environment.getOrDefault("PROXY_CONFIG", ""),
+        "PROXY_GROUP",
         environment.getOrDefault("PROXY_GROUP", "")));
     String missing = Shape.missing(read, next.read);
     if (missing != null) {
@@ -100,7 +132,8 @@
     return next;
   }
 
-  private static String variable(Map<String, String> environment, String variable, Fields f, String name) {
+  private static String variable(
+      Map<String, String> environment, String variable, Fields f, String name) {
     String value = environment.get(variable);
     return value == null || value.isEmpty() ? f.text(name) : value;
   }
--- a/src/main/java/pumicekeel/config/Operator.java
+++ b/src/main/java/pumicekeel/config/Operator.java
@@ -20,8 +20,14 @@
  * An operator file that has passed its checks: one generation of listeners, sources, pools and routes. {@code peers} counts at a
  * start only.
  */
-public record Operator(Process process, Map<String, Listener> listeners, Map<String, Source> sources,
-    Map<String, Pool> pools, List<Route> routes, Journal journal, Peers peers) {
+public record Operator(
+    Process process,
+    Map<String, Listener> listeners,
+    Map<String, Source> sources,
+    Map<String, Pool> pools,
+    List<Route> routes,
+    Journal journal,
+    Peers peers) {
 
   /** The listener and the source that the platform's own configuration names. */
   public static final String PLATFORM = "platform";
@@ -37,15 +43,23 @@
   }
 
   /** Room of the whole process, null where the platform's figures decide; taken over at a start only. */
-  public record Process(Long clientSockets, Long upstreamSockets, Long openRequests, Long bodyBytes) {}
+  public record Process(
+      Long clientSockets, Long upstreamSockets, Long openRequests, Long bodyBytes) {}
 
   /** Where and how attempts of keyed and unsafe requests are put on record; counts at a start only. */
-  public record Journal(Path directory, Durability durability, boolean refusesInTrouble, long maxWaitNanos,
-      long segmentBytes, long keepBytes, long keepMillis) {}
+  public record Journal(
+      Path directory,
+      Durability durability,
+      boolean refusesInTrouble,
+      long maxWaitNanos,
+      long segmentBytes,
+      long keepBytes,
+      long keepMillis) {}
 
   /** A listener beside the platform's; {@code maxConnections} is null for an even part of what is left,
    * {@code rpc} where it speaks HTTP. */
-  public record Listener(String name, InetSocketAddress address, Long maxConnections, CallSettings rpc) {}
+  public record Listener(
+      String name, InetSocketAddress address, Long maxConnections, CallSettings rpc) {}
 
   /** Where lists of upstreams come from. */
   public sealed interface Source permits Platform, Watched, Fixed {}
@@ -60,13 +74,17 @@
   public record Fixed(List<HostList.Host> hosts) implements Source {}
 
   /** Which upstreams of the source are the pool's; an empty list asks nothing. A name may end in {@code *}. */
-  public record Select(List<String> names, List<String> zones, List<String> types, List<Long> groups) {
+  public record Select(
+      List<String> names, List<String> zones, List<String> types, List<Long> groups) {
 
     public static final Select ALL = new Select(List.of(), List.of(), List.of(), List.of());
 
     public boolean takes(HostList.Host host) {
-      return (names.isEmpty() || names.stream().anyMatch(n -> n.endsWith("*")
-          ? host.name().startsWith(n.substring(0, n.length() - 1)) : n.equals(host.name())))
+      return (names.isEmpty()
+              || names.stream()
+                  .anyMatch(n -> n.endsWith("*")
+                      ? host.name().startsWith(n.substring(0, n.length() - 1))
+                      : n.equals(host.name())))
           && (zones.isEmpty() || zones.contains(host.listed().zone()))
           && (types.isEmpty() || types.contains(host.type()))
           && (groups.isEmpty() || groups.contains((long) host.listed().cell()));
@@ -77,37 +95,69 @@
   public record Room(Long guaranteed, Long most) {}
 
   /** What a pool's module is told otherwise than the platform says; null where the platform's word holds. */
-  public record Overrides(List<RequestClass> classes, List<Tenant> tenants, LimitsPart limits, ContractPart contract) {
+  public record Overrides(
+      List<RequestClass> classes, List<Tenant> tenants, LimitsPart limits, ContractPart contract) {
 
     public Settings over(Settings base) {
-      return new Settings(base.me(), base.groupSize(), base.zone(), classes == null ? base.classes() : classes,
-          tenants == null ? base.tenants() : tenants, limits.over(base.limits()), contract.over(base.contract()),
-          base.prices(), base.listOnRequest(), base.weightKind(), base.overShareWorth(), base.warmKeys(),
+      return new Settings(
+          base.me(),
+          base.groupSize(),
+          base.zone(),
+          classes == null ? base.classes() : classes,
+          tenants == null ? base.tenants() : tenants,
+          limits.over(base.limits()),
+          contract.over(base.contract()),
+          base.prices(),
+          base.listOnRequest(),
+          base.weightKind(),
+          base.overShareWorth(),
+          base.warmKeys(),
           base.tickNanos());
     }
   }
 
   /** Limits of a pool; null where the platform's hold. */
-  public record LimitsPart(Boolean secondCopies, Boolean retryAfter, Long maxRetryAfterNanos, Long maxAttempts,
-      Long maxOpen, Long connectTimeoutNanos, Long connectionIdleNanos) {
+  public record LimitsPart(
+      Boolean secondCopies,
+      Boolean retryAfter,
+      Long maxRetryAfterNanos,
+      Long maxAttempts,
+      Long maxOpen,
+      Long connectTimeoutNanos,
+      Long connectionIdleNanos) {
 
     Limits over(Limits base) {
-      return new Limits(base.cancel(), base.probes(), base.peers(), or(secondCopies, base.secondCopies()),
-          or(retryAfter, base.retryAfter()), or(maxRetryAfterNanos, base.maxRetryAfterNanos()),
+      return new Limits(
+          base.cancel(),
+          base.probes(),
+          base.peers(),
+          or(secondCopies, base.secondCopies()),
+          or(retryAfter, base.retryAfter()),
+          or(maxRetryAfterNanos, base.maxRetryAfterNanos()),
           maxAttempts == null ? base.maxAttempts() : maxAttempts.intValue(),
-          maxOpen == null ? base.maxOpen() : maxOpen.intValue(), base.streamsPerConnection(),
-          or(connectTimeoutNanos, base.connectTimeoutNanos()), or(connectionIdleNanos, base.connectionIdleNanos()));
+          maxOpen == null ? base.maxOpen() : maxOpen.intValue(),
+          base.streamsPerConnection(),
+          or(connectTimeoutNanos, base.connectTimeoutNanos()),
+          or(connectionIdleNanos, base.connectionIdleNanos()));
     }
   }
 
   /** Figures of the four rules for a pool's upstreams; null where the platform's hold. */
-  public record ContractPart(Long drainGraceNanos, Double coldFrom, Long warmWithinNanos, Double fallMultiple,
+  public record ContractPart(
+      Long drainGraceNanos,
+      Double coldFrom,
+      Long warmWithinNanos,
+      Double fallMultiple,
       Long fallWindowNanos) {
 
     Contract over(Contract base) {
-      return new Contract(base.answerSlackNanos(), base.askWithinNanos(),
-          or(drainGraceNanos, base.drainGraceNanos()), or(coldFrom, base.coldFrom()),
-          or(warmWithinNanos, base.warmWithinNanos()), or(fallMultiple, base.fallMultiple()),
+      return new Contract(
+          base.answerSlackNanos(),
+          base.askWithinNanos(),
+          or(drainGraceNanos, base.drainGraceNanos()),
+          or(coldFrom, base.coldFrom()),
+          or(warmWithinNanos, base.warmWithinNanos()),
+          or(fallMultiple, base.fallMultiple()),
           or(fallWindowNanos, base.fallWindowNanos()));
     }
   }
@@ -124,8 +174,17 @@
    * @param journal which of its requests go on record, where there is a journal
    * @param rpc how its upstreams speak JSON-RPC; null where they speak HTTP
    */
-  public record Pool(String name, String source, Select select, Room open, Room sockets, Room body,
-      int connectionsPerUpstream, Recorded journal, Overrides overrides, ServerSettings rpc) {}
+  public record Pool(
+      String name,
+      String source,
+      Select select,
+      Room open,
+      Room sockets,
+      Room body,
+      int connectionsPerUpstream,
+      Recorded journal,
+      Overrides overrides,
+      ServerSettings rpc) {}
 
   /** Which keyed and unsafe classes of a pool go on record: all but those that are off, or only those named. */
   public record Recorded(boolean on, List<String> only) {
--- a/src/main/java/pumicekeel/config/OperatorFile.java
+++ b/src/main/java/pumicekeel/config/OperatorFile.java
@@ -61,7 +61,8 @@
   private static String readOnce(Path file) throws IOException {
     BasicFileAttributes before = Files.readAttributes(file, BasicFileAttributes.class);
     if (!before.isRegularFile()) {
-      throw new Unreadable("expected a regular file, found " + (before.isDirectory() ? "a directory" : "none"));
+      throw new Unreadable(
+          "expected a regular file, found " + (before.isDirectory() ? "a directory" : "none"));
     }
     ByteBuffer bytes = ByteBuffer.allocate((int) Math.min(MOST_BYTES, before.size()) + 1);
     try (SeekableByteChannel channel = Files.newByteChannel(file)) {
@@ -73,17 +74,23 @@
       }
     }
     BasicFileAttributes after = Files.readAttributes(file, BasicFileAttributes.class);
-    boolean same = bytes.position() == before.size() && after.size() == before.size()
+    boolean same = bytes.position() == before.size()
+        && after.size() == before.size()
         && after.lastModifiedTime().equals(before.lastModifiedTime())
         && java.util.Objects.equals(after.fileKey(), before.fileKey());
     return same ? decode(bytes.flip()) : null;
   }
 
   private static String decode(ByteBuffer bytes) throws IOException {
-    String text = StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPORT)
-        .onUnmappableCharacter(CodingErrorAction.REPORT).decode(bytes).toString();
+    String text = StandardCharsets.UTF_8
+        .newDecoder()
+        .onMalformedInput(CodingErrorAction.REPORT)
+        .onUnmappableCharacter(CodingErrorAction.REPORT)
+        .decode(bytes)
+        .toString();
     if (!text.isBlank() && !text.endsWith("\n")) {
-      throw new Unreadable("expected an end of line behind the last line, the file may be cut short");
+      throw new Unreadable(
+          "expected an end of line behind the last line, the file may be cut short");
     }
     if (text.isBlank()) {
       throw new Unreadable("expected settings, the file is empty");
--- a/src/main/java/pumicekeel/config/OperatorReader.java
+++ b/src/main/java/pumicekeel/config/OperatorReader.java
@@ -28,8 +28,8 @@
 import pumicekeel.discovery.HostList;
 import pumicekeel.front.jsonrpc.CallSettings;
 import pumicekeel.journal.Durability;
-import pumicekeel.route.Route;
 import pumicekeel.peers.Datagram;
+import pumicekeel.route.Route;
 import pumicekeel.runtime.Addresses;
 
 /** Turns the text of an operator file into an {@link Operator}, or into the list of all that is wrong with it. */
@@ -37,10 +37,12 @@
 
   /** Each pool has a module instance, some 0.3 MB warm, in a process that may have 96 MB. */
   public static final int MOST_POOLS = 64;
+
   public static final int MOST_LISTENERS = 32;
   public static final int MOST_SOURCES = 64;
   /** As measured for the index; far above any known table. */
   public static final int MOST_ROUTES = 20_000;
+
   private static final int MOST_FIXED = 10_000;
   private static final int MOST_CLASSES = 100;
   private static final int MOST_TENANTS = 1_000;
@@ -52,7 +54,8 @@
       Map.of("safe", Effect.SAFE, "keyed", Effect.KEYED, "unsafe", Effect.UNSAFE);
   private static final Map<String, DedupScope> SCOPES =
       Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL);
-  private static final Map<String, State> STATES = Map.of("in_service", State.READY, "terminating", State.DRAINING);
+  private static final Map<String, State> STATES =
+      Map.of("in_service", State.READY, "terminating", State.DRAINING);
 
   /** What a reading came to: an operator, or faults in the order of the lines. */
   public record Result(Operator operator, List<Fault> faults) {}
@@ -85,7 +88,8 @@
     if (defaultPool != null && !pools.containsKey(defaultPool)) {
       root.fault("default-pool", "expected a pool of this file, got \"" + defaultPool + "\"");
     }
-    List<Route> routes = new RouteReader(pools, listeners.keySet(), faults).routes(root, defaultPool);
+    List<Route> routes =
+        new RouteReader(pools, listeners.keySet(), faults).routes(root, defaultPool);
     Operator.Journal journal = journal(root.table("journal"));
     Operator.Peers peers = peers(root.table("peers"));
     root.done();
@@ -93,15 +97,18 @@
     return new Operator(process, listeners, sources, pools, routes, journal, peers);
   }
 
-  // ---- The process and its listeners --------------------------------------------------------------------
+  // ---- The process and its listeners
+  // --------------------------------------------------------------------
 
   private static Operator.Process process(Section s) {
     if (s == null) {
       return new Operator.Process(null, null, null, null);
     }
     Long kib = s.integer("body-memory-kib", 64, 16 << 20);
-    Operator.Process process = new Operator.Process(s.integer("client-sockets", 1, MOST_ROOM),
-        s.integer("upstream-sockets", 1, MOST_ROOM), s.integer("open-requests", 1, MOST_ROOM),
+    Operator.Process process = new Operator.Process(
+        s.integer("client-sockets", 1, MOST_ROOM),
+        s.integer("upstream-sockets", 1, MOST_ROOM),
+        s.integer("open-requests", 1, MOST_ROOM),
         kib == null ? null : kib << 10);
     s.done();
     return process;
@@ -117,12 +124,18 @@
       try {
         out.add(Addresses.parse("addresses", text));
       } catch (IllegalArgumentException e) {
-        s.fault("addresses", "expected ADDRESS:PORT, without a name to look up, got \"" + text + "\"");
+        s.fault(
+            "addresses", "expected ADDRESS:PORT, without a name to look up, got \"" + text + "\"");
       }
     }
     s.done();
-    if (out.size() < 2 || out.size() > Datagram.MOST_MEMBERS || Set.copyOf(out).size() != out.size()) {
-      s.fault("addresses", "expected 2 to " + Datagram.MOST_MEMBERS + " addresses, each once, in the order of the instances");
+    if (out.size() < 2
+        || out.size() > Datagram.MOST_MEMBERS
+        || Set.copyOf(out).size() != out.size()) {
+      s.fault(
+          "addresses",
+          "expected 2 to " + Datagram.MOST_MEMBERS
+              + " addresses, each once, in the order of the instances");
     }
     return new Operator.Peers(out, lend);
   }
@@ -132,7 +145,8 @@
       return null;
     }
     String directory = s.needed("directory", "the folder that holds the journal");
-    Durability durability = s.word("durability", Map.of("process", Durability.PROCESS, "host", Durability.HOST));
+    Durability durability =
+        s.word("durability", Map.of("process", Durability.PROCESS, "host", Durability.HOST));
     Boolean refuse = s.word("in-trouble", Map.of("refuse", true, "send", false));
     Long wait = s.integer("max-wait-ms", 1, 10_000);
     Long segment = s.integer("segment-mib", 1, 512);
@@ -144,9 +158,14 @@
     if (keepMib < 2 * segmentMib) {
       s.fault("keep-mib", "expected room for two segments, " + 2 * segmentMib + ", got " + keepMib);
     }
-    return new Operator.Journal(directory == null ? null : Path.of(directory),
-        durability == null ? Durability.HOST : durability, !Boolean.FALSE.equals(refuse), (wait == null ? 100 : wait) * MS,
-        segmentMib << 20, keepMib << 20, (hours == null ? 24 * 30 : hours) * 3_600_000L);
+    return new Operator.Journal(
+        directory == null ? null : Path.of(directory),
+        durability == null ? Durability.HOST : durability,
+        !Boolean.FALSE.equals(refuse),
+        (wait == null ? 100 : wait) * MS,
+        segmentMib << 20,
+        keepMib << 20,
+        (hours == null ? 24 * 30 : hours) * 3_600_000L);
   }
 
   private Map<String, Listener> listeners(Section root, RpcReader rpc) {
@@ -161,10 +180,14 @@
       CallSettings calls = rpc.listener(name, s);
       s.done();
       if (name.equals(Operator.PLATFORM)) {
-        root.fault("listeners", "expected another name: \"platform\" is the listener that PROXY_LISTEN names");
+        root.fault(
+            "listeners",
+            "expected another name: \"platform\" is the listener that PROXY_LISTEN names");
       }
       if (address != null && address.getPort() != 0 && taken.putIfAbsent(address, name) != null) {
-        s.fault("address", "expected an address of its own, listener " + taken.get(address) + " has this one");
+        s.fault(
+            "address",
+            "expected an address of its own, listener " + taken.get(address) + " has this one");
       }
       out.put(name, new Listener(name, address, most, calls));
     });
@@ -187,7 +210,8 @@
     }
   }
 
-  // ---- Sources ------------------------------------------------------------------------------------------
+  // ---- Sources
+  // ------------------------------------------------------------------------------------------
 
   private Map<String, Source> sources(Section root) {
     Map<String, Source> out = new LinkedHashMap<>();
@@ -201,7 +225,9 @@
       boolean watched = s.has("discovery");
       boolean fixed = s.has("static");
       if (watched == fixed) {
-        s.fault(watched ? "static" : "discovery", "expected either discovery = \"ADDRESS:PORT\" or static = [...]");
+        s.fault(
+            watched ? "static" : "discovery",
+            "expected either discovery = \"ADDRESS:PORT\" or static = [...]");
       }
       out.put(name, watched ? new Watched(address(s, "discovery")) : new Fixed(fixed(s)));
       s.done();
@@ -228,15 +254,24 @@
         s.fault("name", "expected a name of its own, \"" + name + "\" is taken");
       }
       if (name != null && address != null) {
-        hosts.add(new HostList.Host(name, type, address, new Listed(HostList.idOf(name), zone,
-            group == null ? 0 : group.intValue(), state == null ? State.READY : state,
-            since == null ? 0 : since * MS, weight == null ? 1 : weight)));
+        hosts.add(new HostList.Host(
+            name,
+            type,
+            address,
+            new Listed(
+                HostList.idOf(name),
+                zone,
+                group == null ? 0 : group.intValue(),
+                state == null ? State.READY : state,
+                since == null ? 0 : since * MS,
+                weight == null ? 1 : weight)));
       }
     }
     return hosts;
   }
 
-  // ---- Pools --------------------------------------------------------------------------------------------
+  // ---- Pools
+  // --------------------------------------------------------------------------------------------
 
   private Map<String, Pool> pools(Section root, Map<String, Source> sources) {
     Map<String, Pool> out = new LinkedHashMap<>();
@@ -249,14 +284,26 @@
   private Pool pool(String name, Section s, Map<String, Source> sources) {
     String source = s.text("source", Operator.PLATFORM);
     if (!sources.containsKey(source)) {
-      s.fault("source", "expected one of " + String.join(", ", sources.keySet()) + ", got \"" + source + "\"");
+      s.fault(
+          "source",
+          "expected one of " + String.join(", ", sources.keySet()) + ", got \"" + source + "\"");
     }
     Long perUpstream = s.integer("connections-per-upstream", 0, 100_000);
-    Pool pool = new Pool(name, source, select(s.table("select")), room(s, "open-requests", 1),
-        room(s, "sockets", 1), room(s, "body-memory-kib", 1 << 10),
-        perUpstream == null ? 0 : perUpstream.intValue(), recorded(s),
-        new Overrides(s.has("classes") ? classes(s) : null, s.has("tenants") ? tenants(s) : null,
-            limits(s.table("limits")), contract(s.table("contract"))), RpcReader.pool(s));
+    Pool pool = new Pool(
+        name,
+        source,
+        select(s.table("select")),
+        room(s, "open-requests", 1),
+        room(s, "sockets", 1),
+        room(s, "body-memory-kib", 1 << 10),
+        perUpstream == null ? 0 : perUpstream.intValue(),
+        recorded(s),
+        new Overrides(
+            s.has("classes") ? classes(s) : null,
+            s.has("tenants") ? tenants(s) : null,
+            limits(s.table("limits")),
+            contract(s.table("contract"))),
+        RpcReader.pool(s));
     s.done();
     checkRecorded(s, pool);
     return pool;
@@ -275,7 +322,8 @@
   /** {@code journal = false}, or the names of the classes that go on record. */
   private static Operator.Recorded recorded(Section s) {
     if (s.is("journal", Boolean.class)) {
-      return Boolean.TRUE.equals(s.bool("journal")) ? Operator.Recorded.ALL
+      return Boolean.TRUE.equals(s.bool("journal"))
+          ? Operator.Recorded.ALL
           : new Operator.Recorded(false, List.of());
     }
     List<String> only = s.texts("journal");
@@ -294,8 +342,11 @@
         s.fault("groups", "expected groups as texts of digits, got \"" + text + "\"");
       }
     }
-    Select select = new Select(or(s.texts("names"), List.of()), or(s.texts("zones"), List.of()),
-        or(s.texts("types"), List.of()), groups);
+    Select select = new Select(
+        or(s.texts("names"), List.of()),
+        or(s.texts("zones"), List.of()),
+        or(s.texts("types"), List.of()),
+        groups);
     s.done();
     return select;
   }
@@ -315,7 +366,8 @@
     if (guaranteed != null && most != null && most < guaranteed) {
       s.fault("most", "expected no less than what is guaranteed, " + guaranteed + ", got " + most);
     }
-    return new Room(guaranteed == null ? null : guaranteed * unit, most == null ? null : most * unit);
+    return new Room(
+        guaranteed == null ? null : guaranteed * unit, most == null ? null : most * unit);
   }
 
   private List<RequestClass> classes(Section pool) {
@@ -360,7 +412,9 @@
     }
     boolean keyed = effect == Effect.KEYED;
     if (!keyed && (scope != null || window != null)) {
-      s.fault(scope != null ? "dedup-scope" : "dedup-window-ms", "expected only with effect = \"keyed\"");
+      s.fault(
+          scope != null ? "dedup-scope" : "dedup-window-ms",
+          "expected only with effect = \"keyed\"");
     }
     if (keyed && window == null) {
       s.fault("dedup-window-ms", "expected for how long repeats are dropped, in ms, got nothing");
@@ -369,9 +423,17 @@
       return null;
     }
     // The worst is assumed of a class that says nothing.
-    return new RequestClass(name, effect == null ? Effect.UNSAFE : effect, scope == null ? DedupScope.CELL : scope,
-        window == null ? 0 : window * MS, aim * MS, stretch == null ? 0 : stretch,
-        (deadline == null ? aim : deadline) * MS, worth == null ? 1 : worth, late == null ? 0 : late, false);
+    return new RequestClass(
+        name,
+        effect == null ? Effect.UNSAFE : effect,
+        scope == null ? DedupScope.CELL : scope,
+        window == null ? 0 : window * MS,
+        aim * MS,
+        stretch == null ? 0 : stretch,
+        (deadline == null ? aim : deadline) * MS,
+        worth == null ? 1 : worth,
+        late == null ? 0 : late,
+        false);
   }
 
   private List<Tenant> tenants(Section pool) {
@@ -397,8 +459,13 @@
     if (s == null) {
       return new LimitsPart(null, null, null, null, null, null, null);
     }
-    LimitsPart part = new LimitsPart(s.bool("second-copies"), s.bool("retry-after"), ms(s, "max-retry-after-ms", 0),
-        s.integer("max-attempts", 1, 100), s.integer("max-open", 1, MOST_ROOM), ms(s, "connect-timeout-ms", 1),
+    LimitsPart part = new LimitsPart(
+        s.bool("second-copies"),
+        s.bool("retry-after"),
+        ms(s, "max-retry-after-ms", 0),
+        s.integer("max-attempts", 1, 100),
+        s.integer("max-open", 1, MOST_ROOM),
+        ms(s, "connect-timeout-ms", 1),
         ms(s, "connection-idle-ms", 10));
     s.done();
     return part;
@@ -413,26 +480,42 @@
     if (s == null) {
       return new ContractPart(null, null, null, null, null);
     }
-    ContractPart part = new ContractPart(ms(s, "drain-grace-ms", 300), s.number("cold-from", 0.01, 1),
-        ms(s, "warm-within-ms", 0), s.number("fall-multiple", 1, 1_000), ms(s, "overload-for-ms", 1));
+    ContractPart part = new ContractPart(
+        ms(s, "drain-grace-ms", 300),
+        s.number("cold-from", 0.01, 1),
+        ms(s, "warm-within-ms", 0),
+        s.number("fall-multiple", 1, 1_000),
+        ms(s, "overload-for-ms", 1));
     s.done();
     return part;
   }
 
   /** Guarantees of all pools together must fit where the file says how much there is. */
   private static void checkRoom(Section root, Operator.Process process, Map<String, Pool> pools) {
-    checkSum(root, "process.open-requests", process.openRequests(),
+    checkSum(
+        root,
+        "process.open-requests",
+        process.openRequests(),
         pools.values().stream().map(Pool::open).toList());
-    checkSum(root, "process.upstream-sockets", process.upstreamSockets(),
+    checkSum(
+        root,
+        "process.upstream-sockets",
+        process.upstreamSockets(),
         pools.values().stream().map(Pool::sockets).toList());
-    checkSum(root, "process.body-memory-kib", process.bodyBytes(),
+    checkSum(
+        root,
+        "process.body-memory-kib",
+        process.bodyBytes(),
         pools.values().stream().map(Pool::body).toList());
   }
 
   private static void checkSum(Section root, String key, Long total, List<Room> rooms) {
-    long sum = rooms.stream().mapToLong(r -> r.guaranteed() == null ? 0 : r.guaranteed()).sum();
+    long sum = rooms.stream()
+        .mapToLong(r -> r.guaranteed() == null ? 0 : r.guaranteed())
+        .sum();
     if (total != null && sum > total) {
-      root.fault("pools", "expected guarantees of " + total + " in all, as " + key + " says, got " + sum);
+      root.fault(
+          "pools", "expected guarantees of " + total + " in all, as " + key + " says, got " + sum);
     }
   }
 }
--- a/src/main/java/pumicekeel/config/RouteReader.java
+++ b/src/main/java/pumicekeel/config/RouteReader.java
@@ -39,7 +39,8 @@
   List<Route> routes(Section root, String defaultPool) {
     List<Section> entries = root.tables("routes");
     if (entries.size() > OperatorReader.MOST_ROUTES) {
-      root.fault("routes", "expected at most " + OperatorReader.MOST_ROUTES + ", got " + entries.size());
+      root.fault(
+          "routes", "expected at most " + OperatorReader.MOST_ROUTES + ", got " + entries.size());
       return List.of();
     }
     if (entries.isEmpty() && defaultPool == null) {
@@ -59,17 +60,31 @@
       checkReach(routes, entries);
     }
     if (defaultPool != null) {
-      routes.add(new Route(routes.size(), DEFAULT, null, List.of(), PathPattern.ANY, null, null, Map.of(),
-          Split.to(defaultPool), null));
+      routes.add(new Route(
+          routes.size(),
+          DEFAULT,
+          null,
+          List.of(),
+          PathPattern.ANY,
+          null,
+          null,
+          Map.of(),
+          Split.to(defaultPool),
+          null));
     }
     return routes;
   }
 
   private void checkReach(List<Route> routes, List<Section> entries) {
     for (RouteTable.Covered c : new RouteTable(routes).covered()) {
-      entries.get(c.route().order()).fault("name", "expected a route that can match, \"" + c.route().name()
-          + "\" never does: \"" + c.by().name() + "\" on line " + entries.get(c.by().order()).line()
-          + " takes all that it would");
+      entries
+          .get(c.route().order())
+          .fault(
+              "name",
+              "expected a route that can match, \"" + c.route().name()
+                  + "\" never does: \"" + c.by().name() + "\" on line "
+                  + entries.get(c.by().order()).line()
+                  + " takes all that it would");
     }
   }
 
@@ -77,7 +92,8 @@
     String name = s.text("name", "route-" + (order + 1));
     String listener = s.text("listener", null);
     if (listener != null && !listeners.contains(listener)) {
-      s.fault("listener", "expected a listener of this file or \"platform\", got \"" + listener + "\"");
+      s.fault(
+          "listener", "expected a listener of this file or \"platform\", got \"" + listener + "\"");
     }
     List<String> hosts = hosts(s);
     PathPattern path = path(s);
@@ -89,11 +105,13 @@
     s.done();
     if (fallback != null && !pools.containsKey(fallback)) {
       s.fault("fallback", "expected a pool of this file, got \"" + fallback + "\"");
-    } else if (fallback != null && split.parts().stream().anyMatch(p -> p.pool().equals(fallback))) {
+    } else if (fallback != null
+        && split.parts().stream().anyMatch(p -> p.pool().equals(fallback))) {
       s.fault("fallback", "expected another pool than the route's own");
     }
     checkSense(s, path, className, method, split);
-    return new Route(order, name, listener, hosts, path, className, method, headers, split, fallback);
+    return new Route(
+        order, name, listener, hosts, path, className, method, headers, split, fallback);
   }
 
   private static List<String> hosts(Section s) {
@@ -153,7 +171,9 @@
     String pool = s.text("pool", null);
     List<Section> entries = s.tables("split");
     if ((pool == null) == entries.isEmpty()) {
-      s.fault(pool == null ? "pool" : "split", "expected either pool = \"NAME\" or split = [{pool, weight}, ...]");
+      s.fault(
+          pool == null ? "pool" : "split",
+          "expected either pool = \"NAME\" or split = [{pool, weight}, ...]");
     }
     if (pool != null) {
       checkPool(s, pool);
@@ -194,11 +214,14 @@
   }
 
   /** A class is the first part of its paths, and its effect says its method: a route against that takes nothing. */
-  private void checkSense(Section s, PathPattern path, String className, String method, Split split) {
+  private void checkSense(
+      Section s, PathPattern path, String className, String method, Split split) {
     String first = path.segments().isEmpty() ? null : path.segments().get(0);
     if (className != null && first != null && !first.startsWith("{") && !first.equals(className)) {
-      s.fault("class", "expected a route that can match: the class \"" + className
-          + "\" is the first part of its paths, the path's is \"" + first + "\"");
+      s.fault(
+          "class",
+          "expected a route that can match: the class \"" + className
+              + "\" is the first part of its paths, the path's is \"" + first + "\"");
     }
     for (Split.Part part : split.parts()) {
       Pool pool = pools.get(part.pool());
@@ -206,12 +229,15 @@
       if (className == null || classes == null) {
         continue;
       }
-      RequestClass type = classes.stream().filter(c -> c.name().equals(className)).findFirst().orElse(null);
+      RequestClass type =
+          classes.stream().filter(c -> c.name().equals(className)).findFirst().orElse(null);
       if (type == null) {
         s.fault("class", "expected a class of pool " + pool.name() + ", got \"" + className + "\"");
       } else if (method != null && !method.equals(type.effect() == Effect.SAFE ? "GET" : "POST")) {
-        s.fault("method", "expected a route that can match: class \"" + className + "\" comes by "
-            + (type.effect() == Effect.SAFE ? "GET" : "POST") + ", got " + method);
+        s.fault(
+            "method",
+            "expected a route that can match: class \"" + className + "\" comes by "
+                + (type.effect() == Effect.SAFE ? "GET" : "POST") + ", got " + method);
       }
     }
   }
--- a/src/main/java/pumicekeel/config/RpcReader.java
+++ b/src/main/java/pumicekeel/config/RpcReader.java
@@ -26,11 +26,25 @@
   private static final int MOST_METHODS = 1_000;
   /** What a call's host is where no setting says one: routes by host and HTTP upstreams want to see something. */
   private static final String DEFAULT_HOST = "localhost";
+
   private static final Map<String, Boolean> PROTOCOLS = Map.of("http", false, "json-rpc", true);
-  private static final Map<String, Framing> SERVER_FRAMINGS = Map.of("newline", Framing.NEWLINE, "values",
-      Framing.VALUES, "content-length", Framing.CONTENT_LENGTH);
-  private static final Map<Part, String> KEYS = new EnumMap<>(Map.of(Part.TENANT, "tenant", Part.SESSION_KEY,
-      "session-key", Part.IDEMPOTENCY_KEY, "idempotency-key", Part.TIME_LEFT_MS, "time-left-ms", Part.WORK_HINT_US,
+  private static final Map<String, Framing> SERVER_FRAMINGS = Map.of(
+      "newline",
+      Framing.NEWLINE,
+      "values",
+      Framing.VALUES,
+      "content-length",
+      Framing.CONTENT_LENGTH);
+  private static final Map<Part, String> KEYS = new EnumMap<>(Map.of(
+      Part.TENANT,
+      "tenant",
+      Part.SESSION_KEY,
+      "session-key",
+      Part.IDEMPOTENCY_KEY,
+      "idempotency-key",
+      Part.TIME_LEFT_MS,
+      "time-left-ms",
+      Part.WORK_HINT_US,
       "work-hint-us"));
 
   private final List<Fault> faults;
@@ -40,12 +54,15 @@
     this.faults = faults;
   }
 
-  // ---- Methods ------------------------------------------------------------------------------------------
+  // ---- Methods
+  // ------------------------------------------------------------------------------------------
 
   /** Reads {@code [[methods]]}, each for one listener or for all that speak JSON-RPC. */
   void methods(Section root, Map<String, Section> listeners) {
-    List<String> speaking = listeners.entrySet().stream().filter(e -> "json-rpc".equals(e.getValue()
-        .text("protocol", null))).map(Map.Entry::getKey).toList();
+    List<String> speaking = listeners.entrySet().stream()
+        .filter(e -> "json-rpc".equals(e.getValue().text("protocol", null)))
+        .map(Map.Entry::getKey)
+        .toList();
     speaking.forEach(name -> methods.put(name, new LinkedHashMap<>()));
     List<Section> entries = root.tables("methods");
     if (entries.size() > MOST_METHODS) {
@@ -75,13 +92,18 @@
     }
     s.done();
     if (listener != null && !speaking.contains(listener)) {
-      s.fault("listener", "expected a listener of this file with protocol = \"json-rpc\", got \"" + listener + "\"");
+      s.fault(
+          "listener",
+          "expected a listener of this file with protocol = \"json-rpc\", got \"" + listener
+              + "\"");
     } else if (speaking.isEmpty()) {
       s.fault("name", "expected a listener with protocol = \"json-rpc\" for it");
     }
     if (name != null && (name.length() > Limits.MOST_METHOD || name.startsWith("rpc."))) {
-      s.fault("name", "expected at most " + Limits.MOST_METHOD + " characters that don't begin with rpc., got \"" + name
-          + "\"");
+      s.fault(
+          "name",
+          "expected at most " + Limits.MOST_METHOD
+              + " characters that don't begin with rpc., got \"" + name + "\"");
     }
     if (name == null || className == null) {
       return;
@@ -89,7 +111,8 @@
     MethodMapping mapping = new MethodMapping(name, className, host, sources, path);
     for (String at : listener == null ? speaking : List.of(listener)) {
       if (methods.containsKey(at) && methods.get(at).putIfAbsent(name, mapping) != null) {
-        s.fault("name", "expected a name of its own at listener " + at + ", \"" + name + "\" is taken");
+        s.fault(
+            "name", "expected a name of its own at listener " + at + ", \"" + name + "\" is taken");
       }
     }
   }
@@ -133,7 +156,9 @@
     }
     String first = "/" + className;
     if (!text.equals(first) && !text.startsWith(first + "/") && !text.startsWith(first + "?")) {
-      s.fault("path", "expected a path that begins with its class, " + first + ", got \"" + text + "\"");
+      s.fault(
+          "path",
+          "expected a path that begins with its class, " + first + ", got \"" + text + "\"");
     }
     int at = 0;
     for (int open = text.indexOf('{'); open >= 0; open = text.indexOf('{', at)) {
@@ -162,7 +187,8 @@
     }
   }
 
-  // ---- Listeners ----------------------------------------------------------------------------------------
+  // ---- Listeners
+  // ----------------------------------------------------------------------------------------
 
   /** What a listener says of its protocol; null where it is HTTP. */
   CallSettings listener(String name, Section s) {
@@ -178,14 +204,20 @@
     if (known.isEmpty()) {
       s.fault("protocol", "expected at least one method for it, as [[methods]]");
     }
-    Section r = own == null ? new Section(org.tomlj.Toml.parse(""), "json-rpc", s.line(), faults) : own;
+    Section r =
+        own == null ? new Section(org.tomlj.Toml.parse(""), "json-rpc", s.line(), faults) : own;
     Framing framing = r.word("framing", Framing.NAMES);
     BatchMode batch = r.word("batch-answers", BatchMode.NAMES);
-    CallSettings settings = new CallSettings(framing == null ? Framing.DETECT : framing,
-        batch == null ? BatchMode.IN_TIME : batch, new Limits((int) or(r.integer("max-message-kib", 1, 4_096), 256) << 10,
-            (int) or(r.integer("max-depth", 3, Limits.MOST_DEPTH), 32), (int) or(r.integer("max-batch", 1, 1_000), 100)),
-        (int) or(r.integer("max-open-calls", 1, 10_000), 64), or(r.integer("idle-ms", 100, 86_400_000), 300_000)
-            * 1_000_000L, Map.copyOf(known));
+    CallSettings settings = new CallSettings(
+        framing == null ? Framing.DETECT : framing,
+        batch == null ? BatchMode.IN_TIME : batch,
+        new Limits(
+            (int) or(r.integer("max-message-kib", 1, 4_096), 256) << 10,
+            (int) or(r.integer("max-depth", 3, Limits.MOST_DEPTH), 32),
+            (int) or(r.integer("max-batch", 1, 1_000), 100)),
+        (int) or(r.integer("max-open-calls", 1, 10_000), 64),
+        or(r.integer("idle-ms", 100, 86_400_000), 300_000) * 1_000_000L,
+        Map.copyOf(known));
     r.done();
     return settings;
   }
@@ -194,7 +226,8 @@
     return value == null ? absent : value;
   }
 
-  // ---- Pools --------------------------------------------------------------------------------------------
+  // ---- Pools
+  // --------------------------------------------------------------------------------------------
 
   /** How a pool's upstreams speak JSON-RPC; null where they speak HTTP. */
   static ServerSettings pool(Section s) {
@@ -207,16 +240,22 @@
       return null;
     }
     if (r == null) {
-      return new ServerSettings(Framing.NEWLINE, 32, Set.of(), Set.of(), Set.of(), Map.of(), "idempotencyKey");
+      return new ServerSettings(
+          Framing.NEWLINE, 32, Set.of(), Set.of(), Set.of(), Map.of(), "idempotencyKey");
     }
     Framing framing = r.word("framing", SERVER_FRAMINGS);
-    ServerSettings settings = new ServerSettings(framing == null ? Framing.NEWLINE : framing,
-        (int) or(r.integer("calls-per-connection", 1, 10_000), 32), codes(r, "not-run-codes"), codes(r, "failure-codes"),
-        codes(r, "answer-codes"), Map.copyOf(new TreeMap<>(r.textTable("methods"))),
+    ServerSettings settings = new ServerSettings(
+        framing == null ? Framing.NEWLINE : framing,
+        (int) or(r.integer("calls-per-connection", 1, 10_000), 32),
+        codes(r, "not-run-codes"),
+        codes(r, "failure-codes"),
+        codes(r, "answer-codes"),
+        Map.copyOf(new TreeMap<>(r.textTable("methods"))),
         r.text("key-member", "idempotencyKey"));
     r.done();
     Set<Integer> seen = new HashSet<>();
-    for (Set<Integer> codes : List.of(settings.notRunCodes(), settings.failureCodes(), settings.answerCodes())) {
+    for (Set<Integer> codes :
+        List.of(settings.notRunCodes(), settings.failureCodes(), settings.answerCodes())) {
       for (int code : codes) {
         if (!seen.add(code)) {
           s.fault("json-rpc", "expected each code under one heading, got " + code + " under two");
--- a/src/main/java/pumicekeel/config/Section.java
+++ b/src/main/java/pumicekeel/config/Section.java
@@ -37,13 +37,19 @@
     try {
       toml = Toml.parse(text);
     } catch (RuntimeException | AssertionError | StackOverflowError e) {
-      // The library breaks on some escapes that TOML does not know, and on deep nesting, instead of telling.
-      String why = e instanceof StackOverflowError ? "less nesting" : "text that can be read, check its escapes";
+      // The library breaks on some escapes that TOML does not know, and on deep nesting, instead of
+      // telling.
+      String why = e instanceof StackOverflowError
+          ? "less nesting"
+          : "text that can be read, check its escapes";
       faults.add(new Fault(lineThatBreaks(text), "TOML", "expected TOML 1.0: " + why));
       return null;
     }
-    toml.errors().forEach(e -> faults.add(new Fault(e.position() == null ? 1 : e.position().line(), "TOML",
-        "expected TOML 1.0: " + e.getMessage())));
+    toml.errors()
+        .forEach(e -> faults.add(new Fault(
+            e.position() == null ? 1 : e.position().line(),
+            "TOML",
+            "expected TOML 1.0: " + e.getMessage())));
     return faults.isEmpty() ? new Section(toml, "", 1, faults) : null;
   }
 
@@ -111,8 +117,11 @@
   }
 
   private static String shown(Object value) {
-    String text = value instanceof String ? "\"" + value + "\"" : value instanceof TomlTable ? "a table"
-        : value instanceof TomlArray ? "an array" : String.valueOf(value);
+    String text = value instanceof String
+        ? "\"" + value + "\""
+        : value instanceof TomlTable
+            ? "a table"
+            : value instanceof TomlArray ? "an array" : String.valueOf(value);
     return text.length() > 80 ? text.substring(0, 80) + "..." : text;
   }
 
@@ -158,7 +167,9 @@
     if (value == null) {
       return null;
     }
-    if (value instanceof Number number && number.doubleValue() >= least && number.doubleValue() <= most) {
+    if (value instanceof Number number
+        && number.doubleValue() >= least
+        && number.doubleValue() <= most) {
       return number.doubleValue();
     }
     mismatch(key, "a number from " + plain(least) + " to " + plain(most), value);
@@ -297,7 +308,8 @@
     if (value instanceof TomlArray array) {
       for (int i = 0; i < array.size(); i++) {
         if (array.get(i) instanceof TomlTable inner) {
-          out.add(new Section(inner, name(key) + "[" + i + "]", array.inputPositionOf(i).line(), faults));
+          out.add(new Section(
+              inner, name(key) + "[" + i + "]", array.inputPositionOf(i).line(), faults));
         } else {
           mismatch(key, "tables", array.get(i));
         }
@@ -312,7 +324,9 @@
   public void done() {
     for (String key : table.keySet()) {
       if (!known.contains(key)) {
-        fault(key, "unknown key" + (known.isEmpty() ? "" : ", the nearest known one is " + nearest(key)));
+        fault(
+            key,
+            "unknown key" + (known.isEmpty() ? "" : ", the nearest known one is " + nearest(key)));
       }
     }
   }
--- a/src/main/java/pumicekeel/config/Shape.java
+++ b/src/main/java/pumicekeel/config/Shape.java
@@ -15,6 +15,7 @@
 
   /** Lists of the moment, which may be short or absent. */
   private static final Set<String> FREE = Set.of("known", "peers", "peers_all", "peer_listen");
+
   private static final String KIND = "effect";
 
   private Shape() {}
--- a/src/main/java/pumicekeel/core/AttemptLog.java
+++ b/src/main/java/pumicekeel/core/AttemptLog.java
@@ -8,7 +8,8 @@
 public interface AttemptLog {
 
   /** An attempt is about to be made: exactly one of the two is run, at once or later, and nothing is sent before. */
-  void before(ClientRequest request, int attempt, HostList.Host upstream, Runnable go, Runnable never);
+  void before(
+      ClientRequest request, int attempt, HostList.Host upstream, Runnable go, Runnable never);
 
   /** The attempt's last byte was written. */
   void written(ClientRequest request, int attempt);
--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -9,6 +9,7 @@
 import java.util.Queue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import pumicekeel.Balancer;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.AnswerStarted;
 import pumicekeel.Balancer.Cancel;
@@ -30,7 +31,6 @@
 import pumicekeel.Balancer.Status;
 import pumicekeel.Balancer.TimerFired;
 import pumicekeel.Balancer.Watch;
-import pumicekeel.Balancer;
 import pumicekeel.call.Answer;
 import pumicekeel.call.AnswerStart;
 import pumicekeel.call.BodySink;
@@ -56,6 +56,7 @@
    * nothing is still one, and a process that stands still for a second and more is beyond help.
    */
   private static final long STALL_MARGIN_NANOS = 1_000_000_000L;
+
   private static final double STALL_PART = 0.5;
   private static final double PAST_AIM = 1.25;
   /** The node's own answer where the module gave none in time, after the module's deadline. */
@@ -78,8 +79,14 @@
   private QuotaSource quotas;
   private long endsAt = Long.MAX_VALUE;
 
-  public BalancerCore(Settings settings, Balancer module, Clock clock, EventLoop loop, LoopLag lag,
-      UpstreamLinks links, Consumer<RuntimeException> defect) {
+  public BalancerCore(
+      Settings settings,
+      Balancer module,
+      Clock clock,
+      EventLoop loop,
+      LoopLag lag,
+      UpstreamLinks links,
+      Consumer<RuntimeException> defect) {
     tuning = new Tuning(settings);
     this.module = module;
     this.clock = clock;
@@ -127,7 +134,8 @@
     }
   }
 
-  // ---- Clients ------------------------------------------------------------------------------------------
+  // ---- Clients
+  // ------------------------------------------------------------------------------------------
 
   /** Takes a request; false where its id is open already, which must not replace the first one. */
   public boolean take(ClientRequest request, Client client) {
@@ -138,7 +146,8 @@
   public boolean take(ClientRequest request, Client client, List<Earlier> earlier, AttemptLog log) {
     long now = clock.now();
     long left = Math.max(0, Math.min(timeFor(request), endsAt - now));
-    OpenRequest r = new OpenRequest(request, client, now + left, earlier, log, settings().limits().maxAttempts());
+    OpenRequest r = new OpenRequest(
+        request, client, now + left, earlier, log, settings().limits().maxAttempts());
     if (table.putIfAbsent(request.id(), r) != null) {
       return false;
     }
@@ -151,8 +160,17 @@
       r.guard = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
     }
     askQuotas(request.tenant(), now);
-    tell(new Request(request.id(), request.type().name(), request.tenant(), request.key(), r.deadline,
-        request.hintNanos(), request.retry(), earlier, former(request), coming));
+    tell(new Request(
+        request.id(),
+        request.type().name(),
+        request.tenant(),
+        request.key(),
+        r.deadline,
+        request.hintNanos(),
+        request.retry(),
+        earlier,
+        former(request),
+        coming));
     return true;
   }
 
@@ -160,7 +178,8 @@
   public static long timeFor(ClientRequest request) {
     long left = request.leftNanos();
     // How long a class's aim is for a request is not known where it goes by its work.
-    double earnsNothing = request.type().aimStretch() > 0 ? 0 : Math.max(0, 1 - request.type().lateWorth());
+    double earnsNothing =
+        request.type().aimStretch() > 0 ? 0 : Math.max(0, 1 - request.type().lateWorth());
     double pastAim = left - PAST_AIM * request.type().aimNanos();
     long kept = (long) Math.min(STALL_MARGIN_NANOS, STALL_PART * earnsNothing * pastAim);
     return left - Math.max(ANSWER_MARGIN_NANOS, kept);
@@ -186,14 +205,17 @@
   /** The process ends after so long: no request that is open or taken from now on may last longer. */
   public void endBy(long nanos) {
     endsAt = clock.now() + nanos;
-    table.values().stream().filter(r -> !r.ended && r.deadline > endsAt)
+    table.values().stream()
+        .filter(r -> !r.ended && r.deadline > endsAt)
         .forEach(r -> loop.schedule(() -> answerForModule(r), nanos, TimeUnit.NANOSECONDS));
     loop.schedule(this::cutStreams, nanos, TimeUnit.NANOSECONDS);
   }
 
   /** Answers that are still being passed on have no time limit of the request's; the process can't wait for them longer. */
   private void cutStreams() {
-    List.copyOf(table.values()).stream().filter(r -> r.streaming != null).forEach(r -> r.streaming.end(Status.CANCELLED, null));
+    List.copyOf(table.values()).stream()
+        .filter(r -> r.streaming != null)
+        .forEach(r -> r.streaming.end(Status.CANCELLED, null));
   }
 
   public void clientGone(String id) {
@@ -244,7 +266,8 @@
     return true;
   }
 
-  // ---- The list of upstreams ----------------------------------------------------------------------------
+  // ---- The list of upstreams
+  // ----------------------------------------------------------------------------
 
   public void news(HostList list) {
     news(list.whole() ? ListKind.FULL : ListKind.DELTA, list);
@@ -269,7 +292,8 @@
     tell(new ListNews(ListKind.FAILED, List.of()));
   }
 
-  // ---- The module ---------------------------------------------------------------------------------------
+  // ---- The module
+  // ---------------------------------------------------------------------------------------
 
   /** Events wait in line while one is handled: an action may end at once in an event of its own. */
   private void tell(Event event) {
@@ -305,7 +329,9 @@
         r.client.failed();
       }
     } else if (action instanceof SetTimer a) {
-      loop.schedule(() -> tell(new TimerFired(a.token())), Math.max(0, a.atNanos() - clock.now()),
+      loop.schedule(
+          () -> tell(new TimerFired(a.token())),
+          Math.max(0, a.atNanos() - clock.now()),
           TimeUnit.NANOSECONDS);
     } else if (action instanceof Watch a) {
       watch.accept(a.on());
@@ -323,7 +349,9 @@
       return;
     }
     // Out of the table first: what takes it over may come back here with the same id.
-    boolean untouched = !r.mayHaveRun() && (r.request.upload() == null || !r.request.upload().spent()) && r.attempts.stream().noneMatch(UpstreamAttempt::out);
+    boolean untouched = !r.mayHaveRun()
+        && (r.request.upload() == null || !r.request.upload().spent())
+        && r.attempts.stream().noneMatch(UpstreamAttempt::out);
     end(r);
     if (untouched) {
       table.remove(a.id(), r);
@@ -337,10 +365,12 @@
     OpenRequest r = table.get(a.id());
     UpstreamTable.Entry upstream = upstreams.get(a.upstream());
     if (r == null || upstream == null) {
-      throw new IllegalStateException("the module sent an unknown request or to an unknown upstream");
+      throw new IllegalStateException(
+          "the module sent an unknown request or to an unknown upstream");
     }
-    UpstreamAttempt attempt = upstream.link().attempt(r.attempts.size(), a.upstream(), clock.now(),
-        new UpstreamAttempt.Ending() {
+    UpstreamAttempt attempt = upstream
+        .link()
+        .attempt(r.attempts.size(), a.upstream(), clock.now(), new UpstreamAttempt.Ending() {
           @Override
           public void ended(UpstreamAttempt ended, Status status, Answer answer) {
             upstreams.ended(upstream);
@@ -353,29 +383,46 @@
           }
         });
     upstreams.started(upstream);
-    // Checked where the attempt's first byte goes out, which may be a connect later than the decision.
-    boolean counts = r.attempts.size() < Math.min(r.maxAttempts, settings().limits().maxAttempts());
+    // Checked where the attempt's first byte goes out, which may be a connect later than the
+    // decision.
+    boolean counts =
+        r.attempts.size() < Math.min(r.maxAttempts, settings().limits().maxAttempts());
     r.attempts.add(attempt);
     if (r.log == null) {
       start(a, r, attempt, upstream, counts);
       return;
     }
     attempt.whenWritten(() -> r.log.written(r.request, attempt.number));
-    r.log.before(r.request, attempt.number, upstream.host(), () -> {
-      if (attempt.out()) {
-        start(a, r, attempt, upstream, counts);
-      }
-    }, () -> attempt.end(Status.NOT_SENT, null));
+    r.log.before(
+        r.request,
+        attempt.number,
+        upstream.host(),
+        () -> {
+          if (attempt.out()) {
+            start(a, r, attempt, upstream, counts);
+          }
+        },
+        () -> attempt.end(Status.NOT_SENT, null));
   }
 
-  private void start(Send a, OpenRequest r, UpstreamAttempt attempt, UpstreamTable.Entry upstream, boolean counts) {
+  private void start(
+      Send a,
+      OpenRequest r,
+      UpstreamAttempt attempt,
+      UpstreamTable.Entry upstream,
+      boolean counts) {
     long left = r.deadline - clock.now();
-    attempt.start(r.request, a.timeoutNanos() == 0 ? left : Math.min(a.timeoutNanos(), left),
-        () -> counts && maySend(r, upstream), clock, loop);
+    attempt.start(
+        r.request,
+        a.timeoutNanos() == 0 ? left : Math.min(a.timeoutNanos(), left),
+        () -> counts && maySend(r, upstream),
+        clock,
+        loop);
   }
 
   private boolean maySend(OpenRequest r, UpstreamTable.Entry upstream) {
-    // None to one that is known to leave: its grace began when it was told, which may be long before the list came here.
+    // None to one that is known to leave: its grace began when it was told, which may be long
+    // before the list came here.
     return !r.ended && !upstream.leaves() && r.repeatIsHarmless(clock.now()) && r.client.here();
   }
 
@@ -392,7 +439,10 @@
     if (sink != null) {
       end(r);
       r.streaming = attempt;
-      tell(new AnswerStarted(r.request.id(), attempt.number, attempt.upstream,
+      tell(new AnswerStarted(
+          r.request.id(),
+          attempt.number,
+          attempt.upstream,
           attempt.latencyNanos(clock.now() - lag.waitNanos())));
     }
     return sink;
@@ -407,9 +457,15 @@
       r.log.ended(r.request, attempt.number, left ? status : Status.NOT_SENT);
     }
     over.add(r);
-    tell(new Outcome(r.request.id(), attempt.number, attempt.upstream, status,
+    tell(new Outcome(
+        r.request.id(),
+        attempt.number,
+        attempt.upstream,
+        status,
         attempt.latencyNanos(clock.now() - lag.waitNanos()),
-        r.ended && (r.streaming == null || r.streaming == attempt), Map.of(), attempt.stale(),
+        r.ended && (r.streaming == null || r.streaming == attempt),
+        Map.of(),
+        attempt.stale(),
         r.request.upload() != null && r.request.upload().spent()));
   }
 }
--- a/src/main/java/pumicekeel/core/OpenRequest.java
+++ b/src/main/java/pumicekeel/core/OpenRequest.java
@@ -17,6 +17,7 @@
   public final Client client;
   /** When the module has to have answered, by the balancer's clock. */
   public long deadline;
+
   public final List<UpstreamAttempt> attempts = new ArrayList<>(1);
   public ScheduledFuture<?> guard;
   public boolean ended;
@@ -24,12 +25,18 @@
   UpstreamAttempt streaming;
   /** What may have run before this request came; and who keeps a record of it, null for nobody. */
   final List<Earlier> earlier;
+
   final AttemptLog log;
 
   /** As the settings had it when it came. */
   final int maxAttempts;
 
-  public OpenRequest(ClientRequest request, Client client, long deadline, List<Earlier> earlier, AttemptLog log,
+  public OpenRequest(
+      ClientRequest request,
+      Client client,
+      long deadline,
+      List<Earlier> earlier,
+      AttemptLog log,
       int maxAttempts) {
     this.maxAttempts = maxAttempts;
     this.earlier = earlier;
@@ -49,14 +56,20 @@
 
   /** Whether a refusal's promise, that trying again is harmless, would be true. */
   public boolean mayRefuse() {
-    return request.type().effect() == Effect.SAFE || !mayHaveRun()
+    return request.type().effect() == Effect.SAFE
+        || !mayHaveRun()
         || request.type().effect() == Effect.KEYED && request.type().dedupScope() == DedupScope.ALL;
   }
 
   /** Whether what an earlier attempt may have done is still remembered by its upstream's group. */
   public boolean repeatIsHarmless(long now) {
-    return request.type().effect() == Effect.SAFE || earlier.stream().allMatch(e -> request.type().effect() == Effect.KEYED
-        && now - e.sentAtNanos() < request.type().dedupWindowNanos()) && attempts.stream().filter(UpstreamAttempt::mayHaveRun)
-        .allMatch(a -> request.type().effect() == Effect.KEYED && now - a.sentAt() < request.type().dedupWindowNanos());
+    return request.type().effect() == Effect.SAFE
+        || earlier.stream()
+                .allMatch(e -> request.type().effect() == Effect.KEYED
+                    && now - e.sentAtNanos() < request.type().dedupWindowNanos())
+            && attempts.stream()
+                .filter(UpstreamAttempt::mayHaveRun)
+                .allMatch(a -> request.type().effect() == Effect.KEYED
+                    && now - a.sentAt() < request.type().dedupWindowNanos());
   }
 }
--- a/src/main/java/pumicekeel/demo/Demo.java
+++ b/src/main/java/pumicekeel/demo/Demo.java
@@ -14,12 +14,12 @@
 import pumicekeel.config.Operator;
 import pumicekeel.config.OperatorReader;
 import pumicekeel.discovery.HostList;
-import pumicekeel.node.Node;
-import pumicekeel.runtime.Addresses;
-import pumicekeel.load.Load;
+import pumicekeel.load.Account.End;
 import pumicekeel.load.HttpAsk;
+import pumicekeel.load.Load;
 import pumicekeel.load.Shape;
-import pumicekeel.load.Account.End;
+import pumicekeel.node.Node;
+import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInDiscovery;
 import pumicekeel.standin.StandInUpstream;
 
@@ -38,7 +38,8 @@
 
   private final int seconds;
   private final PrintStream out;
-  private final EventLoopGroup standIns = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+  private final EventLoopGroup standIns =
+      new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
   private final Map<String, StandInUpstream> upstreams = new TreeMap<>();
   private final Map<String, Integer> groups = new TreeMap<>();
   private final List<String> events = new ArrayList<>();
@@ -81,13 +82,24 @@
     upstreams.put(name, upstream);
     groups.put(name, cell);
     for (StandInDiscovery list : lists) {
-      list.tell(name, upstream.address(), cell, "in_service", name.equals("cold") ? System.currentTimeMillis() : 0);
+      list.tell(
+          name,
+          upstream.address(),
+          cell,
+          "in_service",
+          name.equals("cold") ? System.currentTimeMillis() : 0);
     }
   }
 
   private Configuration configuration() throws Exception {
-    return new Configuration("demo", Addresses.parse("listen", "127.0.0.1:0"), quotes.address(), 1, 1024,
-        new HostList(0, true, List.of()), DemoSettings.settings());
+    return new Configuration(
+        "demo",
+        Addresses.parse("listen", "127.0.0.1:0"),
+        quotes.address(),
+        1,
+        1024,
+        new HostList(0, true, List.of()),
+        DemoSettings.settings());
   }
 
   private Operator operator() {
@@ -125,29 +137,57 @@
   private boolean play(Node node, InetSocketAddress address) throws Exception {
     EventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try {
-      Load quoting = new Load(address, clients,
-          new HttpAsk("quote.example.org", "quote-issue", true, "demo", 2_000), Shape.steady(CLIENTS, PER_SECOND), "q", 1).start();
-      Load rating = new Load(address, clients,
-          new HttpAsk("rates.example.org", "rate-lookup", false, "demo", 1_500), Shape.steady(CLIENTS, PER_SECOND), "r", 2).start();
+      Load quoting = new Load(
+              address,
+              clients,
+              new HttpAsk("quote.example.org", "quote-issue", true, "demo", 2_000),
+              Shape.steady(CLIENTS, PER_SECOND),
+              "q",
+              1)
+          .start();
+      Load rating = new Load(
+              address,
+              clients,
+              new HttpAsk("rates.example.org", "rate-lookup", false, "demo", 1_500),
+              Shape.steady(CLIENTS, PER_SECOND),
+              "r",
+              2)
+          .start();
       startedAt = System.nanoTime();
-      at(0.2, () -> {
-        upstreams.get("quote-0").kill();
-        say("killed quote-0, of which discovery says nothing yet");
-      }, quoting, rating);
-      at(0.3, () -> {
-        quotes.tell("quote-0", upstreams.get("quote-0").address(), 0, "terminated", 0);
-        say("discovery says that quote-0 is gone");
-      }, quoting, rating);
-      at(0.4, () -> {
-        quotes.tell("shared", upstreams.get("shared").address(), 9, "terminating", 0);
-        say("shared drains from pool quotes, and stays in pool rates");
-      }, quoting, rating);
-      at(0.55, () -> {
-        coldAt = System.nanoTime();
-        add("cold", 1, quotes, rates);
-        say("cold joins both pools");
-      }, quoting, rating);
-      at(1, () -> { }, quoting, rating);
+      at(
+          0.2,
+          () -> {
+            upstreams.get("quote-0").kill();
+            say("killed quote-0, of which discovery says nothing yet");
+          },
+          quoting,
+          rating);
+      at(
+          0.3,
+          () -> {
+            quotes.tell("quote-0", upstreams.get("quote-0").address(), 0, "terminated", 0);
+            say("discovery says that quote-0 is gone");
+          },
+          quoting,
+          rating);
+      at(
+          0.4,
+          () -> {
+            quotes.tell("shared", upstreams.get("shared").address(), 9, "terminating", 0);
+            say("shared drains from pool quotes, and stays in pool rates");
+          },
+          quoting,
+          rating);
+      at(
+          0.55,
+          () -> {
+            coldAt = System.nanoTime();
+            add("cold", 1, quotes, rates);
+            say("cold joins both pools");
+          },
+          quoting,
+          rating);
+      at(1, () -> {}, quoting, rating);
       quoting.stop();
       rating.stop();
       node.drain();
@@ -167,10 +207,18 @@
     long end = startedAt + (long) (part * seconds * 1e9);
     while (System.nanoTime() - end < 0) {
       TimeUnit.NANOSECONDS.sleep(Math.min(1_000_000_000L, Math.max(1, end - System.nanoTime())));
-      out.printf("%5.1f s  quotes %6d asked %6d served %4d refused %3d failed   rates %6d asked %6d served %4d refused"
-          + " %3d failed%n", (System.nanoTime() - startedAt) / 1e9, quoting.asked(), quoting.count(End.SERVED),
-          quoting.count(End.REFUSED), quoting.count(End.FAILED), rating.asked(), rating.count(End.SERVED),
-          rating.count(End.REFUSED), rating.count(End.FAILED));
+      out.printf(
+          "%5.1f s  quotes %6d asked %6d served %4d refused %3d failed   rates %6d asked %6d served %4d refused"
+              + " %3d failed%n",
+          (System.nanoTime() - startedAt) / 1e9,
+          quoting.asked(),
+          quoting.count(End.SERVED),
+          quoting.count(End.REFUSED),
+          quoting.count(End.FAILED),
+          rating.asked(),
+          rating.count(End.SERVED),
+          rating.count(End.REFUSED),
+          rating.count(End.FAILED));
     }
     step.run();
   }
@@ -180,19 +228,29 @@
     out.printf("%5.1f s  %s%n", (System.nanoTime() - startedAt) / 1e9, what);
   }
 
-  // ---- The verdict --------------------------------------------------------------------------------------
+  // ---- The verdict
+  // --------------------------------------------------------------------------------------
 
   private boolean report(Map<String, Load> byPool) {
     out.println();
-    out.println("pool class              asked  served refused  failed    p50 ms  p99 ms   seen by upstreams");
+    out.println(
+        "pool class              asked  served refused  failed    p50 ms  p99 ms   seen by upstreams");
     Map<String, Load> rows = new TreeMap<>(byPool);
-    rows.forEach((name, c) -> out.printf("%-20s %8d %7d %7d %7d  %8.1f %7.1f  %8d%n", name, c.asked(),
-        c.count(End.SERVED), c.count(End.REFUSED), c.count(End.FAILED), c.account().latency().getValueAtPercentile(50) / 1e3,
-        c.account().latency().getValueAtPercentile(99) / 1e3, seen(name.split(" ")[1])));
+    rows.forEach((name, c) -> out.printf(
+        "%-20s %8d %7d %7d %7d  %8.1f %7.1f  %8d%n",
+        name,
+        c.asked(),
+        c.count(End.SERVED),
+        c.count(End.REFUSED),
+        c.count(End.FAILED),
+        c.account().latency().getValueAtPercentile(50) / 1e3,
+        c.account().latency().getValueAtPercentile(99) / 1e3,
+        seen(name.split(" ")[1])));
     Verdict verdict = Verdict.ofUpstreams(upstreams, groups);
     rows.forEach((name, c) -> verdict.noneLost(name, c.account()));
     verdict.noneTwice();
-    verdict.drainKept("shared", "quote-issue", quotes.toldAt("shared", "terminating"), GRACE_MILLIS);
+    verdict.drainKept(
+        "shared", "quote-issue", quotes.toldAt("shared", "terminating"), GRACE_MILLIS);
     verdict.stillServes("shared", "rate-lookup", quotes.toldAt("shared", "terminating"));
     verdict.coldKept("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
@@ -201,7 +259,9 @@
   }
 
   private long seen(String className) {
-    return upstreams.values().stream().flatMap(u -> u.seen().stream()).filter(s -> s.className().equals(className))
+    return upstreams.values().stream()
+        .flatMap(u -> u.seen().stream())
+        .filter(s -> s.className().equals(className))
         .count();
   }
 }
--- a/src/main/java/pumicekeel/demo/RpcDemo.java
+++ b/src/main/java/pumicekeel/demo/RpcDemo.java
@@ -13,13 +13,13 @@
 import pumicekeel.config.OperatorReader;
 import pumicekeel.discovery.HostList;
 import pumicekeel.jsonrpc.Framing;
-import pumicekeel.node.Node;
-import pumicekeel.runtime.Addresses;
-import pumicekeel.standin.StandInDiscovery;
+import pumicekeel.load.Account.End;
 import pumicekeel.load.Load;
 import pumicekeel.load.RpcAsk;
 import pumicekeel.load.Shape;
-import pumicekeel.load.Account.End;
+import pumicekeel.node.Node;
+import pumicekeel.runtime.Addresses;
+import pumicekeel.standin.StandInDiscovery;
 import pumicekeel.standin.StandInRpcFaults;
 import pumicekeel.standin.StandInRpcServer;
 
@@ -33,15 +33,18 @@
   private static final int SERVERS = 6;
   private static final long DELAY_MILLIS = 3;
   private static final long GRACE_MILLIS = 2_000;
-  private static final Map<String, Integer> CELLS = Map.of("s0", 0, "s1", 0, "s2", 1, "s3", 1, "s4", 2, "s5", 2, "cold", 3);
+  private static final Map<String, Integer> CELLS =
+      Map.of("s0", 0, "s1", 0, "s2", 1, "s3", 1, "s4", 2, "s5", 2, "cold", 3);
 
   private final int seconds;
   private final int connections;
   private final int faults;
   private final long seed;
   private final PrintStream out;
-  private final EventLoopGroup standIns = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final EventLoopGroup clientLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup standIns =
+      new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+  private final EventLoopGroup clientLoops =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final Map<String, StandInRpcServer> servers = new TreeMap<>();
   private StandInDiscovery discovery;
   private long startedAt;
@@ -68,7 +71,8 @@
       if (file.operator() == null) {
         throw new IllegalStateException(file.faults().toString());
       }
-      node = new Node(configuration(), file.operator(), () -> out.println("the balancer broke down"));
+      node =
+          new Node(configuration(), file.operator(), () -> out.println("the balancer broke down"));
       node.start();
       node.awaitReady();
       return play(node, node.addressOf("partner"));
@@ -112,26 +116,51 @@
     StandInRpcServer server = new StandInRpcServer(standIns, Framing.NEWLINE);
     server.script(new StandInRpcFaults(seed + servers.size(), DELAY_MILLIS, faults));
     servers.put(name, server);
-    discovery.tell(name, server.address(), CELLS.get(name), "in_service",
+    discovery.tell(
+        name,
+        server.address(),
+        CELLS.get(name),
+        "in_service",
         name.equals("cold") ? System.currentTimeMillis() : 0);
   }
 
   private Configuration configuration() throws Exception {
-    return new Configuration("demo", Addresses.parse("listen", "127.0.0.1:0"), discovery.address(), 1, 16_384,
-        new HostList(0, true, List.of()), DemoSettings.settings());
+    return new Configuration(
+        "demo",
+        Addresses.parse("listen", "127.0.0.1:0"),
+        discovery.address(),
+        1,
+        16_384,
+        new HostList(0, true, List.of()),
+        DemoSettings.settings());
   }
 
-  private Load clients(InetSocketAddress at, String method, long deadline, int depth, int batch, int leaves,
-      String prefix, int count) {
-    return new Load(at, clientLoops, new RpcAsk(method, "demo", deadline), new Shape(Math.max(1, count), Double.POSITIVE_INFINITY, depth,
-        batch, leaves), prefix, seed, true).start();
+  private Load clients(
+      InetSocketAddress at,
+      String method,
+      long deadline,
+      int depth,
+      int batch,
+      int leaves,
+      String prefix,
+      int count) {
+    return new Load(
+            at,
+            clientLoops,
+            new RpcAsk(method, "demo", deadline),
+            new Shape(Math.max(1, count), Double.POSITIVE_INFINITY, depth, batch, leaves),
+            prefix,
+            seed,
+            true)
+        .start();
   }
 
   private boolean play(Node node, InetSocketAddress at) throws Exception {
     startedAt = System.nanoTime();
     Map<String, Load> all = new TreeMap<>();
     all.put("lookups, singly", clients(at, "rate.lookup", 1_500, 2, 1, 1, "r", connections / 2));
-    all.put("lookups, in batches", clients(at, "rate.lookup", 1_500, 4, 4, 1, "b", connections / 8));
+    all.put(
+        "lookups, in batches", clients(at, "rate.lookup", 1_500, 4, 4, 1, "b", connections / 8));
     all.put("quotes, singly", clients(at, "quote.issue", 2_000, 1, 1, 1, "q", connections * 3 / 8));
     wait(all, 0.2);
     servers.get("s0").kill();
@@ -161,8 +190,9 @@
     while (System.nanoTime() - end < 0) {
       TimeUnit.NANOSECONDS.sleep(Math.min(1_000_000_000L, Math.max(1, end - System.nanoTime())));
       StringBuilder line = new StringBuilder();
-      all.forEach((name, c) -> line.append(String.format("  %s %d asked %d served %d refused %d failed", name, c.asked(),
-          c.count(End.SERVED), c.count(End.REFUSED), c.count(End.FAILED))));
+      all.forEach((name, c) -> line.append(String.format(
+          "  %s %d asked %d served %d refused %d failed",
+          name, c.asked(), c.count(End.SERVED), c.count(End.REFUSED), c.count(End.FAILED))));
       say(line.toString().strip());
     }
   }
@@ -174,9 +204,16 @@
   private boolean report(Map<String, Load> all) {
     out.println();
     out.println("calls                  asked  served refused  failed    left    p50 ms  p99 ms");
-    all.forEach((name, c) -> out.printf("%-20s %8d %7d %7d %7d %7d  %8.1f %7.1f%n", name, c.asked(),
-        c.count(End.SERVED), c.count(End.REFUSED), c.count(End.FAILED), c.account().left(),
-        c.account().latency().getValueAtPercentile(50) / 1e3, c.account().latency().getValueAtPercentile(99) / 1e3));
+    all.forEach((name, c) -> out.printf(
+        "%-20s %8d %7d %7d %7d %7d  %8.1f %7.1f%n",
+        name,
+        c.asked(),
+        c.count(End.SERVED),
+        c.count(End.REFUSED),
+        c.count(End.FAILED),
+        c.account().left(),
+        c.account().latency().getValueAtPercentile(50) / 1e3,
+        c.account().latency().getValueAtPercentile(99) / 1e3));
     Verdict verdict = Verdict.ofServers(servers, CELLS, call -> nameIn(call));
     all.forEach((name, c) -> verdict.noneLost(name, c.account()));
     all.values().forEach(c -> verdict.servedWasSeen(c.account(), Verdict.Ran::name));
--- a/src/main/java/pumicekeel/demo/Verdict.java
+++ b/src/main/java/pumicekeel/demo/Verdict.java
@@ -31,19 +31,36 @@
   }
 
   /** HTTP upstreams by name, and the cell of each: those of one cell drop each other's repeats. */
-  public static Verdict ofUpstreams(Map<String, StandInUpstream> upstreams, Map<String, Integer> cells) {
+  public static Verdict ofUpstreams(
+      Map<String, StandInUpstream> upstreams, Map<String, Integer> cells) {
     Map<String, Supplier<List<Ran>>> logs = new TreeMap<>();
-    upstreams.forEach((name, u) -> logs.put(name, () -> u.seen().stream().map(s -> new Ran(s.id(),
-        s.mode() == StandInUpstream.Mode.FULL ? null : s.key(), s.className(), s.atNanos())).toList()));
+    upstreams.forEach((name, u) -> logs.put(
+        name,
+        () -> u.seen().stream()
+            .map(s -> new Ran(
+                s.id(),
+                s.mode() == StandInUpstream.Mode.FULL ? null : s.key(),
+                s.className(),
+                s.atNanos()))
+            .toList()));
     return new Verdict(cells, logs);
   }
 
   /** JSON-RPC servers by name; {@code name} tells a call's own, which is its key where its method is quote.issue. */
-  public static Verdict ofServers(Map<String, StandInRpcServer> servers, Map<String, Integer> cells,
+  public static Verdict ofServers(
+      Map<String, StandInRpcServer> servers,
+      Map<String, Integer> cells,
       Function<StandInRpcServer.Seen, String> name) {
     Map<String, Supplier<List<Ran>>> logs = new TreeMap<>();
-    servers.forEach((server, s) -> logs.put(server, () -> s.seen().stream().map(c -> new Ran(name.apply(c),
-        c.method().equals("quote.issue") ? name.apply(c) : null, c.method(), c.atNanos())).toList()));
+    servers.forEach((server, s) -> logs.put(
+        server,
+        () -> s.seen().stream()
+            .map(c -> new Ran(
+                name.apply(c),
+                c.method().equals("quote.issue") ? name.apply(c) : null,
+                c.method(),
+                c.atNanos()))
+            .toList()));
     return new Verdict(cells, logs);
   }
 
@@ -71,10 +88,16 @@
     long left = all.stream().mapToLong(Account::left).sum();
     long wrong = all.stream().mapToLong(Account::wrong).sum();
     long unended = all.stream().mapToLong(Account::unended).sum();
-    List<String> faults = all.stream().flatMap(c -> c.faults().stream()).limit(5).toList();
-    rule("no request lost", wrong == 0 && unended == 0 && asked > 0, asked + " " + what + " asked"
-        + (all.size() == 1 ? "" : " at " + all.size() + " instances") + (left == 0 ? "" : ", " + left + " left by their clients") + ", " + wrong
-        + " lost, late or wrong, " + unended + " without an end" + (faults.isEmpty() ? "" : " " + faults));
+    List<String> faults =
+        all.stream().flatMap(c -> c.faults().stream()).limit(5).toList();
+    rule(
+        "no request lost",
+        wrong == 0 && unended == 0 && asked > 0,
+        asked + " " + what + " asked"
+            + (all.size() == 1 ? "" : " at " + all.size() + " instances")
+            + (left == 0 ? "" : ", " + left + " left by their clients") + ", " + wrong
+            + " lost, late or wrong, " + unended + " without an end"
+            + (faults.isEmpty() ? "" : " " + faults));
   }
 
   /** Each call that its client holds for served was seen by a server. */
@@ -82,7 +105,10 @@
     Set<String> seen = new HashSet<>();
     upstreams.values().forEach(u -> u.get().forEach(r -> seen.add(name.apply(r))));
     long never = clients.served().stream().filter(n -> !seen.contains(n)).count();
-    rule("logs agree", never == 0, clients.served().size() + " served, " + never + " of them unknown to every server");
+    rule(
+        "logs agree",
+        never == 0,
+        clients.served().size() + " served, " + never + " of them unknown to every server");
   }
 
   /** A keyed call that its client was told to be refused, where only servers of one cell drop repeats, never ran. */
@@ -90,7 +116,10 @@
     Set<String> ran = new HashSet<>();
     upstreams.values().forEach(u -> u.get().forEach(r -> ran.add(r.key())));
     long untrue = clients.refused().stream().filter(ran::contains).count();
-    rule("refusals are true", untrue == 0, clients.refused().size() + " refused, " + untrue + " of them seen by a server");
+    rule(
+        "refusals are true",
+        untrue == 0,
+        clients.refused().size() + " refused, " + untrue + " of them seen by a server");
   }
 
   /** Rule 2: no key ran in two cells, since only upstreams of one cell drop a repeat. */
@@ -106,7 +135,10 @@
       }
     }
     long twice = ran.values().stream().filter(c -> c.size() > 1).count();
-    rule("no effect twice", twice == 0, keyed + " keyed requests seen by upstreams, " + twice + " keys in two cells");
+    rule(
+        "no effect twice",
+        twice == 0,
+        keyed + " keyed requests seen by upstreams, " + twice + " keys in two cells");
   }
 
   /** Rule 3: nothing of a class reaches a draining upstream so long after the word of it was written. */
@@ -114,42 +146,62 @@
     long end = toldAt + TimeUnit.MILLISECONDS.toNanos(graceMillis);
     long late = of(upstream, className).filter(s -> s.atNanos() - end > 0).count();
     long before = of(upstream, className).filter(s -> s.atNanos() - end <= 0).count();
-    rule("drains kept", late == 0 && before > 0, before + " " + className + " at " + upstream + " until " + graceMillis
-        + " ms after the word, " + late + " later");
+    rule(
+        "drains kept",
+        late == 0 && before > 0,
+        before + " " + className + " at " + upstream + " until " + graceMillis
+            + " ms after the word, " + late + " later");
   }
 
   /** A drain in one pool leaves the other's work alone. */
   public void stillServes(String upstream, String className, long toldAt) {
     long after = of(upstream, className).filter(s -> s.atNanos() - toldAt > 0).count();
-    rule("a drain in one pool only", after > 0, after + " " + className + " at " + upstream + " after that");
+    rule(
+        "a drain in one pool only",
+        after > 0,
+        after + " " + className + " at " + upstream + " after that");
   }
 
   /**
    * Rule 4: in no window did all pools together send a cold upstream more than the multiple of its present part of what
    * a warm one got on average in the same window; a few requests more are chance.
    */
-  public void coldKept(String cold, long startedAt, double coldFrom, double warmSeconds, double multiple,
+  public void coldKept(
+      String cold,
+      long startedAt,
+      double coldFrom,
+      double warmSeconds,
+      double multiple,
       double windowSeconds) {
     long step = TimeUnit.MILLISECONDS.toNanos(100);
     long window = (long) (windowSeconds * 1e9);
     Map<String, long[]> times = new HashMap<>();
-    upstreams.forEach((name, u) -> times.put(name, u.get().stream().mapToLong(Ran::atNanos).toArray()));
-    long last = times.values().stream().flatMapToLong(java.util.Arrays::stream).max().orElse(0);
+    upstreams.forEach(
+        (name, u) -> times.put(name, u.get().stream().mapToLong(Ran::atNanos).toArray()));
+    long last =
+        times.values().stream().flatMapToLong(java.util.Arrays::stream).max().orElse(0);
     double worst = 0;
     boolean held = true;
     for (long at = startedAt; at + window <= Math.max(last, startedAt + window); at += step) {
       long from = at;
       double got = within(times.get(cold), from, window);
-      double warm = upstreams.keySet().stream().filter(n -> !n.equals(cold)).mapToLong(n -> within(times.get(n), from, window))
-          .filter(n -> n > 0).average().orElse(0);
+      double warm = upstreams.keySet().stream()
+          .filter(n -> !n.equals(cold))
+          .mapToLong(n -> within(times.get(n), from, window))
+          .filter(n -> n > 0)
+          .average()
+          .orElse(0);
       double part = Math.min(1, coldFrom + (1 - coldFrom) * (from - startedAt) / 1e9 / warmSeconds);
       double budget = multiple * part * warm;
       worst = Math.max(worst, budget == 0 ? 0 : got / budget);
       held &= got <= budget + 3 * Math.sqrt(budget);
     }
     long all = times.get(cold).length;
-    rule("no cold upstream pushed over", held && all > 0, all + " requests at " + cold + ", at most "
-        + Math.round(worst * 100) + " % of its budget in any " + windowSeconds + " s");
+    rule(
+        "no cold upstream pushed over",
+        held && all > 0,
+        all + " requests at " + cold + ", at most " + Math.round(worst * 100)
+            + " % of its budget in any " + windowSeconds + " s");
   }
 
   private static long within(long[] times, long from, long window) {
--- a/src/main/java/pumicekeel/discovery/Discovery.java
+++ b/src/main/java/pumicekeel/discovery/Discovery.java
@@ -49,7 +49,12 @@
   private boolean wanted;
   private Channel current;
 
-  public Discovery(Reactor on, InetSocketAddress address, long index, WatchTerms terms, Consumer<HostList> news,
+  public Discovery(
+      Reactor on,
+      InetSocketAddress address,
+      long index,
+      WatchTerms terms,
+      Consumer<HostList> news,
       Runnable failed) {
     this.on = on;
     this.address = address;
@@ -119,18 +124,25 @@
       reopening = null;
     }
     WatchHandler handler = new WatchHandler();
-    current = new Bootstrap().group(on.loop()).channelFactory(on.sockets()::connecting)
+    current = new Bootstrap()
+        .group(on.loop())
+        .channelFactory(on.sockets()::connecting)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, terms.connectMillis())
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new HttpClientCodec(), handler, handler.frames, handler.new Lists());
+            channel
+                .pipeline()
+                .addLast(new HttpClientCodec(), handler, handler.frames, handler.new Lists());
           }
-        }).connect(address).addListener(connected -> {
+        })
+        .connect(address)
+        .addListener(connected -> {
           if (!connected.isSuccess()) {
             handler.end("cannot connect");
           }
-        }).channel();
+        })
+        .channel();
     handler.channel = current;
   }
 
@@ -164,9 +176,13 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
+      DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+          HttpVersion.HTTP_1_1,
+          HttpMethod.GET,
           "/discovery/hosts?watch=1" + (index == NO_INDEX ? "" : "&after=" + index));
-      request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
+      request
+          .headers()
+          .set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
       ctx.writeAndFlush(request);
       expect(terms.answerMillis());
     }
