--- a/src/main/java/pumicekeel/discovery/HostList.java
+++ b/src/main/java/pumicekeel/discovery/HostList.java
@@ -29,14 +29,22 @@
   }
 
   public static HostList of(Fields list) {
-    return new HostList(list.integer("index"), list.bool("snapshot", false),
+    return new HostList(
+        list.integer("index"),
+        list.bool("snapshot", false),
         list.objects("endpoints").stream().map(HostList::host).toList());
   }
 
   private static Host host(Fields f) {
-    Listed listed = new Listed(idOf(f.text("name")), f.text("zone", ""), (int) f.integer("group", 0),
-        f.word("status", STATUS), f.integer("since_ms", 0) * 1_000_000L, f.number("weight", 1));
-    return new Host(f.text("name"), f.text("type", ""), Addresses.parse("address", f.text("address")), listed);
+    Listed listed = new Listed(
+        idOf(f.text("name")),
+        f.text("zone", ""),
+        (int) f.integer("group", 0),
+        f.word("status", STATUS),
+        f.integer("since_ms", 0) * 1_000_000L,
+        f.number("weight", 1));
+    return new Host(
+        f.text("name"), f.text("type", ""), Addresses.parse("address", f.text("address")), listed);
   }
 
   /** FNV-1a: the same at every balancer and after every restart, so that all agree on the ring. */
--- a/src/main/java/pumicekeel/discovery/UpstreamSource.java
+++ b/src/main/java/pumicekeel/discovery/UpstreamSource.java
@@ -32,11 +32,17 @@
   private UpstreamSource() {}
 
   /** A list that is followed at an address, beginning with what was last known of it. */
-  public static UpstreamSource watched(Reactor on, InetSocketAddress address, HostList known, WatchTerms terms) {
+  public static UpstreamSource watched(
+      Reactor on, InetSocketAddress address, HostList known, WatchTerms terms) {
     UpstreamSource source = new UpstreamSource();
     source.merge(known);
-    source.discovery = new Discovery(on, address, known.hosts().isEmpty() ? Discovery.NO_INDEX : known.index(),
-        terms, source::news, source::failed);
+    source.discovery = new Discovery(
+        on,
+        address,
+        known.hosts().isEmpty() ? Discovery.NO_INDEX : known.index(),
+        terms,
+        source::news,
+        source::failed);
     return source;
   }
 
--- a/src/main/java/pumicekeel/discovery/WatchTerms.java
+++ b/src/main/java/pumicekeel/discovery/WatchTerms.java
@@ -12,7 +12,8 @@
  * each try that stalls, so four tries before 6.5 s. A return of the agent counts as told at once: one try is always
  * under way or begins within 0.1 s, and the one that stalls is given up within 0.75 s.
  */
-public record WatchTerms(boolean pushed, int connectMillis, int answerMillis, int silenceMillis, int reopenMillis) {
+public record WatchTerms(
+    boolean pushed, int connectMillis, int answerMillis, int silenceMillis, int reopenMillis) {
 
   /** A heartbeat comes every 2 s: one that stays out, and a second, mean a connection that nobody serves any more. */
   private static final int SILENCE = 3_000;
@@ -22,11 +23,13 @@
   private static final int ASKED_CONNECT = 1_000;
   /** An agent on the same machine answers at once and costs nothing. */
   private static final int AGENT_CONNECT = 250;
+
   private static final int AGENT_ANSWER = 500;
   private static final int AGENT_REOPEN = 100;
 
   public static WatchTerms of(Settings settings) {
-    return settings.listOnRequest() ? new WatchTerms(false, ASKED_CONNECT, ASKED_ANSWER, SILENCE, 0)
+    return settings.listOnRequest()
+        ? new WatchTerms(false, ASKED_CONNECT, ASKED_ANSWER, SILENCE, 0)
         : new WatchTerms(true, AGENT_CONNECT, AGENT_ANSWER, SILENCE, AGENT_REOPEN);
   }
 }
--- a/src/main/java/pumicekeel/fleet/Daemon.java
+++ b/src/main/java/pumicekeel/fleet/Daemon.java
@@ -36,9 +36,11 @@
   private static final long LOOK_MILLIS = 50;
   /** Between two looks at whether a ready instance still answers. */
   private static final long READY_LOOK_NANOS = 1_000_000_000L;
+
   private static final int LOOKERS = 4;
   /** A command's line; a client that sends more or nothing is cut off. */
   private static final int MOST_LINE = 256;
+
   private static final int MOST_DISCARDED = 8 << 10;
   private static final int COMMAND_MILLIS = 2_000;
   /** The exit status of one that was taken over: the kernel tells it to nobody but its parent, which is gone. */
@@ -55,7 +57,9 @@
   private final long[] askedAt;
   /** What each holds of the fleet, as it last said; null where it says nothing. */
   private final String[] views;
-  private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor(named("fleet"));
+
+  private final ScheduledExecutorService loop =
+      Executors.newSingleThreadScheduledExecutor(named("fleet"));
   private final ExecutorService lookers = Executors.newFixedThreadPool(LOOKERS, named("look"));
   private final CountDownLatch over = new CountDownLatch(1);
   private ServerSocketChannel control;
@@ -89,7 +93,8 @@
   private static void checkSocket() throws IOException {
     String what = Files.readSymbolicLink(Path.of("/proc/self/fd/0")).toString();
     if (!what.startsWith("socket:")) {
-      throw new IOException("--one-address: expected a listening socket as descriptor 0, got " + what);
+      throw new IOException(
+          "--one-address: expected a listening socket as descriptor 0, got " + what);
     }
   }
 
@@ -103,7 +108,8 @@
       control.bind(UnixDomainSocketAddress.of(socket));
     } catch (IOException e) {
       close();
-      throw new IOException("run directory " + settings.directory() + ": no control socket: " + e.getMessage());
+      throw new IOException(
+          "run directory " + settings.directory() + ": no control socket: " + e.getMessage());
     }
     Thread listener = named("control").newThread(this::listen);
     loop.execute(this::takeOver);
@@ -131,17 +137,20 @@
     carryOut(supervisor.start(now));
   }
 
-  // ---- Instances ----------------------------------------------------------------------------------------
+  // ---- Instances
+  // ----------------------------------------------------------------------------------------
 
   private void watch(int i, ProcessHandle process, IntSupplier status) {
     handles[i] = process;
-    process.onExit().thenAccept(ended -> loop.execute(() -> {
-      if (handles[i] == process) {
-        handles[i] = null;
-        views[i] = null;
-        carryOut(supervisor.exited(i, status.getAsInt(), System.nanoTime()));
-      }
-    }));
+    process
+        .onExit()
+        .thenAccept(ended -> loop.execute(() -> {
+          if (handles[i] == process) {
+            handles[i] = null;
+            views[i] = null;
+            carryOut(supervisor.exited(i, status.getAsInt(), System.nanoTime()));
+          }
+        }));
   }
 
   private void look() {
@@ -149,7 +158,8 @@
     carryOut(supervisor.tick(now));
     for (int i = 0; i < handles.length; i++) {
       boolean starts = supervisor.stateOf(i) == State.STARTING;
-      boolean looks = starts || supervisor.stateOf(i) == State.READY && now - askedAt[i] >= READY_LOOK_NANOS;
+      boolean looks =
+          starts || supervisor.stateOf(i) == State.READY && now - askedAt[i] >= READY_LOOK_NANOS;
       if (looks && handles[i] != null && !asked[i]) {
         asked[i] = true;
         askedAt[i] = now;
@@ -215,7 +225,8 @@
     }
   }
 
-  // ---- Commands -----------------------------------------------------------------------------------------
+  // ---- Commands
+  // -----------------------------------------------------------------------------------------
 
   private void listen() {
     while (control.isOpen()) {
@@ -223,7 +234,8 @@
         Thread guard = named("command").newThread(() -> closeLater(client));
         guard.start();
         String line = readLine(client);
-        String answer = line == null ? "{\"error\":\"expected a line of at most " + MOST_LINE + " bytes\"}"
+        String answer = line == null
+            ? "{\"error\":\"expected a line of at most " + MOST_LINE + " bytes\"}"
             : loop.submit(() -> command(line)).get();
         client.write(ByteBuffer.wrap((answer + "\n").getBytes(StandardCharsets.UTF_8)));
         guard.interrupt();
@@ -295,18 +307,34 @@
     long now = System.nanoTime();
     StringBuilder out = new StringBuilder("{\"instances\":[");
     for (int i = 0; i < handles.length; i++) {
-      out.append(i == 0 ? "" : ",").append("{\"instance\":").append(i).append(",\"state\":\"")
-          .append(word(supervisor.stateOf(i))).append("\",\"for-ms\":")
-          .append(TimeUnit.NANOSECONDS.toMillis(supervisor.inStateFor(i, now))).append(",\"pid\":")
+      out.append(i == 0 ? "" : ",")
+          .append("{\"instance\":")
+          .append(i)
+          .append(",\"state\":\"")
+          .append(word(supervisor.stateOf(i)))
+          .append("\",\"for-ms\":")
+          .append(TimeUnit.NANOSECONDS.toMillis(supervisor.inStateFor(i, now)))
+          .append(",\"pid\":")
           .append(handles[i] == null ? "null" : Long.toString(handles[i].pid()))
           .append(settings.oneAddress() ? ",\"door\":\"" : ",\"listen\":\"")
-          .append(settings.first().getAddress().getHostAddress()).append(':').append(settings.addressOf(i).getPort())
-          .append("\",\"crashes\":").append(supervisor.crashesOf(i)).append(",\"silent-ms\":")
-          .append(TimeUnit.NANOSECONDS.toMillis(supervisor.silentFor(i, now))).append(",\"peers\":").append(views[i]).append('}');
+          .append(settings.first().getAddress().getHostAddress())
+          .append(':')
+          .append(settings.addressOf(i).getPort())
+          .append("\",\"crashes\":")
+          .append(supervisor.crashesOf(i))
+          .append(",\"silent-ms\":")
+          .append(TimeUnit.NANOSECONDS.toMillis(supervisor.silentFor(i, now)))
+          .append(",\"peers\":")
+          .append(views[i])
+          .append('}');
     }
-    out.append("],\"work\":\"").append(supervisor.work().name().toLowerCase(Locale.ROOT)).append("\",\"left\":")
-        .append(supervisor.workLeft()).append(",\"halted\":")
-        .append(supervisor.halted() == null ? "null" : quoted(supervisor.halted())).append('}');
+    out.append("],\"work\":\"")
+        .append(supervisor.work().name().toLowerCase(Locale.ROOT))
+        .append("\",\"left\":")
+        .append(supervisor.workLeft())
+        .append(",\"halted\":")
+        .append(supervisor.halted() == null ? "null" : quoted(supervisor.halted()))
+        .append('}');
     return out.toString();
   }
 
@@ -314,7 +342,8 @@
     return state.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  // ---- The end ------------------------------------------------------------------------------------------
+  // ---- The end
+  // ------------------------------------------------------------------------------------------
 
   /** Stops all instances in order; returns when they are down. */
   public void stop() throws InterruptedException {
--- a/src/main/java/pumicekeel/fleet/InstanceDoor.java
+++ b/src/main/java/pumicekeel/fleet/InstanceDoor.java
@@ -29,15 +29,17 @@
   private static final long LOOK_MILLIS = 250;
   /** A view names members; beyond this it is none. */
   private static final int MOST_ANSWER = 8 << 10;
+
   private static final String YES = "YES";
 
   private final Settings settings;
   private final RunDirectory run;
-  private final ScheduledExecutorService guard = Executors.newSingleThreadScheduledExecutor(work -> {
-    Thread thread = new Thread(work, "look-guard");
-    thread.setDaemon(true);
-    return thread;
-  });
+  private final ScheduledExecutorService guard =
+      Executors.newSingleThreadScheduledExecutor(work -> {
+        Thread thread = new Thread(work, "look-guard");
+        thread.setDaemon(true);
+        return thread;
+      });
 
   InstanceDoor(Settings settings, RunDirectory run) {
     this.settings = settings;
@@ -49,25 +51,35 @@
     Path path = RunDirectory.door(run.path(), instance);
     if (!settings.oneAddress() && !Files.exists(path)) {
       // One that an earlier build's daemon started.
-      String head = ask(settings.addressOf(instance), "GET /up HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n");
+      String head = ask(
+          settings.addressOf(instance),
+          "GET /up HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n");
       return new Look(!head.isEmpty(), head.startsWith("HTTP/1.1 200"), null);
     }
-    SocketAddress door = settings.oneAddress() ? settings.addressOf(instance) : UnixDomainSocketAddress.of(path);
+    SocketAddress door =
+        settings.oneAddress() ? settings.addressOf(instance) : UnixDomainSocketAddress.of(path);
     String ready = ask(door, "readyz\n");
     String view = wantsView && !ready.isEmpty() ? ask(door, "peers\n") : "";
-    return new Look(!ready.isEmpty(), ready.startsWith(YES),
+    return new Look(
+        !ready.isEmpty(),
+        ready.startsWith(YES),
         view.startsWith(YES + " {") ? view.substring(YES.length()).strip() : null);
   }
 
   /** The answer, as far as it came in time; empty for none. */
   private String ask(SocketAddress at, String call) {
     ByteBuffer in = ByteBuffer.allocate(MOST_ANSWER);
-    try (SocketChannel channel = SocketChannel.open(at instanceof UnixDomainSocketAddress
-        ? java.net.StandardProtocolFamily.UNIX : java.net.StandardProtocolFamily.INET)) {
-      Future<?> late = guard.schedule(() -> {
-        channel.close();
-        return null;
-      }, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    try (SocketChannel channel = SocketChannel.open(
+        at instanceof UnixDomainSocketAddress
+            ? java.net.StandardProtocolFamily.UNIX
+            : java.net.StandardProtocolFamily.INET)) {
+      Future<?> late = guard.schedule(
+          () -> {
+            channel.close();
+            return null;
+          },
+          LOOK_MILLIS,
+          TimeUnit.MILLISECONDS);
       channel.connect(at);
       channel.write(ByteBuffer.wrap(call.getBytes(StandardCharsets.US_ASCII)));
       while (in.hasRemaining() && channel.read(in) >= 0) {
--- a/src/main/java/pumicekeel/fleet/Limits.java
+++ b/src/main/java/pumicekeel/fleet/Limits.java
@@ -12,8 +12,16 @@
  * @param hangNanos a ready instance that has answered nothing for so long is killed, which counts as a crash; 0 for never
  * @param mostCrashes crashes within {@code crashWindowNanos} after which an instance is left down
  */
-public record Limits(int mostAway, long readyNanos, long stopNanos, long watchNanos, long backoffNanos,
-    long backoffMostNanos, long hangNanos, int mostCrashes, long crashWindowNanos) {
+public record Limits(
+    int mostAway,
+    long readyNanos,
+    long stopNanos,
+    long watchNanos,
+    long backoffNanos,
+    long backoffMostNanos,
+    long hangNanos,
+    int mostCrashes,
+    long crashWindowNanos) {
 
   private static final long MS = 1_000_000L;
 
@@ -27,6 +35,15 @@
 
   /** The same with a bound on silence of its own. */
   public static Limits of(int mostAway, long watchNanos, long hangNanos) {
-    return new Limits(mostAway, 30_000 * MS, 10_000 * MS, watchNanos, 500 * MS, 30_000 * MS, hangNanos, 5, 60_000 * MS);
+    return new Limits(
+        mostAway,
+        30_000 * MS,
+        10_000 * MS,
+        watchNanos,
+        500 * MS,
+        30_000 * MS,
+        hangNanos,
+        5,
+        60_000 * MS);
   }
 }
--- a/src/main/java/pumicekeel/fleet/Processes.java
+++ b/src/main/java/pumicekeel/fleet/Processes.java
@@ -30,7 +30,8 @@
     this.say = say;
     this.settings = settings;
     this.run = run;
-    mark = MARK + UUID.nameUUIDFromBytes(run.path().toString().getBytes(StandardCharsets.UTF_8)) + ":";
+    mark =
+        MARK + UUID.nameUUIDFromBytes(run.path().toString().getBytes(StandardCharsets.UTF_8)) + ":";
   }
 
   /** Starts an instance. */
@@ -44,20 +45,27 @@
       command.addAll(List.of("--operator", settings.operator().toString()));
     }
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-    builder.redirectOutput(log(instance)).redirectInput(settings.oneAddress()
-        ? ProcessBuilder.Redirect.INHERIT : ProcessBuilder.Redirect.from(new File("/dev/null")));
+    builder
+        .redirectOutput(log(instance))
+        .redirectInput(
+            settings.oneAddress()
+                ? ProcessBuilder.Redirect.INHERIT
+                : ProcessBuilder.Redirect.from(new File("/dev/null")));
     builder.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
     builder.environment().put("PROXY_CONFIG", settings.configuration().toString());
     builder.environment().put("PROXY_NAME", settings.name() + "-" + instance);
     if (settings.oneAddress()) {
       builder.environment().put("PROXY_SOCKET_FD", "0");
     }
-    String address = settings.first().getAddress().getHostAddress() + ":" + settings.addressOf(instance).getPort();
+    String address = settings.first().getAddress().getHostAddress() + ":"
+        + settings.addressOf(instance).getPort();
     if (settings.oneAddress()) {
       builder.environment().put("PROXY_ADMIN", address);
     } else {
       builder.environment().put("PROXY_LISTEN", address);
-      builder.environment().put("PROXY_ADMIN", Configuration.PATH + RunDirectory.door(run.path(), instance));
+      builder
+          .environment()
+          .put("PROXY_ADMIN", Configuration.PATH + RunDirectory.door(run.path(), instance));
     }
     builder.environment().put("PROXY_GROUP", instance + "/" + settings.instances());
     return builder.start();
@@ -76,8 +84,11 @@
 
   /** Processes of this run directory that are alive, those of an instance the oldest first. */
   List<ProcessHandle> of(int instance) {
-    return all().stream().filter(p -> markOf(p).orElse("").equals(mark + instance + ":"))
-        .sorted(Comparator.comparing((ProcessHandle p) -> p.info().startInstant().orElse(java.time.Instant.MAX))).toList();
+    return all().stream()
+        .filter(p -> markOf(p).orElse("").equals(mark + instance + ":"))
+        .sorted(Comparator.comparing(
+            (ProcessHandle p) -> p.info().startInstant().orElse(java.time.Instant.MAX)))
+        .toList();
   }
 
   /** Processes of instances that this daemon does not have: of a larger fleet before it. */
@@ -95,7 +106,9 @@
   }
 
   private List<ProcessHandle> all() {
-    return ProcessHandle.allProcesses().filter(p -> markOf(p).isPresent() && p.isAlive()).toList();
+    return ProcessHandle.allProcesses()
+        .filter(p -> markOf(p).isPresent() && p.isAlive())
+        .toList();
   }
 
   private Optional<String> markOf(ProcessHandle p) {
@@ -110,8 +123,10 @@
   /** SIGHUP, which Java has no call for. */
   static void hangup(ProcessHandle process) throws IOException {
     try {
-      Process kill = new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).redirectErrorStream(true)
-          .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+      Process kill = new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
+          .redirectErrorStream(true)
+          .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+          .start();
       if (kill.waitFor() != 0) {
         throw new IOException("kill -HUP " + process.pid() + " ended with " + kill.exitValue());
       }
--- a/src/main/java/pumicekeel/fleet/RunDirectory.java
+++ b/src/main/java/pumicekeel/fleet/RunDirectory.java
@@ -21,7 +21,8 @@
 final class RunDirectory implements Closeable {
 
   private static final long MOST_LOG = 16L << 20;
-  private static final Set<PosixFilePermission> OWNER = PosixFilePermissions.fromString("rwx------");
+  private static final Set<PosixFilePermission> OWNER =
+      PosixFilePermissions.fromString("rwx------");
   /** Of a Unix socket's path, less a zero byte: sun_path has 108 bytes. */
   private static final int MOST_SOCKET_PATH = 107;
 
@@ -43,18 +44,21 @@
       directory = path.toRealPath();
       Set<PosixFilePermission> has = Files.getPosixFilePermissions(directory);
       if (!OWNER.containsAll(has)) {
-        throw new IOException("run directory " + path + ": expected it to be its owner's alone (mode 0700), got "
-            + PosixFilePermissions.toString(has));
+        throw new IOException(
+            "run directory " + path + ": expected it to be its owner's alone (mode 0700), got "
+                + PosixFilePermissions.toString(has));
       }
     } catch (java.nio.file.FileSystemException e) {
       throw new IOException("run directory " + path + ": cannot be made or entered: " + reason(e));
     }
     if (door(directory, Settings.MOST_INSTANCES - 1).toString().length() > MOST_SOCKET_PATH) {
-      throw new IOException("run directory " + path + ": expected a path of at most " + (MOST_SOCKET_PATH - 9) + " characters");
+      throw new IOException("run directory " + path + ": expected a path of at most "
+          + (MOST_SOCKET_PATH - 9) + " characters");
     }
     FileChannel channel;
     try {
-      channel = FileChannel.open(directory.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+      channel = FileChannel.open(
+          directory.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     } catch (java.nio.file.FileSystemException e) {
       throw new IOException("run directory " + path + ": cannot be written to: " + reason(e));
     }
@@ -92,7 +96,10 @@
     Path log = directory.resolve("instance-" + instance + ".log");
     try {
       if (Files.exists(log) && Files.size(log) > MOST_LOG) {
-        Files.move(log, directory.resolve("instance-" + instance + ".log.1"), StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+            log,
+            directory.resolve("instance-" + instance + ".log.1"),
+            StandardCopyOption.REPLACE_EXISTING);
       }
     } catch (IOException e) {
       // It goes on growing: better than an instance that does not start.
--- a/src/main/java/pumicekeel/fleet/Settings.java
+++ b/src/main/java/pumicekeel/fleet/Settings.java
@@ -13,12 +13,27 @@
  * @param configuration the platform's configuration of all
  * @param command how a JVM is started, up to and without {@code serve}; the marker goes behind its first word
  */
-public record Settings(int instances, Path directory, InetSocketAddress first, Path operator, Path configuration,
-    String name, List<String> command, Limits limits, boolean oneAddress) {
+public record Settings(
+    int instances,
+    Path directory,
+    InetSocketAddress first,
+    Path operator,
+    Path configuration,
+    String name,
+    List<String> command,
+    Limits limits,
+    boolean oneAddress) {
 
   /** Instances with an address each. */
-  public Settings(int instances, Path directory, InetSocketAddress first, Path operator, Path configuration, String name,
-      List<String> command, Limits limits) {
+  public Settings(
+      int instances,
+      Path directory,
+      InetSocketAddress first,
+      Path operator,
+      Path configuration,
+      String name,
+      List<String> command,
+      Limits limits) {
     this(instances, directory, first, operator, configuration, name, command, limits, false);
   }
 
--- a/src/main/java/pumicekeel/fleet/Supervisor.java
+++ b/src/main/java/pumicekeel/fleet/Supervisor.java
@@ -13,7 +13,14 @@
 public final class Supervisor {
 
   /** Where an instance is. */
-  public enum State { DOWN, STARTING, READY, STOPPING, WAITING, GIVEN_UP }
+  public enum State {
+    DOWN,
+    STARTING,
+    READY,
+    STOPPING,
+    WAITING,
+    GIVEN_UP
+  }
 
   /** What is to be done. */
   public sealed interface Action permits Start, Terminate, Kill, Hangup, Say {}
@@ -34,7 +41,11 @@
   public record Say(String text) implements Action {}
 
   /** What goes through all instances, one after the other. */
-  public enum Work { NONE, RESTART, RELOAD }
+  public enum Work {
+    NONE,
+    RESTART,
+    RELOAD
+  }
 
   private static final class Instance {
     private State state = State.DOWN;
@@ -43,9 +54,11 @@
     private boolean killed;
     /** Restarted by the work that goes on, so a crash of it halts that. */
     private boolean fresh;
+
     private long heardAt;
     /** Killed since it answered nothing, and not ready again. */
     private boolean hung;
+
     private final ArrayDeque<Long> crashes = new ArrayDeque<>();
   }
 
@@ -72,7 +85,8 @@
     }
   }
 
-  // ---- What is known ------------------------------------------------------------------------------------
+  // ---- What is known
+  // ------------------------------------------------------------------------------------
 
   public int size() {
     return instances.size();
@@ -122,7 +136,8 @@
     instances.get(i).since = now;
   }
 
-  // ---- What happens -------------------------------------------------------------------------------------
+  // ---- What happens
+  // -------------------------------------------------------------------------------------
 
   /** Starts every instance that is down. */
   public List<Action> start(long now) {
@@ -185,7 +200,8 @@
       if (silentFor(i, now) > limits.hangNanos() && !it.hung && ending < limits.mostAway()) {
         it.hung = true;
         ending++;
-        out.add(new Say("instance " + i + " has answered nothing for " + silentFor(i, now) / 1_000_000 + " ms: killed"));
+        out.add(new Say("instance " + i + " has answered nothing for "
+            + silentFor(i, now) / 1_000_000 + " ms: killed"));
         out.add(new Kill(i));
       }
     }
@@ -207,13 +223,15 @@
   }
 
   private void crashed(int i, Instance it, int status, long now) {
-    out.add(new Say("instance " + i + " ended with " + status + " while " + (it.state == State.READY ? "ready" : "starting")));
+    out.add(new Say("instance " + i + " ended with " + status + " while "
+        + (it.state == State.READY ? "ready" : "starting")));
     if (stopping) {
       to(i, State.DOWN, now);
       return;
     }
     if (work != Work.NONE && (it.fresh || away.contains(i))) {
-      halt("instance " + i + " ended with " + status + " after it was " + (work == Work.RESTART ? "restarted" : "reloaded"));
+      halt("instance " + i + " ended with " + status + " after it was "
+          + (work == Work.RESTART ? "restarted" : "reloaded"));
     }
     it.crashes.addLast(now);
     forgetOldCrashes(it, now);
@@ -223,7 +241,8 @@
       out.add(new Say("instance " + i + " is left down: " + it.crashes.size() + " crashes"));
       return;
     }
-    long wait = Math.min(limits.backoffMostNanos(), limits.backoffNanos() << Math.min(20, it.crashes.size() - 1));
+    long wait = Math.min(
+        limits.backoffMostNanos(), limits.backoffNanos() << Math.min(20, it.crashes.size() - 1));
     it.waitsUntil = now + wait;
     to(i, State.WAITING, now);
   }
@@ -261,7 +280,8 @@
     return done();
   }
 
-  // ---- Work through all instances -----------------------------------------------------------------------
+  // ---- Work through all instances
+  // -----------------------------------------------------------------------
 
   /** Begins a rolling restart or reload; null where it has begun, else why not. */
   public String begin(Work next) {
@@ -288,7 +308,8 @@
   }
 
   private void goOn(long now) {
-    away.removeIf(i -> stateOf(i) == State.READY && now - instances.get(i).since >= limits.watchNanos());
+    away.removeIf(
+        i -> stateOf(i) == State.READY && now - instances.get(i).since >= limits.watchNanos());
     for (int i : away) {
       if (stateOf(i) == State.STARTING && now - instances.get(i).since > limits.readyNanos()) {
         halt("instance " + i + " did not become ready after its restart");
@@ -336,14 +357,15 @@
 
   private void halt(String why) {
     halted = why;
-    out.add(new Say("rolling " + work.name().toLowerCase(java.util.Locale.ROOT) + " halted with " + left.size()
-        + " to go: " + why));
+    out.add(new Say("rolling " + work.name().toLowerCase(java.util.Locale.ROOT) + " halted with "
+        + left.size() + " to go: " + why));
     work = Work.NONE;
     left.clear();
     away.clear();
   }
 
-  // ---- The stop -----------------------------------------------------------------------------------------
+  // ---- The stop
+  // -----------------------------------------------------------------------------------------
 
   /** Ends all instances, the last first, so many at once as may be away. */
   public List<Action> stop(long now) {
--- a/src/main/java/pumicekeel/front/admin/AdminHandler.java
+++ b/src/main/java/pumicekeel/front/admin/AdminHandler.java
@@ -30,7 +30,9 @@
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
-    late = ctx.executor().schedule(() -> answer(ctx, "NO the call took too long"), LINE_MILLIS, TimeUnit.MILLISECONDS);
+    late = ctx.executor()
+        .schedule(
+            () -> answer(ctx, "NO the call took too long"), LINE_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   @Override
--- a/src/main/java/pumicekeel/front/admin/AdminSide.java
+++ b/src/main/java/pumicekeel/front/admin/AdminSide.java
@@ -24,6 +24,7 @@
 
   /** Callers that say nothing stay for some seconds; beyond so many the oldest gives way. */
   static final int MOST = 32;
+
   private static final int BACKLOG = 128;
 
   private final EventLoop loop;
@@ -39,24 +40,32 @@
 
   /** Listens at an address, or at a path of the file system; waits for the bind, so it is not for the loop. */
   public SocketAddress listen(SocketAddress at) throws IOException, InterruptedException {
-    ServerBootstrap bootstrap = new ServerBootstrap().group(loop, loop).option(ChannelOption.SO_BACKLOG, BACKLOG);
+    ServerBootstrap bootstrap =
+        new ServerBootstrap().group(loop, loop).option(ChannelOption.SO_BACKLOG, BACKLOG);
     if (at instanceof UnixDomainSocketAddress path) {
       // Left by a process that was killed.
       Files.deleteIfExists(path.getPath());
       bootstrap.channel(NioServerDomainSocketChannel.class);
     } else {
-      bootstrap.channel(NioServerSocketChannel.class).option(ChannelOption.SO_REUSEADDR, true)
-          .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
+      bootstrap
+          .channel(NioServerSocketChannel.class)
+          .option(ChannelOption.SO_REUSEADDR, true)
+          .childOption(ChannelOption.TCP_NODELAY, true)
+          .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
     }
     listener = bootstrap
-        .childOption(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(AdminHandler.MOST_LINE))
+        .childOption(
+            ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(AdminHandler.MOST_LINE))
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
             channel.pipeline().addLast(new AdminHandler(calls));
             opened(channel);
           }
-        }).bind(at).sync().channel();
+        })
+        .bind(at)
+        .sync()
+        .channel();
     return listener.localAddress();
   }
 
--- a/src/main/java/pumicekeel/front/http/AnswerWriter.java
+++ b/src/main/java/pumicekeel/front/http/AnswerWriter.java
@@ -28,19 +28,25 @@
 
   /** The client may send the body that it asked about. */
   void goOn() {
-    ctx.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
+    ctx.writeAndFlush(
+        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
   }
 
   /** A whole answer; {@code last}: the connection ends with it. */
-  ChannelFuture whole(int status, byte[] content, String contentType, long retryAfterNanos, boolean last) {
-    FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status),
-        Unpooled.wrappedBuffer(content));
+  ChannelFuture whole(
+      int status, byte[] content, String contentType, long retryAfterNanos, boolean last) {
+    FullHttpResponse response = new DefaultFullHttpResponse(
+        HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(content));
     response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.length);
     if (contentType != null) {
       response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
     }
     if (retryAfterNanos > 0) {
-      response.headers().set(HttpHeaderNames.RETRY_AFTER, BigDecimal.valueOf(retryAfterNanos / 1_000_000, 3).toPlainString());
+      response
+          .headers()
+          .set(
+              HttpHeaderNames.RETRY_AFTER,
+              BigDecimal.valueOf(retryAfterNanos / 1_000_000, 3).toPlainString());
     }
     close(response, last);
     return ctx.writeAndFlush(response);
--- a/src/main/java/pumicekeel/front/http/ClientHandler.java
+++ b/src/main/java/pumicekeel/front/http/ClientHandler.java
@@ -42,6 +42,7 @@
   /** What is dropped at a time behind a request that waits, to see its client leave; then reading rests for so long. A flood
    * of a megabyte is through within 0.2 s, and no client's takes more than a hundredth of the loop's time. */
   private static final int MOST_DROPPED = 64 << 10;
+
   private static final long DROPS_EVERY_MILLIS = 10;
   /** One that has its last answer and still sends has so long to read it and go. */
   private static final long PARTING_MILLIS = 300;
@@ -55,6 +56,7 @@
   private boolean ends;
   /** The request that is coming in, until it is taken. */
   private HttpRequest head;
+
   private ByteArrayOutputStream body;
   /** The id of the request that the core has, or null. */
   private String taken;
@@ -66,6 +68,7 @@
   private Upload sent;
   /** Where the answer comes from that is being passed on; null where none is. */
   private Flow answer;
+
   private boolean keepAlive;
   private boolean lastAnswer;
   /** Why its client has to wait, once what it did wrong has been dropped. */
@@ -76,11 +79,13 @@
   private boolean deaf;
   /** A request was refused before it had come whole: its client still sends. */
   private boolean restDue;
+
   private long dropped;
   private ScheduledFuture<?> drops;
   private ScheduledFuture<?> parting;
   /** What its client may have waited unread, in the line before it was accepted or while the connection rested; counts for the next request. */
   private long waited;
+
   private long restSince;
   private long restedAt;
 
@@ -106,7 +111,8 @@
     phase = next;
   }
 
-  // ---- What its side asks -------------------------------------------------------------------------------
+  // ---- What its side asks
+  // -------------------------------------------------------------------------------
 
   /** Nothing of a request has come that has no answer yet. */
   public boolean idle() {
@@ -149,7 +155,9 @@
     if (phase == Phase.SKIPPING) {
       return times.skipLate(now);
     }
-    return head == null && upload == null ? comingFor(now) > ClientLimits.HEAD_NANOS : times.bodyLate(now);
+    return head == null && upload == null
+        ? comingFor(now) > ClientLimits.HEAD_NANOS
+        : times.bodyLate(now);
   }
 
   /** Whether a body is being dropped that was said to be large. */
@@ -201,7 +209,8 @@
     }
   }
 
-  // ---- Reading ------------------------------------------------------------------------------------------
+  // ---- Reading
+  // ------------------------------------------------------------------------------------------
 
   /** Notes a request's first byte, and drops what a client sends that is not read any more. */
   public boolean accepts(ByteBuf bytes) {
@@ -226,17 +235,22 @@
     keepAlive = false;
     dropped += bytes;
     if (dropped > MOST_DROPPED && drops == null) {
-      drops = ctx.executor().schedule(() -> {
-        drops = null;
-        dropped = 0;
-        read();
-      }, DROPS_EVERY_MILLIS, TimeUnit.MILLISECONDS);
+      drops = ctx.executor()
+          .schedule(
+              () -> {
+                drops = null;
+                dropped = 0;
+                read();
+              },
+              DROPS_EVERY_MILLIS,
+              TimeUnit.MILLISECONDS);
     }
     read();
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext context, HttpObject message) throws IOException {
+  protected void channelRead0(ChannelHandlerContext context, HttpObject message)
+      throws IOException {
     if (ends) {
       return;
     }
@@ -258,7 +272,8 @@
 
   private void begin(HttpRequest next) {
     if (taken != null) {
-      // Pipelining: the first request still gets its answer, the rest is dropped with the connection.
+      // Pipelining: the first request still gets its answer, the rest is dropped with the
+      // connection.
       keepAlive = false;
       ends = true;
       return;
@@ -316,7 +331,8 @@
     head = null;
     keepAlive = HttpUtil.isKeepAlive(request);
     if (isOwn(request.uri())) {
-      write(side.ready() || side.warmsUpAt(request.uri()) ? 200 : 503, new byte[0], "text/plain", 0);
+      write(
+          side.ready() || side.warmsUpAt(request.uri()) ? 200 : 503, new byte[0], "text/plain", 0);
       return;
     }
     try {
@@ -350,7 +366,8 @@
 
   /** Hands a request to the core, which may answer at once. */
   private void take(HttpRequest request, byte[] kept, Phase as) throws ClientRequest.Bad {
-    ClientRequest next = inTime(ClientRequest.of(request, kept, upload, lane.settings(), lane.former()));
+    ClientRequest next =
+        inTime(ClientRequest.of(request, kept, upload, lane.settings(), lane.former()));
     head = null;
     taken = next.id();
     become(as);
@@ -376,7 +393,8 @@
     return uri.equals("/up") || side.warmsUpAt(uri);
   }
 
-  // ---- A body that is passed on while it comes ----------------------------------------------------------
+  // ---- A body that is passed on while it comes
+  // ----------------------------------------------------------
 
   /** The upstream of an upload takes more of it, or does not. */
   private void hold(boolean on) {
@@ -432,7 +450,8 @@
     }
   }
 
-  // ---- A request that is not taken ----------------------------------------------------------------------
+  // ---- A request that is not taken
+  // ----------------------------------------------------------------------
 
   /** Answers a request at once, by its head; the connection goes on once the rest of its body was dropped. */
   private void turnAway(ClientRequest.Bad why) {
@@ -447,7 +466,9 @@
 
   /** No body to an answer to HEAD: it would be taken for the next answer. */
   private static byte[] reason(HttpRequest request, ClientRequest.Bad why) {
-    return request.method().equals(HttpMethod.HEAD) ? new byte[0] : why.getMessage().getBytes(StandardCharsets.UTF_8);
+    return request.method().equals(HttpMethod.HEAD)
+        ? new byte[0]
+        : why.getMessage().getBytes(StandardCharsets.UTF_8);
   }
 
   private void skip(HttpObject message) {
@@ -486,17 +507,26 @@
     resting = true;
     restSince = now();
     read();
-    ctx.executor().schedule(() -> {
-      resting = false;
-      restedAt = now();
-      read();
-    }, PENALTY_MILLIS, TimeUnit.MILLISECONDS);
+    ctx.executor()
+        .schedule(
+            () -> {
+              resting = false;
+              restedAt = now();
+              read();
+            },
+            PENALTY_MILLIS,
+            TimeUnit.MILLISECONDS);
   }
 
   /** Reads where reading is of use: one place decides, or one reason to wait would be lifted by another's end. */
   private void read() {
-    ctx.channel().config().setAutoRead(!deaf && !times.held() && (!resting || taken != null) && dropped <= MOST_DROPPED
-        && (parting != null || ctx.channel().isWritable()));
+    ctx.channel()
+        .config()
+        .setAutoRead(!deaf
+            && !times.held()
+            && (!resting || taken != null)
+            && dropped <= MOST_DROPPED
+            && (parting != null || ctx.channel().isWritable()));
   }
 
   @Override
@@ -519,7 +549,8 @@
     return true;
   }
 
-  // ---- Answers ------------------------------------------------------------------------------------------
+  // ---- Answers
+  // ------------------------------------------------------------------------------------------
 
   /** Reads nothing from a client that does not take its answers. */
   @Override
@@ -534,7 +565,8 @@
 
   @Override
   public void served(Answer whole) {
-    // A definite answer of the application's own, which the platform has no status for: 4xx, as the request is at fault.
+    // A definite answer of the application's own, which the platform has no status for: 4xx, as the
+    // request is at fault.
     write(whole.error() ? 422 : 200, whole.body(), whole.contentType(), 0);
   }
 
@@ -596,7 +628,8 @@
     leaveLane();
     times.answered(now());
     if (upload != null && phase != Phase.SKIPPING) {
-      // What is left of the request is read, or the client would write into a closed socket and never see its answer.
+      // What is left of the request is read, or the client would write into a closed socket and
+      // never see its answer.
       become(Phase.SKIPPING);
       times.skips(now());
       penalty = false;
--- a/src/main/java/pumicekeel/front/http/ClientLimits.java
+++ b/src/main/java/pumicekeel/front/http/ClientLimits.java
@@ -22,11 +22,13 @@
   static final long PIECE_NANOS = 1_000 * MILLI;
   /** Slow lines bring 64 kB a second; half of that, after a moment, is no client any more. */
   static final long LEAST_BYTES_PER_SECOND = 32_000;
+
   static final long BODY_NANOS = 1_500 * MILLI;
   /** A connection that asked before may be closed after 2 s, and is where there are many. */
   private static final long IDLE_NANOS = 2_000 * MILLI;
   /** And where there are few: it costs memory, and clients that keep one for good never use it again. */
   private static final long IDLE_LONG_NANOS = 10_000 * MILLI;
+
   private static final double MANY_PART = 0.5;
   /** At the limit, one that has not asked so long after its connect: usual clients ask at once. */
   private static final long SILENT_NANOS = 250 * MILLI;
@@ -48,7 +50,8 @@
   }
 
   public void start() {
-    looks = loop.scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    looks =
+        loop.scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private void look() {
@@ -58,7 +61,8 @@
     }
     long now = side.clock().now();
     for (ClientHandler c : side.connections()) {
-      if (c.stuckFor(now) > STUCK_NANOS || c.skippingFor(now) > (c.uploads() ? PIECE_NANOS : SKIP_NANOS)) {
+      if (c.stuckFor(now) > STUCK_NANOS
+          || c.skippingFor(now) > (c.uploads() ? PIECE_NANOS : SKIP_NANOS)) {
         c.abort();
       } else if (c.late(now) || full() && c.neverAsked() && c.comingFor(now) > SILENT_NANOS) {
         c.expire();
@@ -68,8 +72,10 @@
     }
     if (full()) {
       // Every one of them is busy or was so just now: the longest idle one gives way.
-      side.connections().stream().filter(c -> c.idle() && !c.neverAsked())
-          .max(Comparator.comparingLong(c -> c.idleFor(now))).ifPresent(ClientHandler::close);
+      side.connections().stream()
+          .filter(c -> c.idle() && !c.neverAsked())
+          .max(Comparator.comparingLong(c -> c.idleFor(now)))
+          .ifPresent(ClientHandler::close);
     }
   }
 
--- a/src/main/java/pumicekeel/front/http/ClientSide.java
+++ b/src/main/java/pumicekeel/front/http/ClientSide.java
@@ -28,9 +28,11 @@
   private static final int BACKLOG = 1024;
   /** Read a piece at a time and few pieces in a row, or one client that floods would keep all others waiting. */
   private static final int READ_BYTES = 4096;
+
   private static final int READS_IN_A_ROW = 2;
   /** Large answers pass in pieces, to hundreds of clients at once: what each may hold has to be little. */
   private static final int UNSENT_LOW = 8 << 10;
+
   private static final int UNSENT_HIGH = 16 << 10;
   /** One that was answered so lately asks again this moment: it is told with its next answer that this is the last, where
    * a close would meet its request on the way. Costs a stop no more than this. */
@@ -41,6 +43,7 @@
   private static final long LINE_NANOS = 5_000_000L;
   /** Beyond its limit by that part, at the end only: less than what the process keeps for itself. */
   private static final int SPARE_PART = 4;
+
   private static final long LAST_CALL_NANOS = 20_000_000L;
   /** Usual clients ask at once; at the end, one that has not for so long gives way to those in line. */
   private static final long SAID_NOTHING_NANOS = 100_000_000L;
@@ -52,12 +55,15 @@
   private int most;
   /** The connection that got its last answer longest ago comes first. */
   private final Set<ClientHandler> connections = new LinkedHashSet<>();
+
   private Channel listener;
   /** The listening socket is the platform's: others may hold it too, and it is never closed here. */
   private boolean adopted;
+
   private boolean accepting;
   /** It accepts once more, those that stand in line, and then closes. */
   private boolean lastCall;
+
   private InetSocketAddress address;
   private boolean ready;
   private boolean draining;
@@ -66,6 +72,7 @@
   private final LoopLag lag;
   /** Since when connections may have stood in the kernel's line, at the limit; 0 where none has. */
   private long lineSince;
+
   private long acceptsSince;
 
   /** The listener of this name, with at most so many connections; {@code warmUpPath} is answered with 200. */
@@ -85,10 +92,16 @@
   }
 
   @Override
-  public InetSocketAddress listen(InetSocketAddress at, boolean accepting) throws InterruptedException {
+  public InetSocketAddress listen(InetSocketAddress at, boolean accepting)
+      throws InterruptedException {
     this.accepting = accepting;
-    return listens(bootstrap().channelFactory(on.sockets()::listening).option(ChannelOption.SO_BACKLOG, BACKLOG)
-        .option(ChannelOption.SO_REUSEADDR, true).bind(at).sync().channel());
+    return listens(bootstrap()
+        .channelFactory(on.sockets()::listening)
+        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+        .option(ChannelOption.SO_REUSEADDR, true)
+        .bind(at)
+        .sync()
+        .channel());
   }
 
   /**
@@ -97,7 +110,11 @@
    */
   public InetSocketAddress adopt(ServerSocketChannel socket) throws InterruptedException {
     adopted = true;
-    return listens(bootstrap().channelFactory(() -> NioSockets.adopted(socket)).register().sync().channel());
+    return listens(bootstrap()
+        .channelFactory(() -> NioSockets.adopted(socket))
+        .register()
+        .sync()
+        .channel());
   }
 
   private InetSocketAddress listens(Channel channel) {
@@ -108,17 +125,23 @@
   }
 
   private ServerBootstrap bootstrap() {
-    return new ServerBootstrap().group(loop, loop)
+    return new ServerBootstrap()
+        .group(loop, loop)
         .option(ChannelOption.AUTO_READ, accepting)
         .childOption(ChannelOption.TCP_NODELAY, true)
-        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(UNSENT_LOW, UNSENT_HIGH))
-        .childOption(ChannelOption.RECVBUF_ALLOCATOR,
+        .childOption(
+            ChannelOption.WRITE_BUFFER_WATER_MARK,
+            new WriteBufferWaterMark(UNSENT_LOW, UNSENT_HIGH))
+        .childOption(
+            ChannelOption.RECVBUF_ALLOCATOR,
             new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_IN_A_ROW))
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
             ClientHandler handler = new ClientHandler(ClientSide.this);
-            channel.pipeline().addLast(new RequestDecoder(handler::accepts), new HttpResponseEncoder(), handler);
+            channel
+                .pipeline()
+                .addLast(new RequestDecoder(handler::accepts), new HttpResponseEncoder(), handler);
             opened(handler);
           }
         });
@@ -205,14 +228,19 @@
     connections.add(handler);
     handler.waited(waitedInLine());
     if (connections.size() >= most) {
-      connections.stream().filter(c -> c != handler && c.idle() && !c.neverAsked()).findFirst()
+      connections.stream()
+          .filter(c -> c != handler && c.idle() && !c.neverAsked())
+          .findFirst()
           .ifPresentOrElse(ClientHandler::close, this::pause);
     }
   }
 
   public void closed(ClientHandler handler) {
     connections.remove(handler);
-    if (connections.size() < most && listener != null && listener.isOpen() && (accepting || lastCall)) {
+    if (connections.size() < most
+        && listener != null
+        && listener.isOpen()
+        && (accepting || lastCall)) {
       if (!listener.config().isAutoRead()) {
         acceptsSince = clock().now();
       }
@@ -222,7 +250,8 @@
 
   private void pause() {
     long now = clock().now();
-    lineSince = lineSince == 0 || acceptsSince != 0 && now - acceptsSince > LINE_NANOS ? now : lineSince;
+    lineSince =
+        lineSince == 0 || acceptsSince != 0 && now - acceptsSince > LINE_NANOS ? now : lineSince;
     acceptsSince = 0;
     listener.config().setAutoRead(false);
   }
@@ -275,7 +304,9 @@
   public void closeIdle() {
     closing = true;
     long now = clock().now();
-    List.copyOf(connections).stream().filter(c -> c.idle() && c.idleFor(now) > JUST_NANOS).forEach(ClientHandler::close);
+    List.copyOf(connections).stream()
+        .filter(c -> c.idle() && c.idleFor(now) > JUST_NANOS)
+        .forEach(ClientHandler::close);
   }
 
   /** Accepts no more. Java takes a closed descriptor 0 for the end of the log, too, so an adopted socket stays open. */
@@ -285,10 +316,12 @@
     if (adopted) {
       listener.config().setAutoRead(false);
     } else if (lineSince != 0 && acceptsSince == 0) {
-      // At the limit: those that stand in the kernel's line would be reset with it, and their machine has them for accepted.
+      // At the limit: those that stand in the kernel's line would be reset with it, and their
+      // machine has them for accepted.
       lastCall();
     } else {
-      on.sockets().closeBehindLine(listener, Math.max(0, most + most / SPARE_PART - connections.size()));
+      on.sockets()
+          .closeBehindLine(listener, Math.max(0, most + most / SPARE_PART - connections.size()));
     }
   }
 
@@ -297,13 +330,15 @@
     lastCall = true;
     most += Math.max(1, most / SPARE_PART);
     long now = clock().now();
-    List.copyOf(connections).stream().filter(c -> c.neverAsked() && c.idleFor(now) > SAID_NOTHING_NANOS).forEach(c -> {
-      if (c.idle()) {
-        c.close();
-      } else {
-        c.expire();
-      }
-    });
+    List.copyOf(connections).stream()
+        .filter(c -> c.neverAsked() && c.idleFor(now) > SAID_NOTHING_NANOS)
+        .forEach(c -> {
+          if (c.idle()) {
+            c.close();
+          } else {
+            c.expire();
+          }
+        });
     listener.config().setAutoRead(true);
     loop.schedule(() -> listener.close(), LAST_CALL_NANOS, TimeUnit.NANOSECONDS);
   }
@@ -313,7 +348,9 @@
   public void closeUntaken() {
     closing = true;
     long now = clock().now();
-    List.copyOf(connections).stream().filter(c -> c.untaken()
-        && (!c.idle() || c.idleFor(now) > (c.neverAsked() ? NEW_NANOS : JUST_NANOS))).forEach(ClientHandler::endUntaken);
+    List.copyOf(connections).stream()
+        .filter(c -> c.untaken()
+            && (!c.idle() || c.idleFor(now) > (c.neverAsked() ? NEW_NANOS : JUST_NANOS)))
+        .forEach(ClientHandler::endUntaken);
   }
 }
--- a/src/main/java/pumicekeel/front/http/ClientTimes.java
+++ b/src/main/java/pumicekeel/front/http/ClientTimes.java
@@ -11,24 +11,28 @@
   private final long openedAt;
   /** When the last request ended, and when the first byte came of the one that has come in part. */
   private long answeredAt;
+
   private long partSince;
   private long headAt;
   private long pieceAt;
   private long received;
   /** No more of a body is wanted for now, since when. */
   private boolean held;
+
   private long heldSince;
   private long skipSince;
   private long skipped;
   /** When the socket took no more of an answer, and what waited for it then. */
   private long stuckSince;
+
   private long stuckBytes;
 
   ClientTimes(long now) {
     openedAt = now;
   }
 
-  // ---- What happens -------------------------------------------------------------------------------------
+  // ---- What happens
+  // -------------------------------------------------------------------------------------
 
   void bytesCame(long now) {
     pieceAt = now;
@@ -96,7 +100,8 @@
     stuckSince = on ? 0 : now;
   }
 
-  // ---- What that makes of it ----------------------------------------------------------------------------
+  // ---- What that makes of it
+  // ----------------------------------------------------------------------------
 
   /** Bytes have come of a request that is not whole. */
   boolean partCame() {
@@ -146,7 +151,8 @@
   }
 
   private static boolean slow(long nanos, long bytes) {
-    return nanos > ClientLimits.BODY_NANOS
-        + bytes * TimeUnit.SECONDS.toNanos(1) / ClientLimits.LEAST_BYTES_PER_SECOND;
+    return nanos
+        > ClientLimits.BODY_NANOS
+            + bytes * TimeUnit.SECONDS.toNanos(1) / ClientLimits.LEAST_BYTES_PER_SECOND;
   }
 }
--- a/src/main/java/pumicekeel/front/http/RequestHead.java
+++ b/src/main/java/pumicekeel/front/http/RequestHead.java
@@ -24,7 +24,8 @@
     List<String> lengths = head.headers().getAll(HttpHeaderNames.CONTENT_LENGTH);
     List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
     if (lengths.size() + codings.size() > 1
-        || !codings.isEmpty() && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
+        || !codings.isEmpty()
+            && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
       throw new Bad(400, "more than one way to tell where the body ends");
     }
     if (HttpUtil.getContentLength(head, 0L) > Answer.MOST_BODY) {
--- a/src/main/java/pumicekeel/front/jsonrpc/BatchMode.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/BatchMode.java
@@ -12,5 +12,6 @@
   APART;
 
   /** As settings name them. */
-  public static final Map<String, BatchMode> NAMES = Map.of("in-time", IN_TIME, "together", TOGETHER, "apart", APART);
+  public static final Map<String, BatchMode> NAMES =
+      Map.of("in-time", IN_TIME, "together", TOGETHER, "apart", APART);
 }
--- a/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
@@ -46,7 +46,8 @@
  */
 public final class CallFuzz {
 
-  private static final pumicekeel.jsonrpc.Limits LIMITS = new pumicekeel.jsonrpc.Limits(4_096, 8, 6);
+  private static final pumicekeel.jsonrpc.Limits LIMITS =
+      new pumicekeel.jsonrpc.Limits(4_096, 8, 6);
   /** What an input is made from. */
   private static final List<String> SEEDS = List.of(
       "{\"jsonrpc\":\"2.0\",\"method\":\"look\",\"params\":{\"account\":\"acme\",\"n\":1},\"id\":1}",
@@ -56,9 +57,34 @@
       "[{\"jsonrpc\":\"2.0\",\"method\":\"look\",\"params\":{\"account\":\"acme\"},\"id\":7},{\"foo\":\"boo\"},1,"
           + "{\"jsonrpc\":\"2.0\",\"method\":\"issue\",\"params\":{\"key\":\"k\"},\"id\":8},"
           + "{\"jsonrpc\":\"2.0\",\"method\":\"look\",\"params\":{\"account\":\"acme\"}}]",
-      "[]", "{}", "[[[[[[[[[]]]]]]]]]", "{\"jsonrpc\":\"2.0\",\"result\":1,\"id\":1}", "\"\\\\\\\"\"");
-  private static final String[] SPLICES = {"{", "}", "[", "]", "\"", ",", ":", "\\", "\n", "\r\n", "\\ud800", "\u0000",
-      "1e999", "null", "Content-Length: 5\r\n\r\n", "\u00e9", "\ud83d\ude00", "\"id\":1", "[[[[[[[[[[", "}{"};
+      "[]",
+      "{}",
+      "[[[[[[[[[]]]]]]]]]",
+      "{\"jsonrpc\":\"2.0\",\"result\":1,\"id\":1}",
+      "\"\\\\\\\"\"");
+
+  private static final String[] SPLICES = {
+    "{",
+    "}",
+    "[",
+    "]",
+    "\"",
+    ",",
+    ":",
+    "\\",
+    "\n",
+    "\r\n",
+    "\\ud800",
+    "\u0000",
+    "1e999",
+    "null",
+    "Content-Length: 5\r\n\r\n",
+    "\u00e9",
+    "\ud83d\ude00",
+    "\"id\":1",
+    "[[[[[[[[[[",
+    "}{"
+  };
 
   private final long seed;
   private String failed;
@@ -90,17 +116,63 @@
     return true;
   }
 
-  private static final RequestClass LOOK =
-      new RequestClass("look", Effect.SAFE, DedupScope.ALL, 0, 1_000_000_000L, 0, 5_000_000_000L, 1, 0, false);
-  private static final RequestClass ISSUE =
-      new RequestClass("issue", Effect.KEYED, DedupScope.CELL, 1_000_000_000L, 1_000_000_000L, 0, 5_000_000_000L, 1, 0, false);
-  private static final Settings SETTINGS = new Settings(0, 1, "a", List.of(LOOK, ISSUE), List.of(new Tenant("acme", 1, 0)),
-      new Limits(true, false, false, false, true, 1_000_000_000L, 3, 100, 1, 1_000_000_000L, 1_000_000_000L),
-      new Contract(0, 0, 2_000_000_000L, 0.3, 0, 3, 1), new Prices(0, 0, 0), false, WeightKind.NONE, 0, false, 0);
-  private static final Map<String, MethodMapping> METHODS = Map.of("look", new MethodMapping("look", "look", "localhost",
-      Map.of(Part.TENANT, new At(Pointer.of("/account"), false)), List.of()), "issue", new MethodMapping("issue", "issue",
-      "localhost", Map.of(Part.TENANT, new Constant("acme"), Part.IDEMPOTENCY_KEY, new At(Pointer.of("/key"), true)),
-      List.of()));
+  private static final RequestClass LOOK = new RequestClass(
+      "look", Effect.SAFE, DedupScope.ALL, 0, 1_000_000_000L, 0, 5_000_000_000L, 1, 0, false);
+  private static final RequestClass ISSUE = new RequestClass(
+      "issue",
+      Effect.KEYED,
+      DedupScope.CELL,
+      1_000_000_000L,
+      1_000_000_000L,
+      0,
+      5_000_000_000L,
+      1,
+      0,
+      false);
+  private static final Settings SETTINGS = new Settings(
+      0,
+      1,
+      "a",
+      List.of(LOOK, ISSUE),
+      List.of(new Tenant("acme", 1, 0)),
+      new Limits(
+          true,
+          false,
+          false,
+          false,
+          true,
+          1_000_000_000L,
+          3,
+          100,
+          1,
+          1_000_000_000L,
+          1_000_000_000L),
+      new Contract(0, 0, 2_000_000_000L, 0.3, 0, 3, 1),
+      new Prices(0, 0, 0),
+      false,
+      WeightKind.NONE,
+      0,
+      false,
+      0);
+  private static final Map<String, MethodMapping> METHODS = Map.of(
+      "look",
+      new MethodMapping(
+          "look",
+          "look",
+          "localhost",
+          Map.of(Part.TENANT, new At(Pointer.of("/account"), false)),
+          List.of()),
+      "issue",
+      new MethodMapping(
+          "issue",
+          "issue",
+          "localhost",
+          Map.of(
+              Part.TENANT,
+              new Constant("acme"),
+              Part.IDEMPOTENCY_KEY,
+              new At(Pointer.of("/key"), true)),
+          List.of()));
 
   /** One connection. */
   private static final class One {
@@ -127,13 +199,18 @@
         }
         return new Way();
       };
-      RpcSide side = new RpcSide(new Reactor(null, new Clock(), null), "fuzz", door, 10, new CallSettings(framing, mode, LIMITS, 1 + random.nextInt(4),
-          1_000_000_000L, METHODS), new RequestIds("fuzz", 0));
+      RpcSide side = new RpcSide(
+          new Reactor(null, new Clock(), null),
+          "fuzz",
+          door,
+          10,
+          new CallSettings(framing, mode, LIMITS, 1 + random.nextInt(4), 1_000_000_000L, METHODS),
+          new RequestIds("fuzz", 0));
       RpcClient client = new RpcClient(side, side.settings());
       EmbeddedChannel channel = new EmbeddedChannel(client.decoder(), client);
       boolean leaves = random.nextInt(8) == 0;
       int stop = leaves ? random.nextInt(input.length + 1) : input.length;
-      for (int at = 0; at < stop && channel.isActive();) {
+      for (int at = 0; at < stop && channel.isActive(); ) {
         int end = Math.min(stop, at + 1 + random.nextInt(random.nextBoolean() ? 8 : 2_000));
         channel.writeInbound(Unpooled.copiedBuffer(input, at, end - at));
         at = end;
@@ -165,17 +242,25 @@
     private byte[] input(Framing framing) {
       StringBuilder text = new StringBuilder();
       int messages = 1 + random.nextInt(5);
-      boolean heads = framing == Framing.CONTENT_LENGTH || framing == Framing.DETECT && random.nextBoolean();
+      boolean heads =
+          framing == Framing.CONTENT_LENGTH || framing == Framing.DETECT && random.nextBoolean();
       for (int i = 0; i < messages; i++) {
         StringBuilder one = new StringBuilder(SEEDS.get(random.nextInt(SEEDS.size())));
         for (int m = random.nextInt(4); m > 0; m--) {
           mutate(one);
         }
-        text.append(heads ? "Content-Length: " + one.toString().getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" : "")
-            .append(one).append(heads || random.nextInt(10) == 0 ? "" : "\n");
+        text.append(
+                heads
+                    ? "Content-Length: " + one.toString().getBytes(StandardCharsets.UTF_8).length
+                        + "\r\n\r\n"
+                    : "")
+            .append(one)
+            .append(heads || random.nextInt(10) == 0 ? "" : "\n");
       }
       byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
-      for (int i = random.nextInt(3) == 0 ? 1 + random.nextInt(3) : 0; i > 0 && bytes.length > 0; i--) {
+      for (int i = random.nextInt(3) == 0 ? 1 + random.nextInt(3) : 0;
+          i > 0 && bytes.length > 0;
+          i--) {
         bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
       }
       return bytes;
@@ -186,12 +271,14 @@
       switch (random.nextInt(4)) {
         case 0 -> text.insert(at, SPLICES[random.nextInt(SPLICES.length)]);
         case 1 -> text.delete(at, Math.min(text.length(), at + 1 + random.nextInt(6)));
-        case 2 -> text.insert(at, text.substring(at, Math.min(text.length(), at + random.nextInt(30))));
+        case 2 ->
+          text.insert(at, text.substring(at, Math.min(text.length(), at + random.nextInt(30))));
         default -> text.insert(at, SEEDS.get(random.nextInt(SEEDS.size())));
       }
     }
 
-    // ---- What is held against it ------------------------------------------------------------------------
+    // ---- What is held against it
+    // ------------------------------------------------------------------------
 
     private String verdict(EmbeddedChannel channel) {
       channel.releaseOutbound();
@@ -202,7 +289,8 @@
       if (channel.isActive()) {
         return "the connection does not end";
       }
-      return entered != left ? entered + " lanes entered, " + left + " left"
+      return entered != left
+          ? entered + " lanes entered, " + left + " left"
           : taken != ended ? taken + " calls taken, " + ended + " ended" : null;
     }
 
@@ -215,8 +303,10 @@
       int wanted = wanted(framing, input);
       int got = answers(said.toString().getBytes(StandardCharsets.UTF_8));
       String why = verdict(channel);
-      return why != null || got == wanted ? why : got + " answers to " + wanted + " that were owed; asked \""
-          + new String(input, StandardCharsets.UTF_8) + "\", answered \"" + said + "\"";
+      return why != null || got == wanted
+          ? why
+          : got + " answers to " + wanted + " that were owed; asked \""
+              + new String(input, StandardCharsets.UTF_8) + "\", answered \"" + said + "\"";
     }
 
     /** Answers that the input is owed, read in one piece. */
@@ -235,8 +325,9 @@
           wanted += batch.entries().stream().mapToInt(One::owed).sum();
         } else {
           wanted++;
-          over = message == null || ((Message.Broken) message).code() == Codes.PARSE
-              && decoder.framing() == Framing.VALUES;
+          over = message == null
+              || ((Message.Broken) message).code() == Codes.PARSE
+                  && decoder.framing() == Framing.VALUES;
         }
       }
       wanted += !over && decoder.holdsBytes() ? 1 : 0;
@@ -251,13 +342,15 @@
     /** Response objects in what was said; -1 where it is no JSON-RPC. */
     private static int answers(byte[] said) {
       pumicekeel.jsonrpc.Limits wide = new pumicekeel.jsonrpc.Limits(1 << 20, 64, 1_000);
-      EmbeddedChannel channel = new EmbeddedChannel(new FrameDecoder(Framing.DETECT, wide, () -> true));
+      EmbeddedChannel channel =
+          new EmbeddedChannel(new FrameDecoder(Framing.DETECT, wide, () -> true));
       channel.writeInbound(Unpooled.wrappedBuffer(said));
       MessageReader reader = new MessageReader(wide);
       int count = 0;
       for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
         Message message = f instanceof Frame.Whole whole ? reader.read(whole.bytes()) : null;
-        List<Message.Entry> entries = message instanceof Message.One one ? List.of(one.entry())
+        List<Message.Entry> entries = message instanceof Message.One one
+            ? List.of(one.entry())
             : message instanceof Message.Batch batch ? batch.entries() : List.of();
         if (entries.isEmpty() || !entries.stream().allMatch(Message.Reply.class::isInstance)) {
           return -1;
@@ -313,10 +406,16 @@
         switch (how.nextInt(5)) {
           case 0 -> client.refused(how.nextInt(2) * 1_000_000L);
           case 1 -> client.failed();
-          case 2 -> client.served(new Answer("{\"code\":5,\"message\":\"m\"}".getBytes(StandardCharsets.US_ASCII), Answer.JSON,
-              true));
-          case 3 -> client.served(new Answer("text\u0001\"".getBytes(StandardCharsets.UTF_8), null));
-          default -> client.served(new Answer("{\"a\":[1]}".getBytes(StandardCharsets.US_ASCII), Answer.JSON));
+          case 2 ->
+            client.served(new Answer(
+                "{\"code\":5,\"message\":\"m\"}".getBytes(StandardCharsets.US_ASCII),
+                Answer.JSON,
+                true));
+          case 3 ->
+            client.served(new Answer("text\u0001\"".getBytes(StandardCharsets.UTF_8), null));
+          default ->
+            client.served(
+                new Answer("{\"a\":[1]}".getBytes(StandardCharsets.US_ASCII), Answer.JSON));
         }
       }
 
--- a/src/main/java/pumicekeel/front/jsonrpc/CallSettings.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/CallSettings.java
@@ -12,5 +12,10 @@
  * @param idleNanos a connection on which nothing is asked for so long is closed
  * @param methods by their names
  */
-public record CallSettings(Framing framing, BatchMode batch, Limits limits, int maxOpen, long idleNanos,
+public record CallSettings(
+    Framing framing,
+    BatchMode batch,
+    Limits limits,
+    int maxOpen,
+    long idleNanos,
     Map<String, MethodMapping> methods) {}
--- a/src/main/java/pumicekeel/front/jsonrpc/MethodMapping.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/MethodMapping.java
@@ -14,7 +14,14 @@
 public final class MethodMapping {
 
   /** The parts of a request that a method can state. */
-  public enum Part { TENANT, SESSION_KEY, IDEMPOTENCY_KEY, TIME_LEFT_MS, WORK_HINT_US, PATH }
+  public enum Part {
+    TENANT,
+    SESSION_KEY,
+    IDEMPOTENCY_KEY,
+    TIME_LEFT_MS,
+    WORK_HINT_US,
+    PATH
+  }
 
   /** Where a part comes from. */
   public sealed interface Source permits Constant, At {}
@@ -45,7 +52,12 @@
   }
 
   /** What the params of one call said; {@code leftMillis} and {@code hintMicros} are -1 where nothing did. */
-  public record Said(String tenant, String sessionKey, String idempotencyKey, long leftMillis, long hintMicros,
+  public record Said(
+      String tenant,
+      String sessionKey,
+      String idempotencyKey,
+      long leftMillis,
+      long hintMicros,
       String uri) {}
 
   /** Far from overflow in nanoseconds. */
@@ -62,7 +74,8 @@
   private final List<Pointer> order;
 
   /** {@code path} is empty for the class's own. */
-  public MethodMapping(String method, String className, String host, Map<Part, Source> sources, List<Piece> path) {
+  public MethodMapping(
+      String method, String className, String host, Map<Part, Source> sources, List<Piece> path) {
     this.method = method;
     this.className = className;
     this.host = host;
@@ -101,7 +114,9 @@
 
   /** Where a part comes from, for a message to a person. */
   public String placeOf(Part part) {
-    return sources.get(part) instanceof At at ? at.pointer().toString() : "no pointer for it in the settings";
+    return sources.get(part) instanceof At at
+        ? at.pointer().toString()
+        : "no pointer for it in the settings";
   }
 
   /** Reads the params of a call; null stands for none. */
@@ -133,9 +148,12 @@
     if (f.kind() == Kind.NUMBER && f.text().matches("-?[0-9]{1,20}")) {
       return f.text();
     }
-    if (f.kind() != Kind.STRING || f.text().isEmpty() || f.text().length() > MOST_TEXT || !printable(f.text())) {
-      throw new BadParams(at.pointer() + ": expected a string of 1 to " + MOST_TEXT + " printable characters or a whole number, got "
-          + name(f));
+    if (f.kind() != Kind.STRING
+        || f.text().isEmpty()
+        || f.text().length() > MOST_TEXT
+        || !printable(f.text())) {
+      throw new BadParams(at.pointer() + ": expected a string of 1 to " + MOST_TEXT
+          + " printable characters or a whole number, got " + name(f));
     }
     return f.text();
   }
@@ -175,10 +193,14 @@
         continue;
       }
       Found f = found[next[0]++];
-      boolean usable = f.kind() == Kind.STRING && !f.text().isEmpty() && !f.text().equals(".") && !f.text().equals("..")
+      boolean usable = f.kind() == Kind.STRING
+              && !f.text().isEmpty()
+              && !f.text().equals(".")
+              && !f.text().equals("..")
           || f.kind() == Kind.NUMBER;
       if (!usable || f.text().length() > MOST_TEXT) {
-        throw new BadParams(((Value) piece).pointer() + ": expected a string or a number for the path, got " + name(f));
+        throw new BadParams(((Value) piece).pointer()
+            + ": expected a string or a number for the path, got " + name(f));
       }
       out.append(encoded(f.text()));
     }
@@ -203,8 +225,12 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof MethodMapping m && m.method.equals(method) && m.className.equals(className)
-        && java.util.Objects.equals(m.host, host) && m.sources.equals(sources) && m.path.equals(path);
+    return other instanceof MethodMapping m
+        && m.method.equals(method)
+        && m.className.equals(className)
+        && java.util.Objects.equals(m.host, host)
+        && m.sources.equals(sources)
+        && m.path.equals(path);
   }
 
   @Override
--- a/src/main/java/pumicekeel/front/jsonrpc/Reply.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/Reply.java
@@ -25,12 +25,21 @@
 
   /** An error whose usual message says enough, or for which {@code reason} says more. */
   static byte[] plain(Id id, int code, String reason) {
-    return error(id, code, Codes.messageOf(code), reason == null ? null : "{\"reason\":" + Writer.quoted(reason) + "}");
+    return error(
+        id,
+        code,
+        Codes.messageOf(code),
+        reason == null ? null : "{\"reason\":" + Writer.quoted(reason) + "}");
   }
 
   /** An error with an advice when to come back; 0 for none. */
   static byte[] refusal(Id id, int code, long retryAfterNanos) {
-    return error(id, code, Codes.messageOf(code),
-        retryAfterNanos <= 0 ? null : "{\"retryAfterMs\":" + (retryAfterNanos + 999_999) / 1_000_000 + "}");
+    return error(
+        id,
+        code,
+        Codes.messageOf(code),
+        retryAfterNanos <= 0
+            ? null
+            : "{\"retryAfterMs\":" + (retryAfterNanos + 999_999) / 1_000_000 + "}");
   }
 }
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
@@ -35,7 +35,8 @@
   private boolean over;
   private long arrivedAt;
 
-  RpcCall(RpcClient connection, Message.Call call, MethodMapping mapping, BatchAnswers<Reply> batch) {
+  RpcCall(
+      RpcClient connection, Message.Call call, MethodMapping mapping, BatchAnswers<Reply> batch) {
     this.connection = connection;
     this.call = call;
     this.mapping = mapping;
@@ -103,19 +104,35 @@
     try {
       ClientRequest.checkTenant(said.tenant(), settings);
     } catch (Bad e) {
-      throw new TurnedAway(Codes.INVALID_PARAMS, mapping.placeOf(Part.TENANT) + ": expected a tenant that is known", 0);
+      throw new TurnedAway(
+          Codes.INVALID_PARAMS,
+          mapping.placeOf(Part.TENANT) + ": expected a tenant that is known",
+          0);
     }
     if (type.effect() == Effect.KEYED && said.idempotencyKey() == null) {
-      throw new TurnedAway(Codes.INVALID_PARAMS, mapping.placeOf(Part.IDEMPOTENCY_KEY)
-          + ": expected an idempotency key", 0);
+      throw new TurnedAway(
+          Codes.INVALID_PARAMS,
+          mapping.placeOf(Part.IDEMPOTENCY_KEY) + ": expected an idempotency key",
+          0);
     }
     if (call.params() != null && call.params().length > Answer.MAX_BODY) {
-      throw new TurnedAway(Codes.INVALID_PARAMS, "params of more than " + Answer.MAX_BODY + " bytes", 0);
+      throw new TurnedAway(
+          Codes.INVALID_PARAMS, "params of more than " + Answer.MAX_BODY + " bytes", 0);
     }
-    long left = said.leftMillis() < 0 ? type.deadlineNanos() : Math.min(type.deadlineNanos(), said.leftMillis() * MILLI);
-    return new ClientRequest(connection.side().newRequestId(), type, said.tenant(), said.sessionKey(), left,
-        Math.max(0, said.hintMicros()) * 1_000L, false, new Payload.Call(call.method(), call.params(),
-            mapping.className(), said.uri(), mapping.host()), said.idempotencyKey());
+    long left = said.leftMillis() < 0
+        ? type.deadlineNanos()
+        : Math.min(type.deadlineNanos(), said.leftMillis() * MILLI);
+    return new ClientRequest(
+        connection.side().newRequestId(),
+        type,
+        said.tenant(),
+        said.sessionKey(),
+        left,
+        Math.max(0, said.hintMicros()) * 1_000L,
+        false,
+        new Payload.Call(
+            call.method(), call.params(), mapping.className(), said.uri(), mapping.host()),
+        said.idempotencyKey());
   }
 
   long leftNanos() {
@@ -144,11 +161,15 @@
   }
 
   void turnAway(TurnedAway why) {
-    boolean protocol = why.code == Codes.INVALID_PARAMS || why.code == Codes.UNKNOWN_METHOD
+    boolean protocol = why.code == Codes.INVALID_PARAMS
+        || why.code == Codes.UNKNOWN_METHOD
         || why.code == Codes.NO_ROUTE;
-    end(now -> why.code == Codes.INVALID_PARAMS
-        ? Reply.error(call.id(), why.code, Codes.messageOf(why.code) + ": " + why.getMessage(), null)
-        : Reply.refusal(call.id(), why.code, why.retryAfterNanos), protocol ? How.INVALID : How.GIVEN_UP);
+    end(
+        now -> why.code == Codes.INVALID_PARAMS
+            ? Reply.error(
+                call.id(), why.code, Codes.messageOf(why.code) + ": " + why.getMessage(), null)
+            : Reply.refusal(call.id(), why.code, why.retryAfterNanos),
+        protocol ? How.INVALID : How.GIVEN_UP);
   }
 
   @Override
@@ -168,14 +189,23 @@
   public void refused(long retryAfterNanos) {
     long at = System.nanoTime();
     // What a batch holds back is told with what is left of the advice.
-    end(now -> Reply.refusal(call.id(), Codes.REFUSED,
-        retryAfterNanos <= 0 ? 0 : Math.max(1, retryAfterNanos - (now - at))), How.GIVEN_UP);
+    end(
+        now -> Reply.refusal(
+            call.id(),
+            Codes.REFUSED,
+            retryAfterNanos <= 0 ? 0 : Math.max(1, retryAfterNanos - (now - at))),
+        How.GIVEN_UP);
   }
 
   @Override
   public void failed() {
-    end(now -> Reply.error(call.id(), Codes.FAILED, Codes.messageOf(Codes.FAILED),
-        "{\"request\":" + Writer.quoted(request.id()) + "}"), How.GIVEN_UP);
+    end(
+        now -> Reply.error(
+            call.id(),
+            Codes.FAILED,
+            Codes.messageOf(Codes.FAILED),
+            "{\"request\":" + Writer.quoted(request.id()) + "}"),
+        How.GIVEN_UP);
   }
 
   private void end(Reply reply, How how) {
@@ -209,7 +239,8 @@
     leave();
   }
 
-  // ---- What a route may ask for -------------------------------------------------------------------------
+  // ---- What a route may ask for
+  // -------------------------------------------------------------------------
 
   @Override
   public String listener() {
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcClient.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcClient.java
@@ -47,7 +47,8 @@
   /** Longer than a call takes on its way here: what meets a close on the way has no answer. */
   private static final long GIVE_WAY_NANOS = 250_000_000L;
   /** What an HTTP server's text becomes a string of. */
-  private static final MessageReader RESULTS = new MessageReader(new Limits(Answer.MAX_BODY, 62, 1));
+  private static final MessageReader RESULTS =
+      new MessageReader(new Limits(Answer.MAX_BODY, 62, 1));
 
   private final RpcSide side;
   private final CallSettings settings;
@@ -56,6 +57,7 @@
   private final Map<Id, RpcCall> open = new HashMap<>();
   /** All calls that have not ended, notifications too. */
   private final Set<RpcCall> calls = new LinkedHashSet<>();
+
   private final Set<BatchAnswers<Reply>> batches = new LinkedHashSet<>();
   private ChannelHandlerContext ctx;
   private boolean inputOver;
@@ -67,6 +69,7 @@
   private long busyAt;
   /** When the first byte came of the message that has come in part; 0 where none has. */
   private long partSince;
+
   private long stuckSince;
 
   RpcClient(RpcSide side, CallSettings settings) {
@@ -103,7 +106,10 @@
   }
 
   private boolean takesMore() {
-    return calls.size() < settings.maxOpen() && !readsNoMore && !finishing && ctx.channel().isActive()
+    return calls.size() < settings.maxOpen()
+        && !readsNoMore
+        && !finishing
+        && ctx.channel().isActive()
         && ctx.channel().isWritable();
   }
 
@@ -112,7 +118,8 @@
     ctx = context;
   }
 
-  // ---- Reading ------------------------------------------------------------------------------------------
+  // ---- Reading
+  // ------------------------------------------------------------------------------------------
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, Frame frame) {
@@ -124,8 +131,10 @@
     }
     Message message = reader.read(((Frame.Whole) frame).bytes());
     if (message instanceof Message.Broken b) {
-      // Behind JSON that is none, the next value's beginning is a guess, unless something else tells it.
-      if (++broken >= MOST_BROKEN || b.code() == Codes.PARSE && decoder.framing() == Framing.VALUES) {
+      // Behind JSON that is none, the next value's beginning is a guess, unless something else
+      // tells it.
+      if (++broken >= MOST_BROKEN
+          || b.code() == Codes.PARSE && decoder.framing() == Framing.VALUES) {
         endWith(b.code(), b.why());
       } else {
         refuseMessage(b.code(), b.why());
@@ -180,8 +189,13 @@
     }
     if (call.id() != null && open.containsKey(call.id())) {
       // Under its own id the answer could be taken for that of the first.
-      end(answers, now -> Writer.error(Id.NULL, Writer.errorObject(Codes.INVALID_REQUEST, "this id is open already",
-          "{\"id\":" + call.id() + "}")), How.INVALID);
+      end(
+          answers,
+          now -> Writer.error(
+              Id.NULL,
+              Writer.errorObject(
+                  Codes.INVALID_REQUEST, "this id is open already", "{\"id\":" + call.id() + "}")),
+          How.INVALID);
       return null;
     }
     RpcCall next = new RpcCall(this, call, mapping, answers);
@@ -208,7 +222,9 @@
 
   /** Answers an entry that never became a call; {@code id} is null for a notification. */
   private void turnAway(Id id, int code, BatchAnswers<Reply> answers) {
-    end(answers, id == null ? null : now -> Reply.plain(id, code, null),
+    end(
+        answers,
+        id == null ? null : now -> Reply.plain(id, code, null),
         code == Codes.DRAINING ? How.GIVEN_UP : How.INVALID);
   }
 
@@ -221,7 +237,8 @@
     }
   }
 
-  // ---- Ends ---------------------------------------------------------------------------------------------
+  // ---- Ends
+  // ---------------------------------------------------------------------------------------------
 
   /** A call has ended; {@code reply} is null for a notification. */
   void ended(RpcCall call, Reply reply, How how, long waitUntil) {
@@ -273,25 +290,32 @@
       batches.remove(batch);
       goOnLater();
     } else if (batch.dueAt() != BatchAnswers.NEVER) {
-      ctx.executor().schedule(() -> flush(batch), Math.max(1, batch.dueAt() - now), TimeUnit.NANOSECONDS);
+      ctx.executor()
+          .schedule(() -> flush(batch), Math.max(1, batch.dueAt() - now), TimeUnit.NANOSECONDS);
     }
   }
 
   /** An upstream's answer as raw JSON; null where there is no way to say it. */
   byte[] resultOf(Answer answer) {
-    String type = answer.contentType() == null ? "" : answer.contentType().split(";", 2)[0].strip();
+    String type = answer.contentType() == null
+        ? ""
+        : answer.contentType().split(";", 2)[0].strip();
     if (type.toLowerCase(Locale.ROOT).equals(Answer.JSON)) {
       return RESULTS.isValue(answer.body()) ? answer.body() : null;
     }
     try {
-      return Writer.quoted(StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(answer.body())).toString())
+      return Writer.quoted(StandardCharsets.UTF_8
+              .newDecoder()
+              .decode(ByteBuffer.wrap(answer.body()))
+              .toString())
           .getBytes(StandardCharsets.US_ASCII);
     } catch (CharacterCodingException e) {
       return null;
     }
   }
 
-  // ---- Writing ------------------------------------------------------------------------------------------
+  // ---- Writing
+  // ------------------------------------------------------------------------------------------
 
   private void write(byte[] message) {
     if (!ctx.channel().isActive()) {
@@ -321,7 +345,8 @@
     goOnLater();
   }
 
-  // ---- Going on, and the end ----------------------------------------------------------------------------
+  // ---- Going on, and the end
+  // ----------------------------------------------------------------------------
 
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
@@ -419,11 +444,15 @@
   void look(long now) {
     if (stuckSince != 0 && now - stuckSince > RpcSide.STUCK_NANOS) {
       ctx.close();
-    } else if (partSince != 0 && now - partSince > RpcSide.MESSAGE_NANOS && !readsNoMore && !finishing) {
+    } else if (partSince != 0
+        && now - partSince > RpcSide.MESSAGE_NANOS
+        && !readsNoMore
+        && !finishing) {
       partSince = 0;
       endWith(Codes.INVALID_REQUEST, "the message took too long");
-    } else if (idle() && (now - busyAt > settings.idleNanos()
-        || side.draining() && now - busyAt > TimeUnit.MILLISECONDS.toNanos(QUIET_MILLIS))) {
+    } else if (idle()
+        && (now - busyAt > settings.idleNanos()
+            || side.draining() && now - busyAt > TimeUnit.MILLISECONDS.toNanos(QUIET_MILLIS))) {
       finish();
     }
   }
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcSide.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcSide.java
@@ -24,9 +24,11 @@
   private static final int BACKLOG = 1024;
   /** As with HTTP: one client that floods must not keep all others waiting. */
   private static final int READ_BYTES = 4096;
+
   private static final int READS_IN_A_ROW = 2;
   /** Answers of this many bytes that wait for a slow reader stop the reading of its calls. */
   private static final int UNREAD_LOW = 16 << 10;
+
   private static final int UNREAD_HIGH = 64 << 10;
   private static final long LOOK_MILLIS = 50;
   private static final long MILLI = 1_000_000L;
@@ -49,7 +51,8 @@
   private boolean draining;
 
   /** The listener of this name, with at most so many connections. */
-  public RpcSide(Reactor on, String name, Door door, int most, CallSettings settings, RequestIds ids) {
+  public RpcSide(
+      Reactor on, String name, Door door, int most, CallSettings settings, RequestIds ids) {
     this.on = on;
     loop = on.loop();
     this.name = name;
@@ -60,15 +63,21 @@
   }
 
   @Override
-  public InetSocketAddress listen(InetSocketAddress at, boolean accepting) throws InterruptedException {
-    listener = new ServerBootstrap().group(loop, loop).channelFactory(on.sockets()::listening)
+  public InetSocketAddress listen(InetSocketAddress at, boolean accepting)
+      throws InterruptedException {
+    listener = new ServerBootstrap()
+        .group(loop, loop)
+        .channelFactory(on.sockets()::listening)
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .option(ChannelOption.AUTO_READ, accepting)
         .childOption(ChannelOption.TCP_NODELAY, true)
         .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(UNREAD_LOW, UNREAD_HIGH))
-        .childOption(ChannelOption.RECVBUF_ALLOCATOR,
+        .childOption(
+            ChannelOption.WRITE_BUFFER_WATER_MARK,
+            new WriteBufferWaterMark(UNREAD_LOW, UNREAD_HIGH))
+        .childOption(
+            ChannelOption.RECVBUF_ALLOCATOR,
             new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_IN_A_ROW))
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
@@ -77,9 +86,13 @@
             channel.pipeline().addLast(client.decoder(), client);
             opened(client);
           }
-        }).bind(at).sync().channel();
+        })
+        .bind(at)
+        .sync()
+        .channel();
     address = (InetSocketAddress) listener.localAddress();
-    loop.execute(() -> looks = loop.scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS));
+    loop.execute(() -> looks =
+        loop.scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS));
     return address;
   }
 
@@ -137,7 +150,9 @@
     connections.add(client);
     if (connections.size() >= most) {
       long now = clock().now();
-      connections.stream().filter(c -> c != client && c.mayGiveWay(now)).findFirst()
+      connections.stream()
+          .filter(c -> c != client && c.mayGiveWay(now))
+          .findFirst()
           .ifPresentOrElse(RpcClient::finish, () -> listener.config().setAutoRead(false));
     }
   }
--- a/src/main/java/pumicekeel/journal/Codec.java
+++ b/src/main/java/pumicekeel/journal/Codec.java
@@ -20,16 +20,19 @@
 
   /** "HVJRNL" and two bytes that no text has. */
   static final long MAGIC = 0x4856_4a52_4e4c_01f7L;
+
   static final int VERSION = 1;
   static final int HEADER_BYTES = 40;
   static final int FRAME_MAGIC = 0xF7A5;
   /** Frame magic, type, reserved, length. */
   static final int FRAME_HEAD = 8;
+
   static final int FRAME_TAIL = 4;
   /** Texts come from heads of at most 8 KiB; a longer one is cut, and told apart from others by its digest. */
   static final int MOST_TEXT = 1_024;
   /** Three bytes of UTF-8 a character, and the digest. */
   private static final int MOST_CHARS = (MOST_TEXT - 65) / 3;
+
   static final int MOST_PAYLOAD = 16 << 10;
 
   private static final int BOOT = 1;
@@ -47,8 +50,13 @@
 
   static void header(ByteBuffer out, Header h) {
     int start = out.position();
-    out.putLong(MAGIC).putShort((short) h.version).putShort((short) HEADER_BYTES).putLong(h.epoch).putInt(h.number)
-        .putLong(h.salt).putInt(0);
+    out.putLong(MAGIC)
+        .putShort((short) h.version)
+        .putShort((short) HEADER_BYTES)
+        .putLong(h.epoch)
+        .putInt(h.number)
+        .putLong(h.salt)
+        .putInt(0);
     out.putInt(crc(0, out, start, HEADER_BYTES - 4));
   }
 
@@ -65,7 +73,8 @@
     if (in.getInt(start + HEADER_BYTES - 4) != crc(0, in, start, HEADER_BYTES - 4)) {
       return null;
     }
-    return new Header(version, in.getLong(start + 12), in.getInt(start + 20), in.getLong(start + 24));
+    return new Header(
+        version, in.getLong(start + 12), in.getInt(start + 20), in.getLong(start + 24));
   }
 
   static int crc(long salt, ByteBuffer bytes, int from, int length) {
@@ -79,7 +88,8 @@
     return (int) crc.getValue();
   }
 
-  // ---- Records ------------------------------------------------------------------------------------------
+  // ---- Records
+  // ------------------------------------------------------------------------------------------
 
   /** Writes a record as a frame; the buffer has to have room for the longest. */
   static void frame(ByteBuffer out, long salt, Entry entry) {
@@ -92,9 +102,17 @@
   }
 
   private static int type(Entry e) {
-    return e instanceof Entry.Boot ? BOOT : e instanceof Entry.Intent ? INTENT : e instanceof Entry.Written ? WRITTEN
-        : e instanceof Entry.Ended ? ENDED : e instanceof Entry.Answered ? ANSWERED : e instanceof Entry.Gap ? GAP
-        : CLOSED;
+    return e instanceof Entry.Boot
+        ? BOOT
+        : e instanceof Entry.Intent
+            ? INTENT
+            : e instanceof Entry.Written
+                ? WRITTEN
+                : e instanceof Entry.Ended
+                    ? ENDED
+                    : e instanceof Entry.Answered
+                        ? ANSWERED
+                        : e instanceof Entry.Gap ? GAP : CLOSED;
   }
 
   private static void payload(ByteBuffer out, Entry entry) {
@@ -134,13 +152,34 @@
   /** What a frame's payload says; null for a type or a value that this version does not know. Surplus is skipped. */
   static Entry entry(int type, ByteBuffer in) {
     return switch (type) {
-      case BOOT -> new Entry.Boot(in.getLong(), in.getLong(), text(in), text(in), value(Durability.values(), in),
-          in.get() == 1);
-      case INTENT -> new Entry.Intent(text(in), text(in), text(in), value(Effect.values(), in),
-          value(DedupScope.values(), in), in.getLong(), text(in), text(in), in.getInt(), text(in), text(in), text(in),
-          in.getInt(), in.getLong(), in.getLong());
+      case BOOT ->
+        new Entry.Boot(
+            in.getLong(),
+            in.getLong(),
+            text(in),
+            text(in),
+            value(Durability.values(), in),
+            in.get() == 1);
+      case INTENT ->
+        new Entry.Intent(
+            text(in),
+            text(in),
+            text(in),
+            value(Effect.values(), in),
+            value(DedupScope.values(), in),
+            in.getLong(),
+            text(in),
+            text(in),
+            in.getInt(),
+            text(in),
+            text(in),
+            text(in),
+            in.getInt(),
+            in.getLong(),
+            in.getLong());
       case WRITTEN -> new Entry.Written(text(in), in.getInt(), in.getLong());
-      case ENDED -> new Entry.Ended(text(in), in.getInt(), value(Status.values(), in), in.getLong());
+      case ENDED ->
+        new Entry.Ended(text(in), in.getInt(), value(Status.values(), in), in.getLong());
       case ANSWERED -> new Entry.Answered(text(in), value(Told.values(), in), in.getLong());
       case GAP -> new Entry.Gap(in.getLong(), in.getLong(), in.getLong());
       case CLOSED -> new Entry.Closed(in.getLong());
@@ -163,14 +202,17 @@
 
   /** Texts as the journal has them: a query for a longer one has to be cut the same way. */
   static String cut(String text) {
-    return text == null || text.length() <= MOST_CHARS ? text : text.substring(0, MOST_CHARS) + "~" + digest(text);
+    return text == null || text.length() <= MOST_CHARS
+        ? text
+        : text.substring(0, MOST_CHARS) + "~" + digest(text);
   }
 
   /** Keys come from clients: with a weaker digest one could be made to pass for another. */
   private static String digest(String text) {
     try {
-      return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256")
-          .digest(text.getBytes(StandardCharsets.UTF_8)));
+      return HexFormat.of()
+          .formatHex(
+              MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8)));
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException("every Java has SHA-256", e);
     }
--- a/src/main/java/pumicekeel/journal/FolderDisk.java
+++ b/src/main/java/pumicekeel/journal/FolderDisk.java
@@ -26,7 +26,8 @@
   FolderDisk(Path folder) throws IOException {
     this.folder = folder;
     Files.createDirectories(folder);
-    lockFile = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    lockFile =
+        FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     FileLock lock = null;
     try {
       lock = lockFile.tryLock();
@@ -35,14 +36,15 @@
     }
     if (lock == null) {
       lockFile.close();
-      throw new IOException("expected a folder of this process alone, another one writes to " + folder);
+      throw new IOException(
+          "expected a folder of this process alone, another one writes to " + folder);
     }
   }
 
   @Override
   public Segment create(String name) throws IOException {
-    FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE_NEW,
-        StandardOpenOption.WRITE);
+    FileChannel channel = FileChannel.open(
+        folder.resolve(name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
     return new Segment() {
       private boolean folderSynced;
 
@@ -81,9 +83,14 @@
   static List<Stored> list(Path folder) throws IOException {
     List<Stored> out = new ArrayList<>();
     try (Stream<Path> files = Files.list(folder)) {
-      for (Path file : files.filter(f -> f.getFileName().toString().endsWith(SUFFIX)).sorted().toList()) {
+      for (Path file : files
+          .filter(f -> f.getFileName().toString().endsWith(SUFFIX))
+          .sorted()
+          .toList()) {
         try {
-          out.add(new Stored(file.getFileName().toString(), Files.size(file),
+          out.add(new Stored(
+              file.getFileName().toString(),
+              Files.size(file),
               Files.getLastModifiedTime(file).toMillis()));
         } catch (java.nio.file.NoSuchFileException e) {
           // Its time was up between the listing and the look at it.
--- a/src/main/java/pumicekeel/journal/History.java
+++ b/src/main/java/pumicekeel/journal/History.java
@@ -20,7 +20,8 @@
   static final int MOST_STORIES = 1_000_000;
 
   /** A hole: where in which file, or between which times; and what it means. */
-  public record Hole(String file, long offset, long length, long fromMillis, long toMillis, String why) {}
+  public record Hole(
+      String file, long offset, long length, long fromMillis, long toMillis, String why) {}
 
   /** A file that can't be read. */
   public record Refused(String file, String why) {}
@@ -39,6 +40,7 @@
   private boolean tooMany;
   /** Of the epoch that is being read. */
   private String folder;
+
   private long epoch = -1;
   private String instance = "?";
   private boolean closed = true;
@@ -83,12 +85,14 @@
 
       @Override
       public void damage(long offset, long length, boolean atEnd) {
-        found.add(new Hole(name, offset, length, 0, 0, atEnd ? "cut short: nothing whole follows" : "damaged"));
+        found.add(new Hole(
+            name, offset, length, 0, 0, atEnd ? "cut short: nothing whole follows" : "damaged"));
       }
     });
     long now = lastMillis;
     found.forEach(h -> holes.add(new Hole(h.file(), h.offset(), h.length(), 0, now, h.why())));
-    segments.add(new Segment(name, java.nio.file.Files.size(file), records[0], header == null ? "?" : instance, epoch));
+    segments.add(new Segment(
+        name, java.nio.file.Files.size(file), records[0], header == null ? "?" : instance, epoch));
   }
 
   /** A new epoch, or the next segment of the same: one that is missing between two is a hole. */
@@ -104,8 +108,14 @@
       epoch = named;
       closed = false;
     } else if (number != nextNumber) {
-      holes.add(new Hole(folder, 0, 0, 0, lastMillis, "segments " + nextNumber + " to " + (number - 1) + " of epoch "
-          + Long.toHexString(epoch) + " are missing"));
+      holes.add(new Hole(
+          folder,
+          0,
+          0,
+          0,
+          lastMillis,
+          "segments " + nextNumber + " to " + (number - 1) + " of epoch " + Long.toHexString(epoch)
+              + " are missing"));
     }
     nextNumber = number + 1;
   }
@@ -113,8 +123,14 @@
   /** An epoch that never closed and did not refuse in trouble may have sent what is not on record. */
   private void endOfEpoch() {
     if (epoch != -1 && !closed && !refuses) {
-      holes.add(new Hole(folder, 0, 0, epochLast, 0, "epoch " + Long.toHexString(epoch)
-          + " did not end in order and was set to send without a record in trouble"));
+      holes.add(new Hole(
+          folder,
+          0,
+          0,
+          epochLast,
+          0,
+          "epoch " + Long.toHexString(epoch)
+              + " did not end in order and was set to send without a record in trouble"));
     }
     epoch = -1;
     closed = true;
@@ -131,7 +147,9 @@
       Story story = stories.get(nameOf(e.id()));
       if (story == null && asked.test(e)) {
         tooMany |= stories.size() >= MOST_STORIES;
-        story = tooMany ? null : stories.computeIfAbsent(nameOf(e.id()), k -> new Story(instance, epoch));
+        story = tooMany
+            ? null
+            : stories.computeIfAbsent(nameOf(e.id()), k -> new Story(instance, epoch));
       }
       if (story != null) {
         story.intent(e);
@@ -145,8 +163,14 @@
       seen(e.wallMillis());
       with(e.id(), s -> s.answered(e.told(), e.wallMillis()));
     } else if (entry instanceof Entry.Gap e) {
-      holes.add(new Hole(folder, 0, 0, e.fromWallMillis(), e.toWallMillis(), e.lost() + " records were lost, "
-          + (refuses ? "no send without one" : "sends may have been made without one")));
+      holes.add(new Hole(
+          folder,
+          0,
+          0,
+          e.fromWallMillis(),
+          e.toWallMillis(),
+          e.lost() + " records were lost, "
+              + (refuses ? "no send without one" : "sends may have been made without one")));
     } else if (entry instanceof Entry.Closed e) {
       closed = true;
       seen(e.wallMillis());
@@ -213,13 +237,22 @@
   /** The hole that may hold more of a story; null where none can. */
   public String gapOf(Story story) {
     long from = story.first().wallMillis();
-    return holes.stream().filter(h -> h.toMillis() == 0 || h.toMillis() >= from).map(Hole::why).findFirst()
-        .orElse(refused.isEmpty() ? null : "a segment could not be read: " + refused.get(0).file());
+    return holes.stream()
+        .filter(h -> h.toMillis() == 0 || h.toMillis() >= from)
+        .map(Hole::why)
+        .findFirst()
+        .orElse(
+            refused.isEmpty()
+                ? null
+                : "a segment could not be read: " + refused.get(0).file());
   }
 
   /** Why a request of which nothing is on record may have left all the same; null where it can't have. */
   public String gapAtAll() {
-    return !holes.isEmpty() ? holes.get(0).why() : refused.isEmpty() ? null
-        : "a segment could not be read: " + refused.get(0).file();
+    return !holes.isEmpty()
+        ? holes.get(0).why()
+        : refused.isEmpty()
+            ? null
+            : "a segment could not be read: " + refused.get(0).file();
   }
 }
--- a/src/main/java/pumicekeel/journal/Journal.java
+++ b/src/main/java/pumicekeel/journal/Journal.java
@@ -20,7 +20,12 @@
   private final String hostBoot;
   private final List<String> unreadable;
 
-  private Journal(FolderDisk disk, JournalWriter writer, Recovery recovery, String hostBoot, List<String> unreadable) {
+  private Journal(
+      FolderDisk disk,
+      JournalWriter writer,
+      Recovery recovery,
+      String hostBoot,
+      List<String> unreadable) {
     this.disk = disk;
     this.writer = writer;
     this.recovery = recovery;
@@ -29,7 +34,8 @@
   }
 
   /** Locks the folder, reads its tail and begins a segment of a new epoch. Blocks. */
-  public static Journal open(Path folder, String instance, JournalWriter.Settings settings, Executor loop)
+  public static Journal open(
+      Path folder, String instance, JournalWriter.Settings settings, Executor loop)
       throws IOException {
     FolderDisk disk = new FolderDisk(folder);
     try {
@@ -37,10 +43,15 @@
       List<Disk.Stored> stored = disk.list();
       List<String> unreadable = new ArrayList<>();
       Recovery recovery = tail(folder, stored, unreadable);
-      Entry.Boot boot = new Entry.Boot(System.currentTimeMillis(), System.nanoTime(), instance, hostBoot,
-          settings.durability(), settings.refusesInTrouble());
-      JournalWriter writer = new JournalWriter(disk, settings, boot, nextEpoch(stored), loop,
-          System::currentTimeMillis);
+      Entry.Boot boot = new Entry.Boot(
+          System.currentTimeMillis(),
+          System.nanoTime(),
+          instance,
+          hostBoot,
+          settings.durability(),
+          settings.refusesInTrouble());
+      JournalWriter writer = new JournalWriter(
+          disk, settings, boot, nextEpoch(stored), loop, System::currentTimeMillis);
       writer.start();
       return new Journal(disk, writer, recovery, hostBoot, unreadable);
     } catch (IOException | RuntimeException e) {
@@ -51,12 +62,17 @@
 
   /** Above every earlier one, also where the wall clock was set back. */
   private static long nextEpoch(List<Disk.Stored> stored) {
-    long highest = stored.stream().map(Disk.Stored::name).filter(n -> n.matches("[0-9a-f]{16}-.*"))
-        .mapToLong(n -> Long.parseUnsignedLong(n.substring(0, 16), 16)).max().orElse(0);
+    long highest = stored.stream()
+        .map(Disk.Stored::name)
+        .filter(n -> n.matches("[0-9a-f]{16}-.*"))
+        .mapToLong(n -> Long.parseUnsignedLong(n.substring(0, 16), 16))
+        .max()
+        .orElse(0);
     return Math.max(System.currentTimeMillis(), highest + 1);
   }
 
-  private static Recovery tail(Path folder, List<Disk.Stored> stored, List<String> unreadable) throws IOException {
+  private static Recovery tail(Path folder, List<Disk.Stored> stored, List<String> unreadable)
+      throws IOException {
     List<Disk.Stored> newest = new ArrayList<>(stored);
     Collections.reverse(newest);
     List<Disk.Stored> read = new ArrayList<>();
--- a/src/main/java/pumicekeel/journal/JournalCost.java
+++ b/src/main/java/pumicekeel/journal/JournalCost.java
@@ -18,10 +18,11 @@
   private JournalCost() {}
 
   /** Writes so much, then reads it as a query and as a start do; the figures as text. */
-  public static String measure(Path folder, int mebibytes) throws IOException, InterruptedException {
+  public static String measure(Path folder, int mebibytes)
+      throws IOException, InterruptedException {
     long wanted = (long) mebibytes << 20;
-    JournalWriter.Settings settings = new JournalWriter.Settings(Durability.PROCESS, true, 64L << 20, Long.MAX_VALUE / 2,
-        Long.MAX_VALUE / 2);
+    JournalWriter.Settings settings = new JournalWriter.Settings(
+        Durability.PROCESS, true, 64L << 20, Long.MAX_VALUE / 2, Long.MAX_VALUE / 2);
     Semaphore room = new Semaphore(AT_ONCE);
     long records = 0;
     long start = System.nanoTime();
@@ -29,9 +30,26 @@
       for (long i = 0; records * 150 < wanted; i++) {
         String id = Long.toHexString(i * 0x9e3779b97f4a7c15L);
         room.acquire();
-        while (!journal.writer().intent(new Entry.Intent(id, "key-" + id, "quote-issue", Effect.KEYED, DedupScope.CELL,
-            2_000_000_000L, "steppe-auto", "quotes|platform", 0, "s-5be2a07c", "10.1.0.18:5000", "a", 3,
-            System.currentTimeMillis(), System.nanoTime()), good -> room.release())) {
+        while (!journal
+            .writer()
+            .intent(
+                new Entry.Intent(
+                    id,
+                    "key-" + id,
+                    "quote-issue",
+                    Effect.KEYED,
+                    DedupScope.CELL,
+                    2_000_000_000L,
+                    "steppe-auto",
+                    "quotes|platform",
+                    0,
+                    "s-5be2a07c",
+                    "10.1.0.18:5000",
+                    "a",
+                    3,
+                    System.currentTimeMillis(),
+                    System.nanoTime()),
+                good -> room.release())) {
           Thread.onSpinWait();
         }
         journal.writer().note(new Entry.Ended(id, 0, Status.SERVED, System.currentTimeMillis()));
@@ -39,7 +57,9 @@
       }
     }
     double seconds = (System.nanoTime() - start) / 1e9;
-    long bytes = FolderDisk.list(folder.resolve("j")).stream().mapToLong(Disk.Stored::bytes).sum();
+    long bytes = FolderDisk.list(folder.resolve("j")).stream()
+        .mapToLong(Disk.Stored::bytes)
+        .sum();
     double plain = plainSeconds(folder.resolve("plain"), bytes);
     long asked = System.nanoTime();
     History history = new History(e -> e.id().equals("9e3779b97f4a7c15"));
@@ -49,16 +69,26 @@
     Journal.open(folder.resolve("j"), "cost", settings, Runnable::run).close();
     double start2 = (System.nanoTime() - opened) / 1e9;
     Runtime vm = Runtime.getRuntime();
-    return String.format("%d records, %.0f MiB in %.2f s: %.0f records/s, %.0f MiB/s; plain sequential write %.0f MiB/s%n"
-        + "query over all of it %.2f s, %d found; a start with it %.2f s; heap in use %.0f MiB%n", records, bytes / 1048576.0,
-        seconds, records / seconds, bytes / 1048576.0 / seconds, bytes / 1048576.0 / plain, query,
-        history.stories().size(), start2, (vm.totalMemory() - vm.freeMemory()) / 1048576.0);
+    return String.format(
+        "%d records, %.0f MiB in %.2f s: %.0f records/s, %.0f MiB/s; plain sequential write %.0f MiB/s%n"
+            + "query over all of it %.2f s, %d found; a start with it %.2f s; heap in use %.0f MiB%n",
+        records,
+        bytes / 1048576.0,
+        seconds,
+        records / seconds,
+        bytes / 1048576.0 / seconds,
+        bytes / 1048576.0 / plain,
+        query,
+        history.stories().size(),
+        start2,
+        (vm.totalMemory() - vm.freeMemory()) / 1048576.0);
   }
 
   private static double plainSeconds(Path file, long bytes) throws IOException {
     ByteBuffer block = ByteBuffer.allocateDirect(64 << 10);
     long start = System.nanoTime();
-    try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
+    try (FileChannel channel =
+        FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
       for (long done = 0; done < bytes; done += block.capacity()) {
         channel.write(block.clear());
       }
--- a/src/main/java/pumicekeel/journal/JournalWriter.java
+++ b/src/main/java/pumicekeel/journal/JournalWriter.java
@@ -24,7 +24,11 @@
 public final class JournalWriter {
 
   /** Settings; sizes in bytes, times in milliseconds. */
-  public record Settings(Durability durability, boolean refusesInTrouble, long segmentBytes, long keepBytes,
+  public record Settings(
+      Durability durability,
+      boolean refusesInTrouble,
+      long segmentBytes,
+      long keepBytes,
       long keepMillis) {}
 
   /** Records that wait: some 2 MB. Beyond half of it no intent is taken, so that what belongs to sends has room. */
@@ -35,6 +39,7 @@
   static final long AGAIN_MILLIS = 500;
   /** Between two looks at what nobody waits for: after work, and once there was none for so long. */
   private static final long PARK_NANOS = 2_000_000L;
+
   private static final long REST_PARK_NANOS = 50_000_000L;
   private static final long REST_NANOS = 1_000_000_000L;
 
@@ -56,6 +61,7 @@
   private long workedAt = System.nanoTime();
   /** When a new segment may be tried after a failure, by System.nanoTime; 0 while all is well. */
   private volatile long troubleUntil;
+
   private volatile String trouble;
   private Disk.Segment segment;
   private long salt;
@@ -66,11 +72,13 @@
   private final Map<String, Integer> openIn = new HashMap<>();
   /** Records that were lost since, by the wall clock; only for the writer's thread but for the loop's own count. */
   private long lostFrom;
+
   private long lost;
   private final AtomicInteger turnedAway = new AtomicInteger();
 
   /** {@code loop} runs what tells the loop; {@code wall} is Unix time in milliseconds. */
-  JournalWriter(Disk disk, Settings settings, Entry.Boot boot, long epoch, Executor loop, LongSupplier wall) {
+  JournalWriter(
+      Disk disk, Settings settings, Entry.Boot boot, long epoch, Executor loop, LongSupplier wall) {
     this.disk = disk;
     this.settings = settings;
     this.boot = boot;
@@ -88,7 +96,8 @@
     thread.start();
   }
 
-  // ---- The loop's side ----------------------------------------------------------------------------------
+  // ---- The loop's side
+  // ----------------------------------------------------------------------------------
 
   /** Lines an intent up; {@code told} is called on the loop: true once it counts as written. False: no room now. */
   public boolean intent(Entry.Intent entry, Consumer<Boolean> told) {
@@ -110,7 +119,8 @@
       turnedAway.incrementAndGet();
       return;
     }
-    // Nobody waits for it: it goes with the next intent or the next look, and costs the loop no wake-up.
+    // Nobody waits for it: it goes with the next intent or the next look, and costs the loop no
+    // wake-up.
     queue.add(new Waiting(entry, null));
     waiting.incrementAndGet();
   }
@@ -137,12 +147,15 @@
     thread.join(TimeUnit.SECONDS.toMillis(5));
   }
 
-  // ---- The writer's thread ------------------------------------------------------------------------------
+  // ---- The writer's thread
+  // ------------------------------------------------------------------------------
 
   private void run() {
     List<Waiting> group = new ArrayList<>(MOST_GROUP);
     while (!stopping || !queue.isEmpty()) {
-      for (Waiting next = queue.poll(); next != null; next = group.size() < MOST_GROUP ? queue.poll() : null) {
+      for (Waiting next = queue.poll();
+          next != null;
+          next = group.size() < MOST_GROUP ? queue.poll() : null) {
         group.add(next);
       }
       // In trouble nothing may be lined up any more, so it is tried again unasked.
@@ -163,13 +176,15 @@
   private void park() {
     parked = true;
     if (queue.isEmpty() && !stopping) {
-      LockSupport.parkNanos(this, System.nanoTime() - workedAt < REST_NANOS ? PARK_NANOS : REST_PARK_NANOS);
+      LockSupport.parkNanos(
+          this, System.nanoTime() - workedAt < REST_NANOS ? PARK_NANOS : REST_PARK_NANOS);
     }
     parked = false;
   }
 
   private void tell(List<Waiting> group, boolean good) {
-    List<Consumer<Boolean>> told = group.stream().map(Waiting::told).filter(t -> t != null).toList();
+    List<Consumer<Boolean>> told =
+        group.stream().map(Waiting::told).filter(t -> t != null).toList();
     if (!told.isEmpty()) {
       loop.execute(() -> told.forEach(t -> t.accept(good)));
     }
@@ -234,7 +249,8 @@
     long bytes = stored.stream().mapToLong(Disk.Stored::bytes).sum();
     for (Disk.Stored s : stored) {
       if (openIn.getOrDefault(s.name(), 0) > 0) {
-        // An attempt in it has no outcome yet: without its intent nobody could tell that it may have run.
+        // An attempt in it has no outcome yet: without its intent nobody could tell that it may
+        // have run.
         continue;
       }
       boolean old = wall.getAsLong() - s.modifiedMillis() > settings.keepMillis();
--- a/src/main/java/pumicekeel/journal/KeyMemory.java
+++ b/src/main/java/pumicekeel/journal/KeyMemory.java
@@ -50,7 +50,8 @@
   }
 
   /** An attempt was made, or may have been: from now on it may run. */
-  public void mayRun(String name, String home, String id, int attempt, Earlier fact, long windowNanos, long now) {
+  public void mayRun(
+      String name, String home, String id, int attempt, Earlier fact, long windowNanos, long now) {
     forget(now);
     Known known = byName.get(name);
     if (known == null) {
--- a/src/main/java/pumicekeel/journal/Recovery.java
+++ b/src/main/java/pumicekeel/journal/Recovery.java
@@ -46,7 +46,8 @@
    * booted since. Otherwise the wall clock has to do; if it stands before the record, nobody knows how long ago that was,
    * and the window counts as over: a repeat is then failed and not sent.
    */
-  public int into(KeyMemory memory, String thisHostBoot, long wallMillis, long monoNanos, long now) {
+  public int into(
+      KeyMemory memory, String thisHostBoot, long wallMillis, long monoNanos, long now) {
     Map<String, Boolean> names = new HashMap<>();
     for (Sent sent : open.values()) {
       Entry.Intent e = sent.intent();
@@ -57,7 +58,13 @@
         continue;
       }
       String name = KeyMemory.recorded(e.effect(), e.id(), e.key());
-      memory.mayRun(name, e.pool(), e.id(), e.attempt(), new Earlier(e.zone(), e.cell(), now - past), e.windowNanos(),
+      memory.mayRun(
+          name,
+          e.pool(),
+          e.id(),
+          e.attempt(),
+          new Earlier(e.zone(), e.cell(), now - past),
+          e.windowNanos(),
           now);
       names.put(name, true);
     }
--- a/src/main/java/pumicekeel/journal/SegmentReader.java
+++ b/src/main/java/pumicekeel/journal/SegmentReader.java
@@ -42,7 +42,8 @@
       if (size > MOST_BYTES) {
         throw new Unreadable("expected a segment of at most " + MOST_BYTES + " bytes, got " + size);
       }
-      ByteBuffer bytes = size == 0 ? ByteBuffer.allocate(0) : channel.map(FileChannel.MapMode.READ_ONLY, 0, size);
+      ByteBuffer bytes =
+          size == 0 ? ByteBuffer.allocate(0) : channel.map(FileChannel.MapMode.READ_ONLY, 0, size);
       return read(bytes, sink);
     }
   }
@@ -50,8 +51,9 @@
   static Codec.Header read(ByteBuffer bytes, Sink sink) throws Unreadable {
     Codec.Header header = Codec.header(bytes);
     if (header != null && header.version() > Codec.VERSION) {
-      throw new Unreadable("expected a journal of version " + Codec.VERSION + " or older, got version "
-          + header.version() + ": read it with the program that wrote it");
+      throw new Unreadable(
+          "expected a journal of version " + Codec.VERSION + " or older, got version "
+              + header.version() + ": read it with the program that wrote it");
     }
     if (header == null) {
       // Without the salt no record can be told from noise.
@@ -95,8 +97,11 @@
     }
     int payload = bytes.getInt(at + 4);
     int rest = bytes.limit() - at - Codec.FRAME_HEAD - Codec.FRAME_TAIL;
-    if (payload < 0 || payload > Codec.MOST_PAYLOAD || payload > rest
-        || bytes.getInt(at + Codec.FRAME_HEAD + payload) != Codec.crc(salt, bytes, at, Codec.FRAME_HEAD + payload)) {
+    if (payload < 0
+        || payload > Codec.MOST_PAYLOAD
+        || payload > rest
+        || bytes.getInt(at + Codec.FRAME_HEAD + payload)
+            != Codec.crc(salt, bytes, at, Codec.FRAME_HEAD + payload)) {
       return -1;
     }
     return Codec.FRAME_HEAD + payload + Codec.FRAME_TAIL;
--- a/src/main/java/pumicekeel/jsonrpc/Codes.java
+++ b/src/main/java/pumicekeel/jsonrpc/Codes.java
@@ -24,6 +24,7 @@
 
   /** The range that the specification keeps for servers. */
   public static final int SERVER_LEAST = -32099;
+
   public static final int SERVER_MOST = -32000;
   public static final int INTERNAL = -32603;
 
--- a/src/main/java/pumicekeel/jsonrpc/Framing.java
+++ b/src/main/java/pumicekeel/jsonrpc/Framing.java
@@ -14,6 +14,6 @@
   CONTENT_LENGTH;
 
   /** As settings and commands name them. */
-  public static final Map<String, Framing> NAMES = Map.of("detect", DETECT, "newline", NEWLINE, "values", VALUES,
-      "content-length", CONTENT_LENGTH);
+  public static final Map<String, Framing> NAMES = Map.of(
+      "detect", DETECT, "newline", NEWLINE, "values", VALUES, "content-length", CONTENT_LENGTH);
 }
--- a/src/main/java/pumicekeel/jsonrpc/Limits.java
+++ b/src/main/java/pumicekeel/jsonrpc/Limits.java
@@ -20,7 +20,8 @@
 
   public Limits {
     if (bytes < 1 || depth < 1 || depth > MOST_DEPTH || calls < 1) {
-      throw new IllegalArgumentException("limits of a message: " + bytes + " bytes, depth " + depth + ", " + calls);
+      throw new IllegalArgumentException(
+          "limits of a message: " + bytes + " bytes, depth " + depth + ", " + calls);
     }
   }
 }
--- a/src/main/java/pumicekeel/jsonrpc/MessageReader.java
+++ b/src/main/java/pumicekeel/jsonrpc/MessageReader.java
@@ -24,8 +24,10 @@
   static final JsonFactory FACTORY = new JsonFactoryBuilder()
       .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
       .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
-      .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(Limits.MOST_DEPTH + 1)
-          .maxNumberLength(Integer.MAX_VALUE).build())
+      .streamReadConstraints(StreamReadConstraints.builder()
+          .maxNestingDepth(Limits.MOST_DEPTH + 1)
+          .maxNumberLength(Integer.MAX_VALUE)
+          .build())
       .build();
 
   private final Limits limits;
@@ -42,9 +44,11 @@
     }
     try (JsonParser p = FACTORY.createParser(frame)) {
       JsonToken first = p.nextToken();
-      Message message = first == JsonToken.START_ARRAY ? batch(p, frame)
-          : first == JsonToken.START_OBJECT ? new Message.One(entry(p, frame, 1))
-          : first == null ? new Message.Broken(Codes.PARSE, null) : scalar(p);
+      Message message = first == JsonToken.START_ARRAY
+          ? batch(p, frame)
+          : first == JsonToken.START_OBJECT
+              ? new Message.One(entry(p, frame, 1))
+              : first == null ? new Message.Broken(Codes.PARSE, null) : scalar(p);
       if (!(message instanceof Message.Broken) && p.nextToken() != null) {
         return new Message.Broken(Codes.PARSE, null);
       }
@@ -53,8 +57,11 @@
       return new Message.Broken(Codes.INVALID_REQUEST, e.getMessage());
     } catch (IOException | RuntimeException e) {
       // A text of the library's own would carry bytes of the client's into the answer.
-      return new Message.Broken(Codes.PARSE, e.getMessage() != null && e.getMessage().startsWith("Duplicate")
-          ? "a name twice in one object" : null);
+      return new Message.Broken(
+          Codes.PARSE,
+          e.getMessage() != null && e.getMessage().startsWith("Duplicate")
+              ? "a name twice in one object"
+              : null);
     }
   }
 
@@ -103,7 +110,9 @@
         entries.add(new Message.Invalid(Id.NULL, "expected an object"));
       }
     }
-    return entries.isEmpty() ? new Message.Broken(Codes.INVALID_REQUEST, null) : new Message.Batch(entries);
+    return entries.isEmpty()
+        ? new Message.Broken(Codes.INVALID_REQUEST, null)
+        : new Message.Batch(entries);
   }
 
   /** The members of one object, as far as they are known. */
@@ -131,25 +140,32 @@
       String name = p.currentName();
       JsonToken t = p.nextToken();
       switch (name) {
-        case "jsonrpc" -> m.version = t == JsonToken.VALUE_STRING && p.getTextLength() == 3 && p.getText().equals("2.0");
+        case "jsonrpc" ->
+          m.version = t == JsonToken.VALUE_STRING
+              && p.getTextLength() == 3
+              && p.getText().equals("2.0");
         case "id" -> {
           m.hasId = true;
           m.id = id(p, t, frame);
         }
         case "method" -> {
           m.hasMethod = true;
-          m.method = t == JsonToken.VALUE_STRING && p.getTextLength() <= Limits.MOST_METHOD ? p.getText() : null;
+          m.method = t == JsonToken.VALUE_STRING && p.getTextLength() <= Limits.MOST_METHOD
+              ? p.getText()
+              : null;
         }
         case "params" -> {
           m.hasParams = true;
-          m.params = t == JsonToken.START_OBJECT || t == JsonToken.START_ARRAY ? slice(p, frame, depth) : null;
+          m.params = t == JsonToken.START_OBJECT || t == JsonToken.START_ARRAY
+              ? slice(p, frame, depth)
+              : null;
         }
         case "result" -> m.result = slice(p, frame, depth);
         case "error" -> {
           m.hasError = true;
           m.error = t == JsonToken.START_OBJECT ? error(p, frame, depth, m) : null;
         }
-        default -> { }
+        default -> {}
       }
       // What was taken above has been passed; a value that was not is passed here.
       if (p.currentToken().isStructStart() || p.currentToken().isScalarValue()) {
@@ -167,12 +183,16 @@
     if (m.hasId && m.id == null) {
       return new Message.Invalid(Id.NULL, "expected an id that is a string, a number or null");
     }
-    if (!m.hasMethod && m.hasId && (m.result != null) != m.hasError && (!m.hasError || m.error != null && m.hasCode)) {
-      return new Message.Reply(id, m.result, m.error, (int) Math.max(Integer.MIN_VALUE,
-          Math.min(Integer.MAX_VALUE, m.code)));
+    if (!m.hasMethod
+        && m.hasId
+        && (m.result != null) != m.hasError
+        && (!m.hasError || m.error != null && m.hasCode)) {
+      return new Message.Reply(id, m.result, m.error, (int)
+          Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, m.code)));
     }
     if (m.method == null) {
-      return new Message.Invalid(id, "expected a method that is a string of at most " + Limits.MOST_METHOD);
+      return new Message.Invalid(
+          id, "expected a method that is a string of at most " + Limits.MOST_METHOD);
     }
     if (m.hasParams && m.params == null) {
       return new Message.Invalid(id, "expected params that are an object or an array");
@@ -191,7 +211,9 @@
         int start = (int) p.currentTokenLocation().getByteOffset();
         String decoded = p.getText();
         int end = (int) p.currentLocation().getByteOffset();
-        return end - start > Limits.MOST_ID ? null : Id.text(decoded, Arrays.copyOfRange(frame, start, end));
+        return end - start > Limits.MOST_ID
+            ? null
+            : Id.text(decoded, Arrays.copyOfRange(frame, start, end));
       default:
         return null;
     }
@@ -258,7 +280,8 @@
 
     static String fault(byte[] b) {
       int from = 0;
-      while (from < b.length && (b[from] == ' ' || b[from] == '\t' || b[from] == '\r' || b[from] == '\n')) {
+      while (from < b.length
+          && (b[from] == ' ' || b[from] == '\t' || b[from] == '\r' || b[from] == '\n')) {
         from++;
       }
       if (from < b.length && (b[from] & 0x80) != 0) {
@@ -276,7 +299,9 @@
           i = next;
         }
       }
-      return ByteBufUtil.isText(Unpooled.wrappedBuffer(b), StandardCharsets.UTF_8) ? null : "not UTF-8";
+      return ByteBufUtil.isText(Unpooled.wrappedBuffer(b), StandardCharsets.UTF_8)
+          ? null
+          : "not UTF-8";
     }
 
     /** The last byte of the escape that begins here, its pair included; -1 where half of one stands alone. */
--- a/src/main/java/pumicekeel/jsonrpc/Pointers.java
+++ b/src/main/java/pumicekeel/jsonrpc/Pointers.java
@@ -14,7 +14,15 @@
 public final class Pointers {
 
   /** What kind of value a pointer leads to. */
-  public enum Kind { ABSENT, STRING, NUMBER, BOOLEAN, NULL, OBJECT, ARRAY }
+  public enum Kind {
+    ABSENT,
+    STRING,
+    NUMBER,
+    BOOLEAN,
+    NULL,
+    OBJECT,
+    ARRAY
+  }
 
   /** A value; {@code text} is a string decoded, a number or word as written, and null for the rest. */
   public record Found(Kind kind, String text) {
@@ -83,7 +91,9 @@
       if (depth > 0 && arrays[depth]) {
         Node parent = nodes[depth];
         int at = indexes[depth]++;
-        here = parent == null || parent.children.isEmpty() ? null : parent.children.get(Integer.toString(at));
+        here = parent == null || parent.children.isEmpty()
+            ? null
+            : parent.children.get(Integer.toString(at));
       }
       if (here != null && here.index >= 0) {
         found[here.index] = found(p, t);
--- a/src/main/java/pumicekeel/jsonrpc/ValueScanner.java
+++ b/src/main/java/pumicekeel/jsonrpc/ValueScanner.java
@@ -12,6 +12,7 @@
   private int depth;
   /** One bit for each open bracket, the innermost lowest: 1 for an object. */
   private long kinds;
+
   private boolean batch;
   private int commas;
   private boolean string;
@@ -84,14 +85,16 @@
           fail(Codes.INVALID_REQUEST, "more than " + limits.calls() + " calls in a batch");
         }
       }
-      default -> { }
+      default -> {}
     }
     return false;
   }
 
   private void open(boolean object) {
     if (depth == limits.depth()) {
-      fail(Codes.INVALID_REQUEST, "more than " + limits.depth() + " arrays and objects in one another");
+      fail(
+          Codes.INVALID_REQUEST,
+          "more than " + limits.depth() + " arrays and objects in one another");
       return;
     }
     if (depth == 0) {
--- a/src/main/java/pumicekeel/jsonrpc/Writer.java
+++ b/src/main/java/pumicekeel/jsonrpc/Writer.java
@@ -26,7 +26,8 @@
   /** A call; {@code params} may be null. */
   public static byte[] call(Id id, String method, byte[] params) {
     byte[] name = ascii(quoted(method));
-    return params == null ? joined(CALL, name, ID, id.raw(), new byte[] {'}'})
+    return params == null
+        ? joined(CALL, name, ID, id.raw(), new byte[] {'}'})
         : joined(CALL, name, PARAMS, params, ID, id.raw(), new byte[] {'}'});
   }
 
@@ -91,7 +92,8 @@
 
   /** What goes in front of a message of so many bytes; null for nothing. */
   public static ByteBuf before(Framing framing, int size) {
-    return framing == Framing.CONTENT_LENGTH ? Unpooled.wrappedBuffer(ascii("Content-Length: " + size + "\r\n\r\n"))
+    return framing == Framing.CONTENT_LENGTH
+        ? Unpooled.wrappedBuffer(ascii("Content-Length: " + size + "\r\n\r\n"))
         : null;
   }
 
@@ -105,6 +107,8 @@
     ByteBuf before = before(framing, message.length);
     ByteBuf behind = behind(framing);
     ByteBuf body = Unpooled.wrappedBuffer(message);
-    return before != null ? Unpooled.wrappedBuffer(before, body) : Unpooled.wrappedBuffer(body, behind);
+    return before != null
+        ? Unpooled.wrappedBuffer(before, body)
+        : Unpooled.wrappedBuffer(body, behind);
   }
 }
--- a/src/main/java/pumicekeel/lab/experiment/Comparison.java
+++ b/src/main/java/pumicekeel/lab/experiment/Comparison.java
@@ -14,14 +14,26 @@
 public final class Comparison {
 
   /** Better by so much, worse, or neither can be said. */
-  public enum Verdict { BETTER, WORSE, UNKNOWN }
+  public enum Verdict {
+    BETTER,
+    WORSE,
+    UNKNOWN
+  }
 
   /**
    * One setting's pairs.
    *
    * @param mean of B less A; {@code low} and {@code high} bound it at 95 %
    */
-  public record Line(String setting, int pairs, double a, double b, double mean, double low, double high, Verdict verdict) {}
+  public record Line(
+      String setting,
+      int pairs,
+      double a,
+      double b,
+      double mean,
+      double low,
+      double high,
+      Verdict verdict) {}
 
   private static final double CONFIDENCE = 0.95;
   /** With fewer pairs no interval is worth its name. */
@@ -33,17 +45,26 @@
    * Compares by a metric of {@link Figures#NAMES}. {@code policyA} and {@code policyB} choose among the results; null for whatever
    * policy has the same name in both.
    */
-  public static List<Line> of(List<Result> a, String policyA, List<Result> b, String policyB, String metric) {
+  public static List<Line> of(
+      List<Result> a, String policyA, List<Result> b, String policyB, String metric) {
     boolean less = Figures.lessIsBetter(metric);
     Map<String, Result> first = new LinkedHashMap<>();
-    a.stream().filter(r -> r.ok() && (policyA == null || r.run().policy().equals(policyA)))
+    a.stream()
+        .filter(r -> r.ok() && (policyA == null || r.run().policy().equals(policyA)))
         .forEach(r -> first.put(key(r, policyA == null), r));
     Map<String, List<double[]>> pairs = new LinkedHashMap<>();
     for (Result r : b) {
-      Result other = r.ok() && (policyB == null || r.run().policy().equals(policyB)) ? first.get(key(r, policyA == null)) : null;
+      Result other = r.ok() && (policyB == null || r.run().policy().equals(policyB))
+          ? first.get(key(r, policyA == null))
+          : null;
       if (other != null) {
-        pairs.computeIfAbsent(r.run().setting() + (policyA == null ? " " + r.run().policy() : ""), k -> new ArrayList<>())
-            .add(new double[] {other.figures().getOrDefault(metric, 0.0), r.figures().getOrDefault(metric, 0.0)});
+        pairs
+            .computeIfAbsent(
+                r.run().setting() + (policyA == null ? " " + r.run().policy() : ""),
+                k -> new ArrayList<>())
+            .add(new double[] {
+              other.figures().getOrDefault(metric, 0.0), r.figures().getOrDefault(metric, 0.0)
+            });
       }
     }
     List<Line> lines = new ArrayList<>();
@@ -63,13 +84,17 @@
     double a = pairs.stream().mapToDouble(p -> p[0]).average().orElse(0);
     double b = pairs.stream().mapToDouble(p -> p[1]).average().orElse(0);
     double mean = b - a;
-    double squares = pairs.stream().mapToDouble(p -> p[1] - p[0] - mean).map(d -> d * d).sum();
-    double half = n < LEAST_PAIRS ? Double.POSITIVE_INFINITY
-        : TDistribution.of(n - 1).inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2) * Math.sqrt(squares / (n - 1) / n);
+    double squares =
+        pairs.stream().mapToDouble(p -> p[1] - p[0] - mean).map(d -> d * d).sum();
+    double half = n < LEAST_PAIRS
+        ? Double.POSITIVE_INFINITY
+        : TDistribution.of(n - 1).inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2)
+            * Math.sqrt(squares / (n - 1) / n);
     double low = mean - half;
     double high = mean + half;
-    Verdict verdict = low > 0 ? less ? Verdict.WORSE : Verdict.BETTER : high < 0 ? less ? Verdict.BETTER : Verdict.WORSE
-        : Verdict.UNKNOWN;
+    Verdict verdict = low > 0
+        ? less ? Verdict.WORSE : Verdict.BETTER
+        : high < 0 ? less ? Verdict.BETTER : Verdict.WORSE : Verdict.UNKNOWN;
     return new Line(setting, n, a, b, mean, low, high, verdict);
   }
 }
--- a/src/main/java/pumicekeel/lab/experiment/Experiment.java
+++ b/src/main/java/pumicekeel/lab/experiment/Experiment.java
@@ -19,8 +19,18 @@
  * @param sweep the figure of the world that is swept; null for none
  * @param runLimitSeconds real time after which a run is given up
  */
-public record Experiment(String name, List<String> worlds, List<String> policies, List<Integer> balancers, double serversPerBalancer,
-    long firstSeed, int seeds, double seconds, String sweep, List<Double> values, int runLimitSeconds) {
+public record Experiment(
+    String name,
+    List<String> worlds,
+    List<String> policies,
+    List<Integer> balancers,
+    double serversPerBalancer,
+    long firstSeed,
+    int seeds,
+    double seconds,
+    String sweep,
+    List<Double> values,
+    int runLimitSeconds) {
 
   private static final int MOST_RUNS = 1_000_000;
   private static final int MOST_SEEDS = 100_000;
@@ -78,7 +88,8 @@
     if (sweep != null) {
       Set<String> keys = new TreeSet<>(sweep.keys());
       if (keys.size() != 1 || !WorldSpec.SWEPT.containsAll(keys)) {
-        s.fault("sweep", "expected one of " + WorldSpec.SWEPT + " with a list of values, got " + keys);
+        s.fault(
+            "sweep", "expected one of " + WorldSpec.SWEPT + " with a list of values, got " + keys);
       } else {
         swept = keys.iterator().next();
         values = values(sweep, swept);
@@ -90,9 +101,20 @@
       s.fault("balancers", "expected numbers of balancers, as [2, 20], got nothing");
       balancers = List.of(1);
     }
-    Experiment e = new Experiment(name, worlds, policies, balancers, each == null ? 5 : each, first == null ? 1 : first,
-        seeds == null ? 8 : seeds.intValue(), seconds == null ? 45 : seconds, swept, values, limit == null ? 300 : limit.intValue());
-    if ((long) e.worlds.size() * e.policies.size() * e.balancers.size() * e.seeds * e.values.size() > MOST_RUNS) {
+    Experiment e = new Experiment(
+        name,
+        worlds,
+        policies,
+        balancers,
+        each == null ? 5 : each,
+        first == null ? 1 : first,
+        seeds == null ? 8 : seeds.intValue(),
+        seconds == null ? 45 : seconds,
+        swept,
+        values,
+        limit == null ? 300 : limit.intValue());
+    if ((long) e.worlds.size() * e.policies.size() * e.balancers.size() * e.seeds * e.values.size()
+        > MOST_RUNS) {
       s.fault("seeds", "expected at most " + MOST_RUNS + " runs in all");
     }
     return e;
@@ -113,7 +135,8 @@
     return values.isEmpty() ? List.of(0.0) : values;
   }
 
-  private static List<String> chosen(Section s, String key, List<String> known, Predicate<String> good) {
+  private static List<String> chosen(
+      Section s, String key, List<String> known, Predicate<String> good) {
     List<String> chosen = s.texts(key);
     if (chosen == null || chosen.isEmpty()) {
       s.fault(key, "expected some of " + known + ", got nothing");
@@ -135,8 +158,15 @@
         for (int size : balancers) {
           for (double value : values) {
             for (String policy : policies) {
-              runs.add(new Run(world, policy, size, Math.max(1, (int) Math.round(size * serversPerBalancer)), seconds,
-                  sweep == null ? "" : sweep, value, firstSeed + i));
+              runs.add(new Run(
+                  world,
+                  policy,
+                  size,
+                  Math.max(1, (int) Math.round(size * serversPerBalancer)),
+                  seconds,
+                  sweep == null ? "" : sweep,
+                  value,
+                  firstSeed + i));
             }
           }
         }
@@ -146,7 +176,15 @@
   }
 
   /** One run, without what came of it. */
-  public record Run(String world, String policy, int balancers, int servers, double seconds, String sweep, double value, long seed) {
+  public record Run(
+      String world,
+      String policy,
+      int balancers,
+      int servers,
+      double seconds,
+      String sweep,
+      double value,
+      long seed) {
 
     /** What its figures are kept under. */
     public String key() {
@@ -160,7 +198,8 @@
 
     /** World and size, whatever the seed. */
     public String setting() {
-      return world + " " + balancers + "x" + servers + " " + seconds + "s" + (sweep.isEmpty() ? "" : " " + sweep + "=" + value);
+      return world + " " + balancers + "x" + servers + " " + seconds + "s"
+          + (sweep.isEmpty() ? "" : " " + sweep + "=" + value);
     }
 
     /** The world that it is played in. */
--- a/src/main/java/pumicekeel/lab/experiment/Result.java
+++ b/src/main/java/pumicekeel/lab/experiment/Result.java
@@ -15,7 +15,8 @@
  * A line of a result file: a run, how it ended ({@code ok}, {@code stopped} at its limit of real time, {@code error}) and its figures
  * by name. {@code build} says which program it was.
  */
-public record Result(Run run, String build, String status, String note, Map<String, Double> figures) {
+public record Result(
+    Run run, String build, String status, String note, Map<String, Double> figures) {
 
   private static final JsonFactory JSON = new JsonFactory();
 
@@ -68,8 +69,15 @@
       for (Object name : of.values().keySet()) {
         figures.put(String.valueOf(name), of.number(String.valueOf(name), 0));
       }
-      Run run = new Run(f.text("world"), f.text("policy"), (int) f.integer("balancers"), (int) f.integer("servers"),
-          f.number("seconds", 0), f.text("sweep", ""), f.number("value", 0), f.integer("seed"));
+      Run run = new Run(
+          f.text("world"),
+          f.text("policy"),
+          (int) f.integer("balancers"),
+          (int) f.integer("servers"),
+          f.number("seconds", 0),
+          f.text("sweep", ""),
+          f.number("value", 0),
+          f.integer("seed"));
       return new Result(run, f.text("build", ""), f.text("status"), f.text("note", ""), figures);
     } catch (WireException | IllegalArgumentException e) {
       throw new IOException(e.getMessage());
--- a/src/main/java/pumicekeel/lab/experiment/ResultFile.java
+++ b/src/main/java/pumicekeel/lab/experiment/ResultFile.java
@@ -56,7 +56,8 @@
       try {
         out.add(Result.of(line));
       } catch (IOException e) {
-        throw new IOException(file + ":" + number + ": expected a result: " + String.valueOf(e.getMessage()).replace('\n', ' '));
+        throw new IOException(file + ":" + number + ": expected a result: "
+            + String.valueOf(e.getMessage()).replace('\n', ' '));
       }
     }
     return out;
--- a/src/main/java/pumicekeel/lab/experiment/Runner.java
+++ b/src/main/java/pumicekeel/lab/experiment/Runner.java
@@ -36,11 +36,17 @@
 
   /** {@code build}: the program that runs, for the results; {@code progress} gets lines for people. */
   public Runner(Experiment experiment, String build, int threads, Consumer<String> progress) {
-    this(experiment, build, threads, progress,
-        (run, stop) -> new FleetRun(run.spec(), Policies.of(run.policy()), run.seed(), null).play(stop));
+    this(
+        experiment,
+        build,
+        threads,
+        progress,
+        (run, stop) ->
+            new FleetRun(run.spec(), Policies.of(run.policy()), run.seed(), null).play(stop));
   }
 
-  Runner(Experiment experiment, String build, int threads, Consumer<String> progress, Player player) {
+  Runner(
+      Experiment experiment, String build, int threads, Consumer<String> progress, Player player) {
     this.experiment = experiment;
     this.build = build;
     this.threads = threads;
@@ -54,7 +60,8 @@
     file.before().stream().filter(Result::ok).forEach(r -> done.add(r.run().key()));
     List<Run> left = new ArrayList<>(experiment.runs());
     left.removeIf(r -> done.contains(r.key()));
-    progress.accept(left.size() + " runs, " + done.size() + " done before" + (file.cut() ? ", half a line cut off" : ""));
+    progress.accept(left.size() + " runs, " + done.size() + " done before"
+        + (file.cut() ? ", half a line cut off" : ""));
     ExecutorService pool = Executors.newFixedThreadPool(threads);
     try {
       CompletionService<Result> results = new ExecutorCompletionService<>(pool);
@@ -65,7 +72,8 @@
     }
   }
 
-  private int collect(CompletionService<Result> results, int count, ResultFile file) throws IOException, InterruptedException {
+  private int collect(CompletionService<Result> results, int count, ResultFile file)
+      throws IOException, InterruptedException {
     long from = System.nanoTime();
     long toldAt = from;
     int without = 0;
@@ -79,12 +87,14 @@
       file.add(r);
       without += r.ok() ? 0 : 1;
       if (!r.ok() || r.figures().getOrDefault("broken", 0.0) > 0) {
-        progress.accept(r.run().key() + ": " + (r.ok() ? "a rule was broken: " : r.status() + ": ") + r.note());
+        progress.accept(
+            r.run().key() + ": " + (r.ok() ? "a rule was broken: " : r.status() + ": ") + r.note());
       }
       long now = System.nanoTime();
       if (now - toldAt > LINE_NANOS || i == count) {
         toldAt = now;
-        progress.accept(i + " of " + count + ", " + TimeUnit.NANOSECONDS.toSeconds((now - from) / i * (count - i)) + " s left");
+        progress.accept(i + " of " + count + ", "
+            + TimeUnit.NANOSECONDS.toSeconds((now - from) / i * (count - i)) + " s left");
       }
     }
     return without;
@@ -94,8 +104,15 @@
   private Result play(Run run) {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(experiment.runLimitSeconds());
     try {
-      Figures figures = player.play(run, () -> System.nanoTime() - end > 0 || Thread.currentThread().isInterrupted());
-      return figures == null ? new Result(run, build, "stopped", "beyond " + experiment.runLimitSeconds() + " s", java.util.Map.of())
+      Figures figures = player.play(
+          run, () -> System.nanoTime() - end > 0 || Thread.currentThread().isInterrupted());
+      return figures == null
+          ? new Result(
+              run,
+              build,
+              "stopped",
+              "beyond " + experiment.runLimitSeconds() + " s",
+              java.util.Map.of())
           : Result.of(run, build, figures);
     } catch (RuntimeException | StackOverflowError e) {
       String where = e.getStackTrace().length == 0 ? "" : " at " + e.getStackTrace()[0];
--- a/src/main/java/pumicekeel/lab/experiment/Shrinker.java
+++ b/src/main/java/pumicekeel/lab/experiment/Shrinker.java
@@ -39,13 +39,13 @@
     }
     progress.accept("broken: " + first);
     WorldSpec best = from;
-    for (boolean again = true; again;) {
+    for (boolean again = true; again; ) {
       again = false;
       for (WorldSpec smaller : smaller(best)) {
         String still = broken(smaller);
         if (still != null) {
-          progress.accept(smaller.balancers() + " balancers, " + smaller.servers() + " servers, " + smaller.seconds() + " s, "
-              + smaller.troubles().size() + " troubles: " + still);
+          progress.accept(smaller.balancers() + " balancers, " + smaller.servers() + " servers, "
+              + smaller.seconds() + " s, " + smaller.troubles().size() + " troubles: " + still);
           best = smaller;
           again = true;
           break;
--- a/src/main/java/pumicekeel/lab/fleet/Customers.java
+++ b/src/main/java/pumicekeel/lab/fleet/Customers.java
@@ -25,6 +25,7 @@
   private static final long OWN_WAIT = 500 * MS;
   /** The operators' mix (BRIEF, "How we count"). */
   private static final double WHOLE = 0.55;
+
   private static final double WORST_TEN = 0.15;
   private static final double WORST_CLASS = 0.05;
   private static final double WORST_TENANT = 0.25;
@@ -58,7 +59,8 @@
     earnedBySecond = new double[(int) spec.seconds() + 1];
   }
 
-  // ---- The front layer ----------------------------------------------------------------------------------
+  // ---- The front layer
+  // ----------------------------------------------------------------------------------
 
   void up(Host host) {
     if (!believed.contains(host)) {
@@ -75,7 +77,8 @@
     });
   }
 
-  // ---- Asking -------------------------------------------------------------------------------------------
+  // ---- Asking
+  // -------------------------------------------------------------------------------------------
 
   void ask(Ask ask) {
     asked++;
@@ -98,8 +101,14 @@
     tries++;
     Try t = new Try(ask, number, askedAt, agenda.now() + ask.patience());
     Host host = believed.isEmpty() ? null : believed.get(chance.below(believed.size()));
-    run.trace(t, "asks " + (host == null ? "nobody: no balancer is known to be there" : "balancer " + host.number) + ", "
-        + ask.kind().type().name() + " of " + ask.work() / 1e6 + " ms of work, waits " + ask.patience() / MS + " ms");
+    run.trace(
+        t,
+        "asks "
+            + (host == null
+                ? "nobody: no balancer is known to be there"
+                : "balancer " + host.number)
+            + ", " + ask.kind().type().name() + " of " + ask.work() / 1e6 + " ms of work, waits "
+            + ask.patience() / MS + " ms");
     if (host == null || !host.up()) {
       agenda.in(MS, () -> unreached(t));
     } else {
@@ -107,7 +116,8 @@
     }
   }
 
-  // ---- Answers ------------------------------------------------------------------------------------------
+  // ---- Answers
+  // ------------------------------------------------------------------------------------------
 
   void served(Try t) {
     served++;
@@ -161,17 +171,38 @@
     return 0;
   }
 
-  // ---- The account --------------------------------------------------------------------------------------
+  // ---- The account
+  // --------------------------------------------------------------------------------------
 
-  Figures figures(Judge judge, FleetRun.Count count, double wasted, double utilization, long events) {
+  Figures figures(
+      Judge judge, FleetRun.Count count, double wasted, double utilization, long events) {
     double whole = share(sum(earnedBySecond), sum(askedBySecond));
     double ten = worstTen();
     double byClass = worst(earnedByClass, askedByClass);
     double byTenant = worst(earnedByTenant, askedByTenant);
     double goal = WHOLE * whole + WORST_TEN * ten + WORST_CLASS * byClass + WORST_TENANT * byTenant;
-    return new Figures(whole, goal, ten, byClass, byTenant, asked, tries, served, refused, failed, unreached,
-        latency.getValueAtPercentile(50) / 1e3, latency.getValueAtPercentile(99) / 1e3, count.attempts(), count.connections(), wasted,
-        utilization, judge.coldShare(), judge.all(), judge.first(), events);
+    return new Figures(
+        whole,
+        goal,
+        ten,
+        byClass,
+        byTenant,
+        asked,
+        tries,
+        served,
+        refused,
+        failed,
+        unreached,
+        latency.getValueAtPercentile(50) / 1e3,
+        latency.getValueAtPercentile(99) / 1e3,
+        count.attempts(),
+        count.connections(),
+        wasted,
+        utilization,
+        judge.coldShare(),
+        judge.all(),
+        judge.first(),
+        events);
   }
 
   private double worstTen() {
--- a/src/main/java/pumicekeel/lab/fleet/Deployment.java
+++ b/src/main/java/pumicekeel/lab/fleet/Deployment.java
@@ -58,19 +58,45 @@
     boolean large = chance.uniform() < 0.4;
     int cores = large ? 3 : 2;
     double speed = large ? chance.between(0.85, 1.1) : chance.between(0.51, 0.69);
-    return new ServerSpec(cores, speed, cores * 12, cores * 20, 0.005, 0.32, 8_500 * MS, chance.below(1_500) + 1_200,
-        (long) (MS * chance.between(0.89, 3.4)), (long) (SECOND * chance.between(19, 39)), 0.75, 400,
+    return new ServerSpec(
+        cores,
+        speed,
+        cores * 12,
+        cores * 20,
+        0.005,
+        0.32,
+        8_500 * MS,
+        chance.below(1_500) + 1_200,
+        (long) (MS * chance.between(0.89, 3.4)),
+        (long) (SECOND * chance.between(19, 39)),
+        0.75,
+        400,
         spec.weighed() ? cores * speed * chance.lognormal(WEIGHT_SIGMA) : 1);
   }
 
   /** What one balancer is told. */
   public Settings settings(int me, String zone) {
-    List<Tenant> tenants = IntStream.range(0, Traffic.TENANTS.size()).mapToObj(i -> new Tenant(Traffic.TENANTS.get(i),
-        Traffic.SHARES[i], Traffic.SHARES[i] * 1.5 * capacity / RequestKind.meanWork(RequestKind.BRIEF))).toList();
-    return new Settings(me, spec.balancers(), zone, RequestKind.BRIEF.stream().map(RequestKind::type).toList(), tenants,
-        new Limits(true, false, false, true, true, 2 * SECOND, 6, MOST_OPEN, 1, 250 * MS, 15 * SECOND),
-        new Contract(8 * MS, 0, 2 * SECOND, 0.32, 8_500 * MS, 3, 3 * SECOND), new Prices(0, 0.02, 0.03), false,
-        spec.weighed() ? WeightKind.ROUGH : WeightKind.NONE, 0.2, true, MS);
+    List<Tenant> tenants = IntStream.range(0, Traffic.TENANTS.size())
+        .mapToObj(i -> new Tenant(
+            Traffic.TENANTS.get(i),
+            Traffic.SHARES[i],
+            Traffic.SHARES[i] * 1.5 * capacity / RequestKind.meanWork(RequestKind.BRIEF)))
+        .toList();
+    return new Settings(
+        me,
+        spec.balancers(),
+        zone,
+        RequestKind.BRIEF.stream().map(RequestKind::type).toList(),
+        tenants,
+        new Limits(
+            true, false, false, true, true, 2 * SECOND, 6, MOST_OPEN, 1, 250 * MS, 15 * SECOND),
+        new Contract(8 * MS, 0, 2 * SECOND, 0.32, 8_500 * MS, 3, 3 * SECOND),
+        new Prices(0, 0.02, 0.03),
+        false,
+        spec.weighed() ? WeightKind.ROUGH : WeightKind.NONE,
+        0.2,
+        true,
+        MS);
   }
 
   /** Work that the upstreams which start with the world can do in a second. */
@@ -89,7 +115,14 @@
   }
 
   private Server add(ServerSpec its, int zone, int cell, long startedAt) {
-    Server s = new Server(nextId++, zone(zone), cell, its, cells.computeIfAbsent(cell, k -> new Server.Cell()), agenda, startedAt);
+    Server s = new Server(
+        nextId++,
+        zone(zone),
+        cell,
+        its,
+        cells.computeIfAbsent(cell, k -> new Server.Cell()),
+        agenda,
+        startedAt);
     byId.put(s.id, s);
     return s;
   }
--- a/src/main/java/pumicekeel/lab/fleet/Figures.java
+++ b/src/main/java/pumicekeel/lab/fleet/Figures.java
@@ -8,13 +8,46 @@
  * operators' mix of the whole run, the worst ten seconds, the worst class and the worst tenant. {@code broken}: rules by how often,
  * empty where all held; {@code first} says where the first was.
  */
-public record Figures(double worth, double goal, double worstTen, double worstClass, double worstTenant, long asked, long tries,
-    long served, long refused, long failed, long unreached, double p50Millis, double p99Millis, long attempts, long connections,
-    double wastedWork, double utilization, double coldShare, Map<String, Long> broken, String first, long events) {
+public record Figures(
+    double worth,
+    double goal,
+    double worstTen,
+    double worstClass,
+    double worstTenant,
+    long asked,
+    long tries,
+    long served,
+    long refused,
+    long failed,
+    long unreached,
+    double p50Millis,
+    double p99Millis,
+    long attempts,
+    long connections,
+    double wastedWork,
+    double utilization,
+    double coldShare,
+    Map<String, Long> broken,
+    String first,
+    long events) {
 
   /** The figures that experiments compare, by name. */
-  public static final List<String> NAMES = List.of("worth", "goal", "worst-ten", "worst-class", "worst-tenant", "refused-part",
-      "failed-part", "p50-ms", "p99-ms", "attempts-per-try", "connections", "wasted-work", "utilization", "cold-share", "broken");
+  public static final List<String> NAMES = List.of(
+      "worth",
+      "goal",
+      "worst-ten",
+      "worst-class",
+      "worst-tenant",
+      "refused-part",
+      "failed-part",
+      "p50-ms",
+      "p99-ms",
+      "attempts-per-try",
+      "connections",
+      "wasted-work",
+      "utilization",
+      "cold-share",
+      "broken");
 
   /** One of {@link #NAMES}. */
   public double get(String name) {
@@ -34,7 +67,8 @@
       case "utilization" -> utilization;
       case "cold-share" -> coldShare;
       case "broken" -> broken.values().stream().mapToLong(l -> l).sum();
-      default -> throw new IllegalArgumentException("metric: expected one of " + NAMES + ", got " + name);
+      default ->
+        throw new IllegalArgumentException("metric: expected one of " + NAMES + ", got " + name);
     };
   }
 
@@ -44,6 +78,7 @@
 
   /** Whether less of it is better. */
   public static boolean lessIsBetter(String name) {
-    return !List.of("worth", "goal", "worst-ten", "worst-class", "worst-tenant", "utilization").contains(name);
+    return !List.of("worth", "goal", "worst-ten", "worst-class", "worst-tenant", "utilization")
+        .contains(name);
   }
 }
--- a/src/main/java/pumicekeel/lab/fleet/FleetRun.java
+++ b/src/main/java/pumicekeel/lab/fleet/FleetRun.java
@@ -98,7 +98,8 @@
     customers = new Customers(this, seed);
   }
 
-  // ---- For those that play in it ------------------------------------------------------------------------
+  // ---- For those that play in it
+  // ------------------------------------------------------------------------
 
   Agenda agenda() {
     return agenda;
@@ -159,7 +160,8 @@
     return maker.make(deployment.settings(host.number, host.zone()), itsSeed, oracle);
   }
 
-  // ---- Upstreams ----------------------------------------------------------------------------------------
+  // ---- Upstreams
+  // ----------------------------------------------------------------------------------------
 
   /** Its process ends, with all that it holds. */
   void end(Server s) {
@@ -184,7 +186,8 @@
     list.change(s, State.GONE);
   }
 
-  // ---- The run ------------------------------------------------------------------------------------------
+  // ---- The run
+  // ------------------------------------------------------------------------------------------
 
   /** Plays it; null where {@code stop} ended it early. */
   public Figures play(BooleanSupplier stop) {
@@ -212,7 +215,11 @@
 
   private void look() {
     for (Server s : byId.values()) {
-      crowds.put(s.id, s.up() ? s.held() / (s.spec().capacity() * s.warmth(agenda.now()) / 1e9) : Double.POSITIVE_INFINITY);
+      crowds.put(
+          s.id,
+          s.up()
+              ? s.held() / (s.spec().capacity() * s.warmth(agenda.now()) / 1e9)
+              : Double.POSITIVE_INFINITY);
     }
     if (agenda.now() < spec.seconds() * SECOND) {
       agenda.in(ORACLE_AGE, this::look);
--- a/src/main/java/pumicekeel/lab/fleet/Host.java
+++ b/src/main/java/pumicekeel/lab/fleet/Host.java
@@ -67,7 +67,8 @@
     return zone;
   }
 
-  // ---- Its life -----------------------------------------------------------------------------------------
+  // ---- Its life
+  // -----------------------------------------------------------------------------------------
 
   void start(List<Listed> list) {
     life++;
@@ -105,8 +106,15 @@
   }
 
   private List<Listed> own(List<Listed> lines) {
-    return lines.stream().map(l -> new Listed(l.upstream(), l.zone(), l.cell(), l.state(),
-        l.startedNanos() == 0 ? 0 : l.startedNanos() + origin, l.weight())).toList();
+    return lines.stream()
+        .map(l -> new Listed(
+            l.upstream(),
+            l.zone(),
+            l.cell(),
+            l.state(),
+            l.startedNanos() == 0 ? 0 : l.startedNanos() + origin,
+            l.weight()))
+        .toList();
   }
 
   void news(Listed line) {
@@ -135,21 +143,29 @@
     }
   }
 
-  // ---- Requests -----------------------------------------------------------------------------------------
+  // ---- Requests
+  // -----------------------------------------------------------------------------------------
 
   void take(Try t) {
     open.put(t.id, t);
     int of = life;
     run.agenda().at(t.deadline + run.settings().contract().answerSlackNanos() + 1, () -> {
       if (of == life && !t.answered) {
-        run.judge().broken("lost", run.agenda().now(), t.id + " had no answer from balancer " + number);
+        run.judge()
+            .broken("lost", run.agenda().now(), t.id + " had no answer from balancer " + number);
         t.answered = true;
         run.customers().failed(t);
         tell(new ClientGone(t.id));
       }
     });
-    tell(new Request(t.id, t.ask.kind().type().name(), run.tenant(t.ask.tenant()), t.ask.key(), t.deadline + origin,
-        t.ask.hintNanos(), t.number > 0));
+    tell(new Request(
+        t.id,
+        t.ask.kind().type().name(),
+        run.tenant(t.ask.tenant()),
+        t.ask.key(),
+        t.deadline + origin,
+        t.ask.hintNanos(),
+        t.number > 0));
   }
 
   private void perform(Action action) {
@@ -210,7 +226,8 @@
     }
   }
 
-  // ---- Attempts -----------------------------------------------------------------------------------------
+  // ---- Attempts
+  // -----------------------------------------------------------------------------------------
 
   private void send(Send a) {
     Try t = open.get(a.id());
@@ -230,25 +247,31 @@
     run.judge().sent(a.upstream(), now - toldAt.getOrDefault(a.upstream(), now), now);
     run.trace(t, "attempt " + number + " to " + server.id + ", which holds " + server.held());
     run.count().attempt();
-    if (server.up() && startsKnown.getOrDefault(server.id, 0L) == Math.max(0, server.startedAt())
+    if (server.up()
+        && startsKnown.getOrDefault(server.id, 0L) == Math.max(0, server.startedAt())
         && run.judge().pushesOver(server, t.ask.work(), now)) {
       run.fall(server);
     }
     int of = life;
     long left = Math.max(1, t.deadline - now);
-    run.agenda().in(a.timeoutNanos() == 0 ? left : Math.min(a.timeoutNanos(), left), () -> ended(of, t, number, Status.TIMEOUT));
+    run.agenda()
+        .in(
+            a.timeoutNanos() == 0 ? left : Math.min(a.timeoutNanos(), left),
+            () -> ended(of, t, number, Status.TIMEOUT));
     connect(of, t, number, attempt);
   }
 
   private long oneWay(Server server) {
-    return (long) (MS * chance.between(0.1, 0.6)) + (server.zone.equals(zone) ? 0 : run.spec().zoneNanos());
+    return (long) (MS * chance.between(0.1, 0.6))
+        + (server.zone.equals(zone) ? 0 : run.spec().zoneNanos());
   }
 
   private void connect(int of, Try t, int number, Try.Attempt attempt) {
     Server server = attempt.server;
     Links l = links.computeIfAbsent(server.id, k -> new Links());
     if (l.life != run.lifeOf(server)) {
-      // Kept connections went with the process behind them; using one is a reset that proves nothing.
+      // Kept connections went with the process behind them; using one is a reset that proves
+      // nothing.
       l.life = run.lifeOf(server);
       l.idle = 0;
     }
@@ -278,18 +301,26 @@
       server.disconnect();
       return;
     }
-    server.submit(new Server.Job(t.ask.key(), "q" + t.ask.number(), t.ask.kind().type().effect(),
-        t.ask.kind().type().dedupWindowNanos(), t.ask.work(), t.ask.waitNanos(), new Server.Sender() {
-          @Override
-          public void begins() {
-            run.judge().runs(t, server.cellNumber, run.agenda().now());
-          }
+    server.submit(
+        new Server.Job(
+            t.ask.key(),
+            "q" + t.ask.number(),
+            t.ask.kind().type().effect(),
+            t.ask.kind().type().dedupWindowNanos(),
+            t.ask.work(),
+            t.ask.waitNanos(),
+            new Server.Sender() {
+              @Override
+              public void begins() {
+                run.judge().runs(t, server.cellNumber, run.agenda().now());
+              }
 
-          @Override
-          public void ended(Status status, double work) {
-            run.agenda().in(oneWay(server), () -> heard(of, t, number, attempt, status, work));
-          }
-        }), chance);
+              @Override
+              public void ended(Status status, double work) {
+                run.agenda().in(oneWay(server), () -> heard(of, t, number, attempt, status, work));
+              }
+            }),
+        chance);
   }
 
   /** What the upstream says has come back. */
--- a/src/main/java/pumicekeel/lab/fleet/Judge.java
+++ b/src/main/java/pumicekeel/lab/fleet/Judge.java
@@ -58,7 +58,10 @@
   /** New work goes to an upstream whose leaving this balancer was told of so long ago; negative for never. */
   void sent(long server, long toldFor, long now) {
     if (toldFor > contract.drainGraceNanos()) {
-      broken("drain", now, "sent to " + server + " " + toldFor / 1_000_000 + " ms after its leaving was told");
+      broken(
+          "drain",
+          now,
+          "sent to " + server + " " + toldFor / 1_000_000 + " ms after its leaving was told");
     }
   }
 
@@ -79,11 +82,18 @@
     while (now - c.sent.peek().at() > contract.fallWindowNanos()) {
       c.work -= c.sent.poll().work();
     }
-    double budget = contract.fallMultiple() * server.warmth(now) * server.spec().capacity() * contract.fallWindowNanos() / 1e9;
+    double budget = contract.fallMultiple()
+        * server.warmth(now)
+        * server.spec().capacity()
+        * contract.fallWindowNanos()
+        / 1e9;
     coldShare = Math.max(coldShare, c.work / budget);
     boolean falls = c.work > budget + ROOTS * Math.sqrt(c.sent.size()) * meanWork;
     if (falls) {
-      broken("cold", now, server.id + " got " + Math.round(100 * c.work / budget) + " % of its budget");
+      broken(
+          "cold",
+          now,
+          server.id + " got " + Math.round(100 * c.work / budget) + " % of its budget");
     }
     return falls;
   }
--- a/src/main/java/pumicekeel/lab/fleet/NodeList.java
+++ b/src/main/java/pumicekeel/lab/fleet/NodeList.java
@@ -50,8 +50,8 @@
   }
 
   private static Listed line(Server s, State state) {
-    return new Listed(s.id, s.zone, s.cellNumber, state, Math.max(0, s.startedAt()),
-        s.spec().weight());
+    return new Listed(
+        s.id, s.zone, s.cellNumber, state, Math.max(0, s.startedAt()), s.spec().weight());
   }
 
   /** An upstream's state has changed. */
--- a/src/main/java/pumicekeel/lab/fleet/Troubles.java
+++ b/src/main/java/pumicekeel/lab/fleet/Troubles.java
@@ -14,6 +14,7 @@
   private static final double SECOND = 1e9;
   /** A drained upstream ends when all have been told and have had their grace, and its successor needs so long to start. */
   private static final long GRACE = 2_500_000_000L;
+
   private static final long START = 1_000_000_000L;
   /** A balancer is away for so long at a restart: the next process needs this to its readiness. */
   private static final long BALANCER_START = 2_500_000_000L;
@@ -33,23 +34,33 @@
       if (t instanceof Trouble.Crash c) {
         at(c.at(), () -> some(c.part()).forEach(s -> crash(s, c.backAfter())));
       } else if (t instanceof Trouble.ZoneLost z) {
-        at(z.at(), () -> run.servers().stream().filter(s -> s.zone.equals(Deployment.zone(z.zone()))).toList()
-            .forEach(s -> crash(s, z.lasts())));
+        at(
+            z.at(),
+            () -> run.servers().stream()
+                .filter(s -> s.zone.equals(Deployment.zone(z.zone())))
+                .toList()
+                .forEach(s -> crash(s, z.lasts())));
       } else if (t instanceof Trouble.Slow s) {
-        at(s.at(), () -> some(s.part()).forEach(one -> {
-          one.slow(s.times());
-          in(s.lasts(), () -> one.slow(1));
-        }));
+        at(
+            s.at(),
+            () -> some(s.part()).forEach(one -> {
+              one.slow(s.times());
+              in(s.lasts(), () -> one.slow(1));
+            }));
       } else if (t instanceof Trouble.Failing f) {
-        at(f.at(), () -> some(f.part()).forEach(one -> {
-          one.fail(f.share());
-          in(f.lasts(), () -> one.fail(0));
-        }));
+        at(
+            f.at(),
+            () -> some(f.part()).forEach(one -> {
+              one.fail(f.share());
+              in(f.lasts(), () -> one.fail(0));
+            }));
       } else if (t instanceof Trouble.Mute m) {
-        at(m.at(), () -> some(m.part()).forEach(one -> {
-          one.mute(true);
-          in(m.lasts(), () -> one.mute(false));
-        }));
+        at(
+            m.at(),
+            () -> some(m.part()).forEach(one -> {
+              one.mute(true);
+              in(m.lasts(), () -> one.mute(false));
+            }));
       } else if (t instanceof Trouble.ListLate l) {
         long usual = run.list().lateNanos();
         at(l.from(), () -> run.list().late((long) (l.seconds() * SECOND)));
@@ -62,12 +73,20 @@
 
   private void planFleet(Trouble t) {
     if (t instanceof Trouble.Deploy d) {
-      at(d.from(), () -> inGroups(some(d.part()), d.atOnce() * run.servers().size(), d.lasts(), s -> drain(s, true)));
+      at(
+          d.from(),
+          () -> inGroups(
+              some(d.part()), d.atOnce() * run.servers().size(), d.lasts(), s -> drain(s, true)));
     } else if (t instanceof Trouble.Shrink s) {
       at(s.from(), () -> inGroups(some(1 - s.to()), 1, s.lasts(), one -> drain(one, false)));
     } else if (t instanceof Trouble.Restart r) {
-      at(r.from(), () -> inGroups(hosts(r.part()), Math.max(1, r.atOnce() * run.hosts().size()), r.lasts(),
-          h -> away(h, BALANCER_START)));
+      at(
+          r.from(),
+          () -> inGroups(
+              hosts(r.part()),
+              Math.max(1, r.atOnce() * run.hosts().size()),
+              r.lasts(),
+              h -> away(h, BALANCER_START)));
     } else if (t instanceof Trouble.BalancerCrash b) {
       at(b.at(), () -> hosts(b.part()).forEach(h -> away(h, (long) (b.backAfter() * SECOND))));
     }
@@ -102,7 +121,8 @@
   }
 
   /** Evenly over the time, so many together. */
-  private <T> void inGroups(List<T> all, double size, double lasts, java.util.function.Consumer<T> what) {
+  private <T> void inGroups(
+      List<T> all, double size, double lasts, java.util.function.Consumer<T> what) {
     int group = Math.max(1, (int) size);
     int groups = (all.size() + group - 1) / group;
     for (int g = 0; g < groups; g++) {
--- a/src/main/java/pumicekeel/lab/fleet/Try.java
+++ b/src/main/java/pumicekeel/lab/fleet/Try.java
@@ -25,6 +25,7 @@
   final int number;
   /** When the client first asked, and until when this try is waited for. */
   final long askedAt;
+
   final long deadline;
   final List<Attempt> attempts = new ArrayList<>(1);
   boolean answered;
--- a/src/main/java/pumicekeel/lab/policy/Policies.java
+++ b/src/main/java/pumicekeel/lab/policy/Policies.java
@@ -24,9 +24,11 @@
 
   /** The project's own module. */
   public static final String OWN = "adaptive";
+
   private static final Map<String, Maker> ALL = all();
 
-  private static final Pattern SUBSET = Pattern.compile("adaptive-(random|rounds|rendezvous|aperture)-(\\d{1,4})");
+  private static final Pattern SUBSET =
+      Pattern.compile("adaptive-(random|rounds|rendezvous|aperture)-(\\d{1,4})");
   /** As the lab's worlds have them where nothing else is said. */
   private static final int UPSTREAMS_EACH = 5;
 
@@ -39,9 +41,12 @@
     all.put("round-robin", textbook(Choice::roundRobin));
     all.put("least-outstanding", textbook(r -> Choice.least(r, p -> p.out)));
     all.put("two-peak-ewma", textbook(Choice::twoByPeakEwma));
-    // Own requests count beside the late truth: a fleet that all sees one idle server would else fall upon it.
-    all.put("true-state-late", (settings, seed, oracle) -> new TextbookBalancer(settings, seed,
-        r -> Choice.least(r, p -> oracle.crowd(p.id) + p.out)));
+    // Own requests count beside the late truth: a fleet that all sees one idle server would else
+    // fall upon it.
+    all.put(
+        "true-state-late",
+        (settings, seed, oracle) -> new TextbookBalancer(
+            settings, seed, r -> Choice.least(r, p -> oracle.crowd(p.id) + p.out)));
     return all;
   }
 
@@ -53,7 +58,11 @@
     }
     Subsets way = Subsets.valueOf(m.group(1).toUpperCase(Locale.ROOT));
     int size = Integer.parseInt(m.group(2));
-    return (settings, seed, oracle) -> new SubsetBalancer(settings, way, size, settings.groupSize() * UPSTREAMS_EACH,
+    return (settings, seed, oracle) -> new SubsetBalancer(
+        settings,
+        way,
+        size,
+        settings.groupSize() * UPSTREAMS_EACH,
         s -> new AdaptiveBalancer(s, seed));
   }
 
--- a/src/main/java/pumicekeel/lab/policy/TextbookBalancer.java
+++ b/src/main/java/pumicekeel/lab/policy/TextbookBalancer.java
@@ -48,7 +48,8 @@
   private long now;
   private Consumer<Action> actions;
 
-  TextbookBalancer(Settings settings, long seed, java.util.function.Function<SplittableRandom, Choice> choice) {
+  TextbookBalancer(
+      Settings settings, long seed, java.util.function.Function<SplittableRandom, Choice> choice) {
     this.settings = settings;
     random = new SplittableRandom(seed);
     this.choice = choice.apply(random);
@@ -101,7 +102,9 @@
 
   private void send(Open o) {
     Peer to = pick(o);
-    if (to == null || o.attempts >= Math.min(TRIES, settings.limits().maxAttempts()) || now >= o.request.deadlineNanos()) {
+    if (to == null
+        || o.attempts >= Math.min(TRIES, settings.limits().maxAttempts())
+        || now >= o.request.deadlineNanos()) {
       giveUp(o);
       return;
     }
@@ -114,7 +117,8 @@
   }
 
   private Peer pick(Open o) {
-    List<Peer> may = o.ranAt == null ? ready : ready.stream().filter(p -> mayRepeat(o, p)).toList();
+    List<Peer> may =
+        o.ranAt == null ? ready : ready.stream().filter(p -> mayRepeat(o, p)).toList();
     Peer found = null;
     for (int i = 0; i < 4 && !may.isEmpty(); i++) {
       found = choice.of(may, now);
@@ -135,13 +139,18 @@
 
   private boolean mayRepeat(Open o, Peer p) {
     return o.type.effect() == Effect.SAFE
-        || o.type.dedupScope().covers(o.ranAt, p.listed) && now - o.ranSince < o.type.dedupWindowNanos();
+        || o.type.dedupScope().covers(o.ranAt, p.listed)
+            && now - o.ranSince < o.type.dedupWindowNanos();
   }
 
   private double warmth(Listed l) {
     Contract c = settings.contract();
-    return l.startedNanos() == 0 ? 1
-        : Math.min(1, c.coldFrom() + (1 - c.coldFrom()) * (now - l.startedNanos()) / Math.max(1, c.warmWithinNanos()));
+    return l.startedNanos() == 0
+        ? 1
+        : Math.min(
+            1,
+            c.coldFrom()
+                + (1 - c.coldFrom()) * (now - l.startedNanos()) / Math.max(1, c.warmWithinNanos()));
   }
 
   private void outcome(Outcome e) {
@@ -179,7 +188,10 @@
     if (!o.answered) {
       o.answered = true;
       boolean runs = o.mayHaveRun || o.out > 0;
-      actions.accept(runs && o.type.effect() != Effect.SAFE ? new Fail(o.request.id()) : new Refuse(o.request.id(), 0));
+      actions.accept(
+          runs && o.type.effect() != Effect.SAFE
+              ? new Fail(o.request.id())
+              : new Refuse(o.request.id(), 0));
     }
     forget(o);
   }
--- a/src/main/java/pumicekeel/lab/program/Book.java
+++ b/src/main/java/pumicekeel/lab/program/Book.java
@@ -16,6 +16,7 @@
 
   /** Rules on sockets are that much longer than in the simulator. */
   private static final long SOCKET_SLACK = 50_000_000L;
+
   private static final int ROOTS = 3;
   private static final int REFUSED = 429;
   private static final int UNAVAILABLE = 503;
@@ -91,11 +92,14 @@
     }
   }
 
-  // ---- Clients ------------------------------------------------------------------------------------------
+  // ---- Clients
+  // ------------------------------------------------------------------------------------------
 
   void asked(Fate fate) {
     entries.put(fate.id, new Entry(fate));
-    note("asked " + fate.id + " " + fate.type + " " + fate.breach + " " + fate.leaving + ", body", fate.bodySize);
+    note(
+        "asked " + fate.id + " " + fate.type + " " + fate.breach + " " + fate.leaving + ", body",
+        fate.bodySize);
   }
 
   void sentWhole(Fate fate) {
@@ -118,7 +122,8 @@
     if (status == 200) {
       served++;
       if (!Messages.isOf(fate.id, body)) {
-        broken(fate.id + " got a body that is not its own: " + new String(body, 0, Math.min(20, body.length)));
+        broken(fate.id + " got a body that is not its own: "
+            + new String(body, 0, Math.min(20, body.length)));
       }
       if (e.runs.isEmpty()) {
         broken(fate.id + " was served, and ran nowhere");
@@ -155,14 +160,16 @@
     }
   }
 
-  // ---- Upstreams ----------------------------------------------------------------------------------------
+  // ---- Upstreams
+  // ----------------------------------------------------------------------------------------
 
   /** A request's first byte has come. */
   void begins(int server) {
     firstBytes.computeIfAbsent(server, k -> new ArrayList<>()).add(loop.now());
     long told = toldAt.getOrDefault(server, Long.MAX_VALUE);
     if (loop.now() - told > contract.drainGraceNanos() + SOCKET_SLACK && told != Long.MAX_VALUE) {
-      broken("upstream " + server + " was sent to " + (loop.now() - told) / 1_000_000 + " ms after its leaving was told");
+      broken("upstream " + server + " was sent to " + (loop.now() - told) / 1_000_000
+          + " ms after its leaving was told");
     }
   }
 
@@ -183,10 +190,13 @@
     if (e.fate.effect == Effect.UNSAFE && !e.runs.isEmpty()) {
       broken(id + " is unsafe and ran twice");
     }
-    if (e.fate.effect == Effect.KEYED && e.runs.stream().anyMatch(r -> r.cell() != cell || now - r.at() > windowNanos)) {
+    if (e.fate.effect == Effect.KEYED
+        && e.runs.stream().anyMatch(r -> r.cell() != cell || now - r.at() > windowNanos)) {
       broken(id + " is keyed and had its effect twice");
     }
-    if (e.answers > 0 && (e.status == REFUSED || e.status == UNAVAILABLE) && e.fate.effect != Effect.SAFE) {
+    if (e.answers > 0
+        && (e.status == REFUSED || e.status == UNAVAILABLE)
+        && e.fate.effect != Effect.SAFE) {
       broken(id + " ran after it was refused");
     }
     e.runs.add(new Run(server, cell, now));
@@ -206,18 +216,26 @@
     note("told that it leaves:", server);
   }
 
-  // ---- The end ------------------------------------------------------------------------------------------
+  // ---- The end
+  // ------------------------------------------------------------------------------------------
 
   /** Its budget in any window: the multiple of what it can do by then, and a little for chance. */
   void judgeCold(int server, long startedAt, double capacityPerSecond) {
     List<Long> at = firstBytes.getOrDefault(server, List.of());
     for (int i = 0; i < at.size(); i++) {
       long from = at.get(i);
-      double warmth = Math.min(1, contract.coldFrom() + (1 - contract.coldFrom()) * (from - startedAt) / contract.warmWithinNanos());
-      double budget = contract.fallMultiple() * warmth * capacityPerSecond * contract.fallWindowNanos() / 1e9;
-      long got = at.stream().filter(t -> t >= from && t < from + contract.fallWindowNanos()).count();
+      double warmth = Math.min(
+          1,
+          contract.coldFrom()
+              + (1 - contract.coldFrom()) * (from - startedAt) / contract.warmWithinNanos());
+      double budget =
+          contract.fallMultiple() * warmth * capacityPerSecond * contract.fallWindowNanos() / 1e9;
+      long got = at.stream()
+          .filter(t -> t >= from && t < from + contract.fallWindowNanos())
+          .count();
       if (got > budget + ROOTS * Math.sqrt(budget)) {
-        broken("cold upstream " + server + " got " + got + " of " + Math.round(budget) + " in a window");
+        broken("cold upstream " + server + " got " + got + " of " + Math.round(budget)
+            + " in a window");
       }
     }
   }
--- a/src/main/java/pumicekeel/lab/program/Fate.java
+++ b/src/main/java/pumicekeel/lab/program/Fate.java
@@ -11,10 +11,26 @@
 final class Fate {
 
   /** How a client breaks what was agreed; an answer is owed to none but the first. */
-  enum Breach { NONE, NO_ID, UNKNOWN_CLASS, NO_HOST, BAD_LINE, TWO_LENGTHS, OLD_VERSION, LARGE_HEAD, NOT_HTTP, PIPELINED }
+  enum Breach {
+    NONE,
+    NO_ID,
+    UNKNOWN_CLASS,
+    NO_HOST,
+    BAD_LINE,
+    TWO_LENGTHS,
+    OLD_VERSION,
+    LARGE_HEAD,
+    NOT_HTTP,
+    PIPELINED
+  }
 
   /** When a client goes away. */
-  enum Leaving { NEVER, SENDING, WAITING, READING }
+  enum Leaving {
+    NEVER,
+    SENDING,
+    WAITING,
+    READING
+  }
 
   private static final long MS = 1_000_000L;
   private static final int LARGE_BODY = 64 << 10;
@@ -44,8 +60,11 @@
     int kind = c.below(4);
     effect = kind < 2 ? Effect.SAFE : kind == 2 ? Effect.KEYED : Effect.UNSAFE;
     type = kind < 2 ? "look" : kind == 2 ? "quote" : "order";
-    breach = c.below(20) == 0 ? Breach.values()[1 + c.below(Breach.values().length - 1)] : Breach.NONE;
-    leaving = c.below(12) == 0 ? Leaving.values()[1 + c.below(Leaving.values().length - 1)] : Leaving.NEVER;
+    breach =
+        c.below(20) == 0 ? Breach.values()[1 + c.below(Breach.values().length - 1)] : Breach.NONE;
+    leaving = c.below(12) == 0
+        ? Leaving.values()[1 + c.below(Leaving.values().length - 1)]
+        : Leaving.NEVER;
     abrupt = c.below(2) == 0;
     leavesAfter = (long) (c.exponential() * 20 * MS);
     patience = 400 * MS + c.below(1_600) * MS;
@@ -99,12 +118,22 @@
       return "\u0016\u0003\u0001 hello\r\n\r\n";
     }
     StringBuilder h = new StringBuilder();
-    h.append(effect == Effect.SAFE ? "GET" : "POST").append(" /").append(type).append("/x HTTP/1.")
-        .append(breach == Breach.OLD_VERSION ? 0 : 1).append("\r\n");
+    h.append(effect == Effect.SAFE ? "GET" : "POST")
+        .append(" /")
+        .append(type)
+        .append("/x HTTP/1.")
+        .append(breach == Breach.OLD_VERSION ? 0 : 1)
+        .append("\r\n");
     h.append(breach == Breach.NO_HOST ? "" : "Host: lab\r\n");
     h.append(breach == Breach.NO_ID ? "" : "X-Correlation-Id: " + id + "\r\n");
-    h.append("X-Service-Class: ").append(breach == Breach.UNKNOWN_CLASS ? "nothing" : type).append("\r\n");
-    h.append("X-Session-Key: k").append(number % 17).append("\r\nX-Time-Left-Ms: ").append(patience / MS).append("\r\n");
+    h.append("X-Service-Class: ")
+        .append(breach == Breach.UNKNOWN_CLASS ? "nothing" : type)
+        .append("\r\n");
+    h.append("X-Session-Key: k")
+        .append(number % 17)
+        .append("\r\nX-Time-Left-Ms: ")
+        .append(patience / MS)
+        .append("\r\n");
     h.append(effect == Effect.KEYED ? "Idempotency-Key: " + id + "\r\n" : "");
     h.append(expects && length > 0 ? "Expect: 100-continue\r\n" : "");
     if (length > 0) {
--- a/src/main/java/pumicekeel/lab/program/Line.java
+++ b/src/main/java/pumicekeel/lab/program/Line.java
@@ -30,7 +30,13 @@
   final End caller;
   final End called;
 
-  Line(VirtualLoop loop, Chance chance, long delay, int window, InetSocketAddress caller, InetSocketAddress called) {
+  Line(
+      VirtualLoop loop,
+      Chance chance,
+      long delay,
+      int window,
+      InetSocketAddress caller,
+      InetSocketAddress called) {
     this.loop = loop;
     this.chance = chance;
     this.delay = delay;
@@ -123,7 +129,8 @@
 
     /** Sends what the other side has room for; the number of bytes that went. */
     int send(byte[] bytes, int from, int length) {
-      int n = closed || finished || reset ? 0 : Math.min(length, window - peer.unread - peer.flying);
+      int n =
+          closed || finished || reset ? 0 : Math.min(length, window - peer.unread - peer.flying);
       if (n < length) {
         waits = true;
       }
--- a/src/main/java/pumicekeel/lab/program/Messages.java
+++ b/src/main/java/pumicekeel/lab/program/Messages.java
@@ -35,7 +35,15 @@
     }
   }
 
-  private enum State { HEAD, LENGTH, SIZE, CHUNK, CHUNK_END, TRAILER, TO_THE_END }
+  private enum State {
+    HEAD,
+    LENGTH,
+    SIZE,
+    CHUNK,
+    CHUNK_END,
+    TRAILER,
+    TO_THE_END
+  }
 
   private static final int MOST_HEAD = 64 << 10;
 
@@ -141,7 +149,9 @@
       if (colon < 1) {
         throw new Malformed("no field: " + text);
       }
-      fields.put(text.substring(0, colon).toLowerCase(Locale.ROOT), text.substring(colon + 1).strip());
+      fields.put(
+          text.substring(0, colon).toLowerCase(Locale.ROOT),
+          text.substring(colon + 1).strip());
     }
   }
 
@@ -178,7 +188,8 @@
     body.reset();
   }
 
-  // ---- Bodies that tell whose they are ------------------------------------------------------------------
+  // ---- Bodies that tell whose they are
+  // ------------------------------------------------------------------
 
   private static final int LETTERS = 26;
   private static final int BLOCK = LETTERS << 11;
@@ -207,7 +218,8 @@
   /** Whether a body is this name's, whole as far as can be told. */
   static boolean isOf(String name, byte[] body) {
     byte[] start = (name + "|").getBytes(StandardCharsets.US_ASCII);
-    if (body.length < start.length || !Arrays.equals(start, 0, start.length, body, 0, start.length)) {
+    if (body.length < start.length
+        || !Arrays.equals(start, 0, start.length, body, 0, start.length)) {
       return false;
     }
     int from = turn(name, start.length);
--- a/src/main/java/pumicekeel/lab/program/OperatorFiles.java
+++ b/src/main/java/pumicekeel/lab/program/OperatorFiles.java
@@ -33,15 +33,17 @@
       [pools.writes]
       """;
   private static final String[] ROUTES = {
-      "[[routes]]\npath-prefix = \"/look\"\npool = \"reads\"\n[[routes]]\npool = \"writes\"\n",
-      "[[routes]]\npool = \"writes\"\n",
-      "[pools.third]\n[[routes]]\npath-prefix = \"/order\"\npool = \"third\"\n[[routes]]\npool = \"reads\"\n"};
+    "[[routes]]\npath-prefix = \"/look\"\npool = \"reads\"\n[[routes]]\npool = \"writes\"\n",
+    "[[routes]]\npool = \"writes\"\n",
+    "[pools.third]\n[[routes]]\npath-prefix = \"/order\"\npool = \"third\"\n[[routes]]\npool = \"reads\"\n"
+  };
 
   private OperatorFiles() {}
 
   /** The file of a generation; the listener's port stays. */
   static Operator generation(int number, InetSocketAddress listener) {
-    OperatorReader.Result read = OperatorReader.read(ALWAYS.formatted(listener.getPort()) + ROUTES[number % ROUTES.length]);
+    OperatorReader.Result read =
+        OperatorReader.read(ALWAYS.formatted(listener.getPort()) + ROUTES[number % ROUTES.length]);
     if (read.operator() == null) {
       throw new IllegalStateException(read.faults().toString());
     }
--- a/src/main/java/pumicekeel/lab/program/ProgramRun.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramRun.java
@@ -30,7 +30,15 @@
 public final class ProgramRun {
 
   /** What came of it; {@code breach} is null where all held. {@code sum} differs where anything went otherwise. */
-  public record Report(long seed, String breach, int asked, int served, int refused, long sum, long events, int mostSockets,
+  public record Report(
+      long seed,
+      String breach,
+      int asked,
+      int served,
+      int refused,
+      long sum,
+      long events,
+      int mostSockets,
       long mostBytes) {}
 
   private static final long MS = 1_000_000L;
@@ -50,6 +58,7 @@
   private static final long BYTES_EACH = 400 << 10;
   /** Against what an upstream is usually asked: the budget of a cold one goes by what it can do. */
   private static final double CAPACITY = 2;
+
   private static final int PARTNER_PORT = 1_999;
   /** One request in so many is a call, where there is a listener for them. */
   private static final int CALLS_IN = 4;
@@ -89,10 +98,23 @@
   }
 
   private static Settings settings(long aim) {
-    return new Settings(0, 1, "a", List.of(type("look", Effect.SAFE, DedupScope.ALL, aim),
-        type("quote", Effect.KEYED, DedupScope.CELL, aim), type("order", Effect.UNSAFE, DedupScope.ALL, aim)), List.of(), new Limits(true, false, false, true, true, SECOND, 4, 10_000, 1,
-        250 * MS, IDLE), new Contract(8 * MS, 10 * SECOND, GRACE, 0.3, WARM, 3, 3 * SECOND), new Prices(0, 0, 0), true,
-        WeightKind.NONE, 0.2, true, MS);
+    return new Settings(
+        0,
+        1,
+        "a",
+        List.of(
+            type("look", Effect.SAFE, DedupScope.ALL, aim),
+            type("quote", Effect.KEYED, DedupScope.CELL, aim),
+            type("order", Effect.UNSAFE, DedupScope.ALL, aim)),
+        List.of(),
+        new Limits(true, false, false, true, true, SECOND, 4, 10_000, 1, 250 * MS, IDLE),
+        new Contract(8 * MS, 10 * SECOND, GRACE, 0.3, WARM, 3, 3 * SECOND),
+        new Prices(0, 0, 0),
+        true,
+        WeightKind.NONE,
+        0.2,
+        true,
+        MS);
   }
 
   private void broken(String what) {
@@ -106,7 +128,8 @@
   /** Plays it. */
   public Report play() {
     Log.to(this::logged);
-    loop.onFailure(e -> book.broken("thrown: " + e + (e.getStackTrace().length == 0 ? "" : " at " + e.getStackTrace()[0])));
+    loop.onFailure(e -> book.broken(
+        "thrown: " + e + (e.getStackTrace().length == 0 ? "" : " at " + e.getStackTrace()[0])));
     try {
       begin();
       for (Step s : script.steps()) {
@@ -129,8 +152,16 @@
     } finally {
       Log.to(null);
     }
-    return new Report(script.seed(), book.breach(), book.asked(), book.served(), book.refused(), book.sum(), loop.done(),
-        network.mostOpen(), network.mostBytes());
+    return new Report(
+        script.seed(),
+        book.breach(),
+        book.asked(),
+        book.served(),
+        book.refused(),
+        book.sum(),
+        loop.done(),
+        network.mostOpen(),
+        network.mostBytes());
   }
 
   private void begin() throws IOException, InterruptedException {
@@ -139,10 +170,23 @@
       servers.put(i, new RawServer(i, 0, script, network, book));
       discovery.tell(servers.get(i), "in_service", 0);
     }
-    Configuration configuration = new Configuration("n0", new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-        discovery.address(), script.seed(), script.sockets(), new HostList(0, true, List.of()), settings);
-    operatorListener = script.pools() ? new InetSocketAddress(InetAddress.getLoopbackAddress(), PARTNER_PORT) : null;
-    node = new Node(new Reactor(loop, clock, network), configuration, script.pools() ? OperatorFiles.generation(0, operatorListener) : null, () -> book.broken("the program ended itself"), false);
+    Configuration configuration = new Configuration(
+        "n0",
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+        discovery.address(),
+        script.seed(),
+        script.sockets(),
+        new HostList(0, true, List.of()),
+        settings);
+    operatorListener = script.pools()
+        ? new InetSocketAddress(InetAddress.getLoopbackAddress(), PARTNER_PORT)
+        : null;
+    node = new Node(
+        new Reactor(loop, clock, network),
+        configuration,
+        script.pools() ? OperatorFiles.generation(0, operatorListener) : null,
+        () -> book.broken("the program ended itself"),
+        false);
     clients = new RawClients(script, network, book, node.start());
     calls = script.pools() ? new RawCalls(script, network, book, operatorListener) : null;
     loop.runUntil(loop.now() + 200 * MS);
@@ -151,7 +195,9 @@
 
   private void logged(String line) {
     book.note("log: " + line, 0);
-    if (line.contains("Exception") && !line.contains("IOException") || line.contains("Error") || line.startsWith("defect")) {
+    if (line.contains("Exception") && !line.contains("IOException")
+        || line.contains("Error")
+        || line.startsWith("defect")) {
       book.broken("logged: " + line);
     }
   }
@@ -171,8 +217,14 @@
       if (script.pools() && !stopped) {
         node.reload(OperatorFiles.generation(generation, operatorListener));
       } else if (!stopped) {
-        node.reload(new Configuration("n0", new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), discovery.address(), script.seed(),
-            script.sockets(), new HostList(0, true, List.of()), settings(400 * MS + generation % 2 * 200 * MS)));
+        node.reload(new Configuration(
+            "n0",
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            discovery.address(),
+            script.seed(),
+            script.sockets(),
+            new HostList(0, true, List.of()),
+            settings(400 * MS + generation % 2 * 200 * MS)));
       }
     } catch (IOException | InterruptedException e) {
       book.broken("a reload failed: " + e.getMessage());
@@ -229,16 +281,20 @@
   }
 
   private void end() {
-    servers.values().stream().filter(s -> s.startedAt > 0).forEach(s -> book.judgeCold(s.number, s.startedAt,
-        CAPACITY * script.perSecond() / script.servers()));
+    servers.values().stream()
+        .filter(s -> s.startedAt > 0)
+        .forEach(s -> book.judgeCold(
+            s.number, s.startedAt, CAPACITY * script.perSecond() / script.servers()));
     if (network.mostOpen() > script.sockets()) {
       book.broken("held " + network.mostOpen() + " sockets of " + script.sockets());
     }
     if (network.mostBytes() > script.sockets() * BYTES_EACH) {
       book.broken("held " + network.mostBytes() + " bytes for " + script.sockets() + " sockets");
     }
-    String left = network.open().stream().filter(s -> !discovery.address().equals(s.remoteAddress()))
-        .map(s -> s.localAddress() + " to " + s.remoteAddress()).collect(Collectors.joining(", "));
+    String left = network.open().stream()
+        .filter(s -> !discovery.address().equals(s.remoteAddress()))
+        .map(s -> s.localAddress() + " to " + s.remoteAddress())
+        .collect(Collectors.joining(", "));
     if (!left.isEmpty()) {
       book.broken("connections left behind: " + left);
     }
--- a/src/main/java/pumicekeel/lab/program/ProgramSeeds.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramSeeds.java
@@ -11,7 +11,12 @@
 public final class ProgramSeeds {
 
   /** What came of them all; the broken ones by seed, in order. */
-  public record Total(long runs, long asked, long served, long refused, ConcurrentSkipListMap<Long, String> broken) {}
+  public record Total(
+      long runs,
+      long asked,
+      long served,
+      long refused,
+      ConcurrentSkipListMap<Long, String> broken) {}
 
   private static final int LINES = 20;
 
--- a/src/main/java/pumicekeel/lab/program/ProgramShrinker.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramShrinker.java
@@ -36,7 +36,7 @@
       return null;
     }
     String kind = kindOf(breach);
-    for (int part = kept.size() / 2; part >= 1;) {
+    for (int part = kept.size() / 2; part >= 1; ) {
       boolean smaller = false;
       for (int from = 0; from < kept.size(); from += part) {
         List<Integer> fewer = new ArrayList<>(kept.subList(0, from));
@@ -52,7 +52,10 @@
       progress.accept(kept.size() + " steps left: " + breach);
       part = smaller && part == 1 ? 1 : part / 2;
     }
-    return new Shrunk(List.copyOf(kept), kept.stream().map(i -> script.steps().get(i).toString()).toList(), breach);
+    return new Shrunk(
+        List.copyOf(kept),
+        kept.stream().map(i -> script.steps().get(i).toString()).toList(),
+        breach);
   }
 
   private String play(List<Integer> steps) {
--- a/src/main/java/pumicekeel/lab/program/RawCalls.java
+++ b/src/main/java/pumicekeel/lab/program/RawCalls.java
@@ -22,6 +22,7 @@
   private static final int DEPTH = 6;
   /** One connection in so many ends its side behind a call, and still wants what is open. */
   private static final int ENDS_IN = 25;
+
   private static final int FAILED = -32_000;
   private static final int REFUSED = -32_001;
   private static final int NO_ROOM = -32_003;
@@ -50,20 +51,26 @@
 
   void ask(int number) {
     Fate fate = new Fate(script, number);
-    Connection free = open.stream().filter(c -> c.waiting.size() < DEPTH && !c.ended).findFirst().orElse(null);
+    Connection free = open.stream()
+        .filter(c -> c.waiting.size() < DEPTH && !c.ended)
+        .findFirst()
+        .orElse(null);
     if (free != null && (free.waiting.isEmpty() || open.size() >= CONNECTIONS)) {
       free.call(fate);
     } else if (!stopped) {
-      network.connect(balancer, end -> {
-        Connection c = new Connection(end);
-        open.add(c);
-        end.listener(c);
-        c.call(fate);
-      }, (refused, why) -> {
-        if (!stopped) {
-          book.broken("a connection for calls was refused");
-        }
-      });
+      network.connect(
+          balancer,
+          end -> {
+            Connection c = new Connection(end);
+            open.add(c);
+            end.listener(c);
+            c.call(fate);
+          },
+          (refused, why) -> {
+            if (!stopped) {
+              book.broken("a connection for calls was refused");
+            }
+          });
     }
   }
 
@@ -90,8 +97,9 @@
       book.asked(fate);
       int id = ++lastId;
       waiting.put(id, fate);
-      out.add(("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"" + fate.type + "\",\"params\":{\"n\":\"" + fate.id
-          + "\",\"left\":" + fate.patience / MS + "}}\n").getBytes(StandardCharsets.US_ASCII));
+      out.add(("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"" + fate.type
+              + "\",\"params\":{\"n\":\"" + fate.id + "\",\"left\":" + fate.patience / MS + "}}\n")
+          .getBytes(StandardCharsets.US_ASCII));
       out.then(() -> {
         book.sentWhole(fate);
         loop.at(loop.now() + fate.patience + SLACK, () -> late(id, fate));
@@ -141,7 +149,9 @@
         open.remove(this);
         end.close();
         if (!stopped) {
-          waiting.values().forEach(f -> book.lost(f, "its connection was ended without an answer to the call"));
+          waiting
+              .values()
+              .forEach(f -> book.lost(f, "its connection was ended without an answer to the call"));
         }
         waiting.clear();
       }
--- a/src/main/java/pumicekeel/lab/program/RawClients.java
+++ b/src/main/java/pumicekeel/lab/program/RawClients.java
@@ -14,6 +14,7 @@
   private static final long MS = 1_000_000L;
   /** An answer is owed that long after the client's patience, on sockets. */
   private static final long SLACK = 58 * MS;
+
   private static final long READS_EVERY = 5 * MS;
   private static final int SLOW_BYTES = 700;
 
@@ -29,6 +30,7 @@
   private static final double BURST_PART = 0.3;
   /** Numbers of requests in bursts are beyond all others. */
   private static final int BURST_NUMBERS = 1_000_000;
+
   private int crowd;
 
   RawClients(Script script, VirtualNetwork network, Book book, InetSocketAddress balancer) {
@@ -59,16 +61,19 @@
       // The front brings no more clients.
       return;
     }
-    network.connect(balancer, end -> {
-      Connection c = new Connection(end);
-      c.fresh = true;
-      c.send(fate);
-      end.listener(c);
-    }, (refused, why) -> {
-      if (loop.now() < stoppedAt) {
-        book.lost(fate, "its connection was refused");
-      }
-    });
+    network.connect(
+        balancer,
+        end -> {
+          Connection c = new Connection(end);
+          c.fresh = true;
+          c.send(fate);
+          end.listener(c);
+        },
+        (refused, why) -> {
+          if (loop.now() < stoppedAt) {
+            book.lost(fate, "its connection was refused");
+          }
+        });
   }
 
   /** Many at once, on connections of their own where none is kept. */
@@ -82,29 +87,33 @@
   void crowd(int count, long nanos) {
     for (int i = 0; i < count; i++) {
       int kind = (crowd++) % 3;
-      network.connect(balancer, end -> {
-        end.listener(new Line.Listener() {
-          @Override
-          public void readable() {
-            if (end.reset() || end.over()) {
-              end.close();
-            }
-          }
+      network.connect(
+          balancer,
+          end -> {
+            end.listener(new Line.Listener() {
+              @Override
+              public void readable() {
+                if (end.reset() || end.over()) {
+                  end.close();
+                }
+              }
 
-          @Override
-          public void writable() {
-            // It does not care.
-          }
-        });
-        byte[] begins = "GET /look HTTP/1.1\r\nHost: x\r\nX-".getBytes(StandardCharsets.US_ASCII);
-        if (kind > 0) {
-          end.send(begins, 0, begins.length);
-        }
-        if (kind < 2) {
-          // The others stay until the balancer has had enough of them.
-          loop.at(loop.now() + nanos, kind == 1 ? end::abort : end::close);
-        }
-      }, (refused, why) -> { });
+              @Override
+              public void writable() {
+                // It does not care.
+              }
+            });
+            byte[] begins =
+                "GET /look HTTP/1.1\r\nHost: x\r\nX-".getBytes(StandardCharsets.US_ASCII);
+            if (kind > 0) {
+              end.send(begins, 0, begins.length);
+            }
+            if (kind < 2) {
+              // The others stay until the balancer has had enough of them.
+              loop.at(loop.now() + nanos, kind == 1 ? end::abort : end::close);
+            }
+          },
+          (refused, why) -> {});
     }
   }
 
@@ -157,7 +166,8 @@
     private void pipeline(Fate next) {
       if (next.breach == Breach.PIPELINED) {
         out.add(("GET /look HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: p" + next.number
-            + "\r\nX-Service-Class: look\r\nX-Time-Left-Ms: 900\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+                + "\r\nX-Service-Class: look\r\nX-Time-Left-Ms: 900\r\n\r\n")
+            .getBytes(StandardCharsets.US_ASCII));
       }
     }
 
--- a/src/main/java/pumicekeel/lab/program/RawDiscovery.java
+++ b/src/main/java/pumicekeel/lab/program/RawDiscovery.java
@@ -44,10 +44,13 @@
   /** An upstream's line from now on. */
   void tell(RawServer server, String status, long sinceMillis) {
     index++;
-    String text = "{\"name\":\"s-" + server.number + "\",\"address\":\"127.0.0.1:" + server.address().getPort()
-        + "\",\"zone\":\"a\",\"type\":\"t\",\"group\":" + server.cell + ",\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":"
+    String text = "{\"name\":\"s-" + server.number + "\",\"address\":\"127.0.0.1:"
+        + server.address().getPort()
+        + "\",\"zone\":\"a\",\"type\":\"t\",\"group\":" + server.cell + ",\"status\":\"" + status
+        + "\",\"weight\":1.0,\"since_ms\":"
         + sinceMillis + "}";
-    Change line = new Change(index, server.number, text, !status.equals("in_service"), status.equals("terminated"));
+    Change line = new Change(
+        index, server.number, text, !status.equals("in_service"), status.equals("terminated"));
     changes.add(line);
     if (line.gone()) {
       current.remove(server.number);
@@ -115,7 +118,8 @@
       String target = request.first().split(" ")[1];
       int after = target.indexOf("after=");
       told = after < 0 ? -1 : Long.parseLong(target.substring(after + "after=".length()));
-      out.add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+      out.add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+          .getBytes(StandardCharsets.US_ASCII));
       watches.add(this);
       go(true);
       beat();
@@ -138,7 +142,9 @@
         return;
       }
       boolean whole = told < 0;
-      List<Change> lines = whole ? List.copyOf(current.values()) : changes.stream().filter(c -> c.index() > told).toList();
+      List<Change> lines = whole
+          ? List.copyOf(current.values())
+          : changes.stream().filter(c -> c.index() > told).toList();
       told = index;
       lines.stream().filter(Change::leaves).forEach(l -> book.told(l.server()));
       wroteAt = loop.now();
@@ -147,7 +153,8 @@
     }
 
     private void chunk(String text) {
-      out.add((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes(StandardCharsets.US_ASCII));
+      out.add((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
+          .getBytes(StandardCharsets.US_ASCII));
     }
   }
 }
