--- a/src/main/java/pumicekeel/lab/program/RawServer.java
+++ b/src/main/java/pumicekeel/lab/program/RawServer.java
@@ -15,7 +15,20 @@
 final class RawServer implements VirtualNetwork.Acceptor {
 
   /** How an answer goes. */
-  private enum Word { OK, ERROR, TURNED_AWAY, RESET, SILENT, CUT, STALLED, TWICE, NOISE, UNASKED, LAST, THEN_ENDS }
+  private enum Word {
+    OK,
+    ERROR,
+    TURNED_AWAY,
+    RESET,
+    SILENT,
+    CUT,
+    STALLED,
+    TWICE,
+    NOISE,
+    UNASKED,
+    LAST,
+    THEN_ENDS
+  }
 
   private static final long MS = 1_000_000L;
   private static final double MEAN_MS = 12;
@@ -25,6 +38,7 @@
   private static final int UNASKED_WITHIN = 60_000_000;
   /** One request in so many meets a reset so soon after its first byte, perhaps before its last. */
   private static final int BREAKS_IN = 60;
+
   private static final int BREAKS_WITHIN = 40_000_000;
 
   final int number;
@@ -42,7 +56,8 @@
   private long slowUntil;
   private boolean cut;
 
-  RawServer(int number, long startedAt, Script script, VirtualNetwork network, Book book) throws IOException {
+  RawServer(int number, long startedAt, Script script, VirtualNetwork network, Book book)
+      throws IOException {
     this.number = number;
     this.cell = number / 2;
     this.startedAt = startedAt;
@@ -58,7 +73,8 @@
     return address;
   }
 
-  // ---- Troubles -----------------------------------------------------------------------------------------
+  // ---- Troubles
+  // -----------------------------------------------------------------------------------------
 
   void hang(long nanos) {
     hangsUntil = Math.max(hangsUntil, loop.now() + nanos);
@@ -92,7 +108,9 @@
   }
 
   void impatient() {
-    List.copyOf(open).stream().filter(c -> c.reader.atRest() && c.out.empty() && !c.busy).forEach(c -> c.end.close());
+    List.copyOf(open).stream()
+        .filter(c -> c.reader.atRest() && c.out.empty() && !c.busy)
+        .forEach(c -> c.end.close());
   }
 
   /** It is gone for good. */
@@ -184,7 +202,8 @@
       busy = true;
       current = id;
       Chance chance = script.chance("run " + id + " " + number);
-      Word word = chance.below(100) < USUAL ? Word.OK : Word.values()[chance.below(Word.values().length)];
+      Word word =
+          chance.below(100) < USUAL ? Word.OK : Word.values()[chance.below(Word.values().length)];
       if (loop.now() < fullUntil) {
         word = Word.TURNED_AWAY;
       }
@@ -196,7 +215,8 @@
         book.spoilt(id);
         return;
       }
-      long takes = (long) (MS + chance.exponential() * MEAN_MS * MS * (loop.now() < slowUntil ? SLOWER : 1));
+      long takes =
+          (long) (MS + chance.exponential() * MEAN_MS * MS * (loop.now() < slowUntil ? SLOWER : 1));
       Word as = word;
       loop.at(loop.now() + takes, () -> answer(id, as, chance));
     }
@@ -207,7 +227,8 @@
       if (id == null || !id.startsWith("n0-")) {
         return id;
       }
-      String params = URLDecoder.decode(request.first(), StandardCharsets.UTF_8) + new String(request.body(), StandardCharsets.UTF_8);
+      String params = URLDecoder.decode(request.first(), StandardCharsets.UTF_8)
+          + new String(request.body(), StandardCharsets.UTF_8);
       int from = params.indexOf("\"n\":\"") + "\"n\":\"".length();
       return params.substring(from, params.indexOf('"', from));
     }
@@ -226,7 +247,8 @@
           out.add("!! no answer at all\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         }
         case TWICE -> {
-          // All at once: a copy that comes when the connection is in use again can't be told from an answer.
+          // All at once: a copy that comes when the connection is in use again can't be told from
+          // an answer.
           byte[] bytes = bytes(id, 200, "", SMALL, chance);
           byte[] both = Arrays.copyOf(bytes, 2 * bytes.length);
           System.arraycopy(bytes, 0, both, bytes.length, bytes.length);
@@ -236,7 +258,8 @@
           rest();
         }
         case UNASKED -> {
-          // Once the connection is in use again it breaks the next answer; before that it must not be used.
+          // Once the connection is in use again it breaks the next answer; before that it must not
+          // be used.
           whole(id, 200, "", "", chance);
           loop.at(loop.now() + chance.below(UNASKED_WITHIN), () -> {
             spoilAll();
@@ -248,7 +271,13 @@
           whole(id, 200, "", "", chance);
           out.then(end::close);
         }
-        default -> whole(id, 200, "", chance.below(30) == 0 ? "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" : "", chance);
+        default ->
+          whole(
+              id,
+              200,
+              "",
+              chance.below(30) == 0 ? "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" : "",
+              chance);
       }
     }
 
@@ -278,8 +307,10 @@
     private byte[] bytes(String id, int status, String more, int size, Chance chance) {
       byte[] body = status == 200 ? Messages.bodyOf(id, size) : new byte[0];
       boolean chunked = chance.below(5) == 0 && body.length > 0;
-      byte[] head = ("HTTP/1.1 " + status + " X\r\n" + more + (chunked ? "Transfer-Encoding: chunked\r\n\r\n"
-          + Integer.toHexString(body.length) + "\r\n" : "Content-Length: " + body.length + "\r\n\r\n"))
+      byte[] head = ("HTTP/1.1 " + status + " X\r\n" + more
+              + (chunked
+                  ? "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length) + "\r\n"
+                  : "Content-Length: " + body.length + "\r\n\r\n"))
           .getBytes(StandardCharsets.US_ASCII);
       byte[] tail = (chunked ? "\r\n0\r\n\r\n" : "").getBytes(StandardCharsets.US_ASCII);
       byte[] all = Arrays.copyOf(head, head.length + body.length + tail.length);
@@ -290,7 +321,9 @@
 
     private int size(Chance chance) {
       int kind = chance.below(40);
-      return kind == 0 ? (64 << 10) + chance.below(200 << 10) : kind < 4 ? (8 << 10) + chance.below(56 << 10) : chance.below(1_500);
+      return kind == 0
+          ? (64 << 10) + chance.below(200 << 10)
+          : kind < 4 ? (8 << 10) + chance.below(56 << 10) : chance.below(1_500);
     }
   }
 }
--- a/src/main/java/pumicekeel/lab/program/Script.java
+++ b/src/main/java/pumicekeel/lab/program/Script.java
@@ -14,7 +14,8 @@
  * @param perSecond requests without bursts
  * @param pools whether it has an operator file, with a JSON-RPC listener
  */
-record Script(long seed, int servers, int sockets, double perSecond, boolean pools, List<Step> steps) {
+record Script(
+    long seed, int servers, int sockets, double perSecond, boolean pools, List<Step> steps) {
 
   static final long MS = 1_000_000L;
   static final long SECOND = 1_000 * MS;
@@ -22,8 +23,23 @@
   private static final long MOST_END = 6 * SECOND;
   /** One run in so many goes on without a stop: limits have to end what a stop would. */
   private static final int STOPS_NOT_IN = 6;
-  private static final Kind[] TROUBLES = {Kind.BURST, Kind.CROWD, Kind.DRAIN, Kind.FRESH, Kind.HANG, Kind.CRASH, Kind.CUT_OFF, Kind.FULL, Kind.SLOW,
-      Kind.IMPATIENT, Kind.WATCH_BREAKS, Kind.WATCH_SILENT, Kind.DRAIN, Kind.RELOAD};
+
+  private static final Kind[] TROUBLES = {
+    Kind.BURST,
+    Kind.CROWD,
+    Kind.DRAIN,
+    Kind.FRESH,
+    Kind.HANG,
+    Kind.CRASH,
+    Kind.CUT_OFF,
+    Kind.FULL,
+    Kind.SLOW,
+    Kind.IMPATIENT,
+    Kind.WATCH_BREAKS,
+    Kind.WATCH_SILENT,
+    Kind.DRAIN,
+    Kind.RELOAD
+  };
 
   static Script of(long seed) {
     Chance chance = new Chance(seed, "script");
@@ -40,8 +56,8 @@
     for (int i = 0; i < troubles; i++) {
       Kind kind = TROUBLES[chance.below(TROUBLES.length)];
       int of = chance.below(servers);
-      steps.add(new Step((long) (chance.uniform() * end), kind, kind == Kind.BURST ? i : of,
-          (long) chance.between(100 * MS, 3 * SECOND)));
+      steps.add(new Step((long) (chance.uniform() * end), kind, kind == Kind.BURST ? i : of, (long)
+          chance.between(100 * MS, 3 * SECOND)));
     }
     if (chance.below(STOPS_NOT_IN) > 0) {
       // Clients go on for a while after the balancer was told to stop, as they do.
@@ -54,9 +70,16 @@
   /** The same with these steps alone, by their numbers from 0; an IllegalArgumentException where there is none of a number. */
   Script only(List<Integer> numbers) {
     if (numbers.stream().anyMatch(n -> n < 0 || n >= steps.size())) {
-      throw new IllegalArgumentException("expected steps from 0 to " + (steps.size() - 1) + ", got " + numbers);
+      throw new IllegalArgumentException(
+          "expected steps from 0 to " + (steps.size() - 1) + ", got " + numbers);
     }
-    return new Script(seed, servers, sockets, perSecond, pools, numbers.stream().map(steps::get).toList());
+    return new Script(
+        seed,
+        servers,
+        sockets,
+        perSecond,
+        pools,
+        numbers.stream().map(steps::get).toList());
   }
 
   Chance chance(String of) {
--- a/src/main/java/pumicekeel/lab/program/Step.java
+++ b/src/main/java/pumicekeel/lab/program/Step.java
@@ -45,6 +45,8 @@
 
   @Override
   public String toString() {
-    return String.format("%8.3f ms  %s %d%s", at / 1e6, kind, which, nanos == 0 ? "" : String.format(" for %.0f ms", nanos / 1e6));
+    return String.format(
+        "%8.3f ms  %s %d%s",
+        at / 1e6, kind, which, nanos == 0 ? "" : String.format(" for %.0f ms", nanos / 1e6));
   }
 }
--- a/src/main/java/pumicekeel/lab/program/VirtualLoop.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualLoop.java
@@ -23,6 +23,7 @@
 
   /** A run whose loop has done so much without time going on turns in a circle. */
   private static final int MOST_AT_ONCE = 2_000_000;
+
   private static final long START = 1_000_000_000L;
 
   private final Ticker ticker = new Ticker() {
@@ -43,7 +44,7 @@
   };
   private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
   private long now = START;
-  private Consumer<Throwable> failed = e -> { };
+  private Consumer<Throwable> failed = e -> {};
   private boolean inside;
   private long done;
 
@@ -64,7 +65,9 @@
   void runUntil(long end) {
     enter(() -> {
       drain();
-      for (long next = nextScheduledTaskDeadlineNanos(); next >= 0 && next <= end; next = nextScheduledTaskDeadlineNanos()) {
+      for (long next = nextScheduledTaskDeadlineNanos();
+          next >= 0 && next <= end;
+          next = nextScheduledTaskDeadlineNanos()) {
         now = Math.max(now, next);
         Runnable due = pollScheduledTask(now);
         if (due != null) {
@@ -157,7 +160,8 @@
     return promise;
   }
 
-  // ---- It ends with its run -----------------------------------------------------------------------------
+  // ---- It ends with its run
+  // -----------------------------------------------------------------------------
 
   @Override
   public Future<?> shutdownGracefully(long quiet, long timeout, TimeUnit unit) {
--- a/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
@@ -29,7 +29,11 @@
   }
 
   /** What an address does with connects. */
-  enum Reach { OPEN, REFUSES, SILENT }
+  enum Reach {
+    OPEN,
+    REFUSES,
+    SILENT
+  }
 
   private static final int FIRST_PORT = 2_000;
   private static final int WINDOW_LEAST = 4 << 10;
@@ -39,10 +43,12 @@
 
   /** One connect in so many takes long, as where its first packet is lost or the machine is busy. */
   private static final int SLOW_IN = 15;
+
   private static final long SLOW_MOST = 245_000_000L;
 
   /** One look in so many at a socket comes late, where the loop has other things to do. */
   private static final int LATE_IN = 4;
+
   private static final int MOST_LATE = 1_000_000;
 
   private final VirtualLoop loop;
@@ -65,7 +71,8 @@
     this.chance = chance;
   }
 
-  // ---- What the program opens ---------------------------------------------------------------------------
+  // ---- What the program opens
+  // ---------------------------------------------------------------------------
 
   @Override
   public ServerChannel listening() {
@@ -143,7 +150,8 @@
     return mostBytes;
   }
 
-  // ---- Addresses ----------------------------------------------------------------------------------------
+  // ---- Addresses
+  // ----------------------------------------------------------------------------------------
 
   InetSocketAddress listen(int port, Acceptor acceptor) throws IOException {
     int at = port == 0 ? nextPort++ : port;
@@ -162,9 +170,11 @@
   }
 
   /** Connects: one of the two is told some time later, or, where nothing answers, neither. */
-  void connect(InetSocketAddress to, Consumer<Line.End> up, BiConsumer<Boolean, IOException> failed) {
+  void connect(
+      InetSocketAddress to, Consumer<Line.End> up, BiConsumer<Boolean, IOException> failed) {
     long delay = (long) chance.between(DELAY_LEAST, DELAY_MOST);
-    long comesUp = chance.below(SLOW_IN) == 0 ? (long) chance.between(DELAY_MOST, SLOW_MOST) : delay;
+    long comesUp =
+        chance.below(SLOW_IN) == 0 ? (long) chance.between(DELAY_MOST, SLOW_MOST) : delay;
     loop.at(loop.now() + comesUp, () -> {
       Reach how = reach.getOrDefault(to.getPort(), Reach.OPEN);
       if (how == Reach.SILENT) {
@@ -172,11 +182,14 @@
       }
       Acceptor there = listening.get(to.getPort());
       if (there == null || how == Reach.REFUSES) {
-        loop.at(loop.now() + delay, () -> failed.accept(true, new ConnectException("Connection refused")));
+        loop.at(
+            loop.now() + delay,
+            () -> failed.accept(true, new ConnectException("Connection refused")));
         return;
       }
       int window = (int) chance.between(WINDOW_LEAST, WINDOW_MOST);
-      Line line = new Line(loop, chance, delay, window, new InetSocketAddress(host, nextPort++), to);
+      Line line =
+          new Line(loop, chance, delay, window, new InetSocketAddress(host, nextPort++), to);
       there.accepted(line.called);
       loop.at(loop.now() + delay, () -> up.accept(line.caller));
     });
--- a/src/main/java/pumicekeel/lab/program/VirtualSocket.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualSocket.java
@@ -64,7 +64,8 @@
     return end.reset() || end.over() ? Sockets.LEFT : dropped;
   }
 
-  // ---- Reading ------------------------------------------------------------------------------------------
+  // ---- Reading
+  // ------------------------------------------------------------------------------------------
 
   @Override
   protected void doRegister(ChannelPromise promise) {
@@ -151,7 +152,8 @@
     }
   }
 
-  // ---- Writing ------------------------------------------------------------------------------------------
+  // ---- Writing
+  // ------------------------------------------------------------------------------------------
 
   @Override
   protected void doWrite(ChannelOutboundBuffer out) throws IOException {
@@ -182,8 +184,10 @@
   }
 
   private static boolean startsRequest(ByteBuf bytes) {
-    return bytes.readableBytes() > LEAST_HEAD && bytes.toString(bytes.readerIndex(), METHOD, StandardCharsets.US_ASCII)
-        .matches("GET /|POST ");
+    return bytes.readableBytes() > LEAST_HEAD
+        && bytes
+            .toString(bytes.readerIndex(), METHOD, StandardCharsets.US_ASCII)
+            .matches("GET /|POST ");
   }
 
   @Override
@@ -194,7 +198,8 @@
     }
   }
 
-  // ---- Coming up and going away -------------------------------------------------------------------------
+  // ---- Coming up and going away
+  // -------------------------------------------------------------------------
 
   private final class SocketUnsafe extends AbstractUnsafe {
 
@@ -209,8 +214,11 @@
       }
       connecting = promise;
       int most = config.getConnectTimeoutMillis();
-      connectTimeout = eventLoop().schedule(() -> failed(new ConnectTimeoutException("connection timed out")), most,
-          TimeUnit.MILLISECONDS);
+      connectTimeout = eventLoop()
+          .schedule(
+              () -> failed(new ConnectTimeoutException("connection timed out")),
+              most,
+              TimeUnit.MILLISECONDS);
       network.connect((InetSocketAddress) remote, this::up, (refused, why) -> failed(why));
     }
 
@@ -288,7 +296,8 @@
 
   @Override
   public ChannelFuture shutdownInput(ChannelPromise promise) {
-    return promise.setFailure(new UnsupportedOperationException("nothing here ends its reading alone"));
+    return promise.setFailure(
+        new UnsupportedOperationException("nothing here ends its reading alone"));
   }
 
   @Override
--- a/src/main/java/pumicekeel/lab/real/Asker.java
+++ b/src/main/java/pumicekeel/lab/real/Asker.java
@@ -57,11 +57,20 @@
   }
 
   /** What became of the requests. */
-  record Account(long asked, long served, long refused, long other, long unanswered, long wrong, double worthAsked, double worthEarned,
+  record Account(
+      long asked,
+      long served,
+      long refused,
+      long other,
+      long unanswered,
+      long wrong,
+      double worthAsked,
+      double worthEarned,
       Histogram latency) {}
 
   Account account() {
-    return new Account(asked, served, refused, other, unanswered, wrong, worthAsked, worthEarned, latency);
+    return new Account(
+        asked, served, refused, other, unanswered, wrong, worthAsked, worthEarned, latency);
   }
 
   /** Asks now. */
@@ -82,13 +91,19 @@
       call.send(kept);
       return;
     }
-    ChannelFuture opens = new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
+    ChannelFuture opens = new Bootstrap()
+        .group(loop)
+        .channel(NioSocketChannel.class)
+        .option(ChannelOption.TCP_NODELAY, true)
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY), new Reader());
+            channel
+                .pipeline()
+                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY), new Reader());
           }
-        }).connect(balancer);
+        })
+        .connect(balancer);
     opens.addListener(done -> {
       if (done.isSuccess()) {
         call.send(opens.channel());
@@ -123,16 +138,27 @@
       boolean keyed = ask.kind().type().effect() == Effect.KEYED;
       String name = ask.kind().type().name();
       byte[] body = keyed ? ("q" + ask.number()).getBytes(StandardCharsets.US_ASCII) : new byte[0];
-      var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, keyed ? HttpMethod.POST : HttpMethod.GET, "/" + name + "/1",
+      var request = new DefaultFullHttpRequest(
+          HttpVersion.HTTP_1_1,
+          keyed ? HttpMethod.POST : HttpMethod.GET,
+          "/" + name + "/1",
           Unpooled.wrappedBuffer(body));
-      request.headers().set(HttpHeaderNames.HOST, "lab").set("X-Correlation-Id", "q" + ask.number()).set("X-Service-Class", name)
-          .set("X-Account", Traffic.TENANTS.get(ask.tenant())).set("X-Time-Left-Ms", ask.patience() / 1_000_000)
+      request
+          .headers()
+          .set(HttpHeaderNames.HOST, "lab")
+          .set("X-Correlation-Id", "q" + ask.number())
+          .set("X-Service-Class", name)
+          .set("X-Account", Traffic.TENANTS.get(ask.tenant()))
+          .set("X-Time-Left-Ms", ask.patience() / 1_000_000)
           .set("X-Weight-Hint", ask.hintNanos() / 1_000);
       if (ask.key() != null) {
         request.headers().set("X-Session-Key", ask.key());
       }
       if (keyed) {
-        request.headers().set("Idempotency-Key", "q" + ask.number()).set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+        request
+            .headers()
+            .set("Idempotency-Key", "q" + ask.number())
+            .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
       }
       channel.writeAndFlush(request);
     }
@@ -164,9 +190,11 @@
       if (status == 200) {
         long took = System.nanoTime() - dueAt;
         served++;
-        wrong += answer.content().toString(StandardCharsets.US_ASCII).equals("q" + ask.number()) ? 0 : 1;
+        wrong +=
+            answer.content().toString(StandardCharsets.US_ASCII).equals("q" + ask.number()) ? 0 : 1;
         latency.recordValue(Math.min(LONGEST_MICROS, took / 1_000));
-        worthEarned += took <= ask.kind().type().aimNanos() ? ask.kind().type().worth() * ask.work() : 0;
+        worthEarned +=
+            took <= ask.kind().type().aimNanos() ? ask.kind().type().worth() * ask.work() : 0;
       } else if (status == 429 || status == 503) {
         refused++;
       } else {
--- a/src/main/java/pumicekeel/lab/real/Pump.java
+++ b/src/main/java/pumicekeel/lab/real/Pump.java
@@ -36,10 +36,15 @@
       next.cancel(false);
     }
     long due = agenda.nextAt();
-    next = due == Long.MAX_VALUE ? null : loop.schedule(() -> {
-      now();
-      plan();
-    }, Math.max(0, due - (System.nanoTime() - origin)), TimeUnit.NANOSECONDS);
+    next = due == Long.MAX_VALUE
+        ? null
+        : loop.schedule(
+            () -> {
+              now();
+              plan();
+            },
+            Math.max(0, due - (System.nanoTime() - origin)),
+            TimeUnit.NANOSECONDS);
   }
 
   /** How late anything happened at the worst: a bench that is late itself measures itself. */
--- a/src/main/java/pumicekeel/lab/real/RealRun.java
+++ b/src/main/java/pumicekeel/lab/real/RealRun.java
@@ -36,8 +36,16 @@
 public final class RealRun {
 
   /** What came of it, beside what the world itself was late by. */
-  public record Figures(long asked, double servedPart, double refusedPart, long otherOrNone, long wrong, double worth, double p50Millis,
-      double p99Millis, double lateMillis) {}
+  public record Figures(
+      long asked,
+      double servedPart,
+      double refusedPart,
+      long otherOrNone,
+      long wrong,
+      double worth,
+      double p50Millis,
+      double p99Millis,
+      double lateMillis) {}
 
   private static final int SOCKETS = 8_192;
   private static final long ASK_WITHIN = 10_000_000_000L;
@@ -46,7 +54,8 @@
   private final WorldSpec spec;
   private final long seed;
   private final Agenda agenda = new Agenda();
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final Pump pump = new Pump(agenda, loop);
   private final Map<String, Ask> asks = new HashMap<>();
   private final AtomicBoolean crashed = new AtomicBoolean();
@@ -61,7 +70,8 @@
     Deployment deployment = new Deployment(spec, agenda, seed);
     List<ServerSocketSide> sides = new ArrayList<>();
     List<Node> nodes = new ArrayList<>();
-    MultiThreadIoEventLoopGroup other = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    MultiThreadIoEventLoopGroup other =
+        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try {
       Chance chance = new Chance(seed, "sockets");
       for (Server s : deployment.servers().values()) {
@@ -71,8 +81,16 @@
       tell(deployment, sides, discovery);
       List<Asker> askers = new ArrayList<>();
       for (int i = 0; i < spec.balancers(); i++) {
-        Node node = new Node(new Configuration("lab-" + i, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            discovery.address(), seed + i, SOCKETS, new HostList(0, true, List.of()), asked(deployment.settings(i, "a"))), null,
+        Node node = new Node(
+            new Configuration(
+                "lab-" + i,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                discovery.address(),
+                seed + i,
+                SOCKETS,
+                new HostList(0, true, List.of()),
+                asked(deployment.settings(i, "a"))),
+            null,
             () -> crashed.set(true));
         nodes.add(node);
         askers.add(new Asker(loop, node.start()));
@@ -93,12 +111,31 @@
   /** The same settings for a list that is asked for, as the platform's is. */
   private static Settings asked(Settings s) {
     Contract c = s.contract();
-    return new Settings(s.me(), s.groupSize(), s.zone(), s.classes(), s.tenants(), s.limits(), new Contract(c.answerSlackNanos(),
-        ASK_WITHIN, c.drainGraceNanos(), c.coldFrom(), c.warmWithinNanos(), c.fallMultiple(), c.fallWindowNanos()), s.prices(), true,
-        s.weightKind(), s.overShareWorth(), s.warmKeys(), s.tickNanos());
+    return new Settings(
+        s.me(),
+        s.groupSize(),
+        s.zone(),
+        s.classes(),
+        s.tenants(),
+        s.limits(),
+        new Contract(
+            c.answerSlackNanos(),
+            ASK_WITHIN,
+            c.drainGraceNanos(),
+            c.coldFrom(),
+            c.warmWithinNanos(),
+            c.fallMultiple(),
+            c.fallWindowNanos()),
+        s.prices(),
+        true,
+        s.weightKind(),
+        s.overShareWorth(),
+        s.warmKeys(),
+        s.tickNanos());
   }
 
-  private static void tell(Deployment deployment, List<ServerSocketSide> sides, StandInDiscovery discovery) {
+  private static void tell(
+      Deployment deployment, List<ServerSocketSide> sides, StandInDiscovery discovery) {
     int i = 0;
     for (Server s : deployment.servers().values()) {
       discovery.tell("s" + s.id, sides.get(i++).address(), s.cellNumber, "in_service", 0);
@@ -110,13 +147,17 @@
     Chance choice = new Chance(seed, "front");
     loop.execute(() -> {
       long from = pump.now();
-      Traffic traffic = new Traffic(agenda, spec, RequestKind.BRIEF, deployment.capacity(), seed, ask -> {
-        asks.put("q" + ask.number(), ask);
-        askers.get(choice.below(askers.size())).ask(ask);
-      });
+      Traffic traffic =
+          new Traffic(agenda, spec, RequestKind.BRIEF, deployment.capacity(), seed, ask -> {
+            asks.put("q" + ask.number(), ask);
+            askers.get(choice.below(askers.size())).ask(ask);
+          });
       traffic.start(from);
       pump.plan();
-      loop.schedule(over::countDown, (long) (spec.seconds() * 1_000) + TAIL_SECONDS * 1_000, TimeUnit.MILLISECONDS);
+      loop.schedule(
+          over::countDown,
+          (long) (spec.seconds() * 1_000) + TAIL_SECONDS * 1_000,
+          TimeUnit.MILLISECONDS);
     });
     over.await();
     if (crashed.get()) {
@@ -135,10 +176,16 @@
     Histogram latency = new Histogram(3);
     all.forEach(a -> latency.add(a.latency()));
     double asked = all.stream().mapToLong(Asker.Account::asked).sum();
-    return new Figures((long) asked, all.stream().mapToLong(Asker.Account::served).sum() / asked,
+    return new Figures(
+        (long) asked,
+        all.stream().mapToLong(Asker.Account::served).sum() / asked,
         all.stream().mapToLong(Asker.Account::refused).sum() / asked,
-        all.stream().mapToLong(a -> a.other() + a.unanswered()).sum(), all.stream().mapToLong(Asker.Account::wrong).sum(),
-        all.stream().mapToDouble(Asker.Account::worthEarned).sum() / all.stream().mapToDouble(Asker.Account::worthAsked).sum(),
-        latency.getValueAtPercentile(50) / 1e3, latency.getValueAtPercentile(99) / 1e3, pump.worstLateNanos() / 1e6);
+        all.stream().mapToLong(a -> a.other() + a.unanswered()).sum(),
+        all.stream().mapToLong(Asker.Account::wrong).sum(),
+        all.stream().mapToDouble(Asker.Account::worthEarned).sum()
+            / all.stream().mapToDouble(Asker.Account::worthAsked).sum(),
+        latency.getValueAtPercentile(50) / 1e3,
+        latency.getValueAtPercentile(99) / 1e3,
+        pump.worstLateNanos() / 1e6);
   }
 }
--- a/src/main/java/pumicekeel/lab/real/ServerSocketSide.java
+++ b/src/main/java/pumicekeel/lab/real/ServerSocketSide.java
@@ -37,18 +37,29 @@
   private final Channel listener;
 
   /** {@code asks} knows a request by its id. Waits for the bind, so it is not for the loop. */
-  ServerSocketSide(Server server, EventLoop loop, Pump pump, Chance chance, Function<String, Ask> asks) throws InterruptedException {
+  ServerSocketSide(
+      Server server, EventLoop loop, Pump pump, Chance chance, Function<String, Ask> asks)
+      throws InterruptedException {
     this.server = server;
     this.pump = pump;
     this.chance = chance;
     this.asks = asks;
-    listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class).option(ChannelOption.SO_BACKLOG, 1024)
-        .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<Channel>() {
+    listener = new ServerBootstrap()
+        .group(loop, loop)
+        .channel(NioServerSocketChannel.class)
+        .option(ChannelOption.SO_BACKLOG, 1024)
+        .childOption(ChannelOption.TCP_NODELAY, true)
+        .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Handler());
+            channel
+                .pipeline()
+                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Handler());
           }
-        }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+        })
+        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        .sync()
+        .channel();
   }
 
   InetSocketAddress address() {
@@ -88,16 +99,24 @@
         return;
       }
       pump.now();
-      server.submit(new Server.Job(ask.key(), "q" + ask.number(), ask.kind().type().effect(), ask.kind().type().dedupWindowNanos(),
-          ask.work(), ask.waitNanos(), new Server.Sender() {
-            @Override
-            public void begins() {}
+      server.submit(
+          new Server.Job(
+              ask.key(),
+              "q" + ask.number(),
+              ask.kind().type().effect(),
+              ask.kind().type().dedupWindowNanos(),
+              ask.work(),
+              ask.waitNanos(),
+              new Server.Sender() {
+                @Override
+                public void begins() {}
 
-            @Override
-            public void ended(Status status, double work) {
-              answer(ctx, status, id);
-            }
-          }), chance);
+                @Override
+                public void ended(Status status, double work) {
+                  answer(ctx, status, id);
+                }
+              }),
+          chance);
       pump.plan();
     }
 
@@ -110,8 +129,10 @@
       }
     }
 
-    private void write(ChannelHandlerContext ctx, HttpResponseStatus status, String body, boolean unprocessed) {
-      var answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+    private void write(
+        ChannelHandlerContext ctx, HttpResponseStatus status, String body, boolean unprocessed) {
+      var answer = new DefaultFullHttpResponse(
+          HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
       answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
       if (unprocessed) {
         answer.headers().set("X-Unprocessed", "1");
--- a/src/main/java/pumicekeel/lab/world/Chance.java
+++ b/src/main/java/pumicekeel/lab/world/Chance.java
@@ -15,8 +15,8 @@
   private final ZigguratSampler.NormalizedGaussian gaussian;
 
   public Chance(long seed, String purpose) {
-    random = RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {seed * 0x9e3779b97f4a7c15L + 1, purpose.hashCode() * 0x100000001L
-        ^ seed});
+    random = RandomSource.XO_RO_SHI_RO_128_PP.create(
+        new long[] {seed * 0x9e3779b97f4a7c15L + 1, purpose.hashCode() * 0x100000001L ^ seed});
     exponential = ZigguratSampler.Exponential.of(random);
     gaussian = ZigguratSampler.NormalizedGaussian.of(random);
     for (int i = 0; i < 16; i++) {
--- a/src/main/java/pumicekeel/lab/world/RequestKind.java
+++ b/src/main/java/pumicekeel/lab/world/RequestKind.java
@@ -17,10 +17,22 @@
       kind("quote-issue", Effect.KEYED, 2_000, 750, 3_000, 3, 0.24, 61, 145),
       kind("contract-pack", Effect.KEYED, 4_000, 2_000, 6_000, 2, 0.22, 140, 170));
 
-  private static RequestKind kind(String name, Effect effect, long dedup, long aim, long deadline, double worth, double part, long work,
+  private static RequestKind kind(
+      String name,
+      Effect effect,
+      long dedup,
+      long aim,
+      long deadline,
+      double worth,
+      double part,
+      long work,
       long wait) {
-    return new RequestKind(new RequestClass(name, effect, DedupScope.CELL, dedup * MS, aim * MS, 0, deadline * MS, worth, 0, false),
-        part, work * MS, wait * MS);
+    return new RequestKind(
+        new RequestClass(
+            name, effect, DedupScope.CELL, dedup * MS, aim * MS, 0, deadline * MS, worth, 0, false),
+        part,
+        work * MS,
+        wait * MS);
   }
 
   /** Work of a request on average. */
--- a/src/main/java/pumicekeel/lab/world/Server.java
+++ b/src/main/java/pumicekeel/lab/world/Server.java
@@ -32,7 +32,14 @@
   }
 
   /** A request as an upstream sees it. {@code work} at the yardstick's speed, before what a remembered key saves. */
-  public record Job(String key, String effectKey, Effect effect, long dedupNanos, double work, long waitNanos, Sender sender) {}
+  public record Job(
+      String key,
+      String effectKey,
+      Effect effect,
+      long dedupNanos,
+      double work,
+      long waitNanos,
+      Sender sender) {}
 
   private static final class Running implements Comparable<Running> {
     private final Job job;
@@ -49,7 +56,9 @@
 
     @Override
     public int compareTo(Running other) {
-      return until != other.until ? Double.compare(until, other.until) : Long.compare(order, other.order);
+      return until != other.until
+          ? Double.compare(until, other.until)
+          : Long.compare(order, other.order);
     }
   }
 
@@ -66,6 +75,7 @@
 
   /** A cold server's speed is looked at so often. */
   private static final long WARMING_STEP = 100_000_000L;
+
   private static final int FREE_PER_CORE = 4;
 
   public final long id;
@@ -79,6 +89,7 @@
   private final LinkedHashMap<String, Long> keys;
   /** Jobs that have a slot and have done their work, or wait on others. */
   private final List<Job> holding = new ArrayList<>();
+
   private double served;
   private long servedAt;
   private long order;
@@ -92,7 +103,14 @@
   private int life;
   private double workDone;
 
-  public Server(long id, String zone, int cellNumber, ServerSpec spec, Cell cell, Agenda agenda, long startedAt) {
+  public Server(
+      long id,
+      String zone,
+      int cellNumber,
+      ServerSpec spec,
+      Cell cell,
+      Agenda agenda,
+      long startedAt) {
     this.id = id;
     this.zone = zone;
     this.cellNumber = cellNumber;
@@ -112,7 +130,8 @@
     };
   }
 
-  // ---- What is known of it ------------------------------------------------------------------------------
+  // ---- What is known of it
+  // ------------------------------------------------------------------------------
 
   public ServerSpec spec() {
     return spec;
@@ -139,11 +158,14 @@
 
   /** The part of its capacity that it has by being warm. */
   public double warmth(long now) {
-    return startedAt < 0 || spec.warmNanos() == 0 ? 1
-        : Math.min(1, spec.coldFrom() + (1 - spec.coldFrom()) * (now - startedAt) / spec.warmNanos());
+    return startedAt < 0 || spec.warmNanos() == 0
+        ? 1
+        : Math.min(
+            1, spec.coldFrom() + (1 - spec.coldFrom()) * (now - startedAt) / spec.warmNanos());
   }
 
-  // ---- What happens to it -------------------------------------------------------------------------------
+  // ---- What happens to it
+  // -------------------------------------------------------------------------------
 
   /** It ends without a word: what it holds is reset, and nothing more gets through. */
   public void crash() {
@@ -199,7 +221,8 @@
     connections++;
     if (spec.handshakeNanos() > 0) {
       advance();
-      running.add(new Running(null, served + spec.handshakeNanos(), spec.handshakeNanos(), order++));
+      running.add(
+          new Running(null, served + spec.handshakeNanos(), spec.handshakeNanos(), order++));
       reschedule();
     }
     return true;
@@ -239,7 +262,8 @@
   }
 
   private void run(Job job) {
-    boolean repeat = job.effect() == Effect.KEYED && cell.drops(job.effectKey(), agenda.now(), job.dedupNanos());
+    boolean repeat =
+        job.effect() == Effect.KEYED && cell.drops(job.effectKey(), agenda.now(), job.dedupNanos());
     note(job);
     double work = repeat ? 0 : job.work() * (1 - (knows(job.key()) ? spec.keySaving() : 0));
     running.add(new Running(job, served + work, work, order++));
@@ -266,7 +290,8 @@
     }
   }
 
-  // ---- Sharing the cores --------------------------------------------------------------------------------
+  // ---- Sharing the cores
+  // --------------------------------------------------------------------------------
 
   /** Work that each request gets done in a second of time. */
   private double rate() {
@@ -275,7 +300,11 @@
       return 0;
     }
     double crowd = Math.max(0, in + holding.size() - FREE_PER_CORE * spec.cores());
-    return spec.speed() * warmth(agenda.now()) / slowness * Math.min(1, spec.cores() / (double) in) / (1 + spec.thrash() * crowd);
+    return spec.speed()
+        * warmth(agenda.now())
+        / slowness
+        * Math.min(1, spec.cores() / (double) in)
+        / (1 + spec.thrash() * crowd);
   }
 
   private double ratedAt;
--- a/src/main/java/pumicekeel/lab/world/ServerSpec.java
+++ b/src/main/java/pumicekeel/lab/world/ServerSpec.java
@@ -16,8 +16,19 @@
  * @param keys that it remembers, the oldest forgotten first
  * @param weight its size as lists tell it, where they do
  */
-public record ServerSpec(int cores, double speed, int slots, int queue, double thrash, double coldFrom, long warmNanos,
-    int connections, long handshakeNanos, long keyMemoryNanos, double keySaving, int keys,
+public record ServerSpec(
+    int cores,
+    double speed,
+    int slots,
+    int queue,
+    double thrash,
+    double coldFrom,
+    long warmNanos,
+    int connections,
+    long handshakeNanos,
+    long keyMemoryNanos,
+    double keySaving,
+    int keys,
     double weight) {
 
   /** Work a second when warm, in nanoseconds of the yardstick. */
@@ -27,6 +38,7 @@
 
   /** A plain queue of so many cores without anything else, as textbooks have it. */
   public static ServerSpec plain(int cores, int slots) {
-    return new ServerSpec(cores, 1, slots, Integer.MAX_VALUE, 0, 1, 0, Integer.MAX_VALUE, 0, 0, 0, 0, 1);
+    return new ServerSpec(
+        cores, 1, slots, Integer.MAX_VALUE, 0, 1, 0, Integer.MAX_VALUE, 0, 0, 0, 0, 1);
   }
 }
--- a/src/main/java/pumicekeel/lab/world/Traffic.java
+++ b/src/main/java/pumicekeel/lab/world/Traffic.java
@@ -14,11 +14,21 @@
 public final class Traffic {
 
   /** A request as its client means it, before any balancer knows of it. */
-  public record Ask(long number, RequestKind kind, int tenant, String key, double work, long waitNanos, long hintNanos, long patience,
-      boolean retries, boolean follows) {}
+  public record Ask(
+      long number,
+      RequestKind kind,
+      int tenant,
+      String key,
+      double work,
+      long waitNanos,
+      long hintNanos,
+      long patience,
+      boolean retries,
+      boolean follows) {}
 
   /** Tenants and their shares, as the brief has them. */
   public static final List<String> TENANTS = List.of("steppe-auto", "agro-tehnika", "kaspi-trucks");
+
   public static final double[] SHARES = {0.48, 0.35, 0.17};
   private static final double WORK_SIGMA = 0.5;
   private static final double HINT_SIGMA = 0.2;
@@ -34,7 +44,13 @@
   private long origin;
 
   /** {@code capacity}: work that all upstreams can do in a second. */
-  public Traffic(Agenda agenda, WorldSpec spec, List<RequestKind> kinds, double capacity, long seed, Consumer<Ask> to) {
+  public Traffic(
+      Agenda agenda,
+      WorldSpec spec,
+      List<RequestKind> kinds,
+      double capacity,
+      long seed,
+      Consumer<Ask> to) {
     this.agenda = agenda;
     this.spec = spec;
     this.kinds = kinds;
@@ -42,7 +58,8 @@
     perSecond = spec.load() * capacity / RequestKind.meanWork(kinds);
     chance = new Chance(seed, "traffic");
     int count = (int) Math.min(10_000_000, spec.keysPerServer() * spec.servers());
-    keys = count < 1 ? null : RejectionInversionZipfSampler.of(chance.source(), count, spec.keySkew());
+    keys =
+        count < 1 ? null : RejectionInversionZipfSampler.of(chance.source(), count, spec.keySkew());
   }
 
   /** Requests a second while nothing is the matter. */
@@ -61,9 +78,12 @@
   }
 
   private void next() {
-    double peak = IntStream.range(0, spec.troubles().size()).mapToDouble(i -> spec.troubles().get(i) instanceof Trouble.Burst b
-        ? b.times() : 1).filter(t -> t > 1).reduce(1, (a, b) -> a * b);
-    // Thinning (Lewis, Shedler 1979): arrivals at the peak's rate, of which the present rate's part is kept.
+    double peak = IntStream.range(0, spec.troubles().size())
+        .mapToDouble(i -> spec.troubles().get(i) instanceof Trouble.Burst b ? b.times() : 1)
+        .filter(t -> t > 1)
+        .reduce(1, (a, b) -> a * b);
+    // Thinning (Lewis, Shedler 1979): arrivals at the peak's rate, of which the present rate's part
+    // is kept.
     agenda.in((long) (chance.exponential() * 1e9 / (perSecond * peak)), () -> {
       boolean comes = chance.uniform() * peak < factor((agenda.now() - origin) / 1e9);
       Ask ask = draw();
@@ -90,7 +110,8 @@
   }
 
   private Ask draw() {
-    RequestKind kind = kinds.get(pick(kinds.stream().mapToDouble(RequestKind::part).toArray()));
+    RequestKind kind =
+        kinds.get(pick(kinds.stream().mapToDouble(RequestKind::part).toArray()));
     int tenant = pick(SHARES);
     String key = keys == null ? null : "k" + keys.sample();
     double size = chance.lognormal(WORK_SIGMA);
@@ -99,7 +120,17 @@
     long wait = (long) (kind.waitNanos() * chance.between(0.7, 1.3));
     long patience = (long) (kind.type().deadlineNanos() * chance.between(0.7, 1));
     boolean retries = chance.uniform() < spec.retryPart();
-    return new Ask(number++, kind, tenant, key, work, wait, hint, patience, retries, chance.uniform() < spec.followPart());
+    return new Ask(
+        number++,
+        kind,
+        tenant,
+        key,
+        work,
+        wait,
+        hint,
+        patience,
+        retries,
+        chance.uniform() < spec.followPart());
   }
 
   private int pick(double[] parts) {
--- a/src/main/java/pumicekeel/lab/world/WorldSpec.java
+++ b/src/main/java/pumicekeel/lab/world/WorldSpec.java
@@ -15,16 +15,34 @@
  * @param followPart those among them that wait as long as they were told
  * @param weighed whether lists tell each upstream's size, roughly
  */
-public record WorldSpec(String name, int balancers, int servers, double seconds, double load, double keysPerServer, double keySkew,
-    int zones, long zoneNanos, int cellSize, long listNanos, long frontNanos, double retryPart, double followPart,
-    boolean weighed, List<Trouble> troubles) {
+public record WorldSpec(
+    String name,
+    int balancers,
+    int servers,
+    double seconds,
+    double load,
+    double keysPerServer,
+    double keySkew,
+    int zones,
+    long zoneNanos,
+    int cellSize,
+    long listNanos,
+    long frontNanos,
+    double retryPart,
+    double followPart,
+    boolean weighed,
+    List<Trouble> troubles) {
 
   public static final int MOST_BALANCERS = 1_000;
   public static final int MOST_SERVERS = 20_000;
 
   public WorldSpec {
     troubles = List.copyOf(troubles);
-    check(balancers >= 1 && balancers <= MOST_BALANCERS, "balancers", "1 to " + MOST_BALANCERS, balancers);
+    check(
+        balancers >= 1 && balancers <= MOST_BALANCERS,
+        "balancers",
+        "1 to " + MOST_BALANCERS,
+        balancers);
     check(servers >= 1 && servers <= MOST_SERVERS, "servers", "1 to " + MOST_SERVERS, servers);
     check(seconds > 0 && seconds <= 3_600, "seconds", "above 0 and at most 3600", seconds);
     check(load > 0 && load <= 100, "load", "above 0 and at most 100", load);
@@ -41,37 +59,163 @@
   }
 
   public WorldSpec withSize(int newBalancers, int newServers) {
-    return new WorldSpec(name, newBalancers, newServers, seconds, load, keysPerServer, keySkew, Math.min(zones, newServers), zoneNanos,
-        cellSize, listNanos, frontNanos, retryPart, followPart, weighed, troubles);
+    return new WorldSpec(
+        name,
+        newBalancers,
+        newServers,
+        seconds,
+        load,
+        keysPerServer,
+        keySkew,
+        Math.min(zones, newServers),
+        zoneNanos,
+        cellSize,
+        listNanos,
+        frontNanos,
+        retryPart,
+        followPart,
+        weighed,
+        troubles);
   }
 
   public WorldSpec withSeconds(double next) {
-    return new WorldSpec(name, balancers, servers, next, load, keysPerServer, keySkew, zones, zoneNanos, cellSize, listNanos, frontNanos,
-        retryPart, followPart, weighed, troubles);
+    return new WorldSpec(
+        name,
+        balancers,
+        servers,
+        next,
+        load,
+        keysPerServer,
+        keySkew,
+        zones,
+        zoneNanos,
+        cellSize,
+        listNanos,
+        frontNanos,
+        retryPart,
+        followPart,
+        weighed,
+        troubles);
   }
 
   public WorldSpec withTroubles(List<Trouble> next) {
-    return new WorldSpec(name, balancers, servers, seconds, load, keysPerServer, keySkew, zones, zoneNanos, cellSize, listNanos,
-        frontNanos, retryPart, followPart, weighed, next);
+    return new WorldSpec(
+        name,
+        balancers,
+        servers,
+        seconds,
+        load,
+        keysPerServer,
+        keySkew,
+        zones,
+        zoneNanos,
+        cellSize,
+        listNanos,
+        frontNanos,
+        retryPart,
+        followPart,
+        weighed,
+        next);
   }
 
   /** One figure changed, by the name that an experiment sweeps; an IllegalArgumentException names what is expected. */
   public WorldSpec with(String key, double value) {
     return switch (key) {
-      case "load" -> new WorldSpec(name, balancers, servers, seconds, value, keysPerServer, keySkew, zones, zoneNanos, cellSize,
-          listNanos, frontNanos, retryPart, followPart, weighed, troubles);
-      case "keys-per-server" -> new WorldSpec(name, balancers, servers, seconds, load, value, keySkew, zones, zoneNanos, cellSize,
-          listNanos, frontNanos, retryPart, followPart, weighed, troubles);
-      case "list-late-s" -> new WorldSpec(name, balancers, servers, seconds, load, keysPerServer, keySkew, zones, zoneNanos, cellSize,
-          (long) (value * 1e9), frontNanos, retryPart, followPart, weighed, troubles);
-      case "retry-part" -> new WorldSpec(name, balancers, servers, seconds, load, keysPerServer, keySkew, zones, zoneNanos, cellSize,
-          listNanos, frontNanos, value, followPart, weighed, troubles);
-      case "follow-part" -> new WorldSpec(name, balancers, servers, seconds, load, keysPerServer, keySkew, zones, zoneNanos, cellSize,
-          listNanos, frontNanos, retryPart, value, weighed, troubles);
+      case "load" ->
+        new WorldSpec(
+            name,
+            balancers,
+            servers,
+            seconds,
+            value,
+            keysPerServer,
+            keySkew,
+            zones,
+            zoneNanos,
+            cellSize,
+            listNanos,
+            frontNanos,
+            retryPart,
+            followPart,
+            weighed,
+            troubles);
+      case "keys-per-server" ->
+        new WorldSpec(
+            name,
+            balancers,
+            servers,
+            seconds,
+            load,
+            value,
+            keySkew,
+            zones,
+            zoneNanos,
+            cellSize,
+            listNanos,
+            frontNanos,
+            retryPart,
+            followPart,
+            weighed,
+            troubles);
+      case "list-late-s" ->
+        new WorldSpec(
+            name,
+            balancers,
+            servers,
+            seconds,
+            load,
+            keysPerServer,
+            keySkew,
+            zones,
+            zoneNanos,
+            cellSize,
+            (long) (value * 1e9),
+            frontNanos,
+            retryPart,
+            followPart,
+            weighed,
+            troubles);
+      case "retry-part" ->
+        new WorldSpec(
+            name,
+            balancers,
+            servers,
+            seconds,
+            load,
+            keysPerServer,
+            keySkew,
+            zones,
+            zoneNanos,
+            cellSize,
+            listNanos,
+            frontNanos,
+            value,
+            followPart,
+            weighed,
+            troubles);
+      case "follow-part" ->
+        new WorldSpec(
+            name,
+            balancers,
+            servers,
+            seconds,
+            load,
+            keysPerServer,
+            keySkew,
+            zones,
+            zoneNanos,
+            cellSize,
+            listNanos,
+            frontNanos,
+            retryPart,
+            value,
+            weighed,
+            troubles);
       default -> throw new IllegalArgumentException(key + ": expected one of " + SWEPT);
     };
   }
 
   /** What can be swept. */
-  public static final List<String> SWEPT = List.of("load", "keys-per-server", "list-late-s", "retry-part", "follow-part");
+  public static final List<String> SWEPT =
+      List.of("load", "keys-per-server", "list-late-s", "retry-part", "follow-part");
 }
--- a/src/main/java/pumicekeel/lab/world/Worlds.java
+++ b/src/main/java/pumicekeel/lab/world/Worlds.java
@@ -10,6 +10,7 @@
   private static final long MS = 1_000_000L;
   /** Worlds after the days of the standing test (STANDING): lists tell sizes there. */
   private static final String MASS = "mass-";
+
   private static final Map<String, List<Trouble>> TROUBLES = troubles();
 
   private Worlds() {}
@@ -24,17 +25,33 @@
     t.put("quarter-crashed", List.of(new Trouble.Crash(15, 0.25, 15)));
     t.put("fifth-slow", List.of(new Trouble.Slow(12, 0.2, 6, 20)));
     t.put("zone-lost", List.of(new Trouble.ZoneLost(15, 1, 20)));
-    t.put("lists-late", List.of(new Trouble.ListLate(0, 60, 6), new Trouble.Deploy(8, 30, 0.6, 0.18)));
+    t.put(
+        "lists-late",
+        List.of(new Trouble.ListLate(0, 60, 6), new Trouble.Deploy(8, 30, 0.6, 0.18)));
     t.put("retry-storm", List.of(new Trouble.Burst(15, 25, 1.6), new Trouble.RetryStorm(0, 60, 3)));
     t.put("balancers-crashed", List.of(new Trouble.BalancerCrash(15, 0.3, 8)));
     t.put("failing", List.of(new Trouble.Failing(12, 0.15, 0.9, 20)));
     t.put("mute", List.of(new Trouble.Mute(12, 0.15, 10)));
-    t.put("crash-and-burst", List.of(new Trouble.Crash(15, 0.25, 15), new Trouble.Burst(18, 30, 1.5)));
-    t.put("restart-and-slow", List.of(new Trouble.Restart(10, 18, 0.96, 0.3), new Trouble.Slow(12, 0.2, 6, 20)));
+    t.put(
+        "crash-and-burst",
+        List.of(new Trouble.Crash(15, 0.25, 15), new Trouble.Burst(18, 30, 1.5)));
+    t.put(
+        "restart-and-slow",
+        List.of(new Trouble.Restart(10, 18, 0.96, 0.3), new Trouble.Slow(12, 0.2, 6, 20)));
     t.put("mass-calm", List.of(new Trouble.Burst(15, 25, 1.5)));
-    t.put("mass-roll", List.of(new Trouble.Deploy(8, 20, 0.5, 0.1), new Trouble.Restart(8, 25, 1, 0.1), new Trouble.Mute(12, 0.05, 15)));
-    t.put("mass-herd", List.of(new Trouble.ListLate(10, 18, 8), new Trouble.Deploy(16, 15, 0.5, 0.1), new Trouble.BalancerCrash(20, 0.7, 3),
-        new Trouble.Failing(12, 0.125, 0.9, 20)));
+    t.put(
+        "mass-roll",
+        List.of(
+            new Trouble.Deploy(8, 20, 0.5, 0.1),
+            new Trouble.Restart(8, 25, 1, 0.1),
+            new Trouble.Mute(12, 0.05, 15)));
+    t.put(
+        "mass-herd",
+        List.of(
+            new Trouble.ListLate(10, 18, 8),
+            new Trouble.Deploy(16, 15, 0.5, 0.1),
+            new Trouble.BalancerCrash(20, 0.7, 3),
+            new Trouble.Failing(12, 0.125, 0.9, 20)));
     t.put("mass-zone", List.of(new Trouble.ZoneLost(15, 1, 5), new Trouble.Slow(12, 0.125, 6, 20)));
     t.put("mass-split", List.of(new Trouble.Mute(15, 0.2, 6), new Trouble.ListLate(14, 22, 4)));
     t.put("mass-join", List.of(new Trouble.Deploy(8, 7, 0.6, 0.02)));
@@ -52,7 +69,22 @@
       return null;
     }
     int zones = name.equals("zone-lost") || name.equals("mass-zone") ? Math.min(3, servers) : 1;
-    return new WorldSpec(name, balancers, servers, 45, 1.4, 90, 0.9, zones, 2 * MS, 2, 2_000 * MS, 2_000 * MS, 0.7, 0.5,
-        name.startsWith(MASS), troubles);
+    return new WorldSpec(
+        name,
+        balancers,
+        servers,
+        45,
+        1.4,
+        90,
+        0.9,
+        zones,
+        2 * MS,
+        2,
+        2_000 * MS,
+        2_000 * MS,
+        0.7,
+        0.5,
+        name.startsWith(MASS),
+        troubles);
   }
 }
--- a/src/main/java/pumicekeel/load/Account.java
+++ b/src/main/java/pumicekeel/load/Account.java
@@ -11,7 +11,14 @@
 public final class Account {
 
   /** How one ended. From LATE on it should not have. */
-  public enum End { SERVED, REFUSED, FAILED, LATE, WRONG, LOST }
+  public enum End {
+    SERVED,
+    REFUSED,
+    FAILED,
+    LATE,
+    WRONG,
+    LOST
+  }
 
   private static final int MOST_FAULTS = 20;
   private static final long LONGEST_MICROS = 60_000_000L;
@@ -41,7 +48,8 @@
   void ended(End how, String name, long dueAt, String what) {
     ends.incrementAndGet(how.ordinal());
     if (how == End.SERVED) {
-      latency.recordValue(Math.min(LONGEST_MICROS, Math.max(1, TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - dueAt))));
+      latency.recordValue(Math.min(
+          LONGEST_MICROS, Math.max(1, TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - dueAt))));
     } else if (how.compareTo(End.LATE) >= 0 && faults.size() < MOST_FAULTS) {
       faults.add(name + " " + how + " " + what);
     }
--- a/src/main/java/pumicekeel/load/HttpAsk.java
+++ b/src/main/java/pumicekeel/load/HttpAsk.java
@@ -14,7 +14,9 @@
 import pumicekeel.load.Account.End;
 
 /** A request of the platform's protocol: a class, whether it has a key, how long its client waits. */
-public record HttpAsk(String host, String className, boolean keyed, String tenant, long deadlineMillis) implements Ask {
+public record HttpAsk(
+    String host, String className, boolean keyed, String tenant, long deadlineMillis)
+    implements Ask {
 
   private static final int MOST_BODY = 1 << 20;
   private static final int PATHS = 1_000;
@@ -40,7 +42,9 @@
       return new ChannelInitializer<Channel>() {
         @Override
         protected void initChannel(Channel channel) {
-          channel.pipeline().addFirst(new HttpResponseDecoder(), new HttpObjectAggregator(MOST_BODY));
+          channel
+              .pipeline()
+              .addFirst(new HttpResponseDecoder(), new HttpObjectAggregator(MOST_BODY));
         }
       };
     }
@@ -50,10 +54,16 @@
       number = first;
       waiting = names.get(0);
       String body = keyed ? "order " + waiting : "";
-      String text = (keyed ? "POST /" : "GET /") + className + "/" + random.nextInt(PATHS) + " HTTP/1.1\r\nHost: " + host
-          + "\r\nX-Correlation-Id: " + waiting + "\r\nX-Service-Class: " + className + "\r\nX-Account: " + tenant
-          + "\r\nX-Session-Key: k" + random.nextInt(SESSIONS) + "\r\nX-Time-Left-Ms: " + deadlineMillis
-          + (keyed ? "\r\nIdempotency-Key: " + waiting + "\r\nContent-Length: " + body.length() : "") + "\r\n\r\n" + body;
+      String text = (keyed ? "POST /" : "GET /") + className + "/" + random.nextInt(PATHS)
+          + " HTTP/1.1\r\nHost: " + host
+          + "\r\nX-Correlation-Id: " + waiting + "\r\nX-Service-Class: " + className
+          + "\r\nX-Account: " + tenant
+          + "\r\nX-Session-Key: k" + random.nextInt(SESSIONS) + "\r\nX-Time-Left-Ms: "
+          + deadlineMillis
+          + (keyed
+              ? "\r\nIdempotency-Key: " + waiting + "\r\nContent-Length: " + body.length()
+              : "")
+          + "\r\n\r\n" + body;
       return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
     }
 
@@ -67,9 +77,11 @@
       String body = answer.content().toString(StandardCharsets.UTF_8);
       boolean own = body.equals(waiting);
       waiting = null;
-      End how = status == 200 ? own ? End.SERVED : End.WRONG
+      End how = status == 200
+          ? own ? End.SERVED : End.WRONG
           : status == 429 || status == 503 ? End.REFUSED : status == 502 ? End.FAILED : End.WRONG;
-      return List.of(new Told(number, how, "answer " + status + (status == 200 ? ", body " + body : "")));
+      return List.of(
+          new Told(number, how, "answer " + status + (status == 200 ? ", body " + body : "")));
     }
 
     @Override
--- a/src/main/java/pumicekeel/load/Load.java
+++ b/src/main/java/pumicekeel/load/Load.java
@@ -28,6 +28,7 @@
 
   /** On top of a client's own patience, for a machine that is busy. */
   private static final long GRACE_MILLIS = 250;
+
   private static final long AGAIN_MILLIS = 20;
   /** Behind by so much at most: a client that was kept longer does not ask all that it missed at once. */
   private static final long MOST_BEHIND_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -43,7 +44,14 @@
   private volatile boolean stopped;
 
   /** {@code prefix} makes names theirs; names of what was served and refused are kept where that is wanted. */
-  public Load(InetSocketAddress balancer, EventLoopGroup group, Ask ask, Shape shape, String prefix, long seed, boolean keepsNames) {
+  public Load(
+      InetSocketAddress balancer,
+      EventLoopGroup group,
+      Ask ask,
+      Shape shape,
+      String prefix,
+      long seed,
+      boolean keepsNames) {
     this.balancer = balancer;
     this.group = group;
     this.ask = ask;
@@ -57,7 +65,13 @@
   }
 
   /** One whose names nobody wants. */
-  public Load(InetSocketAddress balancer, EventLoopGroup group, Ask ask, Shape shape, String prefix, long seed) {
+  public Load(
+      InetSocketAddress balancer,
+      EventLoopGroup group,
+      Ask ask,
+      Shape shape,
+      String prefix,
+      long seed) {
     this(balancer, group, ask, shape, prefix, seed, false);
   }
 
@@ -83,7 +97,8 @@
   /** Asks nothing more; waits until what is open has ended, for the longest patience at most. */
   public Account stop() throws InterruptedException {
     stopped = true;
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ask.deadlineMillis() + 3 * GRACE_MILLIS);
+    long end =
+        System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ask.deadlineMillis() + 3 * GRACE_MILLIS);
     while (account.unended() > 0 && System.nanoTime() - end < 0) {
       TimeUnit.MILLISECONDS.sleep(5);
     }
@@ -115,14 +130,19 @@
     }
 
     private void connect() {
-      new Bootstrap().group(group).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
+      new Bootstrap()
+          .group(group)
+          .channel(NioSocketChannel.class)
+          .option(ChannelOption.TCP_NODELAY, true)
           .handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel c) {
               speech = ask.on(own);
               c.pipeline().addLast(speech.codec(), One.this);
             }
-          }).connect(balancer).addListener(done -> {
+          })
+          .connect(balancer)
+          .addListener(done -> {
             if (!done.isSuccess() && !stopped) {
               group.next().schedule(this::connect, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
             }
@@ -151,16 +171,22 @@
           return;
         }
         ask(ctx, shape.gapNanos() == 0 ? now : dueAt);
-        dueAt = shape.gapNanos() == 0 ? now : Math.max(dueAt + shape.gapNanos(), now - MOST_BEHIND_NANOS);
+        dueAt = shape.gapNanos() == 0
+            ? now
+            : Math.max(dueAt + shape.gapNanos(), now - MOST_BEHIND_NANOS);
       }
       ctx.flush();
       if (mayAsk(ctx)) {
-        next = ctx.executor().schedule(() -> go(ctx), Math.max(0, dueAt - System.nanoTime()), TimeUnit.NANOSECONDS);
+        next = ctx.executor()
+            .schedule(() -> go(ctx), Math.max(0, dueAt - System.nanoTime()), TimeUnit.NANOSECONDS);
       }
     }
 
     private boolean mayAsk(ChannelHandlerContext ctx) {
-      return !stopped && ctx.channel().isActive() && ctx.channel() == channel && open.size() + shape.batch() <= shape.depth();
+      return !stopped
+          && ctx.channel().isActive()
+          && ctx.channel() == channel
+          && open.size() + shape.batch() <= shape.depth();
     }
 
     private void leave(ChannelHandlerContext ctx) {
@@ -202,12 +228,20 @@
       }
       long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sent.atNanos());
       boolean late = millis > ask.deadlineMillis() + GRACE_MILLIS;
-      account.ended(late ? End.LATE : told.how(), sent.name(), sent.dueAt(), late ? "after " + millis + " ms" : told.what());
+      account.ended(
+          late ? End.LATE : told.how(),
+          sent.name(),
+          sent.dueAt(),
+          late ? "after " + millis + " ms" : told.what());
     }
 
     private void lookForLost(ChannelHandlerContext ctx) {
-      long latest = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ask.deadlineMillis() + GRACE_MILLIS);
-      List<Long> lost = open.entrySet().stream().filter(e -> e.getValue().atNanos() - latest < 0).map(Map.Entry::getKey).toList();
+      long latest =
+          System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ask.deadlineMillis() + GRACE_MILLIS);
+      List<Long> lost = open.entrySet().stream()
+          .filter(e -> e.getValue().atNanos() - latest < 0)
+          .map(Map.Entry::getKey)
+          .toList();
       lost.forEach(number -> lost(open.remove(number), "no answer in time"));
       if (!lost.isEmpty() && speech.inOrder()) {
         ctx.close();
--- a/src/main/java/pumicekeel/load/RpcAsk.java
+++ b/src/main/java/pumicekeel/load/RpcAsk.java
@@ -57,8 +57,8 @@
         Id id = Id.of(number);
         numbers.put(id, number);
         names.put(number, name);
-        String params = "{\"n\":\"" + name + "\",\"account\":\"" + tenant + "\",\"session\":\"k" + random.nextInt(SESSIONS)
-            + "\",\"left\":" + deadlineMillis + "}";
+        String params = "{\"n\":\"" + name + "\",\"account\":\"" + tenant + "\",\"session\":\"k"
+            + random.nextInt(SESSIONS) + "\",\"left\":" + deadlineMillis + "}";
         calls.add(Writer.call(id, method, params.getBytes(StandardCharsets.US_ASCII)));
       }
       return Writer.frame(Framing.VALUES, calls.size() == 1 ? calls.get(0) : Writer.array(calls));
@@ -70,7 +70,8 @@
       if (read instanceof Message.One one) {
         return List.of(told(one.entry()));
       }
-      return read instanceof Message.Batch batch ? batch.entries().stream().map(this::told).toList()
+      return read instanceof Message.Batch batch
+          ? batch.entries().stream().map(this::told).toList()
           : List.of(new Told(-1, End.WRONG, "no message"));
     }
 
@@ -82,12 +83,17 @@
       String name = names.remove(number);
       Message.Reply reply = (Message.Reply) entry;
       if (reply.result() != null) {
-        boolean own = new String(reply.result(), StandardCharsets.UTF_8).contains("\"" + name + "\"");
+        boolean own =
+            new String(reply.result(), StandardCharsets.UTF_8).contains("\"" + name + "\"");
         return new Told(number, own ? End.SERVED : End.WRONG, "another's result");
       }
       int code = reply.code();
-      return new Told(number, code == Codes.FAILED ? End.FAILED : code <= Codes.REFUSED && code >= Codes.NO_ROOM ? End.REFUSED
-          : End.WRONG, new String(reply.error(), StandardCharsets.UTF_8));
+      return new Told(
+          number,
+          code == Codes.FAILED
+              ? End.FAILED
+              : code <= Codes.REFUSED && code >= Codes.NO_ROOM ? End.REFUSED : End.WRONG,
+          new String(reply.error(), StandardCharsets.UTF_8));
     }
 
     @Override
--- a/src/main/java/pumicekeel/load/Shape.java
+++ b/src/main/java/pumicekeel/load/Shape.java
@@ -11,9 +11,15 @@
 public record Shape(int connections, double perSecond, int depth, int batch, int leaves) {
 
   public Shape {
-    if (connections < 1 || !(perSecond > 0) || batch < 1 || depth < batch || leaves < 0 || leaves > 1_000) {
-      throw new IllegalArgumentException("expected connections of 1 on, a rate above 0, a batch within the depth, got " + connections
-          + ", " + perSecond + ", " + batch + " of " + depth);
+    if (connections < 1
+        || !(perSecond > 0)
+        || batch < 1
+        || depth < batch
+        || leaves < 0
+        || leaves > 1_000) {
+      throw new IllegalArgumentException(
+          "expected connections of 1 on, a rate above 0, a batch within the depth, got "
+              + connections + ", " + perSecond + ", " + batch + " of " + depth);
     }
   }
 
--- a/src/main/java/pumicekeel/measure/Measure.java
+++ b/src/main/java/pumicekeel/measure/Measure.java
@@ -19,14 +19,14 @@
 import pumicekeel.config.Configuration;
 import pumicekeel.config.OperatorReader;
 import pumicekeel.discovery.HostList;
-import pumicekeel.node.Node;
-import pumicekeel.runtime.Addresses;
 import pumicekeel.load.Account;
+import pumicekeel.load.Account.End;
 import pumicekeel.load.Ask;
-import pumicekeel.load.Load;
 import pumicekeel.load.HttpAsk;
+import pumicekeel.load.Load;
 import pumicekeel.load.Shape;
-import pumicekeel.load.Account.End;
+import pumicekeel.node.Node;
+import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
 
@@ -40,8 +40,10 @@
   private final PrintWriter out;
   private final int seconds;
   private final int rounds;
-  private final EventLoopGroup standIns = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final EventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup standIns =
+      new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+  private final EventLoopGroup clients =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
   public Measure(PrintWriter out, int seconds, int rounds) {
     this.out = out;
@@ -57,36 +59,50 @@
 
   private record Rate(double perSecond, double p99Millis, long notServed) {}
 
-  private Rate load(InetSocketAddress address, String host, double perSecond, int connections, String prefix)
+  private Rate load(
+      InetSocketAddress address, String host, double perSecond, int connections, String prefix)
       throws InterruptedException {
-    return load(address, new HttpAsk(host, "rate-lookup", false, "t", 3_000),
-        perSecond == CLOSED ? Shape.busy(connections, 1) : Shape.steady(connections, perSecond), prefix, TimeUnit.SECONDS.toMillis(seconds));
+    return load(
+        address,
+        new HttpAsk(host, "rate-lookup", false, "t", 3_000),
+        perSecond == CLOSED ? Shape.busy(connections, 1) : Shape.steady(connections, perSecond),
+        prefix,
+        TimeUnit.SECONDS.toMillis(seconds));
   }
 
-  private Rate load(InetSocketAddress address, Ask ask, Shape shape, String prefix, long millis) throws InterruptedException {
+  private Rate load(InetSocketAddress address, Ask ask, Shape shape, String prefix, long millis)
+      throws InterruptedException {
     Load load = new Load(address, clients, ask, shape, prefix, 1).start();
     long start = System.nanoTime();
     TimeUnit.MILLISECONDS.sleep(millis);
     double taken = (System.nanoTime() - start) / 1e9;
     long served = load.count(End.SERVED);
     Account account = load.stop();
-    return new Rate(served / taken, account.latency().getValueAtPercentile(99) / 1e3,
+    return new Rate(
+        served / taken,
+        account.latency().getValueAtPercentile(99) / 1e3,
         account.asked() - account.left() - account.count(End.SERVED));
   }
 
   static String median(List<Double> values) {
     List<Double> sorted = new ArrayList<>(values);
     sorted.sort(null);
-    return String.format("%.3f (%.3f to %.3f)", sorted.get(sorted.size() / 2), sorted.get(0),
-        sorted.get(sorted.size() - 1));
+    return String.format(
+        "%.3f (%.3f to %.3f)",
+        sorted.get(sorted.size() / 2), sorted.get(0), sorted.get(sorted.size() - 1));
   }
 
   private static String json(InetSocketAddress discovery, List<StandInUpstream> upstreams) {
     StringBuilder known = new StringBuilder();
     for (StandInUpstream u : upstreams) {
-      known.append(known.length() == 0 ? "" : ",").append("{\"name\":\"").append(u.name()).append("\",\"address\":\"")
-          .append(text(u.address())).append("\",\"zone\":\"a\",\"type\":\"t\",\"group\":1,\"status\":\"in_service\","
-          + "\"weight\":1.0,\"since_ms\":0}");
+      known
+          .append(known.length() == 0 ? "" : ",")
+          .append("{\"name\":\"")
+          .append(u.name())
+          .append("\",\"address\":\"")
+          .append(text(u.address()))
+          .append("\",\"zone\":\"a\",\"type\":\"t\",\"group\":1,\"status\":\"in_service\","
+              + "\"weight\":1.0,\"since_ms\":0}");
     }
     return """
         {"name":"m","listen":"127.0.0.1:0","discovery":"%s","seed":"1","limits":{"sockets":4096},
@@ -105,12 +121,18 @@
 
   private static Configuration configuration(String json) throws IOException {
     Fields f = Fields.parse("configuration", json);
-    return new Configuration("m", Addresses.parse("listen", f.text("listen")),
-        Addresses.parse("discovery", f.text("discovery")), 1, (int) f.nested("limits").integer("sockets"),
-        HostList.of(f.nested("known")), Decoder.settings(f.nested("settings")));
+    return new Configuration(
+        "m",
+        Addresses.parse("listen", f.text("listen")),
+        Addresses.parse("discovery", f.text("discovery")),
+        1,
+        (int) f.nested("limits").integer("sockets"),
+        HostList.of(f.nested("known")),
+        Decoder.settings(f.nested("settings")));
   }
 
-  private List<StandInUpstream> upstreams(String prefix, int count, long delayMicros) throws InterruptedException {
+  private List<StandInUpstream> upstreams(String prefix, int count, long delayMicros)
+      throws InterruptedException {
     List<StandInUpstream> out = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       out.add(new StandInUpstream(prefix + i, standIns, delayMicros));
@@ -121,27 +143,39 @@
   private static final InetSocketAddress NOWHERE = new InetSocketAddress("127.0.0.1", 1);
 
   private static String fixed(List<StandInUpstream> upstreams) {
-    return "[" + String.join(", ", upstreams.stream()
-        .map(u -> "{ name = \"" + u.name() + "\", address = \"" + text(u.address()) + "\" }").toList()) + "]";
+    return "["
+        + String.join(
+            ", ",
+            upstreams.stream()
+                .map(
+                    u -> "{ name = \"" + u.name() + "\", address = \"" + text(u.address()) + "\" }")
+                .toList())
+        + "]";
   }
 
   private static Node node(List<StandInUpstream> known, String operator) throws Exception {
-    Node node = new Node(configuration(json(NOWHERE, known)),
-        operator == null ? null : OperatorReader.read(operator).operator(), () -> { });
+    Node node = new Node(
+        configuration(json(NOWHERE, known)),
+        operator == null ? null : OperatorReader.read(operator).operator(),
+        () -> {});
     return node;
   }
 
-  // ---- The measurements ---------------------------------------------------------------------------------
+  // ---- The measurements
+  // ---------------------------------------------------------------------------------
 
   /** Requests a second through the balancer, without and with an operator file, against a bare relay, in turns. */
   public void relay() throws Exception {
     List<StandInUpstream> upstreams = upstreams("u", UPSTREAMS, 0);
     EventLoopGroup relayLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    Relay relay = new Relay(relayLoop, upstreams.stream().map(StandInUpstream::address)
-        .toArray(InetSocketAddress[]::new));
+    Relay relay = new Relay(
+        relayLoop,
+        upstreams.stream().map(StandInUpstream::address).toArray(InetSocketAddress[]::new));
     Node off = node(upstreams, null);
-    Node on = node(upstreams, "[sources.s]\nstatic = " + fixed(upstreams)
-        + "\n[pools.p]\nsource = \"s\"\n[[routes]]\nhost = \"h\"\npool = \"p\"\n");
+    Node on = node(
+        upstreams,
+        "[sources.s]\nstatic = " + fixed(upstreams)
+            + "\n[pools.p]\nsource = \"s\"\n[[routes]]\nhost = \"h\"\npool = \"p\"\n");
     InetSocketAddress offAt = off.start();
     InetSocketAddress onAt = on.start();
     off.awaitReady();
@@ -153,9 +187,17 @@
       Rate bare = load(relay.address(), "h", CLOSED, CONNECTIONS, "r" + i);
       Rate without = load(offAt, "h", CLOSED, CONNECTIONS, "f" + i);
       Rate with = load(onAt, "h", CLOSED, CONNECTIONS, "n" + i);
-      out.printf("%s relay %.0f/s p99 %.2f ms, no file %.0f/s p99 %.2f ms, file %.0f/s p99 %.2f ms, not served %d %d%n",
-          i == 0 ? "warm-up:" : "round " + i + ":", bare.perSecond(), bare.p99Millis(), without.perSecond(),
-          without.p99Millis(), with.perSecond(), with.p99Millis(), without.notServed(), with.notServed());
+      out.printf(
+          "%s relay %.0f/s p99 %.2f ms, no file %.0f/s p99 %.2f ms, file %.0f/s p99 %.2f ms, not served %d %d%n",
+          i == 0 ? "warm-up:" : "round " + i + ":",
+          bare.perSecond(),
+          bare.p99Millis(),
+          without.perSecond(),
+          without.p99Millis(),
+          with.perSecond(),
+          with.p99Millis(),
+          without.notServed(),
+          with.notServed());
       out.flush();
       if (i > 0) {
         offRatio.add(without.perSecond() / bare.perSecond());
@@ -163,8 +205,8 @@
         p99.add(with.p99Millis() / without.p99Millis());
       }
     }
-    out.println("no file against the relay " + median(offRatio) + "; file against no file " + median(onRatio)
-        + ", p99 " + median(p99));
+    out.println("no file against the relay " + median(offRatio) + "; file against no file "
+        + median(onRatio) + ", p99 " + median(p99));
     relay.close();
     off.close();
     on.close();
@@ -195,8 +237,14 @@
   }
 
   private AutoCloseable usual(InetSocketAddress at, double perSecond) {
-    Load load = new Load(at, clients, new HttpAsk("a", "rate-lookup", false, "t", 3_000),
-        Shape.steady(60, perSecond), "a" + System.nanoTime(), 3).start();
+    Load load = new Load(
+            at,
+            clients,
+            new HttpAsk("a", "rate-lookup", false, "t", 3_000),
+            Shape.steady(60, perSecond),
+            "a" + System.nanoTime(),
+            3)
+        .start();
     return load::stop;
   }
 
@@ -208,9 +256,11 @@
     for (int i = 0; i < rounds; i++) {
       List<StandInUpstream> a = upstreams("a", 2, 2_000);
       List<StandInUpstream> b = upstreams("b", 2, 2_000);
-      Node node = node(a, "[sources.a]\nstatic = " + fixed(a) + "\n[sources.b]\nstatic = " + fixed(b)
-          + "\n[pools.a]\nsource = \"a\"\n[pools.b]\nsource = \"b\"\n[[routes]]\nhost = \"a\"\npool = \"a\"\n"
-          + "[[routes]]\nhost = \"b\"\npool = \"b\"\n");
+      Node node = node(
+          a,
+          "[sources.a]\nstatic = " + fixed(a) + "\n[sources.b]\nstatic = " + fixed(b)
+              + "\n[pools.a]\nsource = \"a\"\n[pools.b]\nsource = \"b\"\n[[routes]]\nhost = \"a\"\npool = \"a\"\n"
+              + "[[routes]]\nhost = \"b\"\npool = \"b\"\n");
       InetSocketAddress at = node.start();
       node.awaitReady();
       load(at, "b", 400, 8, "w" + i);
@@ -226,8 +276,9 @@
       notServed += beside.notServed();
       ratios.add(under / rest);
     }
-    out.printf("%-36s b's p99 %.2f ms after %.2f ms; ratio %s; %d of b not served%n", name, under, rest,
-        median(ratios), notServed);
+    out.printf(
+        "%-36s b's p99 %.2f ms after %.2f ms; ratio %s; %d of b not served%n",
+        name, under, rest, median(ratios), notServed);
     out.flush();
   }
 
@@ -241,8 +292,13 @@
       List<Double> megabytes = new ArrayList<>();
       StringBuilder text = new StringBuilder("[sources.s]\nstatic = " + fixed(upstreams) + "\n");
       for (int i = 0; i < pools; i++) {
-        text.append("[pools.p").append(i).append("]\nsource = \"s\"\n[[routes]]\nhost = \"h").append(i)
-            .append("\"\npool = \"p").append(i).append("\"\n");
+        text.append("[pools.p")
+            .append(i)
+            .append("]\nsource = \"s\"\n[[routes]]\nhost = \"h")
+            .append(i)
+            .append("\"\npool = \"p")
+            .append(i)
+            .append("\"\n");
       }
       Path operator = Files.writeString(folder.resolve("operator.toml"), text);
       for (int i = 0; i < rounds; i++) {
@@ -251,7 +307,12 @@
         InetSocketAddress at = address(process);
         millis.add((System.nanoTime() - start) / 1e6);
         for (int p = 0; p < Math.max(1, pools); p++) {
-          load(at, new HttpAsk("h" + p, "rate-lookup", false, "t", 3_000), Shape.steady(2, 200), "p" + i + "-" + p, 100);
+          load(
+              at,
+              new HttpAsk("h" + p, "rate-lookup", false, "t", 3_000),
+              Shape.steady(2, 200),
+              "p" + i + "-" + p,
+              100);
         }
         megabytes.add(residentMegabytes(process));
         process.destroy();
@@ -281,15 +342,21 @@
       Rate second = load(mineFirst ? theirsAt : mineAt, "h", CLOSED, CONNECTIONS, "y" + i);
       Rate m = mineFirst ? first : second;
       Rate t = mineFirst ? second : first;
-      out.printf("%s this %.0f/s p99 %.2f ms, other %.0f/s p99 %.2f ms%n", i == 0 ? "warm-up:" : "round " + i + ":",
-          m.perSecond(), m.p99Millis(), t.perSecond(), t.p99Millis());
+      out.printf(
+          "%s this %.0f/s p99 %.2f ms, other %.0f/s p99 %.2f ms%n",
+          i == 0 ? "warm-up:" : "round " + i + ":",
+          m.perSecond(),
+          m.p99Millis(),
+          t.perSecond(),
+          t.p99Millis());
       out.flush();
       if (i > 0) {
         rate.add(m.perSecond() / t.perSecond());
         p99.add(m.p99Millis() / t.p99Millis());
       }
     }
-    out.println("this against the other: requests a second " + median(rate) + ", p99 " + median(p99));
+    out.println(
+        "this against the other: requests a second " + median(rate) + ", p99 " + median(p99));
     mine.destroy();
     theirs.destroy();
     upstreams.forEach(StandInUpstream::close);
@@ -302,11 +369,15 @@
     List<Node> nodes = new ArrayList<>();
     List<InetSocketAddress> at = new ArrayList<>();
     for (String durability : List.of("off", "process", "host")) {
-      String part = durability.equals("off") ? "" : "[journal]\ndirectory = \"" + folder.resolve(durability)
-          + "\"\ndurability = \"" + durability + "\"\n";
-      Node node = node(upstreams, part + "[sources.s]\nstatic = " + fixed(upstreams)
-          + "\n[pools.p]\nsource = \"s\"\nclasses = [{ name = \"quote-issue\", effect = \"keyed\", dedup-scope = \"all\", "
-          + "dedup-window-ms = 2000, aim-ms = 400, deadline-ms = 3000 }]\n[[routes]]\npool = \"p\"\n");
+      String part = durability.equals("off")
+          ? ""
+          : "[journal]\ndirectory = \"" + folder.resolve(durability) + "\"\ndurability = \""
+              + durability + "\"\n";
+      Node node = node(
+          upstreams,
+          part + "[sources.s]\nstatic = " + fixed(upstreams)
+              + "\n[pools.p]\nsource = \"s\"\nclasses = [{ name = \"quote-issue\", effect = \"keyed\", dedup-scope = \"all\", "
+              + "dedup-window-ms = 2000, aim-ms = 400, deadline-ms = 3000 }]\n[[routes]]\npool = \"p\"\n");
       nodes.add(node);
       at.add(node.start());
       node.awaitReady();
@@ -319,9 +390,17 @@
         int n = (i + k) % 3;
         rates[n] = keyed(at.get(n), "j" + i + "-" + n);
       }
-      out.printf("%s off %.0f/s p99 %.2f ms, process %.0f/s p99 %.2f ms, host %.0f/s p99 %.2f ms, not served %d %d %d%n",
-          i == 0 ? "warm-up:" : "round " + i + ":", rates[0].perSecond(), rates[0].p99Millis(), rates[1].perSecond(),
-          rates[1].p99Millis(), rates[2].perSecond(), rates[2].p99Millis(), rates[0].notServed(), rates[1].notServed(),
+      out.printf(
+          "%s off %.0f/s p99 %.2f ms, process %.0f/s p99 %.2f ms, host %.0f/s p99 %.2f ms, not served %d %d %d%n",
+          i == 0 ? "warm-up:" : "round " + i + ":",
+          rates[0].perSecond(),
+          rates[0].p99Millis(),
+          rates[1].perSecond(),
+          rates[1].p99Millis(),
+          rates[2].perSecond(),
+          rates[2].p99Millis(),
+          rates[0].notServed(),
+          rates[1].notServed(),
           rates[2].notServed());
       out.flush();
       for (int n = 1; n < 3 && i > 0; n++) {
@@ -330,20 +409,26 @@
       }
     }
     out.println("process against off " + median(ratios.get(1)) + ", p99 " + median(p99.get(1)));
-    out.println("host against off " + median(ratios.get(2)) + ", p99 " + median(p99.get(2)) + "; this disk's syncs of 4 KiB"
-        + " a second: " + Math.round(syncs(folder)));
+    out.println("host against off " + median(ratios.get(2)) + ", p99 " + median(p99.get(2))
+        + "; this disk's syncs of 4 KiB" + " a second: " + Math.round(syncs(folder)));
     nodes.forEach(Node::close);
     upstreams.forEach(StandInUpstream::close);
   }
 
   private Rate keyed(InetSocketAddress address, String prefix) throws InterruptedException {
-    return load(address, new HttpAsk("h", "quote-issue", true, "t", 3_000), Shape.busy(CONNECTIONS, 1), prefix,
+    return load(
+        address,
+        new HttpAsk("h", "quote-issue", true, "t", 3_000),
+        Shape.busy(CONNECTIONS, 1),
+        prefix,
         TimeUnit.SECONDS.toMillis(seconds));
   }
 
   private double syncs(Path folder) throws IOException {
-    try (var channel = java.nio.channels.FileChannel.open(folder.resolve("sync"),
-        java.nio.file.StandardOpenOption.CREATE, java.nio.file.StandardOpenOption.WRITE)) {
+    try (var channel = java.nio.channels.FileChannel.open(
+        folder.resolve("sync"),
+        java.nio.file.StandardOpenOption.CREATE,
+        java.nio.file.StandardOpenOption.WRITE)) {
       long start = System.nanoTime();
       int count = 0;
       while (System.nanoTime() - start < TimeUnit.SECONDS.toNanos(1)) {
@@ -367,7 +452,8 @@
     out.flush();
   }
 
-  private static Process serve(Path jar, List<String> flags, Path config, Path operator) throws IOException {
+  private static Process serve(Path jar, List<String> flags, Path config, Path operator)
+      throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(flags);
@@ -382,7 +468,8 @@
   }
 
   private static InetSocketAddress address(Process process) throws IOException {
-    BufferedReader log = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+    BufferedReader log =
+        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     for (String line = log.readLine(); line != null; line = log.readLine()) {
       if (line.contains(" serves at /")) {
         Thread drain = new Thread(() -> skip(log), "log");
@@ -409,7 +496,12 @@
   /** Linux only: what the kernel says; 0 elsewhere. */
   private static double residentMegabytes(Process process) throws IOException {
     Path status = Path.of("/proc", Long.toString(process.pid()), "status");
-    return !Files.exists(status) ? 0 : Files.readAllLines(status).stream().filter(l -> l.startsWith("VmRSS:"))
-        .mapToDouble(l -> Double.parseDouble(l.replaceAll("\\D", "")) / 1024).findFirst().orElse(0);
+    return !Files.exists(status)
+        ? 0
+        : Files.readAllLines(status).stream()
+            .filter(l -> l.startsWith("VmRSS:"))
+            .mapToDouble(l -> Double.parseDouble(l.replaceAll("\\D", "")) / 1024)
+            .findFirst()
+            .orElse(0);
   }
 }
--- a/src/main/java/pumicekeel/measure/Relay.java
+++ b/src/main/java/pumicekeel/measure/Relay.java
@@ -38,21 +38,32 @@
   }
 
   /** One that reads messages by these, and passes on what {@code passes} makes of each; null for nothing. */
-  Relay(EventLoopGroup loop, Supplier<ChannelHandler> fromClients, Supplier<ChannelHandler> fromUpstreams, UnaryOperator<Object> passes,
-      InetSocketAddress... upstreams) throws InterruptedException {
+  Relay(
+      EventLoopGroup loop,
+      Supplier<ChannelHandler> fromClients,
+      Supplier<ChannelHandler> fromUpstreams,
+      UnaryOperator<Object> passes,
+      InetSocketAddress... upstreams)
+      throws InterruptedException {
     this.loop = loop;
     this.fromClients = fromClients;
     this.fromUpstreams = fromUpstreams;
     this.passes = passes;
     this.upstreams = upstreams;
-    listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-        .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
+    listener = new ServerBootstrap()
+        .group(loop)
+        .channel(NioServerSocketChannel.class)
+        .childOption(ChannelOption.TCP_NODELAY, true)
+        .childOption(ChannelOption.AUTO_READ, false)
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel client) {
             connect(client);
           }
-        }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+        })
+        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        .sync()
+        .channel();
   }
 
   InetSocketAddress address() {
@@ -60,13 +71,18 @@
   }
 
   private void connect(Channel client) {
-    new Bootstrap().group(client.eventLoop()).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
+    new Bootstrap()
+        .group(client.eventLoop())
+        .channel(NioSocketChannel.class)
+        .option(ChannelOption.TCP_NODELAY, true)
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel upstream) {
             join(upstream, fromUpstreams, client);
           }
-        }).connect(upstreams[next++ % upstreams.length]).addListener(done -> {
+        })
+        .connect(upstreams[next++ % upstreams.length])
+        .addListener(done -> {
           join(client, fromClients, ((ChannelFuture) done).channel());
           client.config().setAutoRead(true);
         });
--- a/src/main/java/pumicekeel/measure/RpcMeasure.java
+++ b/src/main/java/pumicekeel/measure/RpcMeasure.java
@@ -43,9 +43,11 @@
   private final int rounds;
   private final EventLoopGroup standIns;
   private final EventLoopGroup clients;
-  private final EventLoopGroup relayLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup relayLoop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-  RpcMeasure(PrintWriter out, int seconds, int rounds, EventLoopGroup standIns, EventLoopGroup clients) {
+  RpcMeasure(
+      PrintWriter out, int seconds, int rounds, EventLoopGroup standIns, EventLoopGroup clients) {
     this.out = out;
     this.seconds = seconds;
     this.rounds = rounds;
@@ -68,17 +70,22 @@
     if (read.operator() == null) {
       throw new IllegalStateException(read.faults().toString());
     }
-    Configuration configuration = new Configuration("m", Addresses.parse("listen", "127.0.0.1:0"),
-        new InetSocketAddress("127.0.0.1", 1), 1, 4_096, new HostList(0, true, List.of()),
+    Configuration configuration = new Configuration(
+        "m",
+        Addresses.parse("listen", "127.0.0.1:0"),
+        new InetSocketAddress("127.0.0.1", 1),
+        1,
+        4_096,
+        new HostList(0, true, List.of()),
         Decoder.settings(Fields.parse("settings", SETTINGS)));
-    return new Node(configuration, read.operator(), () -> { });
+    return new Node(configuration, read.operator(), () -> {});
   }
 
   private static String list(List<InetSocketAddress> addresses) {
     List<String> entries = new ArrayList<>();
     for (InetSocketAddress a : addresses) {
-      entries.add("{ name = \"u" + entries.size() + "\", address = \"" + a.getAddress().getHostAddress() + ":"
-          + a.getPort() + "\" }");
+      entries.add("{ name = \"u" + entries.size() + "\", address = \""
+          + a.getAddress().getHostAddress() + ":" + a.getPort() + "\" }");
     }
     return "[" + String.join(", ", entries) + "]";
   }
@@ -91,36 +98,61 @@
       upstreams.add(new StandInUpstream("u" + i, standIns, 0));
     }
     // One that cuts messages apart and passes them on.
-    Relay relay = new Relay(relayLoop, () -> new FrameDecoder(Framing.VALUES, LIMITS, () -> true),
+    Relay relay = new Relay(
+        relayLoop,
+        () -> new FrameDecoder(Framing.VALUES, LIMITS, () -> true),
         () -> new FrameDecoder(Framing.NEWLINE, LIMITS, () -> true),
-        message -> message instanceof Frame.Whole whole ? Writer.frame(Framing.NEWLINE, whole.bytes()) : null,
+        message -> message instanceof Frame.Whole whole
+            ? Writer.frame(Framing.NEWLINE, whole.bytes())
+            : null,
         servers.stream().map(StandInRpcServer::address).toArray(InetSocketAddress[]::new));
     List<Long> before = threads();
-    Node node = node("[listeners.rpc]\naddress = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\n[[methods]]\nname = "
-        + "\"rate.lookup\"\nclass = \"rate-lookup\"\ntenant = { pointer = \"/account\" }\nsession-key = { pointer = "
-        + "\"/session\" }\ntime-left-ms = { pointer = \"/left\" }\n[sources.r]\nstatic = "
-        + list(servers.stream().map(StandInRpcServer::address).toList()) + "\n[sources.h]\nstatic = "
-        + list(upstreams.stream().map(StandInUpstream::address).toList()) + "\n[pools.rpc]\nsource = \"r\"\nprotocol = "
-        + "\"json-rpc\"\n[pools.http]\nsource = \"h\"\n[[routes]]\nlistener = \"rpc\"\npool = \"rpc\"\n[[routes]]\npool = "
-        + "\"http\"\n");
+    Node node = node(
+        "[listeners.rpc]\naddress = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\n[[methods]]\nname = "
+            + "\"rate.lookup\"\nclass = \"rate-lookup\"\ntenant = { pointer = \"/account\" }\nsession-key = { pointer = "
+            + "\"/session\" }\ntime-left-ms = { pointer = \"/left\" }\n[sources.r]\nstatic = "
+            + list(servers.stream().map(StandInRpcServer::address).toList())
+            + "\n[sources.h]\nstatic = "
+            + list(upstreams.stream().map(StandInUpstream::address).toList())
+            + "\n[pools.rpc]\nsource = \"r\"\nprotocol = "
+            + "\"json-rpc\"\n[pools.http]\nsource = \"h\"\n[[routes]]\nlistener = \"rpc\"\npool = \"rpc\"\n[[routes]]\npool = "
+            + "\"http\"\n");
     InetSocketAddress http = node.start();
     node.awaitReady();
     List<Long> loop = threads();
     loop.removeAll(before);
     InetSocketAddress rpc = node.addressOf("rpc");
-    List<List<Double>> ratios = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>(),
-        new ArrayList<>(), new ArrayList<>());
+    List<List<Double>> ratios = List.of(
+        new ArrayList<>(),
+        new ArrayList<>(),
+        new ArrayList<>(),
+        new ArrayList<>(),
+        new ArrayList<>(),
+        new ArrayList<>());
     for (int i = 0; i <= rounds; i++) {
       Rate bare = calls(relay.address(), 1, loop, "a" + i);
       Rate one = calls(rpc, 1, loop, "b" + i);
       Rate requests = requests(http, loop, "c" + i);
       Rate bareDeep = calls(relay.address(), 8, loop, "d" + i);
       Rate deep = calls(rpc, 8, loop, "e" + i);
-      out.printf("%s relay %.0f/s p99 %.2f ms, calls %.0f/s p99 %.2f ms %.0f B, HTTP %.0f/s p99 %.2f ms %.0f B; 8 open: "
-          + "relay %.0f/s p99 %.2f ms, calls %.0f/s p99 %.2f ms; not served %d %d %d%n",
-          i == 0 ? "warm-up:" : "round " + i + ":", bare.perSecond(), bare.p99Millis(), one.perSecond(), one.p99Millis(),
-          one.bytesPerCall(), requests.perSecond(), requests.p99Millis(), requests.bytesPerCall(), bareDeep.perSecond(),
-          bareDeep.p99Millis(), deep.perSecond(), deep.p99Millis(), one.notServed(), requests.notServed(),
+      out.printf(
+          "%s relay %.0f/s p99 %.2f ms, calls %.0f/s p99 %.2f ms %.0f B, HTTP %.0f/s p99 %.2f ms %.0f B; 8 open: "
+              + "relay %.0f/s p99 %.2f ms, calls %.0f/s p99 %.2f ms; not served %d %d %d%n",
+          i == 0 ? "warm-up:" : "round " + i + ":",
+          bare.perSecond(),
+          bare.p99Millis(),
+          one.perSecond(),
+          one.p99Millis(),
+          one.bytesPerCall(),
+          requests.perSecond(),
+          requests.p99Millis(),
+          requests.bytesPerCall(),
+          bareDeep.perSecond(),
+          bareDeep.p99Millis(),
+          deep.perSecond(),
+          deep.p99Millis(),
+          one.notServed(),
+          requests.notServed(),
           deep.notServed());
       out.flush();
       if (i > 0) {
@@ -132,11 +164,12 @@
         ratios.get(5).add(requests.bytesPerCall());
       }
     }
-    out.println("one call open: against the framing relay " + Measure.median(ratios.get(0)) + "; against HTTP "
-        + Measure.median(ratios.get(1)) + ", p99 " + Measure.median(ratios.get(2)));
+    out.println("one call open: against the framing relay " + Measure.median(ratios.get(0))
+        + "; against HTTP " + Measure.median(ratios.get(1)) + ", p99 "
+        + Measure.median(ratios.get(2)));
     out.println("8 open: against the framing relay " + Measure.median(ratios.get(3)));
-    out.println("garbage on the loop, bytes a call " + Measure.median(ratios.get(4)) + "; a request of HTTP "
-        + Measure.median(ratios.get(5)));
+    out.println("garbage on the loop, bytes a call " + Measure.median(ratios.get(4))
+        + "; a request of HTTP " + Measure.median(ratios.get(5)));
     node.close();
     relay.close();
     servers.forEach(StandInRpcServer::close);
@@ -160,15 +193,18 @@
     return threads.stream().mapToLong(bean::getThreadAllocatedBytes).sum();
   }
 
-  private Rate calls(InetSocketAddress at, int depth, List<Long> loop, String prefix) throws InterruptedException {
+  private Rate calls(InetSocketAddress at, int depth, List<Long> loop, String prefix)
+      throws InterruptedException {
     return load(at, new RpcAsk("rate.lookup", "t", 3_000), depth, loop, prefix);
   }
 
-  private Rate requests(InetSocketAddress at, List<Long> loop, String prefix) throws InterruptedException {
+  private Rate requests(InetSocketAddress at, List<Long> loop, String prefix)
+      throws InterruptedException {
     return load(at, new HttpAsk("h", "rate-lookup", false, "t", 3_000), 1, loop, prefix);
   }
 
-  private Rate load(InetSocketAddress at, Ask ask, int depth, List<Long> loop, String prefix) throws InterruptedException {
+  private Rate load(InetSocketAddress at, Ask ask, int depth, List<Long> loop, String prefix)
+      throws InterruptedException {
     long bytes = allocated(loop);
     Load load = new Load(at, clients, ask, Shape.busy(CONNECTIONS, depth), prefix, 1).start();
     long start = System.nanoTime();
@@ -177,7 +213,10 @@
     long served = load.count(End.SERVED);
     double garbage = (allocated(loop) - bytes) / (double) Math.max(1, served);
     Account account = load.stop();
-    return new Rate(served / taken, account.latency().getValueAtPercentile(99) / 1e3,
-        account.asked() - account.left() - account.count(End.SERVED), garbage);
+    return new Rate(
+        served / taken,
+        account.latency().getValueAtPercentile(99) / 1e3,
+        account.asked() - account.left() - account.count(End.SERVED),
+        garbage);
   }
 }
--- a/src/main/java/pumicekeel/measure/SlowSenders.java
+++ b/src/main/java/pumicekeel/measure/SlowSenders.java
@@ -37,38 +37,43 @@
     if (stopped) {
       return;
     }
-    new Bootstrap().group(group).channel(NioSocketChannel.class).handler(new ChannelInboundHandlerAdapter() {
-      @Override
-      public void channelActive(ChannelHandlerContext ctx) {
-        open.add(ctx.channel());
-        ctx.writeAndFlush(Unpooled.copiedBuffer("GET /rate-lookup HTTP/1.1\r\nHost: a\r\nContent-Length: 60000\r\n\r\n",
-            StandardCharsets.US_ASCII));
-        drip(ctx);
-      }
+    new Bootstrap()
+        .group(group)
+        .channel(NioSocketChannel.class)
+        .handler(new ChannelInboundHandlerAdapter() {
+          @Override
+          public void channelActive(ChannelHandlerContext ctx) {
+            open.add(ctx.channel());
+            ctx.writeAndFlush(Unpooled.copiedBuffer(
+                "GET /rate-lookup HTTP/1.1\r\nHost: a\r\nContent-Length: 60000\r\n\r\n",
+                StandardCharsets.US_ASCII));
+            drip(ctx);
+          }
 
-      private void drip(ChannelHandlerContext ctx) {
-        if (ctx.channel().isActive()) {
-          ctx.writeAndFlush(Unpooled.copiedBuffer("x", StandardCharsets.US_ASCII));
-          ctx.executor().schedule(() -> drip(ctx), BYTE_MILLIS, TimeUnit.MILLISECONDS);
-        }
-      }
+          private void drip(ChannelHandlerContext ctx) {
+            if (ctx.channel().isActive()) {
+              ctx.writeAndFlush(Unpooled.copiedBuffer("x", StandardCharsets.US_ASCII));
+              ctx.executor().schedule(() -> drip(ctx), BYTE_MILLIS, TimeUnit.MILLISECONDS);
+            }
+          }
 
-      @Override
-      public void channelRead(ChannelHandlerContext ctx, Object message) {
-        ReferenceCountUtil.release(message);
-      }
+          @Override
+          public void channelRead(ChannelHandlerContext ctx, Object message) {
+            ReferenceCountUtil.release(message);
+          }
 
-      @Override
-      public void channelInactive(ChannelHandlerContext ctx) {
-        open.remove(ctx.channel());
-        ctx.executor().schedule(SlowSenders.this::connect, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
-      }
+          @Override
+          public void channelInactive(ChannelHandlerContext ctx) {
+            open.remove(ctx.channel());
+            ctx.executor().schedule(SlowSenders.this::connect, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+          }
 
-      @Override
-      public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ctx.close();
-      }
-    }).connect(balancer);
+          @Override
+          public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            ctx.close();
+          }
+        })
+        .connect(balancer);
   }
 
   @Override
--- a/src/main/java/pumicekeel/measure/Torture.java
+++ b/src/main/java/pumicekeel/measure/Torture.java
@@ -22,11 +22,11 @@
 import java.util.concurrent.TimeUnit;
 import pumicekeel.journal.History;
 import pumicekeel.journal.Story;
-import pumicekeel.runtime.Addresses;
-import pumicekeel.load.Load;
+import pumicekeel.load.Account.End;
 import pumicekeel.load.HttpAsk;
+import pumicekeel.load.Load;
 import pumicekeel.load.Shape;
-import pumicekeel.load.Account.End;
+import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
 import pumicekeel.standin.StandInUpstream.Seen;
@@ -42,6 +42,7 @@
   private static final double PER_SECOND = 600;
   /** Long enough that requests are out at any moment; some come within each window between two records. */
   private static final long DELAY_MICROS = 2_000;
+
   private static final int LONGEST_MILLIS = 250;
   /** The journal is read anew, and the folder emptied, after so many kills: reading all each time would be quadratic. */
   private static final int KILLS_A_FOLDER = 10;
@@ -100,11 +101,15 @@
       clients.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
     lies.forEach(lie -> out.println("UNTRUE " + lie));
-    long definite = verdicts.entrySet().stream().filter(v -> v.getKey() != Story.Verdict.MAY_HAVE_RUN
-        && v.getKey() != Story.Verdict.UNKNOWN).mapToLong(Map.Entry::getValue).sum();
+    long definite = verdicts.entrySet().stream()
+        .filter(
+            v -> v.getKey() != Story.Verdict.MAY_HAVE_RUN && v.getKey() != Story.Verdict.UNKNOWN)
+        .mapToLong(Map.Entry::getValue)
+        .sum();
     long all = verdicts.values().stream().mapToLong(Long::longValue).sum();
-    out.printf("%d answers, %.2f %% of them definite; %d requests ran, %d untrue%n", all, 100.0 * definite
-        / Math.max(1, all), ran, lies.size());
+    out.printf(
+        "%d answers, %.2f %% of them definite; %d requests ran, %d untrue%n",
+        all, 100.0 * definite / Math.max(1, all), ran, lies.size());
     out.flush();
     return lies.isEmpty() && all > 0;
   }
@@ -114,15 +119,25 @@
   }
 
   private void round(int kill, EventLoopGroup group, Set<String> told) throws Exception {
-    // Now and then an upstream fails on the way, so that there are second attempts and unanswered ones.
+    // Now and then an upstream fails on the way, so that there are second attempts and unanswered
+    // ones.
     upstreams.forEach(u -> u.mode(Mode.SERVE));
-    upstreams.get(random.nextInt(upstreams.size())).mode(Mode.values()[random.nextInt(Mode.values().length)]);
+    upstreams
+        .get(random.nextInt(upstreams.size()))
+        .mode(Mode.values()[random.nextInt(Mode.values().length)]);
     Process process = start(kill / KILLS_A_FOLDER);
     Load load = null;
     try {
       InetSocketAddress address = address(process);
-      load = new Load(address, group, new HttpAsk("h", "quote-issue", true, "t", 3_000), Shape.steady(CLIENTS, PER_SECOND), "k" + kill, kill,
-          true).start();
+      load = new Load(
+              address,
+              group,
+              new HttpAsk("h", "quote-issue", true, "t", 3_000),
+              Shape.steady(CLIENTS, PER_SECOND),
+              "k" + kill,
+              kill,
+              true)
+          .start();
       long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
       while (load.count(End.SERVED) < 20 && System.nanoTime() - end < 0) {
         TimeUnit.MILLISECONDS.sleep(2);
@@ -140,12 +155,20 @@
     Path config = Files.writeString(folder.resolve("config.json"), CONFIG);
     StringBuilder list = new StringBuilder();
     for (int i = 0; i < upstreams.size(); i++) {
-      list.append(i == 0 ? "" : ", ").append("{ name = \"s").append(i).append("\", address = \"")
-          .append(Addresses.text(upstreams.get(i).address())).append("\", group = ").append(i).append(" }");
+      list.append(i == 0 ? "" : ", ")
+          .append("{ name = \"s")
+          .append(i)
+          .append("\", address = \"")
+          .append(Addresses.text(upstreams.get(i).address()))
+          .append("\", group = ")
+          .append(i)
+          .append(" }");
     }
-    Path operator = Files.writeString(folder.resolve("operator.toml"), "[journal]\ndirectory = \"" + journal(generation)
-        + "\"\ndurability = \"" + durability + "\"\n[sources.s]\nstatic = [" + list
-        + "]\n[pools.quotes]\nsource = \"s\"\n[[routes]]\npool = \"quotes\"\n");
+    Path operator = Files.writeString(
+        folder.resolve("operator.toml"),
+        "[journal]\ndirectory = \"" + journal(generation)
+            + "\"\ndurability = \"" + durability + "\"\n[sources.s]\nstatic = [" + list
+            + "]\n[pools.quotes]\nsource = \"s\"\n[[routes]]\npool = \"quotes\"\n");
     List<String> all = new ArrayList<>(command);
     all.addAll(List.of("serve", "--operator", operator.toString()));
     ProcessBuilder builder = new ProcessBuilder(all).redirectErrorStream(true);
@@ -155,7 +178,8 @@
   }
 
   private static InetSocketAddress address(Process process) throws IOException {
-    BufferedReader log = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+    BufferedReader log =
+        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     StringBuilder said = new StringBuilder();
     for (String line = log.readLine(); line != null; line = log.readLine()) {
       said.append(line).append("; ");
@@ -204,7 +228,9 @@
         lies.add(id + " is called " + verdict + ", and its client was told");
       }
     });
-    told.stream().filter(id -> !stories.containsKey(id)
-        || stories.get(id).verdict(null) == Story.Verdict.NEVER_LEFT).forEach(id -> lies.add(id + " was served and is not found"));
+    told.stream()
+        .filter(id ->
+            !stories.containsKey(id) || stories.get(id).verdict(null) == Story.Verdict.NEVER_LEFT)
+        .forEach(id -> lies.add(id + " was served and is not found"));
   }
 }
--- a/src/main/java/pumicekeel/mesh/DatagramMesh.java
+++ b/src/main/java/pumicekeel/mesh/DatagramMesh.java
@@ -36,9 +36,11 @@
   private long delivered;
 
   /** Opens all sockets; waits, so it is not to be called on the loop. */
-  public DatagramMesh(EventLoop loop, int members, long seed) throws IOException, InterruptedException {
+  public DatagramMesh(EventLoop loop, int members, long seed)
+      throws IOException, InterruptedException {
     if (members < 1 || members > MOST_MEMBERS) {
-      throw new IllegalArgumentException("expected 1 to " + MOST_MEMBERS + " members, got " + members);
+      throw new IllegalArgumentException(
+          "expected 1 to " + MOST_MEMBERS + " members, got " + members);
     }
     this.loop = loop;
     random = new SplittableRandom(seed);
@@ -61,26 +63,34 @@
       for (int i = 0; i < count; i++) {
         held.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
       }
-      return held.stream().map(s -> (InetSocketAddress) s.getLocalSocketAddress()).toArray(InetSocketAddress[]::new);
+      return held.stream()
+          .map(s -> (InetSocketAddress) s.getLocalSocketAddress())
+          .toArray(InetSocketAddress[]::new);
     } finally {
       held.forEach(DatagramSocket::close);
     }
   }
 
   private Channel open(int a, int b) throws InterruptedException {
-    return new Bootstrap().group(loop).channel(NioDatagramChannel.class).handler(new SimpleChannelInboundHandler<DatagramPacket>() {
-      @Override
-      protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-        if (packet.sender().equals(own[a])) {
-          pass(a, b, packet.content());
-        }
-      }
+    return new Bootstrap()
+        .group(loop)
+        .channel(NioDatagramChannel.class)
+        .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
+          @Override
+          protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
+            if (packet.sender().equals(own[a])) {
+              pass(a, b, packet.content());
+            }
+          }
 
-      @Override
-      public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // Nobody listens there now: the datagram is lost, as it would be.
-      }
-    }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+          @Override
+          public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            // Nobody listens there now: the datagram is lost, as it would be.
+          }
+        })
+        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        .sync()
+        .channel();
   }
 
   private void pass(int a, int b, ByteBuf bytes) {
@@ -90,7 +100,8 @@
     }
     for (int copies = random.nextDouble() < f.repeats() ? 2 : 1; copies > 0; copies--) {
       ByteBuf copy = bytes.copy();
-      long late = f.delayMicros() + (f.jitterMicros() == 0 ? 0 : random.nextLong(f.jitterMicros() + 1));
+      long late =
+          f.delayMicros() + (f.jitterMicros() == 0 ? 0 : random.nextLong(f.jitterMicros() + 1));
       Runnable send = () -> {
         delivered++;
         seenBy[b][a].writeAndFlush(new DatagramPacket(copy, own[b]));
--- a/src/main/java/pumicekeel/mesh/Fault.java
+++ b/src/main/java/pumicekeel/mesh/Fault.java
@@ -10,7 +10,13 @@
  * @param repeats part of the datagrams that arrive twice
  * @param bytesPerSecond at most, of each connection; 0 for no limit
  */
-public record Fault(boolean cut, long delayMicros, long jitterMicros, double loss, double repeats, int bytesPerSecond) {
+public record Fault(
+    boolean cut,
+    long delayMicros,
+    long jitterMicros,
+    double loss,
+    double repeats,
+    int bytesPerSecond) {
 
   /** All arrives, at once. */
   public static final Fault NONE = new Fault(false, 0, 0, 0, 0, 0);
@@ -19,8 +25,13 @@
 
   /** A fault needs parts of 0 to 1, and no figure under 0. */
   public Fault {
-    if (delayMicros < 0 || jitterMicros < 0 || bytesPerSecond < 0 || !(loss >= 0 && loss <= 1) || !(repeats >= 0 && repeats <= 1)) {
-      throw new IllegalArgumentException("expected delays and a rate of 0 or more, and parts of 0 to 1");
+    if (delayMicros < 0
+        || jitterMicros < 0
+        || bytesPerSecond < 0
+        || !(loss >= 0 && loss <= 1)
+        || !(repeats >= 0 && repeats <= 1)) {
+      throw new IllegalArgumentException(
+          "expected delays and a rate of 0 or more, and parts of 0 to 1");
     }
   }
 
--- a/src/main/java/pumicekeel/mesh/Member.java
+++ b/src/main/java/pumicekeel/mesh/Member.java
@@ -21,8 +21,10 @@
 public final class Member implements Closeable {
 
   /** The shell says the child's number, waits for the end of its input beside the child, and ends as the child does. */
-  private static final String GUARD = "exec 3<&0; \"$@\" 3<&- </dev/null & child=$!; echo \"pid $child\"; "
-      + "(cat <&3 >/dev/null; kill -9 $child) 2>/dev/null & wait $child; code=$?; kill $! 2>/dev/null; echo \"ended $code\"";
+  private static final String GUARD =
+      "exec 3<&0; \"$@\" 3<&- </dev/null & child=$!; echo \"pid $child\"; "
+          + "(cat <&3 >/dev/null; kill -9 $child) 2>/dev/null & wait $child; code=$?; kill $! 2>/dev/null; echo \"ended $code\"";
+
   private static final int LOG_LINES = 200;
   private static final long READY_SECONDS = 60;
   private static final long END_SECONDS = 20;
@@ -50,7 +52,9 @@
     List<String> all = new ArrayList<>(List.of("/bin/sh", "-c", GUARD, "guard"));
     all.addAll(command);
     if (operator != null) {
-      all.addAll(List.of("--operator", Files.writeString(folder.resolve(name + ".toml"), operator).toString()));
+      all.addAll(List.of(
+          "--operator",
+          Files.writeString(folder.resolve(name + ".toml"), operator).toString()));
     }
     ProcessBuilder builder = new ProcessBuilder(all).redirectErrorStream(true);
     builder.environment().keySet().removeIf(key -> key.startsWith("PROXY_"));
@@ -66,7 +70,8 @@
   }
 
   private void read(Process from) {
-    try (BufferedReader in = new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
+    try (BufferedReader in =
+        new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         heard(from, line);
       }
@@ -133,7 +138,11 @@
   /** Sends a signal by its name, such as STOP, CONT, TERM, HUP or KILL. */
   public void signal(String signal) throws IOException, InterruptedException {
     long to = pid();
-    if (!runs() || new ProcessBuilder("/bin/kill", "-" + signal, Long.toString(to)).start().waitFor() != 0) {
+    if (!runs()
+        || new ProcessBuilder("/bin/kill", "-" + signal, Long.toString(to))
+                .start()
+                .waitFor()
+            != 0) {
       throw new IOException(name + ": no process that takes " + signal);
     }
   }
--- a/src/main/java/pumicekeel/mesh/Mesh.java
+++ b/src/main/java/pumicekeel/mesh/Mesh.java
@@ -28,13 +28,16 @@
 
   /** Started at once; more would wait for each other's processor time. */
   private static final int WAVE = 16;
+
   private static final long DELAY_MICROS = 3_000;
   private static final int CELL = 2;
 
   private final long seed;
   private final Path folder;
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final EventLoopGroup links = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+  private final EventLoopGroup links =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final List<Member> members = new ArrayList<>();
   private final List<StandInDiscovery> lists = new ArrayList<>();
   private final List<TcpLink> toDiscovery = new ArrayList<>();
@@ -51,15 +54,18 @@
    * @param peers whether the processes are members of one fleet
    * @param flags for their JVMs
    */
-  public Mesh(int processes, int upstreams, boolean peers, List<String> flags, long seed) throws IOException, InterruptedException {
+  public Mesh(int processes, int upstreams, boolean peers, List<String> flags, long seed)
+      throws IOException, InterruptedException {
     this.seed = seed;
     folder = Files.createTempDirectory("mesh");
     boolean up = false;
     try {
       datagrams = peers ? new DatagramMesh(links.next(), processes, seed) : null;
-      List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+      List<String> command = new ArrayList<>(
+          List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
       command.addAll(flags);
-      command.addAll(List.of("-cp", System.getProperty("java.class.path"), "pumicekeel.cli.Main", "serve"));
+      command.addAll(
+          List.of("-cp", System.getProperty("java.class.path"), "pumicekeel.cli.Main", "serve"));
       for (int i = 0; i < processes; i++) {
         members.add(new Member("n" + i, command, folder));
         lists.add(new StandInDiscovery(group));
@@ -88,15 +94,28 @@
 
   private void start(Member m) throws IOException {
     int i = members.indexOf(m);
-    String settings = DemoSettings.JSON.strip().replaceFirst("\\{", "{\"me\":" + i + ",\"group-size\":" + members.size() + ",");
-    m.start("{\"name\":\"" + m.name() + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
-        + toDiscovery.get(i).address().getPort() + "\",\"seed\":\"" + Long.toHexString(seed + next++)
-        + "\",\"limits\":{\"sockets\":512},\"known\":{\"index\":0,\"snapshot\":true,\"endpoints\":[]},\"settings\":" + settings + "}",
-        datagrams == null ? null : "[peers]\naddresses = [" + String.join(", ", datagrams.addressesFor(i).stream()
-            .map(a -> "\"127.0.0.1:" + a.getPort() + "\"").toList()) + "]\n[pools.p]\n[[routes]]\npool = \"p\"\n");
+    String settings = DemoSettings.JSON
+        .strip()
+        .replaceFirst("\\{", "{\"me\":" + i + ",\"group-size\":" + members.size() + ",");
+    m.start(
+        "{\"name\":\"" + m.name() + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
+            + toDiscovery.get(i).address().getPort() + "\",\"seed\":\""
+            + Long.toHexString(seed + next++)
+            + "\",\"limits\":{\"sockets\":512},\"known\":{\"index\":0,\"snapshot\":true,\"endpoints\":[]},\"settings\":"
+            + settings + "}",
+        datagrams == null
+            ? null
+            : "[peers]\naddresses = ["
+                + String.join(
+                    ", ",
+                    datagrams.addressesFor(i).stream()
+                        .map(a -> "\"127.0.0.1:" + a.getPort() + "\"")
+                        .toList())
+                + "]\n[pools.p]\n[[routes]]\npool = \"p\"\n");
   }
 
-  // ---- The parties ------------------------------------------------------------------------------------
+  // ---- The parties
+  // ------------------------------------------------------------------------------------
 
   public List<Member> members() {
     return members;
@@ -135,7 +154,9 @@
   /** Tells all of an upstream's state: in_service, terminating or terminated. */
   public void tell(String name, String status, long sinceMillis) {
     for (int i = 0; i < lists.size(); i++) {
-      lists.get(i).tell(name, toUpstream.get(i).get(name).address(), cells.get(name), status, sinceMillis);
+      lists
+          .get(i)
+          .tell(name, toUpstream.get(i).get(name).address(), cells.get(name), status, sinceMillis);
     }
     toldLast.put(name + ' ' + status, System.nanoTime());
   }
@@ -194,7 +215,9 @@
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     links.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     try (Stream<Path> files = Files.walk(folder)) {
-      files.sorted(java.util.Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+      files
+          .sorted(java.util.Comparator.reverseOrder())
+          .forEach(path -> path.toFile().delete());
     } catch (IOException e) {
       // A folder of the system's for what is temporary.
     }
--- a/src/main/java/pumicekeel/mesh/TcpLink.java
+++ b/src/main/java/pumicekeel/mesh/TcpLink.java
@@ -30,6 +30,7 @@
 
   /** Held back in one direction of one connection; then its sender is not read any more. */
   private static final int MOST_HELD = 64;
+
   private static final long CUT_LOOK_MILLIS = 5;
 
   private final EventLoop loop;
@@ -46,13 +47,20 @@
     this.loop = loop;
     this.target = target;
     random = new SplittableRandom(seed);
-    listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class).childOption(ChannelOption.TCP_NODELAY, true)
-        .childOption(ChannelOption.AUTO_READ, false).childHandler(new ChannelInitializer<Channel>() {
+    listener = new ServerBootstrap()
+        .group(loop)
+        .channel(NioServerSocketChannel.class)
+        .childOption(ChannelOption.TCP_NODELAY, true)
+        .childOption(ChannelOption.AUTO_READ, false)
+        .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
             accepted(channel);
           }
-        }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+        })
+        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        .sync()
+        .channel();
   }
 
   /** Where the process is told that the target is. */
@@ -89,8 +97,14 @@
       return;
     }
     track(near);
-    new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.AUTO_READ, false).handler(new ChannelInboundHandlerAdapter()).connect(target).addListener(done -> {
+    new Bootstrap()
+        .group(loop)
+        .channel(NioSocketChannel.class)
+        .option(ChannelOption.TCP_NODELAY, true)
+        .option(ChannelOption.AUTO_READ, false)
+        .handler(new ChannelInboundHandlerAdapter())
+        .connect(target)
+        .addListener(done -> {
           if (!done.isSuccess()) {
             reset(near);
             return;
@@ -149,8 +163,11 @@
     private void hold(ByteBuf bytes) {
       Fault f = fault();
       long now = System.nanoTime();
-      long late = TimeUnit.MICROSECONDS.toNanos(f.delayMicros() + (f.jitterMicros() == 0 ? 0 : random.nextLong(f.jitterMicros() + 1)));
-      long sending = bytes == null || f.bytesPerSecond() == 0 ? 0 : bytes.readableBytes() * 1_000_000_000L / f.bytesPerSecond();
+      long late = TimeUnit.MICROSECONDS.toNanos(
+          f.delayMicros() + (f.jitterMicros() == 0 ? 0 : random.nextLong(f.jitterMicros() + 1)));
+      long sending = bytes == null || f.bytesPerSecond() == 0
+          ? 0
+          : bytes.readableBytes() * 1_000_000_000L / f.bytesPerSecond();
       freeAt = Math.max(now + late, freeAt) + sending;
       held.add(new Piece(bytes, freeAt));
     }
@@ -172,11 +189,16 @@
       }
       if (!held.isEmpty() && !waits) {
         waits = true;
-        long wait = fault().cut() ? TimeUnit.MILLISECONDS.toNanos(CUT_LOOK_MILLIS) : held.peek().at() - System.nanoTime();
-        loop.schedule(() -> {
-          waits = false;
-          goOn(ctx);
-        }, Math.max(1, wait), TimeUnit.NANOSECONDS);
+        long wait = fault().cut()
+            ? TimeUnit.MILLISECONDS.toNanos(CUT_LOOK_MILLIS)
+            : held.peek().at() - System.nanoTime();
+        loop.schedule(
+            () -> {
+              waits = false;
+              goOn(ctx);
+            },
+            Math.max(1, wait),
+            TimeUnit.NANOSECONDS);
       }
     }
 
--- a/src/main/java/pumicekeel/node/Admission.java
+++ b/src/main/java/pumicekeel/node/Admission.java
@@ -28,6 +28,7 @@
   private final Route route;
   /** Whether an earlier request of the same idempotency key holds this one to its pool. */
   private final boolean bound;
+
   private final long enteredAt;
   private ServicePool pool;
   private long bytes;
@@ -37,6 +38,7 @@
   private boolean waits;
   /** Its key is noted as one that the pool may run. */
   private boolean noted;
+
   private boolean over;
   /** Something of it is in the journal. */
   private boolean recorded;
@@ -120,7 +122,8 @@
   }
 
   @Override
-  public void before(ClientRequest of, int attempt, HostList.Host upstream, Runnable go, Runnable never) {
+  public void before(
+      ClientRequest of, int attempt, HostList.Host upstream, Runnable go, Runnable never) {
     recorded = true;
     services.journal().before(of, pool.home(), attempt, upstream, go, never);
   }
@@ -184,26 +187,28 @@
   @Override
   public BodySink begin(AnswerStart start, Flow source) {
     BodySink to = client.begin(start, source);
-    return to == null ? null : new BodySink() {
-      @Override
-      public void piece(ByteBuf bytes) {
-        to.piece(bytes);
-      }
+    return to == null
+        ? null
+        : new BodySink() {
+          @Override
+          public void piece(ByteBuf bytes) {
+            to.piece(bytes);
+          }
 
-      @Override
-      public void whole() {
-        end(End.SERVED);
-        to.whole();
-        note(Told.SERVED);
-      }
+          @Override
+          public void whole() {
+            end(End.SERVED);
+            to.whole();
+            note(Told.SERVED);
+          }
 
-      @Override
-      public void cut() {
-        end(End.FAILED);
-        to.cut();
-        note(Told.FAILED);
-      }
-    };
+          @Override
+          public void cut() {
+            end(End.FAILED);
+            to.cut();
+            note(Told.FAILED);
+          }
+        };
   }
 
   @Override
--- a/src/main/java/pumicekeel/node/JournalLog.java
+++ b/src/main/java/pumicekeel/node/JournalLog.java
@@ -29,7 +29,8 @@
   private final long maxWaitNanos;
   private final ArrayDeque<Once> waiting = new ArrayDeque<>();
 
-  JournalLog(EventLoop loop, Clock clock, JournalWriter writer, KeyMemory memory, long maxWaitNanos) {
+  JournalLog(
+      EventLoop loop, Clock clock, JournalWriter writer, KeyMemory memory, long maxWaitNanos) {
     this.loop = loop;
     this.clock = clock;
     this.writer = writer;
@@ -56,18 +57,44 @@
   }
 
   /** Either runs {@code go} with the intent on record, or {@code never} after a bounded while. */
-  void before(ClientRequest request, String home, int attempt, HostList.Host upstream, Runnable go, Runnable never) {
+  void before(
+      ClientRequest request,
+      String home,
+      int attempt,
+      HostList.Host upstream,
+      Runnable go,
+      Runnable never) {
     RequestClass type = request.type();
-    Entry.Intent intent = new Entry.Intent(request.id(), request.idempotencyKey(), type.name(), type.effect(),
-        type.dedupScope(), type.dedupWindowNanos(), request.tenant(), home, attempt, upstream.name(),
-        Addresses.text(upstream.address()), upstream.listed().zone(), upstream.listed().cell(),
-        System.currentTimeMillis(), System.nanoTime());
-    Once once = new Once(() -> {
-      long now = clock.now();
-      memory.mayRun(nameOf(request), home, request.id(), attempt,
-          new Earlier(upstream.listed().zone(), upstream.listed().cell(), now), type.dedupWindowNanos(), now);
-      go.run();
-    }, never);
+    Entry.Intent intent = new Entry.Intent(
+        request.id(),
+        request.idempotencyKey(),
+        type.name(),
+        type.effect(),
+        type.dedupScope(),
+        type.dedupWindowNanos(),
+        request.tenant(),
+        home,
+        attempt,
+        upstream.name(),
+        Addresses.text(upstream.address()),
+        upstream.listed().zone(),
+        upstream.listed().cell(),
+        System.currentTimeMillis(),
+        System.nanoTime());
+    Once once = new Once(
+        () -> {
+          long now = clock.now();
+          memory.mayRun(
+              nameOf(request),
+              home,
+              request.id(),
+              attempt,
+              new Earlier(upstream.listed().zone(), upstream.listed().cell(), now),
+              type.dedupWindowNanos(),
+              now);
+          go.run();
+        },
+        never);
     if (!writer.intent(intent, once::told)) {
       once.told(false);
       return;
@@ -81,11 +108,13 @@
   /** All wait equally long, so the first that is in line is the first that is late: one timer does for all. */
   private void look() {
     long now = System.nanoTime();
-    while (!waiting.isEmpty() && (waiting.peek().done || now - waiting.peek().since >= maxWaitNanos)) {
+    while (!waiting.isEmpty()
+        && (waiting.peek().done || now - waiting.peek().since >= maxWaitNanos)) {
       waiting.poll().late();
     }
     if (!waiting.isEmpty()) {
-      loop.schedule(this::look, Math.max(1, waiting.peek().since + maxWaitNanos - now), TimeUnit.NANOSECONDS);
+      loop.schedule(
+          this::look, Math.max(1, waiting.peek().since + maxWaitNanos - now), TimeUnit.NANOSECONDS);
     }
   }
 
@@ -104,7 +133,8 @@
     private void told(boolean onRecord) {
       if (!done) {
         done = true;
-        // Without a record it is sent only where the operator wants that; the writer tells of the gap.
+        // Without a record it is sent only where the operator wants that; the writer tells of the
+        // gap.
         (onRecord || !writer.refusesInTrouble() ? go : never).run();
       }
     }
--- a/src/main/java/pumicekeel/node/LentQuotas.java
+++ b/src/main/java/pumicekeel/node/LentQuotas.java
@@ -21,7 +21,8 @@
   private long version;
 
   LentQuotas(int self, int size, long epochMillis, long seed) {
-    exchange = new QuotaExchange(QuotaSettings.USUAL, self, size, epochMillis, seed, System.nanoTime());
+    exchange =
+        new QuotaExchange(QuotaSettings.USUAL, self, size, epochMillis, seed, System.nanoTime());
   }
 
   /** The pools from now on. */
@@ -29,7 +30,8 @@
     Map<String, Double> quotas = new HashMap<>();
     tenants.clear();
     for (ServicePool pool : pools) {
-      List<Tenant> with = pool.settings().tenants().stream().filter(t -> t.quotaPerSecond() > 0).toList();
+      List<Tenant> with =
+          pool.settings().tenants().stream().filter(t -> t.quotaPerSecond() > 0).toList();
       tenants.put(pool.name(), with.stream().map(Tenant::name).toList());
       with.forEach(t -> quotas.put(key(pool.name(), t.name()), t.quotaPerSecond()));
     }
@@ -56,7 +58,9 @@
         }
         seen = version;
         Map<String, Double> rates = new HashMap<>();
-        tenants.getOrDefault(pool, List.of()).forEach(t -> rates.put(t, Math.max(LEAST, exchange.rate(key(pool, t), at))));
+        tenants
+            .getOrDefault(pool, List.of())
+            .forEach(t -> rates.put(t, Math.max(LEAST, exchange.rate(key(pool, t), at))));
         return rates;
       }
     };
@@ -70,7 +74,8 @@
     return exchange.rate(key(pool, tenant), System.nanoTime());
   }
 
-  // ---- Datagrams ----------------------------------------------------------------------------------------
+  // ---- Datagrams
+  // ----------------------------------------------------------------------------------------
 
   @Override
   public boolean speaks(byte[] bytes) {
--- a/src/main/java/pumicekeel/node/Listeners.java
+++ b/src/main/java/pumicekeel/node/Listeners.java
@@ -62,12 +62,14 @@
     }
     int even = (int) ((total - stated) / silent);
     if (even < 1) {
-      throw new IllegalArgumentException("listeners: expected max-connections of less than " + total
-          + " in all, got " + stated);
+      throw new IllegalArgumentException(
+          "listeners: expected max-connections of less than " + total + " in all, got " + stated);
     }
     List<Integer> out = new ArrayList<>(List.of(even));
-    next.listeners().values()
-        .forEach(l -> out.add(l.maxConnections() == null ? even : l.maxConnections().intValue()));
+    next.listeners()
+        .values()
+        .forEach(
+            l -> out.add(l.maxConnections() == null ? even : l.maxConnections().intValue()));
     return out;
   }
 
@@ -75,15 +77,19 @@
   Map<String, Front> bind(Operator next) throws IOException, InterruptedException {
     Map<String, Front> bound = new LinkedHashMap<>();
     List<Integer> plan = plan(total, next);
-    Map<String, Side> present = loop.submit(() -> Map.copyOf(sides)).syncUninterruptibly().getNow();
+    Map<String, Side> present =
+        loop.submit(() -> Map.copyOf(sides)).syncUninterruptibly().getNow();
     int i = 1;
     for (Operator.Listener l : next.listeners().values()) {
       int most = plan.get(i++);
       Side now = present.get(l.name());
-      if (now != null && now.spec().address().equals(l.address()) && (now.spec().rpc() == null) == (l.rpc() == null)) {
+      if (now != null
+          && now.spec().address().equals(l.address())
+          && (now.spec().rpc() == null) == (l.rpc() == null)) {
         continue;
       }
-      Front side = l.rpc() == null ? new ClientSide(on, lag, l.name(), door, most, null)
+      Front side = l.rpc() == null
+          ? new ClientSide(on, lag, l.name(), door, most, null)
           : new RpcSide(on, l.name(), door, most, l.rpc(), ids);
       try {
         side.listen(l.address(), false);
@@ -92,8 +98,8 @@
         if (e instanceof InterruptedException interrupted) {
           throw interrupted;
         }
-        throw new IOException("listeners." + l.name() + ".address: cannot listen at " + l.address() + ": "
-            + e.getMessage());
+        throw new IOException("listeners." + l.name() + ".address: cannot listen at " + l.address()
+            + ": " + e.getMessage());
       }
       bound.put(l.name(), side);
     }
@@ -110,7 +116,9 @@
     int i = 1;
     for (Operator.Listener l : next.listeners().values()) {
       int most = plan.get(i++);
-      Front side = bound.containsKey(l.name()) ? bound.get(l.name()) : sides.get(l.name()).side();
+      Front side = bound.containsKey(l.name())
+          ? bound.get(l.name())
+          : sides.get(l.name()).side();
       sides.put(l.name(), new Side(l, side));
       side.resize(most);
       if (side instanceof RpcSide calls) {
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -19,7 +19,6 @@
 import pumicekeel.front.admin.AdminSide;
 import pumicekeel.front.http.ClientSide;
 import pumicekeel.front.jsonrpc.RequestIds;
-import pumicekeel.runtime.Log;
 import pumicekeel.journal.Journal;
 import pumicekeel.journal.JournalWriter;
 import pumicekeel.journal.KeyMemory;
@@ -27,6 +26,7 @@
 import pumicekeel.operation.Rotation;
 import pumicekeel.peers.PeerLink;
 import pumicekeel.runtime.Clock;
+import pumicekeel.runtime.Log;
 import pumicekeel.runtime.LoopLag;
 import pumicekeel.runtime.Reactor;
 
@@ -38,6 +38,7 @@
    * stands still at the worst moment. Clients use the connections that they have as long as these stay open, and another balancer may
    * be away: until a second before the end they are served as ever. */
   private static final long ACCEPT_MILLIS = 500;
+
   private static final long LONGEST_DEADLINE_MILLIS = 3_000;
   private static final long LAST_MILLIS = 1_000;
   private static final long POLL_MILLIS = 10;
@@ -53,6 +54,7 @@
   private final boolean warmsUp;
   /** Replaced on the loop; read by the thread that reloads as well. */
   private volatile Configuration configuration;
+
   private final Runnable crash;
   private final Serving serving;
   private final Services services;
@@ -63,6 +65,7 @@
   private PeerLink peers;
   /** Only on the loop. */
   private boolean serves;
+
   private boolean draining;
   private final Rotation rotation = new Rotation();
   private final AdminSide admin;
@@ -82,20 +85,28 @@
   }
 
   /** Makes a balancer on a loop, a clock and channels from outside. */
-  public Node(Reactor on, Configuration configuration, Operator operator, Runnable crash, boolean warmsUp) {
+  public Node(
+      Reactor on, Configuration configuration, Operator operator, Runnable crash, boolean warmsUp) {
     this.on = on;
     loop = on.loop();
     lag = new LoopLag(on);
     this.warmsUp = warmsUp;
     this.configuration = configuration;
     this.crash = crash;
-    services = operator == null ? null : new Services(configuration, operator, on, lag, this::defect);
+    services =
+        operator == null ? null : new Services(configuration, operator, on, lag, this::defect);
     serving = services == null ? new OnePool(configuration, on, lag, this::defect) : services;
     firstGeneration = operator;
-    OperatorCalls calls = new OperatorCalls(rotation, this::rotate, () -> peers == null ? null : peers.view());
+    OperatorCalls calls =
+        new OperatorCalls(rotation, this::rotate, () -> peers == null ? null : peers.view());
     admin = new AdminSide(loop, line -> calls.answer(line, on.clock().now()));
-    listeners = new Listeners(on, lag, serving.door(), services == null ? Rooms.clientSockets(configuration)
-        : services.rooms().clientSockets(), warmUpPath, new RequestIds(configuration.name(), on.clock().millis()));
+    listeners = new Listeners(
+        on,
+        lag,
+        serving.door(),
+        services == null ? Rooms.clientSockets(configuration) : services.rooms().clientSockets(),
+        warmUpPath,
+        new RequestIds(configuration.name(), on.clock().millis()));
   }
 
   /**
@@ -119,20 +130,26 @@
           + e.getClass().getSimpleName());
       return 2;
     }
-    // A hook, since Java's own answer to SIGTERM is to end at once; halt, for its status would be 143.
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-      node.drain();
-      node.awaitDrained();
-      node.closeJournal();
-      Runtime.getRuntime().halt(0);
-    }, "drain"));
+    // A hook, since Java's own answer to SIGTERM is to end at once; halt, for its status would be
+    // 143.
+    Runtime.getRuntime()
+        .addShutdownHook(new Thread(
+            () -> {
+              node.drain();
+              node.awaitDrained();
+              node.closeJournal();
+              Runtime.getRuntime().halt(0);
+            },
+            "drain"));
     node.awaitDrained();
     return 0;
   }
 
   /** Starts as {@code serve} does and ends once ready: what the class-data archive is made from. */
-  public static int rehearse(Map<String, String> environment) throws IOException, InterruptedException {
-    Node node = new Node(Configuration.read(environment), () -> Runtime.getRuntime().halt(1));
+  public static int rehearse(Map<String, String> environment)
+      throws IOException, InterruptedException {
+    Node node =
+        new Node(Configuration.read(environment), () -> Runtime.getRuntime().halt(1));
     node.start();
     node.ready.await();
     return 0;
@@ -146,12 +163,15 @@
     openJournal();
     openPeers();
     Map<String, Front> bound = firstGeneration == null ? Map.of() : listeners.bind(firstGeneration);
-    ClientSide own = configuration.inherited() ? new ClientSide(on, lag, "warm-up", serving.door(), WARM_UP_SOCKETS, warmUpPath)
+    ClientSide own = configuration.inherited()
+        ? new ClientSide(on, lag, "warm-up", serving.door(), WARM_UP_SOCKETS, warmUpPath)
         : null;
-    InetSocketAddress address = own == null ? listeners.platform().listen(configuration.listen())
+    InetSocketAddress address = own == null
+        ? listeners.platform().listen(configuration.listen())
         : listeners.platform().adopt(inheritedSocket());
     // What is asked of a socket that others hold too may be answered by them.
-    InetSocketAddress self = own == null ? address : own.listen(new InetSocketAddress(address.getAddress(), 0));
+    InetSocketAddress self =
+        own == null ? address : own.listen(new InetSocketAddress(address.getAddress(), 0));
     loop.execute(() -> {
       serving.start();
       if (services != null) {
@@ -193,19 +213,29 @@
     if (spec == null) {
       return;
     }
-    journal = Journal.open(spec.directory(), configuration.name(), new JournalWriter.Settings(spec.durability(),
-        spec.refusesInTrouble(), spec.segmentBytes(), spec.keepBytes(), spec.keepMillis()), loop);
+    journal = Journal.open(
+        spec.directory(),
+        configuration.name(),
+        new JournalWriter.Settings(
+            spec.durability(),
+            spec.refusesInTrouble(),
+            spec.segmentBytes(),
+            spec.keepBytes(),
+            spec.keepMillis()),
+        loop);
     Clock clock = services.clock();
     KeyMemory memory = new KeyMemory(KeyMemory.MOST);
     int keys = journal.recover(memory, clock.now());
-    Log.line("journal in " + spec.directory() + ": " + keys + " keys may have run before this start");
+    Log.line(
+        "journal in " + spec.directory() + ": " + keys + " keys may have run before this start");
     journal.unreadable().forEach(what -> Log.line("journal: could not be read: " + what));
     JournalLog log = new JournalLog(loop, clock, journal.writer(), memory, spec.maxWaitNanos());
     loop.submit(() -> services.journal(log)).syncUninterruptibly();
   }
 
   private void openPeers() throws InterruptedException {
-    List<InetSocketAddress> all = firstGeneration == null ? List.of() : firstGeneration.peers().addresses();
+    List<InetSocketAddress> all =
+        firstGeneration == null ? List.of() : firstGeneration.peers().addresses();
     if (!all.isEmpty()) {
       int me = configuration.settings().me();
       long epoch = System.currentTimeMillis();
@@ -214,9 +244,10 @@
       if (firstGeneration.peers().lendQuotas()) {
         LentQuotas quotas = new LentQuotas(me, all.size(), epoch, configuration.seed() - me);
         loop.submit(() -> {
-          services.lend(quotas);
-          peers.carry(quotas);
-        }).syncUninterruptibly();
+              services.lend(quotas);
+              peers.carry(quotas);
+            })
+            .syncUninterruptibly();
       }
     }
   }
@@ -241,11 +272,12 @@
   public void reload(Configuration next) {
     serving.check(next);
     loop.submit(() -> {
-      Log.line(next.name() + " reloads: discovery at " + next.discovery() + ", "
-          + next.settings().classes().size() + " classes");
-      configuration = next;
-      serving.reload(next);
-    }).syncUninterruptibly();
+          Log.line(next.name() + " reloads: discovery at " + next.discovery() + ", "
+              + next.settings().classes().size() + " classes");
+          configuration = next;
+          serving.reload(next);
+        })
+        .syncUninterruptibly();
   }
 
   /** As last taken over; for the thread that reads the next one. */
@@ -263,15 +295,18 @@
     String objection;
     try {
       objection = loop.submit(() -> {
-        String why = draining ? "the balancer drains" : services.objection(next);
-        if (why == null) {
-          services.apply(next);
-          listeners.apply(next, bound, serves);
-          Log.line(configuration.name() + " reloads: the pools " + services.summary());
-          services.needRestart(next).forEach(key -> Log.line("reload: " + key + " needs a restart"));
-        }
-        return why;
-      }).get();
+            String why = draining ? "the balancer drains" : services.objection(next);
+            if (why == null) {
+              services.apply(next);
+              listeners.apply(next, bound, serves);
+              Log.line(configuration.name() + " reloads: the pools " + services.summary());
+              services
+                  .needRestart(next)
+                  .forEach(key -> Log.line("reload: " + key + " needs a restart"));
+            }
+            return why;
+          })
+          .get();
     } catch (ExecutionException e) {
       throw new IllegalStateException(e.getCause());
     }
@@ -359,33 +394,44 @@
       case LAST_ANSWERS -> listeners.lastAnswers();
       case CLOSING -> listeners.closeIdle();
       case AWAY -> listeners.closeUntaken();
-      default -> { }
+      default -> {}
     }
     loop.schedule(this::sendAway, AWAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Begins a planned stop: answers what was taken, takes nothing new after a while. */
   public void drain() {
-    // Counted from when it may have come: a process that stood still hears of it later, and SIGKILL does not wait for that.
+    // Counted from when it may have come: a process that stood still hears of it later, and SIGKILL
+    // does not wait for that.
     long askedAt = lag.unheardSince();
     loop.execute(() -> {
       Log.line(configuration.name() + " drains");
       draining = true;
       rotation.stopping();
       listeners.drain();
-      long end = Math.min(LONGEST_DEADLINE_MILLIS, configuration.settings().classes().stream()
-          .mapToLong(c -> TimeUnit.NANOSECONDS.toMillis(c.deadlineNanos())).max().orElse(0));
+      long end = Math.min(
+          LONGEST_DEADLINE_MILLIS,
+          configuration.settings().classes().stream()
+              .mapToLong(c -> TimeUnit.NANOSECONDS.toMillis(c.deadlineNanos()))
+              .max()
+              .orElse(0));
       long late = on.clock().now() - askedAt;
       serving.endBy(Math.max(0, TimeUnit.MILLISECONDS.toNanos(end) - late));
-      // On a socket that others hold too, the next process accepts already, or the kernel keeps clients until it does.
+      // On a socket that others hold too, the next process accepts already, or the kernel keeps
+      // clients until it does.
       long accept = configuration.inherited() ? 0 : ACCEPT_MILLIS;
       loop.schedule(listeners::stopListening, accept, TimeUnit.MILLISECONDS);
       if (configuration.supervised() || configuration.inherited()) {
-        // Others are there for them, so clients are told while they still ask: a close may meet a request on its way.
+        // Others are there for them, so clients are told while they still ask: a close may meet a
+        // request on its way.
         loop.schedule(listeners::lastAnswers, accept, TimeUnit.MILLISECONDS);
       }
-      loop.schedule(this::takeNoMore, Math.max(TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS),
-          TimeUnit.MILLISECONDS.toNanos(end - LAST_MILLIS) - late), TimeUnit.NANOSECONDS);
+      loop.schedule(
+          this::takeNoMore,
+          Math.max(
+              TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS),
+              TimeUnit.MILLISECONDS.toNanos(end - LAST_MILLIS) - late),
+          TimeUnit.NANOSECONDS);
     });
   }
 
@@ -414,7 +460,8 @@
 
   /** A defect of the module: its word is worth nothing any more, so all that is open is answered without it. */
   private void defect(RuntimeException e) {
-    Log.line("defect of the module: " + e + " at " + (e.getStackTrace().length == 0 ? "?" : e.getStackTrace()[0]));
+    Log.line("defect of the module: " + e + " at "
+        + (e.getStackTrace().length == 0 ? "?" : e.getStackTrace()[0]));
     serving.answerAll();
     crash.run();
   }
--- a/src/main/java/pumicekeel/node/OnePool.java
+++ b/src/main/java/pumicekeel/node/OnePool.java
@@ -24,12 +24,26 @@
   OnePool(Configuration configuration, Reactor on, LoopLag lag, Consumer<RuntimeException> defect) {
     this.configuration = configuration;
     var settings = configuration.settings();
-    connections = new ConnectionPool(on, settings.limits().connectTimeoutNanos(),
-        settings.limits().connectionIdleNanos(), Rooms.upstreamSockets(configuration));
-    core = new BalancerCore(settings, new AdaptiveBalancer(settings, configuration.seed()), on.clock(), on.loop(), lag,
-        connections, defect);
-    discovery = new Discovery(on, configuration.discovery(), configuration.known().index(),
-        WatchTerms.of(settings), core::news, core::watchFailed);
+    connections = new ConnectionPool(
+        on,
+        settings.limits().connectTimeoutNanos(),
+        settings.limits().connectionIdleNanos(),
+        Rooms.upstreamSockets(configuration));
+    core = new BalancerCore(
+        settings,
+        new AdaptiveBalancer(settings, configuration.seed()),
+        on.clock(),
+        on.loop(),
+        lag,
+        connections,
+        defect);
+    discovery = new Discovery(
+        on,
+        configuration.discovery(),
+        configuration.known().index(),
+        WatchTerms.of(settings),
+        core::news,
+        core::watchFailed);
     door = new OneDoor(core);
   }
 
@@ -54,7 +68,9 @@
   public void reload(Configuration next) {
     discovery.moveTo(next.discovery());
     discovery.retune(WatchTerms.of(next.settings()), true);
-    connections.tune(next.settings().limits().connectTimeoutNanos(), next.settings().limits().connectionIdleNanos());
+    connections.tune(
+        next.settings().limits().connectTimeoutNanos(),
+        next.settings().limits().connectionIdleNanos());
     core.retune(next.settings());
   }
 
--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/pumicekeel/node/Reload.java
@@ -6,7 +6,6 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicBoolean;
-import pumicekeel.config.Configuration;
 import pumicekeel.config.OperatorLoader;
 import pumicekeel.runtime.Log;
 import sun.misc.Signal;
--- a/src/main/java/pumicekeel/node/Rooms.java
+++ b/src/main/java/pumicekeel/node/Rooms.java
@@ -8,6 +8,7 @@
 
   /** Shares of the sockets for clients and for upstreams; the rest is for discovery and the process itself. */
   private static final double CLIENT_SHARE = 0.45;
+
   private static final double UPSTREAM_SHARE = 0.4;
   /** Bodies in all, where the file says nothing: a quarter of the smallest heap in service. */
   private static final long BODY_BYTES = 16L << 20;
@@ -21,16 +22,23 @@
   }
 
   static Rooms of(Configuration configuration, Operator.Process process) {
-    int clients = process.clientSockets() == null ? clientSockets(configuration) : process.clientSockets().intValue();
-    int upstreams = process.upstreamSockets() == null ? upstreamSockets(configuration)
+    int clients = process.clientSockets() == null
+        ? clientSockets(configuration)
+        : process.clientSockets().intValue();
+    int upstreams = process.upstreamSockets() == null
+        ? upstreamSockets(configuration)
         : process.upstreamSockets().intValue();
     // A connection carries one request at a time.
-    long open = process.openRequests() == null ? Math.min(clients, configuration.settings().limits().maxOpen())
+    long open = process.openRequests() == null
+        ? Math.min(clients, configuration.settings().limits().maxOpen())
         : process.openRequests();
     if (clients + upstreams >= configuration.sockets()) {
-      throw new IllegalArgumentException("process: expected client-sockets and upstream-sockets below the "
-          + configuration.sockets() + " sockets that the process may hold, got " + (clients + upstreams));
+      throw new IllegalArgumentException(
+          "process: expected client-sockets and upstream-sockets below the "
+              + configuration.sockets() + " sockets that the process may hold, got "
+              + (clients + upstreams));
     }
-    return new Rooms(clients, upstreams, open, process.bodyBytes() == null ? BODY_BYTES : process.bodyBytes());
+    return new Rooms(
+        clients, upstreams, open, process.bodyBytes() == null ? BODY_BYTES : process.bodyBytes());
   }
 }
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -27,9 +27,9 @@
 import pumicekeel.runtime.LoopLag;
 import pumicekeel.runtime.Reactor;
 import pumicekeel.upstream.UpstreamLinks;
+import pumicekeel.upstream.UpstreamSockets;
 import pumicekeel.upstream.http.ConnectionPool;
 import pumicekeel.upstream.jsonrpc.RpcLinks;
-import pumicekeel.upstream.UpstreamSockets;
 
 /**
  * One pool of an operator file at work: a module instance of its own with its list, its connections and its part of the
@@ -41,8 +41,15 @@
   private static final int MOST_WAITING = 1 << 16;
 
   /** What all pools of a process share. */
-  record Shared(Reactor on, LoopLag lag, UpstreamSockets sockets, Shares open, Shares body,
-      FairTurns turns, SharedUpstreams<InetSocketAddress> upstreams, Consumer<RuntimeException> defect) {}
+  record Shared(
+      Reactor on,
+      LoopLag lag,
+      UpstreamSockets sockets,
+      Shares open,
+      Shares body,
+      FairTurns turns,
+      SharedUpstreams<InetSocketAddress> upstreams,
+      Consumer<RuntimeException> defect) {}
 
   private Operator.Pool spec;
   private final Shared shared;
@@ -58,7 +65,12 @@
   /** Told whose lines changed for other pools. */
   private final Consumer<Map<ServicePool, Set<InetSocketAddress>>> changed;
 
-  ServicePool(Operator.Pool spec, Settings settings, long seed, Shared shared, UpstreamSource source,
+  ServicePool(
+      Operator.Pool spec,
+      Settings settings,
+      long seed,
+      Shared shared,
+      UpstreamSource source,
       Consumer<Map<ServicePool, Set<InetSocketAddress>>> changed) {
     this.spec = spec;
     this.shared = shared;
@@ -68,16 +80,31 @@
     body = shared.body().add(0, 0);
     turn = shared.turns().lane(MOST_WAITING);
     connections = links(spec, settings, shared);
-    core = new BalancerCore(settings, new AdaptiveBalancer(settings, seed), shared.on().clock(), shared.on().loop(),
-        shared.lag(), connections, shared.defect());
+    core = new BalancerCore(
+        settings,
+        new AdaptiveBalancer(settings, seed),
+        shared.on().clock(),
+        shared.on().loop(),
+        shared.lag(),
+        connections,
+        shared.defect());
   }
 
   private static UpstreamLinks links(Operator.Pool spec, Settings settings, Shared shared) {
     var limits = settings.limits();
     return spec.rpc() == null
-        ? new ConnectionPool(shared.on(), limits.connectTimeoutNanos(), limits.connectionIdleNanos(),
-            shared.sockets(), 0, 0)
-        : new RpcLinks(shared.on(), limits.connectTimeoutNanos(), limits.connectionIdleNanos(), shared.sockets(),
+        ? new ConnectionPool(
+            shared.on(),
+            limits.connectTimeoutNanos(),
+            limits.connectionIdleNanos(),
+            shared.sockets(),
+            0,
+            0)
+        : new RpcLinks(
+            shared.on(),
+            limits.connectTimeoutNanos(),
+            limits.connectionIdleNanos(),
+            shared.sockets(),
             spec.rpc());
   }
 
@@ -86,8 +113,10 @@
     if (connections instanceof RpcLinks rpc) {
       return rpc.objection(request);
     }
-    return request.payload() instanceof Payload.Call call && !call.fitsHttp(request.type().effect())
-        ? "params of more than a request line holds" : null;
+    return request.payload() instanceof Payload.Call call
+            && !call.fitsHttp(request.type().effect())
+        ? "params of more than a request line holds"
+        : null;
   }
 
   String name() {
@@ -133,12 +162,15 @@
 
   /** The class of the same name, if it may run again as the other may; else null. */
   RequestClass classLike(RequestClass other) {
-    return settings().classes().stream().filter(c -> c.name().equals(other.name()) && c.effect() == other.effect())
-        .findFirst().orElse(null);
+    return settings().classes().stream()
+        .filter(c -> c.name().equals(other.name()) && c.effect() == other.effect())
+        .findFirst()
+        .orElse(null);
   }
 
   /** New figures; what they don't name stays as the pool was made. */
-  void resize(RoomPlan.Part openPart, RoomPlan.Part socketPart, RoomPlan.Part bodyPart, int perUpstream) {
+  void resize(
+      RoomPlan.Part openPart, RoomPlan.Part socketPart, RoomPlan.Part bodyPart, int perUpstream) {
     open.resize(openPart.guaranteed(), openPart.most());
     body.resize(bodyPart.guaranteed(), bodyPart.most());
     connections.resize(socketPart.guaranteed(), socketPart.most(), perUpstream);
@@ -155,7 +187,8 @@
     return core.empty() && open.used() == 0;
   }
 
-  // ---- The list -----------------------------------------------------------------------------------------
+  // ---- The list
+  // -----------------------------------------------------------------------------------------
 
   void start() {
     HostList known = take(source.follow(this));
@@ -204,14 +237,16 @@
       absent.forEach(id -> enter(gone(hosts.get(id)), others));
     }
     mine.forEach(h -> enter(h, others));
-    HostList seen = new HostList(list.index(), list.whole(), mine.stream().map(this::seen).toList());
+    HostList seen =
+        new HostList(list.index(), list.whole(), mine.stream().map(this::seen).toList());
     changed.accept(others);
     return seen;
   }
 
   private static HostList.Host gone(HostList.Host host) {
     Listed l = host.listed();
-    return host.as(new Listed(l.upstream(), l.zone(), l.cell(), State.GONE, l.startedNanos(), l.weight()));
+    return host.as(
+        new Listed(l.upstream(), l.zone(), l.cell(), State.GONE, l.startedNanos(), l.weight()));
   }
 
   private void enter(HostList.Host host, Map<ServicePool, Set<InetSocketAddress>> others) {
@@ -223,7 +258,10 @@
     note(others, host.address(), shared.upstreams().update(this, host.address(), host.listed()));
   }
 
-  private void note(Map<ServicePool, Set<InetSocketAddress>> others, InetSocketAddress address, Set<Object> pools) {
+  private void note(
+      Map<ServicePool, Set<InetSocketAddress>> others,
+      InetSocketAddress address,
+      Set<Object> pools) {
     for (Object pool : pools) {
       others.computeIfAbsent((ServicePool) pool, k -> new LinkedHashSet<>()).add(address);
     }
@@ -235,8 +273,10 @@
 
   /** Tells the module again of what listens at these addresses, after another pool's news of them. */
   void retell(Set<InetSocketAddress> addresses) {
-    List<HostList.Host> again = hosts.values().stream().filter(h -> addresses.contains(h.address()))
-        .map(this::seen).toList();
+    List<HostList.Host> again = hosts.values().stream()
+        .filter(h -> addresses.contains(h.address()))
+        .map(this::seen)
+        .toList();
     if (!again.isEmpty()) {
       core.news(new HostList(0, false, again));
     }
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -50,6 +50,7 @@
   private static final long QUANTUM_NANOS = 1_000_000L;
   /** Retired pools that still have something open: each holds a module instance, so a reload waits for some to end. */
   static final int MOST_RETIRED = 64;
+
   private static final long RETIRED_MILLIS = 20;
 
   private volatile Configuration configuration;
@@ -68,6 +69,7 @@
   private final List<ServicePool> retired = new ArrayList<>();
   /** Replaced on the loop; read by the thread that reloads as well, and so is the configuration. */
   private volatile Operator operator;
+
   private final Operator first;
   private RouteTable table;
   private InetSocketAddress platformDiscovery;
@@ -79,7 +81,11 @@
   private long made;
 
   /** Checks the first generation against the platform's figures; an IllegalArgumentException says what does not fit. */
-  Services(Configuration configuration, Operator operator, Reactor on, LoopLag lag,
+  Services(
+      Configuration configuration,
+      Operator operator,
+      Reactor on,
+      LoopLag lag,
       Consumer<RuntimeException> defect) {
     this.configuration = configuration;
     this.on = on;
@@ -88,8 +94,15 @@
     process = operator.process();
     platformDiscovery = configuration.discovery();
     rooms = Rooms.of(configuration, process);
-    shared = new ServicePool.Shared(on, lag, new UpstreamSockets(rooms.upstreamSockets()),
-        new Shares(rooms.openRequests()), new Shares(rooms.bodyBytes()), turns, new SharedUpstreams<>(), defect);
+    shared = new ServicePool.Shared(
+        on,
+        lag,
+        new UpstreamSockets(rooms.upstreamSockets()),
+        new Shares(rooms.openRequests()),
+        new Shares(rooms.bodyBytes()),
+        turns,
+        new SharedUpstreams<>(),
+        defect);
     check(operator);
     this.operator = operator;
     first = operator;
@@ -111,7 +124,8 @@
     return pools.get(name);
   }
 
-  // ---- Generations --------------------------------------------------------------------------------------
+  // ---- Generations
+  // --------------------------------------------------------------------------------------
 
   /** Keeps a record from now on; null for none. */
   void journal(JournalLog log) {
@@ -155,28 +169,36 @@
     int me = configuration.settings().me();
     int members = next.peers().addresses().size();
     if (members > 0 && me >= members) {
-      throw new IllegalArgumentException("peers.addresses: expected one for this instance, number " + me + ", got " + members);
+      throw new IllegalArgumentException(
+          "peers.addresses: expected one for this instance, number " + me + ", got " + members);
     }
     int group = configuration.settings().groupSize();
     if (next.peers().lendQuotas() && members != group) {
-      throw new IllegalArgumentException("peers.lend-quotas: expected an address for each balancer of the group, " + group
-          + ", got " + members);
+      throw new IllegalArgumentException(
+          "peers.lend-quotas: expected an address for each balancer of the group, " + group
+              + ", got " + members);
     }
   }
 
   /** A method's class has to be some pool's, and a keyed one needs its key: no call of it could ever be taken. */
   private static void checkMethods(Configuration configuration, Operator next) {
     for (Operator.Listener listener : next.listeners().values()) {
-      for (MethodMapping m : listener.rpc() == null ? List.<MethodMapping>of() : listener.rpc().methods().values()) {
-        List<Effect> effects = next.pools().values().stream().flatMap(p -> settingsOf(configuration, p).classes()
-            .stream()).filter(c -> c.name().equals(m.className())).map(RequestClass::effect).toList();
+      for (MethodMapping m : listener.rpc() == null
+          ? List.<MethodMapping>of()
+          : listener.rpc().methods().values()) {
+        List<Effect> effects = next.pools().values().stream()
+            .flatMap(p -> settingsOf(configuration, p).classes().stream())
+            .filter(c -> c.name().equals(m.className()))
+            .map(RequestClass::effect)
+            .toList();
         if (effects.isEmpty()) {
-          throw new IllegalArgumentException("methods: expected a class that a pool has as the class of \""
-              + m.method() + "\", got \"" + m.className() + "\"");
+          throw new IllegalArgumentException(
+              "methods: expected a class that a pool has as the class of \"" + m.method()
+                  + "\", got \"" + m.className() + "\"");
         }
         if (effects.contains(Effect.KEYED) && !m.states(MethodMapping.Part.IDEMPOTENCY_KEY)) {
-          throw new IllegalArgumentException("methods: expected idempotency-key for \"" + m.method()
-              + "\", whose class is keyed");
+          throw new IllegalArgumentException(
+              "methods: expected idempotency-key for \"" + m.method() + "\", whose class is keyed");
         }
       }
     }
@@ -194,10 +216,18 @@
     }
   }
 
-  private static List<RoomPlan.Part> plan(String what, long total, Operator next,
+  private static List<RoomPlan.Part> plan(
+      String what,
+      long total,
+      Operator next,
       java.util.function.Function<Operator.Pool, Operator.Room> room) {
-    return RoomPlan.of(what, total, next.pools().values().stream().map(p -> new RoomPlan.Ask(p.name(),
-        room.apply(p).guaranteed(), room.apply(p).most())).toList());
+    return RoomPlan.of(
+        what,
+        total,
+        next.pools().values().stream()
+            .map(p -> new RoomPlan.Ask(
+                p.name(), room.apply(p).guaranteed(), room.apply(p).most()))
+            .toList());
   }
 
   @Override
@@ -232,7 +262,8 @@
   /** Whether another generation may be taken over now; otherwise why not. */
   String objection(Operator next) {
     return retired.size() + pools.size() > MOST_RETIRED && !next.pools().equals(operator.pools())
-        ? retired.size() + " pools of earlier generations still have requests open" : null;
+        ? retired.size() + " pools of earlier generations still have requests open"
+        : null;
   }
 
   /** Settings of the file that count at a start only, and that the next one has otherwise. */
@@ -267,19 +298,28 @@
     Map<String, ServicePool> after = new LinkedHashMap<>();
     for (Operator.Pool spec : next.pools().values()) {
       ServicePool pool = pools.get(spec.name());
-      boolean keeps = pool != null && sources.get(spec.source()) == before.get(spec.source())
-          && pool.spec().source().equals(spec.source()) && pool.spec().select().equals(spec.select())
-          && java.util.Objects.equals(pool.spec().rpc(), spec.rpc()) && pool.settings().equals(settingsOf(spec));
+      boolean keeps = pool != null
+          && sources.get(spec.source()) == before.get(spec.source())
+          && pool.spec().source().equals(spec.source())
+          && pool.spec().select().equals(spec.select())
+          && java.util.Objects.equals(pool.spec().rpc(), spec.rpc())
+          && pool.settings().equals(settingsOf(spec));
       if (!keeps) {
-        pool = new ServicePool(spec, settingsOf(spec), configuration.seed() + made++, shared,
-            sources.get(spec.source()), others -> others.forEach(ServicePool::retell));
+        pool = new ServicePool(
+            spec,
+            settingsOf(spec),
+            configuration.seed() + made++,
+            shared,
+            sources.get(spec.source()),
+            others -> others.forEach(ServicePool::retell));
         fresh.add(pool);
       }
       pool.spec(spec);
       pool.lend(lending);
       after.put(spec.name(), pool);
     }
-    List<RoomPlan.Part> socketParts = plan("sockets", rooms.upstreamSockets(), next, Operator.Pool::sockets);
+    List<RoomPlan.Part> socketParts =
+        plan("sockets", rooms.upstreamSockets(), next, Operator.Pool::sockets);
     pools.values().stream().filter(p -> !after.containsValue(p)).forEach(this::retire);
     pools.clear();
     pools.putAll(after);
@@ -309,11 +349,15 @@
   }
 
   private void resize(Operator next, List<RoomPlan.Part> sockets) {
-    List<RoomPlan.Part> open = plan("open-requests", rooms.openRequests(), next, Operator.Pool::open);
-    List<RoomPlan.Part> body = plan("body-memory-kib", rooms.bodyBytes(), next, Operator.Pool::body);
+    List<RoomPlan.Part> open =
+        plan("open-requests", rooms.openRequests(), next, Operator.Pool::open);
+    List<RoomPlan.Part> body =
+        plan("body-memory-kib", rooms.bodyBytes(), next, Operator.Pool::body);
     int i = 0;
     for (Operator.Pool spec : next.pools().values()) {
-      pools.get(spec.name()).resize(open.get(i), sockets.get(i), body.get(i), spec.connectionsPerUpstream());
+      pools
+          .get(spec.name())
+          .resize(open.get(i), sockets.get(i), body.get(i), spec.connectionsPerUpstream());
       i++;
     }
   }
@@ -364,7 +408,8 @@
     }
   }
 
-  // ---- The door -----------------------------------------------------------------------------------------
+  // ---- The door
+  // -----------------------------------------------------------------------------------------
 
   @Override
   public Lane enter(Facts head) throws Bad {
@@ -437,7 +482,8 @@
     return second == null || second == first || second.core().ready() == 0 ? null : second;
   }
 
-  // ---- What admissions ask for --------------------------------------------------------------------------
+  // ---- What admissions ask for
+  // --------------------------------------------------------------------------
 
   Clock clock() {
     return clock;
@@ -463,7 +509,10 @@
 
   /** Notes where a keyed request may run from now on. */
   void noteHome(ClientRequest request, ServicePool pool) {
-    homes.taken(request.idempotencyKey(), pool.home(), clock.now(),
+    homes.taken(
+        request.idempotencyKey(),
+        pool.home(),
+        clock.now(),
         request.type().dedupWindowNanos() + Math.max(0, request.leftNanos()));
   }
 
@@ -492,7 +541,8 @@
     }
   }
 
-  // ---- The end ------------------------------------------------------------------------------------------
+  // ---- The end
+  // ------------------------------------------------------------------------------------------
 
   @Override
   public void endBy(long nanos) {
--- a/src/main/java/pumicekeel/node/WarmUp.java
+++ b/src/main/java/pumicekeel/node/WarmUp.java
@@ -43,6 +43,7 @@
   private static final int KEYS = 50;
   /** A restarted balancer is missed while it warms up, and half a core is all that it may have. */
   private static final long LONGEST_NANOS = 1_200_000_000L;
+
   private static final long SECOND = 1_000_000_000L;
 
   private final EventLoop loop;
@@ -58,7 +59,13 @@
   private int sent;
 
   /** Runs on the loop and calls {@code done} there, after so many requests or so long. */
-  public static void run(Reactor on, LoopLag lag, InetSocketAddress self, String path, Settings settings, Runnable done) {
+  public static void run(
+      Reactor on,
+      LoopLag lag,
+      InetSocketAddress self,
+      String path,
+      Settings settings,
+      Runnable done) {
     new WarmUp(on, lag, path, settings, done).start(self);
   }
 
@@ -73,13 +80,30 @@
     endAt = clock.now() + LONGEST_NANOS;
     this.path = path;
     this.done = done;
-    RequestClass type = new RequestClass(path.substring(1), Effect.SAFE, DedupScope.ALL, SECOND, SECOND, 0,
-        2 * SECOND, 1, 0, false);
-    Settings settings = new Settings(0, 1, real.zone(), List.of(type), real.tenants(), real.limits(),
-        real.contract(), real.prices(), false, real.weightKind(), real.overShareWorth(), real.warmKeys(),
+    RequestClass type = new RequestClass(
+        path.substring(1), Effect.SAFE, DedupScope.ALL, SECOND, SECOND, 0, 2 * SECOND, 1, 0, false);
+    Settings settings = new Settings(
+        0,
+        1,
+        real.zone(),
+        List.of(type),
+        real.tenants(),
+        real.limits(),
+        real.contract(),
+        real.prices(),
+        false,
+        real.weightKind(),
+        real.overShareWorth(),
+        real.warmKeys(),
         real.tickNanos());
     pool = new ConnectionPool(on, SECOND, SECOND, AT_ONCE);
-    core = new BalancerCore(settings, new AdaptiveBalancer(settings, 0), clock, loop, lag, pool,
+    core = new BalancerCore(
+        settings,
+        new AdaptiveBalancer(settings, 0),
+        clock,
+        loop,
+        lag,
+        pool,
         e -> Log.line("defect of the module while warming up: " + e));
     side = new ClientSide(on, lag, "warm-up", new OneDoor(core), AT_ONCE, null);
     tenants = real.tenants();
@@ -93,7 +117,8 @@
     core.start(new HostList(0, true, hosts), on -> {});
     for (int i = 0; i < AT_ONCE; i++) {
       ClientHandler handler = new ClientHandler(side);
-      clients.add(new EmbeddedChannel(new RequestDecoder(handler::accepts), new HttpResponseEncoder(), handler));
+      clients.add(new EmbeddedChannel(
+          new RequestDecoder(handler::accepts), new HttpResponseEncoder(), handler));
     }
     loop.execute(this::round);
   }
@@ -116,9 +141,12 @@
   }
 
   private String request(int number) {
-    return "GET " + path + " HTTP/1.1\r\nHost: warm-up\r\n" + ClientRequest.ID + ": warm-up-" + number
+    return "GET " + path + " HTTP/1.1\r\nHost: warm-up\r\n" + ClientRequest.ID + ": warm-up-"
+        + number
         + "\r\nX-Service-Class: " + path.substring(1) + "\r\nX-Session-Key: " + number % KEYS
-        + (tenants.isEmpty() ? "" : "\r\nX-Account: " + tenants.get(number % tenants.size()).name())
+        + (tenants.isEmpty()
+            ? ""
+            : "\r\nX-Account: " + tenants.get(number % tenants.size()).name())
         + "\r\n" + ClientRequest.TIME_LEFT + ": 1000\r\nX-Weight-Hint: 1000\r\n\r\n";
   }
 }
--- a/src/main/java/pumicekeel/operation/Rotation.java
+++ b/src/main/java/pumicekeel/operation/Rotation.java
@@ -76,7 +76,8 @@
     if (!away) {
       return Step.TAKING;
     }
-    return past < LAST_ANSWERS_NANOS ? Step.TOLD : past < CLOSING_NANOS ? Step.LAST_ANSWERS
-        : past < AWAY_NANOS ? Step.CLOSING : Step.AWAY;
+    return past < LAST_ANSWERS_NANOS
+        ? Step.TOLD
+        : past < CLOSING_NANOS ? Step.LAST_ANSWERS : past < AWAY_NANOS ? Step.CLOSING : Step.AWAY;
   }
 }
--- a/src/main/java/pumicekeel/peers/Datagram.java
+++ b/src/main/java/pumicekeel/peers/Datagram.java
@@ -9,14 +9,27 @@
  * kind 1, sender 2, its epoch 8, its incarnation 4, sequence 4, target 2, count 1, then 15 bytes for each rumour (member 2,
  * state 1, epoch 8, incarnation 4).
  */
-public record Datagram(Kind kind, int from, long epoch, long incarnation, long sequence, int target,
+public record Datagram(
+    Kind kind,
+    int from,
+    long epoch,
+    long incarnation,
+    long sequence,
+    int target,
     List<Rumour> rumours) {
 
   /** What a message asks or answers. */
-  public enum Kind { PING, PING_REQUEST, ACK, NACK, SYNC }
+  public enum Kind {
+    PING,
+    PING_REQUEST,
+    ACK,
+    NACK,
+    SYNC
+  }
 
   /** The platform's limit. */
   public static final int MOST = 256;
+
   public static final int MOST_MEMBERS = 4_096;
   private static final short MAGIC = 0x4856;
   private static final byte VERSION = 1;
@@ -24,6 +37,7 @@
   private static final int RUMOUR = 15;
   /** Rumours that fit. */
   public static final int MOST_RUMOURS = (MOST - HEAD) / RUMOUR;
+
   private static final long MOST_INCARNATION = 0xffffffffL;
   /** Milliseconds since 1970 stay below this for ten thousand years; a forged one can't end the numbers. */
   static final long MOST_EPOCH = 1L << 50;
@@ -35,10 +49,20 @@
   /** As it goes out. */
   public byte[] bytes() {
     ByteBuffer out = ByteBuffer.allocate(HEAD + RUMOUR * rumours.size());
-    out.putShort(MAGIC).put(VERSION).put((byte) kind.ordinal()).putShort((short) from).putLong(epoch)
-        .putInt((int) incarnation).putInt((int) sequence).putShort((short) target).put((byte) rumours.size());
+    out.putShort(MAGIC)
+        .put(VERSION)
+        .put((byte) kind.ordinal())
+        .putShort((short) from)
+        .putLong(epoch)
+        .putInt((int) incarnation)
+        .putInt((int) sequence)
+        .putShort((short) target)
+        .put((byte) rumours.size());
     for (Rumour r : rumours) {
-      out.putShort((short) r.member()).put((byte) r.state().ordinal()).putLong(r.epoch()).putInt((int) r.incarnation());
+      out.putShort((short) r.member())
+          .put((byte) r.state().ordinal())
+          .putLong(r.epoch())
+          .putInt((int) r.incarnation());
     }
     return out.array();
   }
@@ -59,7 +83,12 @@
     long sequence = in.getInt() & 0xffffffffL;
     int target = in.getShort() & 0xffff;
     int count = in.get();
-    if (kind < 0 || kind >= Kind.values().length || from >= members || target >= members || !sound(epoch) || count < 0
+    if (kind < 0
+        || kind >= Kind.values().length
+        || from >= members
+        || target >= members
+        || !sound(epoch)
+        || count < 0
         || bytes.length != HEAD + count * RUMOUR) {
       return null;
     }
@@ -79,7 +108,10 @@
 
   /** Whether it begins as one of this protocol in another version, which this build can't read. */
   static boolean isOfAnotherVersion(byte[] bytes) {
-    return bytes.length > 3 && bytes.length <= MOST && ByteBuffer.wrap(bytes).getShort() == MAGIC && bytes[2] != VERSION;
+    return bytes.length > 3
+        && bytes.length <= MOST
+        && ByteBuffer.wrap(bytes).getShort() == MAGIC
+        && bytes[2] != VERSION;
   }
 
   private static boolean sound(long epoch) {
--- a/src/main/java/pumicekeel/peers/Membership.java
+++ b/src/main/java/pumicekeel/peers/Membership.java
@@ -89,9 +89,11 @@
   private final List<Out> out = new ArrayList<>();
 
   /** The member of this number in a list of so many; {@code epoch}: the wall clock in milliseconds at the start. */
-  public Membership(MembershipSettings settings, int self, int size, long epoch, long seed, long now) {
+  public Membership(
+      MembershipSettings settings, int self, int size, long epoch, long seed, long now) {
     if (size < 1 || size > Datagram.MOST_MEMBERS || self < 0 || self >= size) {
-      throw new IllegalArgumentException("members: expected 1 to " + Datagram.MOST_MEMBERS + ", got " + self + " of " + size);
+      throw new IllegalArgumentException(
+          "members: expected 1 to " + Datagram.MOST_MEMBERS + ", got " + self + " of " + size);
     }
     this.settings = settings;
     this.self = self;
@@ -101,7 +103,8 @@
     for (int i = 0; i < size; i++) {
       table[i] = new Rumour(i, State.UNKNOWN, 0, 0);
     }
-    table[self] = new Rumour(self, State.ALIVE, Math.max(0, Math.min(epoch, Datagram.MOST_EPOCH - 1)), 0);
+    table[self] =
+        new Rumour(self, State.ALIVE, Math.max(0, Math.min(epoch, Datagram.MOST_EPOCH - 1)), 0);
     round = new int[size];
     for (int i = 0; i < size; i++) {
       round[i] = i;
@@ -113,7 +116,8 @@
     tell(table[self]);
   }
 
-  // ---- What is known ------------------------------------------------------------------------------------
+  // ---- What is known
+  // ------------------------------------------------------------------------------------
 
   /** What is held of a member. */
   public State stateOf(int member) {
@@ -126,7 +130,9 @@
 
   /** Members that are alive or suspected, this one among them: a suspicion is no proof. */
   public int live() {
-    return (int) Arrays.stream(table).filter(r -> r.state() == State.ALIVE || r.state() == State.SUSPECT).count();
+    return (int) Arrays.stream(table)
+        .filter(r -> r.state() == State.ALIVE || r.state() == State.SUSPECT)
+        .count();
   }
 
   /** Members of which nothing was ever heard. */
@@ -167,7 +173,8 @@
     return received;
   }
 
-  // ---- Time ---------------------------------------------------------------------------------------------
+  // ---- Time
+  // ---------------------------------------------------------------------------------------------
 
   /** When {@link #tick} has something to do, at the latest. */
   public long nextAt() {
@@ -193,7 +200,7 @@
     if (probe != null && !probe.helped && now - probe.sentAt >= probeTime()) {
       askForHelp();
     }
-    for (Iterator<Errand> it = errands.iterator(); it.hasNext();) {
+    for (Iterator<Errand> it = errands.iterator(); it.hasNext(); ) {
       Errand e = it.next();
       if (now - e.until() >= 0) {
         it.remove();
@@ -226,7 +233,8 @@
       }
       probe = null;
     }
-    // A clock that jumped or a process that slept starts a new period now, and not as many as it missed.
+    // A clock that jumped or a process that slept starts a new period now, and not as many as it
+    // missed.
     periodEnds = now + settings.periodNanos() * (health + 1);
     int target = next();
     if (target >= 0) {
@@ -260,7 +268,10 @@
     List<Integer> helpers = new ArrayList<>();
     for (int i = 0; i < size && helpers.size() < settings.helpers(); i++) {
       int member = random.nextInt(size);
-      if (member != self && member != probe.target && table[member].state() == State.ALIVE && !helpers.contains(member)) {
+      if (member != self
+          && member != probe.target
+          && table[member].state() == State.ALIVE
+          && !helpers.contains(member)) {
         helpers.add(member);
       }
     }
@@ -288,7 +299,8 @@
     return page;
   }
 
-  // ---- Suspicion ----------------------------------------------------------------------------------------
+  // ---- Suspicion
+  // ----------------------------------------------------------------------------------------
 
   private double log() {
     return Math.max(1, Math.log10(Math.max(1, live())));
@@ -298,7 +310,8 @@
   private long endOf(Suspicion s) {
     double least = settings.suspicionLeast() * log() * settings.periodNanos();
     double most = settings.suspicionMost() * least;
-    // No more confirm than there are others beside the suspect and the first; where nobody can, the least it is.
+    // No more confirm than there are others beside the suspect and the first; where nobody can, the
+    // least it is.
     int wanted = Math.min(settings.confirmations(), live() - 3);
     int confirmed = Math.min(wanted, s.from.size() - 1);
     double part = wanted <= 0 ? 1 : Math.log(confirmed + 1) / Math.log(wanted + 1);
@@ -336,7 +349,8 @@
     }
   }
 
-  // ---- Messages -----------------------------------------------------------------------------------------
+  // ---- Messages
+  // -----------------------------------------------------------------------------------------
 
   /** Takes a datagram that came from the address of a member, and hands over what is to be sent. */
   public List<Out> receive(int from, byte[] bytes, long now) {
@@ -351,9 +365,12 @@
     Rumour held = table[from];
     Rumour says = new Rumour(from, State.ALIVE, d.epoch(), d.incarnation());
     if (d.epoch() < held.epoch()) {
-      // From an earlier life, or replayed: it says nothing of now, and nothing is done for it but to tell its writer. What it
-      // says of this member is heard all the same, as it can only raise this one's number: two whose clocks were both set
-      // back would else hold each other for dead for ever, each deaf to the word that would mend it.
+      // From an earlier life, or replayed: it says nothing of now, and nothing is done for it but
+      // to tell its writer. What it
+      // says of this member is heard all the same, as it can only raise this one's number: two
+      // whose clocks were both set
+      // back would else hold each other for dead for ever, each deaf to the word that would mend
+      // it.
       discarded++;
       d.rumours().stream().filter(r -> r.member() == self).forEach(this::hearOfSelf);
       if (d.kind() == Kind.PING || d.kind() == Kind.SYNC) {
@@ -387,9 +404,12 @@
   private void hearOfSelf(Rumour r) {
     Rumour mine = table[self];
     if (r.epoch() > mine.epoch()) {
-      // A clock set back at the restart: the number of this life has to be the highest all the same.
+      // A clock set back at the restart: the number of this life has to be the highest all the
+      // same.
       set(new Rumour(self, State.ALIVE, Math.min(r.epoch() + 1, Datagram.MOST_EPOCH - 1), 0));
-    } else if (r.epoch() == mine.epoch() && r.state() != State.ALIVE && r.incarnation() >= mine.incarnation()) {
+    } else if (r.epoch() == mine.epoch()
+        && r.state() != State.ALIVE
+        && r.incarnation() >= mine.incarnation()) {
       falseSuspicions++;
       health = Math.min(settings.healthMost(), health + 1);
       set(new Rumour(self, State.ALIVE, mine.epoch(), r.incarnation() + 1));
@@ -401,7 +421,11 @@
       case PING -> send(d.from(), Kind.ACK, d.sequence(), self);
       case PING_REQUEST -> {
         if (errands.size() < MOST_ERRANDS && d.target() != self) {
-          Errand e = new Errand(d.from(), d.sequence(), d.target(), ++sequence & 0xffffffffL,
+          Errand e = new Errand(
+              d.from(),
+              d.sequence(),
+              d.target(),
+              ++sequence & 0xffffffffL,
               now + (long) (NACK_PART * settings.probeNanos()));
           errands.add(e);
           send(e.target(), Kind.PING, e.sequence(), e.target());
@@ -423,7 +447,7 @@
       health = Math.max(0, health - 1);
       return;
     }
-    for (Iterator<Errand> it = errands.iterator(); it.hasNext();) {
+    for (Iterator<Errand> it = errands.iterator(); it.hasNext(); ) {
       Errand e = it.next();
       if (e.sequence() == d.sequence() && e.target() == d.from()) {
         it.remove();
@@ -439,14 +463,21 @@
 
   private void sendWith(int to, Kind kind, long with, int target, List<Rumour> first) {
     List<Rumour> rumours = new ArrayList<>(first);
-    // The buddy system (Lifeguard, section IV.C): one that is suspected is told of it by whoever probes it.
-    if (kind == Kind.PING && table[to].state() != State.ALIVE && table[to].state() != State.UNKNOWN
+    // The buddy system (Lifeguard, section IV.C): one that is suspected is told of it by whoever
+    // probes it.
+    if (kind == Kind.PING
+        && table[to].state() != State.ALIVE
+        && table[to].state() != State.UNKNOWN
         && !rumours.contains(table[to])) {
       rumours.add(table[to]);
     }
     int limit = (int) Math.ceil(settings.retransmit() * Math.max(1, Math.log10(live() + 1)));
-    news.values().stream().sorted(Comparator.<Told>comparingInt(t -> t.times).thenComparingInt(t -> t.rumour.member()))
-        .limit(Datagram.MOST_RUMOURS).toList().forEach(t -> {
+    news.values().stream()
+        .sorted(
+            Comparator.<Told>comparingInt(t -> t.times).thenComparingInt(t -> t.rumour.member()))
+        .limit(Datagram.MOST_RUMOURS)
+        .toList()
+        .forEach(t -> {
           if (rumours.size() < Datagram.MOST_RUMOURS && !rumours.contains(t.rumour)) {
             rumours.add(t.rumour);
             if (++t.times >= limit) {
@@ -455,7 +486,9 @@
           }
         });
     Rumour mine = table[self];
-    out.add(new Out(to, new Datagram(kind, self, mine.epoch(), mine.incarnation(), with, target, rumours).bytes()));
+    out.add(new Out(
+        to,
+        new Datagram(kind, self, mine.epoch(), mine.incarnation(), with, target, rumours).bytes()));
   }
 
   private void set(Rumour r) {
--- a/src/main/java/pumicekeel/peers/MembershipSettings.java
+++ b/src/main/java/pumicekeel/peers/MembershipSettings.java
@@ -13,8 +13,16 @@
  * @param healthMost the worst score of one's own health (Lifeguard's S)
  * @param syncNanos between two exchanges with a member chosen at random, dead ones among them
  */
-public record MembershipSettings(long periodNanos, long probeNanos, int helpers, double retransmit,
-    double suspicionLeast, double suspicionMost, int confirmations, int healthMost, long syncNanos) {
+public record MembershipSettings(
+    long periodNanos,
+    long probeNanos,
+    int helpers,
+    double retransmit,
+    double suspicionLeast,
+    double suspicionMost,
+    int confirmations,
+    int healthMost,
+    long syncNanos) {
 
   /** As Lifeguard was measured: a second, half a second, 3 helpers, alpha 5, beta 6, K 3, S 8. */
   public static final MembershipSettings USUAL =
--- a/src/main/java/pumicekeel/peers/PeerLink.java
+++ b/src/main/java/pumicekeel/peers/PeerLink.java
@@ -25,6 +25,7 @@
 
   /** A larger datagram is cut to this by the kernel, and so is none. */
   private static final int READ_BYTES = Datagram.MOST + 1;
+
   private static final int READS_IN_A_ROW = 16;
   private static final long LEAST_NANOS = 1_000_000L;
 
@@ -41,22 +42,36 @@
   private PeerService service;
 
   /** The member of this number; {@code epochMillis} is the wall clock's reading at the start. */
-  public PeerLink(EventLoop loop, List<InetSocketAddress> peers, int self, long epochMillis, long seed, Consumer<String> log) {
+  public PeerLink(
+      EventLoop loop,
+      List<InetSocketAddress> peers,
+      int self,
+      long epochMillis,
+      long seed,
+      Consumer<String> log) {
     this.loop = loop;
     this.peers = List.copyOf(peers);
     this.log = log;
     for (int i = 0; i < peers.size(); i++) {
       numbers.put(peers.get(i), i);
     }
-    membership = new Membership(MembershipSettings.USUAL, self, peers.size(), epochMillis, seed, System.nanoTime());
+    membership = new Membership(
+        MembershipSettings.USUAL, self, peers.size(), epochMillis, seed, System.nanoTime());
     told = membership.live();
   }
 
   /** Binds to this member's own address; waits, so it is not to be called on the loop. */
   public void open(InetSocketAddress own) throws InterruptedException {
-    channel = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-        .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_IN_A_ROW))
-        .handler(new Reader()).bind(own).sync().channel();
+    channel = new Bootstrap()
+        .group(loop)
+        .channel(NioDatagramChannel.class)
+        .option(
+            ChannelOption.RECVBUF_ALLOCATOR,
+            new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_IN_A_ROW))
+        .handler(new Reader())
+        .bind(own)
+        .sync()
+        .channel();
     loop.execute(this::next);
   }
 
@@ -70,7 +85,10 @@
       }
       byte[] bytes = ByteBufUtil.getBytes(packet.content());
       long now = System.nanoTime();
-      send(service != null && service.speaks(bytes) ? service.receive(from, bytes, now) : membership.receive(from, bytes, now));
+      send(
+          service != null && service.speaks(bytes)
+              ? service.receive(from, bytes, now)
+              : membership.receive(from, bytes, now));
       next();
     }
 
@@ -82,7 +100,9 @@
 
   private void send(List<Membership.Out> out) {
     for (Membership.Out o : out) {
-      channel.write(new DatagramPacket(Unpooled.wrappedBuffer(o.bytes()), peers.get(o.to())), channel.voidPromise());
+      channel.write(
+          new DatagramPacket(Unpooled.wrappedBuffer(o.bytes()), peers.get(o.to())),
+          channel.voidPromise());
     }
     if (!out.isEmpty()) {
       channel.flush();
@@ -107,13 +127,16 @@
     int live = membership.live();
     if (live != told) {
       told = live;
-      log.accept("peers: " + live + " of " + peers.size() + " are there, " + membership.unknown() + " never heard of");
+      log.accept("peers: " + live + " of " + peers.size() + " are there, " + membership.unknown()
+          + " never heard of");
     }
     if (timer != null) {
       timer.cancel(false);
     }
-    long due = service == null ? membership.nextAt() : Math.min(membership.nextAt(), service.nextAt());
-    timer = loop.schedule(this::tick, Math.max(LEAST_NANOS, due - System.nanoTime()), TimeUnit.NANOSECONDS);
+    long due =
+        service == null ? membership.nextAt() : Math.min(membership.nextAt(), service.nextAt());
+    timer = loop.schedule(
+        this::tick, Math.max(LEAST_NANOS, due - System.nanoTime()), TimeUnit.NANOSECONDS);
   }
 
   /** Has another protocol spoken on this socket too; only on the loop. */
--- a/src/main/java/pumicekeel/peers/PeerView.java
+++ b/src/main/java/pumicekeel/peers/PeerView.java
@@ -9,8 +9,10 @@
   private static final int MOST_NAMED = 64;
 
   String json() {
-    return "{\"size\":" + size + ",\"live\":" + membership.live() + ",\"unknown\":" + named(State.UNKNOWN) + ",\"suspect\":"
-        + named(State.SUSPECT) + ",\"dead\":" + named(State.DEAD) + ",\"health\":" + membership.health() + ",\"refuted\":"
+    return "{\"size\":" + size + ",\"live\":" + membership.live() + ",\"unknown\":"
+        + named(State.UNKNOWN) + ",\"suspect\":"
+        + named(State.SUSPECT) + ",\"dead\":" + named(State.DEAD) + ",\"health\":"
+        + membership.health() + ",\"refuted\":"
         + membership.refuted() + ",\"discarded\":" + membership.discarded() + ",\"other-versions\":"
         + membership.otherVersions() + ",\"strangers\":" + strangers + "}";
   }
--- a/src/main/java/pumicekeel/peers/Rumour.java
+++ b/src/main/java/pumicekeel/peers/Rumour.java
@@ -13,7 +13,8 @@
     if (epoch != other.epoch) {
       return epoch > other.epoch;
     }
-    return incarnation != other.incarnation ? incarnation > other.incarnation
+    return incarnation != other.incarnation
+        ? incarnation > other.incarnation
         : state.compareTo(other.state) > 0;
   }
 }
--- a/src/main/java/pumicekeel/pool/KeyedHomes.java
+++ b/src/main/java/pumicekeel/pool/KeyedHomes.java
@@ -41,7 +41,8 @@
 
   /** Nothing of one request of this key ran after all: it may go anywhere again, unless another one of it was taken. */
   public void neverRan(String key) {
-    homes.computeIfPresent(key, (k, h) -> h.takers == 1 ? null : new Home(h.pool, h.until, h.takers - 1));
+    homes.computeIfPresent(
+        key, (k, h) -> h.takers == 1 ? null : new Home(h.pool, h.until, h.takers - 1));
   }
 
   /** Oldest first: those whose time is up, and one more where there is no room. */
--- a/src/main/java/pumicekeel/pool/RoomPlan.java
+++ b/src/main/java/pumicekeel/pool/RoomPlan.java
@@ -19,10 +19,13 @@
 
   /** The parts, in the order of the asks; an IllegalArgumentException where the guarantees don't fit. */
   public static List<Part> of(String what, long total, List<Ask> asks) {
-    long stated = asks.stream().mapToLong(a -> a.guaranteed() == null ? 0 : a.guaranteed()).sum();
+    long stated = asks.stream()
+        .mapToLong(a -> a.guaranteed() == null ? 0 : a.guaranteed())
+        .sum();
     long silent = asks.stream().filter(a -> a.guaranteed() == null).count();
     if (stated > total) {
-      throw new IllegalArgumentException(what + ": the pools are guaranteed " + stated + ", there are " + total);
+      throw new IllegalArgumentException(
+          what + ": the pools are guaranteed " + stated + ", there are " + total);
     }
     long even = silent == 0 ? 0 : (total - stated) / (2 * silent);
     List<Part> parts = new ArrayList<>();
--- a/src/main/java/pumicekeel/pool/SharedUpstreams.java
+++ b/src/main/java/pumicekeel/pool/SharedUpstreams.java
@@ -21,14 +21,19 @@
   private static final class Place {
     /** By pool, then by the id under which that pool's list names it. */
     private final Map<Object, Map<Long, Listed>> lines = new LinkedHashMap<>();
+
     private int sharers;
     private long started;
 
     private boolean recount() {
       int ready = (int) lines.values().stream()
-          .filter(l -> l.values().stream().anyMatch(x -> x.state() == State.READY)).count();
-      long newest = lines.values().stream().flatMap(l -> l.values().stream())
-          .mapToLong(Listed::startedNanos).max().orElse(0);
+          .filter(l -> l.values().stream().anyMatch(x -> x.state() == State.READY))
+          .count();
+      long newest = lines.values().stream()
+          .flatMap(l -> l.values().stream())
+          .mapToLong(Listed::startedNanos)
+          .max()
+          .orElse(0);
       boolean changed = ready != sharers || newest != started;
       sharers = ready;
       started = newest;
@@ -78,7 +83,8 @@
   /** Forgets a pool that is over; the addresses of which other pools have to hear again. */
   public Set<A> leave(Object pool) {
     Set<A> changed = new HashSet<>();
-    for (Map.Entry<Long, A> e : Map.copyOf(addresses.getOrDefault(pool, Map.of())).entrySet()) {
+    for (Map.Entry<Long, A> e :
+        Map.copyOf(addresses.getOrDefault(pool, Map.of())).entrySet()) {
       if (!remove(pool, e.getValue(), e.getKey()).isEmpty()) {
         changed.add(e.getValue());
       }
@@ -93,8 +99,14 @@
     if (place == null || own.state() == State.GONE) {
       return own;
     }
-    return new Listed(own.upstream(), own.zone(), own.cell(), own.state(),
-        Math.max(own.startedNanos(), place.started), own.weight(), Math.max(1, place.sharers));
+    return new Listed(
+        own.upstream(),
+        own.zone(),
+        own.cell(),
+        own.state(),
+        Math.max(own.startedNanos(), place.started),
+        own.weight(),
+        Math.max(1, place.sharers));
   }
 
   /** The lines of a pool at an address, for telling them again. */
--- a/src/main/java/pumicekeel/pool/Tally.java
+++ b/src/main/java/pumicekeel/pool/Tally.java
@@ -7,7 +7,12 @@
 public final class Tally {
 
   /** How a request ended for its client. */
-  public enum End { SERVED, REFUSED, FAILED, LEFT }
+  public enum End {
+    SERVED,
+    REFUSED,
+    FAILED,
+    LEFT
+  }
 
   private final Map<String, long[]> counts = new TreeMap<>();
   private long noRoute;
@@ -15,7 +20,9 @@
   private long noRoom;
 
   public void ended(String pool, String className, End end) {
-    counts.computeIfAbsent(pool + " " + className, k -> new long[End.values().length])[end.ordinal()]++;
+    counts
+        .computeIfAbsent(pool + " " + className, k -> new long[End.values().length])[
+        end.ordinal()]++;
   }
 
   /** Turned away with 404. */
@@ -48,9 +55,18 @@
 
   /** A line for the log. */
   public String line() {
-    StringBuilder out = new StringBuilder("no-route " + noRoute + " malformed " + malformed + " no-room " + noRoom);
-    counts.forEach((key, n) -> out.append("; ").append(key).append(" served ").append(n[0]).append(" refused ")
-        .append(n[1]).append(" failed ").append(n[2]).append(" left ").append(n[3]));
+    StringBuilder out =
+        new StringBuilder("no-route " + noRoute + " malformed " + malformed + " no-room " + noRoom);
+    counts.forEach((key, n) -> out.append("; ")
+        .append(key)
+        .append(" served ")
+        .append(n[0])
+        .append(" refused ")
+        .append(n[1])
+        .append(" failed ")
+        .append(n[2])
+        .append(" left ")
+        .append(n[3]));
     return out.toString();
   }
 }
