--- a/src/main/java/pumicekeel/quota/QuotaExchange.java
+++ b/src/main/java/pumicekeel/quota/QuotaExchange.java
@@ -62,9 +62,11 @@
   private long firstTenant;
 
   /** The member of this number in a fleet of so many; {@code epoch} is higher in each of its lives. */
-  public QuotaExchange(QuotaSettings settings, int self, int size, long epoch, long seed, long now) {
+  public QuotaExchange(
+      QuotaSettings settings, int self, int size, long epoch, long seed, long now) {
     if (self < 0 || self >= size) {
-      throw new IllegalArgumentException("expected a member of the fleet, got " + self + " of " + size);
+      throw new IllegalArgumentException(
+          "expected a member of the fleet, got " + self + " of " + size);
     }
     this.settings = settings;
     this.self = self;
@@ -114,7 +116,8 @@
     return discarded;
   }
 
-  // ---- What may be used ---------------------------------------------------------------------------------
+  // ---- What may be used
+  // ---------------------------------------------------------------------------------
 
   /** So many requests of a tenant have come. */
   public void asked(String name, double count, long now) {
@@ -146,7 +149,8 @@
     changesAt = now;
   }
 
-  // ---- Asking -------------------------------------------------------------------------------------------
+  // ---- Asking
+  // -------------------------------------------------------------------------------------------
 
   /** When {@link #tick} has something to do. */
   public long nextAt() {
@@ -195,7 +199,10 @@
         surplus -= t.ledger.giveUp(lender);
         touched(now);
         sequence = sequence + 1 & 0xffffffffL;
-        out.add(new Out(lender, new QuotaMessage(QuotaMessage.Kind.RETURN, self, epoch, epoch, sequence, t.id, 0).bytes()));
+        out.add(new Out(
+            lender,
+            new QuotaMessage(QuotaMessage.Kind.RETURN, self, epoch, epoch, sequence, t.id, 0)
+                .bytes()));
       }
     }
     double lacks = -surplus - underWay(t);
@@ -211,16 +218,20 @@
 
   /** What answers that are waited for would add. */
   private double underWay(Tenant t) {
-    return asked.values().stream().filter(a -> a.tenant() == t.id)
-        .mapToDouble(a -> Math.max(0, a.perSecond() - t.ledger.from(a.lender()))).sum();
+    return asked.values().stream()
+        .filter(a -> a.tenant() == t.id)
+        .mapToDouble(a -> Math.max(0, a.perSecond() - t.ledger.from(a.lender())))
+        .sum();
   }
 
   /** Some that live and have not just declined; one that lends already may have more to lend. */
   private int[] others(Tenant t, double lacks, long now, BitSet live) {
     t.declinedUntil.values().removeIf(until -> now - until >= 0);
-    int[] can = live.stream().filter(m -> m != self && m < size
-        && !t.declinedUntil.containsKey(m) && !isAsked(t, m)).toArray();
-    int needed = (int) Math.ceil(Math.min(MOST_ASKS, lacks / (settings.lendablePart() * t.ledger.share())));
+    int[] can = live.stream()
+        .filter(m -> m != self && m < size && !t.declinedUntil.containsKey(m) && !isAsked(t, m))
+        .toArray();
+    int needed =
+        (int) Math.ceil(Math.min(MOST_ASKS, lacks / (settings.lendablePart() * t.ledger.share())));
     int count = Math.min(Math.max(settings.askedAtOnce(), needed), can.length);
     for (int i = 0; i < count; i++) {
       int j = i + random.nextInt(can.length - i);
@@ -237,10 +248,14 @@
     }
     sequence = sequence + 1 & 0xffffffffL;
     asked.put(sequence, new Asked(lender, t.id, perSecond, now));
-    out.add(new Out(lender, new QuotaMessage(QuotaMessage.Kind.ASK, self, epoch, epoch, sequence, t.id, perSecond).bytes()));
+    out.add(new Out(
+        lender,
+        new QuotaMessage(QuotaMessage.Kind.ASK, self, epoch, epoch, sequence, t.id, perSecond)
+            .bytes()));
   }
 
-  // ---- Messages -----------------------------------------------------------------------------------------
+  // ---- Messages
+  // -----------------------------------------------------------------------------------------
 
   /** Whether a datagram is of this protocol. */
   public static boolean speaks(byte[] bytes) {
@@ -274,7 +289,8 @@
   /** What was overtaken or comes twice is not served: an ask behind a return would lend to one that knows nothing of it. */
   private static boolean isLater(Tenant t, QuotaMessage m) {
     long[] last = t.lastAsk.computeIfAbsent(m.from(), k -> new long[] {-1, 0});
-    boolean later = m.epoch() > last[0] || m.epoch() == last[0] && (int) (m.sequence() - last[1]) > 0;
+    boolean later =
+        m.epoch() > last[0] || m.epoch() == last[0] && (int) (m.sequence() - last[1]) > 0;
     if (later) {
       last[0] = m.epoch();
       last[1] = m.sequence();
@@ -287,13 +303,19 @@
     if (part > 0) {
       touched(now);
     }
-    return List.of(new Out(m.from(),
-        new QuotaMessage(QuotaMessage.Kind.LEND, self, epoch, m.epoch(), m.sequence(), m.tenant(), part).bytes()));
+    return List.of(new Out(
+        m.from(),
+        new QuotaMessage(
+                QuotaMessage.Kind.LEND, self, epoch, m.epoch(), m.sequence(), m.tenant(), part)
+            .bytes()));
   }
 
   private void take(Tenant t, QuotaMessage m, long now) {
     Asked a = m.borrowerEpoch() == epoch ? asked.get(m.sequence()) : null;
-    if (a == null || a.lender() != m.from() || a.tenant() != m.tenant() || m.perSecond() > a.perSecond()) {
+    if (a == null
+        || a.lender() != m.from()
+        || a.tenant() != m.tenant()
+        || m.perSecond() > a.perSecond()) {
       discarded++;
       return;
     }
--- a/src/main/java/pumicekeel/quota/QuotaLedger.java
+++ b/src/main/java/pumicekeel/quota/QuotaLedger.java
@@ -30,6 +30,7 @@
   private final Map<Integer, ArrayDeque<Lease>> lent = new HashMap<>();
   /** Of each lender what still runs, the largest first: one that ends later is there only if it is smaller. */
   private final Map<Integer, ArrayDeque<Lease>> borrowed = new HashMap<>();
+
   private final double[] slots = new double[SLOTS + 1];
   private int slot;
   private long slotEnds;
@@ -46,7 +47,8 @@
     return share;
   }
 
-  // ---- Demand -------------------------------------------------------------------------------------------
+  // ---- Demand
+  // -------------------------------------------------------------------------------------------
 
   void asked(double count, long now) {
     turn(now);
@@ -75,11 +77,13 @@
     return Math.max(0, sum) + ROOTS * Math.sqrt(Math.max(0, sum));
   }
 
-  // ---- What may be used ---------------------------------------------------------------------------------
+  // ---- What may be used
+  // ---------------------------------------------------------------------------------
 
   /** Requests a second that this member may admit as within the quota. */
   double usable(long now) {
-    double own = share - Math.max(lentOut(now), now - keptBackUntil < 0 ? settings.lendablePart() * share : 0);
+    double own = share
+        - Math.max(lentOut(now), now - keptBackUntil < 0 ? settings.lendablePart() * share : 0);
     return Math.max(0, own + running(borrowed, now));
   }
 
@@ -90,7 +94,7 @@
 
   private static double running(Map<Integer, ArrayDeque<Lease>> book, long now) {
     double sum = 0;
-    for (Iterator<ArrayDeque<Lease>> it = book.values().iterator(); it.hasNext();) {
+    for (Iterator<ArrayDeque<Lease>> it = book.values().iterator(); it.hasNext(); ) {
       ArrayDeque<Lease> leases = it.next();
       leases.removeIf(l -> now - l.until() >= 0);
       if (leases.isEmpty()) {
@@ -127,15 +131,19 @@
     return next;
   }
 
-  // ---- Lending and borrowing ----------------------------------------------------------------------------
+  // ---- Lending and borrowing
+  // ----------------------------------------------------------------------------
 
   /** Lends as much of what is asked as this member can spare; 0 for nothing. */
   double lend(int borrower, double perSecond, long now) {
     double out = lentOut(now);
     ArrayDeque<Lease> to = lent.get(borrower);
     // What the borrower has already does not count twice, so that it can renew all of it.
-    double spare = Math.min(settings.lendablePart() * share, share - wanted(now)) - (out - largest(lent, borrower));
-    boolean full = to != null && to.size() >= MOST_LEASES && to.peekLast().perSecond() > Math.min(perSecond, spare);
+    double spare = Math.min(settings.lendablePart() * share, share - wanted(now))
+        - (out - largest(lent, borrower));
+    boolean full = to != null
+        && to.size() >= MOST_LEASES
+        && to.peekLast().perSecond() > Math.min(perSecond, spare);
     double part = now - keptBackUntil < 0 || full ? 0 : Math.min(perSecond, spare);
     if (part <= 0) {
       return 0;
--- a/src/main/java/pumicekeel/quota/QuotaSettings.java
+++ b/src/main/java/pumicekeel/quota/QuotaSettings.java
@@ -11,13 +11,20 @@
  * @param askedAtOnce members asked for one tenant in one round, more where they could not make up what lacks
  * @param declinedNanos how long one that had nothing to lend is left alone
  */
-public record QuotaSettings(long leaseNanos, double driftPart, long slackNanos, long roundNanos, double lendablePart,
-    int askedAtOnce, long declinedNanos) {
+public record QuotaSettings(
+    long leaseNanos,
+    double driftPart,
+    long slackNanos,
+    long roundNanos,
+    double lendablePart,
+    int askedAtOnce,
+    long declinedNanos) {
 
   private static final long MS = 1_000_000L;
 
   /** Leases of 3 s: so long a member keeps back the lendable part at its start, and may wait for its own share at the longest. */
-  public static final QuotaSettings USUAL = new QuotaSettings(3_000 * MS, 0.01, 10 * MS, 250 * MS, 0.9, 4, 500 * MS);
+  public static final QuotaSettings USUAL =
+      new QuotaSettings(3_000 * MS, 0.01, 10 * MS, 250 * MS, 0.9, 4, 500 * MS);
 
   /** How long the lender holds a lease for given out. */
   long heldNanos() {
--- a/src/main/java/pumicekeel/rig/FleetRig.java
+++ b/src/main/java/pumicekeel/rig/FleetRig.java
@@ -21,10 +21,10 @@
 import pumicekeel.fleet.Daemon;
 import pumicekeel.fleet.Limits;
 import pumicekeel.fleet.Settings;
-import pumicekeel.load.Load;
+import pumicekeel.load.Account.End;
 import pumicekeel.load.HttpAsk;
+import pumicekeel.load.Load;
 import pumicekeel.load.Shape;
-import pumicekeel.load.Account.End;
 import pumicekeel.standin.StandInDiscovery;
 import pumicekeel.standin.StandInUpstream;
 
@@ -44,15 +44,18 @@
   private final double perSecond;
   private final PrintStream out;
   private final List<String> flags;
-  private final EventLoopGroup standIns = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final EventLoopGroup clientLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup standIns =
+      new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+  private final EventLoopGroup clientLoops =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final Map<String, StandInUpstream> upstreams = new TreeMap<>();
   private final Map<String, Integer> cells = new TreeMap<>();
   private StandInDiscovery discovery;
   private long startedAt;
 
   /** So many requests a second of each of two classes in all; {@code flags} for the instances' JVMs. */
-  public FleetRig(int instances, int seconds, double perSecond, List<String> flags, PrintStream out) {
+  public FleetRig(
+      int instances, int seconds, double perSecond, List<String> flags, PrintStream out) {
     this.instances = instances;
     this.seconds = seconds;
     this.perSecond = perSecond;
@@ -71,13 +74,24 @@
         add("s" + i, i / 2, 0);
       }
       int port = freePorts(instances);
-      Path config = Files.writeString(folder.resolve("config.json"), configuration(discovery.address().getPort()));
-      List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+      Path config = Files.writeString(
+          folder.resolve("config.json"), configuration(discovery.address().getPort()));
+      List<String> command = new ArrayList<>(
+          List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
       command.addAll(flags);
       command.addAll(List.of("-cp", System.getProperty("java.class.path"), "pumicekeel.cli.Main"));
       Path run = folder.resolve("run");
-      daemon = new Daemon(new Settings(instances, run, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), null,
-          config, "rig", command, Limits.of(1, 500 * MS)), line -> say(line));
+      daemon = new Daemon(
+          new Settings(
+              instances,
+              run,
+              new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+              null,
+              config,
+              "rig",
+              command,
+              Limits.of(1, 500 * MS)),
+          line -> say(line));
       startedAt = System.nanoTime();
       daemon.start();
       return play(run, port);
@@ -135,8 +149,22 @@
     List<Load> quotes = new ArrayList<>();
     for (int i = 0; i < instances; i++) {
       InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i);
-      lookups.add(new Load(at, clientLoops, new HttpAsk("h", "rate-lookup", false, "demo", 1_500), Shape.steady(4, perSecond / instances), "r" + i, i).start());
-      quotes.add(new Load(at, clientLoops, new HttpAsk("h", "quote-issue", true, "demo", 2_000), Shape.steady(4, perSecond / instances), "q" + i, i).start());
+      lookups.add(new Load(
+              at,
+              clientLoops,
+              new HttpAsk("h", "rate-lookup", false, "demo", 1_500),
+              Shape.steady(4, perSecond / instances),
+              "r" + i,
+              i)
+          .start());
+      quotes.add(new Load(
+              at,
+              clientLoops,
+              new HttpAsk("h", "quote-issue", true, "demo", 2_000),
+              Shape.steady(4, perSecond / instances),
+              "q" + i,
+              i)
+          .start());
     }
     List<Load> all = new ArrayList<>(lookups);
     all.addAll(quotes);
@@ -176,7 +204,8 @@
     long end = System.nanoTime() + (long) (forSeconds * 1e9);
     while (System.nanoTime() - end < 0) {
       TimeUnit.NANOSECONDS.sleep(Math.min(1_000_000_000L, Math.max(1, end - System.nanoTime())));
-      say(sum(all, End.SERVED) + " served, " + sum(all, End.REFUSED) + " refused, " + sum(all, End.FAILED) + " failed");
+      say(sum(all, End.SERVED) + " served, " + sum(all, End.REFUSED) + " refused, "
+          + sum(all, End.FAILED) + " failed");
     }
   }
 
--- a/src/main/java/pumicekeel/rig/FleetThroughput.java
+++ b/src/main/java/pumicekeel/rig/FleetThroughput.java
@@ -15,10 +15,10 @@
 import pumicekeel.fleet.Daemon;
 import pumicekeel.fleet.Limits;
 import pumicekeel.fleet.Settings;
-import pumicekeel.load.Load;
+import pumicekeel.load.Account.End;
 import pumicekeel.load.HttpAsk;
+import pumicekeel.load.Load;
 import pumicekeel.load.Shape;
-import pumicekeel.load.Account.End;
 import pumicekeel.standin.StandInDiscovery;
 import pumicekeel.standin.StandInUpstream;
 
@@ -38,8 +38,10 @@
   private final int rounds;
   private final List<String> flags;
   private final PrintStream out;
-  private final EventLoopGroup standIns = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final EventLoopGroup clientLoops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+  private final EventLoopGroup standIns =
+      new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+  private final EventLoopGroup clientLoops =
+      new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
 
   /** Rounds of so many seconds at each size; {@code flags} for the instances' JVMs. */
   public FleetThroughput(int seconds, int rounds, List<String> flags, PrintStream out) {
@@ -61,8 +63,11 @@
       }
       for (int round = 0; round < rounds; round++) {
         for (int s = 0; s < SIZES.length; s++) {
-          perSecond[s][round] = measure(SIZES[s], FleetRig.configuration(discovery.address().getPort()));
-          out.printf("round %d: %d instances, %.0f requests a second%n", round + 1, SIZES[s], perSecond[s][round]);
+          perSecond[s][round] =
+              measure(SIZES[s], FleetRig.configuration(discovery.address().getPort()));
+          out.printf(
+              "round %d: %d instances, %.0f requests a second%n",
+              round + 1, SIZES[s], perSecond[s][round]);
         }
       }
     } finally {
@@ -77,7 +82,9 @@
         ratios[r] = perSecond[s][r] / one[r];
       }
       Arrays.sort(ratios);
-      out.printf("%d instances: %.2f (%.2f to %.2f) of one%n", SIZES[s], ratios[rounds / 2], ratios[0], ratios[rounds - 1]);
+      out.printf(
+          "%d instances: %.2f (%.2f to %.2f) of one%n",
+          SIZES[s], ratios[rounds / 2], ratios[0], ratios[rounds - 1]);
     }
   }
 
@@ -85,19 +92,35 @@
     Path folder = Files.createTempDirectory("rig");
     int port = FleetRig.freePorts(instances);
     Path config = Files.writeString(folder.resolve("config.json"), configuration);
-    List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+    List<String> command = new ArrayList<>(
+        List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
     command.addAll(flags);
     command.addAll(List.of("-cp", System.getProperty("java.class.path"), "pumicekeel.cli.Main"));
     Path run = folder.resolve("run");
-    Daemon daemon = new Daemon(new Settings(instances, run, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), null,
-        config, "rig", command, Limits.of(1, 500 * MS)), line -> {});
+    Daemon daemon = new Daemon(
+        new Settings(
+            instances,
+            run,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+            null,
+            config,
+            "rig",
+            command,
+            Limits.of(1, 500 * MS)),
+        line -> {});
     try {
       daemon.start();
       FleetRig.until(run, instances, "\"state\":\"ready\"");
       List<Load> all = new ArrayList<>();
       for (int i = 0; i < instances; i++) {
-        all.add(new Load(new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i), clientLoops,
-            new HttpAsk("h", "rate-lookup", false, "demo", 1_500), Shape.busy(CLIENTS, 1), "t" + i, i).start());
+        all.add(new Load(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i),
+                clientLoops,
+                new HttpAsk("h", "rate-lookup", false, "demo", 1_500),
+                Shape.busy(CLIENTS, 1),
+                "t" + i,
+                i)
+            .start());
       }
       TimeUnit.MILLISECONDS.sleep(WARM_MILLIS);
       long before = served(all);
--- a/src/main/java/pumicekeel/route/HostName.java
+++ b/src/main/java/pumicekeel/route/HostName.java
@@ -76,11 +76,21 @@
   }
 
   private static boolean nameChar(char c) {
-    return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '.' || c == '_';
+    return c >= 'a' && c <= 'z'
+        || c >= 'A' && c <= 'Z'
+        || c >= '0' && c <= '9'
+        || c == '-'
+        || c == '.'
+        || c == '_';
   }
 
   private static boolean literalChar(char c) {
-    return c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F' || c >= '0' && c <= '9' || c == ':' || c == '.' || c == '['
+    return c >= 'a' && c <= 'f'
+        || c >= 'A' && c <= 'F'
+        || c >= '0' && c <= '9'
+        || c == ':'
+        || c == '.'
+        || c == '['
         || c == ']';
   }
 }
--- a/src/main/java/pumicekeel/route/PathIndex.java
+++ b/src/main/java/pumicekeel/route/PathIndex.java
@@ -16,14 +16,21 @@
     private final List<Map.Entry<String, Map<String, List<Route>>>> byHeader = new ArrayList<>(0);
 
     private void add(Route route) {
-      String name = route.headers().entrySet().stream().filter(h -> !h.getValue().equals(Route.PRESENT))
-          .map(Map.Entry::getKey).sorted().findFirst().orElse(null);
+      String name = route.headers().entrySet().stream()
+          .filter(h -> !h.getValue().equals(Route.PRESENT))
+          .map(Map.Entry::getKey)
+          .sorted()
+          .findFirst()
+          .orElse(null);
       if (name == null) {
         plain.add(route);
         return;
       }
-      Map<String, List<Route>> values = byHeader.stream().filter(e -> e.getKey().equals(name)).findFirst()
-          .map(Map.Entry::getValue).orElse(null);
+      Map<String, List<Route>> values = byHeader.stream()
+          .filter(e -> e.getKey().equals(name))
+          .findFirst()
+          .map(Map.Entry::getValue)
+          .orElse(null);
       if (values == null) {
         values = new HashMap<>();
         byHeader.add(Map.entry(name, values));
@@ -139,8 +146,10 @@
       }
     }
     switch (route.path().kind()) {
-      case ANY, PREFIX -> (node.prefix = node.prefix == null ? new Bucket() : node.prefix).add(route);
-      case EXACT, TEMPLATE -> (node.whole = node.whole == null ? new Bucket() : node.whole).add(route);
+      case ANY, PREFIX ->
+        (node.prefix = node.prefix == null ? new Bucket() : node.prefix).add(route);
+      case EXACT, TEMPLATE ->
+        (node.whole = node.whole == null ? new Bucket() : node.whole).add(route);
     }
   }
 
--- a/src/main/java/pumicekeel/route/PathPattern.java
+++ b/src/main/java/pumicekeel/route/PathPattern.java
@@ -9,7 +9,12 @@
 public record PathPattern(Kind kind, String text, List<String> segments) {
 
   /** How the pattern is compared. */
-  public enum Kind { ANY, EXACT, PREFIX, TEMPLATE }
+  public enum Kind {
+    ANY,
+    EXACT,
+    PREFIX,
+    TEMPLATE
+  }
 
   /** A segment of a template that takes any one segment. */
   static final String WILD = "{}";
@@ -22,19 +27,28 @@
   public static PathPattern of(Kind kind, String text) {
     boolean template = kind == Kind.TEMPLATE;
     String plain = template ? text.replaceAll("\\{[A-Za-z0-9_-]+}", "x") : text;
-    if (RequestPath.of(plain) == null || !RequestPath.of(plain).equals(plain) || plain.indexOf('?') >= 0
-        || plain.indexOf('{') >= 0 || plain.indexOf('}') >= 0) {
-      throw new IllegalArgumentException("a path as a request has it, from / on, without .., // or a query"
-          + (template ? ", with {name} for a whole segment" : ""));
+    if (RequestPath.of(plain) == null
+        || !RequestPath.of(plain).equals(plain)
+        || plain.indexOf('?') >= 0
+        || plain.indexOf('{') >= 0
+        || plain.indexOf('}') >= 0) {
+      throw new IllegalArgumentException(
+          "a path as a request has it, from / on, without .., // or a query"
+              + (template ? ", with {name} for a whole segment" : ""));
     }
-    List<String> segments = segments(kind == Kind.PREFIX && text.length() > 1 && text.endsWith("/")
-        ? text.substring(0, text.length() - 1) : text);
+    List<String> segments = segments(
+        kind == Kind.PREFIX && text.length() > 1 && text.endsWith("/")
+            ? text.substring(0, text.length() - 1)
+            : text);
     if (segments.size() > MOST_SEGMENTS) {
       throw new IllegalArgumentException("at most " + MOST_SEGMENTS + " segments");
     }
     if (template) {
-      segments = segments.stream().map(s -> s.startsWith("{") && s.endsWith("}") ? WILD : s).toList();
-      if (segments.stream().anyMatch(s -> !s.equals(WILD) && (s.contains("{") || s.contains("}")))) {
+      segments = segments.stream()
+          .map(s -> s.startsWith("{") && s.endsWith("}") ? WILD : s)
+          .toList();
+      if (segments.stream()
+          .anyMatch(s -> !s.equals(WILD) && (s.contains("{") || s.contains("}")))) {
         throw new IllegalArgumentException("{name} for a whole segment, not for a part of one");
       }
     }
@@ -51,8 +65,10 @@
     return switch (kind) {
       case ANY -> true;
       case EXACT -> path.equals(text);
-      case PREFIX -> path.equals(text) || segments.isEmpty()
-          || path.startsWith("/" + String.join("/", segments)) && boundary(path);
+      case PREFIX ->
+        path.equals(text)
+            || segments.isEmpty()
+            || path.startsWith("/" + String.join("/", segments)) && boundary(path);
       case TEMPLATE -> takesTemplate(path);
     };
   }
@@ -81,10 +97,15 @@
     return switch (kind) {
       case ANY -> true;
       case EXACT -> other.kind == Kind.EXACT && other.text.equals(text);
-      case PREFIX -> segments.isEmpty() || other.kind != Kind.ANY && other.segments.size() >= segments.size()
-          && coversSegments(other);
-      case TEMPLATE -> (other.kind == Kind.EXACT || other.kind == Kind.TEMPLATE)
-          && other.segments.size() == segments.size() && coversSegments(other);
+      case PREFIX ->
+        segments.isEmpty()
+            || other.kind != Kind.ANY
+                && other.segments.size() >= segments.size()
+                && coversSegments(other);
+      case TEMPLATE ->
+        (other.kind == Kind.EXACT || other.kind == Kind.TEMPLATE)
+            && other.segments.size() == segments.size()
+            && coversSegments(other);
     };
   }
 
--- a/src/main/java/pumicekeel/route/RequestPath.java
+++ b/src/main/java/pumicekeel/route/RequestPath.java
@@ -37,7 +37,12 @@
       int value = i + 2 < sent.length() ? Character.digit(sent.charAt(i + 1), 16) * 16 : -1;
       int low = value < 0 ? -1 : Character.digit(sent.charAt(i + 2), 16);
       value += low;
-      if (low < 0 || value < 0x20 || value == '/' || value == '\\' || value == '%' || value == 0x7f) {
+      if (low < 0
+          || value < 0x20
+          || value == '/'
+          || value == '\\'
+          || value == '%'
+          || value == 0x7f) {
         return null;
       }
       if (unreserved((char) value)) {
@@ -55,7 +60,12 @@
   }
 
   private static boolean unreserved(char c) {
-    return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '.' || c == '_'
+    return c >= 'a' && c <= 'z'
+        || c >= 'A' && c <= 'Z'
+        || c >= '0' && c <= '9'
+        || c == '-'
+        || c == '.'
+        || c == '_'
         || c == '~';
   }
 
--- a/src/main/java/pumicekeel/route/RouteTable.java
+++ b/src/main/java/pumicekeel/route/RouteTable.java
@@ -38,6 +38,7 @@
   private final Map<String, PathIndex> exact = new HashMap<>();
   /** By what follows the {@code *.}. */
   private final Map<String, PathIndex> suffixes = new HashMap<>();
+
   private final PathIndex any = new PathIndex();
 
   /** Compiles routes, in the order of the file. */
@@ -54,7 +55,9 @@
       }
       for (String host : r.hosts()) {
         boolean suffix = host.startsWith("*.");
-        (suffix ? suffixes : exact).computeIfAbsent(suffix ? host.substring(2) : host, k -> new PathIndex()).add(r);
+        (suffix ? suffixes : exact)
+            .computeIfAbsent(suffix ? host.substring(2) : host, k -> new PathIndex())
+            .add(r);
       }
     }
   }
--- a/src/main/java/pumicekeel/route/Split.java
+++ b/src/main/java/pumicekeel/route/Split.java
@@ -32,7 +32,8 @@
     for (int i = 0; i < parts.size(); i++) {
       Part part = parts.get(i);
       if (part.weight() > 0) {
-        // StrictMath: the same to the last bit on every machine, or instances would disagree over some keys.
+        // StrictMath: the same to the last bit on every machine, or instances would disagree over
+        // some keys.
         double drawn = -StrictMath.log(unit(part.pool(), key)) / part.weight();
         if (drawn < least) {
           least = drawn;
--- a/src/main/java/pumicekeel/runtime/Addresses.java
+++ b/src/main/java/pumicekeel/runtime/Addresses.java
@@ -17,7 +17,8 @@
   /** An address and a port; no names, since there is no DNS and a look-up would block the loop. */
   public static InetSocketAddress parse(String what, String text) {
     int colon = text.lastIndexOf(':');
-    InetAddress host = colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
+    InetAddress host =
+        colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
     try {
       if (host != null) {
         return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
--- a/src/main/java/pumicekeel/runtime/Log.java
+++ b/src/main/java/pumicekeel/runtime/Log.java
@@ -10,6 +10,7 @@
 
   /** Lines a second that peers may cause together: more tell nothing new, and a flood of them costs the core. */
   private static final int CAUSED_PER_SECOND = 5;
+
   private static final AtomicLong SECOND = new AtomicLong();
   private static final AtomicInteger CAUSED = new AtomicInteger();
 
--- a/src/main/java/pumicekeel/runtime/LoopLag.java
+++ b/src/main/java/pumicekeel/runtime/LoopLag.java
@@ -25,6 +25,7 @@
   private final Clock clock;
   /** Written by the loop alone; the thread that hears of a signal reads it too. */
   private volatile long due;
+
   private long late;
   /** The last time at which the loop stood still, from when until when. */
   private volatile Still still;
@@ -69,7 +70,9 @@
     long now = clock.now();
     Still last = still;
     long looked = Math.min(now, due - PERIOD_NANOS);
-    return last != null && now - last.until < HANDED_ON_NANOS ? Math.min(last.from, looked) : looked;
+    return last != null && now - last.until < HANDED_ON_NANOS
+        ? Math.min(last.from, looked)
+        : looked;
   }
 
   /** How long what is read now has waited in its socket, on average; only for the loop's own thread. */
--- a/src/main/java/pumicekeel/sim/FleetSim.java
+++ b/src/main/java/pumicekeel/sim/FleetSim.java
@@ -23,11 +23,21 @@
   private static final long SETTLE_PERIODS = 70;
 
   /** A run's figures; {@code fault} is null where all held. */
-  public record Report(long seed, int size, String fault, long datagrams, long bytes, long virtualNanos,
-      List<Long> firstDetections, List<Long> allDetections, long falseDeaths, long refuted) {}
+  public record Report(
+      long seed,
+      int size,
+      String fault,
+      long datagrams,
+      long bytes,
+      long virtualNanos,
+      List<Long> firstDetections,
+      List<Long> allDetections,
+      long falseDeaths,
+      long refuted) {}
 
   /** A datagram that arrives; a member that has something to do where {@code bytes} is null. */
-  private record Event(long at, long order, int to, int from, byte[] bytes) implements Comparable<Event> {
+  private record Event(long at, long order, int to, int from, byte[] bytes)
+      implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
       return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
@@ -75,7 +85,8 @@
     lives = new int[size];
   }
 
-  // ---- Runs ---------------------------------------------------------------------------------------------
+  // ---- Runs
+  // ---------------------------------------------------------------------------------------------
 
   /** Faults of every kind by the seed, then quiet, then the truth in every view. */
   public Report faults() {
@@ -132,16 +143,34 @@
       allDetections.add(now - at);
     }
     Report r = report();
-    return new Report(r.seed(), size, fault, quietDatagrams, quietBytes, quietNanos == 0 ? now - from : quietNanos,
-        r.firstDetections(), r.allDetections(), falseDeaths, refuted);
+    return new Report(
+        r.seed(),
+        size,
+        fault,
+        quietDatagrams,
+        quietBytes,
+        quietNanos == 0 ? now - from : quietNanos,
+        r.firstDetections(),
+        r.allDetections(),
+        falseDeaths,
+        refuted);
   }
 
   private Report report() {
     for (Membership m : members) {
       refuted += m == null ? 0 : m.refuted();
     }
-    return new Report(seed, size, fault, datagrams, bytes, now, List.copyOf(firstDetections), List.copyOf(allDetections),
-        falseDeaths, refuted);
+    return new Report(
+        seed,
+        size,
+        fault,
+        datagrams,
+        bytes,
+        now,
+        List.copyOf(firstDetections),
+        List.copyOf(allDetections),
+        falseDeaths,
+        refuted);
   }
 
   /** Real time that all members spent in their decisions while nothing was wrong; no part of the run, which is the seed's. */
@@ -149,7 +178,8 @@
     return quietWorkNanos;
   }
 
-  // ---- Faults -------------------------------------------------------------------------------------------
+  // ---- Faults
+  // -------------------------------------------------------------------------------------------
 
   private void disturb() {
     int one = random.nextInt(size);
@@ -162,7 +192,9 @@
       }
       case 2 -> start(one);
       case 3 -> pausedUntil[one] = now + random.nextLong(10 * SECOND);
-      case 4 -> network.weather(random.nextDouble() * 0.5, random.nextDouble() * 0.3, (1 + random.nextLong(200)) * MS);
+      case 4 ->
+        network.weather(
+            random.nextDouble() * 0.5, random.nextDouble() * 0.3, (1 + random.nextLong(200)) * MS);
       case 5 -> network.partition(side(random.nextInt(size + 1)));
       case 6 -> network.cutOneWay(one, random.nextInt(size));
       case 7 -> network.heal();
@@ -195,7 +227,8 @@
 
   /** Noise, a cut datagram, another's name, one of an hour ago. */
   private void forge(int to) {
-    byte[] some = old.isEmpty() ? new byte[0] : old.get(random.nextInt(old.size())).clone();
+    byte[] some =
+        old.isEmpty() ? new byte[0] : old.get(random.nextInt(old.size())).clone();
     byte[] what = switch (random.nextInt(4)) {
       case 0 -> noise();
       case 1 -> java.util.Arrays.copyOf(some, random.nextInt(some.length + 1));
@@ -243,7 +276,8 @@
     killedAt[i] = now;
   }
 
-  // ---- Time ---------------------------------------------------------------------------------------------
+  // ---- Time
+  // ---------------------------------------------------------------------------------------------
 
   private void run(long until, boolean calm) {
     while (fault == null && !events.isEmpty() && events.peek().at() < until) {
@@ -318,7 +352,8 @@
     }
   }
 
-  // ---- The rules ----------------------------------------------------------------------------------------
+  // ---- The rules
+  // ----------------------------------------------------------------------------------------
 
   private int count() {
     int count = 0;
@@ -353,11 +388,13 @@
     for (int i = 0; i < size && fault == null; i++) {
       for (int j = 0; j < size && running[i] && fault == null; j++) {
         State held = members[i].stateOf(j);
-        boolean right = running[j] ? held == State.ALIVE || held == State.SUSPECT
+        boolean right = running[j]
+            ? held == State.ALIVE || held == State.SUSPECT
             : held == State.DEAD || held == State.UNKNOWN;
         if (!right) {
-          fault = "member " + i + " holds " + j + " for " + held + ", which " + (running[j] ? "runs" : "is gone since "
-              + (now - killedAt[j]) / SECOND + " s") + "; again: sim fleet --seed " + seed + " --size " + size;
+          fault = "member " + i + " holds " + j + " for " + held + ", which "
+              + (running[j] ? "runs" : "is gone since " + (now - killedAt[j]) / SECOND + " s")
+              + "; again: sim fleet --seed " + seed + " --size " + size;
         }
       }
     }
--- a/src/main/java/pumicekeel/sim/ModuleSim.java
+++ b/src/main/java/pumicekeel/sim/ModuleSim.java
@@ -58,7 +58,8 @@
   private static final long LATEST_NEWS = 6 * SECOND;
 
   /** A run's figures; {@code fault} is null where all rules held. {@code coldShare}: of a cold budget, the most that was used. */
-  public record Report(long seed, int size, String fault, long requests, long served, double coldShare) {}
+  public record Report(
+      long seed, int size, String fault, long requests, long served, double coldShare) {}
 
   private record Step(long at, long order, Runnable what) implements Comparable<Step> {
     @Override
@@ -92,6 +93,7 @@
     boolean answered;
     /** An upstream's answer has gone out, and the module hears of it a moment later. */
     boolean served;
+
     boolean refused;
 
     Entry(RequestClass type, long deadline) {
@@ -116,6 +118,7 @@
     final Map<Long, Long> toldAt = new HashMap<>();
     /** When a server started as far as this instance knows; the time is ours. What it can't know it can't heed. */
     final Map<Long, Long> startsKnown = new HashMap<>();
+
     final Map<String, Entry> open = new HashMap<>();
     Balancer module;
     long pausedUntil;
@@ -137,8 +140,15 @@
     }
 
     List<Listed> own(List<Listed> list) {
-      return list.stream().map(l -> new Listed(l.upstream(), l.zone(), l.cell(), l.state(),
-          l.startedNanos() == 0 ? 0 : l.startedNanos() + origin, l.weight())).toList();
+      return list.stream()
+          .map(l -> new Listed(
+              l.upstream(),
+              l.zone(),
+              l.cell(),
+              l.state(),
+              l.startedNanos() == 0 ? 0 : l.startedNanos() + origin,
+              l.weight()))
+          .toList();
     }
 
     void tell(Event event) {
@@ -200,15 +210,18 @@
       fault(e.answered, "two final answers to " + id);
       e.answered = true;
       e.refused = refusal;
-      fault(now > e.deadline + SLACK && pausedUntil < e.deadline - DEADLINE, "answered late: " + id);
+      fault(
+          now > e.deadline + SLACK && pausedUntil < e.deadline - DEADLINE, "answered late: " + id);
     }
 
     void send(Send a) {
       Entry e = open.get(a.id());
       Server server = servers.get(a.upstream());
       fault(e.answered && !e.served, "sent after its answer: " + a.id());
-      fault(toldAt.containsKey(a.upstream()) && now - toldAt.get(a.upstream()) > GRACE,
-          "instance " + number + " sent to " + a.upstream() + " " + (now - toldAt.getOrDefault(a.upstream(), now)) / MS
+      fault(
+          toldAt.containsKey(a.upstream()) && now - toldAt.get(a.upstream()) > GRACE,
+          "instance " + number + " sent to " + a.upstream() + " "
+              + (now - toldAt.getOrDefault(a.upstream(), now)) / MS
               + " ms after it was told that it leaves");
       Try t = new Try(server);
       int attempt = e.tries.size();
@@ -244,9 +257,18 @@
         return;
       }
       int luck = random.nextInt(100);
-      long takes = 2 * MS + (long) (-Math.log(1 - random.nextDouble()) * 20 * MS / warmth(t.server, now));
-      at(now + takes, () -> ended(of, id, t, attempt,
-          t.server.down || luck == 0 ? Status.RESET : luck == 1 ? Status.ERROR : Status.SERVED));
+      long takes =
+          2 * MS + (long) (-Math.log(1 - random.nextDouble()) * 20 * MS / warmth(t.server, now));
+      at(
+          now + takes,
+          () -> ended(
+              of,
+              id,
+              t,
+              attempt,
+              t.server.down || luck == 0
+                  ? Status.RESET
+                  : luck == 1 ? Status.ERROR : Status.SERVED));
     }
 
     private void ended(int of, String id, Try t, int attempt, Status status) {
@@ -297,11 +319,23 @@
     this.seed = seed;
     this.size = size;
     random = new SplittableRandom(seed);
-    settings = new Settings(0, size, "a", List.of(type("look", Effect.SAFE, DedupScope.ALL),
-        type("quote", Effect.KEYED, DedupScope.CELL), type("order", Effect.UNSAFE, DedupScope.ALL)), List.of(),
+    settings = new Settings(
+        0,
+        size,
+        "a",
+        List.of(
+            type("look", Effect.SAFE, DedupScope.ALL),
+            type("quote", Effect.KEYED, DedupScope.CELL),
+            type("order", Effect.UNSAFE, DedupScope.ALL)),
+        List.of(),
         new Limits(true, false, false, true, true, SECOND, 4, 10_000, 1, 200 * MS, 5 * SECOND),
-        new Contract(SLACK, 0, GRACE, COLD_FROM, WARM, MULTIPLE, WINDOW), new Prices(0, 0, 0), false, WeightKind.NONE, 0.2,
-        true, MS);
+        new Contract(SLACK, 0, GRACE, COLD_FROM, WARM, MULTIPLE, WINDOW),
+        new Prices(0, 0, 0),
+        false,
+        WeightKind.NONE,
+        0.2,
+        true,
+        MS);
     for (int i = 0; i < Math.max(6, size / 2); i++) {
       servers.put(100L + i, new Server(100L + i, i / 2));
     }
@@ -344,21 +378,28 @@
     if (next < END) {
       at(next, () -> {
         if (i.module != null) {
-          i.request("r" + i.number + "-" + number, settings.classes().get(random.nextInt(3)), "k" + random.nextInt(50));
+          i.request(
+              "r" + i.number + "-" + number,
+              settings.classes().get(random.nextInt(3)),
+              "k" + random.nextInt(50));
         }
         arrivals(i, number + 1);
       });
     }
   }
 
-  // ---- Upstreams and their list -------------------------------------------------------------------------
+  // ---- Upstreams and their list
+  // -------------------------------------------------------------------------
 
   private Listed line(Server s) {
     return new Listed(s.id, "a", s.cell, s.state, s.startedAt, 1);
   }
 
   private List<Listed> list() {
-    return servers.values().stream().filter(s -> s.state == State.READY).map(this::line).toList();
+    return servers.values().stream()
+        .filter(s -> s.state == State.READY)
+        .map(this::line)
+        .toList();
   }
 
   /** Tells all of a change, each at a time of its own, the last after some seconds; a server's news stay in order. */
@@ -380,21 +421,28 @@
     if (effect == Effect.UNSAFE) {
       fault(e.runs > 1, "an unsafe request ran twice");
     } else if (effect == Effect.KEYED) {
-      fault(!e.ranAt.isEmpty() && !e.ranAt.containsKey(t.server.cell), "a keyed request ran in two cells");
-      fault(e.ranAt.containsKey(t.server.cell) && now - e.ranAt.get(t.server.cell) > DEDUP + 2 * MS,
+      fault(
+          !e.ranAt.isEmpty() && !e.ranAt.containsKey(t.server.cell),
+          "a keyed request ran in two cells");
+      fault(
+          e.ranAt.containsKey(t.server.cell) && now - e.ranAt.get(t.server.cell) > DEDUP + 2 * MS,
           "a keyed request ran again when its cell had forgotten it");
       e.ranAt.putIfAbsent(t.server.cell, now);
     }
   }
 
   private static double warmth(Server s, long at) {
-    return s.startedAt == 0 ? 1 : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (at - s.startedAt) / (double) WARM);
+    return s.startedAt == 0
+        ? 1
+        : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (at - s.startedAt) / (double) WARM);
   }
 
-  // ---- Faults -------------------------------------------------------------------------------------------
+  // ---- Faults
+  // -------------------------------------------------------------------------------------------
 
   private void disturb() {
-    List<Server> all = servers.values().stream().sorted((a, b) -> Long.compare(a.id, b.id)).toList();
+    List<Server> all =
+        servers.values().stream().sorted((a, b) -> Long.compare(a.id, b.id)).toList();
     Server s = all.get(random.nextInt(all.size()));
     Instance i = instances.get(random.nextInt(size));
     switch (random.nextInt(7)) {
@@ -461,7 +509,8 @@
     });
   }
 
-  // ---- The judgement ------------------------------------------------------------------------------------
+  // ---- The judgement
+  // ------------------------------------------------------------------------------------
 
   private void judge() {
     for (Entry e : book) {
@@ -477,7 +526,9 @@
     for (int i = 0; s.startedAt > 0 && i < s.sends.size(); i++) {
       double budget = MULTIPLE * warmth(s, s.sends.get(i)) * capacity * WINDOW / SECOND;
       long sent = within(s, s.sends.get(i));
-      fault(sent > budget + 3 * Math.sqrt(budget), "a cold upstream got " + sent + " of " + (long) budget + " in a window");
+      fault(
+          sent > budget + 3 * Math.sqrt(budget),
+          "a cold upstream got " + sent + " of " + (long) budget + " in a window");
     }
   }
 
@@ -494,7 +545,10 @@
     for (Server s : servers.values()) {
       for (int i = 0; s.startedAt > 0 && i < s.sends.size(); i++) {
         if (s.sends.get(i) < s.startedAt + WARM) {
-          most = Math.max(most, within(s, s.sends.get(i)) / (MULTIPLE * warmth(s, s.sends.get(i)) * capacity() * WINDOW / SECOND));
+          most = Math.max(
+              most,
+              within(s, s.sends.get(i))
+                  / (MULTIPLE * warmth(s, s.sends.get(i)) * capacity() * WINDOW / SECOND));
         }
       }
     }
--- a/src/main/java/pumicekeel/sim/QuotaSim.java
+++ b/src/main/java/pumicekeel/sim/QuotaSim.java
@@ -24,12 +24,17 @@
   private static final long END = 60 * SECOND;
   /** After faults, and after the start, before use is measured: parts kept back, and leases of those that are gone. */
   private static final long SETTLE = 8 * SECOND;
+
   private static final Map<String, Double> QUOTAS = Map.of("a", 1_000.0, "b", 300.0, "c", 40.0);
   /** Sums of doubles. */
   private static final double GRAIN = 1 + 1e-9;
 
   /** What a run has: faults and demand that jumps, demand that jumps, or demand that rises in small steps at one member. */
-  public enum Course { FAULTS, CALM, RISING }
+  public enum Course {
+    FAULTS,
+    CALM,
+    RISING
+  }
 
   /** By so much of the quota the one member's demand rises in each step, at the most. */
   private static final double RISE = 0.02;
@@ -38,10 +43,18 @@
    * A run's figures; {@code fault} is null where all held. Shares are of what the quotas and the demand of members that run would
    * have let through.
    */
-  public record Report(long seed, int size, String fault, double shared, double fixed, long datagrams, long bytes,
+  public record Report(
+      long seed,
+      int size,
+      String fault,
+      double shared,
+      double fixed,
+      long datagrams,
+      long bytes,
       long virtualNanos) {}
 
-  private record Arrival(long at, long order, int to, int from, byte[] bytes) implements Comparable<Arrival> {
+  private record Arrival(long at, long order, int to, int from, byte[] bytes)
+      implements Comparable<Arrival> {
     @Override
     public int compareTo(Arrival other) {
       return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
@@ -110,7 +123,15 @@
       }
       step();
     }
-    return new Report(seed, size, fault, could == 0 ? 1 : shared / could, could == 0 ? 1 : fixed / could, datagrams, bytes, now);
+    return new Report(
+        seed,
+        size,
+        fault,
+        could == 0 ? 1 : shared / could,
+        could == 0 ? 1 : fixed / could,
+        datagrams,
+        bytes,
+        now);
   }
 
   private void step() {
@@ -171,13 +192,20 @@
     }
   }
 
-  // ---- What happens -------------------------------------------------------------------------------------
+  // ---- What happens
+  // -------------------------------------------------------------------------------------
 
   private void start(int i) {
     if (!running[i]) {
       running[i] = true;
       pausedUntil[i] = 0;
-      members[i] = new QuotaExchange(QuotaSettings.USUAL, i, size, 1_700_000_000_000L + now / MS + lives++, random.nextLong(), now);
+      members[i] = new QuotaExchange(
+          QuotaSettings.USUAL,
+          i,
+          size,
+          1_700_000_000_000L + now / MS + lives++,
+          random.nextLong(),
+          now);
       members[i].quotas(QUOTAS, now);
     }
   }
@@ -224,7 +252,11 @@
         start(one);
       }
       case 4 -> pausedUntil[one] = now + random.nextLong(10 * SECOND);
-      case 5 -> network.weather(random.nextDouble() * 0.4, random.nextDouble() * 0.4, (1 + random.nextLong(2_000)) * MS);
+      case 5 ->
+        network.weather(
+            random.nextDouble() * 0.4,
+            random.nextDouble() * 0.4,
+            (1 + random.nextLong(2_000)) * MS);
       case 6 -> {
         BitSet side = new BitSet(size);
         for (int i = random.nextInt(size + 1); i > 0; i--) {
@@ -277,7 +309,8 @@
     return n;
   }
 
-  // ---- The rule and the figures -------------------------------------------------------------------------
+  // ---- The rule and the figures
+  // -------------------------------------------------------------------------
 
   private void judge() {
     for (String name : names) {
@@ -286,7 +319,9 @@
         sum += up(i) ? members[i].rate(name, now) : 0;
       }
       if (sum > QUOTAS.get(name) * GRAIN && fault == null) {
-        fault = String.format("all together may admit %.1f a second of a quota of %.0f at %d ms", sum, QUOTAS.get(name), now / MS);
+        fault = String.format(
+            "all together may admit %.1f a second of a quota of %.0f at %d ms",
+            sum, QUOTAS.get(name), now / MS);
       }
     }
   }
--- a/src/main/java/pumicekeel/standin/StandInDiscovery.java
+++ b/src/main/java/pumicekeel/standin/StandInDiscovery.java
@@ -32,10 +32,13 @@
   private static final long HEARTBEAT_MILLIS = 2_000;
 
   /** An upstream as the list names it. */
-  private record Entry(String name, InetSocketAddress address, int group, String status, long sinceMillis) {
+  private record Entry(
+      String name, InetSocketAddress address, int group, String status, long sinceMillis) {
     private String json() {
-      return "{\"name\":\"" + name + "\",\"address\":\"" + address.getAddress().getHostAddress() + ":"
-          + address.getPort() + "\",\"zone\":\"a\",\"type\":\"t\",\"group\":" + group + ",\"status\":\"" + status
+      return "{\"name\":\"" + name + "\",\"address\":\"" + address.getAddress().getHostAddress()
+          + ":"
+          + address.getPort() + "\",\"zone\":\"a\",\"type\":\"t\",\"group\":" + group
+          + ",\"status\":\"" + status
           + "\",\"weight\":1.0,\"since_ms\":" + sinceMillis + "}";
     }
   }
@@ -47,13 +50,18 @@
   private long index = 1;
 
   public StandInDiscovery(EventLoopGroup group) throws InterruptedException {
-    listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
+    listener = new ServerBootstrap()
+        .group(group)
+        .channel(NioServerSocketChannel.class)
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
             channel.pipeline().addLast(new HttpServerCodec(), new Handler());
           }
-        }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+        })
+        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        .sync()
+        .channel();
   }
 
   public InetSocketAddress address() {
@@ -61,7 +69,8 @@
   }
 
   /** Tells of an upstream that is new or has another status: in_service, terminating or terminated. */
-  public synchronized void tell(String name, InetSocketAddress address, int group, String status, long sinceMillis) {
+  public synchronized void tell(
+      String name, InetSocketAddress address, int group, String status, long sinceMillis) {
     Entry entry = new Entry(name, address, group, status, sinceMillis);
     index++;
     if (status.equals("terminated")) {
@@ -69,7 +78,8 @@
     } else {
       entries.put(name, entry);
     }
-    String line = "{\"index\":" + index + ",\"snapshot\":false,\"endpoints\":[" + entry.json() + "]}\n";
+    String line =
+        "{\"index\":" + index + ",\"snapshot\":false,\"endpoints\":[" + entry.json() + "]}\n";
     watches.forEach(w -> w.writeAndFlush(chunk(line)));
     toldAt.put(name + " " + status, System.nanoTime());
   }
@@ -88,7 +98,8 @@
   }
 
   private synchronized void begin(Channel channel) {
-    StringBuilder list = new StringBuilder("{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[");
+    StringBuilder list =
+        new StringBuilder("{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[");
     String comma = "";
     for (Entry entry : entries.values()) {
       list.append(comma).append(entry.json());
@@ -114,8 +125,12 @@
       head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
       ctx.writeAndFlush(head);
       begin(ctx.channel());
-      ctx.executor().scheduleAtFixedRate(() -> ctx.writeAndFlush(chunk("\n")), HEARTBEAT_MILLIS, HEARTBEAT_MILLIS,
-          TimeUnit.MILLISECONDS);
+      ctx.executor()
+          .scheduleAtFixedRate(
+              () -> ctx.writeAndFlush(chunk("\n")),
+              HEARTBEAT_MILLIS,
+              HEARTBEAT_MILLIS,
+              TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/src/main/java/pumicekeel/standin/StandInRpcClient.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcClient.java
@@ -36,22 +36,32 @@
   private final CountDownLatch ended = new CountDownLatch(1);
 
   /** Connects; an exception where that fails. */
-  public StandInRpcClient(InetSocketAddress address, EventLoopGroup group, Framing framing) throws Exception {
+  public StandInRpcClient(InetSocketAddress address, EventLoopGroup group, Framing framing)
+      throws Exception {
     this.framing = framing;
-    channel = new Bootstrap().group(group).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.ALLOW_HALF_CLOSURE, true).handler(new ChannelInitializer<Channel>() {
+    channel = new Bootstrap()
+        .group(group)
+        .channel(NioSocketChannel.class)
+        .option(ChannelOption.TCP_NODELAY, true)
+        .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
+        .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel c) {
             c.pipeline().addLast(new FrameDecoder(framing, LIMITS, () -> true), new Reader());
           }
-        }).connect(address).sync().channel();
+        })
+        .connect(address)
+        .sync()
+        .channel();
   }
 
   private final class Reader extends SimpleChannelInboundHandler<Frame> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Frame frame) {
-      messages.offer(frame instanceof Frame.Whole whole ? new String(whole.bytes(), StandardCharsets.UTF_8)
-          : "unreadable: " + ((Frame.Fault) frame).why());
+      messages.offer(
+          frame instanceof Frame.Whole whole
+              ? new String(whole.bytes(), StandardCharsets.UTF_8)
+              : "unreadable: " + ((Frame.Fault) frame).why());
     }
 
     @Override
--- a/src/main/java/pumicekeel/standin/StandInRpcFaults.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcFaults.java
@@ -42,7 +42,7 @@
       case 5 -> c.raw("noise\n");
       case 6 -> c.result(call.id() + 1_000_000, "\"nobody's\"");
       case 7 -> c.later(3_000, () -> StandInRpcServer.ECHO.on(call, c));
-      default -> { }
+      default -> {}
     }
   }
 }
--- a/src/main/java/pumicekeel/standin/StandInRpcServer.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcServer.java
@@ -40,7 +40,8 @@
   }
 
   /** Answers with the params. */
-  public static final Script ECHO = (call, c) -> c.result(call.id(), call.params() == null ? "null" : call.params());
+  public static final Script ECHO =
+      (call, c) -> c.result(call.id(), call.params() == null ? "null" : call.params());
 
   private static final Limits LIMITS = new Limits(1 << 20, Limits.MOST_DEPTH, 1);
   private static final int MOST_SEEN = 2_000_000;
@@ -58,7 +59,9 @@
   /** Listens on a port of its own. */
   public StandInRpcServer(EventLoopGroup group, Framing framing) throws InterruptedException {
     this.framing = framing;
-    bootstrap = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
+    bootstrap = new ServerBootstrap()
+        .group(group)
+        .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_REUSEADDR, true)
         .option(ChannelOption.SO_BACKLOG, 1024)
         .childOption(ChannelOption.TCP_NODELAY, true)
@@ -68,11 +71,17 @@
             connections.add(channel);
             channel.closeFuture().addListener(closed -> connections.remove(channel));
             channel.config().setAutoRead(reads);
-            channel.pipeline().addLast(new FrameDecoder(framing, LIMITS, () -> true),
-                new Connection(opened.incrementAndGet()));
+            channel
+                .pipeline()
+                .addLast(
+                    new FrameDecoder(framing, LIMITS, () -> true),
+                    new Connection(opened.incrementAndGet()));
           }
         });
-    listener = bootstrap.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+    listener = bootstrap
+        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        .sync()
+        .channel();
     address = (InetSocketAddress) listener.localAddress();
   }
 
@@ -148,12 +157,18 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, Frame frame) {
       Message message = frame instanceof Frame.Whole whole ? reader.read(whole.bytes()) : null;
-      if (!(message instanceof Message.One one) || !(one.entry() instanceof Message.Call call) || call.id() == null) {
+      if (!(message instanceof Message.One one)
+          || !(one.entry() instanceof Message.Call call)
+          || call.id() == null) {
         ctx.close();
         return;
       }
-      Seen next = new Seen(number, call.id().asNumber(), call.method(),
-          call.params() == null ? null : new String(call.params(), StandardCharsets.UTF_8), System.nanoTime());
+      Seen next = new Seen(
+          number,
+          call.id().asNumber(),
+          call.method(),
+          call.params() == null ? null : new String(call.params(), StandardCharsets.UTF_8),
+          System.nanoTime());
       synchronized (seen) {
         if (seen.size() < MOST_SEEN) {
           seen.add(next);
--- a/src/main/java/pumicekeel/standin/StandInUpstream.java
+++ b/src/main/java/pumicekeel/standin/StandInUpstream.java
@@ -31,10 +31,18 @@
 public final class StandInUpstream implements Closeable {
 
   /** How it answers from now on. */
-  public enum Mode { SERVE, ERROR, FULL, HANG, RESET, SPOILT }
+  public enum Mode {
+    SERVE,
+    ERROR,
+    FULL,
+    HANG,
+    RESET,
+    SPOILT
+  }
 
   /** One request that came whole. */
-  public record Seen(String id, String key, String className, String body, long atNanos, Mode mode) {}
+  public record Seen(
+      String id, String key, String className, String body, long atNanos, Mode mode) {}
 
   /** Bodies that the protocol allows. */
   private static final int MOST_BODY = 64 << 10;
@@ -53,10 +61,13 @@
   private InetSocketAddress address;
 
   /** Listens on a port of its own. */
-  public StandInUpstream(String name, EventLoopGroup group, long delayMicros) throws InterruptedException {
+  public StandInUpstream(String name, EventLoopGroup group, long delayMicros)
+      throws InterruptedException {
     this.name = name;
     this.delayMicros = delayMicros;
-    bootstrap = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
+    bootstrap = new ServerBootstrap()
+        .group(group)
+        .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_REUSEADDR, true)
         .option(ChannelOption.SO_BACKLOG, 1024)
         .childOption(ChannelOption.TCP_NODELAY, true)
@@ -67,10 +78,15 @@
             opened.incrementAndGet();
             mostOpen.accumulateAndGet(connections.size(), Math::max);
             channel.closeFuture().addListener(closed -> connections.remove(channel));
-            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Handler());
+            channel
+                .pipeline()
+                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Handler());
           }
         });
-    listener = bootstrap.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+    listener = bootstrap
+        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        .sync()
+        .channel();
     address = (InetSocketAddress) listener.localAddress();
   }
 
@@ -151,8 +167,13 @@
       String id = request.headers().get("X-Correlation-Id", "");
       String path = request.uri().split("\\?", 2)[0];
       int end = path.indexOf('/', 1);
-      Seen one = new Seen(id, request.headers().get("Idempotency-Key"), path.substring(1, end < 0 ? path.length() : end),
-          request.content().toString(StandardCharsets.UTF_8), System.nanoTime(), now);
+      Seen one = new Seen(
+          id,
+          request.headers().get("Idempotency-Key"),
+          path.substring(1, end < 0 ? path.length() : end),
+          request.content().toString(StandardCharsets.UTF_8),
+          System.nanoTime(),
+          now);
       synchronized (seen) {
         if (seen.size() < MOST_SEEN) {
           seen.add(one);
@@ -171,15 +192,20 @@
         case ERROR -> write(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false);
         case FULL -> write(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true);
         case RESET -> reset(ctx.channel());
-        case SPOILT -> ctx.channel().pipeline().firstContext()
-            .writeAndFlush(Unpooled.copiedBuffer("noise, no answer\r\n\r\n", StandardCharsets.US_ASCII));
-        case HANG -> { }
+        case SPOILT ->
+          ctx.channel()
+              .pipeline()
+              .firstContext()
+              .writeAndFlush(
+                  Unpooled.copiedBuffer("noise, no answer\r\n\r\n", StandardCharsets.US_ASCII));
+        case HANG -> {}
       }
     }
 
-    private void write(ChannelHandlerContext ctx, HttpResponseStatus status, String body, boolean unprocessed) {
-      var answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-          Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+    private void write(
+        ChannelHandlerContext ctx, HttpResponseStatus status, String body, boolean unprocessed) {
+      var answer = new DefaultFullHttpResponse(
+          HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
       answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
       if (unprocessed) {
         answer.headers().set("X-Unprocessed", "1");
--- a/src/main/java/pumicekeel/subset/SubsetBalancer.java
+++ b/src/main/java/pumicekeel/subset/SubsetBalancer.java
@@ -23,19 +23,38 @@
   private final Balancer inside;
   /** The list as last told, and of it what the module has been told. */
   private final TreeMap<Long, Listed> known = new TreeMap<>();
+
   private final Map<Long, Listed> told = new HashMap<>();
 
   /** {@code inside} makes the module from its settings; so many upstreams it is to work with. */
-  public SubsetBalancer(Settings settings, Subsets way, int size, int upstreams, Function<Settings, Balancer> inside) {
+  public SubsetBalancer(
+      Settings settings,
+      Subsets way,
+      int size,
+      int upstreams,
+      Function<Settings, Balancer> inside) {
     this.way = way;
     this.size = size;
     member = settings.me();
     members = settings.groupSize();
-    int sharers = Math.min(members, (int) Math.ceil((double) members * size / Math.max(1, upstreams)) + 1);
-    this.inside = inside.apply(new Settings(Math.min(settings.me(), sharers - 1), sharers, settings.zone(), settings.classes(),
-        settings.tenants().stream().map(t -> new Tenant(t.name(), t.share(), t.quotaPerSecond() * sharers / members)).toList(),
-        settings.limits(), settings.contract(), settings.prices(), settings.listOnRequest(), settings.weightKind(),
-        settings.overShareWorth(), settings.warmKeys(), settings.tickNanos()));
+    int sharers =
+        Math.min(members, (int) Math.ceil((double) members * size / Math.max(1, upstreams)) + 1);
+    this.inside = inside.apply(new Settings(
+        Math.min(settings.me(), sharers - 1),
+        sharers,
+        settings.zone(),
+        settings.classes(),
+        settings.tenants().stream()
+            .map(t -> new Tenant(t.name(), t.share(), t.quotaPerSecond() * sharers / members))
+            .toList(),
+        settings.limits(),
+        settings.contract(),
+        settings.prices(),
+        settings.listOnRequest(),
+        settings.weightKind(),
+        settings.overShareWorth(),
+        settings.warmKeys(),
+        settings.tickNanos()));
   }
 
   @Override
@@ -58,8 +77,12 @@
         known.put(l.upstream(), l);
       }
     }
-    List<Long> ready = known.values().stream().filter(l -> l.state() == State.READY).map(Listed::upstream).toList();
-    Set<Long> mine = ready.isEmpty() ? Set.of() : way.of(member, members, ready, size).keySet();
+    List<Long> ready = known.values().stream()
+        .filter(l -> l.state() == State.READY)
+        .map(Listed::upstream)
+        .toList();
+    Set<Long> mine =
+        ready.isEmpty() ? Set.of() : way.of(member, members, ready, size).keySet();
     List<Listed> entries = new ArrayList<>();
     for (Listed l : known.values()) {
       boolean own = mine.contains(l.upstream());
@@ -82,10 +105,15 @@
         told.put(l.upstream(), l);
       }
     }
-    return new ListNews(news.kind(), entries.stream().filter(l -> news.kind() == ListKind.DELTA || l.state() != State.GONE).toList());
+    return new ListNews(
+        news.kind(),
+        entries.stream()
+            .filter(l -> news.kind() == ListKind.DELTA || l.state() != State.GONE)
+            .toList());
   }
 
   private static Listed in(Listed l, State state) {
-    return new Listed(l.upstream(), l.zone(), l.cell(), state, l.startedNanos(), l.weight(), l.sharers());
+    return new Listed(
+        l.upstream(), l.zone(), l.cell(), state, l.startedNanos(), l.weight(), l.sharers());
   }
 }
--- a/src/main/java/pumicekeel/subset/SubsetFigures.java
+++ b/src/main/java/pumicekeel/subset/SubsetFigures.java
@@ -16,7 +16,13 @@
  * @param movedByUpstream of all pairs of balancer and upstream, the part that is new once an upstream has gone and another has come
  * @param movedByBalancer the same once a balancer more is there
  */
-public record SubsetFigures(double most, double least, double deviation, int connections, double movedByUpstream, double movedByBalancer) {
+public record SubsetFigures(
+    double most,
+    double least,
+    double deviation,
+    int connections,
+    double movedByUpstream,
+    double movedByBalancer) {
 
   /** Computes them. */
   public static SubsetFigures of(Subsets way, int balancers, int upstreams, int size) {
@@ -32,7 +38,8 @@
       });
     });
     double mean = (double) balancers / upstreams;
-    double[] loads = ids.stream().mapToDouble(id -> load.getOrDefault(id, 0.0) / mean).toArray();
+    double[] loads =
+        ids.stream().mapToDouble(id -> load.getOrDefault(id, 0.0) / mean).toArray();
     double square = 0;
     double most = 0;
     double least = Double.MAX_VALUE;
@@ -43,8 +50,13 @@
     }
     List<Long> replaced = new ArrayList<>(ids.subList(1, upstreams));
     replaced.add((long) upstreams);
-    return new SubsetFigures(most, least, Math.sqrt(square), heard.values().stream().mapToInt(Integer::intValue).max().orElse(0),
-        moved(before, all(way, balancers, replaced, size)), moved(before, all(way, balancers + 1, ids, size).subList(0, balancers)));
+    return new SubsetFigures(
+        most,
+        least,
+        Math.sqrt(square),
+        heard.values().stream().mapToInt(Integer::intValue).max().orElse(0),
+        moved(before, all(way, balancers, replaced, size)),
+        moved(before, all(way, balancers + 1, ids, size).subList(0, balancers)));
   }
 
   private static List<Map<Long, Double>> all(Subsets way, int balancers, List<Long> ids, int size) {
--- a/src/main/java/pumicekeel/subset/Subsets.java
+++ b/src/main/java/pumicekeel/subset/Subsets.java
@@ -43,7 +43,10 @@
   RENDEZVOUS {
     @Override
     public Map<Long, Double> of(int member, int members, List<Long> upstreams, int size) {
-      return even(upstreams.stream().sorted(Comparator.comparingLong((Long id) -> mix(id ^ mix(member + SEED)))).limit(size).toList());
+      return even(upstreams.stream()
+          .sorted(Comparator.comparingLong((Long id) -> mix(id ^ mix(member + SEED))))
+          .limit(size)
+          .toList());
     }
   },
 
--- a/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
@@ -35,6 +35,7 @@
   private long timeUpAt;
   /** Its answer is large and may take longer than that, as long as it comes. */
   private boolean untimed;
+
   private boolean sent;
   private long sentAt;
   private Clock clock;
@@ -53,7 +54,8 @@
   }
 
   /** Sends on a connection that is there or a new one; {@code maySend} is asked again right before the first byte. */
-  public final void start(ClientRequest request, long nanos, BooleanSupplier maySend, Clock by, EventLoop loop) {
+  public final void start(
+      ClientRequest request, long nanos, BooleanSupplier maySend, Clock by, EventLoop loop) {
     clock = by;
     arm(nanos, loop);
     begin(request, maySend);
@@ -159,7 +161,8 @@
    * What passes before the writing is a connect, which a slow loop makes long, and no upstream's work.
    */
   public final long latencyNanos(long until) {
-    return Math.max(0, (begunAt == 0 ? until : Math.min(begunAt, until)) - (sent ? sentAt : decidedAt));
+    return Math.max(
+        0, (begunAt == 0 ? until : Math.min(begunAt, until)) - (sent ? sentAt : decidedAt));
   }
 
   /** Run once the attempt's last byte has gone out; to be set before the start. */
--- a/src/main/java/pumicekeel/upstream/UpstreamSockets.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamSockets.java
@@ -41,12 +41,14 @@
 
   /** Takes a socket for a connection; false where there is no room for it and nothing idle gives way. */
   public boolean take(SocketUser pool, InetSocketAddress address) {
-    if (pool.perUpstream() > 0 && openAt(address) >= pool.perUpstream()
+    if (pool.perUpstream() > 0
+        && openAt(address) >= pool.perUpstream()
         && pools.stream().noneMatch(p -> p.closeIdleAt(address))) {
       return false;
     }
     if (!pool.share().tryTake(1)) {
-      if (!pool.closeOldest() && pools.stream().noneMatch(p -> p != pool && p.share().borrows() && p.closeOldest())) {
+      if (!pool.closeOldest()
+          && pools.stream().noneMatch(p -> p != pool && p.share().borrows() && p.closeOldest())) {
         return false;
       }
       // The one that gave way may be given back only after this.
--- a/src/main/java/pumicekeel/upstream/UpstreamTable.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamTable.java
@@ -70,7 +70,9 @@
       update(host);
     }
     if (whole) {
-      List.copyOf(entries.values()).stream().filter(e -> !named.contains(e.id)).forEach(e -> leave(e, true));
+      List.copyOf(entries.values()).stream()
+          .filter(e -> !named.contains(e.id))
+          .forEach(e -> leave(e, true));
     }
     ready = (int) entries.values().stream().filter(e -> !e.leaves).count();
   }
--- a/src/main/java/pumicekeel/upstream/http/AnswerDecoder.java
+++ b/src/main/java/pumicekeel/upstream/http/AnswerDecoder.java
@@ -53,7 +53,8 @@
   }
 
   @Override
-  protected void decode(ChannelHandlerContext ctx, ByteBuf buffer, List<Object> out) throws Exception {
+  protected void decode(ChannelHandlerContext ctx, ByteBuf buffer, List<Object> out)
+      throws Exception {
     super.decode(ctx, buffer, out);
     behindFirstLine &= out.isEmpty() || !(out.get(out.size() - 1) instanceof LastHttpContent);
   }
--- a/src/main/java/pumicekeel/upstream/http/AnswerHead.java
+++ b/src/main/java/pumicekeel/upstream/http/AnswerHead.java
@@ -34,7 +34,8 @@
     }
     List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
     if (!codings.isEmpty()) {
-      return codings.size() == 1 && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))
+      return codings.size() == 1
+          && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))
           && !HttpUtil.isContentLengthSet(head);
     }
     if (!HttpUtil.isContentLengthSet(head)) {
--- a/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
+++ b/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
@@ -25,9 +25,11 @@
 
   /** Idle connections go at this part of the upstream's own limit: one written to after that would end as a reset. */
   private static final double IDLE_PART = 0.7;
+
   private static final int SWEEPS = 20;
   /** Large bodies pass in pieces, through hundreds of connections at once: what each may hold has to be little. */
   private static final int UNSENT_LOW = 8 << 10;
+
   private static final int UNSENT_HIGH = 16 << 10;
   private static final int READ_LEAST = 512;
   private static final int READ_FIRST = 2 << 10;
@@ -49,23 +51,35 @@
   }
 
   /** Connections that share a room; so many of it are guaranteed to them, and they get so many at most. */
-  public ConnectionPool(Reactor on, long connectTimeoutNanos, long idleNanos, UpstreamSockets sockets,
-      long guaranteed, long most) {
+  public ConnectionPool(
+      Reactor on,
+      long connectTimeoutNanos,
+      long idleNanos,
+      UpstreamSockets sockets,
+      long guaranteed,
+      long most) {
     this.on = on;
     this.sockets = sockets;
     share = sockets.shares().add(guaranteed, most);
     sockets.add(this);
-    bootstrap = new Bootstrap().group(on.loop()).channelFactory(on.sockets()::connecting)
+    bootstrap = new Bootstrap()
+        .group(on.loop())
+        .channelFactory(on.sockets()::connecting)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(UNSENT_LOW, UNSENT_HIGH))
-        .option(ChannelOption.RECVBUF_ALLOCATOR,
-            new AdaptiveRecvByteBufAllocator(READ_LEAST, READ_FIRST, READ_MOST).maxMessagesPerRead(READS_IN_A_ROW));
+        .option(
+            ChannelOption.WRITE_BUFFER_WATER_MARK,
+            new WriteBufferWaterMark(UNSENT_LOW, UNSENT_HIGH))
+        .option(
+            ChannelOption.RECVBUF_ALLOCATOR,
+            new AdaptiveRecvByteBufAllocator(READ_LEAST, READ_FIRST, READ_MOST)
+                .maxMessagesPerRead(READS_IN_A_ROW));
     tune(connectTimeoutNanos, idleNanos);
   }
 
   @Override
   public void tune(long connectTimeoutNanos, long idleNanos) {
-    bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNanos / 1_000_000));
+    bootstrap.option(
+        ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNanos / 1_000_000));
     this.idleNanos = (long) (idleNanos * IDLE_PART);
     if (sweep != null) {
       sweep.cancel(false);
@@ -86,15 +100,18 @@
     if (!sockets.take(this, pool.address())) {
       return null;
     }
-    ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
-      @Override
-      protected void initChannel(Channel channel) {
-        AnswerDecoder decoder = new AnswerDecoder();
-        UpstreamConnection connection = new UpstreamConnection(pool, on, channel, decoder);
-        decoder.reader(connection::accepts);
-        channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
-      }
-    }).connect(pool.address());
+    ChannelFuture connecting = bootstrap
+        .clone()
+        .handler(new ChannelInitializer<Channel>() {
+          @Override
+          protected void initChannel(Channel channel) {
+            AnswerDecoder decoder = new AnswerDecoder();
+            UpstreamConnection connection = new UpstreamConnection(pool, on, channel, decoder);
+            decoder.reader(connection::accepts);
+            channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
+          }
+        })
+        .connect(pool.address());
     connecting.channel().closeFuture().addListener(closed -> sockets.release(this, pool.address()));
     return connecting;
   }
@@ -149,7 +166,8 @@
     UpstreamConnection oldest = null;
     for (UpstreamPool pool : pools) {
       UpstreamConnection next = pool.oldest();
-      oldest = oldest == null || next != null && next.idleSince - oldest.idleSince < 0 ? next : oldest;
+      oldest =
+          oldest == null || next != null && next.idleSince - oldest.idleSince < 0 ? next : oldest;
     }
     if (oldest != null) {
       oldest.close();
--- a/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
+++ b/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
@@ -29,6 +29,7 @@
   private boolean stale;
   /** The kept connection that is waited for, and the end of that. */
   private UpstreamConnection resting;
+
   private ScheduledFuture<?> rested;
 
   HttpAttempt(int number, long upstream, long decidedAt, UpstreamPool pool, Ending ending) {
@@ -66,15 +67,17 @@
       return;
     }
     resting = kept;
-    rested = pool.later(() -> {
-      resting = null;
-      if (kept.usable()) {
-        onceRested(kept, request, maySend);
-      } else {
-        kept.close();
-        begin(request, maySend);
-      }
-    }, rest);
+    rested = pool.later(
+        () -> {
+          resting = null;
+          if (kept.usable()) {
+            onceRested(kept, request, maySend);
+          } else {
+            kept.close();
+            begin(request, maySend);
+          }
+        },
+        rest);
   }
 
   private void write(UpstreamConnection to, ClientRequest request, BooleanSupplier maySend) {
@@ -91,25 +94,36 @@
       if (!http.upload().isWhole()) {
         bodyPending();
       }
-      to.send(this, (HttpRequest) headers(new DefaultHttpRequest(HttpVersion.HTTP_1_1, http.method(), http.uri()), request,
-          http, http.upload().length(), sending()), http.upload(), request.leftNanos());
+      to.send(
+          this,
+          (HttpRequest) headers(
+              new DefaultHttpRequest(HttpVersion.HTTP_1_1, http.method(), http.uri()),
+              request,
+              http,
+              http.upload().length(),
+              sending()),
+          http.upload(),
+          request.leftNanos());
     }
     if (recordsWriting()) {
       to.whenWritten(this::written);
     }
   }
 
-  private static FullHttpRequest message(ClientRequest request, Payload.Http http, long leftMillis) {
-    FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, http.method(), http.uri(),
-        Unpooled.wrappedBuffer(http.body()));
+  private static FullHttpRequest message(
+      ClientRequest request, Payload.Http http, long leftMillis) {
+    FullHttpRequest message = new DefaultFullHttpRequest(
+        HttpVersion.HTTP_1_1, http.method(), http.uri(), Unpooled.wrappedBuffer(http.body()));
     headers(message, request, http, http.body().length, leftMillis);
     return message;
   }
 
   /** What goes on of a request's head; a length of -1 is told by chunks. */
-  private static HttpMessage headers(HttpMessage message, ClientRequest request, Payload.Http http, long length,
-      long leftMillis) {
-    message.headers().set(HttpHeaderNames.HOST, http.host())
+  private static HttpMessage headers(
+      HttpMessage message, ClientRequest request, Payload.Http http, long length, long leftMillis) {
+    message
+        .headers()
+        .set(HttpHeaderNames.HOST, http.host())
         .set(ClientRequest.ID, request.id())
         .set(ClientRequest.TIME_LEFT, leftMillis);
     if (length < 0) {
@@ -138,7 +152,10 @@
       resting.giveBack();
       resting = null;
     }
-    stale = how == Status.RESET && connecting == null && connection.nothingHeard() && sinceSent() < STALE_NANOS;
+    stale = how == Status.RESET
+        && connecting == null
+        && connection.nothingHeard()
+        && sinceSent() < STALE_NANOS;
     if (stale) {
       // What was kept for longer has most likely gone the same way, and would cost an attempt each.
       pool.closeOlderThan(connection.idleSince);
@@ -151,7 +168,8 @@
       }
     }
     if (how == Status.TIMEOUT && !pool.heardWithin(timeoutNanos())) {
-      // A machine that vanished keeps its connections open and silent: none of them is used again. One that still
+      // A machine that vanished keeps its connections open and silent: none of them is used again.
+      // One that still
       // answers others was only slow, and closing all would cost it a storm of new connections.
       pool.closeIdle();
     }
--- a/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
@@ -71,6 +71,7 @@
   private long heardAt;
   /** Where the pieces of this answer go, and those of this request come from; null where they are whole. */
   private BodySink sink;
+
   private Upload upload;
   private boolean held;
   private long received;
@@ -165,7 +166,8 @@
       upload.flow(channel.isWritable());
       if (!channel.isWritable() && untaken == null) {
         untakenBytes = unsent();
-        untaken = ctx.executor().schedule(() -> lookAtUntaken(ctx), untakenNanos, TimeUnit.NANOSECONDS);
+        untaken =
+            ctx.executor().schedule(() -> lookAtUntaken(ctx), untakenNanos, TimeUnit.NANOSECONDS);
       }
     }
   }
@@ -264,11 +266,15 @@
 
   /** Keeps a piece, or passes it on; false where it can be neither. */
   private boolean take(ByteBuf piece) throws IOException {
-    if (sink == null && received > Answer.MAX_BODY && AnswerHead.statusOf(response) != Status.SERVED) {
+    if (sink == null
+        && received > Answer.MAX_BODY
+        && AnswerHead.statusOf(response) != Status.SERVED) {
       // Nobody reads what a failed attempt has to say.
       return true;
     }
-    if (sink == null && (received > Answer.MAX_BODY || HttpUtil.getContentLength(response, -1L) > Answer.MAX_BODY)
+    if (sink == null
+        && (received > Answer.MAX_BODY
+            || HttpUtil.getContentLength(response, -1L) > Answer.MAX_BODY)
         && !passOn()) {
       return false;
     }
@@ -289,7 +295,8 @@
       return true;
     }
     long length = HttpUtil.getContentLength(response, -1L);
-    sink = attempt.begin(new AnswerStart(response.headers().get(HttpHeaderNames.CONTENT_TYPE), length), this::flow);
+    sink = attempt.begin(
+        new AnswerStart(response.headers().get(HttpHeaderNames.CONTENT_TYPE), length), this::flow);
     if (sink != null && length > Answer.MAX_BODY) {
       attempt.untimed();
     }
@@ -351,7 +358,10 @@
     if (held) {
       flow(true);
     }
-    if (!surplus && !decoder.leftOver() && HttpUtil.isKeepAlive(response) && written.isSuccess()
+    if (!surplus
+        && !decoder.leftOver()
+        && HttpUtil.isKeepAlive(response)
+        && written.isSuccess()
         && channel.isActive()) {
       answeredAt = reactor.clock().now();
       pool.giveBack(this);
@@ -361,8 +371,11 @@
     if (passed != null) {
       passed.whole();
     }
-    ended.end(AnswerHead.statusOf(response), passed != null ? null
-        : new Answer(body.toByteArray(), response.headers().get(HttpHeaderNames.CONTENT_TYPE)));
+    ended.end(
+        AnswerHead.statusOf(response),
+        passed != null
+            ? null
+            : new Answer(body.toByteArray(), response.headers().get(HttpHeaderNames.CONTENT_TYPE)));
   }
 
   private void stopWaiting() {
--- a/src/main/java/pumicekeel/upstream/http/UpstreamPool.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamPool.java
@@ -40,7 +40,8 @@
   }
 
   @Override
-  public UpstreamAttempt attempt(int number, long upstream, long decidedAt, UpstreamAttempt.Ending ending) {
+  public UpstreamAttempt attempt(
+      int number, long upstream, long decidedAt, UpstreamAttempt.Ending ending) {
     return new HttpAttempt(number, upstream, decidedAt, this, ending);
   }
 
--- a/src/main/java/pumicekeel/upstream/jsonrpc/HttpCalls.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/HttpCalls.java
@@ -30,7 +30,8 @@
     }
   }
 
-  private static final MessageReader VALUES = new MessageReader(new Limits(pumicekeel.call.Answer.MAX_BODY, 32, 1));
+  private static final MessageReader VALUES =
+      new MessageReader(new Limits(pumicekeel.call.Answer.MAX_BODY, 32, 1));
   private static final String PATH = "path";
 
   private HttpCalls() {}
@@ -46,8 +47,11 @@
     }
     String type = request.type().name();
     String key = request.idempotencyKey();
-    byte[] params = http.method().equals(HttpMethod.GET) ? query(http.uri(), type) : body(http.body());
-    return new Message.Call(null, settings.methods().getOrDefault(type, type),
+    byte[] params =
+        http.method().equals(HttpMethod.GET) ? query(http.uri(), type) : body(http.body());
+    return new Message.Call(
+        null,
+        settings.methods().getOrDefault(type, type),
         key == null ? params : withKey(params, settings.keyMember(), key));
   }
 
@@ -60,7 +64,8 @@
         members.put(PATH, rest);
       }
       for (Map.Entry<String, List<String>> e : decoded.parameters().entrySet()) {
-        if (e.getValue().size() > 1 || members.putIfAbsent(e.getKey(), e.getValue().get(0)) != null) {
+        if (e.getValue().size() > 1
+            || members.putIfAbsent(e.getKey(), e.getValue().get(0)) != null) {
           throw new Untranslatable("the query names something twice");
         }
       }
@@ -71,7 +76,9 @@
       return null;
     }
     StringBuilder out = new StringBuilder("{");
-    members.forEach((name, value) -> out.append(out.length() > 1 ? "," : "").append(Writer.quoted(name)).append(':')
+    members.forEach((name, value) -> out.append(out.length() > 1 ? "," : "")
+        .append(Writer.quoted(name))
+        .append(':')
         .append(Writer.quoted(value)));
     return out.append('}').toString().getBytes(StandardCharsets.US_ASCII);
   }
@@ -80,7 +87,8 @@
     if (body.length == 0) {
       return null;
     }
-    Pointers.Kind kind = VALUES.isValue(body) ? new Pointers(List.of(Pointer.of(""))).in(body)[0].kind() : null;
+    Pointers.Kind kind =
+        VALUES.isValue(body) ? new Pointers(List.of(Pointer.of(""))).in(body)[0].kind() : null;
     if (kind != Pointers.Kind.OBJECT && kind != Pointers.Kind.ARRAY) {
       throw new Untranslatable("expected a JSON object or array as the body");
     }
@@ -108,7 +116,9 @@
     while (params[open] != '{') {
       open++;
     }
-    boolean empty = new String(params, open + 1, params.length - open - 1, StandardCharsets.UTF_8).strip().equals("}");
+    boolean empty = new String(params, open + 1, params.length - open - 1, StandardCharsets.UTF_8)
+        .strip()
+        .equals("}");
     byte[] head = ("{" + added + (empty ? "" : ",")).getBytes(StandardCharsets.US_ASCII);
     byte[] out = new byte[head.length + params.length - open - 1];
     System.arraycopy(head, 0, out, 0, head.length);
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
@@ -15,6 +15,7 @@
   private RpcConnection connection;
   /** Its id there; 0 while it has none. */
   private long id;
+
   private long framesThen;
   private boolean stale;
 
@@ -63,7 +64,9 @@
     if (connection == null) {
       return;
     }
-    stale = how == Status.RESET && connection.keptAndSilent(id, framesThen) && sinceSent() < STALE_NANOS;
+    stale = how == Status.RESET
+        && connection.keptAndSilent(id, framesThen)
+        && sinceSent() < STALE_NANOS;
     if (how == Status.TIMEOUT || how == Status.CANCELLED) {
       connection.giveUp(this, how == Status.TIMEOUT ? timeoutNanos() : 0);
     }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
@@ -40,6 +40,7 @@
 
   /** An answer of the protocol's limit and what stands around it. */
   private static final int MOST_FRAME = Answer.MAX_BODY + 1024;
+
   private static final Limits LIMITS = new Limits(MOST_FRAME, Limits.MOST_DEPTH, 1);
   private static final MessageReader READER = new MessageReader(LIMITS);
   /** From an answer's first byte to its last, as with HTTP. */
@@ -57,9 +58,11 @@
   private final Map<Long, RpcAttempt> open = new HashMap<>();
   /** Ids whose calls were given up and may still be answered. */
   private final Set<Long> lapsed = new HashSet<>();
+
   private final List<Waiting> waiting = new ArrayList<>(1);
   /** Calls whose last byte has not gone out, the oldest first. */
   private final ArrayDeque<Long> leaving = new ArrayDeque<>();
+
   private ChannelFuture connecting;
   private Channel channel;
   private long lastId;
@@ -114,7 +117,8 @@
     closeIfRetired();
   }
 
-  // ---- Room ---------------------------------------------------------------------------------------------
+  // ---- Room
+  // ---------------------------------------------------------------------------------------------
 
   int out() {
     return open.size() + waiting.size();
@@ -157,7 +161,8 @@
     return id > 1 && brokenWith == 1 && frames == framesThen;
   }
 
-  // ---- Calls out ----------------------------------------------------------------------------------------
+  // ---- Calls out
+  // ----------------------------------------------------------------------------------------
 
   void send(RpcAttempt attempt, ClientRequest request, BooleanSupplier maySend) {
     if (closed) {
@@ -284,7 +289,8 @@
     }
   }
 
-  // ---- Answers ------------------------------------------------------------------------------------------
+  // ---- Answers
+  // ------------------------------------------------------------------------------------------
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, Frame frame) {
@@ -300,7 +306,9 @@
     Message message = READER.read(whole.bytes());
     if (message instanceof Message.One one && one.entry() instanceof Message.Reply reply) {
       reply(reply);
-    } else if (!(message instanceof Message.One one && one.entry() instanceof Message.Call call && call.id() == null)) {
+    } else if (!(message instanceof Message.One one
+        && one.entry() instanceof Message.Call call
+        && call.id() == null)) {
       // A notification asks for nothing and is passed over; nothing else is due here.
       broken("what it says is no answer");
     }
@@ -338,7 +346,8 @@
   public void channelReadComplete(ChannelHandlerContext ctx) {
     if (!closed && stalled == null && decoder.holdsBytes()) {
       long then = frames;
-      stalled = ctx.executor().schedule(() -> closeIfStalled(then), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+      stalled =
+          ctx.executor().schedule(() -> closeIfStalled(then), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
     }
     ctx.fireChannelReadComplete();
   }
@@ -349,11 +358,14 @@
       broken("half an answer, then silence");
     } else if (!closed && decoder.holdsBytes()) {
       long now = frames;
-      stalled = channel.eventLoop().schedule(() -> closeIfStalled(now), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+      stalled = channel
+          .eventLoop()
+          .schedule(() -> closeIfStalled(now), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  // ---- The end ------------------------------------------------------------------------------------------
+  // ---- The end
+  // ------------------------------------------------------------------------------------------
 
   /** Takes no more calls, and closes with its last one. */
   void retire() {
@@ -408,7 +420,9 @@
     }
     (channel != null ? channel : connecting.channel()).close();
     never.forEach(w -> w.attempt().end(Status.CONNECT_FAILED, null));
-    ended.stream().sorted(Map.Entry.comparingByKey()).forEach(e -> e.getValue()
-        .end(neverOut.contains(e.getKey()) ? Status.CONNECT_FAILED : Status.RESET, null));
+    ended.stream()
+        .sorted(Map.Entry.comparingByKey())
+        .forEach(e -> e.getValue()
+            .end(neverOut.contains(e.getKey()) ? Status.CONNECT_FAILED : Status.RESET, null));
   }
 }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLink.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLink.java
@@ -25,7 +25,8 @@
   }
 
   @Override
-  public UpstreamAttempt attempt(int number, long upstream, long decidedAt, UpstreamAttempt.Ending ending) {
+  public UpstreamAttempt attempt(
+      int number, long upstream, long decidedAt, UpstreamAttempt.Ending ending) {
     return new RpcAttempt(number, upstream, decidedAt, this, ending);
   }
 
@@ -65,7 +66,8 @@
   }
 
   void closeOlderThan(long before) {
-    List.copyOf(connections).stream().filter(c -> c.idle() && c.idleSince() - before <= 0)
+    List.copyOf(connections).stream()
+        .filter(c -> c.idle() && c.idleSince() - before <= 0)
         .forEach(RpcConnection::close);
   }
 
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
@@ -21,6 +21,7 @@
 
   /** As with HTTP: an idle connection goes before the server would close it. */
   private static final double IDLE_PART = 0.7;
+
   private static final int SWEEPS = 20;
 
   private final Reactor on;
@@ -34,21 +35,28 @@
   private int perUpstream;
 
   /** Connections that share a room; nothing of it is guaranteed to them yet. */
-  public RpcLinks(Reactor on, long connectTimeoutNanos, long idleNanos, UpstreamSockets sockets,
+  public RpcLinks(
+      Reactor on,
+      long connectTimeoutNanos,
+      long idleNanos,
+      UpstreamSockets sockets,
       ServerSettings settings) {
     this.on = on;
     this.sockets = sockets;
     this.settings = settings;
     share = sockets.shares().add(0, 0);
     sockets.add(this);
-    bootstrap = new Bootstrap().group(on.loop()).channelFactory(on.sockets()::connecting)
+    bootstrap = new Bootstrap()
+        .group(on.loop())
+        .channelFactory(on.sockets()::connecting)
         .option(ChannelOption.TCP_NODELAY, true);
     tune(connectTimeoutNanos, idleNanos);
   }
 
   @Override
   public void tune(long connectTimeoutNanos, long idleNanos) {
-    bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNanos / 1_000_000));
+    bootstrap.option(
+        ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNanos / 1_000_000));
     this.idleNanos = (long) (idleNanos * IDLE_PART);
     if (sweep != null) {
       sweep.cancel(false);
@@ -138,8 +146,11 @@
   private RpcConnection oldest(InetSocketAddress address) {
     RpcConnection oldest = null;
     for (RpcLink link : links) {
-      RpcConnection next = address == null || address.equals(link.address()) ? link.longestIdle() : null;
-      oldest = oldest == null || next != null && next.idleSince() - oldest.idleSince() < 0 ? next : oldest;
+      RpcConnection next =
+          address == null || address.equals(link.address()) ? link.longestIdle() : null;
+      oldest = oldest == null || next != null && next.idleSince() - oldest.idleSince() < 0
+          ? next
+          : oldest;
     }
     return oldest;
   }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/ServerSettings.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/ServerSettings.java
@@ -17,8 +17,14 @@
  * @param methods the method for an HTTP request, by class; a class that is not named is its own method
  * @param keyMember the member of the params that an HTTP request's idempotency key goes into
  */
-public record ServerSettings(Framing framing, int callsPerConnection, Set<Integer> notRunCodes,
-    Set<Integer> failureCodes, Set<Integer> answerCodes, Map<String, String> methods, String keyMember) {
+public record ServerSettings(
+    Framing framing,
+    int callsPerConnection,
+    Set<Integer> notRunCodes,
+    Set<Integer> failureCodes,
+    Set<Integer> answerCodes,
+    Map<String, String> methods,
+    String keyMember) {
 
   /** What an error object says of the attempt. SERVED: it is the final answer and is passed on. */
   public Status statusOf(int code) {
@@ -28,7 +34,8 @@
     if (answerCodes.contains(code)) {
       return Status.SERVED;
     }
-    boolean server = code == Codes.INTERNAL || code >= Codes.SERVER_LEAST && code <= Codes.SERVER_MOST;
+    boolean server =
+        code == Codes.INTERNAL || code >= Codes.SERVER_LEAST && code <= Codes.SERVER_MOST;
     return server || failureCodes.contains(code) ? Status.ERROR : Status.SERVED;
   }
 }
--- a/src/test/java/pumicekeel/AdmissionTest.java
+++ b/src/test/java/pumicekeel/AdmissionTest.java
@@ -3,16 +3,16 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import pumicekeel.Balancer.DedupScope;
-import pumicekeel.Balancer.Effect;
-import pumicekeel.Balancer.Status;
-import pumicekeel.Balancer.Tenant;
-import pumicekeel.Window.Metric;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import pumicekeel.Balancer.DedupScope;
+import pumicekeel.Balancer.Effect;
+import pumicekeel.Balancer.Status;
+import pumicekeel.Balancer.Tenant;
+import pumicekeel.Window.Metric;
 
 /** The straight line, its window and what it is fed with. */
 class AdmissionTest {
@@ -52,7 +52,8 @@
     return refusedShare(d, null, requests, out, latency, status);
   }
 
-  private static double refusedShare(Driver d, String tenant, int requests, int out, long latency, Status status) {
+  private static double refusedShare(
+      Driver d, String tenant, int requests, int out, long latency, Status status) {
     d.refusals.clear();
     for (int i = 0; i < requests; i++) {
       d.request(d.nextId(), "c", tenant, "k" + i % 50, 0);
@@ -63,7 +64,10 @@
 
   @Test
   void healthyFleetRefusesNothing() {
-    assertEquals(0, refusedShare(new Driver(Driver.safe()).upstreams(5), 500, 5, 40 * Driver.MS, Status.SERVED));
+    assertEquals(
+        0,
+        refusedShare(
+            new Driver(Driver.safe()).upstreams(5), 500, 5, 40 * Driver.MS, Status.SERVED));
   }
 
   @Test
@@ -95,7 +99,10 @@
       d.request(d.nextId(), "c", null, "k" + i % 50, 0);
       d.serveFor(20 * Driver.MS, i % 10 == 9 ? failure : Status.SERVED, 100 * Driver.MS);
     }
-    assertEquals(0, d.refusals.getOrDefault("r", 0), "a tenth of the attempts fails, at a quarter of the aim");
+    assertEquals(
+        0,
+        d.refusals.getOrDefault("r", 0),
+        "a tenth of the attempts fails, at a quarter of the aim");
   }
 
   @Test
@@ -133,8 +140,11 @@
   /** Guards work inside a quota: with few out, a slow dependency is not an overload of its making. */
   @Test
   void noRefusalInsideAQuotaWhileNoMoreIsOutThanUsual() {
-    Driver d = new Driver(Driver.settings(false, List.of(new Tenant("t", 1, 1000)),
-        Driver.type("c", Effect.SAFE, DedupScope.ALL))).upstreams(5);
+    Driver d = new Driver(Driver.settings(
+            false,
+            List.of(new Tenant("t", 1, 1000)),
+            Driver.type("c", Effect.SAFE, DedupScope.ALL)))
+        .upstreams(5);
     refusedShare(d, "t", 2000, 10, 40 * Driver.MS, Status.SERVED);
     assertEquals(0, refusedShare(d, "t", 300, 4, 390 * Driver.MS, Status.SERVED), 0.02);
   }
@@ -149,8 +159,11 @@
 
   @Test
   void excessOverAQuotaIsRefusedFirst() {
-    Driver d = new Driver(Driver.settings(false, List.of(new Tenant("big", 0.5, 10), new Tenant("small", 0.5, 1000)),
-        Driver.type("c", Effect.SAFE, DedupScope.ALL))).upstreams(5);
+    Driver d = new Driver(Driver.settings(
+            false,
+            List.of(new Tenant("big", 0.5, 10), new Tenant("small", 0.5, 1000)),
+            Driver.type("c", Effect.SAFE, DedupScope.ALL)))
+        .upstreams(5);
     for (int i = 0; i < 2000; i++) {
       for (String tenant : List.of("big", "small")) {
         d.request(tenant + d.nextId(), "c", tenant, "k" + i % 50, 0);
@@ -185,8 +198,11 @@
   /** Guards a share cut over many balancers: two close requests of a small share are chance, not excess. */
   @Test
   void aSmallShareMaySendAFewAtOnce() {
-    Driver d = new Driver(Driver.settings(false, List.of(new Balancer.Tenant("t", 1, 1)),
-        Driver.type("c", Balancer.Effect.SAFE, Balancer.DedupScope.ALL))).upstreams(8);
+    Driver d = new Driver(Driver.settings(
+            false,
+            List.of(new Balancer.Tenant("t", 1, 1)),
+            Driver.type("c", Balancer.Effect.SAFE, Balancer.DedupScope.ALL)))
+        .upstreams(8);
     for (int i = 0; i < 20; i++) {
       d.request(d.nextId(), "c", "t", "k" + i, 0);
       d.serveFor(4000 * Driver.MS, Status.SERVED, 190 * Driver.MS);
--- a/src/test/java/pumicekeel/Driver.java
+++ b/src/test/java/pumicekeel/Driver.java
@@ -1,5 +1,9 @@
 package pumicekeel;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.Contract;
 import pumicekeel.Balancer.DedupScope;
@@ -21,10 +25,6 @@
 import pumicekeel.Balancer.Tenant;
 import pumicekeel.Balancer.TimerFired;
 import pumicekeel.Balancer.WeightKind;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
 
 /** Drives one instance by hand: a clock, its timers, and the actions of the last step. */
 final class Driver {
@@ -55,10 +55,20 @@
   }
 
   static Settings settings(boolean onRequest, List<Tenant> tenants, RequestClass... classes) {
-    return new Settings(0, 1, "a", List.of(classes), tenants,
+    return new Settings(
+        0,
+        1,
+        "a",
+        List.of(classes),
+        tenants,
         new Limits(true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS, 5000 * MS),
         new Contract(8 * MS, onRequest ? 10_000 * MS : 0, 250 * MS, 0.3, 8000 * MS, 3, 3000 * MS),
-        new Prices(0, 0, 0), onRequest, WeightKind.NONE, 0.2, true, MS);
+        new Prices(0, 0, 0),
+        onRequest,
+        WeightKind.NONE,
+        0.2,
+        true,
+        MS);
   }
 
   static Settings safe() {
@@ -78,7 +88,8 @@
       } else if (action instanceof Balancer.Refuse r) {
         refusals.merge(r.id().substring(0, 1), 1, Integer::sum);
       } else if (action instanceof Send s) {
-        outstanding.add(new Sent(s.id(), attempts.merge(s.id(), 1, Integer::sum) - 1, s.upstream(), now));
+        outstanding.add(
+            new Sent(s.id(), attempts.merge(s.id(), 1, Integer::sum) - 1, s.upstream(), now));
       }
     }
     return actions;
@@ -111,14 +122,23 @@
 
   /** Ends the attempt of a request at an upstream. */
   List<Action> end(String id, long upstream, Status status, long latencyNanos) {
-    Sent sent = outstanding.stream().filter(s -> s.id().equals(id) && s.upstream() == upstream).findFirst().get();
+    Sent sent = outstanding.stream()
+        .filter(s -> s.id().equals(id) && s.upstream() == upstream)
+        .findFirst()
+        .get();
     return end(sent, status, latencyNanos);
   }
 
   List<Action> end(Sent sent, Status status, long latencyNanos) {
     outstanding.remove(sent);
-    return step(new Outcome(sent.id(), sent.attempt(), sent.upstream(), status, latencyNanos,
-        status == Status.SERVED, Map.of()));
+    return step(new Outcome(
+        sent.id(),
+        sent.attempt(),
+        sent.upstream(),
+        status,
+        latencyNanos,
+        status == Status.SERVED,
+        Map.of()));
   }
 
   /** The last attempt of a request found a kept connection broken; what it is sent to next serves it. */
@@ -187,7 +207,11 @@
   }
 
   static long sentTo(List<Action> actions) {
-    return actions.stream().filter(a -> a instanceof Send).mapToLong(a -> ((Send) a).upstream()).findFirst().orElse(-1);
+    return actions.stream()
+        .filter(a -> a instanceof Send)
+        .mapToLong(a -> ((Send) a).upstream())
+        .findFirst()
+        .orElse(-1);
   }
 
   static boolean has(List<Action> actions, Class<? extends Action> kind) {
--- a/src/test/java/pumicekeel/EmbeddingExample.java
+++ b/src/test/java/pumicekeel/EmbeddingExample.java
@@ -26,11 +26,25 @@
 
   /** One balancer, two upstreams, one request; the actions that the proxy is asked to carry out. */
   static List<Action> firstRequest() {
-    RequestClass page = new RequestClass("page", Effect.SAFE, DedupScope.ALL, 0, 200 * MS, 0, 1000 * MS, 1, 0, false);
-    Limits limits = new Limits(true, false, false, true, true, 1000 * MS, 3, 10_000, 1, 250 * MS, 15_000 * MS);
+    RequestClass page = new RequestClass(
+        "page", Effect.SAFE, DedupScope.ALL, 0, 200 * MS, 0, 1000 * MS, 1, 0, false);
+    Limits limits =
+        new Limits(true, false, false, true, true, 1000 * MS, 3, 10_000, 1, 250 * MS, 15_000 * MS);
     Contract contract = new Contract(20 * MS, 0, 1000 * MS, 0.2, 10_000 * MS, 3, 2000 * MS);
-    Settings settings = new Settings(0, 1, "zone-a", List.of(page), List.of(), limits, contract,
-        new Prices(0, 0, 0), false, WeightKind.NONE, 1, false, MS);
+    Settings settings = new Settings(
+        0,
+        1,
+        "zone-a",
+        List.of(page),
+        List.of(),
+        limits,
+        contract,
+        new Prices(0, 0, 0),
+        false,
+        WeightKind.NONE,
+        1,
+        false,
+        MS);
 
     Balancer balancer = new AdaptiveBalancer(settings, 42);
     List<Action> actions = new ArrayList<>();
@@ -38,7 +52,8 @@
     Listed one = new Listed(1, "zone-a", 0, State.READY, 0, 1);
     Listed two = new Listed(2, "zone-a", 0, State.READY, 0, 1);
     balancer.handle(clock, new ListNews(ListKind.CACHED, List.of(one, two)), actions::add);
-    balancer.handle(clock, new Request("r1", "page", null, "user-7", clock + 800 * MS, 0, false), actions::add);
+    balancer.handle(
+        clock, new Request("r1", "page", null, "user-7", clock + 800 * MS, 0, false), actions::add);
     return actions;
   }
 }
--- a/src/test/java/pumicekeel/FourRulesTest.java
+++ b/src/test/java/pumicekeel/FourRulesTest.java
@@ -4,6 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.DedupScope;
 import pumicekeel.Balancer.Effect;
@@ -15,11 +20,6 @@
 import pumicekeel.Balancer.State;
 import pumicekeel.Balancer.Status;
 import pumicekeel.Balancer.Watch;
-import java.util.ArrayList;
-import java.util.List;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
 
 /** What may follow an attempt: each effect, outcome and dedup scope, with the expectation written out. */
 class FourRulesTest {
@@ -41,31 +41,54 @@
 
   @ParameterizedTest
   @CsvSource({
-    // effect, scope, outcome, upstreams that may get the next attempt, final answer where there is none
-    "SAFE, ALL, FULL, 2 3 4, Refuse", "SAFE, CELL, CONNECT_FAILED, 2 3 4, Refuse", "SAFE, ALL, ERROR, 2 3 4, Refuse",
-    "SAFE, CELL, RESET, 2 3 4, Refuse", "SAFE, CELL, TIMEOUT, 2 3 4, Refuse", "SAFE, CELL, CANCELLED, 2 3 4, Refuse",
+    // effect, scope, outcome, upstreams that may get the next attempt, final answer where there is
+    // none
+    "SAFE, ALL, FULL, 2 3 4, Refuse",
+    "SAFE, CELL, CONNECT_FAILED, 2 3 4, Refuse",
+    "SAFE, ALL, ERROR, 2 3 4, Refuse",
+    "SAFE, CELL, RESET, 2 3 4, Refuse",
+    "SAFE, CELL, TIMEOUT, 2 3 4, Refuse",
+    "SAFE, CELL, CANCELLED, 2 3 4, Refuse",
     "SAFE, CELL, NOT_SENT, 2 3 4, Refuse",
-    "UNSAFE, ALL, FULL, 2 3 4, Refuse", "UNSAFE, ALL, CONNECT_FAILED, 2 3 4, Refuse",
-    "UNSAFE, ALL, NOT_SENT, 2 3 4, Refuse", "UNSAFE, ALL, ERROR, '', Fail", "UNSAFE, ALL, RESET, '', Fail",
-    "UNSAFE, ALL, TIMEOUT, '', Fail", "UNSAFE, ALL, CANCELLED, '', Fail",
-    "KEYED, ALL, FULL, 2 3 4, Refuse", "KEYED, ALL, ERROR, 2 3 4, Refuse", "KEYED, ALL, RESET, 2 3 4, Refuse",
-    "KEYED, ALL, TIMEOUT, 2 3 4, Refuse", "KEYED, ALL, CANCELLED, 2 3 4, Refuse",
-    "KEYED, ZONE, FULL, 2 3 4, Refuse", "KEYED, ZONE, CONNECT_FAILED, 2 3 4, Refuse",
-    "KEYED, ZONE, ERROR, 2 3, Fail", "KEYED, ZONE, RESET, 2 3, Fail", "KEYED, ZONE, TIMEOUT, 2 3, Fail",
+    "UNSAFE, ALL, FULL, 2 3 4, Refuse",
+    "UNSAFE, ALL, CONNECT_FAILED, 2 3 4, Refuse",
+    "UNSAFE, ALL, NOT_SENT, 2 3 4, Refuse",
+    "UNSAFE, ALL, ERROR, '', Fail",
+    "UNSAFE, ALL, RESET, '', Fail",
+    "UNSAFE, ALL, TIMEOUT, '', Fail",
+    "UNSAFE, ALL, CANCELLED, '', Fail",
+    "KEYED, ALL, FULL, 2 3 4, Refuse",
+    "KEYED, ALL, ERROR, 2 3 4, Refuse",
+    "KEYED, ALL, RESET, 2 3 4, Refuse",
+    "KEYED, ALL, TIMEOUT, 2 3 4, Refuse",
+    "KEYED, ALL, CANCELLED, 2 3 4, Refuse",
+    "KEYED, ZONE, FULL, 2 3 4, Refuse",
+    "KEYED, ZONE, CONNECT_FAILED, 2 3 4, Refuse",
+    "KEYED, ZONE, ERROR, 2 3, Fail",
+    "KEYED, ZONE, RESET, 2 3, Fail",
+    "KEYED, ZONE, TIMEOUT, 2 3, Fail",
     "KEYED, ZONE, CANCELLED, 2 3, Fail",
-    "KEYED, CELL, FULL, 2 3 4, Refuse", "KEYED, CELL, NOT_SENT, 2 3 4, Refuse", "KEYED, CELL, ERROR, 2, Fail",
-    "KEYED, CELL, RESET, 2, Fail", "KEYED, CELL, TIMEOUT, 2, Fail", "KEYED, CELL, CANCELLED, 2, Fail"})
-  void nextAttemptOrFinalAnswer(Effect effect, DedupScope scope, Status status, String allowed, String end) {
+    "KEYED, CELL, FULL, 2 3 4, Refuse",
+    "KEYED, CELL, NOT_SENT, 2 3 4, Refuse",
+    "KEYED, CELL, ERROR, 2, Fail",
+    "KEYED, CELL, RESET, 2, Fail",
+    "KEYED, CELL, TIMEOUT, 2, Fail",
+    "KEYED, CELL, CANCELLED, 2, Fail"
+  })
+  void nextAttemptOrFinalAnswer(
+      Effect effect, DedupScope scope, Status status, String allowed, String end) {
     for (long other = 2; other <= 4; other++) {
       Driver d = fleet(effect, scope, other);
       List<Action> next = d.end("r", FIRST, status, Driver.MS);
-      assertEquals(allowed.contains("" + other) ? other : -1, Driver.sentTo(next), "sent on to " + other);
+      assertEquals(
+          allowed.contains("" + other) ? other : -1, Driver.sentTo(next), "sent on to " + other);
     }
     Driver alone = fleet(effect, scope);
     alone.list(ListKind.FULL);
     List<Action> last = new ArrayList<>(alone.end("r", FIRST, status, Driver.MS));
     last.addAll(alone.pass(2000 * Driver.MS));
-    List<Action> finals = last.stream().filter(a -> a instanceof Refuse || a instanceof Fail).toList();
+    List<Action> finals =
+        last.stream().filter(a -> a instanceof Refuse || a instanceof Fail).toList();
     assertEquals(1, finals.size());
     assertEquals(end, finals.get(0).getClass().getSimpleName());
   }
@@ -128,14 +151,17 @@
 
   @Test
   void theListIsAskedForAndAskedAgainAfterAFailure() {
-    Driver d = new Driver(Driver.settings(true, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL)));
+    Driver d =
+        new Driver(Driver.settings(true, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL)));
     assertTrue(Driver.has(d.list(ListKind.CACHED, Driver.up(1)), Watch.class));
     for (int i = 0; i < 8; i++) {
       d.list(ListKind.FAILED);
-      assertTrue(Driver.has(d.pass(2100 * Driver.MS), Watch.class), "asked again inside ask-within");
+      assertTrue(
+          Driver.has(d.pass(2100 * Driver.MS), Watch.class), "asked again inside ask-within");
     }
     assertFalse(Driver.has(d.list(ListKind.FULL, Driver.up(1), Driver.up(2)), Watch.class));
-    assertFalse(Driver.has(d.pass(9000 * Driver.MS), Watch.class), "a subscription is not asked for twice");
+    assertFalse(
+        Driver.has(d.pass(9000 * Driver.MS), Watch.class), "a subscription is not asked for twice");
   }
 
   @Test
@@ -155,13 +181,15 @@
     d.request("r", "c", "k");
     d.step(new Balancer.AnswerStarted("r", 0, 100, Driver.MS));
     List<Action> later = d.pass(5000 * Driver.MS);
-    assertTrue(later.stream().noneMatch(a -> a instanceof Fail || a instanceof Refuse || a instanceof Send));
+    assertTrue(later.stream()
+        .noneMatch(a -> a instanceof Fail || a instanceof Refuse || a instanceof Send));
   }
 
   /** Guards the list: a timer that fires a fraction of a microsecond early must not end the asking. */
   @Test
   void aTimerThatFiresALittleEarlyStillAsksForTheList() {
-    Driver d = new Driver(Driver.settings(true, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL)));
+    Driver d =
+        new Driver(Driver.settings(true, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL)));
     d.list(ListKind.CACHED, Driver.up(1));
     d.list(ListKind.FAILED);
     d.now = d.timers.stream().mapToLong(t -> t).max().getAsLong() - 405;
@@ -179,7 +207,8 @@
     for (int i = 0; i < 10; i++) {
       String id = d.nextId();
       long to = Driver.sentTo(d.request(id, "c", "k" + i));
-      for (to = Driver.sentTo(d.end(id, to, Status.FULL, Driver.MS)); to >= 0;
+      for (to = Driver.sentTo(d.end(id, to, Status.FULL, Driver.MS));
+          to >= 0;
           to = Driver.sentTo(d.end(id, to, Status.FULL, Driver.MS))) {
         retries++;
       }
--- a/src/test/java/pumicekeel/LargeRequestTest.java
+++ b/src/test/java/pumicekeel/LargeRequestTest.java
@@ -26,7 +26,9 @@
   private static final long MS = Driver.MS;
   private static final long FAR = 1_200_000 * MS;
 
-  private final Driver d = warm(Driver.type("c", Effect.SAFE, DedupScope.ALL), Driver.type("u", Effect.UNSAFE, DedupScope.ALL));
+  private final Driver d = warm(
+      Driver.type("c", Effect.SAFE, DedupScope.ALL),
+      Driver.type("u", Effect.UNSAFE, DedupScope.ALL));
 
   private static Driver warm(Balancer.RequestClass... types) {
     Driver d = new Driver(Driver.settings(false, List.of(), types)).upstreams(4);
@@ -42,14 +44,17 @@
 
   private List<Action> end(String id, int attempt, long upstream, Status status, boolean spent) {
     d.outstanding.removeIf(s -> s.id().equals(id) && s.attempt() == attempt);
-    return d.step(new Outcome(id, attempt, upstream, status, MS, status == Status.SERVED, Map.of(), false, spent));
+    return d.step(new Outcome(
+        id, attempt, upstream, status, MS, status == Status.SERVED, Map.of(), false, spent));
   }
 
   @Test
   void isSentAtOnceAndItsTimeCountsFromItsLastByte() {
     long upstream = Driver.sentTo(coming("r", "c"));
     assertTrue(upstream >= 0);
-    assertFalse(d.pass(60_000 * MS).stream().anyMatch(a -> a instanceof Send || a instanceof Refuse || a instanceof Fail),
+    assertFalse(
+        d.pass(60_000 * MS).stream()
+            .anyMatch(a -> a instanceof Send || a instanceof Refuse || a instanceof Fail),
         "no copy, no end, however long it comes");
     d.step(new RequestCame("r", d.now + 2_000 * MS));
     List<Action> late = d.pass(2_100 * MS);
@@ -60,7 +65,8 @@
   void countsAsNobodysWorkUntilItHasCome() {
     long first = Driver.sentTo(coming("r0", "c"));
     for (int i = 1; i < 30; i++) {
-      assertEquals(first, Driver.sentTo(coming("r" + i, "c")), "the key's own upstream has room as before");
+      assertEquals(
+          first, Driver.sentTo(coming("r" + i, "c")), "the key's own upstream has room as before");
     }
     for (int i = 0; i < 30; i++) {
       d.step(new RequestCame("r" + i, d.now + 2_000 * MS));
@@ -73,10 +79,13 @@
     long upstream = Driver.sentTo(coming("kept", "c"));
     assertTrue(Driver.has(end("kept", 0, upstream, Status.CONNECT_FAILED, false), Send.class));
     upstream = Driver.sentTo(coming("spent", "u"));
-    assertTrue(Driver.has(end("spent", 0, upstream, Status.CONNECT_FAILED, true), Refuse.class), "it never ran");
+    assertTrue(
+        Driver.has(end("spent", 0, upstream, Status.CONNECT_FAILED, true), Refuse.class),
+        "it never ran");
     upstream = Driver.sentTo(coming("ran", "u"));
     d.step(new RequestCame("ran", d.now + 2_000 * MS));
-    assertTrue(Driver.has(end("ran", 0, upstream, Status.RESET, true), Fail.class), "it may have run");
+    assertTrue(
+        Driver.has(end("ran", 0, upstream, Status.RESET, true), Fail.class), "it may have run");
   }
 
   @Test
@@ -103,10 +112,15 @@
     long second = Driver.sentTo(waited);
     assertTrue(second >= 0 && second != first, "a copy past a silent upstream: " + waited);
     List<Action> begun = d.step(new AnswerStarted("r", 1, second, 5 * MS));
-    assertEquals(List.of(new Cancel("r", 0)), begun.stream().filter(a -> a instanceof Cancel).toList());
+    assertEquals(
+        List.of(new Cancel("r", 0)),
+        begun.stream().filter(a -> a instanceof Cancel).toList());
     end("r", 0, first, Status.CANCELLED, false);
-    assertFalse(d.pass(60_000 * MS).stream().anyMatch(a -> a instanceof Refuse || a instanceof Fail || a instanceof Send));
-    assertFalse(Driver.has(d.step(new Outcome("r", 1, second, Status.RESET, 5 * MS, true, Map.of())), Send.class),
+    assertFalse(d.pass(60_000 * MS).stream()
+        .anyMatch(a -> a instanceof Refuse || a instanceof Fail || a instanceof Send));
+    assertFalse(
+        Driver.has(
+            d.step(new Outcome("r", 1, second, Status.RESET, 5 * MS, true, Map.of())), Send.class),
         "cut: nothing is sent again");
   }
 }
--- a/src/test/java/pumicekeel/PlacementTest.java
+++ b/src/test/java/pumicekeel/PlacementTest.java
@@ -4,12 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import pumicekeel.Balancer.Action;
-import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.Listed;
-import pumicekeel.Balancer.Send;
-import pumicekeel.Balancer.State;
-import pumicekeel.Balancer.Status;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -17,6 +11,12 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import pumicekeel.Balancer.Action;
+import pumicekeel.Balancer.ListKind;
+import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.Send;
+import pumicekeel.Balancer.State;
+import pumicekeel.Balancer.Status;
 
 /** The ring, bounded load, room, silence, cold upstreams and drains. */
 class PlacementTest {
@@ -36,7 +36,9 @@
     Map<Long, Integer> counts = new HashMap<>();
     before.values().forEach(u -> counts.merge(u, 1, Integer::sum));
     assertEquals(10, counts.size());
-    counts.values().forEach(n -> assertTrue(n > 120 && n < 300, "keys of one upstream of ten: " + n));
+    counts
+        .values()
+        .forEach(n -> assertTrue(n > 120 && n < 300, "keys of one upstream of ten: " + n));
     d.list(ListKind.DELTA, new Listed(103, "a", 0, State.GONE, 0, 1));
     Map<String, Long> after = owners(d, 2000);
     before.forEach((key, owner) -> {
@@ -115,7 +117,8 @@
         d.pass(500 * Driver.MS);
       }
     }
-    // 16 requests of 100 balancers among ten: 160 each; of these the warmth's mean over its 8 s is 0.65.
+    // 16 requests of 100 balancers among ten: 160 each; of these the warmth's mean over its 8 s is
+    // 0.65.
     assertTrue(cold > 60 && cold < 150, "sent to the cold one of " + total + ": " + cold);
     // In its first 3 s, at a mean warmth of 0.43: 26 of 60.
     assertTrue(early > 8 && early < 45, "in its first 3 s: " + early);
@@ -152,7 +155,8 @@
     String id = d.nextId();
     assertEquals(frozen, Driver.sentTo(d.request(id, "c", "k1")));
     List<Action> later = d.pass(200 * Driver.MS);
-    List<Send> copies = later.stream().filter(a -> a instanceof Send).map(a -> (Send) a).toList();
+    List<Send> copies =
+        later.stream().filter(a -> a instanceof Send).map(a -> (Send) a).toList();
     assertEquals(1, copies.size(), "one copy");
     assertEquals(id, copies.get(0).id());
     assertNotEquals(frozen, copies.get(0).upstream());
@@ -200,7 +204,9 @@
       sent += Driver.sentTo(d.request(d.nextId(), "c", "k" + i)) >= 0 ? 1 : 0;
     }
     assertTrue(sent >= 2 && sent <= 12, "sent at once: " + sent);
-    long refused = d.pass(170 * Driver.MS).stream().filter(a -> a instanceof Balancer.Refuse).count();
+    long refused = d.pass(170 * Driver.MS).stream()
+        .filter(a -> a instanceof Balancer.Refuse)
+        .count();
     assertTrue(refused > 30, "refused inside 0.43 of the aim: " + refused);
   }
 
@@ -209,7 +215,8 @@
   void hintedHeavyRequestsTakeMoreOfTheRoom() {
     int light = sentAtOnce(20 * Driver.MS);
     int heavy = sentAtOnce(80 * Driver.MS);
-    assertTrue(light >= 4 && heavy <= light / 2, "sent at once: light " + light + ", heavy " + heavy);
+    assertTrue(
+        light >= 4 && heavy <= light / 2, "sent at once: light " + light + ", heavy " + heavy);
   }
 
   private static int sentAtOnce(long hint) {
@@ -259,8 +266,20 @@
   @Test
   void aZoneLeftWithOneUpstreamGetsItsPartOnly() {
     Balancer.Settings base = Driver.safe();
-    Driver d = new Driver(new Balancer.Settings(0, 100, "a", base.classes(), base.tenants(), base.limits(),
-        base.contract(), new Balancer.Prices(0.05, 0, 0), false, base.weightKind(), 1, true, Driver.MS));
+    Driver d = new Driver(new Balancer.Settings(
+        0,
+        100,
+        "a",
+        base.classes(),
+        base.tenants(),
+        base.limits(),
+        base.contract(),
+        new Balancer.Prices(0.05, 0, 0),
+        false,
+        base.weightKind(),
+        1,
+        true,
+        Driver.MS));
     Listed[] listed = new Listed[10];
     for (int i = 0; i < 10; i++) {
       listed[i] = new Listed(i, i == 0 ? "a" : "b", i, State.READY, 0, 1);
--- a/src/test/java/pumicekeel/RetuneTest.java
+++ b/src/test/java/pumicekeel/RetuneTest.java
@@ -23,10 +23,31 @@
   private static Settings with(int maxAttempts, RequestClass... classes) {
     Settings s = Driver.settings(false, List.of(), classes);
     Limits l = s.limits();
-    return new Settings(s.me(), s.groupSize(), s.zone(), s.classes(), s.tenants(), new Limits(l.cancel(), l.probes(),
-        l.peers(), l.secondCopies(), l.retryAfter(), l.maxRetryAfterNanos(), maxAttempts, l.maxOpen(),
-        l.streamsPerConnection(), l.connectTimeoutNanos(), l.connectionIdleNanos()), s.contract(), s.prices(),
-        s.listOnRequest(), s.weightKind(), s.overShareWorth(), s.warmKeys(), s.tickNanos());
+    return new Settings(
+        s.me(),
+        s.groupSize(),
+        s.zone(),
+        s.classes(),
+        s.tenants(),
+        new Limits(
+            l.cancel(),
+            l.probes(),
+            l.peers(),
+            l.secondCopies(),
+            l.retryAfter(),
+            l.maxRetryAfterNanos(),
+            maxAttempts,
+            l.maxOpen(),
+            l.streamsPerConnection(),
+            l.connectTimeoutNanos(),
+            l.connectionIdleNanos()),
+        s.contract(),
+        s.prices(),
+        s.listOnRequest(),
+        s.weightKind(),
+        s.overShareWorth(),
+        s.warmKeys(),
+        s.tickNanos());
   }
 
   private static final RequestClass SAFE = Driver.type("c", Effect.SAFE, DedupScope.ALL);
@@ -38,8 +59,12 @@
     long first = Driver.sentTo(d.request("old", "c", "k"));
     d.step(new Retune(with(4, UNSAFE)));
     long second = Driver.sentTo(d.request("new", "c", "k"));
-    assertTrue(Driver.has(d.end("old", first, Status.ERROR, Driver.MS), Send.class), "safe as it came: sent again");
-    assertTrue(Driver.has(d.end("new", second, Status.ERROR, Driver.MS), Fail.class), "unsafe: may have run");
+    assertTrue(
+        Driver.has(d.end("old", first, Status.ERROR, Driver.MS), Send.class),
+        "safe as it came: sent again");
+    assertTrue(
+        Driver.has(d.end("new", second, Status.ERROR, Driver.MS), Fail.class),
+        "unsafe: may have run");
   }
 
   @Test
@@ -49,13 +74,15 @@
       d.serve("warm" + i, Driver.MS);
     }
     d.step(new Retune(with(4, SAFE)));
-    List<Balancer.Action> sent = d.step(new Request("old", "c", null, "k", d.now + 2000 * Driver.MS, 0, false, List.of(),
-        true));
+    List<Balancer.Action> sent = d.step(
+        new Request("old", "c", null, "k", d.now + 2000 * Driver.MS, 0, false, List.of(), true));
     assertTrue(Driver.has(d.end("old", Driver.sentTo(sent), Status.ERROR, Driver.MS), Fail.class));
     d.step(new Retune(with(4, Driver.type("d", Effect.SAFE, DedupScope.ALL))));
-    sent = d.step(new Request("dropped", "c", null, "k", d.now + 2000 * Driver.MS, 0, false, List.of(), true));
+    sent = d.step(new Request(
+        "dropped", "c", null, "k", d.now + 2000 * Driver.MS, 0, false, List.of(), true));
     assertTrue(Driver.has(sent, Send.class), "a class that was dropped just now: " + sent);
-    assertTrue(Driver.has(d.request("late", "c", "k"), Refuse.class), "a class that is none any more");
+    assertTrue(
+        Driver.has(d.request("late", "c", "k"), Refuse.class), "a class that is none any more");
   }
 
   @Test
--- a/src/test/java/pumicekeel/SizeTest.java
+++ b/src/test/java/pumicekeel/SizeTest.java
@@ -13,7 +13,8 @@
 
   @Test
   void moduleStaysInsideItsLimits() throws IOException {
-    List<String> lines = Files.readAllLines(Path.of("src/main/java/pumicekeel/AdaptiveBalancer.java"));
+    List<String> lines =
+        Files.readAllLines(Path.of("src/main/java/pumicekeel/AdaptiveBalancer.java"));
     long count = lines.stream().filter(l -> !l.isBlank()).count();
     assertTrue(count <= 800, "non-blank lines: " + count);
     lines.forEach(l -> assertTrue(l.length() <= 110, "over 110 columns: " + l));
--- a/src/test/java/pumicekeel/StormTest.java
+++ b/src/test/java/pumicekeel/StormTest.java
@@ -3,6 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.lang.reflect.Field;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.Cancel;
 import pumicekeel.Balancer.ClientGone;
@@ -28,15 +37,6 @@
 import pumicekeel.Balancer.Tenant;
 import pumicekeel.Balancer.TimerFired;
 import pumicekeel.Balancer.WeightKind;
-import java.lang.reflect.Field;
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.SplittableRandom;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 
 /** Random legal events over seeds and settings; the observer knows the four rules and nothing of the module. */
 class StormTest {
@@ -72,7 +72,9 @@
   private long now = 5_000_000 * MS;
 
   @ParameterizedTest
-  @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
+  @ValueSource(
+      longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24
+      })
   void rulesHold(long seed) {
     random = new SplittableRandom(seed);
     settings = settings();
@@ -87,17 +89,26 @@
       fire();
       if (random.nextInt(100) < 4) {
         Listed changed = change(random.nextInt(12));
-        step(random.nextBoolean() ? new ListNews(ListKind.DELTA, List.of(changed))
-            : new ListNews(ListKind.FULL, List.copyOf(fleet.values())));
+        step(
+            random.nextBoolean()
+                ? new ListNews(ListKind.DELTA, List.of(changed))
+                : new ListNews(ListKind.FULL, List.copyOf(fleet.values())));
       } else if (random.nextInt(100) < 1) {
         step(new ListNews(ListKind.FAILED, List.of()));
       }
       for (int n = random.nextInt(4); n > 0; n--) {
-        RequestClass type = settings.classes().get(random.nextInt(settings.classes().size()));
+        RequestClass type =
+            settings.classes().get(random.nextInt(settings.classes().size()));
         long deadline = now + (20 + random.nextInt(600)) * MS;
         book.put("r" + id, new Entry(type, deadline));
-        step(new Request("r" + id++, type.name(), random.nextBoolean() ? "t" : null,
-            random.nextInt(5) == 0 ? null : "k" + random.nextInt(30), deadline, 0, false));
+        step(new Request(
+            "r" + id++,
+            type.name(),
+            random.nextBoolean() ? "t" : null,
+            random.nextInt(5) == 0 ? null : "k" + random.nextInt(30),
+            deadline,
+            0,
+            false));
       }
       outcomes(40);
     }
@@ -110,7 +121,9 @@
     long idle = timers.size();
     now += 60_000 * MS;
     fire();
-    assertTrue(timers.size() <= 1 && idle <= 2, "state empties when traffic stops: " + timers.size() + " timers");
+    assertTrue(
+        timers.size() <= 1 && idle <= 2,
+        "state empties when traffic stops: " + timers.size() + " timers");
     assertEquals(0, sizeOf("open"), "requests still kept");
     assertEquals(0, sizeOf("held"), "requests still held");
   }
@@ -131,22 +144,58 @@
     List<RequestClass> classes = new ArrayList<>();
     for (Effect effect : Effect.values()) {
       for (DedupScope scope : DedupScope.values()) {
-        classes.add(new RequestClass(effect + " " + scope, effect, scope, (50 + random.nextInt(300)) * MS,
-            (50 + random.nextInt(200)) * MS, 0, 700 * MS, 1 + random.nextInt(3), 0, false));
+        classes.add(new RequestClass(
+            effect + " " + scope,
+            effect,
+            scope,
+            (50 + random.nextInt(300)) * MS,
+            (50 + random.nextInt(200)) * MS,
+            0,
+            700 * MS,
+            1 + random.nextInt(3),
+            0,
+            false));
       }
     }
-    return new Settings(0, 1 + random.nextInt(3), "z0", classes, List.of(new Tenant("t", 1, random.nextInt(200))),
-        new Limits(random.nextBoolean(), false, false, random.nextBoolean(), true, 1000 * MS, 1 + random.nextInt(6),
-            40 + random.nextInt(1000), 1, 100 * MS, 5000 * MS),
-        new Contract(12 * MS, random.nextBoolean() ? 10_000 * MS : 0, 0, 0.2, 5000 * MS, 3, 2000 * MS),
-        new Prices(0, 0, 0), random.nextBoolean(), WeightKind.values()[random.nextInt(4)], 0.1, true, MS);
+    return new Settings(
+        0,
+        1 + random.nextInt(3),
+        "z0",
+        classes,
+        List.of(new Tenant("t", 1, random.nextInt(200))),
+        new Limits(
+            random.nextBoolean(),
+            false,
+            false,
+            random.nextBoolean(),
+            true,
+            1000 * MS,
+            1 + random.nextInt(6),
+            40 + random.nextInt(1000),
+            1,
+            100 * MS,
+            5000 * MS),
+        new Contract(
+            12 * MS, random.nextBoolean() ? 10_000 * MS : 0, 0, 0.2, 5000 * MS, 3, 2000 * MS),
+        new Prices(0, 0, 0),
+        random.nextBoolean(),
+        WeightKind.values()[random.nextInt(4)],
+        0.1,
+        true,
+        MS);
   }
 
   /** A new state for one upstream. */
   private Listed change(long id) {
-    State state = random.nextInt(3) > 0 ? State.READY : random.nextBoolean() ? State.DRAINING : State.GONE;
-    Listed listed = new Listed(id, "z" + id % 2, (int) (id / 3 * 2 + id % 2), state,
-        random.nextInt(4) == 0 ? now : 0, 1 + random.nextInt(4));
+    State state =
+        random.nextInt(3) > 0 ? State.READY : random.nextBoolean() ? State.DRAINING : State.GONE;
+    Listed listed = new Listed(
+        id,
+        "z" + id % 2,
+        (int) (id / 3 * 2 + id % 2),
+        state,
+        random.nextInt(4) == 0 ? now : 0,
+        1 + random.nextInt(4));
     fleet.put(id, listed);
     return listed;
   }
@@ -164,11 +213,22 @@
       for (int i = 0; i < e.tries.size(); i++) {
         boolean late = now >= e.deadline;
         if (e.ends.get(i) == null && (late || random.nextInt(100) < percent / 4)) {
-          Status status = e.answered && random.nextBoolean() ? Status.CANCELLED : late ? Status.TIMEOUT
-              : random.nextInt(2) == 0 ? Status.SERVED : Status.values()[random.nextInt(Status.values().length)];
+          Status status = e.answered && random.nextBoolean()
+              ? Status.CANCELLED
+              : late
+                  ? Status.TIMEOUT
+                  : random.nextInt(2) == 0
+                      ? Status.SERVED
+                      : Status.values()[random.nextInt(Status.values().length)];
           e.ends.set(i, status);
           e.answered |= status == Status.SERVED;
-          step(new Outcome(entry.getKey(), i, e.tries.get(i).upstream(), status, now - e.tries.get(i).at(), e.answered,
+          step(new Outcome(
+              entry.getKey(),
+              i,
+              e.tries.get(i).upstream(),
+              status,
+              now - e.tries.get(i).at(),
+              e.answered,
               Map.of()));
         }
       }
@@ -176,7 +236,9 @@
         e.answered = true;
         step(new ClientGone(entry.getKey()));
       }
-      assertTrue(e.answered || now <= e.deadline + settings.contract().answerSlackNanos(), "late: " + entry.getKey());
+      assertTrue(
+          e.answered || now <= e.deadline + settings.contract().answerSlackNanos(),
+          "late: " + entry.getKey());
     }
     book.values().removeIf(e -> e.answered && e.out() == 0);
   }
@@ -193,8 +255,11 @@
         Entry e = book.get(r.id());
         assertTrue(!e.answered, "one final answer");
         boolean open = e.ends.stream().anyMatch(x -> x == null || !x.provesNotRun());
-        assertTrue(!open || e.type.effect() == Effect.SAFE
-            || e.type.effect() == Effect.KEYED && e.type.dedupScope() == DedupScope.ALL, "refusal promises too much");
+        assertTrue(
+            !open
+                || e.type.effect() == Effect.SAFE
+                || e.type.effect() == Effect.KEYED && e.type.dedupScope() == DedupScope.ALL,
+            "refusal promises too much");
         e.answered = true;
       } else if (action instanceof Fail f) {
         assertTrue(!book.get(f.id()).answered, "one final answer");
@@ -214,12 +279,15 @@
     assertTrue(now < e.deadline, "sent past the deadline");
     for (int i = 0; i < e.tries.size(); i++) {
       Try t = e.tries.get(i);
-      if (e.type.effect() != Effect.SAFE && (e.ends.get(i) == null || !e.ends.get(i).provesNotRun())) {
+      if (e.type.effect() != Effect.SAFE
+          && (e.ends.get(i) == null || !e.ends.get(i).provesNotRun())) {
         assertEquals(Effect.KEYED, e.type.effect(), "unsafe sent again");
         assertTrue(now - t.at() < e.type.dedupWindowNanos(), "resent past the window");
-        assertTrue(e.type.dedupScope() == DedupScope.ALL
-            || e.type.dedupScope() == DedupScope.ZONE && t.zone().equals(to.zone())
-            || e.type.dedupScope() == DedupScope.CELL && t.cell() == to.cell(), "resent outside the group");
+        assertTrue(
+            e.type.dedupScope() == DedupScope.ALL
+                || e.type.dedupScope() == DedupScope.ZONE && t.zone().equals(to.zone())
+                || e.type.dedupScope() == DedupScope.CELL && t.cell() == to.cell(),
+            "resent outside the group");
       }
     }
     e.tries.add(new Try(to.upstream(), to.zone(), to.cell(), now));
--- a/src/test/java/pumicekeel/WindowTest.java
+++ b/src/test/java/pumicekeel/WindowTest.java
@@ -16,7 +16,8 @@
     for (int reach : new int[] {1, 5}) {
       Window w = new Window(SECOND, reach, 0);
       long now = 0;
-      // More and more, and then nothing for an hour: what is left over of the end would count for ever.
+      // More and more, and then nothing for an hour: what is left over of the end would count for
+      // ever.
       for (int i = 0; i < 600; i++) {
         now += SECOND / 100;
         w.add(now, Metric.OFFERED, i);
@@ -49,7 +50,8 @@
         for (int s = Math.max(0, now - 11); s <= now; s++) {
           sum += bySecond[s];
         }
-        assertEquals(sum, w.total(now * SECOND, Metric.OFFERED), 1e-6, "seed " + seed + " at " + now);
+        assertEquals(
+            sum, w.total(now * SECOND, Metric.OFFERED), 1e-6, "seed " + seed + " at " + now);
       }
     }
   }
--- a/src/test/java/pumicekeel/adapter/LinkTest.java
+++ b/src/test/java/pumicekeel/adapter/LinkTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import pumicekeel.Balancer;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayInputStream;
@@ -15,17 +14,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import pumicekeel.Balancer;
 
 /** The wire: conversations byte for byte, every action, and each kind of malformed input. */
 class LinkTest {
 
-  private static final String CLASS = "{\"name\":\"c\",\"aim-ns\":400000000,\"deadline-ns\":2000000000,"
-      + "\"effect\":\"idempotent\",\"unknown\":[1,{}]}";
-  private static final String PROVISION = "{\"clock-ns\":1000000000,\"groups\":[{\"balancer\":3,\"msgs\":["
-      + "{\"Provision\":{\"seed\":1,\"boot-info\":{\"novel\":1.5,\"categories\":[" + CLASS + "],"
-      + "\"registry-mode\":\"on_request\"}}},"
-      + "{\"Topology\":{\"kind\":\"C\",\"stamp\":1,\"entries\":[{\"hw\":\"x\",\"launched-ns\":null,\"pack\":0,"
-      + "\"upstream\":7,\"region-part\":\"\",\"stage-state\":\"up\",\"capacity-hint\":1}]}}]}]}";
+  private static final String CLASS =
+      "{\"name\":\"c\",\"aim-ns\":400000000,\"deadline-ns\":2000000000,"
+          + "\"effect\":\"idempotent\",\"unknown\":[1,{}]}";
+  private static final String PROVISION =
+      "{\"clock-ns\":1000000000,\"groups\":[{\"balancer\":3,\"msgs\":["
+          + "{\"Provision\":{\"seed\":1,\"boot-info\":{\"novel\":1.5,\"categories\":[" + CLASS
+          + "],"
+          + "\"registry-mode\":\"on_request\"}}},"
+          + "{\"Topology\":{\"kind\":\"C\",\"stamp\":1,\"entries\":[{\"hw\":\"x\",\"launched-ns\":null,\"pack\":0,"
+          + "\"upstream\":7,\"region-part\":\"\",\"stage-state\":\"up\",\"capacity-hint\":1}]}}]}]}";
 
   private static String talk(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -42,9 +45,10 @@
     return "{\"groups\":[{\"balancer\":3,\"actions\":[" + actions + "]}]}\n";
   }
 
-  private static final String JOB = "{\"JobIn\":{\"rid\":\"c:a\",\"service\":\"c\",\"user-group\":0,"
-      + "\"object\":\"91f03b7c55d20a64\",\"drop-dead-ns\":2500000000,\"weight-hint-ns\":null,\"retry\":false,"
-      + "\"write\":false}}";
+  private static final String JOB =
+      "{\"JobIn\":{\"rid\":\"c:a\",\"service\":\"c\",\"user-group\":0,"
+          + "\"object\":\"91f03b7c55d20a64\",\"drop-dead-ns\":2500000000,\"weight-hint-ns\":null,\"retry\":false,"
+          + "\"write\":false}}";
 
   @Test
   void anEmptyBatch() throws IOException {
@@ -56,17 +60,31 @@
     String expected = reply("{\"Observe\":{\"enable\":true}}")
         + reply("{\"Deliver\":{\"rid\":\"c:a\",\"patience-ns\":1400000000,\"upstream\":7}},"
             + "{\"SetTimer\":{\"handle\":\"sweep\",\"fire-at-ns\":1150000000}}")
-        + reply("") + reply("") + reply("") + reply("")
-        + reply("") + reply("");
-    assertEquals(expected, talk(PROVISION, batch(1_100_000_000L, JOB),
-        batch(1_110_000_000L, "{\"Fired\":{\"handle\":\"sweep\"}}"),
-        batch(1_112_000_000L, "{\"First\":{\"rid\":\"c:a\",\"go\":0,\"upstream\":7,\"wait-time-ns\":5}}"),
-        batch(1_115_000_000L, "{\"Resolved\":{\"rid\":\"c:a\",\"go\":0,\"upstream\":7,\"rc\":\"served\","
-            + "\"wait-time-ns\":15000000,\"done-flag\":true,\"usage\":{\"util\":0.5,\"odd\":\"x\"}}}"),
-        batch(1_116_000_000L, "{\"Aborted\":{\"rid\":\"c:a\"}}"),
-        batch(1_117_000_000L, "{\"HealthResult\":{\"rc\":\"served\",\"upstream\":7,\"wait-time-ns\":5,\"usage\":null}},"
-            + "{\"Datagram\":{\"neighbour\":0,\"octets\":\"aGkgNw==\"}}"),
-        batch(1_118_000_000L, "{\"Kill\":{}}")));
+        + reply("")
+        + reply("")
+        + reply("")
+        + reply("")
+        + reply("")
+        + reply("");
+    assertEquals(
+        expected,
+        talk(
+            PROVISION,
+            batch(1_100_000_000L, JOB),
+            batch(1_110_000_000L, "{\"Fired\":{\"handle\":\"sweep\"}}"),
+            batch(
+                1_112_000_000L,
+                "{\"First\":{\"rid\":\"c:a\",\"go\":0,\"upstream\":7,\"wait-time-ns\":5}}"),
+            batch(
+                1_115_000_000L,
+                "{\"Resolved\":{\"rid\":\"c:a\",\"go\":0,\"upstream\":7,\"rc\":\"served\","
+                    + "\"wait-time-ns\":15000000,\"done-flag\":true,\"usage\":{\"util\":0.5,\"odd\":\"x\"}}}"),
+            batch(1_116_000_000L, "{\"Aborted\":{\"rid\":\"c:a\"}}"),
+            batch(
+                1_117_000_000L,
+                "{\"HealthResult\":{\"rc\":\"served\",\"upstream\":7,\"wait-time-ns\":5,\"usage\":null}},"
+                    + "{\"Datagram\":{\"neighbour\":0,\"octets\":\"aGkgNw==\"}}"),
+            batch(1_118_000_000L, "{\"Kill\":{}}")));
   }
 
   @Test
@@ -87,20 +105,25 @@
       Encoder.write(g, new Balancer.Log("x"));
       g.writeEndArray();
     }
-    assertEquals("[{\"Deliver\":{\"rid\":\"a\",\"patience-ns\":5,\"upstream\":7}},"
-        + "{\"AbortAttempt\":{\"rid\":\"a\",\"go\":1}},{\"Decline\":{\"rid\":\"a\",\"not-before-for-ns\":9}},"
-        + "{\"DropRequest\":{\"rid\":\"a\"}},{\"SetTimer\":{\"handle\":\"t\",\"fire-at-ns\":3}},"
-        + "{\"Observe\":{\"enable\":false}},{\"Resolve\":{}},{\"SoundOut\":{\"upstream\":7}},"
-        + "{\"Release\":{\"upstream\":7}},{\"BroadcastTo\":{\"recipient\":-1,\"octets\":\"aGkgNw==\"}},"
-        + "{\"Emit\":{\"note-text\":\"x\"}}]", text.toString());
+    assertEquals(
+        "[{\"Deliver\":{\"rid\":\"a\",\"patience-ns\":5,\"upstream\":7}},"
+            + "{\"AbortAttempt\":{\"rid\":\"a\",\"go\":1}},{\"Decline\":{\"rid\":\"a\",\"not-before-for-ns\":9}},"
+            + "{\"DropRequest\":{\"rid\":\"a\"}},{\"SetTimer\":{\"handle\":\"t\",\"fire-at-ns\":3}},"
+            + "{\"Observe\":{\"enable\":false}},{\"Resolve\":{}},{\"SoundOut\":{\"upstream\":7}},"
+            + "{\"Release\":{\"upstream\":7}},{\"BroadcastTo\":{\"recipient\":-1,\"octets\":\"aGkgNw==\"}},"
+            + "{\"Emit\":{\"note-text\":\"x\"}}]",
+        text.toString());
   }
 
   /** Guards the instance: it refuses what it does not know and goes on. */
   @Test
   void aRequestOfAnUnknownClassIsRefusedAndLogged() throws IOException {
-    String out = talk(PROVISION, batch(1_100_000_000L, JOB.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
-    assertTrue(out.contains(reply("{\"Emit\":{\"note-text\":\"refused a request of unknown class nope\"}},"
-        + "{\"Decline\":{\"rid\":\"c:a\",\"not-before-for-ns\":0}}")), out);
+    String out = talk(
+        PROVISION, batch(1_100_000_000L, JOB.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
+    assertTrue(
+        out.contains(reply("{\"Emit\":{\"note-text\":\"refused a request of unknown class nope\"}},"
+            + "{\"Decline\":{\"rid\":\"c:a\",\"not-before-for-ns\":0}}")),
+        out);
   }
 
   @Test
@@ -109,21 +132,27 @@
     try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
       Encoder.writeFault(g, new IllegalStateException("odd"));
     }
-    assertTrue(text.toString().startsWith(
-        "{\"Fault\":{\"note-text\":\"java.lang.IllegalStateException: odd at pumicekeel.adapter.LinkTest."), text.toString());
+    assertTrue(
+        text.toString()
+            .startsWith(
+                "{\"Fault\":{\"note-text\":\"java.lang.IllegalStateException: odd at pumicekeel.adapter.LinkTest."),
+        text.toString());
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', value = {
-    "nonsense | line 2: not JSON",
-    "{\"clock-ns\":1} | line 2: field batch.groups: expected an array, got nothing",
-    "{\"clock-ns\":\"x\",\"groups\":[]} | line 2: field batch.clock-ns: expected a whole number, got \"x\"",
-    "{\"clock-ns\":1,\"groups\":[{\"balancer\":9,\"msgs\":[{\"Kill\":{}}]}]} | balancer 9 was never provisioned",
-    "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"Odd\":{}}]}]} | msgs[0].Odd: unknown event",
-    "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"Fired\":{}}]}]} | Fired.handle: expected a text",
-    "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"HealthResult\":{\"rc\":\"fine\"}}]}]} | expected a whole",
-    "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"HealthResult\":{\"upstream\":1,\"rc\":\"fine\"}}]}]} | rc: expected one of",
-    "{\"clock-ns\":1,\"groups\":[]} {} | expected one value a line"})
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "nonsense | line 2: not JSON",
+        "{\"clock-ns\":1} | line 2: field batch.groups: expected an array, got nothing",
+        "{\"clock-ns\":\"x\",\"groups\":[]} | line 2: field batch.clock-ns: expected a whole number, got \"x\"",
+        "{\"clock-ns\":1,\"groups\":[{\"balancer\":9,\"msgs\":[{\"Kill\":{}}]}]} | balancer 9 was never provisioned",
+        "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"Odd\":{}}]}]} | msgs[0].Odd: unknown event",
+        "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"Fired\":{}}]}]} | Fired.handle: expected a text",
+        "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"HealthResult\":{\"rc\":\"fine\"}}]}]} | expected a whole",
+        "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"HealthResult\":{\"upstream\":1,\"rc\":\"fine\"}}]}]} | rc: expected one of",
+        "{\"clock-ns\":1,\"groups\":[]} {} | expected one value a line"
+      })
   void malformedInputSaysWhatAndWhere(String line, String message) {
     WireException e = assertThrows(WireException.class, () -> talk(PROVISION, line));
     assertTrue(e.getMessage().startsWith("line 2: "), e.getMessage());
@@ -132,10 +161,12 @@
 
   @Test
   void senselessSettingsAreRefusedByName() {
-    WireException none = assertThrows(WireException.class, () -> talk(PROVISION.replace(CLASS, "")));
+    WireException none =
+        assertThrows(WireException.class, () -> talk(PROVISION.replace(CLASS, "")));
     assertEquals("line 1: settings: classes must not be empty", none.getMessage());
-    WireException negative =
-        assertThrows(WireException.class, () -> talk(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
+    WireException negative = assertThrows(
+        WireException.class,
+        () -> talk(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
     assertEquals("line 1: settings: aim of class c must be above 0", negative.getMessage());
   }
 }
--- a/src/test/java/pumicekeel/bench/RouteMatch.java
+++ b/src/test/java/pumicekeel/bench/RouteMatch.java
@@ -32,6 +32,7 @@
 
   @Param({"10", "1000", "10000"})
   public int routes;
+
   @Param({"host", "path", "header", "template"})
   public String by;
 
@@ -73,12 +74,16 @@
         default -> PathPattern.of(PathPattern.Kind.PREFIX, "/svc");
       };
       Map<String, String> headers = by.equals("header") ? Map.of("x-account", "t" + i) : Map.of();
-      all.add(new Route(i, "r" + i, null, List.of(host), path, null, null, headers, Split.to("p"), null));
+      all.add(new Route(
+          i, "r" + i, null, List.of(host), path, null, null, headers, Split.to("p"), null));
     }
     for (int i = 0; i < 1024; i++) {
       int r = (int) ((long) i * routes / 1024);
-      asked.add(new Asked(by.equals("host") ? "h" + r + ".example.org" : "h.example.org",
-          by.equals("path") ? "/svc/p" + r + "/7" : by.equals("template") ? "/svc/7/p" + r : "/svc/7",
+      asked.add(new Asked(
+          by.equals("host") ? "h" + r + ".example.org" : "h.example.org",
+          by.equals("path")
+              ? "/svc/p" + r + "/7"
+              : by.equals("template") ? "/svc/7/p" + r : "/svc/7",
           Map.of("x-account", "t" + r)));
     }
     table = new RouteTable(all);
--- a/src/test/java/pumicekeel/cli/CallCommandTest.java
+++ b/src/test/java/pumicekeel/cli/CallCommandTest.java
@@ -25,7 +25,9 @@
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+
   @TempDir
   private Path folder;
 
@@ -37,7 +39,8 @@
   private int run(String... args) throws Exception {
     out.reset();
     err.reset();
-    return Main.run(args, InputStream.nullInputStream(), new PrintStream(out), new PrintStream(err));
+    return Main.run(
+        args, InputStream.nullInputStream(), new PrintStream(out), new PrintStream(err));
   }
 
   @Test
@@ -49,11 +52,12 @@
       server.script((call, c) -> c.error(call.id(), 7, "no"));
       assertEquals(1, run("call", at, "rate.lookup"));
       assertTrue(out.toString().contains("\"code\":7"));
-      server.script((call, c) -> { });
+      server.script((call, c) -> {});
       assertEquals(1, run("call", at, "rate.lookup", "--timeout-ms", "100"));
       assertTrue(err.toString().contains("1 answers did not come"), err.toString());
       assertEquals(2, run("call", at, "rate.lookup", "7"));
-      assertTrue(err.toString().contains("PARAMS: expected a JSON object or array"), err.toString());
+      assertTrue(
+          err.toString().contains("PARAMS: expected a JSON object or array"), err.toString());
       assertEquals(2, run("call", at));
       assertEquals(2, run("call", "nowhere", "m"));
       assertEquals(2, run("call", at, "--batch", folder.resolve("none").toString()));
@@ -73,17 +77,27 @@
   @Test
   void batchOfAFileIsOneMessageHoweverItIsWritten() throws Exception {
     Path file = folder.resolve("batch.json");
-    Files.writeString(file, "{\n \"jsonrpc\": \"2.0\",\n \"method\": \"m\", \"params\": [1],\n \"id\": 5}\n");
+    Files.writeString(
+        file, "{\n \"jsonrpc\": \"2.0\",\n \"method\": \"m\", \"params\": [1],\n \"id\": 5}\n");
     try (StandInRpcServer server = new StandInRpcServer(group, Framing.CONTENT_LENGTH)) {
-      assertEquals(0, run("call", "127.0.0.1:" + server.address().getPort(), "--batch", file.toString(), "--framing",
-          "content-length"), err.toString());
+      assertEquals(
+          0,
+          run(
+              "call",
+              "127.0.0.1:" + server.address().getPort(),
+              "--batch",
+              file.toString(),
+              "--framing",
+              "content-length"),
+          err.toString());
       assertEquals("{\"jsonrpc\":\"2.0\",\"result\":[1],\"id\":5}\n", out.toString());
     }
   }
 
   @Test
   void demoOfJsonRpcHoldsItsRulesAndFuzzEndsWell() throws Exception {
-    assertEquals(0, run("demo", "--jsonrpc", "--seconds", "6", "--connections", "24"), out.toString());
+    assertEquals(
+        0, run("demo", "--jsonrpc", "--seconds", "6", "--connections", "24"), out.toString());
     assertTrue(out.toString().contains("held    logs agree"), out.toString());
     assertEquals(0, run("fuzz", "--inputs", "500", "--seed", "9"), out.toString());
     assertEquals(2, run("fuzz", "--inputs", "0"));
--- a/src/test/java/pumicekeel/cli/MainTest.java
+++ b/src/test/java/pumicekeel/cli/MainTest.java
@@ -17,7 +17,10 @@
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
   private int run(String input, String... args) throws IOException {
-    return Main.run(args, new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), new PrintStream(out),
+    return Main.run(
+        args,
+        new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
+        new PrintStream(out),
         new PrintStream(err));
   }
 
--- a/src/test/java/pumicekeel/config/OperatorFileTest.java
+++ b/src/test/java/pumicekeel/config/OperatorFileTest.java
@@ -19,7 +19,8 @@
   private Path folder;
 
   private void refused(Path file, String part) {
-    OperatorFile.Unreadable e = assertThrows(OperatorFile.Unreadable.class, () -> OperatorFile.read(file));
+    OperatorFile.Unreadable e =
+        assertThrows(OperatorFile.Unreadable.class, () -> OperatorFile.read(file));
     assertTrue(e.getMessage().contains(part), e.getMessage());
   }
 
@@ -58,7 +59,8 @@
           Path next = folder.resolve("next");
           Files.deleteIfExists(next);
           Files.createSymbolicLink(next, i % 2 == 0 ? second : first);
-          Files.move(next, link, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+          Files.move(
+              next, link, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
           throw new AssertionError(e);
         }
--- a/src/test/java/pumicekeel/config/OperatorReaderTest.java
+++ b/src/test/java/pumicekeel/config/OperatorReaderTest.java
@@ -50,8 +50,9 @@
       headers = { X-Partner = "*" }
       split = [ { pool = "quotes", weight = 9 }, { pool = "rates", weight = 1 } ]
       fallback = "rates"
-      """.replace("split = [ { pool = \"quotes\", weight = 9 }, { pool = \"rates\", weight = 1 } ]",
-      "pool = \"quotes\"");
+      """.replace(
+          "split = [ { pool = \"quotes\", weight = 9 }, { pool = \"rates\", weight = 1 } ]",
+          "pool = \"quotes\"");
 
   private static List<Fault> faults(String text) {
     return OperatorReader.read(text).faults();
@@ -66,7 +67,9 @@
   }
 
   private static int lineOf(String text, String part) {
-    return (int) text.substring(0, text.indexOf(part)).chars().filter(c -> c == '\n').count() + 1;
+    return (int)
+            text.substring(0, text.indexOf(part)).chars().filter(c -> c == '\n').count()
+        + 1;
   }
 
   private static void change(String from, String to, String key, String part) {
@@ -79,10 +82,15 @@
   void goodFileSaysWhatItSaysAndFallsBackToThePlatform() throws Exception {
     Operator operator = OperatorReader.read(GOOD).operator();
     assertNotNull(operator, () -> faults(GOOD).toString());
-    assertEquals(List.of("quote.example.org", "*.quote.example.org"), operator.routes().get(0).hosts());
+    assertEquals(
+        List.of("quote.example.org", "*.quote.example.org"),
+        operator.routes().get(0).hosts());
     assertEquals("default", operator.routes().get(1).name());
-    Settings base = Decoder.settings(Fields.parse("settings", "{\"categories\":[{\"name\":\"c\",\"aim-ns\":1000000}],"
-        + "\"limits\":{\"max-attempts\":6},\"contract\":{\"drain-grace-ns\":2000000000,\"fall-multiple\":3.0}}"));
+    Settings base = Decoder.settings(
+        Fields.parse(
+            "settings",
+            "{\"categories\":[{\"name\":\"c\",\"aim-ns\":1000000}],"
+                + "\"limits\":{\"max-attempts\":6},\"contract\":{\"drain-grace-ns\":2000000000,\"fall-multiple\":3.0}}"));
     Settings quotes = operator.pools().get("quotes").overrides().over(base);
     assertEquals(2, quotes.limits().maxAttempts());
     assertEquals(1_000_000_000L, quotes.contract().drainGraceNanos());
@@ -93,47 +101,108 @@
 
   @Test
   void unknownKeysNameTheNearestKnownOneEverywhere() {
-    change("max-connections = 10", "max-conections = 10", "listeners.partner.max-conections",
+    change(
+        "max-connections = 10",
+        "max-conections = 10",
+        "listeners.partner.max-conections",
         "nearest known one is max-connections");
-    change("group = 3,", "gruop = 3,", "sources.fixed.static[0].gruop", "nearest known one is group");
-    change("max-attempts = 2", "max-attemps = 2", "pools.quotes.limits.max-attemps", "max-attempts");
-    change("default-pool = \"rates\"", "defaultpool = 1\ndefault-pool = \"rates\"", "defaultpool", "default-pool");
+    change(
+        "group = 3,", "gruop = 3,", "sources.fixed.static[0].gruop", "nearest known one is group");
+    change(
+        "max-attempts = 2", "max-attemps = 2", "pools.quotes.limits.max-attemps", "max-attempts");
+    change(
+        "default-pool = \"rates\"",
+        "defaultpool = 1\ndefault-pool = \"rates\"",
+        "defaultpool",
+        "default-pool");
     change("fallback = \"rates\"", "falback = \"rates\"", "routes[0].falback", "fallback");
   }
 
   @Test
   void namesThatNothingHasAreTold() {
-    change("default-pool = \"rates\"", "default-pool = \"rate\"", "default-pool", "a pool of this file");
-    change("source = \"fixed\"", "source = \"fixd\"", "pools.quotes.source", "one of platform, fixed");
+    change(
+        "default-pool = \"rates\"",
+        "default-pool = \"rate\"",
+        "default-pool",
+        "a pool of this file");
+    change(
+        "source = \"fixed\"", "source = \"fixd\"", "pools.quotes.source", "one of platform, fixed");
     change("pool = \"quotes\"", "pool = \"quote\"", "routes[0].pool", "a pool of this file");
     change("fallback = \"rates\"", "fallback = \"quotes\"", "routes[0].fallback", "another pool");
-    change("host =", "listener = \"partners\"\nhost =", "routes[0].listener", "a listener of this file");
+    change(
+        "host =",
+        "listener = \"partners\"\nhost =",
+        "routes[0].listener",
+        "a listener of this file");
   }
 
   @Test
   void valuesOutOfRangeOrOfAnotherKindAreTold() {
-    change("max-connections = 10", "max-connections = 0", "listeners.partner.max-connections", "from 1 to");
-    change("max-connections = 10", "max-connections = \"10\"", "listeners.partner.max-connections", "a whole number");
-    change("address = \"127.0.0.1:7001\"", "address = \"localhost:7001\"", "listeners.partner.address",
+    change(
+        "max-connections = 10",
+        "max-connections = 0",
+        "listeners.partner.max-connections",
+        "from 1 to");
+    change(
+        "max-connections = 10",
+        "max-connections = \"10\"",
+        "listeners.partner.max-connections",
+        "a whole number");
+    change(
+        "address = \"127.0.0.1:7001\"",
+        "address = \"localhost:7001\"",
+        "listeners.partner.address",
         "without a name to look up");
-    change("status = \"terminating\"", "status = \"gone\"", "sources.fixed.static[0].status", "in_service, terminating");
-    change("drain-grace-ms = 1000", "drain-grace-ms = 100", "pools.quotes.contract.drain-grace-ms", "from 300");
+    change(
+        "status = \"terminating\"",
+        "status = \"gone\"",
+        "sources.fixed.static[0].status",
+        "in_service, terminating");
+    change(
+        "drain-grace-ms = 1000",
+        "drain-grace-ms = 100",
+        "pools.quotes.contract.drain-grace-ms",
+        "from 300");
     change("method = \"POST\"", "method = \"PUT\"", "routes[0].method", "GET, POST");
-    change("most = 50", "most = 4", "pools.rates.open-requests.most", "no less than what is guaranteed, 5");
+    change(
+        "most = 50",
+        "most = 4",
+        "pools.rates.open-requests.most",
+        "no less than what is guaranteed, 5");
     change("/quote-issue/{id}", "/quote-issue/x{id}", "routes[0].path-template", "whole segment");
-    change("\"*.quote.example.org\"", "\"quote.example.org:80\"", "routes[0].host", "without a port");
+    change(
+        "\"*.quote.example.org\"", "\"quote.example.org:80\"", "routes[0].host", "without a port");
   }
 
   @Test
   void settingsThatContradictEachOtherAreTold() {
-    onlyFault("[pools.a]\n[[routes]]\nclass = \"x\"\npath = \"/y\"\npool = \"a\"\n", 3, "routes[0].class", "can match");
+    onlyFault(
+        "[pools.a]\n[[routes]]\nclass = \"x\"\npath = \"/y\"\npool = \"a\"\n",
+        3,
+        "routes[0].class",
+        "can match");
     change("method = \"POST\"", "method = \"GET\"", "routes[0].method", "comes by POST");
-    change("fallback = \"rates\"", "split = [ { pool = \"rates\", weight = 1 } ]", "routes[0].split", "either pool");
-    onlyFault("[pools.a]\nopen-requests = { guaranteed = 8 }\n[pools.b]\nopen-requests = { guaranteed = 8 }\n"
-        + "[process]\nopen-requests = 10\n[[routes]]\npool = \"a\"\n", 1, "pools", "got 16");
-    onlyFault("[pools.a]\n[[routes]]\nsplit = [{pool = \"a\", weight = 0}]\n", 3, "routes[0].split", "above 0");
-    onlyFault("[pools.a]\nclasses = [{name = \"x\", aim-ms = 5, dedup-window-ms = 1}]\n[[routes]]\npool = \"a\"\n", 2,
-        "pools.a.classes[0].dedup-window-ms", "only with effect");
+    change(
+        "fallback = \"rates\"",
+        "split = [ { pool = \"rates\", weight = 1 } ]",
+        "routes[0].split",
+        "either pool");
+    onlyFault(
+        "[pools.a]\nopen-requests = { guaranteed = 8 }\n[pools.b]\nopen-requests = { guaranteed = 8 }\n"
+            + "[process]\nopen-requests = 10\n[[routes]]\npool = \"a\"\n",
+        1,
+        "pools",
+        "got 16");
+    onlyFault(
+        "[pools.a]\n[[routes]]\nsplit = [{pool = \"a\", weight = 0}]\n",
+        3,
+        "routes[0].split",
+        "above 0");
+    onlyFault(
+        "[pools.a]\nclasses = [{name = \"x\", aim-ms = 5, dedup-window-ms = 1}]\n[[routes]]\npool = \"a\"\n",
+        2,
+        "pools.a.classes[0].dedup-window-ms",
+        "only with effect");
   }
 
   @Test
@@ -141,12 +210,19 @@
     Operator all = OperatorReader.read(GOOD).operator();
     var type = all.pools().get("quotes").overrides().classes().get(0);
     assertTrue(all.pools().get("quotes").journal().covers(type));
-    Operator none = OperatorReader.read(GOOD.replace("source = \"fixed\"", "source = \"fixed\"\njournal = false")).operator();
+    Operator none = OperatorReader.read(
+            GOOD.replace("source = \"fixed\"", "source = \"fixed\"\njournal = false"))
+        .operator();
     assertTrue(!none.pools().get("quotes").journal().covers(type));
-    Operator named = OperatorReader.read(GOOD.replace("source = \"fixed\"", "source = \"fixed\"\njournal = \"quote-issue\""))
+    Operator named = OperatorReader.read(
+            GOOD.replace("source = \"fixed\"", "source = \"fixed\"\njournal = \"quote-issue\""))
         .operator();
     assertTrue(named.pools().get("quotes").journal().covers(type));
-    change("source = \"fixed\"", "journal = [\"quote-isue\"]\nsource = \"fixed\"", "pools.quotes.journal", "keyed or unsafe");
+    change(
+        "source = \"fixed\"",
+        "journal = [\"quote-isue\"]\nsource = \"fixed\"",
+        "pools.quotes.journal",
+        "keyed or unsafe");
   }
 
   @Test
@@ -158,8 +234,10 @@
 
   @Test
   void allFaultsAreToldInTheOrderOfTheLines() {
-    String text = GOOD.replace("max-connections = 10", "max-connections = 0").replace("source = \"fixed\"", "source = 1")
-        .replace("method = \"POST\"", "method = 7").replace("default-pool", "default-poll");
+    String text = GOOD.replace("max-connections = 10", "max-connections = 0")
+        .replace("source = \"fixed\"", "source = 1")
+        .replace("method = \"POST\"", "method = 7")
+        .replace("default-pool", "default-poll");
     List<Fault> faults = faults(text);
     assertEquals(4, faults.size(), faults.toString());
     for (int i = 1; i < 4; i++) {
@@ -171,9 +249,13 @@
   @Test
   void textThatIsNoTomlIsToldByItsLines() {
     List<Fault> faults = faults("[pools.a]\nsource = \n[[routes]\npool = \"a\"\n");
-    assertTrue(faults.size() >= 2 && faults.get(0).line() == 2 && faults.get(1).line() == 3, faults.toString());
+    assertTrue(
+        faults.size() >= 2 && faults.get(0).line() == 2 && faults.get(1).line() == 3,
+        faults.toString());
     assertEquals(1, faults("[pools.a]\n[pools.a]\n").size());
-    assertEquals("f.toml:3: pools.a.source: expected x y", new Fault(3, "pools.a.source", "expected x\ny").in("f.toml"));
+    assertEquals(
+        "f.toml:3: pools.a.source: expected x y",
+        new Fault(3, "pools.a.source", "expected x\ny").in("f.toml"));
   }
 
   /** Both break the library itself. */
@@ -181,8 +263,10 @@
   void escapesThatTomlDoesNotKnowAndDeepNestingAreToldByTheirLine() {
     for (char c = ' '; c < 127; c++) {
       if ("btnfr\"\\".indexOf(c) < 0) {
-        List<Fault> faults = faults(GOOD.replace("X-Partner = \"*\"", "X-Partner = \"\\" + c + "\""));
-        assertTrue(c == '\'' || faults.get(0).line() == lineOf(GOOD, "headers ="), c + " " + faults);
+        List<Fault> faults =
+            faults(GOOD.replace("X-Partner = \"*\"", "X-Partner = \"\\" + c + "\""));
+        assertTrue(
+            c == '\'' || faults.get(0).line() == lineOf(GOOD, "headers ="), c + " " + faults);
       }
     }
     onlyFault("# nested\na = " + "[".repeat(200_000) + "\n", 2, "TOML", "less nesting");
--- a/src/test/java/pumicekeel/config/ShapeTest.java
+++ b/src/test/java/pumicekeel/config/ShapeTest.java
@@ -16,7 +16,9 @@
         {"name":"c","effect":"idempotent","aim-ns":1,"deadline-ns":2}]}}""";
 
   private static String missing(String from, String to) throws Exception {
-    return Shape.missing(Fields.parse("c", BEFORE).values(), Fields.parse("c", BEFORE.replace(from, to)).values());
+    return Shape.missing(
+        Fields.parse("c", BEFORE).values(),
+        Fields.parse("c", BEFORE.replace(from, to)).values());
   }
 
   @Test
@@ -24,9 +26,12 @@
     assertNull(missing("", ""));
     assertEquals("name", missing("\"name\":\"n\",", ""));
     assertEquals("settings.limits.max-attempts", missing("\"max-attempts\":3,", ""));
-    assertEquals("settings.categories[0].deadline-ns", missing("\"deadline-ns\":2,\"window", "\"window"));
+    assertEquals(
+        "settings.categories[0].deadline-ns", missing("\"deadline-ns\":2,\"window", "\"window"));
     assertEquals("settings.categories[0].window-ns", missing(",\"window-ns\":3", ""));
-    assertEquals("settings.categories[2].aim-ns", missing("\"aim-ns\":1,\"deadline-ns\":2}]", "\"deadline-ns\":2}]"));
+    assertEquals(
+        "settings.categories[2].aim-ns",
+        missing("\"aim-ns\":1,\"deadline-ns\":2}]", "\"deadline-ns\":2}]"));
     assertEquals("settings.categories[1].name", missing("\"name\":\"b\",", ""));
     assertEquals("settings", missing("\"settings\"", "\"other\""));
   }
@@ -34,10 +39,14 @@
   @Test
   void whatBelongsToOneKindOrToTheMomentMayBeAbsent() throws Exception {
     assertNull(missing(",\"odd\":1", ""));
-    assertNull(missing("\"effect\":\"deduplicated\",\"aim-ns\":1,\"deadline-ns\":2,\"window-ns\":3",
+    assertNull(missing(
+        "\"effect\":\"deduplicated\",\"aim-ns\":1,\"deadline-ns\":2,\"window-ns\":3",
         "\"effect\":\"idempotent\",\"aim-ns\":1,\"deadline-ns\":2"));
-    assertNull(missing("\"effect\":\"deduplicated\",\"aim-ns\":1,\"deadline-ns\":2,\"window-ns\":3",
-        "\"effect\":\"at_most_once\",\"aim-ns\":1,\"deadline-ns\":2"), "a kind that was not there needs what all had");
+    assertNull(
+        missing(
+            "\"effect\":\"deduplicated\",\"aim-ns\":1,\"deadline-ns\":2,\"window-ns\":3",
+            "\"effect\":\"at_most_once\",\"aim-ns\":1,\"deadline-ns\":2"),
+        "a kind that was not there needs what all had");
     assertNull(missing("\"known\":{\"index\":1,\"endpoints\":[{\"name\":\"s\"}]},", ""));
   }
 }
--- a/src/test/java/pumicekeel/core/TuningTest.java
+++ b/src/test/java/pumicekeel/core/TuningTest.java
@@ -16,7 +16,8 @@
 class TuningTest {
 
   private static Settings settings(String name) throws Exception {
-    return Decoder.settings(Fields.parse("s", "{\"categories\":[{\"name\":\"" + name + "\",\"aim-ns\":1}]}"));
+    return Decoder.settings(
+        Fields.parse("s", "{\"categories\":[{\"name\":\"" + name + "\",\"aim-ns\":1}]}"));
   }
 
   @Test
@@ -32,6 +33,7 @@
     assertSame(one, tuning.former(10 + Tuning.OVERLAP_NANOS - 1));
     assertNull(tuning.former(10 + Tuning.OVERLAP_NANOS));
     assertNull(tuning.former(11), "once over, it is over");
-    assertEquals(List.of("two"), tuning.current().classes().stream().map(c -> c.name()).toList());
+    assertEquals(
+        List.of("two"), tuning.current().classes().stream().map(c -> c.name()).toList());
   }
 }
--- a/src/test/java/pumicekeel/fleet/DaemonTest.java
+++ b/src/test/java/pumicekeel/fleet/DaemonTest.java
@@ -32,6 +32,7 @@
 
   @TempDir
   private Path folder;
+
   private Path run;
   private Path config;
   private Path operator;
@@ -55,7 +56,8 @@
         int port = first.getLocalPort();
         boolean free = port + count < 65_536;
         for (int i = 1; i < count && free; i++) {
-          try (ServerSocket next = new ServerSocket(port + i, 1, InetAddress.getLoopbackAddress())) {
+          try (ServerSocket next =
+              new ServerSocket(port + i, 1, InetAddress.getLoopbackAddress())) {
             free = next.isBound();
           } catch (IOException e) {
             free = false;
@@ -86,13 +88,30 @@
   }
 
   private Settings settings(int instances, List<String> more) {
-    List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-        "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"));
+    List<String> command = new ArrayList<>(List.of(
+        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+        "-XX:+UseSerialGC",
+        "-XX:TieredStopAtLevel=1"));
     command.addAll(more);
     command.addAll(List.of("-cp", System.getProperty("java.class.path"), "pumicekeel.cli.Main"));
-    return new Settings(instances, run, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), operator, config, "t",
-        command, new Limits(1, 60_000_000_000L, 20_000_000_000L, 300_000_000L, 100_000_000L, 1_000_000_000L,
-            2_000_000_000L, 5, 60_000_000_000L));
+    return new Settings(
+        instances,
+        run,
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+        operator,
+        config,
+        "t",
+        command,
+        new Limits(
+            1,
+            60_000_000_000L,
+            20_000_000_000L,
+            300_000_000L,
+            100_000_000L,
+            1_000_000_000L,
+            2_000_000_000L,
+            5,
+            60_000_000_000L));
   }
 
   private Daemon daemon(int instances, String... more) throws Exception {
@@ -115,7 +134,8 @@
   }
 
   private static boolean allReady(String status, int count) {
-    return status.split("\"state\":\"ready\"", -1).length - 1 == count && pids(status).size() == count;
+    return status.split("\"state\":\"ready\"", -1).length - 1 == count
+        && pids(status).size() == count;
   }
 
   /** Both ready, and instance {@code changed} is another process: told by one answer, as the next may differ. */
@@ -130,7 +150,7 @@
 
   private static List<Long> pids(String status) {
     List<Long> out = new ArrayList<>();
-    for (Matcher m = PID.matcher(status); m.find();) {
+    for (Matcher m = PID.matcher(status); m.find(); ) {
       out.add(Long.parseLong(m.group(1)));
     }
     return out;
@@ -138,8 +158,13 @@
 
   /** What of this run directory is alive, found without the daemon's help. */
   private List<ProcessHandle> processes() {
-    String mark = java.util.UUID.nameUUIDFromBytes(real().getBytes(java.nio.charset.StandardCharsets.UTF_8)).toString();
-    return ProcessHandle.allProcesses().filter(p -> p.isAlive() && p.info().commandLine().orElse("").contains(mark)).toList();
+    String mark = java.util
+        .UUID
+        .nameUUIDFromBytes(real().getBytes(java.nio.charset.StandardCharsets.UTF_8))
+        .toString();
+    return ProcessHandle.allProcesses()
+        .filter(p -> p.isAlive() && p.info().commandLine().orElse("").contains(mark))
+        .toList();
   }
 
   private String real() {
@@ -160,10 +185,12 @@
     assertTrue(holds, "a condition that was waited for");
   }
 
-  // ---- Tests --------------------------------------------------------------------------------------------
+  // ---- Tests
+  // --------------------------------------------------------------------------------------------
 
   @Test
-  void instancesComeUpCrashesAreMendedARollingRestartChangesEachAndAStopLeavesNothing() throws Exception {
+  void instancesComeUpCrashesAreMendedARollingRestartChangesEachAndAStopLeavesNothing()
+      throws Exception {
     Daemon daemon = daemon(2);
     until(() -> allReady(2));
     List<Long> first = pids();
@@ -190,7 +217,8 @@
     Daemon first = daemon(2);
     until(() -> allReady(2));
     List<Long> pids = pids();
-    assertTrue(assertThrows(IOException.class, () -> new Daemon(settings(2, List.of()), log::add)).getMessage()
+    assertTrue(assertThrows(IOException.class, () -> new Daemon(settings(2, List.of()), log::add))
+        .getMessage()
         .contains("another daemon holds it"));
     first.close();
     assertEquals(2, processes().size(), "they go on");
@@ -207,14 +235,32 @@
   @Test
   void daemonKilledWhileItRestartsAnInstanceLeavesNeitherOrphanNorDouble() throws Exception {
     for (int round = 0; round < 2; round++) {
-      ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-          System.getProperty("java.class.path"), "pumicekeel.cli.Main", "fleet", "--instances", "2", "--run-dir",
-          run.toString(), "--config", config.toString(), "--listen", "127.0.0.1:" + port, "--watch-ms", "100", "--flag",
+      ProcessBuilder builder = new ProcessBuilder(
+          Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+          "-cp",
+          System.getProperty("java.class.path"),
+          "pumicekeel.cli.Main",
+          "fleet",
+          "--instances",
+          "2",
+          "--run-dir",
+          run.toString(),
+          "--config",
+          config.toString(),
+          "--listen",
+          "127.0.0.1:" + port,
+          "--watch-ms",
+          "100",
+          "--flag",
           "-XX:+UseSerialGC");
-      other = builder.redirectErrorStream(true).redirectOutput(folder.resolve("daemon.log").toFile()).start();
+      other = builder
+          .redirectErrorStream(true)
+          .redirectOutput(folder.resolve("daemon.log").toFile())
+          .start();
       until(() -> allReady(2));
       Control.ask(run, "restart");
-      until(() -> status().contains(round(0, "stopping")) || status().contains(round(0, "starting")));
+      until(
+          () -> status().contains(round(0, "stopping")) || status().contains(round(0, "starting")));
       // The longer, the further: in the stop of the first, or the start that follows it.
       TimeUnit.MILLISECONDS.sleep(round * 700L);
       other.destroyForcibly().waitFor();
@@ -222,7 +268,9 @@
     daemon(2);
     until(() -> allReady(2));
     assertEquals(2, processes().size());
-    assertEquals(pids().stream().sorted().toList(), processes().stream().map(ProcessHandle::pid).sorted().toList());
+    assertEquals(
+        pids().stream().sorted().toList(),
+        processes().stream().map(ProcessHandle::pid).sorted().toList());
   }
 
   private static String round(int instance, String state) {
@@ -241,15 +289,19 @@
     assertTrue(status().contains("instance 0 ended with 2 after it was restarted"), status());
     assertTrue(status().contains("\"instance\":1,\"state\":\"ready\""), status());
     assertEquals(before.get(1), pids().get(pids().size() - 1));
-    Files.copy(Path.of("deploy/rehearsal.json"), config, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+    Files.copy(
+        Path.of("deploy/rehearsal.json"),
+        config,
+        java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     until(() -> allReady(2));
     assertNotEquals(before.get(0), pids().get(0));
   }
 
   @Test
   void operatorFileThatNoInstanceWouldTakeIsNotSentRound() throws Exception {
-    String good = "[sources.s]\nstatic = [{ name = \"u\", address = \"127.0.0.1:1\" }]\n[pools.p]\nsource = \"s\"\n[[routes]]\n"
-        + "pool = \"p\"\n";
+    String good =
+        "[sources.s]\nstatic = [{ name = \"u\", address = \"127.0.0.1:1\" }]\n[pools.p]\nsource = \"s\"\n[[routes]]\n"
+            + "pool = \"p\"\n";
     operator = Files.writeString(folder.resolve("operator.toml"), good);
     daemon(2);
     until(() -> allReady(2));
@@ -257,7 +309,8 @@
     Files.writeString(operator, good.replace("source = ", "sorce = "));
     String answer = Control.ask(run, "reload");
     assertTrue(answer.contains("operator.toml:") && answer.contains("unknown key"), answer);
-    assertTrue(status().contains("\"work\":\"none\"") && status().contains("\"halted\":null"), status());
+    assertTrue(
+        status().contains("\"work\":\"none\"") && status().contains("\"halted\":null"), status());
     Files.writeString(operator, good.replace("\"p\"\n", "\"p\" # again\n"));
     assertEquals("{\"ok\":true}", Control.ask(run, "reload"));
     until(() -> status().contains("\"work\":\"none\""));
@@ -267,24 +320,32 @@
 
   @Test
   void runDirectoryThatIsNoGoodIsOneLine() throws Exception {
-    Path open = Files.createDirectory(folder.resolve("open"),
+    Path open = Files.createDirectory(
+        folder.resolve("open"),
         PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwxr-xr-x")));
-    assertTrue(message(open).contains("expected it to be its owner's alone (mode 0700), got rwxr-xr-x"), message(open));
+    assertTrue(
+        message(open).contains("expected it to be its owner's alone (mode 0700), got rwxr-xr-x"),
+        message(open));
     Path file = Files.createFile(folder.resolve("file"));
     assertTrue(message(file).contains("cannot be made or entered"), message(file));
     Path full = Path.of("/dev/full/x");
     assertTrue(message(full).contains("cannot be made or entered"), message(full));
     Path deep = folder.resolve("x".repeat(120));
     assertTrue(message(deep).contains("expected a path of at most"), message(deep));
-    Path lockIsADirectory = Files.createDirectory(folder.resolve("l"),
+    Path lockIsADirectory = Files.createDirectory(
+        folder.resolve("l"),
         PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
     Files.createDirectory(lockIsADirectory.resolve("lock"));
-    assertTrue(message(lockIsADirectory).contains("cannot be written to"), message(lockIsADirectory));
-    assertTrue(assertThrows(IOException.class, () -> Control.ask(folder, "status")).getMessage().contains("no daemon answers"));
+    assertTrue(
+        message(lockIsADirectory).contains("cannot be written to"), message(lockIsADirectory));
+    assertTrue(assertThrows(IOException.class, () -> Control.ask(folder, "status"))
+        .getMessage()
+        .contains("no daemon answers"));
   }
 
   private String message(Path directory) {
-    String text = assertThrows(IOException.class, () -> RunDirectory.take(directory)).getMessage();
+    String text =
+        assertThrows(IOException.class, () -> RunDirectory.take(directory)).getMessage();
     assertFalse(text.contains("\n"));
     return text;
   }
@@ -307,7 +368,9 @@
     assertEquals(0, stop.waitFor());
     until(() -> bothReadyAndAnother(1, before));
     assertEquals(before.get(0), pids().get(0));
-    assertTrue(log.stream().anyMatch(l -> l.startsWith("instance 1 has answered nothing for ")), log.toString());
+    assertTrue(
+        log.stream().anyMatch(l -> l.startsWith("instance 1 has answered nothing for ")),
+        log.toString());
   }
 
   @Test
@@ -317,7 +380,9 @@
     Files.createDirectory(run.resolve("instance-1.log"));
     daemon(2);
     until(() -> allReady(2));
-    assertTrue(log.stream().anyMatch(l -> l.startsWith("instance 1 runs without a log: ")), log.toString());
+    assertTrue(
+        log.stream().anyMatch(l -> l.startsWith("instance 1 runs without a log: ")),
+        log.toString());
     assertTrue(status().contains("\"peers\":null"), status());
   }
 }
--- a/src/test/java/pumicekeel/fleet/OneAddressTest.java
+++ b/src/test/java/pumicekeel/fleet/OneAddressTest.java
@@ -39,6 +39,7 @@
 
   @TempDir
   private Path folder;
+
   private Path run;
   private Process daemon;
 
@@ -81,7 +82,12 @@
     }
     String lower = head.toString().toLowerCase();
     int at = lower.indexOf("content-length:");
-    in.readFully(new byte[at < 0 ? 0 : Integer.parseInt(lower.substring(at + 15, lower.indexOf('\r', at)).trim())]);
+    in.readFully(
+        new byte
+            [at < 0
+                ? 0
+                : Integer.parseInt(
+                    lower.substring(at + 15, lower.indexOf('\r', at)).trim())]);
     return lower;
   }
 
@@ -107,8 +113,10 @@
             DataInputStream in = new DataInputStream(connection.getInputStream());
             while (true) {
               readHead(in);
-              connection.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
-                  .getBytes(StandardCharsets.US_ASCII));
+              connection
+                  .getOutputStream()
+                  .write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
+                      .getBytes(StandardCharsets.US_ASCII));
             }
           } catch (IOException | RuntimeException e) {
             // The balancer has closed it.
@@ -120,8 +128,13 @@
     }
   }
 
-  private static void client(int number, InetSocketAddress address, AtomicBoolean over, AtomicInteger served,
-      AtomicInteger refused, AtomicInteger broken) {
+  private static void client(
+      int number,
+      InetSocketAddress address,
+      AtomicBoolean over,
+      AtomicInteger served,
+      AtomicInteger refused,
+      AtomicInteger broken) {
     Socket socket = null;
     for (int i = 0; !over.get(); i++) {
       try {
@@ -129,8 +142,11 @@
           socket = new Socket(address.getAddress(), address.getPort());
           socket.setSoTimeout(30_000);
         }
-        socket.getOutputStream().write(("GET /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + number + "-" + i
-            + "\r\nX-Service-Class: c\r\nX-Account: t\r\nX-Time-Left-Ms: 20000\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+        socket
+            .getOutputStream()
+            .write(("GET /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + number + "-" + i
+                    + "\r\nX-Service-Class: c\r\nX-Account: t\r\nX-Time-Left-Ms: 20000\r\n\r\n")
+                .getBytes(StandardCharsets.US_ASCII));
         int status = readStatus(new DataInputStream(socket.getInputStream()));
         served.incrementAndGet();
         refused.addAndGet(Math.abs(status) == 200 ? 0 : 1);
@@ -150,10 +166,25 @@
 
   private ProcessBuilder fleet(Path config, int door, String... before) throws IOException {
     List<String> command = new ArrayList<>(List.of(before));
-    command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-        System.getProperty("java.class.path"), "pumicekeel.cli.Main", "fleet", "--instances", "2", "--run-dir", run.toString(),
-        "--config", config.toString(), "--listen", "127.0.0.1:" + door, "--one-address", "--watch-ms", "200",
-        "--flag=-XX:+UseSerialGC", "--flag=-XX:TieredStopAtLevel=1"));
+    command.addAll(List.of(
+        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+        "-cp",
+        System.getProperty("java.class.path"),
+        "pumicekeel.cli.Main",
+        "fleet",
+        "--instances",
+        "2",
+        "--run-dir",
+        run.toString(),
+        "--config",
+        config.toString(),
+        "--listen",
+        "127.0.0.1:" + door,
+        "--one-address",
+        "--watch-ms",
+        "200",
+        "--flag=-XX:+UseSerialGC",
+        "--flag=-XX:TieredStopAtLevel=1"));
     return new ProcessBuilder(command).redirectErrorStream(true);
   }
 
@@ -161,7 +192,8 @@
   private int freeDoors() throws IOException {
     for (int tries = 0; tries < 100; tries++) {
       try (ServerSocket one = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-          ServerSocket two = new ServerSocket(one.getLocalPort() + 1, 1, InetAddress.getLoopbackAddress())) {
+          ServerSocket two =
+              new ServerSocket(one.getLocalPort() + 1, 1, InetAddress.getLoopbackAddress())) {
         return two.getLocalPort() - 1;
       } catch (IOException | IllegalArgumentException e) {
         // The one behind it is taken: another pair.
@@ -175,11 +207,17 @@
     run = Files.createTempDirectory("hv");
     try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       daemonThread(() -> upstream(listener));
-      Path config = Files.writeString(folder.resolve("config.json"), Files.readString(Path.of("deploy/rehearsal.json"))
-          .replace("\"address\":\"127.0.0.1:1\"", "\"address\":\"127.0.0.1:" + listener.getLocalPort() + "\""));
+      Path config = Files.writeString(
+          folder.resolve("config.json"),
+          Files.readString(Path.of("deploy/rehearsal.json"))
+              .replace(
+                  "\"address\":\"127.0.0.1:1\"",
+                  "\"address\":\"127.0.0.1:" + listener.getLocalPort() + "\""));
       daemon = fleet(config, freeDoors(), "perl", "-e", MANAGER).start();
-      BufferedReader lines = new BufferedReader(new InputStreamReader(daemon.getInputStream(), StandardCharsets.UTF_8));
-      InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(),
+      BufferedReader lines = new BufferedReader(
+          new InputStreamReader(daemon.getInputStream(), StandardCharsets.UTF_8));
+      InetSocketAddress address = new InetSocketAddress(
+          InetAddress.getLoopbackAddress(),
           Integer.parseInt(lines.readLine().substring("port ".length())));
       List<String> said = java.util.Collections.synchronizedList(new ArrayList<>());
       daemonThread(() -> lines.lines().forEach(said::add));
@@ -201,28 +239,40 @@
       until(() -> status().contains("\"work\":\"none\"") && ready(2));
       String after = status();
       assertTrue(after.contains("\"halted\":null"), after);
-      assertTrue(!after.replaceAll("\"for-ms\":\\d+", "").equals(before.replaceAll("\"for-ms\":\\d+", "")), "other processes");
+      assertTrue(
+          !after.replaceAll("\"for-ms\":\\d+", "").equals(before.replaceAll("\"for-ms\":\\d+", "")),
+          "other processes");
       int then = served.get();
       until(() -> served.get() > then + 100);
       over.set(true);
       for (Thread client : clients) {
         client.join();
       }
-      assertEquals(0, broken.get(), "of " + served.get() + " requests, these met a refused, reset or unread connection");
+      assertEquals(
+          0,
+          broken.get(),
+          "of " + served.get() + " requests, these met a refused, reset or unread connection");
       // With a grace of nothing every upstream was once held for drained, and all of them were.
-      assertTrue(refused.get() < served.get() / 10, refused.get() + " of " + served.get() + " were not answered with 200");
+      assertTrue(
+          refused.get() < served.get() / 10,
+          refused.get() + " of " + served.get() + " were not answered with 200");
       Control.ask(run, "stop");
       assertTrue(daemon.waitFor(60, TimeUnit.SECONDS));
-      assertTrue(said.stream().noneMatch(l -> l.contains("Exception") || l.startsWith("\tat ")), said.toString());
+      assertTrue(
+          said.stream().noneMatch(l -> l.contains("Exception") || l.startsWith("\tat ")),
+          said.toString());
     }
   }
 
   @Test
   void descriptorThatIsNoSocketIsOneLine() throws Exception {
     run = Files.createTempDirectory("hv");
-    daemon = fleet(Path.of("deploy/rehearsal.json"), freeDoors()).redirectInput(Path.of("/dev/null").toFile()).start();
+    daemon = fleet(Path.of("deploy/rehearsal.json"), freeDoors())
+        .redirectInput(Path.of("/dev/null").toFile())
+        .start();
     String said = new String(daemon.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertEquals(2, daemon.waitFor());
-    assertEquals("--one-address: expected a listening socket as descriptor 0, got /dev/null", said.strip());
+    assertEquals(
+        "--one-address: expected a listening socket as descriptor 0, got /dev/null", said.strip());
   }
 }
--- a/src/test/java/pumicekeel/fleet/SupervisorTest.java
+++ b/src/test/java/pumicekeel/fleet/SupervisorTest.java
@@ -35,9 +35,14 @@
   private void take(List<Action> actions) {
     for (Action a : actions) {
       if (!(a instanceof Supervisor.Say)) {
-        log.add(a.getClass().getSimpleName() + " " + (a instanceof Supervisor.Start x ? x.instance()
-            : a instanceof Supervisor.Terminate x ? x.instance() : a instanceof Supervisor.Kill x ? x.instance()
-            : ((Supervisor.Hangup) a).instance()));
+        log.add(a.getClass().getSimpleName() + " "
+            + (a instanceof Supervisor.Start x
+                ? x.instance()
+                : a instanceof Supervisor.Terminate x
+                    ? x.instance()
+                    : a instanceof Supervisor.Kill x
+                        ? x.instance()
+                        : ((Supervisor.Hangup) a).instance()));
       }
     }
   }
@@ -129,7 +134,8 @@
     }
     assertEquals(Work.NONE, s.work());
     assertNull(s.halted());
-    assertEquals(List.of("Start 0", "Start 2", "Terminate 3", "Terminate 4", "Start 3", "Start 4"), taken());
+    assertEquals(
+        List.of("Start 0", "Start 2", "Terminate 3", "Terminate 4", "Start 3", "Start 4"), taken());
   }
 
   @Test
@@ -143,7 +149,9 @@
     assertTrue(s.halted().contains("instance 0"), s.halted());
     take(s.exited(0, 137, now));
     pass(600 * SECOND);
-    assertTrue(taken().stream().noneMatch(a -> a.startsWith("Terminate") && !a.endsWith(" 0")), "nobody else goes");
+    assertTrue(
+        taken().stream().noneMatch(a -> a.startsWith("Terminate") && !a.endsWith(" 0")),
+        "nobody else goes");
     assertEquals(State.READY, s.stateOf(1));
     assertEquals(State.READY, s.stateOf(2));
   }
@@ -211,7 +219,9 @@
     pass(SECOND);
     assertEquals(List.of("Terminate 0"), taken());
     pass(11 * SECOND);
-    assertEquals(List.of("Kill 3", "Kill 0"), taken().stream().sorted(java.util.Comparator.reverseOrder()).toList());
+    assertEquals(
+        List.of("Kill 3", "Kill 0"),
+        taken().stream().sorted(java.util.Comparator.reverseOrder()).toList());
     take(s.exited(3, 137, now));
     take(s.exited(0, 137, now));
     pass(SECOND);
@@ -283,7 +293,7 @@
   }
 
   private void passHearing(long nanos, int... heard) {
-    for (long end = now + nanos; now < end;) {
+    for (long end = now + nanos; now < end; ) {
       now = Math.min(end, now + SECOND / 10);
       for (int i : heard) {
         s.heard(i, now);
--- a/src/test/java/pumicekeel/front/http/ClientTimesTest.java
+++ b/src/test/java/pumicekeel/front/http/ClientTimesTest.java
@@ -72,7 +72,8 @@
     assertTrue(Phase.COMING.mayBecome(Phase.UPLOADING));
     assertTrue(Phase.UPLOADING.mayBecome(Phase.SKIPPING));
     assertFalse(Phase.IDLE.mayBecome(Phase.PASSING), "an answer to nothing");
-    assertFalse(Phase.TAKEN.mayBecome(Phase.COMING), "a second request before the first has its answer");
+    assertFalse(
+        Phase.TAKEN.mayBecome(Phase.COMING), "a second request before the first has its answer");
     assertFalse(Phase.ENDING.mayBecome(Phase.IDLE), "no way back");
   }
 }
--- a/src/test/java/pumicekeel/front/jsonrpc/BatchAnswersTest.java
+++ b/src/test/java/pumicekeel/front/jsonrpc/BatchAnswersTest.java
@@ -115,7 +115,8 @@
         How how = How.values()[random.nextInt(3)];
         boolean notification = random.nextInt(5) == 0;
         long until = now + random.nextLong(-50, 150);
-        latest[i] = mode == BatchMode.TOGETHER || how == How.INVALID && mode == BatchMode.IN_TIME ? Long.MAX_VALUE
+        latest[i] = mode == BatchMode.TOGETHER || how == How.INVALID && mode == BatchMode.IN_TIME
+            ? Long.MAX_VALUE
             : mode == BatchMode.APART || how == How.GIVEN_UP ? now : Math.max(now, until);
         b.ended(notification ? null : i, how, until);
         wanted += notification ? 0 : 1;
--- a/src/test/java/pumicekeel/front/jsonrpc/MethodMappingTest.java
+++ b/src/test/java/pumicekeel/front/jsonrpc/MethodMappingTest.java
@@ -26,9 +26,21 @@
     return new At(Pointer.of(pointer), false);
   }
 
-  private final MethodMapping mapping = new MethodMapping("m", "quote-issue", "h", Map.of(Part.TENANT, at("/who/account"),
-      Part.SESSION_KEY, new At(Pointer.of("/session"), true), Part.IDEMPOTENCY_KEY, at("/key"), Part.TIME_LEFT_MS,
-      new At(Pointer.of("/left"), true), Part.WORK_HINT_US, new Constant("70")),
+  private final MethodMapping mapping = new MethodMapping(
+      "m",
+      "quote-issue",
+      "h",
+      Map.of(
+          Part.TENANT,
+          at("/who/account"),
+          Part.SESSION_KEY,
+          new At(Pointer.of("/session"), true),
+          Part.IDEMPOTENCY_KEY,
+          at("/key"),
+          Part.TIME_LEFT_MS,
+          new At(Pointer.of("/left"), true),
+          Part.WORK_HINT_US,
+          new Constant("70")),
       List.of(new Text("/quote-issue/"), new Value(Pointer.of("/id")), new Text("?v=1")));
 
   private Said read(String params) throws BadParams {
@@ -37,23 +49,34 @@
 
   @Test
   void partsComeByPointerOrAsConstants() throws BadParams {
-    assertEquals(new Said("a", "s", "k", 1_500, 70, "/quote-issue/7%2F%20%C3%A9?v=1"),
-        read("{\"left\":1500,\"who\":{\"account\":\"a\"},\"session\":\"s\",\"key\":\"k\",\"id\":\"7/ \u00e9\"}"));
-    assertEquals(new Said("a", null, "12", -1, 70, "/quote-issue/9?v=1"),
+    assertEquals(
+        new Said("a", "s", "k", 1_500, 70, "/quote-issue/7%2F%20%C3%A9?v=1"),
+        read(
+            "{\"left\":1500,\"who\":{\"account\":\"a\"},\"session\":\"s\",\"key\":\"k\",\"id\":\"7/ \u00e9\"}"));
+    assertEquals(
+        new Said("a", null, "12", -1, 70, "/quote-issue/9?v=1"),
         read("{\"who\":{\"account\":\"a\"},\"key\":12,\"id\":9}"));
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-      "/who/account|{\"who\":{},\"key\":\"k\",\"id\":1}", "/who/account|{\"who\":{\"account\":null},\"key\":\"k\",\"id\":1}",
-      "/who/account|{\"who\":{\"account\":\"\"},\"key\":\"k\",\"id\":1}",
-      "/who/account|{\"who\":{\"account\":1.0},\"key\":\"k\",\"id\":1}", "/who/account|[]",
-      "/session|{\"who\":{\"account\":\"a\"},\"session\":true,\"key\":\"k\",\"id\":1}",
-      "/key|{\"who\":{\"account\":\"a\"},\"key\":[],\"id\":1}", "/key|{\"who\":{\"account\":\"a\"},\"key\":\"a\\r\\nb\",\"id\":1}",
-      "/left|{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"left\":\"5\",\"id\":1}",
-      "/left|{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"left\":-5,\"id\":1}",
-      "/left|{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"left\":1e9,\"id\":1}",
-      "/id|{\"who\":{\"account\":\"a\"},\"key\":\"k\"}", "/id|{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"id\":\"..\"}"})
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '`',
+      value = {
+        "/who/account|{\"who\":{},\"key\":\"k\",\"id\":1}",
+        "/who/account|{\"who\":{\"account\":null},\"key\":\"k\",\"id\":1}",
+        "/who/account|{\"who\":{\"account\":\"\"},\"key\":\"k\",\"id\":1}",
+        "/who/account|{\"who\":{\"account\":1.0},\"key\":\"k\",\"id\":1}",
+        "/who/account|[]",
+        "/session|{\"who\":{\"account\":\"a\"},\"session\":true,\"key\":\"k\",\"id\":1}",
+        "/key|{\"who\":{\"account\":\"a\"},\"key\":[],\"id\":1}",
+        "/key|{\"who\":{\"account\":\"a\"},\"key\":\"a\\r\\nb\",\"id\":1}",
+        "/left|{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"left\":\"5\",\"id\":1}",
+        "/left|{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"left\":-5,\"id\":1}",
+        "/left|{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"left\":1e9,\"id\":1}",
+        "/id|{\"who\":{\"account\":\"a\"},\"key\":\"k\"}",
+        "/id|{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"id\":\"..\"}"
+      })
   void whatIsMissingOrMistypedIsNamedByItsPointer(String pointer, String params) {
     String why = assertThrows(BadParams.class, () -> read(params)).getMessage();
     assertTrue(why.startsWith(pointer + ": expected"), why);
@@ -66,7 +89,9 @@
 
   @Test
   void hugeTimesAreNoOverflow() throws BadParams {
-    assertEquals(MethodMapping.MOST_NUMBER,
-        read("{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"id\":1,\"left\":999999999999}").leftMillis());
+    assertEquals(
+        MethodMapping.MOST_NUMBER,
+        read("{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"id\":1,\"left\":999999999999}")
+            .leftMillis());
   }
 }
--- a/src/test/java/pumicekeel/journal/FaultyJournal.java
+++ b/src/test/java/pumicekeel/journal/FaultyJournal.java
@@ -47,8 +47,13 @@
         throw new AssertionError("nothing to delete");
       }
     };
-    writer = new JournalWriter(disk, new JournalWriter.Settings(Durability.HOST, refuses, 1 << 20, 1 << 30, 1 << 30),
-        new Entry.Boot(1, 2, "n0", "b", Durability.HOST, refuses), 7, loop, System::currentTimeMillis);
+    writer = new JournalWriter(
+        disk,
+        new JournalWriter.Settings(Durability.HOST, refuses, 1 << 20, 1 << 30, 1 << 30),
+        new Entry.Boot(1, 2, "n0", "b", Durability.HOST, refuses),
+        7,
+        loop,
+        System::currentTimeMillis);
     writer.start();
   }
 
