--- a/src/test/java/pumicekeel/journal/HistoryTest.java
+++ b/src/test/java/pumicekeel/journal/HistoryTest.java
@@ -40,9 +40,27 @@
 
   private static Entry[] served(String id, long wall) {
     Entry.Intent i = SegmentTest.intent(id, "k", 0);
-    return new Entry[] {new Entry.Intent(id, "k", i.className(), i.effect(), i.scope(), i.windowNanos(), i.tenant(),
-        i.pool(), 0, "s-0", i.address(), "a", 3, wall, 1), new Entry.Written(id, 0, 2),
-        new Entry.Ended(id, 0, Status.SERVED, wall + 1), new Entry.Answered(id, Entry.Told.SERVED, wall + 2)};
+    return new Entry[] {
+      new Entry.Intent(
+          id,
+          "k",
+          i.className(),
+          i.effect(),
+          i.scope(),
+          i.windowNanos(),
+          i.tenant(),
+          i.pool(),
+          0,
+          "s-0",
+          i.address(),
+          "a",
+          3,
+          wall,
+          1),
+      new Entry.Written(id, 0, 2),
+      new Entry.Ended(id, 0, Status.SERVED, wall + 1),
+      new Entry.Answered(id, Entry.Told.SERVED, wall + 2)
+    };
   }
 
   private History read() throws Exception {
@@ -52,7 +70,10 @@
   }
 
   private static Story.Verdict verdict(History history, String id) {
-    Story story = history.stories().stream().filter(s -> s.first().id().equals(id)).findFirst().orElseThrow();
+    Story story = history.stories().stream()
+        .filter(s -> s.first().id().equals(id))
+        .findFirst()
+        .orElseThrow();
     return story.verdict(history.gapOf(story));
   }
 
@@ -76,7 +97,9 @@
   void segmentThatIsMissingInTheMiddleIsAHole() throws Exception {
     Files.delete(folder.resolve(name(100, 1)));
     History history = read();
-    assertTrue(history.holes().get(0).why().contains("segments 1 to 1 of epoch 64 are missing"), "" + history.holes());
+    assertTrue(
+        history.holes().get(0).why().contains("segments 1 to 1 of epoch 64 are missing"),
+        "" + history.holes());
     assertEquals(Story.Verdict.ANSWERED, verdict(history, "r0"));
     assertNotNull(history.gapAtAll());
   }
@@ -117,7 +140,8 @@
     Files.write(folder.resolve(name(100, 2)), bytes);
     History history = read();
     assertEquals(1, history.refused().size());
-    assertTrue(history.refused().get(0).why().contains("version 9"), history.refused().toString());
+    assertTrue(
+        history.refused().get(0).why().contains("version 9"), history.refused().toString());
     assertTrue(history.gapAtAll().contains("could not be read"));
   }
 
@@ -125,9 +149,14 @@
   void anIdUsedAgainAfterARestartIsAnotherRequest() throws Exception {
     write(200, 0, true, SegmentTest.intent("r0", "other", 0));
     History history = read();
-    assertEquals(2, history.stories().stream().filter(s -> s.first().id().equals("r0")).count());
-    assertEquals(List.of(Story.Verdict.ANSWERED, Story.Verdict.MAY_HAVE_RUN), history.stories().stream()
-        .filter(s -> s.first().id().equals("r0")).map(s -> s.verdict(history.gapOf(s))).toList());
+    assertEquals(
+        2, history.stories().stream().filter(s -> s.first().id().equals("r0")).count());
+    assertEquals(
+        List.of(Story.Verdict.ANSWERED, Story.Verdict.MAY_HAVE_RUN),
+        history.stories().stream()
+            .filter(s -> s.first().id().equals("r0"))
+            .map(s -> s.verdict(history.gapOf(s)))
+            .toList());
   }
 
   /** A process that sends without a record in trouble, and died: what is not found may have left. */
@@ -138,7 +167,9 @@
     write(200, 0, false, SegmentTest.intent("x", "k", 0), new Entry.Closed(300));
     assertNull(read().gapAtAll());
     write(200, 0, false, new Entry.Gap(210, 220, 5), new Entry.Closed(300));
-    assertTrue(read().gapAtAll().contains("5 records were lost, sends may have been made"), "" + read().gapAtAll());
+    assertTrue(
+        read().gapAtAll().contains("5 records were lost, sends may have been made"),
+        "" + read().gapAtAll());
   }
 
   @Test
@@ -151,7 +182,9 @@
       assertTrue(history.stories().size() >= 2);
       for (Story story : history.stories()) {
         Story.Verdict verdict = story.verdict(history.gapOf(story));
-        assertTrue(verdict != Story.Verdict.NEVER_LEFT && verdict != Story.Verdict.NOT_TOLD, cut + " " + verdict);
+        assertTrue(
+            verdict != Story.Verdict.NEVER_LEFT && verdict != Story.Verdict.NOT_TOLD,
+            cut + " " + verdict);
       }
     }
   }
--- a/src/test/java/pumicekeel/journal/JournalWriterTest.java
+++ b/src/test/java/pumicekeel/journal/JournalWriterTest.java
@@ -82,7 +82,8 @@
     @Override
     public synchronized List<Stored> list() {
       List<Stored> out = new ArrayList<>();
-      files.forEach((name, file) -> out.add(new Stored(name, file.size(), System.currentTimeMillis())));
+      files.forEach(
+          (name, file) -> out.add(new Stored(name, file.size(), System.currentTimeMillis())));
       return out;
     }
 
@@ -96,7 +97,8 @@
       List<Entry> out = new ArrayList<>();
       for (String name : files.keySet()) {
         int length = host ? synced.getOrDefault(name, 0) : files.get(name).size();
-        SegmentReader.read(ByteBuffer.wrap(files.get(name).toByteArray(), 0, length).slice(),
+        SegmentReader.read(
+            ByteBuffer.wrap(files.get(name).toByteArray(), 0, length).slice(),
             new SegmentReader.Sink() {
               @Override
               public void entry(long offset, Entry entry) {
@@ -118,9 +120,15 @@
   private final BlockingQueue<Boolean> told = new LinkedBlockingQueue<>();
   private JournalWriter writer;
 
-  private void start(Durability durability, boolean refuses, long segment, long keep) throws IOException {
-    writer = new JournalWriter(disk, new JournalWriter.Settings(durability, refuses, segment, keep, Long.MAX_VALUE / 2),
-        new Entry.Boot(1, 2, "n0", "b", durability, refuses), 7, loop, System::currentTimeMillis);
+  private void start(Durability durability, boolean refuses, long segment, long keep)
+      throws IOException {
+    writer = new JournalWriter(
+        disk,
+        new JournalWriter.Settings(durability, refuses, segment, keep, Long.MAX_VALUE / 2),
+        new Entry.Boot(1, 2, "n0", "b", durability, refuses),
+        7,
+        loop,
+        System::currentTimeMillis);
     writer.start();
   }
 
@@ -139,7 +147,9 @@
   }
 
   private long intents(boolean host, String prefix) throws Exception {
-    return disk.surviving(host).stream().filter(e -> e instanceof Entry.Intent i && i.id().startsWith(prefix)).count();
+    return disk.surviving(host).stream()
+        .filter(e -> e instanceof Entry.Intent i && i.id().startsWith(prefix))
+        .count();
   }
 
   @Test
@@ -184,7 +194,9 @@
     assertEquals(1, intents(true, "good"));
     assertEquals(0, intents(true, "bad"));
     assertEquals(2, disk.files.size());
-    assertTrue(disk.surviving(true).stream().anyMatch(e -> e instanceof Entry.Gap g && g.lost() >= 1), "the gap is told");
+    assertTrue(
+        disk.surviving(true).stream().anyMatch(e -> e instanceof Entry.Gap g && g.lost() >= 1),
+        "the gap is told");
   }
 
   @Test
@@ -220,7 +232,9 @@
       assertEquals(true, told.poll(30, TimeUnit.SECONDS));
     }
     writer.close();
-    assertTrue(disk.surviving(true).stream().anyMatch(e -> e instanceof Entry.Gap), "what was lost is told");
+    assertTrue(
+        disk.surviving(true).stream().anyMatch(e -> e instanceof Entry.Gap),
+        "what was lost is told");
   }
 
   @Test
@@ -231,22 +245,29 @@
       writer.note(new Entry.Ended("r" + i, 0, pumicekeel.Balancer.Status.SERVED, 1));
     }
     long bytes = disk.list().stream().mapToLong(Disk.Stored::bytes).sum();
-    assertTrue(disk.files.size() > 1 && bytes <= 14_000, disk.files.size() + " files, " + bytes + " bytes");
+    assertTrue(
+        disk.files.size() > 1 && bytes <= 14_000,
+        disk.files.size() + " files, " + bytes + " bytes");
     assertEquals(1, intents(false, "r199"));
-    assertEquals(0, disk.surviving(false).stream().filter(e -> e instanceof Entry.Intent i && i.id().equals("r0")).count());
+    assertEquals(
+        0,
+        disk.surviving(false).stream()
+            .filter(e -> e instanceof Entry.Intent i && i.id().equals("r0"))
+            .count());
     for (String name : disk.files.keySet()) {
       List<Entry> first = new ArrayList<>();
-      SegmentReader.read(ByteBuffer.wrap(disk.files.get(name).toByteArray()), new SegmentReader.Sink() {
-        @Override
-        public void entry(long offset, Entry entry) {
-          first.add(entry);
-        }
+      SegmentReader.read(
+          ByteBuffer.wrap(disk.files.get(name).toByteArray()), new SegmentReader.Sink() {
+            @Override
+            public void entry(long offset, Entry entry) {
+              first.add(entry);
+            }
 
-        @Override
-        public void damage(long offset, long length, boolean atEnd) {
-          throw new AssertionError("no damage");
-        }
-      });
+            @Override
+            public void damage(long offset, long length, boolean atEnd) {
+              throw new AssertionError("no damage");
+            }
+          });
       assertTrue(first.get(0) instanceof Entry.Boot, "each segment tells who wrote it");
     }
   }
@@ -271,24 +292,29 @@
 
   @Test
   void epochGoesUpThoughTheClockIsSetBack(@TempDir Path folder) throws Exception {
-    JournalWriter.Settings settings = new JournalWriter.Settings(Durability.PROCESS, true, 1 << 20, 1 << 30, 1L << 60);
+    JournalWriter.Settings settings =
+        new JournalWriter.Settings(Durability.PROCESS, true, 1 << 20, 1 << 30, 1L << 60);
     long ahead = System.currentTimeMillis() + 3_600_000L;
     Files.write(folder.resolve(String.format("%016x-%08d.hvj", ahead, 0)), new byte[0]);
     Journal.open(folder, "n0", settings, loop).close();
     Journal.open(folder, "n0", settings, loop).close();
     List<String> names = FolderDisk.list(folder).stream().map(Disk.Stored::name).toList();
-    assertEquals(List.of(ahead, ahead + 1, ahead + 2),
+    assertEquals(
+        List.of(ahead, ahead + 1, ahead + 2),
         names.stream().map(n -> Long.parseUnsignedLong(n.substring(0, 16), 16)).toList());
   }
 
   @Test
-  void folderThatIsNoGoodIsKnownAtTheStartAndHeldByOneProcess(@TempDir Path folder) throws Exception {
+  void folderThatIsNoGoodIsKnownAtTheStartAndHeldByOneProcess(@TempDir Path folder)
+      throws Exception {
     disk.createFails = true;
     assertThrows(IOException.class, () -> start(Durability.HOST, true, 1 << 20, 1 << 30));
     writer = null;
-    JournalWriter.Settings settings = new JournalWriter.Settings(Durability.HOST, true, 1 << 20, 1 << 30, 1 << 30);
+    JournalWriter.Settings settings =
+        new JournalWriter.Settings(Durability.HOST, true, 1 << 20, 1 << 30, 1 << 30);
     try (Journal journal = Journal.open(folder, "n0", settings, loop)) {
-      IOException e = assertThrows(IOException.class, () -> Journal.open(folder, "n1", settings, loop));
+      IOException e =
+          assertThrows(IOException.class, () -> Journal.open(folder, "n1", settings, loop));
       assertTrue(e.getMessage().contains("another one writes"), e.getMessage());
       assertFalse(journal.writer().trouble() != null);
     }
--- a/src/test/java/pumicekeel/journal/RecoveryTest.java
+++ b/src/test/java/pumicekeel/journal/RecoveryTest.java
@@ -19,8 +19,22 @@
   private final Recovery recovery = new Recovery(100);
 
   private static Entry.Intent sent(String id, String key, long wallMillis, long monoNanos) {
-    return new Entry.Intent(id, key, "quote-issue", key == null ? Effect.UNSAFE : Effect.KEYED, DedupScope.CELL,
-        2 * SECOND, "acme", "quotes", 0, "s-0", "127.0.0.1:9000", "a", 3, wallMillis, monoNanos);
+    return new Entry.Intent(
+        id,
+        key,
+        "quote-issue",
+        key == null ? Effect.UNSAFE : Effect.KEYED,
+        DedupScope.CELL,
+        2 * SECOND,
+        "acme",
+        "quotes",
+        0,
+        "s-0",
+        "127.0.0.1:9000",
+        "a",
+        3,
+        wallMillis,
+        monoNanos);
   }
 
   private void boot(String host) {
@@ -47,7 +61,10 @@
     assertEquals(NOW - SECOND / 2, memory.earlier("kk1", "x", NOW).get(0).sentAtNanos());
     KeyMemory other = new KeyMemory(10);
     recovery.into(other, "b2", 40_000, SECOND, NOW);
-    assertEquals(NOW - 2 * SECOND, other.earlier("kk2", "x", NOW).get(0).sentAtNanos(), "nobody knows: it is over");
+    assertEquals(
+        NOW - 2 * SECOND,
+        other.earlier("kk2", "x", NOW).get(0).sentAtNanos(),
+        "nobody knows: it is over");
   }
 
   @Test
@@ -73,8 +90,10 @@
     boot("b1");
     recovery.take(sent("r1", Codec.cut(key), 50_000, 10 * SECOND));
     recovery.into(memory, "b1", 50_000, 10 * SECOND, NOW);
-    assertEquals(1, memory.earlier(KeyMemory.nameOf(Effect.KEYED, "x", key), "x", NOW).size());
-    assertTrue(memory.earlier(KeyMemory.nameOf(Effect.KEYED, "x", key + "c"), "x", NOW).isEmpty());
+    assertEquals(
+        1, memory.earlier(KeyMemory.nameOf(Effect.KEYED, "x", key), "x", NOW).size());
+    assertTrue(
+        memory.earlier(KeyMemory.nameOf(Effect.KEYED, "x", key + "c"), "x", NOW).isEmpty());
     // Two texts that String.hashCode takes for one.
     assertTrue(!Codec.cut("x".repeat(400) + "Aa").equals(Codec.cut("x".repeat(400) + "BB")));
   }
@@ -82,7 +101,8 @@
   @Test
   void memoryIsBoundedAndARequestsOwnAttemptsAreNotEarlierOnes() {
     for (int i = 0; i < 30; i++) {
-      memory.mayRun("k" + i, "p", "r" + i, 0, new pumicekeel.Balancer.Earlier("a", 1, NOW), SECOND, NOW);
+      memory.mayRun(
+          "k" + i, "p", "r" + i, 0, new pumicekeel.Balancer.Earlier("a", 1, NOW), SECOND, NOW);
     }
     assertEquals(10, memory.size());
     assertEquals(20, memory.dropped());
@@ -93,7 +113,8 @@
     assertTrue(memory.earlier("k28", "x", NOW + 62 * SECOND).isEmpty(), "over");
   }
 
-  // ---- What is said -------------------------------------------------------------------------------------
+  // ---- What is said
+  // -------------------------------------------------------------------------------------
 
   private static Story story(Status status, Entry.Told told) {
     Story story = new Story("n0", 1);
@@ -110,18 +131,30 @@
   @Test
   void eachEndIsToldAsWhatItProves() {
     assertEquals(Story.Verdict.MAY_HAVE_RUN, story(null, null).verdict(null));
-    assertEquals(Story.Verdict.MAY_HAVE_RUN, story(Status.RESET, Entry.Told.FAILED).verdict(null));
-    assertEquals(Story.Verdict.NEVER_LEFT, story(Status.CONNECT_FAILED, Entry.Told.REFUSED).verdict(null));
+    assertEquals(
+        Story.Verdict.MAY_HAVE_RUN, story(Status.RESET, Entry.Told.FAILED).verdict(null));
+    assertEquals(
+        Story.Verdict.NEVER_LEFT,
+        story(Status.CONNECT_FAILED, Entry.Told.REFUSED).verdict(null));
     assertEquals(Story.Verdict.NEVER_LEFT, story(Status.FULL, null).verdict(null));
-    assertEquals(Story.Verdict.UNKNOWN, story(Status.FULL, null).verdict("a hole"), "another attempt may be in the hole");
+    assertEquals(
+        Story.Verdict.UNKNOWN,
+        story(Status.FULL, null).verdict("a hole"),
+        "another attempt may be in the hole");
     assertEquals(Story.Verdict.ANSWERED, story(Status.SERVED, Entry.Told.SERVED).verdict("a hole"));
     assertEquals(Story.Verdict.NOT_TOLD, story(Status.SERVED, Entry.Told.LEFT).verdict(null));
-    assertEquals(Story.Verdict.UNKNOWN, story(Status.SERVED, null).verdict(null), "it may have been told: no record");
+    assertEquals(
+        Story.Verdict.UNKNOWN,
+        story(Status.SERVED, null).verdict(null),
+        "it may have been told: no record");
     Story two = story(Status.TIMEOUT, null);
-    two.intent(new Entry.Intent("r", "k", "c", Effect.KEYED, DedupScope.CELL, 1, null, "p", 1, "s-1", "h:1", "a", 3, 9, 9));
+    two.intent(new Entry.Intent(
+        "r", "k", "c", Effect.KEYED, DedupScope.CELL, 1, null, "p", 1, "s-1", "h:1", "a", 3, 9, 9));
     two.ended(1, Status.SERVED);
     two.answered(Entry.Told.SERVED, 10);
     assertEquals(Story.Verdict.ANSWERED, two.verdict(null));
-    assertEquals(List.of("s-0", "s-1"), two.attempts().stream().map(a -> a.intent().upstream()).toList());
+    assertEquals(
+        List.of("s-0", "s-1"),
+        two.attempts().stream().map(a -> a.intent().upstream()).toList());
   }
 }
--- a/src/test/java/pumicekeel/journal/SegmentTest.java
+++ b/src/test/java/pumicekeel/journal/SegmentTest.java
@@ -19,14 +19,33 @@
   private static final long SALT = 0x1122334455667788L;
 
   static Entry.Intent intent(String id, String key, int attempt) {
-    return new Entry.Intent(id, key, "quote-issue", Effect.KEYED, DedupScope.CELL, 2_000_000_000L, "acme", "quotes",
-        attempt, "s-" + attempt, "127.0.0.1:9000", "a", 3, 1_000, 2_000);
+    return new Entry.Intent(
+        id,
+        key,
+        "quote-issue",
+        Effect.KEYED,
+        DedupScope.CELL,
+        2_000_000_000L,
+        "acme",
+        "quotes",
+        attempt,
+        "s-" + attempt,
+        "127.0.0.1:9000",
+        "a",
+        3,
+        1_000,
+        2_000);
   }
 
   private static List<Entry> records() {
-    return List.of(new Entry.Boot(1, 2, "n0", "boot", Durability.HOST, true), intent("r1", "k1", 0),
-        new Entry.Written("r1", 0, 5), new Entry.Ended("r1", 0, Status.SERVED, 7),
-        new Entry.Answered("r1", Entry.Told.SERVED, 8), new Entry.Gap(1, 2, 3), intent("r2", null, 1),
+    return List.of(
+        new Entry.Boot(1, 2, "n0", "boot", Durability.HOST, true),
+        intent("r1", "k1", 0),
+        new Entry.Written("r1", 0, 5),
+        new Entry.Ended("r1", 0, Status.SERVED, 7),
+        new Entry.Answered("r1", Entry.Told.SERVED, 8),
+        new Entry.Gap(1, 2, 3),
+        intent("r2", null, 1),
         new Entry.Closed(9));
   }
 
@@ -97,12 +116,16 @@
       try {
         read = read(spoilt);
       } catch (SegmentReader.Unreadable e) {
-        assertTrue(bit / 8 == 8 || bit / 8 == 9, "only the version's bits make it another version: " + bit);
+        assertTrue(
+            bit / 8 == 8 || bit / 8 == 9,
+            "only the version's bits make it another version: " + bit);
         continue;
       }
       assertEquals(1, read.damage().size(), "bit " + bit);
       assertTrue(records().containsAll(read.entries()), "bit " + bit);
-      assertTrue(bit / 8 < Codec.HEADER_BYTES || read.entries().size() == records().size() - 1, "bit " + bit);
+      assertTrue(
+          bit / 8 < Codec.HEADER_BYTES || read.entries().size() == records().size() - 1,
+          "bit " + bit);
     }
   }
 
@@ -118,11 +141,17 @@
         text.append((char) (planted.get() & 0x7f));
       }
       ByteBuffer bytes = segment(List.of(intent(text.toString(), "k", 0), new Entry.Closed(1)));
-      // The same bytes as they are, in place of the record's payload: the strongest that a client could send.
+      // The same bytes as they are, in place of the record's payload: the strongest that a client
+      // could send.
       ByteBuffer exact = copy(bytes);
-      Codec.frame(exact.position(Codec.HEADER_BYTES + 20), guess, new Entry.Answered("x", Entry.Told.SERVED, 1));
+      Codec.frame(
+          exact.position(Codec.HEADER_BYTES + 20),
+          guess,
+          new Entry.Answered("x", Entry.Told.SERVED, 1));
       Read read = read(exact.clear());
-      assertTrue(read.entries().stream().noneMatch(e -> e instanceof Entry.Answered), read.entries().toString());
+      assertTrue(
+          read.entries().stream().noneMatch(e -> e instanceof Entry.Answered),
+          read.entries().toString());
       assertEquals(1, read.damage().size());
     }
   }
@@ -142,8 +171,8 @@
     out.putInt(start + 4, 16).putInt(Codec.crc(SALT, out, start, Codec.FRAME_HEAD + 16));
     int unknown = out.position();
     Codec.frame(out, SALT, new Entry.Closed(6));
-    out.put(unknown + 2, (byte) 99).putInt(out.position() - 4,
-        Codec.crc(SALT, out, unknown, out.position() - 4 - unknown));
+    out.put(unknown + 2, (byte) 99)
+        .putInt(out.position() - 4, Codec.crc(SALT, out, unknown, out.position() - 4 - unknown));
     Codec.frame(out, SALT, new Entry.Closed(7));
     Read read = read(out.flip());
     assertEquals(List.of(new Entry.Closed(5), new Entry.Closed(7)), read.entries());
--- a/src/test/java/pumicekeel/jsonrpc/FrameDecoderTest.java
+++ b/src/test/java/pumicekeel/jsonrpc/FrameDecoderTest.java
@@ -27,8 +27,10 @@
   private static List<String> read(EmbeddedChannel channel) {
     List<String> out = new ArrayList<>();
     for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
-      out.add(f instanceof Frame.Whole whole ? new String(whole.bytes(), StandardCharsets.UTF_8)
-          : "fault " + ((Frame.Fault) f).code());
+      out.add(
+          f instanceof Frame.Whole whole
+              ? new String(whole.bytes(), StandardCharsets.UTF_8)
+              : "fault " + ((Frame.Fault) f).code());
     }
     return out;
   }
@@ -43,7 +45,8 @@
   }
 
   private static final String VALUES = "{\"a\":\"}{\\\"]\"} [1,{\"b\":[2]}]\n{}[]";
-  private static final List<String> SPLIT = List.of("{\"a\":\"}{\\\"]\"}", "[1,{\"b\":[2]}]", "{}", "[]");
+  private static final List<String> SPLIT =
+      List.of("{\"a\":\"}{\\\"]\"}", "[1,{\"b\":[2]}]", "{}", "[]");
 
   @Test
   void sameMessagesHoweverTheBytesAreCut() {
@@ -51,21 +54,29 @@
     Random random = new Random(seed);
     String lines = String.join("\n", SPLIT) + "\r\n\n";
     StringBuilder counted = new StringBuilder();
-    SPLIT.forEach(s -> counted.append("Content-Length: ").append(s.length())
-        .append("\r\ncontent-type: application/json\r\n\r\n").append(s));
+    SPLIT.forEach(s -> counted
+        .append("Content-Length: ")
+        .append(s.length())
+        .append("\r\ncontent-type: application/json\r\n\r\n")
+        .append(s));
     for (int i = 0; i < 200; i++) {
       for (Framing framing : Framing.values()) {
-        for (String text : framing == Framing.DETECT ? new String[] {VALUES, counted.toString()}
-            : new String[] {framing == Framing.NEWLINE ? lines : framing == Framing.VALUES ? VALUES
-                : counted.toString()}) {
+        for (String text : framing == Framing.DETECT
+            ? new String[] {VALUES, counted.toString()}
+            : new String[] {
+              framing == Framing.NEWLINE
+                  ? lines
+                  : framing == Framing.VALUES ? VALUES : counted.toString()
+            }) {
           EmbeddedChannel channel = channel(framing);
           List<String> got = new ArrayList<>();
-          for (int at = 0; at < text.length();) {
+          for (int at = 0; at < text.length(); ) {
             int end = Math.min(text.length(), at + 1 + random.nextInt(i % 20 + 1));
             got.addAll(all(channel, text.substring(at, end)));
             at = end;
           }
-          assertEquals(SPLIT, got.stream().map(String::strip).toList(), "seed " + seed + " " + framing);
+          assertEquals(
+              SPLIT, got.stream().map(String::strip).toList(), "seed " + seed + " " + framing);
           channel.finishAndReleaseAll();
         }
       }
@@ -88,19 +99,38 @@
       assertEquals(List.of(), all(channel(framing), "[".repeat(8)));
       assertEquals(List.of("fault " + Codes.INVALID_REQUEST), all(channel(framing), "[1,1,1,1,1,"));
       assertEquals(List.of(), all(channel(framing), "[[1,1,1,1,1,1,1,1"));
-      assertEquals(List.of("fault " + Codes.INVALID_REQUEST), all(channel(framing), "[\"" + "x".repeat(999)));
+      assertEquals(
+          List.of("fault " + Codes.INVALID_REQUEST),
+          all(channel(framing), "[\"" + "x".repeat(999)));
     }
-    assertEquals(List.of("fault " + Codes.INVALID_REQUEST), all(channel(Framing.NEWLINE), "x".repeat(1_001)));
-    assertEquals(List.of("fault " + Codes.INVALID_REQUEST), all(channel(Framing.CONTENT_LENGTH), "Content-Length: 1001\r\n\r\n"));
-    assertEquals(List.of("fault " + Codes.PARSE), all(channel(Framing.CONTENT_LENGTH), "x".repeat(512)));
+    assertEquals(
+        List.of("fault " + Codes.INVALID_REQUEST),
+        all(channel(Framing.NEWLINE), "x".repeat(1_001)));
+    assertEquals(
+        List.of("fault " + Codes.INVALID_REQUEST),
+        all(channel(Framing.CONTENT_LENGTH), "Content-Length: 1001\r\n\r\n"));
+    assertEquals(
+        List.of("fault " + Codes.PARSE), all(channel(Framing.CONTENT_LENGTH), "x".repeat(512)));
   }
 
   @Test
   void headThatCouldBeReadInTwoWaysIsRefused() {
-    for (String head : new String[] {"Content-Length: 2\r\nContent-Length: 2", "Content-Length: -1", "Content-Length: +2",
-        "Content-Length: 0x2", "Content-Length:", "Content-Type: x", "Content-Length: 2, 2", "Content-Length: 99999999999",
-        "X: y\r\nContent-Length: 2", "Content-Length: 2\nX: y"}) {
-      assertEquals(List.of("fault " + Codes.PARSE), all(channel(Framing.CONTENT_LENGTH), head + "\r\n\r\n{}"), head);
+    for (String head : new String[] {
+      "Content-Length: 2\r\nContent-Length: 2",
+      "Content-Length: -1",
+      "Content-Length: +2",
+      "Content-Length: 0x2",
+      "Content-Length:",
+      "Content-Type: x",
+      "Content-Length: 2, 2",
+      "Content-Length: 99999999999",
+      "X: y\r\nContent-Length: 2",
+      "Content-Length: 2\nX: y"
+    }) {
+      assertEquals(
+          List.of("fault " + Codes.PARSE),
+          all(channel(Framing.CONTENT_LENGTH), head + "\r\n\r\n{}"),
+          head);
     }
   }
 
--- a/src/test/java/pumicekeel/jsonrpc/MessageReaderTest.java
+++ b/src/test/java/pumicekeel/jsonrpc/MessageReaderTest.java
@@ -23,7 +23,8 @@
   }
 
   private Message.Call call(String text) {
-    return assertInstanceOf(Message.Call.class, assertInstanceOf(Message.One.class, read(text)).entry());
+    return assertInstanceOf(
+        Message.Call.class, assertInstanceOf(Message.One.class, read(text)).entry());
   }
 
   private void broken(int code, String text) {
@@ -31,8 +32,20 @@
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"1", "1.0", "1e0", "-0", "123456789012345678901234567890", "\"1\"", "\"\\u0031\"", "\"\"",
-      "null", "1E+2", "\"\u20ac\""})
+  @ValueSource(
+      strings = {
+        "1",
+        "1.0",
+        "1e0",
+        "-0",
+        "123456789012345678901234567890",
+        "\"1\"",
+        "\"\\u0031\"",
+        "\"\"",
+        "null",
+        "1E+2",
+        "\"\u20ac\""
+      })
   void idIsKeptByteForByte(String id) {
     Message.Call call = call("{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"id\" : " + id + " }");
     assertArrayEquals(id.getBytes(StandardCharsets.UTF_8), call.id().raw());
@@ -57,40 +70,82 @@
   @Test
   void paramsAreKeptByteForByteWhereverTheyStand() {
     String params = "{ \"a\" : [1.0, 1e400, \"\\u00e9\u00e9\", {\"b\":null}] }";
-    Message.Call call = call(" {\"params\":" + params + ",\"more\":[{\"x\":1}],\"id\":1,\"method\":\"m\",\"jsonrpc\":\"2.0\"} ");
+    Message.Call call = call(" {\"params\":" + params
+        + ",\"more\":[{\"x\":1}],\"id\":1,\"method\":\"m\",\"jsonrpc\":\"2.0\"} ");
     assertEquals(params, new String(call.params(), StandardCharsets.UTF_8));
     assertNull(call("{\"jsonrpc\":\"2.0\",\"method\":\"m\"}").id());
     assertNull(call("{\"jsonrpc\":\"2.0\",\"method\":\"m\"}").params());
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"{\"method\":\"m\",\"id\":1}", "{\"jsonrpc\":2.0,\"method\":\"m\",\"id\":1}",
-      "{\"jsonrpc\":\"2.1\",\"method\":\"m\",\"id\":1}", "{\"jsonrpc\":\"2.0\",\"method\":1,\"id\":1}",
-      "{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"params\":\"bar\",\"id\":1}",
-      "{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"params\":null,\"id\":1}",
-      "{\"jsonrpc\":\"2.0\",\"result\":1,\"error\":{\"code\":1,\"message\":\"x\"},\"id\":1}",
-      "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":\"1\",\"message\":\"x\"},\"id\":1}",
-      "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":1},\"id\":1}", "{\"jsonrpc\":\"2.0\",\"id\":1}"})
+  @ValueSource(
+      strings = {
+        "{\"method\":\"m\",\"id\":1}",
+        "{\"jsonrpc\":2.0,\"method\":\"m\",\"id\":1}",
+        "{\"jsonrpc\":\"2.1\",\"method\":\"m\",\"id\":1}",
+        "{\"jsonrpc\":\"2.0\",\"method\":1,\"id\":1}",
+        "{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"params\":\"bar\",\"id\":1}",
+        "{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"params\":null,\"id\":1}",
+        "{\"jsonrpc\":\"2.0\",\"result\":1,\"error\":{\"code\":1,\"message\":\"x\"},\"id\":1}",
+        "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":\"1\",\"message\":\"x\"},\"id\":1}",
+        "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":1},\"id\":1}",
+        "{\"jsonrpc\":\"2.0\",\"id\":1}"
+      })
   void whatIsNoRequestIsInvalidUnderItsId(String text) {
-    Message.Invalid invalid = assertInstanceOf(Message.Invalid.class,
-        assertInstanceOf(Message.One.class, read(text)).entry());
+    Message.Invalid invalid = assertInstanceOf(
+        Message.Invalid.class, assertInstanceOf(Message.One.class, read(text)).entry());
     assertEquals("1", invalid.id().toString());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"[1]", "{}", "true"})
   void idOfAnotherKindIsNone(String id) {
-    assertEquals(Id.NULL, assertInstanceOf(Message.Invalid.class, assertInstanceOf(Message.One.class,
-        read("{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"id\":" + id + "}")).entry()).id());
-    assertEquals(Id.NULL, assertInstanceOf(Message.Invalid.class, assertInstanceOf(Message.One.class,
-        read("{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"id\":\"" + "x".repeat(300) + "\"}")).entry()).id());
+    assertEquals(
+        Id.NULL,
+        assertInstanceOf(
+                Message.Invalid.class,
+                assertInstanceOf(
+                        Message.One.class,
+                        read("{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"id\":" + id + "}"))
+                    .entry())
+            .id());
+    assertEquals(
+        Id.NULL,
+        assertInstanceOf(
+                Message.Invalid.class,
+                assertInstanceOf(
+                        Message.One.class,
+                        read("{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"id\":\"" + "x".repeat(300)
+                            + "\"}"))
+                    .entry())
+            .id());
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"", " ", "{", "{\"a\":tru}", "{\"a\":1,}", "{'a':1}", "{}{}", "{\"a\":01}", "{\"a\":NaN}",
-      "{\"a\":1,\"a\":2}", "{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"params\":{\"k\":1,\"k\":2}}",
-      "{\"a\":\"\\ud800\"}", "{\"a\":\"\\ud800x\"}", "{\"a\":\"\\udc00\"}", "{\"a\":\"\\ud800\\ud800\"}",
-      "{\"a\":\"\\udc00\\ud800\"}", "\u0000{}", "\ufeff{}", "{\"a\":\"\t\"}", "[1,2", "// x\n{}"})
+  @ValueSource(
+      strings = {
+        "",
+        " ",
+        "{",
+        "{\"a\":tru}",
+        "{\"a\":1,}",
+        "{'a':1}",
+        "{}{}",
+        "{\"a\":01}",
+        "{\"a\":NaN}",
+        "{\"a\":1,\"a\":2}",
+        "{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"params\":{\"k\":1,\"k\":2}}",
+        "{\"a\":\"\\ud800\"}",
+        "{\"a\":\"\\ud800x\"}",
+        "{\"a\":\"\\udc00\"}",
+        "{\"a\":\"\\ud800\\ud800\"}",
+        "{\"a\":\"\\udc00\\ud800\"}",
+        "\u0000{}",
+        "\ufeff{}",
+        "{\"a\":\"\t\"}",
+        "[1,2",
+        "// x\n{}"
+      })
   void whatReadersWouldDifferOverIsNoJson(String text) {
     broken(Codes.PARSE, text);
   }
@@ -98,18 +153,27 @@
   @Test
   void wholePairsAndEscapedBackslashesArePassedOn() {
     String params = "[\"\\ud83d\\ude00\",\"\\\\ud800\",\"\\\\\\\"\",\"\ud83d\ude00\"]";
-    assertEquals(params, new String(call("{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"params\":" + params + "}").params(),
-        StandardCharsets.UTF_8));
+    assertEquals(
+        params,
+        new String(
+            call("{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"params\":" + params + "}")
+                .params(),
+            StandardCharsets.UTF_8));
   }
 
   @Test
   void otherEncodingsAndBytesThatAreNoUtf8AreNoJson() {
     String text = "{\"jsonrpc\":\"2.0\",\"method\":\"m\"}";
-    for (byte[] bytes : new byte[][] {text.getBytes(StandardCharsets.UTF_16LE), text.getBytes(StandardCharsets.UTF_16),
-        "{\"a\":\"\u00e9\"}".getBytes(StandardCharsets.ISO_8859_1),
-        {'{', '"', (byte) 0xc0, (byte) 0x80, '"', ':', '1', '}'},
-        {'{', '"', (byte) 0xed, (byte) 0xa0, (byte) 0x80, '"', ':', '1', '}'}}) {
-      assertEquals(Codes.PARSE, assertInstanceOf(Message.Broken.class, reader.read(bytes)).code());
+    for (byte[] bytes : new byte[][] {
+      text.getBytes(StandardCharsets.UTF_16LE),
+      text.getBytes(StandardCharsets.UTF_16),
+      "{\"a\":\"\u00e9\"}".getBytes(StandardCharsets.ISO_8859_1),
+      {'{', '"', (byte) 0xc0, (byte) 0x80, '"', ':', '1', '}'},
+      {'{', '"', (byte) 0xed, (byte) 0xa0, (byte) 0x80, '"', ':', '1', '}'}
+    }) {
+      assertEquals(
+          Codes.PARSE,
+          assertInstanceOf(Message.Broken.class, reader.read(bytes)).code());
     }
   }
 
@@ -117,7 +181,9 @@
   void boundsHoldWhereverTheyAreReached() {
     broken(Codes.INVALID_REQUEST, "[" + "1,".repeat(5) + "1]");
     broken(Codes.INVALID_REQUEST, "{\"a\":" + "[".repeat(8) + "]".repeat(8) + "}");
-    broken(Codes.INVALID_REQUEST, "{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"params\":[" + "9".repeat(1_001) + "]}");
+    broken(
+        Codes.INVALID_REQUEST,
+        "{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"params\":[" + "9".repeat(1_001) + "]}");
     assertInstanceOf(Message.One.class, read("{\"a\":" + "[".repeat(7) + "]".repeat(7) + "}"));
     assertInstanceOf(Message.Batch.class, read("[" + "1,".repeat(4) + "1]"));
     assertInstanceOf(Message.Broken.class, read("[".repeat(100_000)));
@@ -127,12 +193,18 @@
 
   @Test
   void replyKeepsItsResultOrErrorAsItCame() {
-    Message.Reply served = assertInstanceOf(Message.Reply.class, assertInstanceOf(Message.One.class,
-        read("{\"jsonrpc\":\"2.0\",\"result\": null ,\"id\":3}")).entry());
+    Message.Reply served = assertInstanceOf(
+        Message.Reply.class,
+        assertInstanceOf(
+                Message.One.class, read("{\"jsonrpc\":\"2.0\",\"result\": null ,\"id\":3}"))
+            .entry());
     assertEquals("null", new String(served.result(), StandardCharsets.UTF_8));
     String error = "{\"message\":\"m\",\"code\":-5,\"data\":{\"x\":[1]}}";
-    Message.Reply failed = assertInstanceOf(Message.Reply.class, assertInstanceOf(Message.One.class,
-        read("{\"jsonrpc\":\"2.0\",\"error\":" + error + ",\"id\":3}")).entry());
+    Message.Reply failed = assertInstanceOf(
+        Message.Reply.class,
+        assertInstanceOf(
+                Message.One.class, read("{\"jsonrpc\":\"2.0\",\"error\":" + error + ",\"id\":3}"))
+            .entry());
     assertEquals(error, new String(failed.error(), StandardCharsets.UTF_8));
     assertEquals(-5, failed.code());
     assertNull(failed.result());
@@ -143,7 +215,9 @@
     for (String good : new String[] {"1", "null", "\"x\"", " {\"a\":[]} ", "[1,2]"}) {
       assertTrue(reader.isValue(good.getBytes(StandardCharsets.UTF_8)), good);
     }
-    for (String bad : new String[] {"", "1 2", "{", "[1", "{\"a\":1,\"a\":2}", "nul", "[".repeat(9) + "]".repeat(9)}) {
+    for (String bad : new String[] {
+      "", "1 2", "{", "[1", "{\"a\":1,\"a\":2}", "nul", "[".repeat(9) + "]".repeat(9)
+    }) {
       assertFalse(reader.isValue(bad.getBytes(StandardCharsets.UTF_8)), bad);
     }
   }
--- a/src/test/java/pumicekeel/jsonrpc/PointersTest.java
+++ b/src/test/java/pumicekeel/jsonrpc/PointersTest.java
@@ -19,12 +19,26 @@
       {"foo": ["bar", "baz"], "": 0, "a/b": 1, "c%d": 2, "e^f": 3, "g|h": 4, "i\\\\j": 5, "k\\"l": 6, " ": 7, "m~n": 8}""";
 
   private static Found find(String document, String pointer) {
-    return new Pointers(List.of(Pointer.of(pointer))).in(document.getBytes(StandardCharsets.UTF_8))[0];
+    return new Pointers(List.of(Pointer.of(pointer)))
+        .in(document.getBytes(StandardCharsets.UTF_8))[0];
   }
 
   @ParameterizedTest
-  @CsvSource(quoteCharacter = '`', ignoreLeadingAndTrailingWhitespace = false, value = {"/foo/0,bar", "/,0", "/a~1b,1",
-      "/c%d,2", "/e^f,3", "/g|h,4", "/i\\j,5", "/k\"l,6", "/ ,7", "/m~0n,8"})
+  @CsvSource(
+      quoteCharacter = '`',
+      ignoreLeadingAndTrailingWhitespace = false,
+      value = {
+        "/foo/0,bar",
+        "/,0",
+        "/a~1b,1",
+        "/c%d,2",
+        "/e^f,3",
+        "/g|h,4",
+        "/i\\j,5",
+        "/k\"l,6",
+        "/ ,7",
+        "/m~0n,8"
+      })
   void exampleOfTheRfc(String pointer, String value) {
     assertEquals(value, find(DOCUMENT, pointer).text());
   }
@@ -39,7 +53,18 @@
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"/foo/2", "/foo/-", "/foo/00", "/foo/01", "/foo/+1", "/foo/0/x", "/bar", "/foo/bar", "/ /x"})
+  @ValueSource(
+      strings = {
+        "/foo/2",
+        "/foo/-",
+        "/foo/00",
+        "/foo/01",
+        "/foo/+1",
+        "/foo/0/x",
+        "/bar",
+        "/foo/bar",
+        "/ /x"
+      })
   void whatLeadsNowhereIsAbsent(String pointer) {
     assertEquals(Kind.ABSENT, find(DOCUMENT, pointer).kind());
   }
@@ -55,11 +80,22 @@
 
   @Test
   void severalAreFoundInOnePassEvenWhereOneLiesWithinAnother() {
-    Found[] found = new Pointers(List.of(Pointer.of("/a/b"), Pointer.of("/a"), Pointer.of("/c/1/d"), Pointer.of("/a/b"),
-        Pointer.of("/z"))).in("{\"x\":{\"a\":{\"b\":0}},\"c\":[{\"d\":8},{\"d\":9}],\"a\":{\"q\":[1,{}],\"b\":\"t\"}}"
-        .getBytes(StandardCharsets.UTF_8));
-    assertEquals(List.of(new Found(Kind.STRING, "t"), new Found(Kind.OBJECT, null), new Found(Kind.NUMBER, "9"),
-        new Found(Kind.STRING, "t"), new Found(Kind.ABSENT, null)), List.of(found));
+    Found[] found = new Pointers(List.of(
+            Pointer.of("/a/b"),
+            Pointer.of("/a"),
+            Pointer.of("/c/1/d"),
+            Pointer.of("/a/b"),
+            Pointer.of("/z")))
+        .in("{\"x\":{\"a\":{\"b\":0}},\"c\":[{\"d\":8},{\"d\":9}],\"a\":{\"q\":[1,{}],\"b\":\"t\"}}"
+            .getBytes(StandardCharsets.UTF_8));
+    assertEquals(
+        List.of(
+            new Found(Kind.STRING, "t"),
+            new Found(Kind.OBJECT, null),
+            new Found(Kind.NUMBER, "9"),
+            new Found(Kind.STRING, "t"),
+            new Found(Kind.ABSENT, null)),
+        List.of(found));
     assertEquals(Kind.ABSENT, new Pointers(List.of(Pointer.of(""))).in(null)[0].kind());
   }
 
--- a/src/test/java/pumicekeel/lab/experiment/ExperimentTest.java
+++ b/src/test/java/pumicekeel/lab/experiment/ExperimentTest.java
@@ -22,15 +22,20 @@
 /** Experiments: what is read, played, kept and compared. */
 class ExperimentTest {
 
-  private static final String GOOD = "name = \"n\"\nworlds = [\"calm\"]\npolicies = [\"adaptive\", \"random\"]\nbalancers = [2, 4]\n"
-      + "seeds = 3\nrun-limit-s = 1\n[sweep]\nload = [0.5, 1.5]\n";
+  private static final String GOOD =
+      "name = \"n\"\nworlds = [\"calm\"]\npolicies = [\"adaptive\", \"random\"]\nbalancers = [2, 4]\n"
+          + "seeds = 3\nrun-limit-s = 1\n[sweep]\nload = [0.5, 1.5]\n";
 
   @TempDir
   private Path folder;
+
   private final List<String> said = java.util.Collections.synchronizedList(new ArrayList<>());
 
   private static String faultOf(String text) {
-    return String.join("\n", assertThrows(Experiment.Faulty.class, () -> Experiment.read(text, "e.toml")).lines());
+    return String.join(
+        "\n",
+        assertThrows(Experiment.Faulty.class, () -> Experiment.read(text, "e.toml"))
+            .lines());
   }
 
   @Test
@@ -44,20 +49,28 @@
 
   @Test
   void experimentThatCannotBeRightIsALineForEachFault() {
-    assertEquals("e.toml:2: worlds: expected one of " + pumicekeel.lab.world.Worlds.names() + ", got \"clam\"",
+    assertEquals(
+        "e.toml:2: worlds: expected one of " + pumicekeel.lab.world.Worlds.names()
+            + ", got \"clam\"",
         faultOf(GOOD.replace("calm", "clam")));
-    assertTrue(faultOf(GOOD.replace("random", "rnd")).startsWith("e.toml:3: policies: expected one of [adaptive, random,"));
-    assertTrue(faultOf(GOOD.replace("[0.5, 1.5]", "[]")).contains("e.toml:8: sweep.load: expected values to sweep, got nothing"));
-    assertTrue(faultOf(GOOD.replace("load = [0.5", "retry-part = [0.5")).contains("retry-part: expected 0 to 1, got 1.5"));
+    assertTrue(faultOf(GOOD.replace("random", "rnd"))
+        .startsWith("e.toml:3: policies: expected one of [adaptive, random,"));
+    assertTrue(faultOf(GOOD.replace("[0.5, 1.5]", "[]"))
+        .contains("e.toml:8: sweep.load: expected values to sweep, got nothing"));
+    assertTrue(faultOf(GOOD.replace("load = [0.5", "retry-part = [0.5"))
+        .contains("retry-part: expected 0 to 1, got 1.5"));
     assertTrue(faultOf(GOOD.replace("load =", "lod =")).contains("sweep: expected one of [load,"));
-    assertTrue(faultOf(GOOD.replace("seeds", "sedes")).contains("e.toml:5: sedes: ") );
+    assertTrue(faultOf(GOOD.replace("seeds", "sedes")).contains("e.toml:5: sedes: "));
     assertTrue(faultOf(GOOD.replace("seeds = 3", "seeds = 0")).contains("e.toml:5: seeds: "));
-    assertTrue(faultOf(GOOD.replace("balancers = [2, 4]\n", "")).contains("balancers: expected numbers of balancers"));
+    assertTrue(faultOf(GOOD.replace("balancers = [2, 4]\n", ""))
+        .contains("balancers: expected numbers of balancers"));
     assertTrue(faultOf("name = [").contains("TOML"));
   }
 
   private static Figures figures(double worth) {
-    return new Figures(worth, worth, worth, worth, worth, 1, 1, 1, 0, 0, 0, 1, 1, 1, 1, 0, 0, 0, Map.of(), null, 1);
+    return new Figures(
+        worth, worth, worth, worth, worth, 1, 1, 1, 0, 0, 0, 1, 1, 1, 1, 0, 0, 0, Map.of(), null,
+        1);
   }
 
   private Runner runner(Runner.Player player) throws Exception {
@@ -69,32 +82,40 @@
     Path file = folder.resolve("r.jsonl");
     AtomicInteger played = new AtomicInteger();
     try (ResultFile results = ResultFile.open(file)) {
-      assertEquals(0, runner((run, stop) -> {
-        played.incrementAndGet();
-        return figures(run.seed());
-      }).run(results));
+      assertEquals(
+          0,
+          runner((run, stop) -> {
+                played.incrementAndGet();
+                return figures(run.seed());
+              })
+              .run(results));
     }
     assertEquals(24, played.get());
     String whole = Files.readString(file);
     // Ten whole lines and a part of the next.
-    int tenth = whole.length() - whole.lines().skip(10).mapToInt(l -> l.length() + 1).sum();
+    int tenth =
+        whole.length() - whole.lines().skip(10).mapToInt(l -> l.length() + 1).sum();
     Files.writeString(file, whole.substring(0, tenth + 25));
     played.set(0);
     try (ResultFile results = ResultFile.open(file)) {
       assertTrue(results.cut());
       runner((run, stop) -> {
-        played.incrementAndGet();
-        return figures(run.seed());
-      }).run(results);
+            played.incrementAndGet();
+            return figures(run.seed());
+          })
+          .run(results);
     }
     assertEquals(14, played.get());
-    assertEquals(whole.lines().sorted().toList(), Files.readString(file).lines().sorted().toList());
+    assertEquals(
+        whole.lines().sorted().toList(), Files.readString(file).lines().sorted().toList());
   }
 
   @Test
   void lineThatIsNoResultIsToldAndTheFileIsLeftAlone() throws Exception {
     Path file = Files.writeString(folder.resolve("r.jsonl"), "{\"world\":1}\n");
-    assertTrue(assertThrows(IOException.class, () -> ResultFile.open(file)).getMessage().contains("r.jsonl:1: expected a result"));
+    assertTrue(assertThrows(IOException.class, () -> ResultFile.open(file))
+        .getMessage()
+        .contains("r.jsonl:1: expected a result"));
     assertEquals("{\"world\":1}\n", Files.readString(file));
   }
 
@@ -102,22 +123,27 @@
   void oneThatHangsAndOneThatBreaksDoNotEndTheOthers() throws Exception {
     Path file = folder.resolve("r.jsonl");
     try (ResultFile results = ResultFile.open(file)) {
-      assertEquals(2, runner((run, stop) -> {
-        if (run.key().equals("calm 2x10 45.0s load=0.5 seed 1 adaptive")) {
-          while (!stop.getAsBoolean()) {
-            Thread.onSpinWait();
-          }
-          return null;
-        }
-        if (run.key().equals("calm 2x10 45.0s load=0.5 seed 2 random")) {
-          throw new IllegalStateException("a defect");
-        }
-        return figures(1);
-      }).run(results));
+      assertEquals(
+          2,
+          runner((run, stop) -> {
+                if (run.key().equals("calm 2x10 45.0s load=0.5 seed 1 adaptive")) {
+                  while (!stop.getAsBoolean()) {
+                    Thread.onSpinWait();
+                  }
+                  return null;
+                }
+                if (run.key().equals("calm 2x10 45.0s load=0.5 seed 2 random")) {
+                  throw new IllegalStateException("a defect");
+                }
+                return figures(1);
+              })
+              .run(results));
     }
     List<Result> all = ResultFile.read(file);
     assertEquals(24, all.size());
-    assertEquals(List.of("error", "stopped"), all.stream().map(Result::status).filter(s -> !s.equals("ok")).sorted().toList());
+    assertEquals(
+        List.of("error", "stopped"),
+        all.stream().map(Result::status).filter(s -> !s.equals("ok")).sorted().toList());
     assertTrue(said.stream().anyMatch(l -> l.contains("a defect")), said.toString());
   }
 
@@ -136,24 +162,39 @@
       all.add(result("random", seed, world - 0.01 - 0.001 * (seed % 3)));
       all.add(result("round-robin", seed, world + (seed % 2 == 0 ? 0.02 : -0.02)));
     }
-    assertEquals(Comparison.Verdict.WORSE, Comparison.of(all, "adaptive", all, "random", "worth").get(0).verdict());
-    assertEquals(Comparison.Verdict.BETTER, Comparison.of(all, "random", all, "adaptive", "worth").get(0).verdict());
-    assertEquals(Comparison.Verdict.UNKNOWN, Comparison.of(all, "adaptive", all, "round-robin", "worth").get(0).verdict());
-    Comparison.Line line = Comparison.of(all, "adaptive", all, "random", "worth").get(0);
+    assertEquals(
+        Comparison.Verdict.WORSE,
+        Comparison.of(all, "adaptive", all, "random", "worth").get(0).verdict());
+    assertEquals(
+        Comparison.Verdict.BETTER,
+        Comparison.of(all, "random", all, "adaptive", "worth").get(0).verdict());
+    assertEquals(
+        Comparison.Verdict.UNKNOWN,
+        Comparison.of(all, "adaptive", all, "round-robin", "worth").get(0).verdict());
+    Comparison.Line line =
+        Comparison.of(all, "adaptive", all, "random", "worth").get(0);
     assertEquals(10, line.pairs());
     assertEquals(-0.0109, line.mean(), 1e-9);
     // Student's t of 9 degrees at 97.5 %: 2.262.
     assertEquals(2.262 * 0.00087559 / Math.sqrt(10), line.high() - line.mean(), 1e-6);
-    assertEquals(Comparison.Verdict.UNKNOWN, Comparison.of(all.subList(0, 6), "adaptive", all.subList(0, 6), "random", "worth").get(0)
-        .verdict(), "two pairs are no measurement");
+    assertEquals(
+        Comparison.Verdict.UNKNOWN,
+        Comparison.of(all.subList(0, 6), "adaptive", all.subList(0, 6), "random", "worth")
+            .get(0)
+            .verdict(),
+        "two pairs are no measurement");
   }
 
   @Test
   void lineOfAResultReadsBackAndThePageStandsAlone() throws Exception {
-    Result r = Result.of(new Run("calm", "adaptive", 2, 10, 45, "load", 1.5, 3), "b", figures(0.25));
+    Result r =
+        Result.of(new Run("calm", "adaptive", 2, 10, 45, "load", 1.5, 3), "b", figures(0.25));
     assertEquals(r, Result.of(r.line()));
     String page = Report.html("<x>", List.of(r));
-    assertTrue(page.contains("&lt;x&gt;") && page.contains("<svg") && page.contains("0.250") && !page.contains("src="));
+    assertTrue(page.contains("&lt;x&gt;")
+        && page.contains("<svg")
+        && page.contains("0.250")
+        && !page.contains("src="));
   }
 
   @Test
@@ -161,6 +202,9 @@
     // The true state, late, is a policy without a budget for cold ones.
     var from = pumicekeel.lab.world.Worlds.of("calm", 2, 4).withSeconds(10);
     assertEquals(null, new Shrinker(Policies.OWN, 1, said::add).shrink(from));
-    assertTrue(new FleetRun(from, Policies.of(Policies.OWN), 1, null).play(() -> false).broken().isEmpty());
+    assertTrue(new FleetRun(from, Policies.of(Policies.OWN), 1, null)
+        .play(() -> false)
+        .broken()
+        .isEmpty());
   }
 }
--- a/src/test/java/pumicekeel/lab/fleet/FleetRunTest.java
+++ b/src/test/java/pumicekeel/lab/fleet/FleetRunTest.java
@@ -33,7 +33,10 @@
   void sameSeedGivesTheSameRunToTheLastFigureAndAnotherSeedAnother() {
     Figures once = play("crash-and-burst", Policies.of(Policies.OWN));
     assertEquals(once, play("crash-and-burst", Policies.of(Policies.OWN)));
-    assertNotEquals(once, new FleetRun(world("crash-and-burst"), Policies.of(Policies.OWN), SEED + 1, null).play(() -> false));
+    assertNotEquals(
+        once,
+        new FleetRun(world("crash-and-burst"), Policies.of(Policies.OWN), SEED + 1, null)
+            .play(() -> false));
   }
 
   @Test
@@ -42,7 +45,10 @@
       Figures f = play(world, Policies.of(Policies.OWN));
       assertEquals(Map.of(), f.broken(), world + ", seed " + SEED + ": " + f.first());
       assertTrue(f.worth() > 0.5, world + ": " + f);
-      assertEquals(f.tries(), f.served() + f.refused() + f.failed() + f.unreached(), world + ": one answer to each try");
+      assertEquals(
+          f.tries(),
+          f.served() + f.refused() + f.failed() + f.unreached(),
+          world + ": one answer to each try");
     }
   }
 
@@ -62,15 +68,22 @@
   @Test
   void traceTellsOneRequestsWayToItsEnd() {
     Map<Long, String> last = new HashMap<>();
-    Figures f = new FleetRun(world("calm"), Policies.of(Policies.OWN), SEED, (number, at, what) -> last.put(number, what))
+    Figures f = new FleetRun(
+            world("calm"),
+            Policies.of(Policies.OWN),
+            SEED,
+            (number, at, what) -> last.put(number, what))
         .play(() -> false);
     assertEquals(f.asked(), last.size());
-    assertTrue(last.get(7L).contains("served after") || last.get(7L).contains("ended"), last.get(7L));
+    assertTrue(
+        last.get(7L).contains("served after") || last.get(7L).contains("ended"), last.get(7L));
   }
 
   /** The module with something changed on its way in or out. */
-  private static Policies.Maker changed(java.util.function.BiFunction<Balancer, Balancer.Settings, Balancer> by) {
-    return (settings, seed, oracle) -> by.apply(Policies.of(Policies.OWN).make(settings, seed, oracle), settings);
+  private static Policies.Maker changed(
+      java.util.function.BiFunction<Balancer, Balancer.Settings, Balancer> by) {
+    return (settings, seed, oracle) ->
+        by.apply(Policies.of(Policies.OWN).make(settings, seed, oracle), settings);
   }
 
   private static void finds(String rule, String world, Policies.Maker maker) {
@@ -89,24 +102,62 @@
 
   @Test
   void policyThatHearsOfNoDrainIsFound() {
-    finds("drain", "rolling-deploy", changed((own, settings) -> (now, event, out) -> own.handle(now, drainless(event), out)));
+    finds(
+        "drain",
+        "rolling-deploy",
+        changed((own, settings) -> (now, event, out) -> own.handle(now, drainless(event), out)));
   }
 
   private static Event drainless(Event event) {
-    return event instanceof Balancer.ListNews n ? new Balancer.ListNews(n.kind(), n.entries().stream()
-        .map(l -> new Balancer.Listed(l.upstream(), l.zone(), l.cell(), Balancer.State.READY, l.startedNanos(), l.weight())).toList())
+    return event instanceof Balancer.ListNews n
+        ? new Balancer.ListNews(
+            n.kind(),
+            n.entries().stream()
+                .map(l -> new Balancer.Listed(
+                    l.upstream(),
+                    l.zone(),
+                    l.cell(),
+                    Balancer.State.READY,
+                    l.startedNanos(),
+                    l.weight()))
+                .toList())
         : event;
   }
 
   @Test
   void policyThatRepeatsWhereNobodyDropsItIsFound() {
-    finds("twice", "quarter-crashed", changed((own, settings) -> Policies.of(Policies.OWN).make(safe(settings), 1, id -> 0)));
+    finds(
+        "twice",
+        "quarter-crashed",
+        changed((own, settings) -> Policies.of(Policies.OWN).make(safe(settings), 1, id -> 0)));
   }
 
   private static Balancer.Settings safe(Balancer.Settings s) {
-    return new Balancer.Settings(s.me(), s.groupSize(), s.zone(), s.classes().stream().map(c -> new Balancer.RequestClass(c.name(),
-        Balancer.Effect.SAFE, c.dedupScope(), 0, c.aimNanos(), c.aimStretch(), c.deadlineNanos(), c.worth(), c.lateWorth(), c.stream()))
-        .toList(), s.tenants(), s.limits(), s.contract(), s.prices(), s.listOnRequest(), s.weightKind(), s.overShareWorth(), s.warmKeys(),
+    return new Balancer.Settings(
+        s.me(),
+        s.groupSize(),
+        s.zone(),
+        s.classes().stream()
+            .map(c -> new Balancer.RequestClass(
+                c.name(),
+                Balancer.Effect.SAFE,
+                c.dedupScope(),
+                0,
+                c.aimNanos(),
+                c.aimStretch(),
+                c.deadlineNanos(),
+                c.worth(),
+                c.lateWorth(),
+                c.stream()))
+            .toList(),
+        s.tenants(),
+        s.limits(),
+        s.contract(),
+        s.prices(),
+        s.listOnRequest(),
+        s.weightKind(),
+        s.overShareWorth(),
+        s.warmKeys(),
         s.tickNanos());
   }
 
@@ -124,8 +175,13 @@
         } else if (event instanceof Request r && ready.isEmpty()) {
           out.accept(new Refuse(r.id(), 0));
         } else if (event instanceof Request r) {
-          out.accept(new Send(r.id(), ready.values().stream().max(java.util.Comparator.comparingLong(Listed::startedNanos))
-              .orElseThrow().upstream(), 0));
+          out.accept(new Send(
+              r.id(),
+              ready.values().stream()
+                  .max(java.util.Comparator.comparingLong(Listed::startedNanos))
+                  .orElseThrow()
+                  .upstream(),
+              0));
         } else if (event instanceof Outcome o && !o.finished()) {
           out.accept(new Fail(o.id()));
         }
@@ -138,7 +194,9 @@
     Figures lost = play("zone-lost", Policies.of("random"));
     Figures calm = play("calm", Policies.of("random"));
     assertTrue(lost.attempts() > 0 && calm.attempts() > 0);
-    assertEquals(List.of("z0", "z1", "z2"), new FleetRun(world("zone-lost"), Policies.of("random"), SEED, null).servers().stream()
-        .map(s -> s.zone).distinct().sorted().toList());
+    assertEquals(
+        List.of("z0", "z1", "z2"),
+        new FleetRun(world("zone-lost"), Policies.of("random"), SEED, null)
+            .servers().stream().map(s -> s.zone).distinct().sorted().toList());
   }
 }
--- a/src/test/java/pumicekeel/lab/program/LineTest.java
+++ b/src/test/java/pumicekeel/lab/program/LineTest.java
@@ -133,13 +133,19 @@
   void aTimerCancelledByTheOneBeforeItDoesNotRun() {
     List<String> ran = new ArrayList<>();
     List<io.netty.util.concurrent.ScheduledFuture<?>> second = new ArrayList<>();
-    loop.schedule(() -> {
-      ran.add("first");
-      second.get(0).cancel(false);
-    }, 5, TimeUnit.NANOSECONDS);
-    second.add(loop.schedule(() -> {
-      ran.add("second");
-    }, 5, TimeUnit.NANOSECONDS));
+    loop.schedule(
+        () -> {
+          ran.add("first");
+          second.get(0).cancel(false);
+        },
+        5,
+        TimeUnit.NANOSECONDS);
+    second.add(loop.schedule(
+        () -> {
+          ran.add("second");
+        },
+        5,
+        TimeUnit.NANOSECONDS));
     loop.runUntil(loop.now() + 100);
     assertEquals(List.of("first"), ran);
   }
--- a/src/test/java/pumicekeel/lab/program/ProgramRunTest.java
+++ b/src/test/java/pumicekeel/lab/program/ProgramRunTest.java
@@ -55,13 +55,16 @@
     List<String> progress = new ArrayList<>();
     ProgramShrinker.Shrunk left = new ProgramShrinker(broken, progress::add).shrink();
     assertNotNull(left);
-    assertTrue(left.steps().size() < broken.steps().size(), left.steps() + " of " + broken.steps().size());
-    assertEquals(left.breach(), new ProgramRun(broken.only(left.steps()), null).play().breach());
+    assertTrue(
+        left.steps().size() < broken.steps().size(),
+        left.steps() + " of " + broken.steps().size());
+    assertEquals(
+        left.breach(), new ProgramRun(broken.only(left.steps()), null).play().breach());
     assertTrue(progress.size() > 1);
   }
 
   private static Script crowded() {
-    for (long seed = 1;; seed++) {
+    for (long seed = 1; ; seed++) {
       Script s = Script.of(seed);
       Script crowded = new Script(seed, s.servers(), TOO_FEW, s.perSecond(), false, s.steps());
       if (s.steps().size() < 150 && new ProgramRun(crowded, null).play().breach() != null) {
@@ -77,7 +80,10 @@
     List<Step> steps = new ArrayList<>();
     for (int number = 0; number < 600; number++) {
       Fate f = new Fate(any, number);
-      if (f.bodySize > 200_000 && f.owed() && !f.slowReader && f.effect != pumicekeel.Balancer.Effect.SAFE) {
+      if (f.bodySize > 200_000
+          && f.owed()
+          && !f.slowReader
+          && f.effect != pumicekeel.Balancer.Effect.SAFE) {
         steps.add(new Step(500 * Script.MS, Kind.ASK, number, 0));
       }
     }
@@ -85,7 +91,9 @@
       steps.add(new Step(503 * Script.MS, Kind.CUT_OFF, i, 60 * Script.SECOND));
     }
     assertTrue(steps.size() > any.servers() + 3, "uploads: " + steps.size());
-    assertNull(new ProgramRun(new Script(5, any.servers(), 200, 20, false, steps), null).play().breach());
+    assertNull(new ProgramRun(new Script(5, any.servers(), 200, 20, false, steps), null)
+        .play()
+        .breach());
   }
 
   @Test
@@ -93,7 +101,8 @@
     List<String> told = new ArrayList<>();
     ProgramRun.Report r = new ProgramRun(3, null, told::add).play();
     assertEquals(r.asked(), told.stream().filter(t -> t.contains("  asked ")).count());
-    assertEquals(r.served(), told.stream().filter(t -> t.contains(", status 200")).count());
+    assertEquals(
+        r.served(), told.stream().filter(t -> t.contains(", status 200")).count());
   }
 
   @Test
--- a/src/test/java/pumicekeel/lab/world/ServerModelTest.java
+++ b/src/test/java/pumicekeel/lab/world/ServerModelTest.java
@@ -39,9 +39,12 @@
     };
   }
 
-  private void arrive(Server server, double perSecond, long left, java.util.function.DoubleSupplier work) {
+  private void arrive(
+      Server server, double perSecond, long left, java.util.function.DoubleSupplier work) {
     agenda.in((long) (chance.exponential() * SECOND / perSecond), () -> {
-      server.submit(new Server.Job(null, null, Effect.SAFE, 0, work.getAsDouble() * SECOND, 0, counts()), chance);
+      server.submit(
+          new Server.Job(null, null, Effect.SAFE, 0, work.getAsDouble() * SECOND, 0, counts()),
+          chance);
       if (left > 1) {
         arrive(server, perSecond, left - 1, work);
       }
@@ -49,7 +52,8 @@
   }
 
   /** Mean time in the system of so many arrivals, in seconds, at a mean service of a second. */
-  private double meanStay(ServerSpec spec, double perSecond, long count, java.util.function.DoubleSupplier work) {
+  private double meanStay(
+      ServerSpec spec, double perSecond, long count, java.util.function.DoubleSupplier work) {
     arrive(server(spec), perSecond, count, work);
     agenda.run(Long.MAX_VALUE, () -> false);
     assertEquals(count, ended);
@@ -57,7 +61,9 @@
   }
 
   private static void close(double expected, double got) {
-    assertTrue(Math.abs(got / expected - 1) < WITHIN, "seed " + SEED + ": expected " + expected + ", got " + got);
+    assertTrue(
+        Math.abs(got / expected - 1) < WITHIN,
+        "seed " + SEED + ": expected " + expected + ", got " + got);
   }
 
   /** Erlang's C: the mean time in an M/M/c queue with services of mean 1. */
@@ -86,7 +92,9 @@
   @Test
   void severalCoresSharedByAllWaitAsErlangSays() {
     // With exponential sizes, sharing min(1, c/n) each has the states of M/M/c, and so its mean.
-    close(erlang(2, 1.4), meanStay(ServerSpec.plain(2, Integer.MAX_VALUE), 1.4, 600_000, chance::exponential));
+    close(
+        erlang(2, 1.4),
+        meanStay(ServerSpec.plain(2, Integer.MAX_VALUE), 1.4, 600_000, chance::exponential));
   }
 
   @Test
@@ -120,8 +128,15 @@
   @Test
   void coldOneWorksAtItsPartAndRememberedKeysSaveTheirs() {
     List<Status> statuses = new ArrayList<>();
-    Server cold = new Server(1, "z", 0, new ServerSpec(1, 1, 9, 9, 0, 0.25, (long) (1_000 * SECOND), 9, 0, (long) (60 * SECOND), 0.75, 9, 1),
-        new Server.Cell(), agenda, 0);
+    Server cold = new Server(
+        1,
+        "z",
+        0,
+        new ServerSpec(
+            1, 1, 9, 9, 0, 0.25, (long) (1_000 * SECOND), 9, 0, (long) (60 * SECOND), 0.75, 9, 1),
+        new Server.Cell(),
+        agenda,
+        0);
     cold.submit(new Server.Job("k", null, Effect.SAFE, 0, SECOND, 0, sender(statuses)), chance);
     agenda.run((long) (3.9 * SECOND), () -> false);
     assertEquals(0, statuses.size(), "four times as long, less the warmth of four seconds");
--- a/src/test/java/pumicekeel/mesh/MeshTest.java
+++ b/src/test/java/pumicekeel/mesh/MeshTest.java
@@ -27,8 +27,10 @@
 /** Several processes of the program with faults between them; what the upstreams saw is the truth. */
 class MeshTest {
 
-  private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m");
-  private static final EventLoopGroup CLIENTS = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private static final List<String> FLAGS =
+      List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m");
+  private static final EventLoopGroup CLIENTS =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
   @AfterAll
   static void end() {
@@ -44,8 +46,14 @@
   }
 
   private static Load load(Mesh mesh, int member, String className, boolean keyed) {
-    return new Load(mesh.members().get(member).address(), CLIENTS, new HttpAsk("h", className, keyed, "demo", 2_000),
-        Shape.steady(2, 40), className + member, member).start();
+    return new Load(
+            mesh.members().get(member).address(),
+            CLIENTS,
+            new HttpAsk("h", className, keyed, "demo", 2_000),
+            Shape.steady(2, 40),
+            className + member,
+            member)
+        .start();
   }
 
   /** One way only: requests reach the upstream and what it answers does not come back. */
@@ -90,8 +98,10 @@
       for (int i = 0; i < 3; i++) {
         all.add(load(mesh, i, "rate-lookup", false));
       }
-      until(() -> all.stream().allMatch(l -> l.count(End.SERVED) > 20)
-          && mesh.upstreams().get("s1").seen().size() > 3, "served before the drain");
+      until(
+          () -> all.stream().allMatch(l -> l.count(End.SERVED) > 20)
+              && mesh.upstreams().get("s1").seen().size() > 3,
+          "served before the drain");
       mesh.members().get(2).signal("STOP");
       mesh.tell("s1", "terminating", 0);
       Thread.sleep(3_500);
@@ -102,8 +112,11 @@
       for (Load l : all) {
         l.stop();
       }
-      // One read and its sends may lie in the same turn of the loop: what was decided before the stall goes out at once.
-      long late = mesh.upstreams().get("s1").seen().stream().filter(s -> s.atNanos() - woken > 500_000_000L).count();
+      // One read and its sends may lie in the same turn of the loop: what was decided before the
+      // stall goes out at once.
+      long late = mesh.upstreams().get("s1").seen().stream()
+          .filter(s -> s.atNanos() - woken > 500_000_000L)
+          .count();
       assertEquals(0, late, "sent to an upstream that left, half a second after the process woke");
       Verdict verdict = mesh.verdict();
       verdict.noneLost("requests", all.subList(0, 2).stream().map(Load::account).toList());
@@ -115,7 +128,8 @@
   @Test
   void membersCutOffOneWayAreHeldForAliveByWayOfOthers() throws Exception {
     try (Mesh mesh = new Mesh(4, 1, true, FLAGS, 3)) {
-      until(() -> mesh.members().stream().allMatch(m -> hears(m, 4)), "all members find each other");
+      until(
+          () -> mesh.members().stream().allMatch(m -> hears(m, 4)), "all members find each other");
       mesh.datagrams().fault(0, 1, Fault.CUT);
       long before = mesh.datagrams().delivered();
       until(() -> mesh.datagrams().delivered() > before + 200, "datagrams go on");
@@ -123,7 +137,9 @@
         assertTrue(hears(m, 4), m.name() + ": " + m.log());
       }
       mesh.members().get(3).signal("KILL");
-      until(() -> mesh.members().subList(0, 3).stream().allMatch(m -> hears(m, 3)), "a death is seen");
+      until(
+          () -> mesh.members().subList(0, 3).stream().allMatch(m -> hears(m, 3)),
+          "a death is seen");
       mesh.killedStartsAgain(3);
       until(() -> mesh.members().stream().allMatch(m -> hears(m, 4)), "its next life is seen");
     }
@@ -140,10 +156,16 @@
   /** The mesh's own process is killed while one of its processes stands still: nothing is left behind. */
   @Test
   void noProcessOutlivesAMeshThatWasKilled() throws Exception {
-    Process mesh = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-        System.getProperty("java.class.path"), "pumicekeel.mesh.MeshTest$Alone").redirectErrorStream(true).start();
+    Process mesh = new ProcessBuilder(
+            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+            "-cp",
+            System.getProperty("java.class.path"),
+            "pumicekeel.mesh.MeshTest$Alone")
+        .redirectErrorStream(true)
+        .start();
     List<ProcessHandle> children = new ArrayList<>();
-    BufferedReader out = new BufferedReader(new InputStreamReader(mesh.getInputStream(), StandardCharsets.UTF_8));
+    BufferedReader out =
+        new BufferedReader(new InputStreamReader(mesh.getInputStream(), StandardCharsets.UTF_8));
     while (children.size() < 2) {
       String line = out.readLine();
       assertNotNull(line, "its output ended");
--- a/src/test/java/pumicekeel/node/BadInputTest.java
+++ b/src/test/java/pumicekeel/node/BadInputTest.java
@@ -40,7 +40,8 @@
   void getsItsStatusAndTheNextClientIsServed(int status, String request) throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
-      try (TestClient client = new TestClient(node.address); TestClient next = new TestClient(node.address)) {
+      try (TestClient client = new TestClient(node.address);
+          TestClient next = new TestClient(node.address)) {
         assertEquals(status, client.call(request).status());
         assertEquals(200, next.call(TestClient.look("1", 15_000, "")).status());
         assertEquals(1, upstream.requests.size(), "none of it went on");
@@ -69,7 +70,8 @@
       FakeServer.write(out, FakeServer.ok("fine"));
     })) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
-      try (TestClient first = new TestClient(node.address); TestClient second = new TestClient(node.address)) {
+      try (TestClient first = new TestClient(node.address);
+          TestClient second = new TestClient(node.address)) {
         first.send(TestClient.look("1", 15_000, ""));
         TestNode.until(() -> upstream.requests.size() == 1);
         assertEquals(409, second.call(TestClient.look("1", 15_000, "")).status());
--- a/src/test/java/pumicekeel/node/BalancerCoreTest.java
+++ b/src/test/java/pumicekeel/node/BalancerCoreTest.java
@@ -16,6 +16,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import pumicekeel.Balancer;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.Event;
 import pumicekeel.Balancer.FetchList;
@@ -25,7 +26,6 @@
 import pumicekeel.Balancer.Send;
 import pumicekeel.Balancer.State;
 import pumicekeel.Balancer.Status;
-import pumicekeel.Balancer;
 import pumicekeel.adapter.Decoder;
 import pumicekeel.adapter.Fields;
 import pumicekeel.call.Answer;
@@ -35,15 +35,16 @@
 import pumicekeel.discovery.HostList;
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.LoopLag;
-import pumicekeel.upstream.http.ConnectionPool;
 import pumicekeel.runtime.Reactor;
+import pumicekeel.upstream.http.ConnectionPool;
 
 /** The request table under modules that do what the real one never should. */
 class BalancerCoreTest {
 
   private static final long UPSTREAM = HostList.idOf("s-0");
 
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
   private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   private final BlockingQueue<RuntimeException> defects = new LinkedBlockingQueue<>();
@@ -77,25 +78,45 @@
   private void start(Module module, FakeServer... upstreams) throws Exception {
     Fields f = Fields.parse("configuration", TestNode.json(TestNode.nowhere(), 3, upstreams));
     settings = Decoder.settings(f.nested("settings"));
-    ConnectionPool pool = new ConnectionPool(Reactor.of(loop), 5_000_000_000L, 60_000_000_000L, 100);
-    core = new BalancerCore(settings, (now, event, out) -> {
-      nested |= handling;
-      handling = true;
-      events.add(event);
-      module.handle(event, out);
-      handling = false;
-    }, new Clock(), loop, new LoopLag(Reactor.of(loop)), pool, defect -> {
-      core.answerAll();
-      defects.add(defect);
-    });
+    ConnectionPool pool =
+        new ConnectionPool(Reactor.of(loop), 5_000_000_000L, 60_000_000_000L, 100);
+    core = new BalancerCore(
+        settings,
+        (now, event, out) -> {
+          nested |= handling;
+          handling = true;
+          events.add(event);
+          module.handle(event, out);
+          handling = false;
+        },
+        new Clock(),
+        loop,
+        new LoopLag(Reactor.of(loop)),
+        pool,
+        defect -> {
+          core.answerAll();
+          defects.add(defect);
+        });
     HostList known = HostList.of(f.nested("known"));
     loop.submit(() -> core.start(known, on -> {})).get();
   }
 
   private ClientRequest request(String id, String type, long leftMillis) {
-    var of = settings.classes().stream().filter(c -> c.name().equals(type)).findFirst().orElseThrow();
-    return new ClientRequest(id, of, "acme", "k", leftMillis * 1_000_000, 0, false,
-        new pumicekeel.call.Payload.Http(io.netty.handler.codec.http.HttpMethod.GET, "/" + type, "h", null, new byte[0]), null);
+    var of = settings.classes().stream()
+        .filter(c -> c.name().equals(type))
+        .findFirst()
+        .orElseThrow();
+    return new ClientRequest(
+        id,
+        of,
+        "acme",
+        "k",
+        leftMillis * 1_000_000,
+        0,
+        false,
+        new pumicekeel.call.Payload.Http(
+            io.netty.handler.codec.http.HttpMethod.GET, "/" + type, "h", null, new byte[0]),
+        null);
   }
 
   private void take(String id, String type, long leftMillis) throws Exception {
@@ -106,10 +127,11 @@
   private void take(String id, String type, long leftMillis, Runnable then) throws Exception {
     ClientRequest request = request(id, type, leftMillis);
     assertTrue(loop.submit(() -> {
-      boolean taken = core.take(request, client);
-      then.run();
-      return taken;
-    }).get());
+          boolean taken = core.take(request, client);
+          then.run();
+          return taken;
+        })
+        .get());
   }
 
   private String answer() throws InterruptedException {
@@ -117,7 +139,9 @@
   }
 
   private Outcome outcome() throws InterruptedException {
-    for (Event e = events.poll(30, TimeUnit.SECONDS); e != null; e = events.poll(30, TimeUnit.SECONDS)) {
+    for (Event e = events.poll(30, TimeUnit.SECONDS);
+        e != null;
+        e = events.poll(30, TimeUnit.SECONDS)) {
       if (e instanceof Outcome o) {
         return o;
       }
@@ -144,7 +168,8 @@
     assertEquals(2_600, BalancerCore.timeFor(request("2", "look", 2_700)) / 1_000_000);
     assertEquals(2_440, BalancerCore.timeFor(request("3", "look", 2_500)) / 1_000_000);
     assertEquals(840, BalancerCore.timeFor(request("4", "look", 900)) / 1_000_000);
-    // A class of 0.4 and 2 s keeps 0.75 s of it, one whose late answers earn a half 0.375 s, one that earns as much late 60 ms.
+    // A class of 0.4 and 2 s keeps 0.75 s of it, one whose late answers earn a half 0.375 s, one
+    // that earns as much late 60 ms.
     assertEquals(1_250, timeLeft(0, 0));
     assertEquals(1_625, timeLeft(0.5, 0));
     assertEquals(1_940, timeLeft(1, 0));
@@ -152,8 +177,17 @@
   }
 
   private long timeLeft(double lateWorth, double aimStretch) throws Exception {
-    Balancer.RequestClass type = new Balancer.RequestClass("look", Balancer.Effect.SAFE, Balancer.DedupScope.ALL, 0, 400_000_000L,
-        aimStretch, 2_000_000_000L, 1, lateWorth, false);
+    Balancer.RequestClass type = new Balancer.RequestClass(
+        "look",
+        Balancer.Effect.SAFE,
+        Balancer.DedupScope.ALL,
+        0,
+        400_000_000L,
+        aimStretch,
+        2_000_000_000L,
+        1,
+        lateWorth,
+        false);
     return BalancerCore.timeFor(request("5", "look", 2_000).withType(type)) / 1_000_000;
   }
 
@@ -180,14 +214,17 @@
       TestNode.until(() -> !answers.isEmpty());
       FakeServer.write(out, FakeServer.ok("late"));
     })) {
-      start((event, out) -> {
-        sendOnRequest(event, out);
-        if (event instanceof Request r) {
-          out.accept(new Balancer.SetTimer(r.id(), System.currentTimeMillis() * 1_000_000 + 200_000_000));
-        } else if (event instanceof Balancer.TimerFired t) {
-          out.accept(new Balancer.Refuse(t.token(), 0));
-        }
-      }, upstream);
+      start(
+          (event, out) -> {
+            sendOnRequest(event, out);
+            if (event instanceof Request r) {
+              out.accept(new Balancer.SetTimer(
+                  r.id(), System.currentTimeMillis() * 1_000_000 + 200_000_000));
+            } else if (event instanceof Balancer.TimerFired t) {
+              out.accept(new Balancer.Refuse(t.token(), 0));
+            }
+          },
+          upstream);
       take("1", "look", 15_000);
       Outcome late = outcome();
       assertEquals(Status.SERVED, late.status());
@@ -206,12 +243,13 @@
       take("1", "look", 15_000);
       outcome();
       take("2", "look", 15_000, () -> {
-        for (long end = System.nanoTime() + pause; System.nanoTime() < end;) {
+        for (long end = System.nanoTime() + pause; System.nanoTime() < end; ) {
           LockSupport.parkNanos(end - System.nanoTime());
         }
       });
       long latency = outcome().latencyNanos();
-      assertTrue(latency < pause * 3 / 4, "answered at once, read " + pause + " ns later: " + latency);
+      assertTrue(
+          latency < pause * 3 / 4, "answered at once, read " + pause + " ns later: " + latency);
     }
   }
 
@@ -278,9 +316,11 @@
       start(BalancerCoreTest::sendOnRequest, upstream);
       Balancer.Listed leaving = new Balancer.Listed(UPSTREAM, "a", 1, State.DRAINING, 0, 1);
       take("1", "look", 15_000);
-      assertEquals(Status.SERVED, outcome().status(), "an idle connection makes the next send end at once");
-      loop.submit(() -> core.news(new HostList(8, false,
-          List.of(new HostList.Host(upstream.address(), leaving))))).get();
+      assertEquals(
+          Status.SERVED, outcome().status(), "an idle connection makes the next send end at once");
+      loop.submit(() -> core.news(
+              new HostList(8, false, List.of(new HostList.Host(upstream.address(), leaving)))))
+          .get();
       take("2", "look", 15_000);
       assertEquals(Status.NOT_SENT, outcome().status());
       assertEquals(1, upstream.requests.size());
@@ -294,14 +334,19 @@
     Consumer<Consumer<Action>> again = out -> out.accept(new Send("1", UPSTREAM, 15_000_000_000L));
     try (FakeServer upstream = new FakeServer((request, connection, out) ->
         FakeServer.write(out, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))) {
-      start((event, out) -> {
-        if (event instanceof Request || event instanceof Balancer.TimerFired) {
-          again.accept(out);
-        } else if (event instanceof Outcome o && o.status() == Status.ERROR) {
-          out.accept(new Balancer.SetTimer("again", System.currentTimeMillis() * 1_000_000
-              + settings.classes().get(1).dedupWindowNanos() + 50_000_000));
-        }
-      }, upstream);
+      start(
+          (event, out) -> {
+            if (event instanceof Request || event instanceof Balancer.TimerFired) {
+              again.accept(out);
+            } else if (event instanceof Outcome o && o.status() == Status.ERROR) {
+              out.accept(new Balancer.SetTimer(
+                  "again",
+                  System.currentTimeMillis() * 1_000_000
+                      + settings.classes().get(1).dedupWindowNanos()
+                      + 50_000_000));
+            }
+          },
+          upstream);
       take("1", "order", 15_000);
       assertEquals(Status.ERROR, outcome().status());
       assertEquals(Status.NOT_SENT, outcome().status());
--- a/src/test/java/pumicekeel/node/ClientLimitsTest.java
+++ b/src/test/java/pumicekeel/node/ClientLimitsTest.java
@@ -25,8 +25,13 @@
   }
 
   static Stream<String> unfinished() {
-    return Stream.of("GET /look HTTP/1.1\r\nHost: h\r\n", "G", ORDER.replace("Length: 4", "Length: 400"),
-        ORDER.replace("Content-Length: 4", "Transfer-Encoding: chunked").replace("body", "4\r\nbody\r\n"));
+    return Stream.of(
+        "GET /look HTTP/1.1\r\nHost: h\r\n",
+        "G",
+        ORDER.replace("Length: 4", "Length: 400"),
+        ORDER
+            .replace("Content-Length: 4", "Transfer-Encoding: chunked")
+            .replace("body", "4\r\nbody\r\n"));
   }
 
   @ParameterizedTest
@@ -56,8 +61,14 @@
         row(400, "Content-Length: 4\r\n\r\nbody", both + "identity\r\n\r\n" + hidden),
         row(400, "Content-Length: 4\r\n\r\nbody", both + "\tchunked\r\n\r\n" + hidden),
         row(400, "Content-Length: 4\r\n\r\nbody", both + "\r\n chunked\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4\r\n\r\nbody", both.replace("Encoding:", "Encoding :") + "chunked\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4\r\n\r\nbody", both + "chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden),
+        row(
+            400,
+            "Content-Length: 4\r\n\r\nbody",
+            both.replace("Encoding:", "Encoding :") + "chunked\r\n\r\n" + hidden),
+        row(
+            400,
+            "Content-Length: 4\r\n\r\nbody",
+            both + "chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden),
         row(400, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 4"),
         row(400, "Content-Length: 4", "Content-Length: 4, 4"),
         row(400, "Content-Length: 4", "Content-Length: +4"),
@@ -73,7 +84,8 @@
   void framingThatCanBeReadInTwoWaysIsRefusedAndEnded(int status, String request) throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
-      try (TestClient client = new TestClient(node.address); TestClient next = new TestClient(node.address)) {
+      try (TestClient client = new TestClient(node.address);
+          TestClient next = new TestClient(node.address)) {
         assertEquals(status, client.call(request).status());
         assertTrue(client.ended());
         assertEquals(200, next.call(TestClient.look("3", 15_000, "")).status());
@@ -83,8 +95,13 @@
   }
 
   static Stream<String> repeated() {
-    return Stream.of("X-Correlation-Id: 2", "X-Service-Class: order", "X-Account: acme", "X-Session-Key: q",
-        "X-Time-Left-Ms: 9", "Idempotency-Key: other");
+    return Stream.of(
+        "X-Correlation-Id: 2",
+        "X-Service-Class: order",
+        "X-Account: acme",
+        "X-Session-Key: q",
+        "X-Time-Left-Ms: 9",
+        "Idempotency-Key: other");
   }
 
   @ParameterizedTest
@@ -93,7 +110,8 @@
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        assertEquals(400, client.call(ORDER.replace("Host: h", "Host: h\r\n" + header)).status());
+        assertEquals(
+            400, client.call(ORDER.replace("Host: h", "Host: h\r\n" + header)).status());
         assertEquals(0, upstream.requests.size());
       }
     }
@@ -104,7 +122,11 @@
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        assertEquals(400, client.call(TestClient.look("1", 15_000, "").replace("acme", "nobody")).status());
+        assertEquals(
+            400,
+            client
+                .call(TestClient.look("1", 15_000, "").replace("acme", "nobody"))
+                .status());
         long told = System.nanoTime();
         assertEquals(200, client.call(TestClient.look("2", 15_000, "")).status());
         assertTrue(System.nanoTime() - told > 300_000_000L, "not at full speed");
@@ -115,7 +137,8 @@
   @Test
   void silentConnectionsAtTheLimitGiveWayToOneThatAsks() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.json(TestNode.nowhere(), 1, upstream).replace("\"sockets\":1024", "\"sockets\":20"));
+      TestNode node = new TestNode(TestNode.json(TestNode.nowhere(), 1, upstream)
+          .replace("\"sockets\":1024", "\"sockets\":20"));
       List<TestClient> silent = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
         silent.add(new TestClient(node.address));
--- a/src/test/java/pumicekeel/node/ConnectionPoolTest.java
+++ b/src/test/java/pumicekeel/node/ConnectionPoolTest.java
@@ -23,24 +23,33 @@
 import pumicekeel.call.Payload;
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.NioSockets;
-import pumicekeel.upstream.http.ConnectionPool;
+import pumicekeel.runtime.Reactor;
 import pumicekeel.upstream.UpstreamAttempt;
+import pumicekeel.upstream.http.ConnectionPool;
 import pumicekeel.upstream.http.UpstreamPool;
-import pumicekeel.runtime.Reactor;
 
 /** Limits of the pool, and what a send comes to that is over before its first byte. */
 class ConnectionPoolTest {
 
   private static final long LONG = 60_000_000_000L;
 
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final BlockingQueue<Status> outcomes = new LinkedBlockingQueue<>();
 
   private void send(UpstreamPool pool, String id, boolean maySend, UpstreamAttempt.Ending ending) {
-    RequestClass type = new RequestClass("look", Effect.SAFE, DedupScope.ALL, LONG, LONG, 0, LONG, 1, 0, false);
-    ClientRequest request =
-        new ClientRequest(id, type, "acme", "k", LONG, 0, false, 
-            new Payload.Http(HttpMethod.GET, "/look", "h", null, new byte[0]), null);
+    RequestClass type =
+        new RequestClass("look", Effect.SAFE, DedupScope.ALL, LONG, LONG, 0, LONG, 1, 0, false);
+    ClientRequest request = new ClientRequest(
+        id,
+        type,
+        "acme",
+        "k",
+        LONG,
+        0,
+        false,
+        new Payload.Http(HttpMethod.GET, "/look", "h", null, new byte[0]),
+        null);
     pool.attempt(0, 1, 0, ending).start(request, LONG, () -> maySend, new Clock(), loop);
   }
 
@@ -53,12 +62,14 @@
   }
 
   private ConnectionPool pool(long idleNanos, int most) throws Exception {
-    return loop.submit(() -> new ConnectionPool(Reactor.of(loop), LONG, idleNanos, most)).get();
+    return loop.submit(() -> new ConnectionPool(Reactor.of(loop), LONG, idleNanos, most))
+        .get();
   }
 
   @Test
   void secondCopyRightBehindAnAnswerIsNotTheNextSendsAnswer() throws Exception {
-    // The next send starts from within the first one's outcome, as a module does that had a request waiting.
+    // The next send starts from within the first one's outcome, as a module does that had a request
+    // waiting.
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       String answer = FakeServer.ok(request.contains("X-Correlation-Id: 1\n") ? "mine" : "next");
       FakeServer.write(out, answer + answer);
@@ -93,9 +104,12 @@
       AtomicLong time = new AtomicLong(LONG);
       UpstreamPool pool = of(poolBy(time), upstream.address());
       BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
-      loop.execute(() -> send(pool, "1", true, (first, status, answer) -> bodies.add(new String(answer.body()))));
+      loop.execute(() ->
+          send(pool, "1", true, (first, status, answer) -> bodies.add(new String(answer.body()))));
       assertEquals("mine", bodies.poll(30, TimeUnit.SECONDS));
-      loop.submit(() -> send(pool, "2", true, (second, status, answer) -> bodies.add(new String(answer.body())))).get();
+      loop.submit(() -> send(
+              pool, "2", true, (second, status, answer) -> bodies.add(new String(answer.body()))))
+          .get();
       wanted.countDown();
       written.await();
       time.addAndGet(LONG / 2);
@@ -164,7 +178,8 @@
       }
       // All have rested, so that the one used last is asked first.
       time.addAndGet(LONG / 4);
-      loop.execute(() -> send(pool, "break", true, (attempt, status, answer) -> outcomes.add(status)));
+      loop.execute(
+          () -> send(pool, "break", true, (attempt, status, answer) -> outcomes.add(status)));
       assertEquals(Status.RESET, outcome());
       TestNode.until(() -> upstream.closedByPeer.get() == 3);
     }
@@ -172,7 +187,8 @@
 
   @Test
   void atTheLimitAnIdleConnectionGivesWayAndABusyOneDoesNot() throws Exception {
-    try (FakeServer first = FakeServer.serving("fine"); FakeServer second = new FakeServer((r, c, out) -> {})) {
+    try (FakeServer first = FakeServer.serving("fine");
+        FakeServer second = new FakeServer((r, c, out) -> {})) {
       ConnectionPool pool = pool(LONG, 1);
       UpstreamPool toFirst = of(pool, first.address());
       attempt(toFirst, true);
--- a/src/test/java/pumicekeel/node/CrashTest.java
+++ b/src/test/java/pumicekeel/node/CrashTest.java
@@ -29,8 +29,10 @@
 class CrashTest {
 
   private final TestServices t = new TestServices();
+
   @TempDir
   private Path folder;
+
   private Process process;
   private InetSocketAddress address;
 
@@ -52,19 +54,31 @@
 
   private void start(String list) throws Exception {
     Path config = folder.resolve("config.json");
-    Files.writeString(config, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\","
-        + "\"limits\":{\"sockets\":1024},\"settings\":" + TestServices.SETTINGS + "}");
+    Files.writeString(
+        config,
+        "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\","
+            + "\"limits\":{\"sockets\":1024},\"settings\":" + TestServices.SETTINGS + "}");
     Path operator = folder.resolve("operator.toml");
-    Files.writeString(operator, "[journal]\ndirectory = \"" + journal() + "\"\ndurability = \"process\"\n"
-        + "[sources.s]\nstatic = " + list + "\n[pools.quotes]\nsource = \"s\"\n[[routes]]\n"
-        + "pool = \"quotes\"\n");
-    ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-        "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-        "pumicekeel.cli.Main", "serve", "--operator", operator.toString());
+    Files.writeString(
+        operator,
+        "[journal]\ndirectory = \"" + journal() + "\"\ndurability = \"process\"\n"
+            + "[sources.s]\nstatic = " + list + "\n[pools.quotes]\nsource = \"s\"\n[[routes]]\n"
+            + "pool = \"quotes\"\n");
+    ProcessBuilder builder = new ProcessBuilder(
+        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+        "-XX:+UseSerialGC",
+        "-XX:TieredStopAtLevel=1",
+        "-cp",
+        System.getProperty("java.class.path"),
+        "pumicekeel.cli.Main",
+        "serve",
+        "--operator",
+        operator.toString());
     builder.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
     builder.environment().put("PROXY_CONFIG", config.toString());
     process = builder.redirectErrorStream(true).start();
-    BufferedReader log = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+    BufferedReader log =
+        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     StringBuilder before = new StringBuilder();
     for (String line = log.readLine(); line != null; line = log.readLine()) {
       before.append(line).append('\n');
@@ -93,9 +107,19 @@
     long seed = new SplittableRandom().nextLong();
     System.err.println("CrashTest seed " + seed);
     StringWriter said = new StringWriter();
-    boolean truthful = new Torture(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-        "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-        "pumicekeel.cli.Main"), folder, "process", seed, new PrintWriter(said)).run(30);
+    boolean truthful = new Torture(
+            List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "pumicekeel.cli.Main"),
+            folder,
+            "process",
+            seed,
+            new PrintWriter(said))
+        .run(30);
     assertTrue(truthful, "seed " + seed + ": " + said);
   }
 
@@ -116,15 +140,24 @@
     for (int i = 0; i < 6; i++) {
       try (TestClient client = new TestClient(address)) {
         // Other session keys, so that the ring alone would spread them over both.
-        int status = client.call(ServicesTest.issue("again-" + i, "key-1", "h").replace("Key: k\r", "Key: s" + i + "\r"))
+        int status = client
+            .call(ServicesTest.issue("again-" + i, "key-1", "h")
+                .replace("Key: k\r", "Key: s" + i + "\r"))
             .status();
         assertTrue(status == 200 || status == 502, "status " + status);
-        assertTrue(seen("again-" + i).stream().allMatch(where::equals), seen("again-" + i) + " and not " + where);
+        assertTrue(
+            seen("again-" + i).stream().allMatch(where::equals),
+            seen("again-" + i) + " and not " + where);
       }
     }
-    Story first = history().stories().stream().filter(s -> s.first().id().equals("first")).findFirst().get();
+    Story first = history().stories().stream()
+        .filter(s -> s.first().id().equals("first"))
+        .findFirst()
+        .get();
     assertEquals(Story.Verdict.MAY_HAVE_RUN, first.verdict(history().gapOf(first)));
-    assertEquals(List.of(where), first.attempts().stream().map(a -> a.intent().upstream()).toList());
+    assertEquals(
+        List.of(where),
+        first.attempts().stream().map(a -> a.intent().upstream()).toList());
     // Its window of 5 s is over: nobody drops it any more, so it is failed and not sent.
     TestNode.until(() -> System.currentTimeMillis() - first.first().wallMillis() > 5_100);
     try (TestClient client = new TestClient(address)) {
@@ -139,7 +172,8 @@
   void killBeforeTheSendIsToldAsMayHaveRun() throws Exception {
     t.upstream("q0", 0);
     t.upstream("q1", 0);
-    try (java.net.ServerSocket full = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+    try (java.net.ServerSocket full =
+        new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
       java.util.List<java.net.Socket> fillers = new java.util.ArrayList<>();
       for (int i = 0; i < 4; i++) {
         java.net.Socket filler = new java.net.Socket();
@@ -150,7 +184,8 @@
           // The backlog is full: the next connect stays open.
         }
       }
-      start(t.list("q0", "q1").replaceAll("127\\.0\\.0\\.1:\\d+", "127.0.0.1:" + full.getLocalPort()));
+      start(t.list("q0", "q1")
+          .replaceAll("127\\.0\\.0\\.1:\\d+", "127.0.0.1:" + full.getLocalPort()));
       try (TestClient client = new TestClient(address)) {
         client.send(ServicesTest.issue("held", "key-1", "h"));
         TestNode.until(() -> {
@@ -178,7 +213,8 @@
     t.upstream("q1", 0);
     start();
     Process first = process;
-    AssertionError e = org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, this::start);
+    AssertionError e =
+        org.junit.jupiter.api.Assertions.assertThrows(AssertionError.class, this::start);
     assertTrue(e.getMessage().contains("another one writes to"), e.getMessage());
     assertEquals(2, process.waitFor());
     first.destroyForcibly().waitFor();
@@ -186,7 +222,9 @@
   }
 
   private List<String> seen(String id) {
-    return t.upstreams.entrySet().stream().filter(u -> u.getValue().seen().stream().map(Seen::id).anyMatch(id::equals))
-        .map(Map.Entry::getKey).toList();
+    return t.upstreams.entrySet().stream()
+        .filter(u -> u.getValue().seen().stream().map(Seen::id).anyMatch(id::equals))
+        .map(Map.Entry::getKey)
+        .toList();
   }
 }
--- a/src/test/java/pumicekeel/node/DiscoveryTest.java
+++ b/src/test/java/pumicekeel/node/DiscoveryTest.java
@@ -27,7 +27,8 @@
 
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final BlockingQueue<Object> heard = new LinkedBlockingQueue<>();
 
   private static void chunk(OutputStream out, String text) throws Exception {
@@ -35,11 +36,17 @@
   }
 
   private static String list(long index, boolean whole, String... endpoints) {
-    return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + String.join(",", endpoints) + "]}\n";
+    return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":["
+        + String.join(",", endpoints) + "]}\n";
   }
 
   private Discovery discovery(InetSocketAddress address, long silenceMillis) {
-    Discovery discovery = new Discovery(Reactor.of(loop), address, 7, new WatchTerms(false, 2_000, (int) silenceMillis, (int) silenceMillis, 0), heard::add,
+    Discovery discovery = new Discovery(
+        Reactor.of(loop),
+        address,
+        7,
+        new WatchTerms(false, 2_000, (int) silenceMillis, (int) silenceMillis, 0),
+        heard::add,
         () -> heard.add("failed"));
     loop.execute(() -> discovery.watch(true));
     return discovery;
@@ -69,8 +76,12 @@
       assertEquals("failed", next(), "a watch that ended");
       loop.execute(() -> discovery.watch(true));
       next();
-      assertTrue(server.requests.get(0).startsWith("GET /discovery/hosts?watch=1&after=7 "), server.requests.get(0));
-      assertTrue(server.requests.get(1).startsWith("GET /discovery/hosts?watch=1&after=9 "), server.requests.get(1));
+      assertTrue(
+          server.requests.get(0).startsWith("GET /discovery/hosts?watch=1&after=7 "),
+          server.requests.get(0));
+      assertTrue(
+          server.requests.get(1).startsWith("GET /discovery/hosts?watch=1&after=9 "),
+          server.requests.get(1));
     }
   }
 
@@ -142,7 +153,8 @@
 
   @Test
   void silentWatchFailsOnceAndIsClosed() throws Exception {
-    try (FakeServer server = new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD))) {
+    try (FakeServer server =
+        new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD))) {
       discovery(server.address(), 200);
       assertEquals("failed", next());
       TestNode.until(() -> server.closedByPeer.get() == 1);
@@ -174,7 +186,8 @@
 
   @Test
   void moveAsksTheNewOneForAllAtOnceAndIsNobodysFailure() throws Exception {
-    try (FakeServer before = new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD));
+    try (FakeServer before =
+            new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD));
         FakeServer after = new FakeServer((request, connection, out) -> {
           FakeServer.write(out, HEAD);
           chunk(out, list(3, true));
@@ -183,7 +196,8 @@
       TestNode.until(() -> before.requests.size() == 1);
       loop.execute(() -> discovery.moveTo(after.address()));
       assertEquals(3, ((HostList) next()).index());
-      assertTrue(after.requests.get(0).startsWith("GET /discovery/hosts?watch=1 "), after.requests.get(0));
+      assertTrue(
+          after.requests.get(0).startsWith("GET /discovery/hosts?watch=1 "), after.requests.get(0));
       TestNode.until(() -> before.closedByPeer.get() == 1);
       loop.execute(() -> discovery.watch(true));
       loop.submit(() -> {}).get();
@@ -207,7 +221,8 @@
 
   @Test
   void nodeFollowsAnAddressThatMovedAndAsksAgainAfterAFailure() throws Exception {
-    try (FakeServer before = FakeServer.serving("before"); FakeServer after = FakeServer.serving("after");
+    try (FakeServer before = FakeServer.serving("before");
+        FakeServer after = FakeServer.serving("after");
         FakeServer server = new FakeServer((request, connection, out) ->
             FakeServer.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
       TestNode node = new TestNode(server.address(), 1, before);
@@ -226,7 +241,8 @@
   @Test
   void pushedListIsFollowedFromTheStartAndAfterEveryWayToBreak() throws Exception {
     AtomicInteger watches = new AtomicInteger();
-    try (FakeServer kept = FakeServer.serving("kept"); FakeServer gone = FakeServer.serving("gone");
+    try (FakeServer kept = FakeServer.serving("kept");
+        FakeServer gone = FakeServer.serving("gone");
         FakeServer agent = new FakeServer((request, connection, out) -> {
           int watch = watches.incrementAndGet();
           if (watch == 1) {
@@ -260,19 +276,22 @@
       WatchTerms terms = WatchTerms.of(settings(asked));
       assertTrue(terms.silenceMillis() > 2_500, "a heartbeat comes every 2 s");
       long stalls = terms.connectMillis() + (asked ? 0 : terms.answerMillis());
-      long known = asked ? terms.silenceMillis() + BACK_OFF[0] + stalls + BACK_OFF[1]
+      long known = asked
+          ? terms.silenceMillis() + BACK_OFF[0] + stalls + BACK_OFF[1]
           : terms.silenceMillis() + 4 * (stalls + terms.reopenMillis());
       assertTrue(known < due, "asked " + asked + ": " + known);
     }
     WatchTerms agent = WatchTerms.of(settings(false));
-    assertTrue(agent.connectMillis() + agent.answerMillis() + agent.reopenMillis() < 1_000,
+    assertTrue(
+        agent.connectMillis() + agent.answerMillis() + agent.reopenMillis() < 1_000,
         "what an agent gets at its return counts at once");
   }
 
   private static final long[] BACK_OFF = {500, 1_000};
 
   private static Settings settings(boolean asked) {
-    String json = asked ? TestNode.json(TestNode.nowhere(), 1) : TestNode.pushed(TestNode.nowhere(), 1);
+    String json =
+        asked ? TestNode.json(TestNode.nowhere(), 1) : TestNode.pushed(TestNode.nowhere(), 1);
     try {
       return Decoder.settings(Fields.parse("configuration", json).nested("settings"));
     } catch (java.io.IOException e) {
@@ -282,7 +301,8 @@
 
   @Test
   void upstreamAbsentFromAWholeListGetsNothingMore() throws Exception {
-    try (FakeServer kept = FakeServer.serving("kept"); FakeServer gone = FakeServer.serving("gone");
+    try (FakeServer kept = FakeServer.serving("kept");
+        FakeServer gone = FakeServer.serving("gone");
         FakeServer server = new FakeServer((request, connection, out) -> {
           FakeServer.write(out, HEAD);
           chunk(out, list(8, true, TestNode.endpoint("s-0", kept.address(), "in_service")));
@@ -301,7 +321,8 @@
     try {
       boolean all = true;
       for (int i = 0; i < 20; i++) {
-        String request = TestClient.look("l" + calls[0]++, 15_000, "").replace("Key: k", "Key: k" + i);
+        String request =
+            TestClient.look("l" + calls[0]++, 15_000, "").replace("Key: k", "Key: k" + i);
         all &= client.call(request).body().equals("kept");
       }
       return all;
--- a/src/test/java/pumicekeel/node/FakeServer.java
+++ b/src/test/java/pumicekeel/node/FakeServer.java
@@ -86,7 +86,9 @@
         int length = 0;
         for (; line != null && !line.isEmpty(); line = in.readLine()) {
           request.append(line).append('\n');
-          length = line.toLowerCase().startsWith("content-length:") ? Integer.parseInt(line.substring(15).trim()) : length;
+          length = line.toLowerCase().startsWith("content-length:")
+              ? Integer.parseInt(line.substring(15).trim())
+              : length;
         }
         request.append('\n');
         for (int i = 0; i < length; i++) {
--- a/src/test/java/pumicekeel/node/GenerationsTest.java
+++ b/src/test/java/pumicekeel/node/GenerationsTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pumicekeel.load.Load;
-import pumicekeel.load.HttpAsk;
 import pumicekeel.load.Account.End;
+import pumicekeel.load.HttpAsk;
+import pumicekeel.load.Load;
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
 
@@ -25,6 +25,7 @@
 class GenerationsTest {
 
   private final TestServices t = new TestServices();
+
   @TempDir
   private Path folder;
 
@@ -34,8 +35,10 @@
   }
 
   private String file(String quotes, String more) {
-    return "[sources.q]\nstatic = " + t.list("q0", "q1") + "\n[sources.r]\nstatic = " + t.list("r0", "r1") + "\n"
-        + (quotes == null ? "" : "[pools.quotes]\nsource = \"q\"\n" + quotes + "\n") + "[pools.rates]\nsource = \"r\"\n"
+    return "[sources.q]\nstatic = " + t.list("q0", "q1") + "\n[sources.r]\nstatic = "
+        + t.list("r0", "r1") + "\n"
+        + (quotes == null ? "" : "[pools.quotes]\nsource = \"q\"\n" + quotes + "\n")
+        + "[pools.rates]\nsource = \"r\"\n"
         + (quotes == null ? "" : "[[routes]]\nhost = \"quote.example.org\"\npool = \"quotes\"\n")
         + "[[routes]]\nhost = \"rates.example.org\"\npool = \"rates\"\n" + more;
   }
@@ -58,18 +61,26 @@
   private static void noneLost(Load clients, boolean pastRoutes) throws InterruptedException {
     clients.stop();
     assertEquals(0, clients.account().unended());
-    assertEquals(0, clients.count(End.LOST) + clients.count(End.LATE), clients.account().faults().toString());
+    assertEquals(
+        0,
+        clients.count(End.LOST) + clients.count(End.LATE),
+        clients.account().faults().toString());
     // 404 counts as wrong: what a removed pool's clients are told from then on, and nobody else.
-    assertTrue(pastRoutes || clients.count(End.WRONG) == 0, clients.account().faults().toString());
-    assertTrue(clients.account().faults().stream().allMatch(f -> f.contains("answer 404")), clients.account().faults().toString());
+    assertTrue(
+        pastRoutes || clients.count(End.WRONG) == 0, clients.account().faults().toString());
+    assertTrue(
+        clients.account().faults().stream().allMatch(f -> f.contains("answer 404")),
+        clients.account().faults().toString());
   }
 
   /** A pool is altered and then removed while requests run in it and in another one. */
   @Test
   void openRequestsEndUnderTheGenerationThatTookThem() throws Exception {
     start();
-    var quotes = t.clients(new HttpAsk("quote.example.org", "quote-issue", true, "acme", 5_000), "q", 8, 200);
-    var rates = t.clients(new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 8, 200);
+    var quotes = t.clients(
+        new HttpAsk("quote.example.org", "quote-issue", true, "acme", 5_000), "q", 8, 200);
+    var rates = t.clients(
+        new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 8, 200);
     TestNode.until(() -> quotes.count(End.SERVED) > 50 && rates.count(End.SERVED) > 50);
     t.upstreams.get("q0").delayMicros(400_000);
     t.upstreams.get("q1").delayMicros(400_000);
@@ -85,9 +96,16 @@
     noneLost(quotes, true);
     noneLost(rates, false);
     // The stand-ins' logs: no key ran twice, and every answer of 200 was an upstream's.
-    long ran = t.upstreams.values().stream().flatMap(u -> u.seen().stream()).filter(s -> s.key() != null)
-        .map(StandInUpstream.Seen::key).distinct().count();
-    long seen = t.upstreams.values().stream().flatMap(u -> u.seen().stream()).filter(s -> s.key() != null).count();
+    long ran = t.upstreams.values().stream()
+        .flatMap(u -> u.seen().stream())
+        .filter(s -> s.key() != null)
+        .map(StandInUpstream.Seen::key)
+        .distinct()
+        .count();
+    long seen = t.upstreams.values().stream()
+        .flatMap(u -> u.seen().stream())
+        .filter(s -> s.key() != null)
+        .count();
     assertEquals(ran, seen);
   }
 
@@ -95,8 +113,10 @@
   @Test
   void reloadsInARowUnderLoadLoseNothing() throws Exception {
     start();
-    var quotes = t.clients(new HttpAsk("quote.example.org", "quote-issue", true, "acme", 5_000), "q", 8, 300);
-    var rates = t.clients(new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 8, 300);
+    var quotes = t.clients(
+        new HttpAsk("quote.example.org", "quote-issue", true, "acme", 5_000), "q", 8, 300);
+    var rates = t.clients(
+        new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 8, 300);
     Path path = folder.resolve("operator.toml");
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
     int done = 0;
@@ -116,7 +136,8 @@
     assertTrue(done > 20, "reloads: " + done);
     noneLost(quotes, false);
     noneLost(rates, false);
-    assertTrue(quotes.count(End.SERVED) > 200 && rates.count(End.SERVED) > 200,
+    assertTrue(
+        quotes.count(End.SERVED) > 200 && rates.count(End.SERVED) > 200,
         quotes.count(End.SERVED) + " " + rates.count(End.SERVED));
     TestNode.until(() -> retired() == 0);
     assertEquals(0L, t.ask(() -> t.node.services().pool("quotes").open.used()));
@@ -135,19 +156,25 @@
       for (int i = 0; i <= Services.MOST_RETIRED && refused == null; i++) {
         TestClient client = new TestClient(t.address);
         open.add(client);
-        int seen = t.upstreams.get("q0").seen().size() + t.upstreams.get("q1").seen().size();
+        int seen =
+            t.upstreams.get("q0").seen().size() + t.upstreams.get("q1").seen().size();
         client.send(ServicesTest.issue("h" + i, "k" + i, "quote.example.org"));
-        TestNode.until(() -> t.upstreams.get("q0").seen().size() + t.upstreams.get("q1").seen().size() > seen);
+        TestNode.until(() ->
+            t.upstreams.get("q0").seen().size() + t.upstreams.get("q1").seen().size() > seen);
         try {
           t.reload(file("limits = { max-open = " + (1_000 + i) + " }", ""));
         } catch (IOException e) {
           refused = e;
         }
       }
-      assertTrue(refused != null && refused.getMessage().contains("still have requests open"), "" + refused);
+      assertTrue(
+          refused != null && refused.getMessage().contains("still have requests open"),
+          "" + refused);
       assertTrue(retired() <= Services.MOST_RETIRED);
       try (TestClient client = new TestClient(t.address)) {
-        assertEquals("ok", client.call(ServicesTest.lookup("ok", "rates.example.org", "")).body());
+        assertEquals(
+            "ok",
+            client.call(ServicesTest.lookup("ok", "rates.example.org", "")).body());
       }
     } finally {
       for (TestClient client : open) {
@@ -161,30 +188,44 @@
   @Test
   void fileThatDoesNotFitChangesNothing() throws Exception {
     start();
-    assertThrows(IllegalArgumentException.class, () -> t.reload(file("open-requests = { guaranteed = 900000 }", "")));
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> t.reload(file("open-requests = { guaranteed = 900000 }", "")));
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      IOException e = assertThrows(IOException.class, () -> t.reload(file(null, "[listeners.free]\naddress = "
-          + "\"127.0.0.1:0\"\n[listeners.taken]\naddress = \"127.0.0.1:" + taken.getLocalPort() + "\"\n")));
+      IOException e = assertThrows(
+          IOException.class,
+          () -> t.reload(file(
+              null,
+              "[listeners.free]\naddress = "
+                  + "\"127.0.0.1:0\"\n[listeners.taken]\naddress = \"127.0.0.1:"
+                  + taken.getLocalPort() + "\"\n")));
       assertTrue(e.getMessage().contains("listeners.taken.address"), e.getMessage());
     }
     try (TestClient client = new TestClient(t.address)) {
-      assertEquals("1", client.call(ServicesTest.lookup("1", "quote.example.org", "")).body(), "the pool is still there");
+      assertEquals(
+          "1",
+          client.call(ServicesTest.lookup("1", "quote.example.org", "")).body(),
+          "the pool is still there");
     }
   }
 
   @Test
   void listenersComeAndGoAndServeWhatTheyHaveTaken() throws Exception {
     start();
-    String partner = "[listeners.partner]\naddress = \"127.0.0.1:0\"\n[[routes]]\nlistener = \"partner\"\npool = \"quotes\"\n";
+    String partner =
+        "[listeners.partner]\naddress = \"127.0.0.1:0\"\n[[routes]]\nlistener = \"partner\"\npool = \"quotes\"\n";
     t.reload(file("", partner));
     InetSocketAddress address = t.ask(() -> t.node.listeners().address("partner"));
     StandInUpstream q0 = t.upstreams.get("q0");
     StandInUpstream q1 = t.upstreams.get("q1");
-    try (TestClient client = new TestClient(address); TestClient idle = new TestClient(address);
+    try (TestClient client = new TestClient(address);
+        TestClient idle = new TestClient(address);
         TestClient platform = new TestClient(t.address)) {
       assertEquals(200, idle.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
-      assertEquals("1", client.call(ServicesTest.lookup("1", "any.example.org", "")).body());
-      assertEquals(404, platform.call(ServicesTest.lookup("2", "any.example.org", "")).status());
+      assertEquals(
+          "1", client.call(ServicesTest.lookup("1", "any.example.org", "")).body());
+      assertEquals(
+          404, platform.call(ServicesTest.lookup("2", "any.example.org", "")).status());
       q0.delayMicros(300_000);
       q1.delayMicros(300_000);
       int seen = q0.seen().size() + q1.seen().size();
@@ -204,7 +245,8 @@
   void settingsThatNeedARestartAreNamed() throws Exception {
     start();
     var next = TestServices.operator(file("", "") + "[process]\nupstream-sockets = 100\n");
-    assertEquals(java.util.List.of("process.upstream-sockets"),
+    assertEquals(
+        java.util.List.of("process.upstream-sockets"),
         t.ask(() -> t.node.services().needRestart(next)));
     t.node.reload(next);
   }
--- a/src/test/java/pumicekeel/node/HandoverTest.java
+++ b/src/test/java/pumicekeel/node/HandoverTest.java
@@ -40,6 +40,7 @@
 
   @TempDir
   private Path folder;
+
   private Process platform;
   private BufferedReader lines;
   private long old;
@@ -71,7 +72,9 @@
     try (Socket socket = new Socket(door.getAddress(), door.getPort())) {
       socket.setSoTimeout(30_000);
       socket.getOutputStream().write((word + "\n").getBytes(StandardCharsets.US_ASCII));
-      return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII)).readLine();
+      return new BufferedReader(
+              new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))
+          .readLine();
     } catch (IOException e) {
       return "NO " + e;
     }
@@ -91,15 +94,28 @@
       Path again = folder.resolve("again");
       InetSocketAddress firstDoor = freeAddress();
       InetSocketAddress secondDoor = freeAddress();
-      ProcessBuilder builder = new ProcessBuilder("perl", "-e", PLATFORM, again.toString(), TestNode.text(firstDoor),
-          TestNode.text(secondDoor), Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-          "-XX:+UseSerialGC", "-Xmx128m", "-cp", System.getProperty("java.class.path"), "pumicekeel.cli.Main", "serve");
+      ProcessBuilder builder = new ProcessBuilder(
+          "perl",
+          "-e",
+          PLATFORM,
+          again.toString(),
+          TestNode.text(firstDoor),
+          TestNode.text(secondDoor),
+          Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+          "-XX:+UseSerialGC",
+          "-Xmx128m",
+          "-cp",
+          System.getProperty("java.class.path"),
+          "pumicekeel.cli.Main",
+          "serve");
       builder.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
       builder.environment().put("PROXY_CONFIG", config.toString());
       builder.environment().put("PROXY_SOCKET_FD", "0");
       platform = builder.redirectErrorStream(true).start();
-      lines = new BufferedReader(new InputStreamReader(platform.getInputStream(), StandardCharsets.UTF_8));
-      InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(await("port")));
+      lines = new BufferedReader(
+          new InputStreamReader(platform.getInputStream(), StandardCharsets.UTF_8));
+      InetSocketAddress address =
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(await("port")));
       old = Long.parseLong(await("pid"));
       TestNode.until(() -> call(firstDoor, "readyz").startsWith("YES"));
 
@@ -111,13 +127,15 @@
       client.start();
       TestClient open = new TestClient(address);
       open.send(TestClient.look("held", 15_000, ""));
-      TestNode.until(() -> upstream.requests.stream().anyMatch(r -> r.contains("held")) && served.get() > 0);
+      TestNode.until(
+          () -> upstream.requests.stream().anyMatch(r -> r.contains("held")) && served.get() > 0);
       TestNode.until(() -> served.get() > 200);
       assertEquals(0, ended.get(), "connections are kept until the handover");
       Files.writeString(again, "");
       await("pid");
       TestNode.until(() -> call(secondDoor, "readyz").startsWith("YES"));
-      assertEquals(0, new ProcessBuilder("kill", "-TERM", Long.toString(old)).start().waitFor());
+      assertEquals(
+          0, new ProcessBuilder("kill", "-TERM", Long.toString(old)).start().waitFor());
       TestNode.until(() -> call(firstDoor, "readyz").startsWith("NO"));
       held.countDown();
       assertEquals("fine", open.read().body(), "what the old one had taken");
@@ -127,13 +145,20 @@
       TestNode.until(() -> served.get() > before + 10);
       over.set(true);
       client.join(TimeUnit.SECONDS.toMillis(30));
-      assertEquals(0, broken.get(), "requests that met a refused, reset or unread connection, or one that was not ready for them");
+      assertEquals(
+          0,
+          broken.get(),
+          "requests that met a refused, reset or unread connection, or one that was not ready for them");
       assertTrue(call(secondDoor, "readyz").startsWith("YES"));
     }
   }
 
   /** A client that keeps its connection until it is told that an answer was its last. */
-  private static void ask(InetSocketAddress address, AtomicBoolean over, AtomicInteger served, AtomicInteger broken,
+  private static void ask(
+      InetSocketAddress address,
+      AtomicBoolean over,
+      AtomicInteger served,
+      AtomicInteger broken,
       AtomicInteger ended) {
     TestClient client = null;
     while (!over.get()) {
--- a/src/test/java/pumicekeel/node/JournalTroubleTest.java
+++ b/src/test/java/pumicekeel/node/JournalTroubleTest.java
@@ -20,10 +20,15 @@
 
   private void start(boolean refuses, long maxWaitMillis) throws Exception {
     q = t.upstream("q", 0);
-    t.start("[sources.s]\nstatic = " + t.list("q") + "\n[pools.p]\nsource = \"s\"\n[[routes]]\npool = \"p\"\n");
+    t.start("[sources.s]\nstatic = " + t.list("q")
+        + "\n[pools.p]\nsource = \"s\"\n[[routes]]\npool = \"p\"\n");
     journal = new FaultyJournal(t.node.loop(), refuses);
-    JournalLog log = new JournalLog(t.node.loop(), t.node.services().clock(), journal.writer,
-        new KeyMemory(KeyMemory.MOST), TimeUnit.MILLISECONDS.toNanos(maxWaitMillis));
+    JournalLog log = new JournalLog(
+        t.node.loop(),
+        t.node.services().clock(),
+        journal.writer,
+        new KeyMemory(KeyMemory.MOST),
+        TimeUnit.MILLISECONDS.toNanos(maxWaitMillis));
     t.ask(() -> {
       t.node.services().journal(log);
       return null;
@@ -48,21 +53,26 @@
     start(true, 50);
     assertEquals("1", call(ServicesTest.issue("1", "k1", "h")).body());
     journal.stall(true);
-    // Each of the attempts that the module tries waits so long at most; the deadline of 5 s is far off.
+    // Each of the attempts that the module tries waits so long at most; the deadline of 5 s is far
+    // off.
     long before = System.nanoTime();
     TestClient.Reply reply = call(ServicesTest.issue("2", "k2", "h"));
     assertTrue(reply.status() == 429 || reply.status() == 503, "status " + reply.status());
     assertTrue(System.nanoTime() - before < TimeUnit.SECONDS.toNanos(4), "not held");
-    assertEquals("3", call(ServicesTest.lookup("3", "h", "")).body(), "what needs no record goes on");
+    assertEquals(
+        "3", call(ServicesTest.lookup("3", "h", "")).body(), "what needs no record goes on");
     journal.stall(false);
     TestNode.until(() -> {
       try {
-        return call(ServicesTest.issue("4-" + System.nanoTime(), "k4-" + System.nanoTime(), "h")).status() == 200;
+        return call(ServicesTest.issue("4-" + System.nanoTime(), "k4-" + System.nanoTime(), "h"))
+                .status()
+            == 200;
       } catch (Exception e) {
         throw new AssertionError(e);
       }
     });
-    assertTrue(q.seen().stream().noneMatch(s -> s.id().equals("2")), "never sent, as the refusal says");
+    assertTrue(
+        q.seen().stream().noneMatch(s -> s.id().equals("2")), "never sent, as the refusal says");
   }
 
   @Test
@@ -79,7 +89,9 @@
     journal.fail(false);
     TestNode.until(() -> {
       try {
-        return call(ServicesTest.issue("4-" + System.nanoTime(), "k4-" + System.nanoTime(), "h")).status() == 200;
+        return call(ServicesTest.issue("4-" + System.nanoTime(), "k4-" + System.nanoTime(), "h"))
+                .status()
+            == 200;
       } catch (Exception e) {
         throw new AssertionError(e);
       }
@@ -101,10 +113,15 @@
   void repeatInTheSameProcessIsBoundToTheGroupToo() throws Exception {
     q = t.upstream("q0", 0);
     t.upstream("q1", 0);
-    t.start("[sources.s]\nstatic = " + t.list("q0", "q1") + "\n[pools.p]\nsource = \"s\"\n[[routes]]\npool = \"p\"\n");
+    t.start("[sources.s]\nstatic = " + t.list("q0", "q1")
+        + "\n[pools.p]\nsource = \"s\"\n[[routes]]\npool = \"p\"\n");
     journal = new FaultyJournal(t.node.loop(), true);
-    JournalLog log = new JournalLog(t.node.loop(), t.node.services().clock(), journal.writer,
-        new KeyMemory(KeyMemory.MOST), TimeUnit.SECONDS.toNanos(5));
+    JournalLog log = new JournalLog(
+        t.node.loop(),
+        t.node.services().clock(),
+        journal.writer,
+        new KeyMemory(KeyMemory.MOST),
+        TimeUnit.SECONDS.toNanos(5));
     t.ask(() -> {
       t.node.services().journal(log);
       return null;
@@ -114,7 +131,9 @@
     String where = seenAt("1");
     t.upstreams.values().forEach(u -> u.mode(Mode.SERVE));
     for (int i = 0; i < 6; i++) {
-      int status = call(ServicesTest.issue("r" + i, "k1", "h").replace("Key: k\r", "Key: s" + i + "\r")).status();
+      int status = call(ServicesTest.issue("r" + i, "k1", "h")
+              .replace("Key: k\r", "Key: s" + i + "\r"))
+          .status();
       assertTrue(status == 200 || status == 502, "status " + status);
       assertTrue(status == 502 || seenAt("r" + i).equals(where), "repeat " + i);
     }
@@ -125,7 +144,10 @@
   }
 
   private String seenAt(String id) {
-    return t.upstreams.entrySet().stream().filter(u -> u.getValue().seen().stream().anyMatch(s -> s.id().equals(id)))
-        .map(java.util.Map.Entry::getKey).findFirst().orElse("nowhere");
+    return t.upstreams.entrySet().stream()
+        .filter(u -> u.getValue().seen().stream().anyMatch(s -> s.id().equals(id)))
+        .map(java.util.Map.Entry::getKey)
+        .findFirst()
+        .orElse("nowhere");
   }
 }
--- a/src/test/java/pumicekeel/node/LargeBodyTest.java
+++ b/src/test/java/pumicekeel/node/LargeBodyTest.java
@@ -111,7 +111,10 @@
 
   private static byte[] readBody(String head, DataInputStream in) throws IOException {
     if (field(head, "transfer-encoding") == null) {
-      byte[] body = new byte[field(head, "content-length") == null ? 0 : Integer.parseInt(field(head, "content-length"))];
+      byte[] body = new byte
+          [field(head, "content-length") == null
+              ? 0
+              : Integer.parseInt(field(head, "content-length"))];
       in.readFully(body);
       return body;
     }
@@ -139,10 +142,12 @@
   private static TestNode node(int attempts, Raw... upstreams) throws Exception {
     StringBuilder known = new StringBuilder();
     for (int i = 0; i < upstreams.length; i++) {
-      known.append(i == 0 ? "" : ",").append(TestNode.endpoint("s-" + i, upstreams[i].address(), "in_service"));
+      known
+          .append(i == 0 ? "" : ",")
+          .append(TestNode.endpoint("s-" + i, upstreams[i].address(), "in_service"));
     }
-    return new TestNode(TestNode.json(TestNode.nowhere(), attempts).replace("\"endpoints\":[]",
-        "\"endpoints\":[" + known + "]"));
+    return new TestNode(TestNode.json(TestNode.nowhere(), attempts)
+        .replace("\"endpoints\":[]", "\"endpoints\":[" + known + "]"));
   }
 
   private static byte[] noise(int length, long seed) {
@@ -155,7 +160,8 @@
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  private static void chunk(OutputStream out, byte[] bytes, int from, int length) throws IOException {
+  private static void chunk(OutputStream out, byte[] bytes, int from, int length)
+      throws IOException {
     out.write(ascii(Integer.toHexString(length) + ";x=y\r\n"));
     out.write(bytes, from, length);
     out.write(ascii("\r\n"));
@@ -174,7 +180,8 @@
     try (Raw upstream = new Raw((head, none, connection) -> {
       OutputStream out = connection.getOutputStream();
       if (form.equals("length")) {
-        out.write(ascii("HTTP/1.1 200 OK\r\nContent-Type: x/y\r\nContent-Length: " + body.length + "\r\n\r\n"));
+        out.write(ascii(
+            "HTTP/1.1 200 OK\r\nContent-Type: x/y\r\nContent-Length: " + body.length + "\r\n\r\n"));
         out.write(body);
       } else if (form.equals("chunks")) {
         out.write(ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
@@ -289,22 +296,26 @@
   }
 
   private static String upload(String id, String length) {
-    return TestClient.order(id, 15_000).replace("Content-Length: 4\r\n\r\nbody", length + "\r\n\r\n");
+    return TestClient.order(id, 15_000)
+        .replace("Content-Length: 4\r\n\r\nbody", length + "\r\n\r\n");
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void largeRequestGoesOnAsItComesAndItsTimeCountsFromItsEnd(boolean chunked) throws Exception {
     byte[] body = noise(2 * MIB, 5);
-    try (Raw upstream = new Raw((head, sent, connection) ->
-        connection.getOutputStream().write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine")))) {
+    try (Raw upstream = new Raw((head, sent, connection) -> connection
+        .getOutputStream()
+        .write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine")))) {
       TestNode node = node(1, upstream);
       try (Socket socket = client(node)) {
         OutputStream out = socket.getOutputStream();
         DataInputStream in = new DataInputStream(socket.getInputStream());
         for (int round = 0; round < 2; round++) {
           // Its time is less than its body takes to come.
-          String head = upload("u" + round, chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + body.length)
+          String head = upload(
+                  "u" + round,
+                  chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + body.length)
               .replace("X-Time-Left-Ms: 15000", "X-Time-Left-Ms: 800");
           out.write(ascii(head));
           for (int i = 0; i < body.length; i += 128 << 10) {
@@ -335,17 +346,22 @@
   @Test
   void uploadThatEndsHalfWayNeverRunsAndLeavesNothingBehind() throws Exception {
     byte[] body = noise(MIB, 6);
-    try (Raw upstream = new Raw((head, sent, connection) ->
-        connection.getOutputStream().write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine")))) {
+    try (Raw upstream = new Raw((head, sent, connection) -> connection
+        .getOutputStream()
+        .write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine")))) {
       TestNode node = node(1, upstream);
-      try (Socket leaves = client(node); Socket stops = client(node)) {
+      try (Socket leaves = client(node);
+          Socket stops = client(node)) {
         for (Socket socket : List.of(leaves, stops)) {
-          socket.getOutputStream().write(ascii(upload("u" + socket.getLocalPort(), "Content-Length: " + body.length)));
+          socket
+              .getOutputStream()
+              .write(ascii(upload("u" + socket.getLocalPort(), "Content-Length: " + body.length)));
           socket.getOutputStream().write(body, 0, body.length / 2);
         }
         TestNode.until(() -> upstream.heads.size() == 2);
         leaves.close();
-        assertTrue(readHead(new DataInputStream(stops.getInputStream())).startsWith("HTTP/1.1 408"));
+        assertTrue(
+            readHead(new DataInputStream(stops.getInputStream())).startsWith("HTTP/1.1 408"));
         TestNode.until(() -> upstream.open.stream().allMatch(LargeBodyTest::gone));
         assertTrue(upstream.bodies.isEmpty(), "no request came whole");
         TestNode.until(() -> node.node.listeners().open() == 0);
@@ -367,8 +383,9 @@
   void bodyThatIsSpentIsNotSentAgainAndOneThatIsNotGoesElsewhere() throws Exception {
     byte[] body = noise(4 * MIB, 7);
     try (ServerSocket refuses = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Raw upstream = new Raw((head, sent, connection) ->
-            connection.getOutputStream().write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine")))) {
+        Raw upstream = new Raw((head, sent, connection) -> connection
+            .getOutputStream()
+            .write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine")))) {
       // Reads the head and a part of the body, then breaks: nothing can have run.
       CompletableFuture<Integer> broke = new CompletableFuture<>();
       Raw.start(() -> {
@@ -381,26 +398,37 @@
           }
         }
       });
-      TestNode node = new TestNode(TestNode.json(TestNode.nowhere(), 4).replace("\"endpoints\":[]", "\"endpoints\":["
-          + TestNode.endpoint("s-0", (InetSocketAddress) refuses.getLocalSocketAddress(), "in_service") + "]"));
+      TestNode node = new TestNode(TestNode.json(TestNode.nowhere(), 4)
+          .replace(
+              "\"endpoints\":[]",
+              "\"endpoints\":["
+                  + TestNode.endpoint(
+                      "s-0", (InetSocketAddress) refuses.getLocalSocketAddress(), "in_service")
+                  + "]"));
       try (Socket socket = client(node)) {
         OutputStream out = socket.getOutputStream();
         out.write(ascii(upload("spent", "Content-Length: " + body.length)));
         out.write(body);
         DataInputStream in = new DataInputStream(socket.getInputStream());
         String head = readHead(in);
-        assertTrue(head.startsWith("HTTP/1.1 429"), "nothing ran, and nothing more can be sent: " + head);
+        assertTrue(
+            head.startsWith("HTTP/1.1 429"), "nothing ran, and nothing more can be sent: " + head);
         assertEquals(0, broke.get(30, TimeUnit.SECONDS), "one attempt");
       }
       refuses.close();
-      TestNode other = new TestNode(TestNode.json(TestNode.nowhere(), 4).replace("\"endpoints\":[]", "\"endpoints\":["
-          + TestNode.endpoint("s-0", TestNode.nowhere(), "in_service") + ","
-          + TestNode.endpoint("s-1", upstream.address(), "in_service") + "]"));
+      TestNode other = new TestNode(TestNode.json(TestNode.nowhere(), 4)
+          .replace(
+              "\"endpoints\":[]",
+              "\"endpoints\":["
+                  + TestNode.endpoint("s-0", TestNode.nowhere(), "in_service") + ","
+                  + TestNode.endpoint("s-1", upstream.address(), "in_service") + "]"));
       int served = 0;
       for (int i = 0; i < 6; i++) {
         try (Socket socket = client(other)) {
-          socket.getOutputStream().write(ascii(upload("again" + i, "Content-Length: " + body.length).replace(
-              "X-Session-Key: k", "X-Session-Key: k" + i)));
+          socket
+              .getOutputStream()
+              .write(ascii(upload("again" + i, "Content-Length: " + body.length)
+                  .replace("X-Session-Key: k", "X-Session-Key: k" + i)));
           socket.getOutputStream().write(body);
           DataInputStream in = new DataInputStream(socket.getInputStream());
           served += readHead(in).startsWith("HTTP/1.1 200") ? 1 : 0;
@@ -415,8 +443,10 @@
   /** Bodies that come whole before anybody has taken them, and then find nobody: their pieces are given back. */
   @Test
   void bodiesThatNobodyTakesLeaveNoBuffersBehind() throws Exception {
-    TestNode node = new TestNode(TestNode.json(TestNode.nowhere(), 1).replace("\"endpoints\":[]", "\"endpoints\":["
-        + TestNode.endpoint("s-0", TestNode.nowhere(), "in_service") + "]"));
+    TestNode node = new TestNode(TestNode.json(TestNode.nowhere(), 1)
+        .replace(
+            "\"endpoints\":[]",
+            "\"endpoints\":[" + TestNode.endpoint("s-0", TestNode.nowhere(), "in_service") + "]"));
     byte[] body = noise((64 << 10) + 1_500, 9);
     long before = -1;
     // In small chunks, whose last ones come in one read with the one that is too much.
@@ -433,7 +463,8 @@
         out.write(ascii(upload("n" + i, "Transfer-Encoding: chunked")));
         out.write(chunks.toByteArray());
         out.write(ascii("0\r\n\r\n"));
-        assertFalse(readHead(new DataInputStream(socket.getInputStream())).startsWith("HTTP/1.1 200"));
+        assertFalse(
+            readHead(new DataInputStream(socket.getInputStream())).startsWith("HTTP/1.1 200"));
       }
     }
     long grown = io.netty.util.internal.PlatformDependent.usedDirectMemory() - before;
@@ -442,10 +473,12 @@
 
   @Test
   void bodiesBeyondTheMostAreTurnedAwayHoweverTheirLengthIsTold() throws Exception {
-    try (Raw upstream = new Raw((head, sent, connection) ->
-        connection.getOutputStream().write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine")))) {
+    try (Raw upstream = new Raw((head, sent, connection) -> connection
+        .getOutputStream()
+        .write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine")))) {
       TestNode node = node(1, upstream);
-      try (Socket told = client(node); Socket untold = client(node)) {
+      try (Socket told = client(node);
+          Socket untold = client(node)) {
         told.getOutputStream().write(ascii(upload("a", "Content-Length: 60000000")));
         assertTrue(readHead(new DataInputStream(told.getInputStream())).startsWith("HTTP/1.1 413"));
         untold.getOutputStream().write(ascii(upload("b", "Transfer-Encoding: chunked")));
--- a/src/test/java/pumicekeel/node/LateLoopTest.java
+++ b/src/test/java/pumicekeel/node/LateLoopTest.java
@@ -26,7 +26,11 @@
       for (int i = 0; !soon; i++) {
         try (TestClient client = new TestClient(node.address)) {
           long asked = System.nanoTime();
-          assertEquals(400, client.call(TestClient.look("bad" + i, 15_000, "").replace("acme", "nobody")).status());
+          assertEquals(
+              400,
+              client
+                  .call(TestClient.look("bad" + i, 15_000, "").replace("acme", "nobody"))
+                  .status());
           client.send(TestClient.look("good" + i, 15_000, ""));
           soon = System.nanoTime() - asked < sentWithinNanos;
           assertEquals(200, client.read().status());
@@ -46,7 +50,8 @@
       try (Socket client = new Socket(t.address.getAddress(), t.address.getPort())) {
         ask(client, "a");
         TestNode.until(() -> upstream.requests.size() == 1);
-        assertTrue(left(upstream, 0) > LEFT_MILLIS - 2_000, "left without a stall: " + left(upstream, 0));
+        assertTrue(
+            left(upstream, 0) > LEFT_MILLIS - 2_000, "left without a stall: " + left(upstream, 0));
         client.getInputStream().read();
         CountDownLatch stands = new CountDownLatch(1);
         t.node.loop().execute(() -> {
@@ -56,7 +61,9 @@
         stands.await();
         ask(client, "b");
         TestNode.until(() -> upstream.requests.size() == 2);
-        assertTrue(left(upstream, 1) < LEFT_MILLIS - 2_500, "left after it waited for 3 s: " + left(upstream, 1));
+        assertTrue(
+            left(upstream, 1) < LEFT_MILLIS - 2_500,
+            "left after it waited for 3 s: " + left(upstream, 1));
       } finally {
         t.node.close();
       }
@@ -98,12 +105,17 @@
   }
 
   private static void ask(Socket client, String id) throws Exception {
-    client.getOutputStream().write(("GET /look HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id + "\r\nX-Service-Class: look\r\n"
-        + "X-Account: acme\r\nX-Time-Left-Ms: " + LEFT_MILLIS + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+    client
+        .getOutputStream()
+        .write(("GET /look HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id
+                + "\r\nX-Service-Class: look\r\n" + "X-Account: acme\r\nX-Time-Left-Ms: "
+                + LEFT_MILLIS + "\r\n\r\n")
+            .getBytes(StandardCharsets.US_ASCII));
   }
 
   private static int left(FakeServer upstream, int request) {
-    Matcher m = Pattern.compile("(?i)x-time-left-ms: (\\d+)").matcher(upstream.requests.get(request));
+    Matcher m =
+        Pattern.compile("(?i)x-time-left-ms: (\\d+)").matcher(upstream.requests.get(request));
     assertEquals(true, m.find(), upstream.requests.get(request));
     return Integer.parseInt(m.group(1));
   }
--- a/src/test/java/pumicekeel/node/LeavingClientTest.java
+++ b/src/test/java/pumicekeel/node/LeavingClientTest.java
@@ -19,7 +19,9 @@
   private static final long LEFT_MILLIS = 50_000;
   /** Far more than it takes to see a client leave, and far less than a request is held. */
   private static final long SEEN_NANOS = 4_000_000_000L;
-  private static final String BAD = TestClient.look("bad", LEFT_MILLIS, "").replace("acme", "nobody");
+
+  private static final String BAD =
+      TestClient.look("bad", LEFT_MILLIS, "").replace("acme", "nobody");
 
   private final CountDownLatch tell = new CountDownLatch(1);
 
@@ -36,8 +38,11 @@
 
   private static TestNode node(FakeServer discovery, FakeServer... known) throws Exception {
     // Held for a third of its aim: until the discovery tells.
-    return new TestNode(TestNode.json(discovery == null ? TestNode.nowhere() : discovery.address(), 3, known)
-        .replace("\"aim-ns\":2000000000,\"deadline-ns\":20000000000", "\"aim-ns\":60000000000,\"deadline-ns\":60000000000"));
+    return new TestNode(
+        TestNode.json(discovery == null ? TestNode.nowhere() : discovery.address(), 3, known)
+            .replace(
+                "\"aim-ns\":2000000000,\"deadline-ns\":20000000000",
+                "\"aim-ns\":60000000000,\"deadline-ns\":60000000000"));
   }
 
   /** One that stays is served, and nobody else was; what is held would have gone out by the time of its later requests. */
@@ -45,17 +50,21 @@
     int calls = 5;
     try (TestClient stays = new TestClient(node.address)) {
       for (int i = 0; i < calls; i++) {
-        assertEquals(200, stays.call(TestClient.look("stays" + i, LEFT_MILLIS, "")).status());
+        assertEquals(
+            200, stays.call(TestClient.look("stays" + i, LEFT_MILLIS, "")).status());
       }
     }
-    assertTrue(upstream.requests.stream().allMatch(r -> r.contains("stays")), () -> "sent on: " + upstream.requests);
+    assertTrue(
+        upstream.requests.stream().allMatch(r -> r.contains("stays")),
+        () -> "sent on: " + upstream.requests);
     assertEquals(calls, upstream.requests.size());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 30, 4_000})
   void leftWhileHeldWithSoManyRequestsBehind(int behind) throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine"); FakeServer discovery = discovery(upstream)) {
+    try (FakeServer upstream = FakeServer.serving("fine");
+        FakeServer discovery = discovery(upstream)) {
       TestNode node = node(discovery);
       try (TestClient leaves = new TestClient(node.address)) {
         leaves.send(TestClient.look("leaves", LEFT_MILLIS, ""));
@@ -64,7 +73,8 @@
       }
       long left = System.nanoTime();
       node.pass();
-      TestNode.until(() -> node.node.listeners().platform().open() == 0 || System.nanoTime() - left > SEEN_NANOS);
+      TestNode.until(() ->
+          node.node.listeners().platform().open() == 0 || System.nanoTime() - left > SEEN_NANOS);
       tell.countDown();
       onlyOneThatStays(node, upstream);
     }
@@ -72,10 +82,12 @@
 
   @Test
   void leftWhileHeldOnAConnectionThatRests() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine"); FakeServer discovery = discovery(upstream)) {
+    try (FakeServer upstream = FakeServer.serving("fine");
+        FakeServer discovery = discovery(upstream)) {
       TestNode node = node(discovery);
       try (TestClient leaves = new TestClient(node.address)) {
-        assertEquals(400, leaves.call(BAD + TestClient.look("leaves", LEFT_MILLIS, "")).status());
+        assertEquals(
+            400, leaves.call(BAD + TestClient.look("leaves", LEFT_MILLIS, "")).status());
       }
       node.pass();
       tell.countDown();
@@ -88,11 +100,15 @@
   void leftBeforeItsRequestWasRead() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = node(null, upstream);
-      try (TestClient leaves = new TestClient(node.address); TestClient waits = new TestClient(node.address)) {
+      try (TestClient leaves = new TestClient(node.address);
+          TestClient waits = new TestClient(node.address)) {
         assertEquals(400, leaves.call(BAD).status());
         leaves.send(TestClient.look("leaves", LEFT_MILLIS, "")).close();
         assertEquals(400, waits.call(BAD.replace(": bad", ": bad2")).status());
-        assertEquals(200, waits.call(TestClient.look("waits", LEFT_MILLIS, "")).status(), "rests as long, from later on");
+        assertEquals(
+            200,
+            waits.call(TestClient.look("waits", LEFT_MILLIS, "")).status(),
+            "rests as long, from later on");
       }
       TestNode.until(() -> node.node.listeners().platform().open() == 0);
       assertEquals(1, upstream.requests.size(), () -> "sent on: " + upstream.requests);
@@ -102,11 +118,13 @@
   /** While the loop stands still clients leave and the list comes: whichever is read first. */
   @Test
   void leftWhileTheLoopStoodStill() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine"); FakeServer discovery = discovery(upstream)) {
+    try (FakeServer upstream = FakeServer.serving("fine");
+        FakeServer discovery = discovery(upstream)) {
       TestNode node = node(discovery);
       List<TestClient> leave = new ArrayList<>();
       for (int i = 0; i < 20; i++) {
-        leave.add(new TestClient(node.address).send(TestClient.look("leaves" + i, LEFT_MILLIS, "")));
+        leave.add(
+            new TestClient(node.address).send(TestClient.look("leaves" + i, LEFT_MILLIS, "")));
       }
       node.pass();
       CountDownLatch goesOn = node.standStill();
@@ -125,7 +143,8 @@
   void leftDuringAConnect(boolean mayCancel) throws Exception {
     CountDownLatch gate = new CountDownLatch(1);
     List<Socket> inLine = new ArrayList<>();
-    try (FakeServer upstream = new FakeServer((request, connection, out) -> FakeServer.write(out, FakeServer.ok("fine")), 1, gate)) {
+    try (FakeServer upstream = new FakeServer(
+        (request, connection, out) -> FakeServer.write(out, FakeServer.ok("fine")), 1, gate)) {
       fill(upstream, inLine);
       TestNode node = new TestNode(TestNode.json(TestNode.nowhere(), 3, upstream)
           .replace("\"cancel\":true", "\"cancel\":" + mayCancel));
@@ -161,15 +180,18 @@
   @Test
   void leftWithABodyOfWhichMostIsUnread() throws Exception {
     String body = "x".repeat(300_000);
-    try (FakeServer upstream = FakeServer.serving("fine"); FakeServer discovery = discovery(upstream)) {
+    try (FakeServer upstream = FakeServer.serving("fine");
+        FakeServer discovery = discovery(upstream)) {
       TestNode node = node(discovery);
       try (TestClient leaves = new TestClient(node.address)) {
-        leaves.send(TestClient.order("leaves", LEFT_MILLIS).replace("Length: 4", "Length: " + body.length())
+        leaves.send(TestClient.order("leaves", LEFT_MILLIS)
+            .replace("Length: 4", "Length: " + body.length())
             .replace("\r\n\r\nbody", "\r\n\r\n" + body));
       }
       node.pass();
       tell.countDown();
-      TestNode.until(() -> node.node.listeners().platform().open() == 0 && upstream.closedByPeer.get() == 1);
+      TestNode.until(
+          () -> node.node.listeners().platform().open() == 0 && upstream.closedByPeer.get() == 1);
       onlyOneThatStays(node, upstream);
     }
   }
--- a/src/test/java/pumicekeel/node/OperatorDoorTest.java
+++ b/src/test/java/pumicekeel/node/OperatorDoorTest.java
@@ -25,7 +25,8 @@
       socket.setSoTimeout(30_000);
       socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
       socket.shutdownOutput();
-      BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+      BufferedReader in = new BufferedReader(
+          new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
       String answer = in.readLine();
       assertEquals(null, in.readLine(), "one line, then the end");
       return answer;
@@ -73,7 +74,8 @@
     })) {
       TestNode node = node(upstream);
       InetSocketAddress door = node.node.adminAddress();
-      try (TestClient busy = new TestClient(node.address); TestClient idle = new TestClient(node.address);
+      try (TestClient busy = new TestClient(node.address);
+          TestClient idle = new TestClient(node.address);
           TestClient open = new TestClient(node.address)) {
         idle.call(TestClient.look("first", 15_000, ""));
         open.send(TestClient.look("long", 15_000, ""));
@@ -91,7 +93,9 @@
         }
         assertTrue(busy.ended());
         assertTrue(idle.ended(), "one that asks nothing is closed");
-        assertTrue(System.nanoTime() - told < 9_000_000_000L, "for that, and not since it was idle for 10 s");
+        assertTrue(
+            System.nanoTime() - told < 9_000_000_000L,
+            "for that, and not since it was idle for 10 s");
         try (TestClient late = new TestClient(node.address)) {
           assertEquals(503, late.call(UP).status(), "it listens on, for the front's question");
           assertTrue(late.ended());
--- a/src/test/java/pumicekeel/node/OutcomeTest.java
+++ b/src/test/java/pumicekeel/node/OutcomeTest.java
@@ -36,21 +36,42 @@
   static Stream<Arguments> behaviours() {
     return Stream.of(
         row("whole answer", 200, says(FakeServer.ok("fine"))),
-        row("chunked answer", 200, says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n")),
-        row("after an interim answer", 200, says("HTTP/1.1 100 Continue\r\n\r\n" + FakeServer.ok("fine"))),
-        row("no reason given", 200, says("HTTP/1.1 103 \r\n\r\n" + FakeServer.ok("fine").replace(" OK", " "))),
+        row(
+            "chunked answer",
+            200,
+            says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n")),
+        row(
+            "after an interim answer",
+            200,
+            says("HTTP/1.1 100 Continue\r\n\r\n" + FakeServer.ok("fine"))),
+        row(
+            "no reason given",
+            200,
+            says("HTTP/1.1 103 \r\n\r\n" + FakeServer.ok("fine").replace(" OK", " "))),
         row("error", FAILED, says("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")),
-        row("turned away", REFUSED, says("HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
-        row("over already", REFUSED, says("HTTP/1.1 504 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+        row(
+            "turned away",
+            REFUSED,
+            says("HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+        row(
+            "over already",
+            REFUSED,
+            says("HTTP/1.1 504 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
         row("bare 503", FAILED, says("HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n")),
-        row("mark on an error", FAILED, says("HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+        row(
+            "mark on an error",
+            FAILED,
+            says("HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
         row("ended with no answer", FAILED, saysAndEnds("")),
         row("reset", FAILED, (request, connection, out) -> {
           connection.setSoLinger(true, 0);
           connection.close();
         }),
         row("cut short", FAILED, saysAndEnds("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine")),
-        row("cut short in chunks", FAILED, saysAndEnds("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")),
+        row(
+            "cut short in chunks",
+            FAILED,
+            saysAndEnds("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")),
         row("no length", FAILED, saysAndEnds("HTTP/1.1 200 OK\r\n\r\nfine")),
         row("malformed", FAILED, says("nonsense\r\n\r\n")),
         row("too large", FAILED, says("HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nfine")));
@@ -58,7 +79,8 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("behaviours")
-  void clientIsToldTheTruth(String name, int status, FakeServer.Behaviour behaviour) throws Exception {
+  void clientIsToldTheTruth(String name, int status, FakeServer.Behaviour behaviour)
+      throws Exception {
     try (FakeServer upstream = new FakeServer(behaviour)) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
@@ -107,9 +129,13 @@
       }
       String first = upstream.requests.get(0).toLowerCase();
       assertTrue(first.startsWith("post /order http/1.1\n"), first);
-      assertTrue(first.contains("x-correlation-id: 1\n") && first.contains("idempotency-key: once-1\n"), first);
+      assertTrue(
+          first.contains("x-correlation-id: 1\n") && first.contains("idempotency-key: once-1\n"),
+          first);
       assertTrue(first.contains("x-time-left-ms: ") && first.endsWith("\n\nbody"), first);
-      assertTrue(upstream.requests.get(1).startsWith("GET /look/a?b=c HTTP/1.1\n"), upstream.requests.get(1));
+      assertTrue(
+          upstream.requests.get(1).startsWith("GET /look/a?b=c HTTP/1.1\n"),
+          upstream.requests.get(1));
       assertEquals(1, upstream.connections.size());
     }
   }
--- a/src/test/java/pumicekeel/node/PeersTest.java
+++ b/src/test/java/pumicekeel/node/PeersTest.java
@@ -43,22 +43,36 @@
   }
 
   private String file() {
-    return "[peers]\n" + more + "addresses = [" + String.join(", ", ports.stream().map(p -> "\"127.0.0.1:" + p + "\"").toList())
+    return "[peers]\n" + more + "addresses = ["
+        + String.join(", ", ports.stream().map(p -> "\"127.0.0.1:" + p + "\"").toList())
         + "]\n[pools.p]\n" + tenants + "[[routes]]\npool = \"p\"\n";
   }
 
   private Node start(int me, int size) throws Exception {
-    String settings = TestServices.SETTINGS.strip().replaceFirst("\\{", "{\"me\":" + me + ",\"group-size\":" + size + ",");
-    Node node = new Node(new Configuration("n" + me, Addresses.parse("listen", "127.0.0.1:0"), TestNode.nowhere(), 1, 256,
-        new HostList(0, true, List.of()), Decoder.settings(Fields.parse("settings", settings))),
-        TestServices.operator(file()), () -> { });
+    String settings = TestServices.SETTINGS
+        .strip()
+        .replaceFirst("\\{", "{\"me\":" + me + ",\"group-size\":" + size + ",");
+    Node node = new Node(
+        new Configuration(
+            "n" + me,
+            Addresses.parse("listen", "127.0.0.1:0"),
+            TestNode.nowhere(),
+            1,
+            256,
+            new HostList(0, true, List.of()),
+            Decoder.settings(Fields.parse("settings", settings))),
+        TestServices.operator(file()),
+        () -> {});
     nodes.add(node);
     node.start();
     return node;
   }
 
   private static int live(Node node) {
-    return node.loop().submit(() -> node.peers().membership().live()).syncUninterruptibly().getNow();
+    return node.loop()
+        .submit(() -> node.peers().membership().live())
+        .syncUninterruptibly()
+        .getNow();
   }
 
   @Test
@@ -71,7 +85,9 @@
     TestNode.until(() -> nodes.stream().allMatch(n -> live(n) == 3));
     third.close();
     TestNode.until(() -> live(first) == 2 && live(second) == 2);
-    assertEquals(State.DEAD, first.loop().submit(() -> first.peers().membership().stateOf(2)).get());
+    assertEquals(
+        State.DEAD,
+        first.loop().submit(() -> first.peers().membership().stateOf(2)).get());
     nodes.remove(third);
     third.loop().parent().terminationFuture().sync();
     start(2, 3);
@@ -88,16 +104,24 @@
     Node second = start(1, 2);
     TestNode.until(() -> nodes.stream().allMatch(n -> live(n) == 2 && rate(n) == 50));
     TestNode.until(() -> {
-      first.loop().submit(() -> first.services().pool("p").core().askQuotas("t", 0)).syncUninterruptibly();
+      first
+          .loop()
+          .submit(() -> first.services().pool("p").core().askQuotas("t", 0))
+          .syncUninterruptibly();
       return rate(first) > 60;
     });
     assertTrue(rate(first) + rate(second) <= 100.001);
-    assertTrue(assertThrows(IllegalArgumentException.class, () -> start(0, 3)).getMessage()
-        .contains("peers.lend-quotas: expected an address for each balancer of the group, 3, got 2"));
+    assertTrue(assertThrows(IllegalArgumentException.class, () -> start(0, 3))
+        .getMessage()
+        .contains(
+            "peers.lend-quotas: expected an address for each balancer of the group, 3, got 2"));
   }
 
   private static double rate(Node node) {
-    return node.loop().submit(() -> node.services().lending().rate("p", "t")).syncUninterruptibly().getNow();
+    return node.loop()
+        .submit(() -> node.services().lending().rate("p", "t"))
+        .syncUninterruptibly()
+        .getNow();
   }
 
   @Test
@@ -105,14 +129,18 @@
     freePorts(2);
     Node node = start(0, 2);
     try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        DatagramSocket peer = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(1)))) {
+        DatagramSocket peer = new DatagramSocket(
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(1)))) {
       InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(0));
       stranger.send(new DatagramPacket(new byte[100], 100, at));
       peer.send(new DatagramPacket(new byte[0], 0, at));
       peer.send(new DatagramPacket(new byte[60_000], 60_000, at));
       peer.send(new DatagramPacket(new byte[256], 256, at));
-      TestNode.until(() -> node.loop().submit(() -> node.peers().strangers() == 1
-          && node.peers().membership().discarded() == 3).syncUninterruptibly().getNow());
+      TestNode.until(() -> node.loop()
+          .submit(
+              () -> node.peers().strangers() == 1 && node.peers().membership().discarded() == 3)
+          .syncUninterruptibly()
+          .getNow());
     }
     assertEquals(1, live(node));
   }
@@ -120,11 +148,13 @@
   @Test
   void withoutPeersThereIsNoneAndTooFewAreAFault() throws Exception {
     freePorts(2);
-    assertTrue(assertThrows(IllegalArgumentException.class, () -> start(2, 3)).getMessage()
+    assertTrue(assertThrows(IllegalArgumentException.class, () -> start(2, 3))
+        .getMessage()
         .contains("peers.addresses: expected one for this instance, number 2, got 2"));
     try (TestServices t = new TestServices()) {
       t.upstream("u", 0);
-      t.start("[sources.s]\nstatic = " + t.list("u") + "\n[pools.p]\nsource = \"s\"\n[[routes]]\npool = \"p\"\n");
+      t.start("[sources.s]\nstatic = " + t.list("u")
+          + "\n[pools.p]\nsource = \"s\"\n[[routes]]\npool = \"p\"\n");
       assertNull(t.node.peers());
     }
   }
--- a/src/test/java/pumicekeel/node/ProcessTest.java
+++ b/src/test/java/pumicekeel/node/ProcessTest.java
@@ -22,6 +22,7 @@
 
   @TempDir
   private Path folder;
+
   private Process process;
   private BufferedReader log;
 
@@ -29,13 +30,19 @@
     start(configuration, java.util.List.of(), variable);
   }
 
-  private void start(String configuration, java.util.List<String> options, String... variable) throws Exception {
+  private void start(String configuration, java.util.List<String> options, String... variable)
+      throws Exception {
     Path file = folder.resolve("config.json");
     if (configuration != null) {
       Files.writeString(file, configuration);
     }
-    ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-        "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"), "pumicekeel.cli.Main", "serve");
+    ProcessBuilder builder = new ProcessBuilder(
+        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+        "-XX:+UseSerialGC",
+        "-cp",
+        System.getProperty("java.class.path"),
+        "pumicekeel.cli.Main",
+        "serve");
     builder.command().addAll(options);
     builder.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
     builder.environment().put("PROXY_CONFIG", file.toString());
@@ -43,7 +50,8 @@
       builder.environment().put(variable[i], variable[i + 1]);
     }
     process = builder.redirectErrorStream(true).start();
-    log = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+    log =
+        new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
   }
 
   private InetSocketAddress address() throws Exception {
@@ -74,7 +82,8 @@
     })) {
       start(TestNode.json(TestNode.nowhere(), 1, upstream));
       InetSocketAddress address = address();
-      try (TestClient open = new TestClient(address); TestClient idle = new TestClient(address);
+      try (TestClient open = new TestClient(address);
+          TestClient idle = new TestClient(address);
           TestClient slow = new TestClient(address)) {
         slow.send(TestClient.order("2", 15_000).replace("Length: 4", "Length: 400"));
         idle.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -82,15 +91,20 @@
         TestNode.until(() -> upstream.requests.size() == 1);
         signal("TERM");
         awaitLog(" drains");
-        assertEquals(503, idle.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status(), "clients here are served on");
+        assertEquals(
+            503,
+            idle.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status(),
+            "clients here are served on");
         try (TestClient late = new TestClient(address)) {
           assertEquals(503, late.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
         } catch (IOException e) {
-          // A busy machine came here only after the half second in which clients are still accepted.
+          // A busy machine came here only after the half second in which clients are still
+          // accepted.
           assertTrue(process.isAlive(), "the request that was taken is still open");
         }
         assertTrue(idle.ended(), "an idle connection, in the end");
-        assertEquals(408, slow.read().status(), "a request that has come in part is not waited for");
+        assertEquals(
+            408, slow.read().status(), "a request that has come in part is not waited for");
         held.countDown();
         TestClient.Reply reply = open.read();
         assertEquals("fine", reply.body());
@@ -102,7 +116,11 @@
   }
 
   private void signal(String name) throws Exception {
-    assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+    assertEquals(
+        0,
+        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+            .start()
+            .waitFor());
   }
 
   private void awaitLog(String part) throws Exception {
@@ -117,9 +135,14 @@
   /** Unhandled, SIGHUP ends a Java process. */
   @Test
   void sighupFollowsTheNewDiscoveryEachTimeAndABadFileChangesNothing() throws Exception {
-    try (FakeServer upstream = FakeServer.serving("fine"); FakeServer first = new FakeServer((r, c, out) -> {});
-        FakeServer second = new FakeServer((r, c, out) -> {}); FakeServer third = new FakeServer((r, c, out) -> {})) {
-      start(TestNode.json(first.address(), 1, upstream), "PROXY_DISCOVERY", TestNode.text(first.address()));
+    try (FakeServer upstream = FakeServer.serving("fine");
+        FakeServer first = new FakeServer((r, c, out) -> {});
+        FakeServer second = new FakeServer((r, c, out) -> {});
+        FakeServer third = new FakeServer((r, c, out) -> {})) {
+      start(
+          TestNode.json(first.address(), 1, upstream),
+          "PROXY_DISCOVERY",
+          TestNode.text(first.address()));
       InetSocketAddress address = address();
       TestNode.until(() -> first.requests.size() == 1);
       Path file = folder.resolve("config.json");
@@ -146,13 +169,20 @@
     try (FakeServer upstream = FakeServer.serving("fine")) {
       Path file = folder.resolve("config.json");
       Files.writeString(file, TestNode.json(TestNode.nowhere(), 1, upstream));
-      ProcessBuilder builder = new ProcessBuilder("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"",
-          Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp", System.getProperty("java.class.path"),
-          "pumicekeel.cli.Main", "serve");
+      ProcessBuilder builder = new ProcessBuilder(
+          "sh",
+          "-c",
+          "trap '' HUP; exec \"$0\" \"$@\"",
+          Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+          "-cp",
+          System.getProperty("java.class.path"),
+          "pumicekeel.cli.Main",
+          "serve");
       builder.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
       builder.environment().put("PROXY_CONFIG", file.toString());
       process = builder.redirectErrorStream(true).start();
-      log = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+      log = new BufferedReader(
+          new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
       awaitLog("SIGHUP is ignored");
       address();
       signal("HUP");
@@ -164,20 +194,30 @@
   @Test
   void badConfigurationIsOnePlainLineAndStatusTwo() throws Exception {
     String good = TestNode.json(TestNode.nowhere(), 1);
-    for (String bad : new String[] {null, "", "{", "{}", good.replace("8c1f30d27a5be964", "seed"),
-        good.replace("127.0.0.1:0", "localhost:0"), good.replace("127.0.0.1:0", "127.0.0.1:99999"),
-        good.replace("\"aim-ns\":2000000000", "\"aim-ns\":0")}) {
+    for (String bad : new String[] {
+      null,
+      "",
+      "{",
+      "{}",
+      good.replace("8c1f30d27a5be964", "seed"),
+      good.replace("127.0.0.1:0", "localhost:0"),
+      good.replace("127.0.0.1:0", "127.0.0.1:99999"),
+      good.replace("\"aim-ns\":2000000000", "\"aim-ns\":0")
+    }) {
       start(bad);
       assertEquals(2, status(), bad);
       String[] lines = log.lines().toArray(String[]::new);
       assertEquals(1, lines.length, String.join("\n", lines));
-      assertTrue(lines[0].startsWith("configuration: ") && !lines[0].contains("Exception in"), lines[0]);
+      assertTrue(
+          lines[0].startsWith("configuration: ") && !lines[0].contains("Exception in"), lines[0]);
     }
   }
 
   @Test
   void descriptorThatIsNoListeningSocketIsOnePlainLineAndStatusTwo() throws Exception {
-    for (String[] row : new String[][] {{"0", "expected a listening socket as descriptor 0"}, {"7", "expected 0, got \"7\""}}) {
+    for (String[] row : new String[][] {
+      {"0", "expected a listening socket as descriptor 0"}, {"7", "expected 0, got \"7\""}
+    }) {
       start(TestNode.json(TestNode.nowhere(), 1), "PROXY_SOCKET_FD", row[0]);
       assertEquals(2, status());
       String[] lines = log.lines().toArray(String[]::new);
@@ -190,11 +230,15 @@
   @Test
   void operatorFileIsTakenOverAtTheStartAndAtSighupOrNotAtAll() throws Exception {
     Path operator = folder.resolve("operator.toml");
-    try (FakeServer one = FakeServer.serving("one"); FakeServer two = FakeServer.serving("two")) {
-      String text = "[sources.s]\nstatic = [{ name = \"u\", address = \"%s\" }]\n[pools.p]\nsource = \"s\"\n"
-          + "[[routes]]\nhost = \"%s\"\npool = \"p\"\n";
+    try (FakeServer one = FakeServer.serving("one");
+        FakeServer two = FakeServer.serving("two")) {
+      String text =
+          "[sources.s]\nstatic = [{ name = \"u\", address = \"%s\" }]\n[pools.p]\nsource = \"s\"\n"
+              + "[[routes]]\nhost = \"%s\"\npool = \"p\"\n";
       Files.writeString(operator, text.formatted(TestNode.text(one.address()), "h"));
-      start(TestNode.json(TestNode.nowhere(), 1), java.util.List.of("--operator", operator.toString()));
+      start(
+          TestNode.json(TestNode.nowhere(), 1),
+          java.util.List.of("--operator", operator.toString()));
       InetSocketAddress address = address();
       try (TestClient client = new TestClient(address)) {
         assertEquals("one", client.call(TestClient.order("1", 15_000)).body());
@@ -215,7 +259,8 @@
       assertEquals(2, status());
       String[] lines = log.lines().toArray(String[]::new);
       assertEquals(1, lines.length, String.join("\n", lines));
-      assertTrue(lines[0].contains("operator.toml:1: routes: expected at least one route"), lines[0]);
+      assertTrue(
+          lines[0].contains("operator.toml:1: routes: expected at least one route"), lines[0]);
     }
   }
 }
--- a/src/test/java/pumicekeel/node/RetuneReloadTest.java
+++ b/src/test/java/pumicekeel/node/RetuneReloadTest.java
@@ -19,6 +19,7 @@
 
   @TempDir
   private Path folder;
+
   private Path file;
   private Node node;
   private java.net.InetSocketAddress address;
@@ -87,13 +88,18 @@
       String text = TestNode.json(TestNode.nowhere(), 1, upstream);
       start(text);
       assertEquals(400, status(look("1").replace("look", "fresh")));
-      String added = text.replace("{\"name\":\"look\"", "{\"name\":\"fresh\",\"effect\":\"idempotent\","
-          + "\"aim-ns\":2000000000,\"deadline-ns\":20000000000},{\"name\":\"look\"");
+      String added = text.replace(
+          "{\"name\":\"look\"",
+          "{\"name\":\"fresh\",\"effect\":\"idempotent\","
+              + "\"aim-ns\":2000000000,\"deadline-ns\":20000000000},{\"name\":\"look\"");
       reload(added);
       assertEquals(200, status(look("2").replace("look", "fresh")));
       assertEquals(200, status(look("3")));
       reload(text);
-      assertEquals(200, status(look("4").replace("look", "fresh")), "asked by one that has not heard of the change");
+      assertEquals(
+          200,
+          status(look("4").replace("look", "fresh")),
+          "asked by one that has not heard of the change");
       long until = System.nanoTime() + Tuning.OVERLAP_NANOS;
       AtomicInteger ids = new AtomicInteger(10);
       TestNode.until(() -> System.nanoTime() - until > 0);
@@ -116,7 +122,9 @@
       try (TestClient open = new TestClient(address)) {
         open.send(order("open"));
         TestNode.until(() -> upstream.requests.size() == 1);
-        reload(text.replace("{\"name\":\"order\",\"effect\":\"deduplicated\"", "{\"name\":\"order\",\"effect\":\"idempotent\""));
+        reload(text.replace(
+            "{\"name\":\"order\",\"effect\":\"deduplicated\"",
+            "{\"name\":\"order\",\"effect\":\"idempotent\""));
         String safe = look("s").replace("look", "order");
         assertEquals(200, status(safe), "by the new rules");
         assertEquals(200, status(order("o")), "by the old ones, for a moment");
@@ -135,20 +143,29 @@
       String text = TestNode.json(TestNode.nowhere(), 1, upstream);
       start(text);
       String other = text.replace("\"name\":\"look\"", "\"name\":\"fresh\"");
-      for (String bad : new String[] {"", "{", other.substring(0, other.length() / 2), other.substring(0, other.length() - 2),
-          other.replace("\"max-attempts\":1,", ""), other.replace("\"max-attempts\":1", "\"max-attempts\":0"),
-          other.replace("\"max-attempts\":1", "\"max-attempts\":-1"), other.replace("\"deadline-ns\":20000000000}]", "\"x\":1}]"),
-          other.replace("\"deadline-ns\":20000000000", "\"deadline-ns\":0"),
-          other.replace("\"deadline-ns\":20000000000", "\"deadline-ns\":-5"),
-          other.replace("\"settings\"", "\"setting\""), other.replace("\"aim-ns\":2000000000", "\"aim-ns\":\"x\""),
-          other.replace("\"effect\":\"idempotent\"", "\"effect\":\"often\"")}) {
+      for (String bad : new String[] {
+        "",
+        "{",
+        other.substring(0, other.length() / 2),
+        other.substring(0, other.length() - 2),
+        other.replace("\"max-attempts\":1,", ""),
+        other.replace("\"max-attempts\":1", "\"max-attempts\":0"),
+        other.replace("\"max-attempts\":1", "\"max-attempts\":-1"),
+        other.replace("\"deadline-ns\":20000000000}]", "\"x\":1}]"),
+        other.replace("\"deadline-ns\":20000000000", "\"deadline-ns\":0"),
+        other.replace("\"deadline-ns\":20000000000", "\"deadline-ns\":-5"),
+        other.replace("\"settings\"", "\"setting\""),
+        other.replace("\"aim-ns\":2000000000", "\"aim-ns\":\"x\""),
+        other.replace("\"effect\":\"idempotent\"", "\"effect\":\"often\"")
+      }) {
         assertThrows(Exception.class, () -> reload(bad), bad);
         assertEquals(200, status(look("x")));
         assertEquals(400, status(look("y").replace("look", "fresh")));
       }
       reload(other);
       assertEquals(200, status(look("z").replace("look", "fresh")));
-      assertTrue(node.configuration().settings().classes().stream().anyMatch(c -> c.name().equals("fresh")));
+      assertTrue(node.configuration().settings().classes().stream()
+          .anyMatch(c -> c.name().equals("fresh")));
     }
   }
 
@@ -158,15 +175,19 @@
       String text = TestNode.json(TestNode.nowhere(), 1, upstream);
       start(text);
       String other = text.replace("\"max-attempts\":1", "\"max-attempts\":3")
-          .replace("{\"name\":\"order\",\"effect\":\"deduplicated\"", "{\"name\":\"order\",\"effect\":\"idempotent\"");
+          .replace(
+              "{\"name\":\"order\",\"effect\":\"deduplicated\"",
+              "{\"name\":\"order\",\"effect\":\"idempotent\"");
       AtomicInteger asked = new AtomicInteger();
       AtomicInteger other200 = new AtomicInteger();
-      java.util.concurrent.atomic.AtomicBoolean over = new java.util.concurrent.atomic.AtomicBoolean();
+      java.util.concurrent.atomic.AtomicBoolean over =
+          new java.util.concurrent.atomic.AtomicBoolean();
       Thread client = new Thread(() -> {
         try (TestClient c = new TestClient(address)) {
           while (!over.get()) {
             // Fits one of the two settings only, and is served by whichever came before as well.
-            other200.addAndGet(c.call(order("o" + asked.incrementAndGet())).status() == 200 ? 0 : 1);
+            other200.addAndGet(
+                c.call(order("o" + asked.incrementAndGet())).status() == 200 ? 0 : 1);
           }
         } catch (java.io.IOException e) {
           other200.incrementAndGet();
@@ -184,7 +205,8 @@
       over.set(true);
       client.join(30_000);
       assertEquals(0, other200.get(), "of " + asked.get());
-      assertEquals(1, node.configuration().settings().limits().maxAttempts(), "the last one counts");
+      assertEquals(
+          1, node.configuration().settings().limits().maxAttempts(), "the last one counts");
     }
   }
 }
--- a/src/test/java/pumicekeel/node/RpcFiles.java
+++ b/src/test/java/pumicekeel/node/RpcFiles.java
@@ -24,7 +24,8 @@
   /** A listener "rpc" with these settings, a pool "p" of JSON-RPC servers, all calls to it. */
   static String toServers(TestServices t, String listener, String pool, String... names) {
     return listener(listener) + METHODS + "[sources.s]\nstatic = " + t.list(names)
-        + "\n[pools.p]\nsource = \"s\"\nprotocol = \"json-rpc\"\n" + pool + "\n[[routes]]\npool = \"p\"\n";
+        + "\n[pools.p]\nsource = \"s\"\nprotocol = \"json-rpc\"\n" + pool
+        + "\n[[routes]]\npool = \"p\"\n";
   }
 
   /** The same with HTTP upstreams. */
@@ -34,17 +35,19 @@
   }
 
   private static String listener(String settings) {
-    return "[listeners.rpc]\naddress = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\njson-rpc = { " + settings + " }\n";
+    return "[listeners.rpc]\naddress = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\njson-rpc = { "
+        + settings + " }\n";
   }
 
   /** A call of a safe class; the params carry {@code n}. */
   static String lookup(String id, String n) {
-    return "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"n\":" + n + "},\"id\":"
-        + id + "}";
+    return "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"n\":"
+        + n + "},\"id\":" + id + "}";
   }
 
   /** A keyed call. */
   static String issue(String id, String key) {
-    return "{\"jsonrpc\":\"2.0\",\"method\":\"quote.issue\",\"params\":{\"key\":\"" + key + "\"},\"id\":" + id + "}";
+    return "{\"jsonrpc\":\"2.0\",\"method\":\"quote.issue\",\"params\":{\"key\":\"" + key
+        + "\"},\"id\":" + id + "}";
   }
 }
--- a/src/test/java/pumicekeel/node/RpcFrontTest.java
+++ b/src/test/java/pumicekeel/node/RpcFrontTest.java
@@ -52,11 +52,13 @@
   }
 
   private void release() throws Exception {
-    t.standIns.submit(() -> {
-      for (Runnable r = held.poll(); r != null; r = held.poll()) {
-        r.run();
-      }
-    }).sync();
+    t.standIns
+        .submit(() -> {
+          for (Runnable r = held.poll(); r != null; r = held.poll()) {
+            r.run();
+          }
+        })
+        .sync();
   }
 
   private int seen() {
@@ -64,19 +66,23 @@
   }
 
   private static String result(String id, String n) {
-    return "{\"jsonrpc\":\"2.0\",\"result\":{\"account\":\"acme\",\"n\":" + n + "},\"id\":" + id + "}";
+    return "{\"jsonrpc\":\"2.0\",\"result\":{\"account\":\"acme\",\"n\":" + n + "},\"id\":" + id
+        + "}";
   }
 
   private static void assertError(int code, String id, String answer) {
     assertNotNull(answer, "an error " + code);
-    assertTrue(answer.startsWith("{\"jsonrpc\":\"2.0\",\"error\":{\"code\":" + code + ",") && answer.endsWith(",\"id\":"
-        + id + "}"), answer);
+    assertTrue(
+        answer.startsWith("{\"jsonrpc\":\"2.0\",\"error\":{\"code\":" + code + ",")
+            && answer.endsWith(",\"id\":" + id + "}"),
+        answer);
   }
 
   private void assertNothingKept() throws Exception {
     TestNode.until(() -> {
       try {
-        return t.ask(() -> t.node.services().pool("p").open.used() == 0 && t.node.services().pool("p").body.used() == 0);
+        return t.ask(() -> t.node.services().pool("p").open.used() == 0
+            && t.node.services().pool("p").body.used() == 0);
       } catch (Exception e) {
         throw new AssertionError(e);
       }
@@ -84,23 +90,31 @@
     assertEquals(List.of(), t.defects);
   }
 
-  // ---- Ids ----------------------------------------------------------------------------------------------
+  // ---- Ids
+  // ----------------------------------------------------------------------------------------------
 
   @Test
   void idThatIsOpenIsNotTakenTwiceAndIsFreeRightAfterItsAnswer() throws Exception {
     StandInRpcClient client = start("");
     hold();
-    client.send(RpcFiles.lookup("1", "1")).send(RpcFiles.lookup("1", "2")).send(RpcFiles.lookup("\"1\"", "3"))
+    client
+        .send(RpcFiles.lookup("1", "1"))
+        .send(RpcFiles.lookup("1", "2"))
+        .send(RpcFiles.lookup("\"1\"", "3"))
         .send(RpcFiles.lookup("1.0", "4"));
-    assertEquals("{\"jsonrpc\":\"2.0\",\"error\":{\"code\":-32600,\"message\":\"this id is open already\",\"data\":{\"id\":1}},"
-        + "\"id\":null}", client.next(LONG));
+    assertEquals(
+        "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":-32600,\"message\":\"this id is open already\",\"data\":{\"id\":1}},"
+            + "\"id\":null}",
+        client.next(LONG));
     TestNode.until(() -> seen() == 3);
     release();
-    assertEquals(Set.of(result("1", "1"), result("\"1\"", "3"), result("1.0", "4")),
+    assertEquals(
+        Set.of(result("1", "1"), result("\"1\"", "3"), result("1.0", "4")),
         new HashSet<>(List.of(client.next(LONG), client.next(LONG), client.next(LONG))));
     t.servers.get("s1").script(StandInRpcServer.ECHO);
     for (int i = 0; i < 50; i++) {
-      assertEquals(result("1", "" + i), client.send(RpcFiles.lookup("1", "" + i)).next(LONG));
+      assertEquals(
+          result("1", "" + i), client.send(RpcFiles.lookup("1", "" + i)).next(LONG));
     }
     assertNothingKept();
   }
@@ -123,24 +137,35 @@
     assertEquals(result("1", "4"), client.send(RpcFiles.lookup("1", "4")).next(LONG));
   }
 
-  // ---- Mapping ------------------------------------------------------------------------------------------
+  // ---- Mapping
+  // ------------------------------------------------------------------------------------------
 
   @Test
   void whatTheSettingsAskForIsNamedWhereItIsMissing() throws Exception {
     StandInRpcClient client = start("");
     String call = "{\"jsonrpc\":\"2.0\",\"method\":\"%s\",\"params\":%s,\"id\":1}";
-    for (String[] c : new String[][] {{"rate.lookup", "{}", "/account"}, {"rate.lookup", "[]", "/account"},
-        {"rate.lookup", "{\"account\":7.5}", "/account"}, {"rate.lookup", "{\"account\":\"nobody\"}", "/account"},
-        {"quote.issue", "{}", "/key"}, {"quote.issue", "{\"key\":\"k\",\"left\":\"x\"}", "/left"}}) {
+    for (String[] c : new String[][] {
+      {"rate.lookup", "{}", "/account"},
+      {"rate.lookup", "[]", "/account"},
+      {"rate.lookup", "{\"account\":7.5}", "/account"},
+      {"rate.lookup", "{\"account\":\"nobody\"}", "/account"},
+      {"quote.issue", "{}", "/key"},
+      {"quote.issue", "{\"key\":\"k\",\"left\":\"x\"}", "/left"}
+    }) {
       String answer = client.send(call.formatted(c[0], c[1])).next(LONG);
       assertError(-32602, "1", answer);
       assertTrue(answer.contains("Invalid params: " + c[2] + ": expected"), answer);
     }
     assertError(-32601, "1", client.send(call.formatted("rpc.discover", "{}")).next(LONG));
-    assertError(-32602, "1", client.send("{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"id\":1}").next(LONG));
+    assertError(
+        -32602,
+        "1",
+        client.send("{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"id\":1}").next(LONG));
     assertEquals(0, seen());
     // A notification's faults are told to nobody.
-    client.send("{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\"}").send("{\"jsonrpc\":\"2.0\",\"method\":\"x\"}");
+    client
+        .send("{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\"}")
+        .send("{\"jsonrpc\":\"2.0\",\"method\":\"x\"}");
     assertEquals(result("2", "2"), client.send(RpcFiles.lookup("2", "2")).next(LONG));
     assertNull(client.next(50));
     assertNothingKept();
@@ -151,7 +176,8 @@
     StandInRpcClient client = start("");
     hold();
     long start = System.nanoTime();
-    client.send("{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"left\":400},\"id\":1}");
+    client.send(
+        "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"left\":400},\"id\":1}");
     String answer = client.next(LONG);
     long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
     assertTrue(answer.contains("\"code\":-3200"), answer);
@@ -159,7 +185,8 @@
     assertNothingKept();
   }
 
-  // ---- Batches ------------------------------------------------------------------------------------------
+  // ---- Batches
+  // ------------------------------------------------------------------------------------------
 
   /** A lookup that is answered at once beside one that the server holds. */
   private void batchOfSlowAndFast(StandInRpcClient client) throws Exception {
@@ -199,11 +226,15 @@
     StandInRpcClient client = start("batch-answers = \"together\"");
     hold();
     long start = System.nanoTime();
-    client.send("[" + RpcFiles.lookup("1", "1") + ",{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":"
-        + "{\"account\":\"acme\",\"left\":500},\"id\":2},{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\"}]");
+    client.send(
+        "[" + RpcFiles.lookup("1", "1")
+            + ",{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":"
+            + "{\"account\":\"acme\",\"left\":500},\"id\":2},{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\"}]");
     String answer = client.next(LONG);
     assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start) < 3_000);
-    assertTrue(answer.startsWith("[") && answer.contains("\"id\":1}") && answer.contains("\"id\":2}"), answer);
+    assertTrue(
+        answer.startsWith("[") && answer.contains("\"id\":1}") && answer.contains("\"id\":2}"),
+        answer);
     assertNull(client.next(50));
   }
 
@@ -212,37 +243,63 @@
     StandInRpcClient client = start("max-batch = 3, framing = \"newline\"");
     client.close();
     StandInRpcClient lines = t.rpcClient("rpc", Framing.NEWLINE);
-    String four = "[" + String.join(",", List.of(RpcFiles.lookup("1", "1"), RpcFiles.lookup("2", "2"),
-        RpcFiles.lookup("3", "3"), RpcFiles.lookup("4", "4"))) + "]";
+    String four = "["
+        + String.join(
+            ",",
+            List.of(
+                RpcFiles.lookup("1", "1"),
+                RpcFiles.lookup("2", "2"),
+                RpcFiles.lookup("3", "3"),
+                RpcFiles.lookup("4", "4")))
+        + "]";
     assertError(-32600, "null", lines.send(four).next(LONG));
     assertEquals(0, seen());
     assertEquals(result("2", "2"), lines.send(RpcFiles.lookup("2", "2")).next(LONG));
   }
 
-  // ---- Hostile input ------------------------------------------------------------------------------------
+  // ---- Hostile input
+  // ------------------------------------------------------------------------------------
 
   @ParameterizedTest
-  @ValueSource(strings = {"deep", "number", "utf8", "surrogate", "twice", "batch", "zero", "endless string", "http", "huge id"})
+  @ValueSource(
+      strings = {
+        "deep",
+        "number",
+        "utf8",
+        "surrogate",
+        "twice",
+        "batch",
+        "zero",
+        "endless string",
+        "http",
+        "huge id"
+      })
   void hostileInputIsOneErrorAndOthersAreServed(String kind) throws Exception {
     StandInRpcClient hostile = start("");
     StandInRpcClient other = client();
-    String head = "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"x\":";
+    String head =
+        "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"x\":";
     byte[] bytes = (switch (kind) {
-      case "deep" -> head + "[".repeat(100_000);
-      case "number" -> head + "9".repeat(1 << 20) + "}}";
-      case "utf8" -> head + "\"\u00e9\"}}";
-      case "surrogate" -> head + "\"\\udead\"}}";
-      case "twice" -> head + "1,\"x\":2}}";
-      case "batch" -> "[" + "1,".repeat(100_000) + "1]";
-      case "zero" -> head + "\u0000}}";
-      case "endless string" -> head + "\"" + "a".repeat(1 << 20);
-      case "http" -> "POST /rate-lookup HTTP/1.1\r\n\r\n";
-      default -> "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"id\":\"" + "i".repeat(100_000) + "\"}";
-    }).getBytes(kind.equals("utf8") ? StandardCharsets.ISO_8859_1 : StandardCharsets.UTF_8);
+          case "deep" -> head + "[".repeat(100_000);
+          case "number" -> head + "9".repeat(1 << 20) + "}}";
+          case "utf8" -> head + "\"\u00e9\"}}";
+          case "surrogate" -> head + "\"\\udead\"}}";
+          case "twice" -> head + "1,\"x\":2}}";
+          case "batch" -> "[" + "1,".repeat(100_000) + "1]";
+          case "zero" -> head + "\u0000}}";
+          case "endless string" -> head + "\"" + "a".repeat(1 << 20);
+          case "http" -> "POST /rate-lookup HTTP/1.1\r\n\r\n";
+          default ->
+            "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"id\":\"" + "i".repeat(100_000)
+                + "\"}";
+        })
+        .getBytes(kind.equals("utf8") ? StandardCharsets.ISO_8859_1 : StandardCharsets.UTF_8);
     hostile.raw(bytes);
     String answer = hostile.next(LONG);
     assertNotNull(answer);
-    assertTrue(answer.matches("\\{\"jsonrpc\":\"2.0\",\"error\":\\{\"code\":-32[67]00,.*},\"id\":null}"), answer);
+    assertTrue(
+        answer.matches("\\{\"jsonrpc\":\"2.0\",\"error\":\\{\"code\":-32[67]00,.*},\"id\":null}"),
+        answer);
     assertNull(hostile.next(50), "one message, one answer");
     assertEquals(result("1", "1"), other.send(RpcFiles.lookup("1", "1")).next(LONG));
     assertEquals(1, seen());
@@ -285,7 +342,8 @@
     assertNothingKept();
   }
 
-  // ---- Backpressure and leaving -------------------------------------------------------------------------
+  // ---- Backpressure and leaving
+  // -------------------------------------------------------------------------
 
   /** A busy machine may have some refused: each gets its one answer all the same, and never are more open than may be. */
   @Test
@@ -351,7 +409,8 @@
     for (int i = 0; i < 4; i++) {
       got.add(client.next(LONG));
     }
-    assertEquals(Set.of(result("0", "0"), result("1", "1"), result("2", "2"), result("3", "3")), got);
+    assertEquals(
+        Set.of(result("0", "0"), result("1", "1"), result("2", "2"), result("3", "3")), got);
     assertTrue(client.awaitEnd(LONG));
     StandInRpcClient cut = client();
     cut.raw("{\"jsonrpc\":".getBytes(StandardCharsets.US_ASCII)).halfClose();
@@ -363,8 +422,10 @@
   @Test
   void idleConnectionIsClosedAndAtTheLimitTheLongestIdleOneGivesWay() throws Exception {
     t.server("s1");
-    t.start(RpcFiles.toServers(t, "idle-ms = 300", "", "s1").replace("protocol = \"json-rpc\"\njson-rpc = { idle",
-        "max-connections = 2\nprotocol = \"json-rpc\"\njson-rpc = { idle"));
+    t.start(RpcFiles.toServers(t, "idle-ms = 300", "", "s1")
+        .replace(
+            "protocol = \"json-rpc\"\njson-rpc = { idle",
+            "max-connections = 2\nprotocol = \"json-rpc\"\njson-rpc = { idle"));
     StandInRpcClient first = client();
     assertEquals(result("1", "1"), first.send(RpcFiles.lookup("1", "1")).next(LONG));
     StandInRpcClient second = client();
@@ -373,7 +434,8 @@
     assertTrue(second.awaitEnd(LONG), "idle for its time");
   }
 
-  // ---- Drain --------------------------------------------------------------------------------------------
+  // ---- Drain
+  // --------------------------------------------------------------------------------------------
 
   @Test
   void stopAnswersWhatIsOpenTurnsTheRestAwayAndCloses() throws Exception {
@@ -407,8 +469,8 @@
     hold();
     client.send(RpcFiles.lookup("3", "3").replace("rate.lookup", "rate.find"));
     TestNode.until(() -> seen() == 2);
-    t.reload("[sources.s]\nstatic = " + t.list("s1") + "\n[pools.p]\nsource = \"s\"\nprotocol = \"json-rpc\"\n"
-        + "[[routes]]\npool = \"p\"\n");
+    t.reload("[sources.s]\nstatic = " + t.list("s1")
+        + "\n[pools.p]\nsource = \"s\"\nprotocol = \"json-rpc\"\n" + "[[routes]]\npool = \"p\"\n");
     release();
     assertEquals(result("3", "3"), client.next(LONG));
     assertTrue(client.awaitEnd(LONG));
