--- a/src/test/java/pumicekeel/node/RpcServersTest.java
+++ b/src/test/java/pumicekeel/node/RpcServersTest.java
@@ -42,7 +42,8 @@
   }
 
   private static String result(String id, String n) {
-    return "{\"jsonrpc\":\"2.0\",\"result\":{\"account\":\"acme\",\"n\":" + n + "},\"id\":" + id + "}";
+    return "{\"jsonrpc\":\"2.0\",\"result\":{\"account\":\"acme\",\"n\":" + n + "},\"id\":" + id
+        + "}";
   }
 
   private static String issued(String id, String key) {
@@ -51,11 +52,14 @@
 
   private static void assertFailed(String answer, String id) {
     assertNotNull(answer);
-    assertTrue(answer.matches("\\{\"jsonrpc\":\"2.0\",\"error\":\\{\"code\":-32000,\"message\":\"[^\"]*\","
-        + "\"data\":\\{\"request\":\"[^\"]+\"}},\"id\":" + id + "}"), answer);
+    assertTrue(
+        answer.matches("\\{\"jsonrpc\":\"2.0\",\"error\":\\{\"code\":-32000,\"message\":\"[^\"]*\","
+            + "\"data\":\\{\"request\":\"[^\"]+\"}},\"id\":" + id + "}"),
+        answer);
   }
 
-  // ---- What a close leaves open -------------------------------------------------------------------------
+  // ---- What a close leaves open
+  // -------------------------------------------------------------------------
 
   @ParameterizedTest
   @ValueSource(strings = {"rate.lookup", "quote.issue"})
@@ -70,22 +74,30 @@
       }
       first.add(call);
       if (first.size() == 2) {
-        first.stream().filter(f -> f.method().equals(answered)).forEach(f -> c.result(f.id(), f.params()));
+        first.stream()
+            .filter(f -> f.method().equals(answered))
+            .forEach(f -> c.result(f.id(), f.params()));
         c.close();
       }
     });
-    String batch = client.send("[" + RpcFiles.lookup("1", "7") + "," + RpcFiles.issue("\"1\"", "k") + "]").next(LONG);
+    String batch = client
+        .send("[" + RpcFiles.lookup("1", "7") + "," + RpcFiles.issue("\"1\"", "k") + "]")
+        .next(LONG);
     assertEquals(Set.of(result("1", "7"), issued("\"1\"", "k")), entries(batch));
     assertNull(client.next(100), "a second answer");
-    assertEquals(2, server.seen().stream().filter(s -> !s.method().equals(answered)).count(),
+    assertEquals(
+        2,
+        server.seen().stream().filter(s -> !s.method().equals(answered)).count(),
         "the one without an answer went out twice");
-    assertEquals(1, server.seen().stream().filter(s -> s.method().equals(answered)).count());
+    assertEquals(
+        1, server.seen().stream().filter(s -> s.method().equals(answered)).count());
   }
 
   /** Entries of an array that hold no comma between two objects within. */
   private static Set<String> entries(String array) {
     assertNotNull(array);
-    return new HashSet<>(List.of(array.substring(1, array.length() - 1).split("(?<=}),(?=\\{\"jsonrpc)")));
+    return new HashSet<>(
+        List.of(array.substring(1, array.length() - 1).split("(?<=}),(?=\\{\"jsonrpc)")));
   }
 
   @Test
@@ -128,7 +140,8 @@
     assertEquals(2, t.servers.values().stream().mapToInt(s -> s.seen().size()).sum());
   }
 
-  // ---- Ids ----------------------------------------------------------------------------------------------
+  // ---- Ids
+  // ----------------------------------------------------------------------------------------------
 
   @Test
   void answersInReverseFindTheirCalls() throws Exception {
@@ -172,11 +185,13 @@
       StandInRpcServer.ECHO.on(call, c);
     });
     StandInRpcClient client = start("limits = { max-attempts = 1 }", "s1");
-    String first = "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"left\":300},\"id\":1}";
+    String first =
+        "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"left\":300},\"id\":1}";
     String answer = client.send(first).next(LONG);
     assertTrue(answer.contains("\"code\":-3200"), answer);
     for (int i = 2; i < 6; i++) {
-      assertEquals(result("1", "" + i), client.send(RpcFiles.lookup("1", "" + i)).next(LONG));
+      assertEquals(
+          result("1", "" + i), client.send(RpcFiles.lookup("1", "" + i)).next(LONG));
     }
     assertTrue(late.isEmpty(), "the late answer was given");
     assertNull(client.next(100));
@@ -184,7 +199,8 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"twice", "nobody's", "null", "text"})
-  void secondAnswerOrAnswerOfNobodysEndsTheConnectionAndMeetsNoOtherCall(String kind) throws Exception {
+  void secondAnswerOrAnswerOfNobodysEndsTheConnectionAndMeetsNoOtherCall(String kind)
+      throws Exception {
     AtomicInteger calls = new AtomicInteger();
     StandInRpcServer server = t.server("s1");
     StandInRpcClient client = start("", "s1");
@@ -199,7 +215,9 @@
             c.result(call.id() + 1, "\"of the next\"");
             c.result(call.id(), call.params());
           }
-          case "null" -> c.raw("{\"jsonrpc\":\"2.0\",\"error\":{\"code\":-32700,\"message\":\"?\"},\"id\":null}\n");
+          case "null" ->
+            c.raw(
+                "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":-32700,\"message\":\"?\"},\"id\":null}\n");
           default -> c.raw("{\"jsonrpc\":\"2.0\",\"result\":1,\"id\":\"" + call.id() + "\"}\n");
         }
       } else {
@@ -207,15 +225,18 @@
       }
     });
     for (int i = 1; i < 5; i++) {
-      assertEquals(result("" + i, "" + i), client.send(RpcFiles.lookup("" + i, "" + i)).next(LONG), kind);
+      assertEquals(
+          result("" + i, "" + i), client.send(RpcFiles.lookup("" + i, "" + i)).next(LONG), kind);
     }
     assertEquals(2, server.opened(), kind + ": a new connection was made");
   }
 
   @Test
   void serverThatMixesIdsUpIsNotBelievedAfterIt() throws Exception {
-    // Two calls are out; the first gets the answer of the second, then the second its own once more: that one is the
-    // second answer to an id. What was answered by then can't be taken back; nothing after it is believed.
+    // Two calls are out; the first gets the answer of the second, then the second its own once
+    // more: that one is the
+    // second answer to an id. What was answered by then can't be taken back; nothing after it is
+    // believed.
     List<Seen> out = new ArrayList<>();
     StandInRpcServer server = t.server("s1");
     server.script((call, c) -> {
@@ -234,11 +255,13 @@
     assertNull(client.next(100));
   }
 
-  // ---- Answers that are none ----------------------------------------------------------------------------
+  // ---- Answers that are none
+  // ----------------------------------------------------------------------------
 
   @ParameterizedTest
   @ValueSource(strings = {"half", "noise", "flood", "batch", "call", "deep", "utf8"})
-  void halfAnAnswerThenSilenceNoiseAndFloodsCostTheCallsOnTheConnectionOnly(String kind) throws Exception {
+  void halfAnAnswerThenSilenceNoiseAndFloodsCostTheCallsOnTheConnectionOnly(String kind)
+      throws Exception {
     AtomicInteger calls = new AtomicInteger();
     StandInRpcServer server = t.server("s1");
     StandInRpcClient client = start("", "s1");
@@ -277,7 +300,8 @@
     assertEquals(1, t.servers.get("s1").opened());
   }
 
-  // ---- Error objects ------------------------------------------------------------------------------------
+  // ---- Error objects
+  // ------------------------------------------------------------------------------------
 
   @Test
   void errorOfTheApplicationIsTheAnswerAndServersFailuresAreTriedAgain() throws Exception {
@@ -285,12 +309,15 @@
     StandInRpcServer server = t.server("s1");
     server.script((call, c) -> {
       calls.incrementAndGet();
-      c.raw("{\"jsonrpc\":\"2.0\",\"error\":{\"code\":1004,\"message\":\"no \\u20b8 rate\",\"data\":{\"a\":[1.0]}},\"id\":"
-          + call.id() + "}\n");
+      c.raw(
+          "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":1004,\"message\":\"no \\u20b8 rate\",\"data\":{\"a\":[1.0]}},\"id\":"
+              + call.id() + "}\n");
     });
     StandInRpcClient client = start("json-rpc = { not-run-codes = [-32050] }", "s1");
-    assertEquals("{\"jsonrpc\":\"2.0\",\"error\":{\"code\":1004,\"message\":\"no \\u20b8 rate\",\"data\":{\"a\":[1.0]}},"
-        + "\"id\":1}", client.send(RpcFiles.lookup("1", "7")).next(LONG));
+    assertEquals(
+        "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":1004,\"message\":\"no \\u20b8 rate\",\"data\":{\"a\":[1.0]}},"
+            + "\"id\":1}",
+        client.send(RpcFiles.lookup("1", "7")).next(LONG));
     assertEquals(1, calls.get(), "what the application said is final");
   }
 
@@ -331,25 +358,32 @@
     t.server("s1").script((call, c) -> c.error(call.id(), -32050, "full"));
     StandInRpcClient client = start("json-rpc = { not-run-codes = [-32050] }", "s1");
     String answer = client.send(RpcFiles.lookup("1", "7")).next(LONG);
-    assertTrue(answer.matches("\\{\"jsonrpc\":\"2.0\",\"error\":\\{\"code\":-32001,\"message\":\"[^\"]*\"(,"
-        + "\"data\":\\{\"retryAfterMs\":[0-9]{1,4}})?},\"id\":1}"), answer);
+    assertTrue(
+        answer.matches(
+            "\\{\"jsonrpc\":\"2.0\",\"error\":\\{\"code\":-32001,\"message\":\"[^\"]*\"(,"
+                + "\"data\":\\{\"retryAfterMs\":[0-9]{1,4}})?},\"id\":1}"),
+        answer);
   }
 
-  // ---- Other protocols ----------------------------------------------------------------------------------
+  // ---- Other protocols
+  // ----------------------------------------------------------------------------------
 
   @Test
   void httpClientsReachJsonRpcServers() throws Exception {
     StandInRpcServer server = t.server("s1", Framing.CONTENT_LENGTH);
-    t.start("[sources.s]\nstatic = " + t.list("s1") + "\n[pools.p]\nsource = \"s\"\nprotocol = \"json-rpc\"\n"
+    t.start("[sources.s]\nstatic = " + t.list("s1")
+        + "\n[pools.p]\nsource = \"s\"\nprotocol = \"json-rpc\"\n"
         + "json-rpc = { framing = \"content-length\", methods = { rate-lookup = \"rate.lookup\" } }\n"
         + "[[routes]]\npool = \"p\"\n");
     try (TestClient client = new TestClient(t.address)) {
-      TestClient.Reply found = client.call(ServicesTest.lookup("1", "h", "").replace("/rate-lookup/7", "/rate-lookup/7?c=KZT"));
+      TestClient.Reply found = client.call(
+          ServicesTest.lookup("1", "h", "").replace("/rate-lookup/7", "/rate-lookup/7?c=KZT"));
       assertEquals(200, found.status());
       assertEquals("{\"path\":\"/7\",\"c\":\"KZT\"}", found.body());
       TestClient.Reply none = client.call(ServicesTest.issue("2", "k", "h"));
       assertEquals(400, none.status());
-      TestClient.Reply issued = client.call(ServicesTest.issue("3", "k", "h").replace("body", "{}  "));
+      TestClient.Reply issued =
+          client.call(ServicesTest.issue("3", "k", "h").replace("body", "{}  "));
       assertEquals(200, issued.status());
       assertEquals("{\"idempotencyKey\":\"k\"}", issued.body());
       server.script((call, c) -> c.error(call.id(), 5, "no such quote"));
@@ -357,7 +391,8 @@
       assertEquals(422, error.status());
       assertEquals("{\"code\":5,\"message\":\"no such quote\"}", error.body());
     }
-    assertEquals(List.of("rate.lookup", "quote-issue", "rate.lookup"),
+    assertEquals(
+        List.of("rate.lookup", "quote-issue", "rate.lookup"),
         server.seen().stream().map(Seen::method).toList());
   }
 
@@ -368,14 +403,16 @@
     StandInRpcClient client = t.rpcClient("rpc", Framing.NEWLINE);
     // The stand-in answers with the request's id, which is the balancer's own name for the call.
     String answer = client.send(RpcFiles.lookup("1", "7")).next(LONG);
-    assertTrue(answer.matches("\\{\"jsonrpc\":\"2.0\",\"result\":\"n0-[0-9a-z]+-1\",\"id\":1}"), answer);
+    assertTrue(
+        answer.matches("\\{\"jsonrpc\":\"2.0\",\"result\":\"n0-[0-9a-z]+-1\",\"id\":1}"), answer);
     client.send(RpcFiles.issue("2", "k2")).next(LONG);
     var seen = t.upstreams.get("u1").seen();
     assertEquals("k2", seen.get(1).key());
     assertEquals("{\"key\":\"k2\"}", seen.get(1).body());
     assertEquals("quote-issue", seen.get(1).className());
-    String tooLong = "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"x\":\""
-        + "x".repeat(5_000) + "\"},\"id\":3}";
+    String tooLong =
+        "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"x\":\""
+            + "x".repeat(5_000) + "\"},\"id\":3}";
     assertTrue(client.send(tooLong).next(LONG).contains("-32602"));
     assertEquals(2, t.upstreams.get("u1").seen().size());
   }
@@ -383,11 +420,15 @@
   @Test
   void fakeHttpServerMakesJsonResultsAndWhatIsNoJsonIsAFailure() throws Exception {
     for (String body : List.of("{\"a\":[1.0,\"\\u00e9\"]}", "not json", "{\"a\":1,\"a\":2}")) {
-      try (FakeServer http = new FakeServer((request, connection, out) -> FakeServer.write(out,
-          "HTTP/1.1 200 OK\r\nContent-Type: application/json; charset=utf-8\r\nContent-Length: " + body.length()
-              + "\r\n\r\n" + body)); TestServices own = new TestServices()) {
-        own.start("[listeners.rpc]\naddress = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\n" + RpcFiles.METHODS
-            + "[sources.s]\nstatic = [{ name = \"u\", address = \"" + TestServices.text(http.address())
+      try (FakeServer http = new FakeServer((request, connection, out) -> FakeServer.write(
+              out,
+              "HTTP/1.1 200 OK\r\nContent-Type: application/json; charset=utf-8\r\nContent-Length: "
+                  + body.length() + "\r\n\r\n" + body));
+          TestServices own = new TestServices()) {
+        own.start("[listeners.rpc]\naddress = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\n"
+            + RpcFiles.METHODS
+            + "[sources.s]\nstatic = [{ name = \"u\", address = \""
+            + TestServices.text(http.address())
             + "\" }]\n[pools.p]\nsource = \"s\"\n[[routes]]\npool = \"p\"\n");
         StandInRpcClient client = own.rpcClient("rpc", Framing.VALUES);
         String answer = client.send(RpcFiles.lookup("1", "7")).next(LONG);
--- a/src/test/java/pumicekeel/node/RpcSpecificationTest.java
+++ b/src/test/java/pumicekeel/node/RpcSpecificationTest.java
@@ -25,50 +25,82 @@
 
   /** What is sent and what comes back; null for nothing. The texts are the specification's own. */
   private static final String[][] EXAMPLES = {
-      {"{\"jsonrpc\": \"2.0\", \"method\": \"subtract\", \"params\": [42, 23], \"id\": 1}",
-          "{\"jsonrpc\": \"2.0\", \"result\": 19, \"id\": 1}"},
-      {"{\"jsonrpc\": \"2.0\", \"method\": \"subtract\", \"params\": [23, 42], \"id\": 2}",
-          "{\"jsonrpc\": \"2.0\", \"result\": -19, \"id\": 2}"},
-      {"{\"jsonrpc\": \"2.0\", \"method\": \"subtract\", \"params\": {\"subtrahend\": 23, \"minuend\": 42}, \"id\": 3}",
-          "{\"jsonrpc\": \"2.0\", \"result\": 19, \"id\": 3}"},
-      {"{\"jsonrpc\": \"2.0\", \"method\": \"subtract\", \"params\": {\"minuend\": 42, \"subtrahend\": 23}, \"id\": 4}",
-          "{\"jsonrpc\": \"2.0\", \"result\": 19, \"id\": 4}"},
-      {"{\"jsonrpc\": \"2.0\", \"method\": \"update\", \"params\": [1,2,3,4,5]}", null},
-      {"{\"jsonrpc\": \"2.0\", \"method\": \"foobar\"}", null},
-      {"{\"jsonrpc\": \"2.0\", \"method\": \"foobar\", \"id\": \"1\"}",
-          "{\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32601, \"message\": \"Method not found\"}, \"id\": \"1\"}"},
-      {"{\"jsonrpc\": \"2.0\", \"method\": \"foobar, \"params\": \"bar\", \"baz]",
-          "{\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32700, \"message\": \"Parse error\"}, \"id\": null}"},
-      {"{\"jsonrpc\": \"2.0\", \"method\": 1, \"params\": \"bar\"}",
-          "{\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32600, \"message\": \"Invalid Request\"}, \"id\": null}"},
-      {"[\n  {\"jsonrpc\": \"2.0\", \"method\": \"sum\", \"params\": [1,2,4], \"id\": \"1\"},\n"
+    {
+      "{\"jsonrpc\": \"2.0\", \"method\": \"subtract\", \"params\": [42, 23], \"id\": 1}",
+      "{\"jsonrpc\": \"2.0\", \"result\": 19, \"id\": 1}"
+    },
+    {
+      "{\"jsonrpc\": \"2.0\", \"method\": \"subtract\", \"params\": [23, 42], \"id\": 2}",
+      "{\"jsonrpc\": \"2.0\", \"result\": -19, \"id\": 2}"
+    },
+    {
+      "{\"jsonrpc\": \"2.0\", \"method\": \"subtract\", \"params\": {\"subtrahend\": 23, \"minuend\": 42}, \"id\": 3}",
+      "{\"jsonrpc\": \"2.0\", \"result\": 19, \"id\": 3}"
+    },
+    {
+      "{\"jsonrpc\": \"2.0\", \"method\": \"subtract\", \"params\": {\"minuend\": 42, \"subtrahend\": 23}, \"id\": 4}",
+      "{\"jsonrpc\": \"2.0\", \"result\": 19, \"id\": 4}"
+    },
+    {"{\"jsonrpc\": \"2.0\", \"method\": \"update\", \"params\": [1,2,3,4,5]}", null},
+    {"{\"jsonrpc\": \"2.0\", \"method\": \"foobar\"}", null},
+    {
+      "{\"jsonrpc\": \"2.0\", \"method\": \"foobar\", \"id\": \"1\"}",
+      "{\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32601, \"message\": \"Method not found\"}, \"id\": \"1\"}"
+    },
+    {
+      "{\"jsonrpc\": \"2.0\", \"method\": \"foobar, \"params\": \"bar\", \"baz]",
+      "{\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32700, \"message\": \"Parse error\"}, \"id\": null}"
+    },
+    {
+      "{\"jsonrpc\": \"2.0\", \"method\": 1, \"params\": \"bar\"}",
+      "{\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32600, \"message\": \"Invalid Request\"}, \"id\": null}"
+    },
+    {
+      "[\n  {\"jsonrpc\": \"2.0\", \"method\": \"sum\", \"params\": [1,2,4], \"id\": \"1\"},\n"
           + "  {\"jsonrpc\": \"2.0\", \"method\"\n]",
-          "{\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32700, \"message\": \"Parse error\"}, \"id\": null}"},
-      {"[]", "{\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32600, \"message\": \"Invalid Request\"}, \"id\": null}"},
-      {"[1]", "[\n  {\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32600, \"message\": \"Invalid Request\"}, \"id\": null}\n]"},
-      {"[1,2,3]", "[\n  {\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32600, \"message\": \"Invalid Request\"}, \"id\": null},\n"
+      "{\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32700, \"message\": \"Parse error\"}, \"id\": null}"
+    },
+    {
+      "[]",
+      "{\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32600, \"message\": \"Invalid Request\"}, \"id\": null}"
+    },
+    {
+      "[1]",
+      "[\n  {\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32600, \"message\": \"Invalid Request\"}, \"id\": null}\n]"
+    },
+    {
+      "[1,2,3]",
+      "[\n  {\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32600, \"message\": \"Invalid Request\"}, \"id\": null},\n"
           + "  {\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32600, \"message\": \"Invalid Request\"}, \"id\": null},\n"
-          + "  {\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32600, \"message\": \"Invalid Request\"}, \"id\": null}\n]"},
-      {"[\n        {\"jsonrpc\": \"2.0\", \"method\": \"sum\", \"params\": [1,2,4], \"id\": \"1\"},\n"
+          + "  {\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32600, \"message\": \"Invalid Request\"}, \"id\": null}\n]"
+    },
+    {
+      "[\n        {\"jsonrpc\": \"2.0\", \"method\": \"sum\", \"params\": [1,2,4], \"id\": \"1\"},\n"
           + "        {\"jsonrpc\": \"2.0\", \"method\": \"notify_hello\", \"params\": [7]},\n"
           + "        {\"jsonrpc\": \"2.0\", \"method\": \"subtract\", \"params\": [42,23], \"id\": \"2\"},\n"
           + "        {\"foo\": \"boo\"},\n"
           + "        {\"jsonrpc\": \"2.0\", \"method\": \"foo.get\", \"params\": {\"name\": \"myself\"}, \"id\": \"5\"},\n"
           + "        {\"jsonrpc\": \"2.0\", \"method\": \"get_data\", \"id\": \"9\"} \n    ]",
-          "[\n        {\"jsonrpc\": \"2.0\", \"result\": 7, \"id\": \"1\"},\n"
+      "[\n        {\"jsonrpc\": \"2.0\", \"result\": 7, \"id\": \"1\"},\n"
           + "        {\"jsonrpc\": \"2.0\", \"result\": 19, \"id\": \"2\"},\n"
           + "        {\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32600, \"message\": \"Invalid Request\"}, \"id\": null},\n"
           + "        {\"jsonrpc\": \"2.0\", \"error\": {\"code\": -32601, \"message\": \"Method not found\"}, \"id\": \"5\"},\n"
-          + "        {\"jsonrpc\": \"2.0\", \"result\": [\"hello\", 5], \"id\": \"9\"}\n    ]"},
-      {"[\n        {\"jsonrpc\": \"2.0\", \"method\": \"notify_sum\", \"params\": [1,2,4]},\n"
-          + "        {\"jsonrpc\": \"2.0\", \"method\": \"notify_hello\", \"params\": [7]}\n    ]", null}};
+          + "        {\"jsonrpc\": \"2.0\", \"result\": [\"hello\", 5], \"id\": \"9\"}\n    ]"
+    },
+    {
+      "[\n        {\"jsonrpc\": \"2.0\", \"method\": \"notify_sum\", \"params\": [1,2,4]},\n"
+          + "        {\"jsonrpc\": \"2.0\", \"method\": \"notify_hello\", \"params\": [7]}\n    ]",
+      null
+    }
+  };
 
   private static String result(StandInRpcServer.Seen call) {
     String params = call.params();
     return switch (call.method()) {
       case "subtract" -> {
         String[] n = params.replaceAll("[^0-9,]", "").split(",");
-        boolean reversed = params.startsWith("{") && params.indexOf("subtrahend") < params.indexOf("minuend");
+        boolean reversed =
+            params.startsWith("{") && params.indexOf("subtrahend") < params.indexOf("minuend");
         int first = Integer.parseInt(n[0]);
         int second = Integer.parseInt(n[1]);
         yield Integer.toString(reversed ? second - first : first - second);
@@ -117,11 +149,16 @@
       StandInRpcServer server = t.server("s1");
       server.script((call, c) -> c.result(call.id(), result(call)));
       StringBuilder methods = new StringBuilder();
-      for (String name : new String[] {"subtract", "update", "sum", "notify_hello", "get_data", "notify_sum"}) {
-        methods.append("[[methods]]\nname = \"").append(name).append("\"\nclass = \"rate-lookup\"\ntenant = \"acme\"\n");
+      for (String name :
+          new String[] {"subtract", "update", "sum", "notify_hello", "get_data", "notify_sum"}) {
+        methods
+            .append("[[methods]]\nname = \"")
+            .append(name)
+            .append("\"\nclass = \"rate-lookup\"\ntenant = \"acme\"\n");
       }
-      t.start("[listeners.rpc]\naddress = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\n" + methods + "[sources.s]\nstatic = "
-          + t.list("s1") + "\n[pools.p]\nsource = \"s\"\nprotocol = \"json-rpc\"\n[[routes]]\npool = \"p\"\n");
+      t.start("[listeners.rpc]\naddress = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\n" + methods
+          + "[sources.s]\nstatic = " + t.list("s1")
+          + "\n[pools.p]\nsource = \"s\"\nprotocol = \"json-rpc\"\n[[routes]]\npool = \"p\"\n");
       // What is found from the first byte: heads for one, values for the other.
       Framing spoken = framing == Framing.DETECT ? Framing.VALUES : framing;
       StandInRpcClient client = t.rpcClient("rpc", spoken);
@@ -135,14 +172,20 @@
         assertNotNull(answer, example[0]);
         assertEquals(canonical(example[1]), canonical(answer), example[0]);
         if (broken && spoken == Framing.VALUES) {
-          // Nothing tells there where the next message begins: the connection ends, as the operators' page says.
+          // Nothing tells there where the next message begins: the connection ends, as the
+          // operators' page says.
           assertEquals(true, client.awaitEnd(LONG));
           client = t.rpcClient("rpc", spoken);
         }
       }
       assertNull(client.next(200), "an answer to a notification");
-      assertEquals(List.of("notify_hello", "notify_hello", "notify_sum", "update"), server.seen().stream()
-          .map(StandInRpcServer.Seen::method).filter(m -> m.startsWith("notify") || m.equals("update")).sorted().toList());
+      assertEquals(
+          List.of("notify_hello", "notify_hello", "notify_sum", "update"),
+          server.seen().stream()
+              .map(StandInRpcServer.Seen::method)
+              .filter(m -> m.startsWith("notify") || m.equals("update"))
+              .sorted()
+              .toList());
     }
   }
 
@@ -152,12 +195,17 @@
       t.server("s1");
       t.start(RpcFiles.toServers(t, "framing = \"newline\"", "", "s1"));
       StandInRpcClient client = t.rpcClient("rpc", Framing.NEWLINE);
-      assertEquals("{\"jsonrpc\":\"2.0\",\"result\":{\"account\":\"acme\",\"n\":1e0},\"id\":1.0}",
+      assertEquals(
+          "{\"jsonrpc\":\"2.0\",\"result\":{\"account\":\"acme\",\"n\":1e0},\"id\":1.0}",
           client.send(RpcFiles.lookup("1.0", "1e0")).next(LONG));
-      assertEquals("{\"jsonrpc\":\"2.0\",\"error\":{\"code\":-32700,\"message\":\"Parse error\"},\"id\":null}",
-          client.send("{\"jsonrpc\": \"2.0\", \"method\": \"foobar, \"params\": \"bar\", \"baz]").next(LONG));
+      assertEquals(
+          "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":-32700,\"message\":\"Parse error\"},\"id\":null}",
+          client
+              .send("{\"jsonrpc\": \"2.0\", \"method\": \"foobar, \"params\": \"bar\", \"baz]")
+              .next(LONG));
       client.raw("\n\n  \n".getBytes(StandardCharsets.US_ASCII));
-      assertEquals("{\"jsonrpc\":\"2.0\",\"result\":{\"account\":\"acme\",\"n\":2},\"id\":\"\\u00e9\"}",
+      assertEquals(
+          "{\"jsonrpc\":\"2.0\",\"result\":{\"account\":\"acme\",\"n\":2},\"id\":\"\\u00e9\"}",
           client.send(RpcFiles.lookup("\"\\u00e9\"", "2")).next(LONG));
     }
   }
--- a/src/test/java/pumicekeel/node/ServicesTest.java
+++ b/src/test/java/pumicekeel/node/ServicesTest.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pumicekeel.pool.Tally.End;
 import pumicekeel.load.HttpAsk;
+import pumicekeel.pool.Tally.End;
 import pumicekeel.standin.StandInDiscovery;
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
@@ -50,7 +50,8 @@
 
   static String lookup(String id, String host, String more) {
     return "GET /rate-lookup/7 HTTP/1.1\r\nHost: " + host + "\r\nX-Correlation-Id: " + id
-        + "\r\nX-Service-Class: rate-lookup\r\nX-Account: acme\r\nX-Session-Key: k\r\nX-Time-Left-Ms: 5000\r\n" + more
+        + "\r\nX-Service-Class: rate-lookup\r\nX-Account: acme\r\nX-Session-Key: k\r\nX-Time-Left-Ms: 5000\r\n"
+        + more
         + "\r\n";
   }
 
@@ -66,7 +67,8 @@
     }
   }
 
-  // ---- Routes -------------------------------------------------------------------------------------------
+  // ---- Routes
+  // -------------------------------------------------------------------------------------------
 
   @Test
   void hostDecidesInAnyOfItsFormsAndWhatHasNoRouteIsAnsweredAtOnceAndCounted() throws Exception {
@@ -82,14 +84,32 @@
     assertEquals(List.of("2", "3"), r.seen().stream().map(Seen::id).toList());
     try (TestClient client = new TestClient(t.address)) {
       assertEquals(404, client.call(lookup("4", "other.example.org", "")).status());
-      assertEquals(400, client.call(lookup("5", "quote.example.org\r\nHost: rates.example.org", "")).status());
-      assertEquals(400, client.call(lookup("6", "quote.example.org", "").replace("/rate-lookup/7", "/rate-lookup/../x"))
-          .status());
-      assertEquals(400, client.call(lookup("7", "quote.example.org", "").replace("/rate-lookup/7", "?a=b")).status());
-      assertEquals(400, client.call(lookup("8", "x", "").replace("Host: x\r\n", "")).status());
-      assertEquals(400, client.call(lookup("8a", "quote.example.org", "").replace("/rate-lookup/7", "/rate-lookup%2F7"))
-          .status());
-      assertEquals("9", client.call(lookup("9", "quote.example.org", "")).body(), "the connection goes on");
+      assertEquals(
+          400,
+          client
+              .call(lookup("5", "quote.example.org\r\nHost: rates.example.org", ""))
+              .status());
+      assertEquals(
+          400,
+          client
+              .call(lookup("6", "quote.example.org", "")
+                  .replace("/rate-lookup/7", "/rate-lookup/../x"))
+              .status());
+      assertEquals(
+          400,
+          client
+              .call(lookup("7", "quote.example.org", "").replace("/rate-lookup/7", "?a=b"))
+              .status());
+      assertEquals(
+          400, client.call(lookup("8", "x", "").replace("Host: x\r\n", "")).status());
+      assertEquals(
+          400,
+          client
+              .call(lookup("8a", "quote.example.org", "")
+                  .replace("/rate-lookup/7", "/rate-lookup%2F7"))
+              .status());
+      assertEquals(
+          "9", client.call(lookup("9", "quote.example.org", "")).body(), "the connection goes on");
     }
     assertEquals(1, t.ask(() -> t.node.services().tally().noRoutes()) - before);
     assertEquals(2, q.seen().size());
@@ -100,7 +120,11 @@
     t.upstream("q", 0);
     t.start(twoPools(t.list("q"), t.list("q"), ""));
     try (TestClient client = new TestClient(t.address)) {
-      assertEquals(400, client.call(lookup("1", "quote.example.org", "").replace("/7", "/" + "7".repeat(8_000))).status());
+      assertEquals(
+          400,
+          client
+              .call(lookup("1", "quote.example.org", "").replace("/7", "/" + "7".repeat(8_000)))
+              .status());
       assertTrue(client.ended());
     }
   }
@@ -112,7 +136,8 @@
     t.start(twoPools(t.list("q"), t.list("q"), ""));
     try (TestClient client = new TestClient(t.address)) {
       String hidden = lookup("hidden", "quote.example.org", "");
-      client.send("POST /quote-issue HTTP/1.1\r\nHost: other\r\nContent-Length: " + hidden.length() + "\r\n\r\n");
+      client.send("POST /quote-issue HTTP/1.1\r\nHost: other\r\nContent-Length: " + hidden.length()
+          + "\r\n\r\n");
       assertEquals(404, client.read().status(), "before its body has come");
       client.send(hidden);
       assertEquals("2", client.call(lookup("2", "quote.example.org", "")).body());
@@ -120,7 +145,8 @@
     assertEquals(List.of("2"), q.seen().stream().map(Seen::id).toList());
   }
 
-  // ---- Shared upstreams ---------------------------------------------------------------------------------
+  // ---- Shared upstreams
+  // ---------------------------------------------------------------------------------
 
   @Test
   void sharedUpstreamDrainsFromOnePoolOnly() throws Exception {
@@ -130,11 +156,14 @@
     for (String name : List.of("shared0", "other1")) {
       t.discoveries.get("platform").tell(name, t.upstreams.get(name).address(), 0, "in_service", 0);
     }
-    t.start("[sources.rates]\nstatic = " + t.list("shared0") + "\n" + TWO_POOLS.formatted("")
-        .replace("source = \"quotes\"", ""));
-    var quotes = t.clients(new HttpAsk("quote.example.org", "quote-issue", true, "acme", 5_000), "q", 8, 200);
-    var rates = t.clients(new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 8, 200);
-    TestNode.until(() -> quotes.count(SERVED) > 100 && rates.count(SERVED) > 100
+    t.start("[sources.rates]\nstatic = " + t.list("shared0") + "\n"
+        + TWO_POOLS.formatted("").replace("source = \"quotes\"", ""));
+    var quotes = t.clients(
+        new HttpAsk("quote.example.org", "quote-issue", true, "acme", 5_000), "q", 8, 200);
+    var rates = t.clients(
+        new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 8, 200);
+    TestNode.until(() -> quotes.count(SERVED) > 100
+        && rates.count(SERVED) > 100
         && shared.seen().stream().anyMatch(s -> s.className().equals("quote-issue")));
     t.discoveries.get("platform").tell("shared0", shared.address(), 0, "terminating", 0);
     long told = t.discoveries.get("platform").toldAt("shared0", "terminating");
@@ -143,13 +172,27 @@
         && rates.count(SERVED) > ratesThen + 200);
     quotes.stop();
     rates.stop();
-    assertEquals(0, shared.seen().stream().filter(s -> s.className().equals("quote-issue")
-        && s.atNanos() - told > TimeUnit.SECONDS.toNanos(2)).count(), "quotes drained");
-    assertTrue(shared.seen().stream().anyMatch(s -> s.className().equals("rate-lookup")
-        && s.atNanos() - told > TimeUnit.SECONDS.toNanos(2)), "rates goes on there");
+    assertEquals(
+        0,
+        shared.seen().stream()
+            .filter(s -> s.className().equals("quote-issue")
+                && s.atNanos() - told > TimeUnit.SECONDS.toNanos(2))
+            .count(),
+        "quotes drained");
+    assertTrue(
+        shared.seen().stream()
+            .anyMatch(s -> s.className().equals("rate-lookup")
+                && s.atNanos() - told > TimeUnit.SECONDS.toNanos(2)),
+        "rates goes on there");
     assertEquals(0, quotes.account().unended() + rates.account().unended());
-    assertEquals(quotes.asked(), quotes.count(SERVED) + quotes.count(REFUSED), quotes.account().faults().toString());
-    assertEquals(rates.asked(), rates.count(SERVED) + rates.count(REFUSED), rates.account().faults().toString());
+    assertEquals(
+        quotes.asked(),
+        quotes.count(SERVED) + quotes.count(REFUSED),
+        quotes.account().faults().toString());
+    assertEquals(
+        rates.asked(),
+        rates.count(SERVED) + rates.count(REFUSED),
+        rates.account().faults().toString());
     assertTrue(other.seen().stream().anyMatch(s -> s.atNanos() - told > 0));
   }
 
@@ -167,8 +210,10 @@
       assertEquals(200, call(lookup("q" + i, "quote.example.org", "")).status());
       assertEquals(200, call(lookup("r" + i, "rates.example.org", "")).status());
     }
-    assertTrue(one.seen().size() == 20 && one.seen().stream().allMatch(s -> s.id().startsWith("q")));
-    assertTrue(two.seen().size() == 20 && two.seen().stream().allMatch(s -> s.id().startsWith("r")));
+    assertTrue(
+        one.seen().size() == 20 && one.seen().stream().allMatch(s -> s.id().startsWith("q")));
+    assertTrue(
+        two.seen().size() == 20 && two.seen().stream().allMatch(s -> s.id().startsWith("r")));
     one.close();
   }
 
@@ -177,12 +222,15 @@
     StandInUpstream shared = t.upstream("shared", 30_000);
     String capped = "connections-per-upstream = 3\nsource = ";
     t.start(twoPools(t.list("shared"), t.list("shared"), "").replace("source = ", capped));
-    var quotes = t.clients(new HttpAsk("quote.example.org", "rate-lookup", false, "acme", 5_000), "q", 12, 300);
-    var rates = t.clients(new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 12, 300);
+    var quotes = t.clients(
+        new HttpAsk("quote.example.org", "rate-lookup", false, "acme", 5_000), "q", 12, 300);
+    var rates = t.clients(
+        new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 12, 300);
     TestNode.until(() -> shared.seen().size() > 200);
     quotes.stop();
     rates.stop();
-    // An idle one that gave way may be seen to end only after its successor was accepted; without a cap 18 are busy.
+    // An idle one that gave way may be seen to end only after its successor was accepted; without a
+    // cap 18 are busy.
     assertTrue(shared.mostOpen() <= 6, "open at once: " + shared.mostOpen());
     assertEquals(0, quotes.account().unended() + rates.account().unended());
   }
@@ -197,12 +245,15 @@
     StandInDiscovery rateList = t.discovery("rates");
     for (int i = 0; i < 4; i++) {
       t.upstream("w" + i, 2_000);
-      (i < 2 ? quoteList : rateList).tell("w" + i, t.upstreams.get("w" + i).address(), i, "in_service", 0);
+      (i < 2 ? quoteList : rateList)
+          .tell("w" + i, t.upstreams.get("w" + i).address(), i, "in_service", 0);
     }
     t.start("[sources.rates]\ndiscovery = \"" + TestServices.text(rateList.address()) + "\"\n"
         + TWO_POOLS.formatted("").replace("source = \"quotes\"", ""));
-    var quotes = t.clients(new HttpAsk("quote.example.org", "rate-lookup", false, "acme", 5_000), "q", 16, 400);
-    var rates = t.clients(new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 16, 400);
+    var quotes = t.clients(
+        new HttpAsk("quote.example.org", "rate-lookup", false, "acme", 5_000), "q", 16, 400);
+    var rates = t.clients(
+        new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 16, 400);
     TestNode.until(() -> quotes.count(SERVED) > 800 && rates.count(SERVED) > 800);
     StandInUpstream cold = t.upstream("cold", 2_000);
     long startedAt = System.nanoTime();
@@ -219,7 +270,8 @@
     assertTrue(verdict.good(), verdict.lines().toString());
   }
 
-  // ---- Keyed requests and second pools ------------------------------------------------------------------
+  // ---- Keyed requests and second pools
+  // ------------------------------------------------------------------
 
   /** A client's repeat with the same key stays where the first may have run, though its route now goes elsewhere. */
   @Test
@@ -248,7 +300,8 @@
     q.mode(Mode.RESET);
     call(issue("1", "key-1", "quote.example.org"));
     int seen = q.seen().size();
-    t.reload("[sources.rates]\nstatic = " + t.list("r") + "\n[pools.rates]\nsource = \"rates\"\n[[routes]]\npool = \"rates\"\n");
+    t.reload("[sources.rates]\nstatic = " + t.list("r")
+        + "\n[pools.rates]\nsource = \"rates\"\n[[routes]]\npool = \"rates\"\n");
     TestNode.until(() -> {
       try {
         return t.ask(() -> t.node.services().retired()) == 0;
@@ -307,11 +360,16 @@
   void splitIsByTheSessionKeyAndTheSameForEachRequestOfIt() throws Exception {
     StandInUpstream q = t.upstream("q", 0);
     StandInUpstream r = t.upstream("r", 0);
-    t.start(twoPools(t.list("q"), t.list("r"), "").replace("pool = \"quotes\"",
-        "split = [ { pool = \"quotes\", weight = 1 }, { pool = \"rates\", weight = 1 } ]"));
+    t.start(twoPools(t.list("q"), t.list("r"), "")
+        .replace(
+            "pool = \"quotes\"",
+            "split = [ { pool = \"quotes\", weight = 1 }, { pool = \"rates\", weight = 1 } ]"));
     for (int i = 0; i < 120; i++) {
-      assertEquals(200, call(lookup(i + "-" + i % 30, "quote.example.org", "").replace("Key: k", "Key: k" + i % 30))
-          .status());
+      assertEquals(
+          200,
+          call(lookup(i + "-" + i % 30, "quote.example.org", "")
+                  .replace("Key: k", "Key: k" + i % 30))
+              .status());
     }
     Set<String> atQ = keys(q);
     Set<String> atR = keys(r);
@@ -325,7 +383,8 @@
     return keys;
   }
 
-  // ---- Room ---------------------------------------------------------------------------------------------
+  // ---- Room
+  // ---------------------------------------------------------------------------------------------
 
   @Test
   void fullPoolRefusesAtOnceWithARetryAfterAndTheOtherServes() throws Exception {
@@ -335,14 +394,16 @@
         .replace("[pools.quotes]", "[pools.quotes]\nopen-requests = { most = 2 }"));
     q.mode(Mode.HANG);
     TestClient one = new TestClient(t.address);
-    try (TestClient two = new TestClient(t.address); TestClient three = new TestClient(t.address)) {
+    try (TestClient two = new TestClient(t.address);
+        TestClient three = new TestClient(t.address)) {
       one.send(lookup("1", "quote.example.org", ""));
       two.send(lookup("2", "quote.example.org", ""));
       TestNode.until(() -> q.seen().size() == 2);
       TestClient.Reply full = three.call(lookup("3", "quote.example.org", ""));
       assertEquals(503, full.status());
       assertTrue(full.head().contains("retry-after: 0."), full.head());
-      assertEquals("4", three.call(lookup("4", "rates.example.org", "")).body(), "on the same connection");
+      assertEquals(
+          "4", three.call(lookup("4", "rates.example.org", "")).body(), "on the same connection");
       one.close();
       TestNode.until(() -> {
         try {
@@ -368,7 +429,8 @@
       for (int i = 0; i < 4; i++) {
         TestClient client = new TestClient(t.address);
         slow.add(client);
-        client.send(issue("s" + i, "k" + i, "quote.example.org").replace("Length: 4", "Length: 60000"));
+        client.send(
+            issue("s" + i, "k" + i, "quote.example.org").replace("Length: 4", "Length: 60000"));
       }
       TestNode.until(() -> {
         try {
@@ -395,14 +457,20 @@
     StandInUpstream q = t.upstream("q", 0);
     t.upstream("r", 0);
     t.start(twoPools(t.list("q"), t.list("r"), "")
-        .replace("[pools.quotes]", "[pools.quotes]\nbody-memory-kib = { guaranteed = 0, most = 40 }"));
+        .replace(
+            "[pools.quotes]", "[pools.quotes]\nbody-memory-kib = { guaranteed = 0, most = 40 }"));
     String big = "x".repeat(30_000);
     q.mode(Mode.HANG);
-    try (TestClient one = new TestClient(t.address); TestClient two = new TestClient(t.address)) {
-      one.send(issue("1", "k1", "quote.example.org").replace("Length: 4\r\n\r\nbody", "Length: 30000\r\n\r\n" + big));
+    try (TestClient one = new TestClient(t.address);
+        TestClient two = new TestClient(t.address)) {
+      one.send(issue("1", "k1", "quote.example.org")
+          .replace("Length: 4\r\n\r\nbody", "Length: 30000\r\n\r\n" + big));
       TestNode.until(() -> q.seen().size() == 1);
-      assertEquals(503, two.call(issue("2", "k2", "quote.example.org")
-          .replace("Length: 4\r\n\r\nbody", "Length: 30000\r\n\r\n" + big)).status());
+      assertEquals(
+          503,
+          two.call(issue("2", "k2", "quote.example.org")
+                  .replace("Length: 4\r\n\r\nbody", "Length: 30000\r\n\r\n" + big))
+              .status());
       assertEquals("3", two.call(lookup("3", "rates.example.org", "")).body());
     }
     TestNode.until(() -> {
@@ -429,6 +497,7 @@
       assertEquals(0, r.seen().size());
     }
     assertNull(t.defects.isEmpty() ? null : t.defects);
-    assertEquals(0L, t.ask(() -> t.node.services().tally().count("rates", "rate-lookup", End.SERVED)));
+    assertEquals(
+        0L, t.ask(() -> t.node.services().tally().count("rates", "rate-lookup", End.SERVED)));
   }
 }
--- a/src/test/java/pumicekeel/node/SpoiltAnswerTest.java
+++ b/src/test/java/pumicekeel/node/SpoiltAnswerTest.java
@@ -31,12 +31,19 @@
         row("noise without a line's end", "\u0001\u0002noise"),
         row("3 GB announced", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nfine"),
         row("two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nfine"),
-        row("two lengths in 1.0", "HTTP/1.0 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nfine"),
-        row("length and chunks",
+        row(
+            "two lengths in 1.0",
+            "HTTP/1.0 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nfine"),
+        row(
+            "length and chunks",
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"),
-        row("a line without a colon", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nfine"),
+        row(
+            "a line without a colon",
+            "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nfine"),
         row("a blank ahead of a colon", "HTTP/1.1 200 OK\r\nContent-Length : 4\r\n\r\nfine"),
-        row("another coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"),
+        row(
+            "another coding",
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"),
         row("lines ended by LF alone", "HTTP/1.1 200 OK\nContent-Length: 4\n\nfine"),
         row("neither length nor chunks", "HTTP/1.1 200 OK\r\n\r\nfine"),
         row("another protocol", "HTTP/1.1 101 S\r\nUpgrade: x\r\n\r\nfine"),
@@ -48,13 +55,15 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("spoilt")
-  void spoiltAnswerIsAFailureAtOnceAndItsConnectionIsClosed(String name, String answer) throws Exception {
+  void spoiltAnswerIsAFailureAtOnceAndItsConnectionIsClosed(String name, String answer)
+      throws Exception {
     try (FakeServer upstream = new FakeServer(says(answer))) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         long start = System.nanoTime();
         assertEquals(FAILED, client.call(TestClient.order("1", 20_000)).status());
-        assertTrue(System.nanoTime() - start < 15_000_000_000L, "long before the request's time is up");
+        assertTrue(
+            System.nanoTime() - start < 15_000_000_000L, "long before the request's time is up");
         TestNode.until(() -> upstream.closedByPeer.get() == 1);
       }
     }
@@ -75,7 +84,8 @@
       FakeServer.write(out, FakeServer.ok(body) + (body.equals("mine") ? behind : ""));
     })) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
-      try (TestClient first = new TestClient(node.address); TestClient second = new TestClient(node.address)) {
+      try (TestClient first = new TestClient(node.address);
+          TestClient second = new TestClient(node.address)) {
         assertEquals("mine", first.call(TestClient.order("1", 15_000)).body());
         assertEquals("next", second.call(TestClient.order("2", 15_000)).body());
         assertEquals(2, upstream.connections.size(), "the first connection is of no further use");
@@ -140,9 +150,12 @@
   void interimAnswersAndAnUnreadableReportSpoilNothing() throws Exception {
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       FakeServer.write(out, "HTTP/1.1 103 E\r\nLink: x\r\n\r\n");
-      // Longer than an answer may take from its first byte to its last: an interim one is not its first byte.
+      // Longer than an answer may take from its first byte to its last: an interim one is not its
+      // first byte.
       Thread.sleep(600);
-      FakeServer.write(out, "HTTP/1.1 200 OK\r\nX-Backend-Load: inflight==;7,,\r\nContent-Length: 4\r\n\r\nfine");
+      FakeServer.write(
+          out,
+          "HTTP/1.1 200 OK\r\nX-Backend-Load: inflight==;7,,\r\nContent-Length: 4\r\n\r\nfine");
     })) {
       TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
--- a/src/test/java/pumicekeel/node/StopTest.java
+++ b/src/test/java/pumicekeel/node/StopTest.java
@@ -44,7 +44,12 @@
    * its threads was late.
    */
   @ParameterizedTest(name = "signal heard {0}")
-  @ValueSource(strings = {"at once, by a loop that stands still", "as the process goes on", "a moment after it goes on"})
+  @ValueSource(
+      strings = {
+        "at once, by a loop that stands still",
+        "as the process goes on",
+        "a moment after it goes on"
+      })
   void endIsCountedFromWhenTheStopMayHaveCome(String heard) throws Exception {
     long late = 1_000_000_000L;
     long end = 3_000;
@@ -61,7 +66,8 @@
         if (heard.startsWith("as")) {
           node.node.drain();
         } else if (heard.startsWith("a moment")) {
-          // Queued behind the loop's own look at the time, as the signal's thread may come to run only then.
+          // Queued behind the loop's own look at the time, as the signal's thread may come to run
+          // only then.
           node.node.loop().execute(() -> node.node.loop().execute(node.node::drain));
         }
         goesOn.countDown();
--- a/src/test/java/pumicekeel/node/TestClient.java
+++ b/src/test/java/pumicekeel/node/TestClient.java
@@ -36,9 +36,11 @@
     }
     String lower = head.toString().toLowerCase();
     int at = lower.indexOf("content-length:") + 15;
-    byte[] body = new byte[Integer.parseInt(lower.substring(at, lower.indexOf('\r', at)).trim())];
+    byte[] body =
+        new byte[Integer.parseInt(lower.substring(at, lower.indexOf('\r', at)).trim())];
     in.readFully(body);
-    return new Reply(Integer.parseInt(lower.substring(9, 12)), lower, new String(body, StandardCharsets.UTF_8));
+    return new Reply(
+        Integer.parseInt(lower.substring(9, 12)), lower, new String(body, StandardCharsets.UTF_8));
   }
 
   int readByte() throws IOException {
@@ -74,13 +76,16 @@
 
   /** A request of class "look" (safe) with these further header lines, each ended by CRLF. */
   static String look(String id, long leftMillis, String more) {
-    return "GET /look/a?b=c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id + "\r\nX-Service-Class: look\r\n"
-        + "X-Account: acme\r\nX-Session-Key: k\r\nX-Time-Left-Ms: " + leftMillis + "\r\n" + more + "\r\n";
+    return "GET /look/a?b=c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id
+        + "\r\nX-Service-Class: look\r\n"
+        + "X-Account: acme\r\nX-Session-Key: k\r\nX-Time-Left-Ms: " + leftMillis + "\r\n" + more
+        + "\r\n";
   }
 
   /** A request of class "order" (keyed, dropped within a cell) with a body. */
   static String order(String id, long leftMillis) {
-    return "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id + "\r\nX-Service-Class: order\r\n"
+    return "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id
+        + "\r\nX-Service-Class: order\r\n"
         + "X-Account: acme\r\nX-Session-Key: k\r\nX-Time-Left-Ms: " + leftMillis
         + "\r\nIdempotency-Key: once-" + id + "\r\nContent-Length: 4\r\n\r\nbody";
   }
--- a/src/test/java/pumicekeel/node/TestNode.java
+++ b/src/test/java/pumicekeel/node/TestNode.java
@@ -25,11 +25,20 @@
 
   TestNode(String configuration) throws Exception {
     Fields f = Fields.parse("configuration", configuration);
-    node = new Node(new Configuration("n0", Addresses.parse("listen", f.text("listen")),
-        Addresses.parse("discovery", f.text("discovery")), 1,
-        (int) f.nested("limits").integer("sockets"), HostList.of(f.nested("known")),
-        Decoder.settings(f.nested("settings")), false,
-        f.has("admin") ? Addresses.parse("admin", f.text("admin")) : null, false, java.util.Map.of()), () -> {});
+    node = new Node(
+        new Configuration(
+            "n0",
+            Addresses.parse("listen", f.text("listen")),
+            Addresses.parse("discovery", f.text("discovery")),
+            1,
+            (int) f.nested("limits").integer("sockets"),
+            HostList.of(f.nested("known")),
+            Decoder.settings(f.nested("settings")),
+            false,
+            f.has("admin") ? Addresses.parse("admin", f.text("admin")) : null,
+            false,
+            java.util.Map.of()),
+        () -> {});
     address = node.start();
     until(() -> up() == 200);
   }
@@ -69,7 +78,9 @@
   static String json(InetSocketAddress discovery, int maxAttempts, FakeServer... upstreams) {
     StringBuilder known = new StringBuilder();
     for (int i = 0; i < upstreams.length; i++) {
-      known.append(i == 0 ? "" : ",").append(endpoint("s-" + i, upstreams[i].address(), "in_service"));
+      known
+          .append(i == 0 ? "" : ",")
+          .append(endpoint("s-" + i, upstreams[i].address(), "in_service"));
     }
     return """
         {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
@@ -93,8 +104,9 @@
   }
 
   static String endpoint(String name, InetSocketAddress address, String status) {
-    return "{\"name\":\"" + name + "\",\"address\":\"" + text(address) + "\",\"zone\":\"a\",\"type\":\"t\",\"group\":1,"
-        + "\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":0}";
+    return "{\"name\":\"" + name + "\",\"address\":\"" + text(address)
+        + "\",\"zone\":\"a\",\"type\":\"t\",\"group\":1," + "\"status\":\"" + status
+        + "\",\"weight\":1.0,\"since_ms\":0}";
   }
 
   static String text(InetSocketAddress address) {
--- a/src/test/java/pumicekeel/node/TestServices.java
+++ b/src/test/java/pumicekeel/node/TestServices.java
@@ -16,10 +16,10 @@
 import pumicekeel.config.Operator;
 import pumicekeel.config.OperatorReader;
 import pumicekeel.discovery.HostList;
-import pumicekeel.runtime.Addresses;
+import pumicekeel.jsonrpc.Framing;
 import pumicekeel.load.HttpAsk;
 import pumicekeel.load.Load;
-import pumicekeel.jsonrpc.Framing;
+import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInDiscovery;
 import pumicekeel.standin.StandInRpcClient;
 import pumicekeel.standin.StandInRpcServer;
@@ -42,7 +42,8 @@
       """;
 
   final EventLoopGroup standIns = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final EventLoopGroup othersOfB = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoopGroup othersOfB =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   final EventLoopGroup clientLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   final Map<String, StandInUpstream> upstreams = new LinkedHashMap<>();
   final Map<String, StandInRpcServer> servers = new LinkedHashMap<>();
@@ -61,7 +62,8 @@
 
   /** Those of pool b on a loop of their own: what a's upstreams are kept busy with must not delay their log. */
   StandInUpstream upstream(String name, long delayMicros) throws Exception {
-    StandInUpstream upstream = new StandInUpstream(name, name.startsWith("b") ? othersOfB : standIns, delayMicros);
+    StandInUpstream upstream =
+        new StandInUpstream(name, name.startsWith("b") ? othersOfB : standIns, delayMicros);
     upstreams.put(name, upstream);
     return upstream;
   }
@@ -86,7 +88,9 @@
   }
 
   private InetSocketAddress addressOf(String name) {
-    return upstreams.containsKey(name) ? upstreams.get(name).address() : servers.get(name).address();
+    return upstreams.containsKey(name)
+        ? upstreams.get(name).address()
+        : servers.get(name).address();
   }
 
   StandInDiscovery discovery(String name) throws Exception {
@@ -101,9 +105,15 @@
     for (String name : names) {
       String[] parts = name.split("!");
       String cell = parts[0].replaceAll("\\D", "");
-      out.append(out.length() == 1 ? "" : ", ").append("{ name = \"").append(parts[0]).append("\", address = \"")
-          .append(text(addressOf(parts[0]))).append("\", group = ").append(cell.isEmpty() ? "0" : cell)
-          .append(parts.length > 1 ? ", status = \"" + parts[1] + "\"" : "").append(" }");
+      out.append(out.length() == 1 ? "" : ", ")
+          .append("{ name = \"")
+          .append(parts[0])
+          .append("\", address = \"")
+          .append(text(addressOf(parts[0])))
+          .append("\", group = ")
+          .append(cell.isEmpty() ? "0" : cell)
+          .append(parts.length > 1 ? ", status = \"" + parts[1] + "\"" : "")
+          .append(" }");
     }
     return out.append("]").toString();
   }
@@ -121,10 +131,17 @@
   }
 
   TestServices start(String file) throws Exception {
-    InetSocketAddress platform = discoveries.containsKey("platform") ? discoveries.get("platform").address()
+    InetSocketAddress platform = discoveries.containsKey("platform")
+        ? discoveries.get("platform").address()
         : TestNode.nowhere();
-    Configuration configuration = new Configuration("n0", Addresses.parse("listen", "127.0.0.1:0"), platform, 1,
-        sockets, new HostList(0, true, List.of()), Decoder.settings(Fields.parse("settings", SETTINGS)));
+    Configuration configuration = new Configuration(
+        "n0",
+        Addresses.parse("listen", "127.0.0.1:0"),
+        platform,
+        1,
+        sockets,
+        new HostList(0, true, List.of()),
+        Decoder.settings(Fields.parse("settings", SETTINGS)));
     node = new Node(configuration, operator(file), () -> defects.add("crash"));
     address = node.start();
     node.awaitReady();
@@ -141,7 +158,9 @@
   }
 
   Load clients(HttpAsk ask, String prefix, int count, double perSecond) {
-    Load started = new Load(address, clientLoops, ask, pumicekeel.load.Shape.steady(count, perSecond), prefix, 7).start();
+    Load started = new Load(
+            address, clientLoops, ask, pumicekeel.load.Shape.steady(count, perSecond), prefix, 7)
+        .start();
     clients.add(started);
     return started;
   }
--- a/src/test/java/pumicekeel/node/UpstreamTableTest.java
+++ b/src/test/java/pumicekeel/node/UpstreamTableTest.java
@@ -17,15 +17,16 @@
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.State;
 import pumicekeel.discovery.HostList;
+import pumicekeel.runtime.Reactor;
+import pumicekeel.upstream.UpstreamTable;
 import pumicekeel.upstream.http.ConnectionPool;
 import pumicekeel.upstream.http.UpstreamPool;
-import pumicekeel.upstream.UpstreamTable;
-import pumicekeel.runtime.Reactor;
 
 /** What is remembered of upstreams that come and go all day. */
 class UpstreamTableTest {
 
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final UpstreamTable table =
       new UpstreamTable(new ConnectionPool(Reactor.of(loop), 1_000_000_000L, 60_000_000_000L, 10));
 
--- a/src/test/java/pumicekeel/operation/RotationTest.java
+++ b/src/test/java/pumicekeel/operation/RotationTest.java
@@ -61,7 +61,8 @@
     assertTrue(calls.answer("readyz", START).startsWith("NO"));
     rotation.started();
     assertTrue(calls.answer(" readyz\r", START).startsWith("YES"));
-    for (String noCall : new String[] {"", "ready", "READYZ", "evacuate now", "\u0000", "readyzevacuate"}) {
+    for (String noCall :
+        new String[] {"", "ready", "READYZ", "evacuate now", "\u0000", "readyzevacuate"}) {
       assertTrue(calls.answer(noCall, START).startsWith("NO"), noCall);
     }
     assertEquals(0, changes.get());
--- a/src/test/java/pumicekeel/peers/DatagramTest.java
+++ b/src/test/java/pumicekeel/peers/DatagramTest.java
@@ -16,9 +16,11 @@
   private static Datagram full() {
     List<Rumour> rumours = new ArrayList<>();
     for (int i = 0; i < Datagram.MOST_RUMOURS; i++) {
-      rumours.add(new Rumour(i, State.values()[1 + i % 3], 1_700_000_000_000L + i, 0xffffffffL - i));
+      rumours.add(
+          new Rumour(i, State.values()[1 + i % 3], 1_700_000_000_000L + i, 0xffffffffL - i));
     }
-    return new Datagram(Datagram.Kind.PING_REQUEST, 19, 1_700_000_000_123L, 7, 0xfffffffeL, 3, rumours);
+    return new Datagram(
+        Datagram.Kind.PING_REQUEST, 19, 1_700_000_000_123L, 7, 0xfffffffeL, 3, rumours);
   }
 
   @Test
@@ -37,8 +39,19 @@
     assertNull(Datagram.of(Arrays.copyOf(bytes, bytes.length + 1), 20));
     assertNull(Datagram.of(bytes, 19), "a sender beyond the list");
     assertNull(Datagram.of(new byte[257], 20));
-    for (int[] change : new int[][] {{0, 0}, {1, 0}, {2, 9}, {3, 5}, {3, -1}, {6, 0x7f}, {24, 16}, {24, -1}, {27, 0}, {27, 4},
-        {28, 0x7f}}) {
+    for (int[] change : new int[][] {
+      {0, 0},
+      {1, 0},
+      {2, 9},
+      {3, 5},
+      {3, -1},
+      {6, 0x7f},
+      {24, 16},
+      {24, -1},
+      {27, 0},
+      {27, 4},
+      {28, 0x7f}
+    }) {
       byte[] changed = bytes.clone();
       changed[change[0]] = (byte) change[1];
       assertNull(Datagram.of(changed, 20), "byte " + change[0]);
--- a/src/test/java/pumicekeel/peers/MembershipTest.java
+++ b/src/test/java/pumicekeel/peers/MembershipTest.java
@@ -27,9 +27,23 @@
     return out;
   }
 
-  private List<Datagram> hear(int from, Kind kind, long epoch, long incarnation, long sequence, int target, Rumour... rumours) {
-    return m.receive(from, new Datagram(kind, from, epoch, incarnation, sequence, target, List.of(rumours)).bytes(), now)
-        .stream().map(o -> Datagram.of(o.bytes(), 8)).toList();
+  private List<Datagram> hear(
+      int from,
+      Kind kind,
+      long epoch,
+      long incarnation,
+      long sequence,
+      int target,
+      Rumour... rumours) {
+    return m
+        .receive(
+            from,
+            new Datagram(kind, from, epoch, incarnation, sequence, target, List.of(rumours))
+                .bytes(),
+            now)
+        .stream()
+        .map(o -> Datagram.of(o.bytes(), 8))
+        .toList();
   }
 
   private static Rumour says(int member, State state, long epoch, long incarnation) {
@@ -75,9 +89,14 @@
   @Test
   void silenceLeadsToHelpThenSuspicionThenDeathAndAWordOfItsOwnEndsIt() {
     allAlive();
-    Datagram ping = tickUntil(now + 1 * SECOND).stream().filter(d -> d.kind() == Kind.PING).findFirst().orElseThrow();
+    Datagram ping = tickUntil(now + 1 * SECOND).stream()
+        .filter(d -> d.kind() == Kind.PING)
+        .findFirst()
+        .orElseThrow();
     List<Datagram> helped = tickUntil(now + SECOND / 2 + SECOND / 10);
-    assertTrue(helped.stream().filter(d -> d.kind() == Kind.PING_REQUEST).allMatch(d -> d.target() == ping.target()));
+    assertTrue(helped.stream()
+        .filter(d -> d.kind() == Kind.PING_REQUEST)
+        .allMatch(d -> d.target() == ping.target()));
     tickUntil(now + 3 * SECOND);
     assertEquals(State.SUSPECT, m.stateOf(ping.target()));
     // It says that it is there, one incarnation up.
@@ -96,9 +115,15 @@
       for (int i = 1; i < 8; i++) {
         one.receive(i, new Datagram(Kind.ACK, i, 500, 0, 9_999, i, List.of()).bytes(), 0);
       }
-      int[] from = variant == 0 ? new int[] {1} : variant == 1 ? new int[] {1, 1, 1, 1} : new int[] {1, 2, 3, 4};
+      int[] from = variant == 0
+          ? new int[] {1}
+          : variant == 1 ? new int[] {1, 1, 1, 1} : new int[] {1, 2, 3, 4};
       for (int f : from) {
-        one.receive(f, new Datagram(Kind.NACK, f, 500, 0, 0, f, List.of(says(7, State.SUSPECT, 500, 0))).bytes(), 0);
+        one.receive(
+            f,
+            new Datagram(Kind.NACK, f, 500, 0, 0, f, List.of(says(7, State.SUSPECT, 500, 0)))
+                .bytes(),
+            0);
       }
       long at = 0;
       while (one.stateOf(7) != State.DEAD) {
@@ -107,7 +132,10 @@
         for (Membership.Out o : one.tick(at)) {
           Datagram d = Datagram.of(o.bytes(), 8);
           if (d.kind() == Kind.PING && o.to() != 7) {
-            one.receive(o.to(), new Datagram(Kind.ACK, o.to(), 500, 0, d.sequence(), o.to(), List.of()).bytes(), at);
+            one.receive(
+                o.to(),
+                new Datagram(Kind.ACK, o.to(), 500, 0, d.sequence(), o.to(), List.of()).bytes(),
+                at);
           }
         }
       }
@@ -142,9 +170,12 @@
     long before = m.discarded();
     List<Datagram> told = hear(3, Kind.PING, 500, 9, 1, 0, says(4, State.DEAD, 9_999, 9));
     assertEquals(before + 1, m.discarded());
-    assertEquals(State.UNKNOWN, m.stateOf(4), "what an earlier life says of others is not heard either");
+    assertEquals(
+        State.UNKNOWN, m.stateOf(4), "what an earlier life says of others is not heard either");
     assertEquals(900, m.rumourOf(3).epoch());
-    assertTrue(told.get(0).rumours().contains(m.rumourOf(3)), "but its writer is told of what outranks it");
+    assertTrue(
+        told.get(0).rumours().contains(m.rumourOf(3)),
+        "but its writer is told of what outranks it");
     hear(5, Kind.ACK, 500, 0, 1, 5, says(3, State.DEAD, 500, 99));
     assertEquals(State.ALIVE, m.stateOf(3));
   }
@@ -157,7 +188,9 @@
     one.receive(1, new Datagram(Kind.ACK, 1, 900, 0, 1, 1, List.of()).bytes(), 0);
     other.receive(0, new Datagram(Kind.ACK, 0, 900, 0, 1, 0, List.of()).bytes(), 0);
     long at = 0;
-    for (int i = 0; i < 1_000 && (one.rumourOf(1).epoch() <= 900 || other.rumourOf(0).epoch() <= 900); i++) {
+    for (int i = 0;
+        i < 1_000 && (one.rumourOf(1).epoch() <= 900 || other.rumourOf(0).epoch() <= 900);
+        i++) {
       at = Math.min(one.nextAt(), other.nextAt());
       for (Membership.Out o : one.nextAt() <= at ? one.tick(at) : List.<Membership.Out>of()) {
         for (Membership.Out back : other.receive(0, o.bytes(), at)) {
@@ -178,7 +211,8 @@
   void anothersNameAndOnesOwnAreDiscarded() {
     byte[] of3 = new Datagram(Kind.PING, 3, 500, 0, 1, 0, List.of()).bytes();
     assertEquals(List.of(), m.receive(4, of3, now));
-    assertEquals(List.of(), m.receive(0, new Datagram(Kind.PING, 0, 500, 0, 1, 0, List.of()).bytes(), now));
+    assertEquals(
+        List.of(), m.receive(0, new Datagram(Kind.PING, 0, 500, 0, 1, 0, List.of()).bytes(), now));
     assertEquals(List.of(), m.receive(3, new byte[0], now));
     assertEquals(3, m.discarded());
     assertEquals(State.UNKNOWN, m.stateOf(3));
@@ -189,17 +223,22 @@
     allAlive();
     int probes = 0;
     for (int i = 0; i < 10_000; i++) {
-      probes += hear(1, Kind.PING_REQUEST, 500, 0, i, 2).stream().filter(d -> d.kind() == Kind.PING).count();
+      probes += hear(1, Kind.PING_REQUEST, 500, 0, i, 2).stream()
+          .filter(d -> d.kind() == Kind.PING)
+          .count();
     }
     assertTrue(probes <= 64, probes + " probes");
     // And after a time those that asked are told that nothing was heard.
-    assertTrue(tickUntil(now + SECOND).stream().filter(d -> d.kind() == Kind.NACK).count() >= 64);
+    assertTrue(
+        tickUntil(now + SECOND).stream().filter(d -> d.kind() == Kind.NACK).count() >= 64);
   }
 
   @Test
   void helperPassesTheAnswerOnWithTheAskersSequence() {
     allAlive();
-    Datagram ping = hear(1, Kind.PING_REQUEST, 500, 0, 55, 2).stream().filter(d -> d.kind() == Kind.PING).findFirst()
+    Datagram ping = hear(1, Kind.PING_REQUEST, 500, 0, 55, 2).stream()
+        .filter(d -> d.kind() == Kind.PING)
+        .findFirst()
         .orElseThrow();
     Datagram back = hear(2, Kind.ACK, 500, 0, ping.sequence(), 2).get(0);
     assertEquals(Kind.ACK, back.kind());
--- a/src/test/java/pumicekeel/pool/PoolRoomsTest.java
+++ b/src/test/java/pumicekeel/pool/PoolRoomsTest.java
@@ -86,11 +86,19 @@
 
   @Test
   void poolsThatSayNothingGetHalfOfWhatIsLeftEvenly() {
-    List<RoomPlan.Part> parts = RoomPlan.of("sockets", 100, List.of(new RoomPlan.Ask("a", 40L, null),
-        new RoomPlan.Ask("b", null, 10L), new RoomPlan.Ask("c", null, null)));
-    assertEquals(List.of(new RoomPlan.Part(40, 100), new RoomPlan.Part(10, 10), new RoomPlan.Part(15, 100)), parts);
-    assertThrows(IllegalArgumentException.class, () -> RoomPlan.of("sockets", 39,
-        List.of(new RoomPlan.Ask("a", 40L, null))));
+    List<RoomPlan.Part> parts = RoomPlan.of(
+        "sockets",
+        100,
+        List.of(
+            new RoomPlan.Ask("a", 40L, null),
+            new RoomPlan.Ask("b", null, 10L),
+            new RoomPlan.Ask("c", null, null)));
+    assertEquals(
+        List.of(new RoomPlan.Part(40, 100), new RoomPlan.Part(10, 10), new RoomPlan.Part(15, 100)),
+        parts);
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> RoomPlan.of("sockets", 39, List.of(new RoomPlan.Ask("a", 40L, null))));
   }
 
   @Test
--- a/src/test/java/pumicekeel/pool/SharedUpstreamsTest.java
+++ b/src/test/java/pumicekeel/pool/SharedUpstreamsTest.java
@@ -31,12 +31,13 @@
   }
 
   @Test
-  void oneThatDrainsInAPoolIsShared​NoMoreThere() {
+  void oneThatDrainsInAPoolIsSharedNoMoreThere() {
     shared.update("a", "h:1", line(1, State.READY, 0));
     shared.update("b", "h:1", line(1, State.READY, 0));
     assertEquals(Set.of("a"), shared.update("b", "h:1", line(1, State.DRAINING, 0)));
     assertEquals(1, seen("a", "h:1", 1).sharers());
-    assertEquals(State.DRAINING, shared.seenBy("b", "h:1", line(1, State.DRAINING, 0)).state());
+    assertEquals(
+        State.DRAINING, shared.seenBy("b", "h:1", line(1, State.DRAINING, 0)).state());
   }
 
   @Test
@@ -59,7 +60,8 @@
   void movedGoneAndRetiredLeaveNothingBehind() {
     shared.update("a", "h:1", line(1, State.READY, 0));
     shared.update("b", "h:1", line(1, State.READY, 0));
-    assertEquals(Set.of("b"), shared.update("a", "h:2", line(1, State.READY, 0)), "a's one has moved");
+    assertEquals(
+        Set.of("b"), shared.update("a", "h:2", line(1, State.READY, 0)), "a's one has moved");
     assertEquals(1, seen("b", "h:1", 1).sharers());
     shared.update("a", "h:2", line(1, State.GONE, 0));
     assertEquals(1, shared.size());
--- a/src/test/java/pumicekeel/route/HostAndPathTest.java
+++ b/src/test/java/pumicekeel/route/HostAndPathTest.java
@@ -15,16 +15,43 @@
 class HostAndPathTest {
 
   @ParameterizedTest
-  @CsvSource({"quote.example.org,quote.example.org", "quote.example.org:8080,quote.example.org",
-      "QUOTE.Example.ORG.,quote.example.org", "quote.example.org.:80,quote.example.org", "a,a", "127.0.0.1:1,127.0.0.1",
-      "[2001:DB8::1]:443,[2001:db8::1]", "[::1],[::1]", "x_y-z,x_y-z"})
+  @CsvSource({
+    "quote.example.org,quote.example.org",
+    "quote.example.org:8080,quote.example.org",
+    "QUOTE.Example.ORG.,quote.example.org",
+    "quote.example.org.:80,quote.example.org",
+    "a,a",
+    "127.0.0.1:1,127.0.0.1",
+    "[2001:DB8::1]:443,[2001:db8::1]",
+    "[::1],[::1]",
+    "x_y-z,x_y-z"
+  })
   void hostsThatAreOneAreReadAsOne(String sent, String canonical) {
     assertEquals(canonical, HostName.of(sent));
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"", ".", ":80", "a..b", ".a", "a b", "user@a", "a/b", "a:b", "a:99999", "a:123456", "a,b",
-      "[::1", "[::1]x", "a\u0000", "\u212Aey.example.org", "a%2eb", "[zz]"})
+  @ValueSource(
+      strings = {
+        "",
+        ".",
+        ":80",
+        "a..b",
+        ".a",
+        "a b",
+        "user@a",
+        "a/b",
+        "a:b",
+        "a:99999",
+        "a:123456",
+        "a,b",
+        "[::1",
+        "[::1]x",
+        "a\u0000",
+        "\u212Aey.example.org",
+        "a%2eb",
+        "[zz]"
+      })
   void whatIsNoHostIsNone(String sent) {
     assertNull(HostName.of(sent));
   }
@@ -45,17 +72,56 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"/,/", "/a/b,/a/b", "/a/,/a/", "/%71uote,/quote", "/a%7eb,/a~b", "/a%c3%a9,/a%C3%A9", "/a%20b,/a%20b",
-      "/...,/...", "/.a,/.a", "/a;b=c,/a;b=c"})
+  @CsvSource({
+    "/,/",
+    "/a/b,/a/b",
+    "/a/,/a/",
+    "/%71uote,/quote",
+    "/a%7eb,/a~b",
+    "/a%c3%a9,/a%C3%A9",
+    "/a%20b,/a%20b",
+    "/...,/...",
+    "/.a,/.a",
+    "/a;b=c,/a;b=c"
+  })
   void pathsThatAreOneAreReadAsOne(String sent, String compared) {
     assertEquals(compared, RequestPath.of(sent));
   }
 
   /** Each of these some server takes for another path: routed by one reading, served by the other. */
   @ParameterizedTest
-  @ValueSource(strings = {"", "a", "?x=1", "*", "//", "//a", "/a//b", "/a/../b", "/..", "/.", "/a/.", "/a/./b", "/%2e%2e/b",
-      "/.%2E/b", "/%2e", "/a%2Fb", "/a%2fb", "/a%5cb", "/a\\b", "/a%00b", "/a%", "/a%4", "/a%zz", "/a%252fb", "/a b",
-      "/a\tb", "/a#b", "/\u00e9", "/a%0ab"})
+  @ValueSource(
+      strings = {
+        "",
+        "a",
+        "?x=1",
+        "*",
+        "//",
+        "//a",
+        "/a//b",
+        "/a/../b",
+        "/..",
+        "/.",
+        "/a/.",
+        "/a/./b",
+        "/%2e%2e/b",
+        "/.%2E/b",
+        "/%2e",
+        "/a%2Fb",
+        "/a%2fb",
+        "/a%5cb",
+        "/a\\b",
+        "/a%00b",
+        "/a%",
+        "/a%4",
+        "/a%zz",
+        "/a%252fb",
+        "/a b",
+        "/a\tb",
+        "/a#b",
+        "/\u00e9",
+        "/a%0ab"
+      })
   void whatCanBeReadInTwoWaysIsRefused(String sent) {
     assertNull(RequestPath.of(sent));
   }
@@ -72,10 +138,13 @@
     PathPattern prefix = PathPattern.of(PathPattern.Kind.PREFIX, "/quote");
     assertTrue(prefix.takes("/quote") && prefix.takes("/quote/") && prefix.takes("/quote/7"));
     assertTrue(!prefix.takes("/quotes") && !prefix.takes("/") && !prefix.takes("/q/quote"));
-    assertEquals(prefix.segments(), PathPattern.of(PathPattern.Kind.PREFIX, "/quote/").segments());
+    assertEquals(
+        prefix.segments(), PathPattern.of(PathPattern.Kind.PREFIX, "/quote/").segments());
     PathPattern template = PathPattern.of(PathPattern.Kind.TEMPLATE, "/quote/{id}/pdf");
     assertTrue(template.takes("/quote/7/pdf"));
-    assertTrue(!template.takes("/quote//pdf") && !template.takes("/quote/7") && !template.takes("/quote/7/pdf/x"));
+    assertTrue(!template.takes("/quote//pdf")
+        && !template.takes("/quote/7")
+        && !template.takes("/quote/7/pdf/x"));
     assertTrue(PathPattern.of(PathPattern.Kind.PREFIX, "/").takes("/any/thing"));
     assertTrue(PathPattern.of(PathPattern.Kind.EXACT, "/").takes("/"));
     assertTrue(!PathPattern.of(PathPattern.Kind.EXACT, "/").takes("/a"));
@@ -84,13 +153,19 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "quote", "/a//b", "/a/../b", "/a?b", "/a%2Fb", "/%61"})
   void patternThatNoRequestHasIsRefused(String text) {
-    assertThrows(IllegalArgumentException.class, () -> PathPattern.of(PathPattern.Kind.EXACT, text));
+    assertThrows(
+        IllegalArgumentException.class, () -> PathPattern.of(PathPattern.Kind.EXACT, text));
   }
 
   @Test
   void patternsAreBoundedAndNamesStandForWholeSegments() {
-    assertThrows(IllegalArgumentException.class, () -> PathPattern.of(PathPattern.Kind.PREFIX, "/a".repeat(33)));
-    assertThrows(IllegalArgumentException.class, () -> PathPattern.of(PathPattern.Kind.TEMPLATE, "/a/x{id}"));
-    assertThrows(IllegalArgumentException.class, () -> PathPattern.of(PathPattern.Kind.TEMPLATE, "/a/{}"));
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> PathPattern.of(PathPattern.Kind.PREFIX, "/a".repeat(33)));
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> PathPattern.of(PathPattern.Kind.TEMPLATE, "/a/x{id}"));
+    assertThrows(
+        IllegalArgumentException.class, () -> PathPattern.of(PathPattern.Kind.TEMPLATE, "/a/{}"));
   }
 }
--- a/src/test/java/pumicekeel/route/RouteTableTest.java
+++ b/src/test/java/pumicekeel/route/RouteTableTest.java
@@ -16,7 +16,13 @@
 /** The first route of the file that takes a request has it, whatever the index does to find it. */
 class RouteTableTest {
 
-  record Asked(String listener, String host, String path, String method, String className, Map<String, String> headers)
+  record Asked(
+      String listener,
+      String host,
+      String path,
+      String method,
+      String className,
+      Map<String, String> headers)
       implements Facts {
     @Override
     public String header(String name) {
@@ -29,8 +35,17 @@
   }
 
   private static Route route(int order, String host, PathPattern path) {
-    return new Route(order, "r" + order, null, host == null ? List.of() : List.of(host), path, null, null, Map.of(),
-        Split.to("p"), null);
+    return new Route(
+        order,
+        "r" + order,
+        null,
+        host == null ? List.of() : List.of(host),
+        path,
+        null,
+        null,
+        Map.of(),
+        Split.to("p"),
+        null);
   }
 
   private static Integer match(RouteTable table, Facts f) {
@@ -41,12 +56,30 @@
   void routesThatDifferOnlyInOrderGoByTheFile() {
     PathPattern wide = PathPattern.of(Kind.PREFIX, "/a");
     PathPattern narrow = PathPattern.of(Kind.EXACT, "/a/b");
-    assertEquals(0, match(new RouteTable(List.of(route(0, null, wide), route(1, "h", narrow))), get("h", "/a/b")));
-    assertEquals(0, match(new RouteTable(List.of(route(0, "h", narrow), route(1, null, wide))), get("h", "/a/b")));
-    assertEquals(1, match(new RouteTable(List.of(route(0, "h", narrow), route(1, null, wide))), get("h", "/a/c")));
-    Route one = new Route(0, "one", null, List.of(), wide, null, null, Map.of(), Split.to("one"), null);
-    Route two = new Route(1, "two", null, List.of(), wide, null, null, Map.of(), Split.to("two"), null);
-    assertEquals("one", ((RouteTable.Taken) new RouteTable(List.of(one, two)).match(get("h", "/a"))).route().name());
+    assertEquals(
+        0,
+        match(
+            new RouteTable(List.of(route(0, null, wide), route(1, "h", narrow))),
+            get("h", "/a/b")));
+    assertEquals(
+        0,
+        match(
+            new RouteTable(List.of(route(0, "h", narrow), route(1, null, wide))),
+            get("h", "/a/b")));
+    assertEquals(
+        1,
+        match(
+            new RouteTable(List.of(route(0, "h", narrow), route(1, null, wide))),
+            get("h", "/a/c")));
+    Route one =
+        new Route(0, "one", null, List.of(), wide, null, null, Map.of(), Split.to("one"), null);
+    Route two =
+        new Route(1, "two", null, List.of(), wide, null, null, Map.of(), Split.to("two"), null);
+    assertEquals(
+        "one",
+        ((RouteTable.Taken) new RouteTable(List.of(one, two)).match(get("h", "/a")))
+            .route()
+            .name());
   }
 
   @Test
@@ -72,8 +105,17 @@
   void aTenThousandRoutesByHeaderValueAreAllFoundAndExplained() {
     List<Route> routes = new ArrayList<>();
     for (int i = 0; i < 10_000; i++) {
-      routes.add(new Route(i, "r" + i, null, List.of(), PathPattern.ANY, null, null, Map.of("x-account", "t" + i),
-          Split.to("p"), null));
+      routes.add(new Route(
+          i,
+          "r" + i,
+          null,
+          List.of(),
+          PathPattern.ANY,
+          null,
+          null,
+          Map.of("x-account", "t" + i),
+          Split.to("p"),
+          null));
     }
     RouteTable table = new RouteTable(routes);
     Asked last = new Asked("platform", "h", "/x", "GET", null, Map.of("x-account", "t9999"));
@@ -86,7 +128,8 @@
 
   @Test
   void deepPathWalksNoFurtherThanThePatterns() {
-    RouteTable table = new RouteTable(List.of(route(0, null, PathPattern.of(Kind.TEMPLATE, "/{a}/{b}")),
+    RouteTable table = new RouteTable(List.of(
+        route(0, null, PathPattern.of(Kind.TEMPLATE, "/{a}/{b}")),
         route(1, null, PathPattern.of(Kind.PREFIX, "/a"))));
     assertEquals(1, match(table, get("h", "/a".repeat(4_000))));
     assertEquals(0, match(table, get("h", "/a/a")));
@@ -105,13 +148,20 @@
       }
       RouteTable table = new RouteTable(routes);
       for (int i = 0; i < 100; i++) {
-        Asked asked = new Asked(random.nextInt(3) == 0 ? "partner" : "platform", host(random), path(random, false),
-            random.nextBoolean() ? "GET" : "POST", random.nextBoolean() ? "a" : "b",
-            random.nextBoolean() ? Map.of("x", "" + random.nextInt(3)) : Map.of("y", "1", "x", "0"));
+        Asked asked = new Asked(
+            random.nextInt(3) == 0 ? "partner" : "platform",
+            host(random),
+            path(random, false),
+            random.nextBoolean() ? "GET" : "POST",
+            random.nextBoolean() ? "a" : "b",
+            random.nextBoolean()
+                ? Map.of("x", "" + random.nextInt(3))
+                : Map.of("y", "1", "x", "0"));
         List<RouteTable.Verdict> tried = table.explain(asked);
         RouteTable.Verdict end = tried.get(tried.size() - 1);
         Integer wanted = end.objection() == null ? end.route().order() : null;
-        assertEquals(wanted, match(table, asked), () -> "seed " + seed + ": " + asked + " " + routes);
+        assertEquals(
+            wanted, match(table, asked), () -> "seed " + seed + ": " + asked + " " + routes);
         taken += wanted == null ? 0 : 1;
       }
       for (RouteTable.Covered c : table.covered()) {
@@ -136,10 +186,17 @@
       List<Integer> never = table.covered().stream().map(c -> c.route().order()).toList();
       covered += never.size();
       for (int i = 0; i < 300; i++) {
-        Integer order = match(table, new Asked(random.nextInt(3) == 0 ? "partner" : "platform", host(random),
-            path(random, false), random.nextBoolean() ? "GET" : "POST", random.nextBoolean() ? "a" : "b",
-            Map.of("x", "" + random.nextInt(3))));
-        assertTrue(order == null || !never.contains(order), () -> "seed " + seed + " route " + order);
+        Integer order = match(
+            table,
+            new Asked(
+                random.nextInt(3) == 0 ? "partner" : "platform",
+                host(random),
+                path(random, false),
+                random.nextBoolean() ? "GET" : "POST",
+                random.nextBoolean() ? "a" : "b",
+                Map.of("x", "" + random.nextInt(3))));
+        assertTrue(
+            order == null || !never.contains(order), () -> "seed " + seed + " route " + order);
       }
     }
     assertTrue(covered > 100, "some were covered: " + covered);
@@ -147,19 +204,29 @@
 
   private static Route any(int order, SplittableRandom random) {
     Kind kind = Kind.values()[random.nextInt(4)];
-    PathPattern path = kind == Kind.ANY ? PathPattern.ANY : PathPattern.of(kind, path(random, kind == Kind.TEMPLATE));
+    PathPattern path = kind == Kind.ANY
+        ? PathPattern.ANY
+        : PathPattern.of(kind, path(random, kind == Kind.TEMPLATE));
     List<String> hosts = new ArrayList<>();
     for (int i = random.nextInt(3); i > 0; i--) {
       hosts.add((random.nextBoolean() ? "*." : "") + host(random));
     }
-    return new Route(order, "r" + order, random.nextInt(4) == 0 ? "partner" : null, hosts, path,
-        random.nextInt(4) == 0 ? "a" : null, random.nextInt(4) == 0 ? "GET" : null,
+    return new Route(
+        order,
+        "r" + order,
+        random.nextInt(4) == 0 ? "partner" : null,
+        hosts,
+        path,
+        random.nextInt(4) == 0 ? "a" : null,
+        random.nextInt(4) == 0 ? "GET" : null,
         switch (random.nextInt(4)) {
           case 0 -> Map.of("x", "" + random.nextInt(3));
           case 1 -> Map.of("x", Route.PRESENT);
           case 2 -> Map.of("x", "0", "y", Route.PRESENT);
           default -> Map.of();
-        }, Split.to("p"), null);
+        },
+        Split.to("p"),
+        null);
   }
 
   private static String host(SplittableRandom random) {
@@ -170,7 +237,8 @@
   private static String path(SplittableRandom random, boolean template) {
     StringBuilder path = new StringBuilder();
     for (int i = random.nextInt(4); i >= 0; i--) {
-      path.append('/').append(template && random.nextInt(3) == 0 ? "{v}" : random.nextBoolean() ? "a" : "b");
+      path.append('/')
+          .append(template && random.nextInt(3) == 0 ? "{v}" : random.nextBoolean() ? "a" : "b");
     }
     return path.append(!template && random.nextInt(6) == 0 ? "/" : "").toString();
   }
--- a/src/test/java/pumicekeel/route/SplitTest.java
+++ b/src/test/java/pumicekeel/route/SplitTest.java
@@ -63,7 +63,9 @@
     assertEquals(0, moved(split(90, 10), split(9, 1)), "the same weights in other figures");
     for (int i = 0; i < KEYS; i++) {
       String key = "key-" + i;
-      assertTrue(!split(90, 10).poolOf(key).equals("pool-1") || split(80, 20).poolOf(key).equals("pool-1"),
+      assertTrue(
+          !split(90, 10).poolOf(key).equals("pool-1")
+              || split(80, 20).poolOf(key).equals("pool-1"),
           "none moves against the weights");
     }
   }
@@ -73,6 +75,10 @@
     double d = 0.1;
     double moved = moved(split(50, 30, 20), split(40, 30, 30));
     assertTrue(moved >= d - 0.005 && moved <= 2 * d / (1 + d) + 0.005, "moved " + moved);
-    assertEquals(0.25, moved(split(1, 1, 1), split(1, 1, 1, 1)), 0.005, "a fourth pool takes its part of each");
+    assertEquals(
+        0.25,
+        moved(split(1, 1, 1), split(1, 1, 1, 1)),
+        0.005,
+        "a fourth pool takes its part of each");
   }
 }
--- a/src/test/java/pumicekeel/sim/FleetSimTest.java
+++ b/src/test/java/pumicekeel/sim/FleetSimTest.java
@@ -45,7 +45,8 @@
   void deathIsSeenByAllInTimeAndCostsAStatedNumberOfBytes() {
     FleetSim.Report r = new FleetSim(4, 20).detection(0, 6, 60 * SECOND);
     List<Long> all = r.allDetections();
-    // A period to be probed, one to be suspected, 5 x log10(20) of suspicion, and what spreads it; see the note.
+    // A period to be probed, one to be suspected, 5 x log10(20) of suspicion, and what spreads it;
+    // see the note.
     all.forEach(nanos -> assertTrue(nanos < 20 * SECOND, all.toString()));
     assertTrue(r.bytes() * 1e9 / r.virtualNanos() / 20 < 600, "bytes a second of a member");
   }
--- a/src/test/java/pumicekeel/sim/QuotaSimTest.java
+++ b/src/test/java/pumicekeel/sim/QuotaSimTest.java
@@ -12,7 +12,9 @@
   @Test
   void neverMoreThanTheQuotaWhateverFails() {
     for (long seed = 1; seed <= 40; seed++) {
-      assertNull(new QuotaSim(seed, 3 + (int) (seed % 10)).run(QuotaSim.Course.FAULTS).fault(), "seed " + seed);
+      assertNull(
+          new QuotaSim(seed, 3 + (int) (seed % 10)).run(QuotaSim.Course.FAULTS).fault(),
+          "seed " + seed);
     }
   }
 
--- a/src/test/java/pumicekeel/subset/SubsetsTest.java
+++ b/src/test/java/pumicekeel/subset/SubsetsTest.java
@@ -67,16 +67,22 @@
     List<ListNews> heard = new ArrayList<>();
     Balancer module = (now, event, out) -> heard.add((ListNews) event);
     Balancer own = new SubsetBalancer(settings(), Subsets.RENDEZVOUS, 5, 50, s -> module);
-    List<Listed> lines = IDS.subList(0, 50).stream().map(id -> line(id, State.READY)).toList();
-    own.handle(0, new ListNews(ListKind.FULL, lines), a -> { });
+    List<Listed> lines =
+        IDS.subList(0, 50).stream().map(id -> line(id, State.READY)).toList();
+    own.handle(0, new ListNews(ListKind.FULL, lines), a -> {});
     assertEquals(5, heard.get(0).entries().size());
     Listed mine = heard.get(0).entries().get(0);
-    own.handle(1, new ListNews(ListKind.DELTA, List.of(line(mine.upstream(), State.DRAINING))), a -> { });
+    own.handle(
+        1, new ListNews(ListKind.DELTA, List.of(line(mine.upstream(), State.DRAINING))), a -> {});
     List<Listed> then = heard.get(1).entries();
     assertEquals(2, then.size(), "the one that drains, and another in its place: " + then);
-    own.handle(2, new ListNews(ListKind.DELTA, List.of(line(mine.upstream(), State.READY))), a -> { });
-    assertTrue(heard.get(2).entries().stream().anyMatch(l -> l.upstream() == mine.upstream() && l.state() == State.READY));
-    assertEquals(1, heard.get(2).entries().stream().filter(l -> l.state() == State.DRAINING).count());
+    own.handle(
+        2, new ListNews(ListKind.DELTA, List.of(line(mine.upstream(), State.READY))), a -> {});
+    assertTrue(heard.get(2).entries().stream()
+        .anyMatch(l -> l.upstream() == mine.upstream() && l.state() == State.READY));
+    assertEquals(
+        1,
+        heard.get(2).entries().stream().filter(l -> l.state() == State.DRAINING).count());
   }
 
   private static Listed line(long id, State state) {
@@ -84,8 +90,20 @@
   }
 
   private static Balancer.Settings settings() {
-    return new Balancer.Settings(2, 20, "a", List.of(new Balancer.RequestClass("c", Balancer.Effect.SAFE, Balancer.DedupScope.ALL, 0, 1, 0, 1, 1,
-        0, false)), List.of(), new Balancer.Limits(true, false, false, false, true, 1, 3, 10, 1, 1, 1), new Balancer.Contract(0, 0, 1, 0.3, 1, 3,
-        1), new Balancer.Prices(0, 0, 0), false, Balancer.WeightKind.NONE, 0, true, 1);
+    return new Balancer.Settings(
+        2,
+        20,
+        "a",
+        List.of(new Balancer.RequestClass(
+            "c", Balancer.Effect.SAFE, Balancer.DedupScope.ALL, 0, 1, 0, 1, 1, 0, false)),
+        List.of(),
+        new Balancer.Limits(true, false, false, false, true, 1, 3, 10, 1, 1, 1),
+        new Balancer.Contract(0, 0, 1, 0.3, 1, 3, 1),
+        new Balancer.Prices(0, 0, 0),
+        false,
+        Balancer.WeightKind.NONE,
+        0,
+        true,
+        1);
   }
 }
--- a/src/test/java/pumicekeel/upstream/jsonrpc/HttpCallsTest.java
+++ b/src/test/java/pumicekeel/upstream/jsonrpc/HttpCallsTest.java
@@ -22,32 +22,77 @@
 /** HTTP requests as calls, and what error objects are worth. */
 class HttpCallsTest {
 
-  private final ServerSettings settings = new ServerSettings(Framing.NEWLINE, 32, Set.of(-32050, 77), Set.of(78),
-      Set.of(-32060), Map.of("rate-lookup", "rate.lookup"), "key");
+  private final ServerSettings settings = new ServerSettings(
+      Framing.NEWLINE,
+      32,
+      Set.of(-32050, 77),
+      Set.of(78),
+      Set.of(-32060),
+      Map.of("rate-lookup", "rate.lookup"),
+      "key");
 
-  private Message.Call call(String method, String uri, String body, String key) throws HttpCalls.Untranslatable {
+  private Message.Call call(String method, String uri, String body, String key)
+      throws HttpCalls.Untranslatable {
     boolean get = method.equals("GET");
-    RequestClass type = new RequestClass(get ? "rate-lookup" : "quote-issue", get ? Effect.SAFE : Effect.KEYED,
-        DedupScope.ALL, 1, 1, 0, 1, 1, 0, false);
-    return HttpCalls.of(new ClientRequest("1", type, null, null, 1, 0, false, new Payload.Http(HttpMethod.valueOf(method),
-        uri, "h", null, body.getBytes(StandardCharsets.UTF_8)), key), settings);
+    RequestClass type = new RequestClass(
+        get ? "rate-lookup" : "quote-issue",
+        get ? Effect.SAFE : Effect.KEYED,
+        DedupScope.ALL,
+        1,
+        1,
+        0,
+        1,
+        1,
+        0,
+        false);
+    return HttpCalls.of(
+        new ClientRequest(
+            "1",
+            type,
+            null,
+            null,
+            1,
+            0,
+            false,
+            new Payload.Http(
+                HttpMethod.valueOf(method), uri, "h", null, body.getBytes(StandardCharsets.UTF_8)),
+            key),
+        settings);
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', quoteCharacter = '`', nullValues = "-", value = {"/rate-lookup|-", "/rate-lookup/|-",
-      "/rate-lookup/7|{\"path\":\"/7\"}", "/rate-lookup?a=1&b=x%20%22y|{\"a\":\"1\",\"b\":\"x \\\"y\"}",
-      "/rate-lookup/%C3%A9?a=|{\"path\":\"/\\u00e9\",\"a\":\"\"}"})
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '`',
+      nullValues = "-",
+      value = {
+        "/rate-lookup|-",
+        "/rate-lookup/|-",
+        "/rate-lookup/7|{\"path\":\"/7\"}",
+        "/rate-lookup?a=1&b=x%20%22y|{\"a\":\"1\",\"b\":\"x \\\"y\"}",
+        "/rate-lookup/%C3%A9?a=|{\"path\":\"/\\u00e9\",\"a\":\"\"}"
+      })
   void getBecomesAnObjectOfStrings(String uri, String params) throws Exception {
     Message.Call call = call("GET", uri, "", null);
     assertEquals("rate.lookup", call.method());
-    assertEquals(params, call.params() == null ? null : new String(call.params(), StandardCharsets.UTF_8));
+    assertEquals(
+        params, call.params() == null ? null : new String(call.params(), StandardCharsets.UTF_8));
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', quoteCharacter = '`', value = {"{}|{\"key\":\"k1\"}", "{ }|{\"key\":\"k1\" }",
-      "{\"a\":[1]}|{\"key\":\"k1\",\"a\":[1]}", "{\"key\":\"k1\"}|{\"key\":\"k1\"}"})
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '`',
+      value = {
+        "{}|{\"key\":\"k1\"}",
+        "{ }|{\"key\":\"k1\" }",
+        "{\"a\":[1]}|{\"key\":\"k1\",\"a\":[1]}",
+        "{\"key\":\"k1\"}|{\"key\":\"k1\"}"
+      })
   void keyOfAPostReachesTheServer(String body, String params) throws Exception {
-    assertEquals(params, new String(call("POST", "/quote-issue", body, "k1").params(), StandardCharsets.UTF_8));
+    assertEquals(
+        params,
+        new String(call("POST", "/quote-issue", body, "k1").params(), StandardCharsets.UTF_8));
   }
 
   @Test
@@ -59,11 +104,22 @@
 
   @Test
   void whatACallCanNotSayIsToldBeforeAnythingIsSent() {
-    for (String body : new String[] {"1", "\"x\"", "{", "{\"a\":1,\"a\":2}", "[1]", "{\"key\":\"other\"}", "{\"key\":1}",
-        "{\"a\":\"\\ud800\"}", "x=1&y=2"}) {
-      assertThrows(HttpCalls.Untranslatable.class, () -> call("POST", "/quote-issue", body, "k1"), body);
+    for (String body : new String[] {
+      "1",
+      "\"x\"",
+      "{",
+      "{\"a\":1,\"a\":2}",
+      "[1]",
+      "{\"key\":\"other\"}",
+      "{\"key\":1}",
+      "{\"a\":\"\\ud800\"}",
+      "x=1&y=2"
+    }) {
+      assertThrows(
+          HttpCalls.Untranslatable.class, () -> call("POST", "/quote-issue", body, "k1"), body);
     }
-    for (String uri : new String[] {"/rate-lookup?a=1&a=2", "/rate-lookup/7?path=8", "/rate-lookup?a=%zz"}) {
+    for (String uri :
+        new String[] {"/rate-lookup?a=1&a=2", "/rate-lookup/7?path=8", "/rate-lookup?a=%zz"}) {
       assertThrows(HttpCalls.Untranslatable.class, () -> call("GET", uri, "", null), uri);
     }
   }
--- a/src/test/java/pumicekeel/upstream/jsonrpc/RpcConnectionTest.java
+++ b/src/test/java/pumicekeel/upstream/jsonrpc/RpcConnectionTest.java
@@ -32,20 +32,21 @@
 import pumicekeel.call.Payload;
 import pumicekeel.jsonrpc.Framing;
 import pumicekeel.runtime.Clock;
+import pumicekeel.runtime.Reactor;
 import pumicekeel.upstream.UpstreamAttempt;
 import pumicekeel.upstream.UpstreamLink;
 import pumicekeel.upstream.UpstreamSockets;
-import pumicekeel.runtime.Reactor;
 
 /** Which calls may have run when a connection breaks while it is written to; a plain socket at the other end tells. */
 class RpcConnectionTest {
 
   private static final long LONG = 60_000_000_000L;
 
-  private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+  private final EventLoop loop =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final BlockingQueue<Map.Entry<Integer, Status>> outcomes = new LinkedBlockingQueue<>();
-  private final ServerSettings settings = new ServerSettings(Framing.NEWLINE, 1_000, Set.of(), Set.of(), Set.of(), Map.of(),
-      "key");
+  private final ServerSettings settings =
+      new ServerSettings(Framing.NEWLINE, 1_000, Set.of(), Set.of(), Set.of(), Map.of(), "key");
 
   @AfterEach
   void stop() {
@@ -54,18 +55,35 @@
 
   private UpstreamLink link(InetSocketAddress address) throws Exception {
     return loop.submit(() -> {
-      RpcLinks links = new RpcLinks(Reactor.of(loop), LONG, LONG, new UpstreamSockets(10), settings);
-      links.resize(0, 1, 0);
-      return links.of(address);
-    }).get();
+          RpcLinks links =
+              new RpcLinks(Reactor.of(loop), LONG, LONG, new UpstreamSockets(10), settings);
+          links.resize(0, 1, 0);
+          return links.of(address);
+        })
+        .get();
   }
 
   private UpstreamAttempt send(UpstreamLink link, int n, String text, boolean maySend, long nanos) {
-    RequestClass type = new RequestClass("c", Effect.KEYED, DedupScope.ALL, LONG, LONG, 0, LONG, 1, 0, false);
+    RequestClass type =
+        new RequestClass("c", Effect.KEYED, DedupScope.ALL, LONG, LONG, 0, LONG, 1, 0, false);
     byte[] params = ("[" + n + ",\"" + text + "\"]").getBytes(StandardCharsets.US_ASCII);
-    UpstreamAttempt attempt = link.attempt(n, 1, 0, (a, status, answer) -> outcomes.add(Map.entry(a.number, status)));
-    loop.execute(() -> attempt.start(new ClientRequest("r" + n, type, null, null, nanos, 0, false,
-        new Payload.Call("m", params, "c", null, "h"), "k" + n), nanos, () -> maySend, new Clock(), loop));
+    UpstreamAttempt attempt =
+        link.attempt(n, 1, 0, (a, status, answer) -> outcomes.add(Map.entry(a.number, status)));
+    loop.execute(() -> attempt.start(
+        new ClientRequest(
+            "r" + n,
+            type,
+            null,
+            null,
+            nanos,
+            0,
+            false,
+            new Payload.Call("m", params, "c", null, "h"),
+            "k" + n),
+        nanos,
+        () -> maySend,
+        new Clock(),
+        loop));
     return attempt;
   }
 
@@ -100,29 +118,38 @@
       // Until the connection takes no more, and one call sees that there is no other.
       for (int i = 0; i < 900 && outcomes.isEmpty(); i++) {
         sent.add(send(link, i, text, true, LONG));
-        loop.submit(() -> { }).sync();
+        loop.submit(() -> {}).sync();
       }
       Set<Integer> may = new HashSet<>();
       Set<Integer> never = new HashSet<>();
-      // On a slow machine the last one may be on a connection after the broken one, where it has no outcome.
-      for (Map.Entry<Integer, Status> o = outcome(); o != null; o = outcomes.poll(1, TimeUnit.SECONDS)) {
-        assertTrue(o.getValue() == Status.RESET || o.getValue() == Status.CONNECT_FAILED, o.toString());
+      // On a slow machine the last one may be on a connection after the broken one, where it has no
+      // outcome.
+      for (Map.Entry<Integer, Status> o = outcome();
+          o != null;
+          o = outcomes.poll(1, TimeUnit.SECONDS)) {
+        assertTrue(
+            o.getValue() == Status.RESET || o.getValue() == Status.CONNECT_FAILED, o.toString());
         (o.getValue() == Status.RESET ? may : never).add(o.getKey());
       }
       assertFalse(may.isEmpty(), "some went out whole");
-      assertTrue(may.size() + never.size() >= sent.size() - 1 && !never.isEmpty(), "some did not: " + never);
+      assertTrue(
+          may.size() + never.size() >= sent.size() - 1 && !never.isEmpty(),
+          "some did not: " + never);
       Set<Integer> arrived = new HashSet<>();
       try (Socket socket = server.accept();
-          BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))) {
+          BufferedReader in = new BufferedReader(
+              new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))) {
         for (String line = in.readLine(); line != null; line = in.readLine()) {
           if (line.endsWith("}")) {
-            arrived.add(Integer.parseInt(line.substring(line.indexOf('[') + 1, line.indexOf(','
-                , line.indexOf('[')))));
+            arrived.add(Integer.parseInt(
+                line.substring(line.indexOf('[') + 1, line.indexOf(',', line.indexOf('[')))));
           }
         }
       }
       assertEquals(may, arrived, "what arrived whole is what may have run");
-      sent.stream().filter(a -> !a.out()).forEach(a -> assertEquals(may.contains(a.number), a.mayHaveRun()));
+      sent.stream()
+          .filter(a -> !a.out())
+          .forEach(a -> assertEquals(may.contains(a.number), a.mayHaveRun()));
     }
   }
 
@@ -134,7 +161,8 @@
       try (ServerSocket server = server(4 << 10)) {
         UpstreamLink link = link(address(server));
         int enough = 30_000 + round * 400;
-        java.util.concurrent.atomic.AtomicBoolean whole = new java.util.concurrent.atomic.AtomicBoolean();
+        java.util.concurrent.atomic.AtomicBoolean whole =
+            new java.util.concurrent.atomic.AtomicBoolean();
         Thread reader = new Thread(() -> {
           try (Socket socket = server.accept()) {
             for (int read = 0; read < enough && !whole.get(); read++) {
@@ -153,7 +181,8 @@
           wholes++;
           assertEquals(Status.RESET, o.getValue(), "the server had all of it");
         } else {
-          assertTrue(o.getValue() == Status.RESET || o.getValue() == Status.CONNECT_FAILED, o.toString());
+          assertTrue(
+              o.getValue() == Status.RESET || o.getValue() == Status.CONNECT_FAILED, o.toString());
         }
       }
     }
@@ -168,8 +197,10 @@
         send(link, i, "", i != 2, LONG);
       }
       try (Socket socket = server.accept();
-          BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))) {
-        assertEquals(Map.entry(2, Status.NOT_SENT), outcome(), "asked again right before its first byte");
+          BufferedReader in = new BufferedReader(
+              new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))) {
+        assertEquals(
+            Map.entry(2, Status.NOT_SENT), outcome(), "asked again right before its first byte");
         for (int i : new int[] {0, 1, 3, 4}) {
           assertTrue(in.readLine().contains("[" + i + ","));
         }
@@ -178,8 +209,13 @@
       for (int i = 0; i < 4; i++) {
         rest.add(outcome());
       }
-      assertEquals(Set.of(Map.entry(0, Status.RESET), Map.entry(1, Status.RESET), Map.entry(3, Status.RESET),
-          Map.entry(4, Status.RESET)), rest);
+      assertEquals(
+          Set.of(
+              Map.entry(0, Status.RESET),
+              Map.entry(1, Status.RESET),
+              Map.entry(3, Status.RESET),
+              Map.entry(4, Status.RESET)),
+          rest);
     }
     try (ServerSocket closed = server(0)) {
       InetSocketAddress nobody = address(closed);
@@ -198,12 +234,16 @@
       assertEquals(Map.entry(1, Status.TIMEOUT), outcome());
       try (Socket silent = server.accept()) {
         assertEquals('{', silent.getInputStream().read());
-        // Nothing was heard on it for the whole time-out: the next call goes elsewhere, as the machine may be gone.
+        // Nothing was heard on it for the whole time-out: the next call goes elsewhere, as the
+        // machine may be gone.
         send(link, 2, "", true, LONG);
         try (Socket next = server.accept();
-            BufferedReader in = new BufferedReader(new InputStreamReader(next.getInputStream(), StandardCharsets.US_ASCII))) {
+            BufferedReader in = new BufferedReader(
+                new InputStreamReader(next.getInputStream(), StandardCharsets.US_ASCII))) {
           assertTrue(in.readLine().contains("[2,"));
-          next.getOutputStream().write("{\"jsonrpc\":\"2.0\",\"result\":1,\"id\":1}\n".getBytes(StandardCharsets.US_ASCII));
+          next.getOutputStream()
+              .write("{\"jsonrpc\":\"2.0\",\"result\":1,\"id\":1}\n"
+                  .getBytes(StandardCharsets.US_ASCII));
           assertEquals(Map.entry(2, Status.SERVED), outcome());
         }
       }
@@ -216,9 +256,13 @@
       UpstreamLink link = link(address(server));
       UpstreamAttempt first = send(link, 1, "", true, LONG);
       Socket socket = server.accept();
-      BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+      BufferedReader in = new BufferedReader(
+          new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
       assertTrue(in.readLine().contains("[1,"));
-      socket.getOutputStream().write("{\"jsonrpc\":\"2.0\",\"result\":1,\"id\":1}\n".getBytes(StandardCharsets.US_ASCII));
+      socket
+          .getOutputStream()
+          .write(
+              "{\"jsonrpc\":\"2.0\",\"result\":1,\"id\":1}\n".getBytes(StandardCharsets.US_ASCII));
       assertEquals(Map.entry(1, Status.SERVED), outcome());
       assertFalse(first.stale());
       // The next one finds it kept; the server closes at its first byte.
@@ -226,7 +270,8 @@
       assertTrue(in.readLine().contains("[2,"));
       socket.close();
       assertEquals(Map.entry(2, Status.RESET), outcome());
-      // Within 50 ms on an idle machine; a busy one may take longer and then calls the server at fault, which is safe.
+      // Within 50 ms on an idle machine; a busy one may take longer and then calls the server at
+      // fault, which is safe.
       UpstreamAttempt third = send(link, 3, "", true, LONG);
       Socket again = server.accept();
       again.close();
