--- a/src/main/java/pumicekeel/AdaptiveBalancer.java
+++ b/src/main/java/pumicekeel/AdaptiveBalancer.java
@@ -250,8 +250,7 @@
     sweepBy(Math.max(now + MS, Math.min(end, now + Math.max(SWEEP, shortestAim / SWEEPS_PER_AIM))));
   }
 
-  // ---- Admission: the straight line
-  // ---------------------------------------------------------------------
+  // Admission: the straight line
 
   /** The published line: from maxRate at or below minValue down to minRate at or above maxValue. */
   static double allowedRate(
@@ -365,8 +364,7 @@
         : 0;
   }
 
-  // ---- Placement: bounded-load hashing on a ring of ready upstreams
-  // -------------------------------------
+  // Placement: bounded-load hashing on a ring of ready upstreams
 
   private void rebuildRing() {
     List<Upstream> members = upstreams.values().stream()
@@ -498,8 +496,7 @@
             > Math.max(SILENT_GAPS * gap, SILENT_PART * shortestAim) + SILENT_OWN * own;
   }
 
-  // ---- Rule 2: where a request may still go
-  // -------------------------------------------------------------
+  // Rule 2: where a request may still go
 
   private boolean mayGoTo(PendingRequest r, Upstream u) {
     if (!r.earlierAllows(u.listed, now + settings.tickNanos())) {
@@ -528,8 +525,7 @@
         || r.type.effect() == Effect.KEYED && r.type.dedupScope() == DedupScope.ALL;
   }
 
-  // ---- Rule 4: cold upstreams
-  // ---------------------------------------------------------------------------
+  // Rule 4: cold upstreams
 
   /** The part of its capacity that an upstream surely has: from cold-from, evenly, to the whole. */
   private double warmth(Upstream u) {
@@ -569,8 +565,7 @@
         && warmth * usualSends * settings.contract().fallWindowNanos() / SECOND < COLD_THIN;
   }
 
-  // ---- Life of a request
-  // --------------------------------------------------------------------------------
+  // Life of a request
 
   /** Sends a request that has no attempt out, or ends it, or holds it; true if it was sent or ended. */
   private boolean advance(PendingRequest r) {
@@ -820,8 +815,7 @@
     sweepBy(askAt);
   }
 
-  // ---- Following the list
-  // -------------------------------------------------------------------------------
+  // Following the list
 
   private void onList(ListNews news) {
     if (news.kind() == ListKind.FAILED) {
--- a/src/main/java/pumicekeel/config/OperatorReader.java
+++ b/src/main/java/pumicekeel/config/OperatorReader.java
@@ -97,8 +97,7 @@
     return new Operator(process, listeners, sources, pools, routes, journal, peers);
   }
 
-  // ---- The process and its listeners
-  // --------------------------------------------------------------------
+  // The process and its listeners
 
   private static Operator.Process process(Section s) {
     if (s == null) {
@@ -210,8 +209,7 @@
     }
   }
 
-  // ---- Sources
-  // ------------------------------------------------------------------------------------------
+  // Sources
 
   private Map<String, Source> sources(Section root) {
     Map<String, Source> out = new LinkedHashMap<>();
@@ -270,8 +268,7 @@
     return hosts;
   }
 
-  // ---- Pools
-  // --------------------------------------------------------------------------------------------
+  // Pools
 
   private Map<String, Pool> pools(Section root, Map<String, Source> sources) {
     Map<String, Pool> out = new LinkedHashMap<>();
--- a/src/main/java/pumicekeel/config/RpcReader.java
+++ b/src/main/java/pumicekeel/config/RpcReader.java
@@ -54,8 +54,7 @@
     this.faults = faults;
   }
 
-  // ---- Methods
-  // ------------------------------------------------------------------------------------------
+  // Methods
 
   /** Reads {@code [[methods]]}, each for one listener or for all that speak JSON-RPC. */
   void methods(Section root, Map<String, Section> listeners) {
@@ -187,8 +186,7 @@
     }
   }
 
-  // ---- Listeners
-  // ----------------------------------------------------------------------------------------
+  // Listeners
 
   /** What a listener says of its protocol; null where it is HTTP. */
   CallSettings listener(String name, Section s) {
@@ -226,8 +224,7 @@
     return value == null ? absent : value;
   }
 
-  // ---- Pools
-  // --------------------------------------------------------------------------------------------
+  // Pools
 
   /** How a pool's upstreams speak JSON-RPC; null where they speak HTTP. */
   static ServerSettings pool(Section s) {
--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -134,8 +134,7 @@
     }
   }
 
-  // ---- Clients
-  // ------------------------------------------------------------------------------------------
+  // Clients
 
   /** Takes a request; false where its id is open already, which must not replace the first one. */
   public boolean take(ClientRequest request, Client client) {
@@ -266,8 +265,7 @@
     return true;
   }
 
-  // ---- The list of upstreams
-  // ----------------------------------------------------------------------------
+  // The list of upstreams
 
   public void news(HostList list) {
     news(list.whole() ? ListKind.FULL : ListKind.DELTA, list);
@@ -292,8 +290,7 @@
     tell(new ListNews(ListKind.FAILED, List.of()));
   }
 
-  // ---- The module
-  // ---------------------------------------------------------------------------------------
+  // The module
 
   /** Events wait in line while one is handled: an action may end at once in an event of its own. */
   private void tell(Event event) {
--- a/src/main/java/pumicekeel/demo/Demo.java
+++ b/src/main/java/pumicekeel/demo/Demo.java
@@ -228,8 +228,7 @@
     out.printf("%5.1f s  %s%n", (System.nanoTime() - startedAt) / 1e9, what);
   }
 
-  // ---- The verdict
-  // --------------------------------------------------------------------------------------
+  // The verdict
 
   private boolean report(Map<String, Load> byPool) {
     out.println();
--- a/src/main/java/pumicekeel/fleet/Daemon.java
+++ b/src/main/java/pumicekeel/fleet/Daemon.java
@@ -137,8 +137,7 @@
     carryOut(supervisor.start(now));
   }
 
-  // ---- Instances
-  // ----------------------------------------------------------------------------------------
+  // Instances
 
   private void watch(int i, ProcessHandle process, IntSupplier status) {
     handles[i] = process;
@@ -225,8 +224,7 @@
     }
   }
 
-  // ---- Commands
-  // -----------------------------------------------------------------------------------------
+  // Commands
 
   private void listen() {
     while (control.isOpen()) {
@@ -342,8 +340,7 @@
     return state.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  // ---- The end
-  // ------------------------------------------------------------------------------------------
+  // The end
 
   /** Stops all instances in order; returns when they are down. */
   public void stop() throws InterruptedException {
--- a/src/main/java/pumicekeel/fleet/Supervisor.java
+++ b/src/main/java/pumicekeel/fleet/Supervisor.java
@@ -85,8 +85,7 @@
     }
   }
 
-  // ---- What is known
-  // ------------------------------------------------------------------------------------
+  // What is known
 
   public int size() {
     return instances.size();
@@ -136,8 +135,7 @@
     instances.get(i).since = now;
   }
 
-  // ---- What happens
-  // -------------------------------------------------------------------------------------
+  // What happens
 
   /** Starts every instance that is down. */
   public List<Action> start(long now) {
@@ -280,8 +278,7 @@
     return done();
   }
 
-  // ---- Work through all instances
-  // -----------------------------------------------------------------------
+  // Work through all instances
 
   /** Begins a rolling restart or reload; null where it has begun, else why not. */
   public String begin(Work next) {
@@ -364,8 +361,7 @@
     away.clear();
   }
 
-  // ---- The stop
-  // -----------------------------------------------------------------------------------------
+  // The stop
 
   /** Ends all instances, the last first, so many at once as may be away. */
   public List<Action> stop(long now) {
--- a/src/main/java/pumicekeel/front/http/ClientHandler.java
+++ b/src/main/java/pumicekeel/front/http/ClientHandler.java
@@ -111,8 +111,7 @@
     phase = next;
   }
 
-  // ---- What its side asks
-  // -------------------------------------------------------------------------------
+  // What its side asks
 
   /** Nothing of a request has come that has no answer yet. */
   public boolean idle() {
@@ -209,8 +208,7 @@
     }
   }
 
-  // ---- Reading
-  // ------------------------------------------------------------------------------------------
+  // Reading
 
   /** Notes a request's first byte, and drops what a client sends that is not read any more. */
   public boolean accepts(ByteBuf bytes) {
@@ -393,8 +391,7 @@
     return uri.equals("/up") || side.warmsUpAt(uri);
   }
 
-  // ---- A body that is passed on while it comes
-  // ----------------------------------------------------------
+  // A body that is passed on while it comes
 
   /** The upstream of an upload takes more of it, or does not. */
   private void hold(boolean on) {
@@ -450,8 +447,7 @@
     }
   }
 
-  // ---- A request that is not taken
-  // ----------------------------------------------------------------------
+  // A request that is not taken
 
   /** Answers a request at once, by its head; the connection goes on once the rest of its body was dropped. */
   private void turnAway(ClientRequest.Bad why) {
@@ -549,8 +545,7 @@
     return true;
   }
 
-  // ---- Answers
-  // ------------------------------------------------------------------------------------------
+  // Answers
 
   /** Reads nothing from a client that does not take its answers. */
   @Override
--- a/src/main/java/pumicekeel/front/http/ClientTimes.java
+++ b/src/main/java/pumicekeel/front/http/ClientTimes.java
@@ -31,8 +31,7 @@
     openedAt = now;
   }
 
-  // ---- What happens
-  // -------------------------------------------------------------------------------------
+  // What happens
 
   void bytesCame(long now) {
     pieceAt = now;
@@ -100,8 +99,7 @@
     stuckSince = on ? 0 : now;
   }
 
-  // ---- What that makes of it
-  // ----------------------------------------------------------------------------
+  // What that makes of it
 
   /** Bytes have come of a request that is not whole. */
   boolean partCame() {
--- a/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
@@ -277,8 +277,7 @@
       }
     }
 
-    // ---- What is held against it
-    // ------------------------------------------------------------------------
+    // What is held against it
 
     private String verdict(EmbeddedChannel channel) {
       channel.releaseOutbound();
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
@@ -239,8 +239,7 @@
     leave();
   }
 
-  // ---- What a route may ask for
-  // -------------------------------------------------------------------------
+  // What a route may ask for
 
   @Override
   public String listener() {
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcClient.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcClient.java
@@ -118,8 +118,7 @@
     ctx = context;
   }
 
-  // ---- Reading
-  // ------------------------------------------------------------------------------------------
+  // Reading
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, Frame frame) {
@@ -237,8 +236,7 @@
     }
   }
 
-  // ---- Ends
-  // ---------------------------------------------------------------------------------------------
+  // Ends
 
   /** A call has ended; {@code reply} is null for a notification. */
   void ended(RpcCall call, Reply reply, How how, long waitUntil) {
@@ -314,8 +312,7 @@
     }
   }
 
-  // ---- Writing
-  // ------------------------------------------------------------------------------------------
+  // Writing
 
   private void write(byte[] message) {
     if (!ctx.channel().isActive()) {
@@ -345,8 +342,7 @@
     goOnLater();
   }
 
-  // ---- Going on, and the end
-  // ----------------------------------------------------------------------------
+  // Going on, and the end
 
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
--- a/src/main/java/pumicekeel/journal/Codec.java
+++ b/src/main/java/pumicekeel/journal/Codec.java
@@ -88,8 +88,7 @@
     return (int) crc.getValue();
   }
 
-  // ---- Records
-  // ------------------------------------------------------------------------------------------
+  // Records
 
   /** Writes a record as a frame; the buffer has to have room for the longest. */
   static void frame(ByteBuffer out, long salt, Entry entry) {
--- a/src/main/java/pumicekeel/journal/JournalWriter.java
+++ b/src/main/java/pumicekeel/journal/JournalWriter.java
@@ -96,8 +96,7 @@
     thread.start();
   }
 
-  // ---- The loop's side
-  // ----------------------------------------------------------------------------------
+  // The loop's side
 
   /** Lines an intent up; {@code told} is called on the loop: true once it counts as written. False: no room now. */
   public boolean intent(Entry.Intent entry, Consumer<Boolean> told) {
@@ -147,8 +146,7 @@
     thread.join(TimeUnit.SECONDS.toMillis(5));
   }
 
-  // ---- The writer's thread
-  // ------------------------------------------------------------------------------
+  // The writer's thread
 
   private void run() {
     List<Waiting> group = new ArrayList<>(MOST_GROUP);
--- a/src/main/java/pumicekeel/lab/fleet/Customers.java
+++ b/src/main/java/pumicekeel/lab/fleet/Customers.java
@@ -59,8 +59,7 @@
     earnedBySecond = new double[(int) spec.seconds() + 1];
   }
 
-  // ---- The front layer
-  // ----------------------------------------------------------------------------------
+  // The front layer
 
   void up(Host host) {
     if (!believed.contains(host)) {
@@ -77,8 +76,7 @@
     });
   }
 
-  // ---- Asking
-  // -------------------------------------------------------------------------------------------
+  // Asking
 
   void ask(Ask ask) {
     asked++;
@@ -116,8 +114,7 @@
     }
   }
 
-  // ---- Answers
-  // ------------------------------------------------------------------------------------------
+  // Answers
 
   void served(Try t) {
     served++;
@@ -171,8 +168,7 @@
     return 0;
   }
 
-  // ---- The account
-  // --------------------------------------------------------------------------------------
+  // The account
 
   Figures figures(
       Judge judge, FleetRun.Count count, double wasted, double utilization, long events) {
--- a/src/main/java/pumicekeel/lab/fleet/FleetRun.java
+++ b/src/main/java/pumicekeel/lab/fleet/FleetRun.java
@@ -98,8 +98,7 @@
     customers = new Customers(this, seed);
   }
 
-  // ---- For those that play in it
-  // ------------------------------------------------------------------------
+  // For those that play in it
 
   Agenda agenda() {
     return agenda;
@@ -160,8 +159,7 @@
     return maker.make(deployment.settings(host.number, host.zone()), itsSeed, oracle);
   }
 
-  // ---- Upstreams
-  // ----------------------------------------------------------------------------------------
+  // Upstreams
 
   /** Its process ends, with all that it holds. */
   void end(Server s) {
@@ -186,8 +184,7 @@
     list.change(s, State.GONE);
   }
 
-  // ---- The run
-  // ------------------------------------------------------------------------------------------
+  // The run
 
   /** Plays it; null where {@code stop} ended it early. */
   public Figures play(BooleanSupplier stop) {
--- a/src/main/java/pumicekeel/lab/fleet/Host.java
+++ b/src/main/java/pumicekeel/lab/fleet/Host.java
@@ -67,8 +67,7 @@
     return zone;
   }
 
-  // ---- Its life
-  // -----------------------------------------------------------------------------------------
+  // Its life
 
   void start(List<Listed> list) {
     life++;
@@ -143,8 +142,7 @@
     }
   }
 
-  // ---- Requests
-  // -----------------------------------------------------------------------------------------
+  // Requests
 
   void take(Try t) {
     open.put(t.id, t);
@@ -226,8 +224,7 @@
     }
   }
 
-  // ---- Attempts
-  // -----------------------------------------------------------------------------------------
+  // Attempts
 
   private void send(Send a) {
     Try t = open.get(a.id());
--- a/src/main/java/pumicekeel/lab/program/Book.java
+++ b/src/main/java/pumicekeel/lab/program/Book.java
@@ -92,8 +92,7 @@
     }
   }
 
-  // ---- Clients
-  // ------------------------------------------------------------------------------------------
+  // Clients
 
   void asked(Fate fate) {
     entries.put(fate.id, new Entry(fate));
@@ -160,8 +159,7 @@
     }
   }
 
-  // ---- Upstreams
-  // ----------------------------------------------------------------------------------------
+  // Upstreams
 
   /** A request's first byte has come. */
   void begins(int server) {
@@ -216,8 +214,7 @@
     note("told that it leaves:", server);
   }
 
-  // ---- The end
-  // ------------------------------------------------------------------------------------------
+  // The end
 
   /** Its budget in any window: the multiple of what it can do by then, and a little for chance. */
   void judgeCold(int server, long startedAt, double capacityPerSecond) {
--- a/src/main/java/pumicekeel/lab/program/Messages.java
+++ b/src/main/java/pumicekeel/lab/program/Messages.java
@@ -188,8 +188,7 @@
     body.reset();
   }
 
-  // ---- Bodies that tell whose they are
-  // ------------------------------------------------------------------
+  // Bodies that tell whose they are
 
   private static final int LETTERS = 26;
   private static final int BLOCK = LETTERS << 11;
--- a/src/main/java/pumicekeel/lab/program/RawServer.java
+++ b/src/main/java/pumicekeel/lab/program/RawServer.java
@@ -73,8 +73,7 @@
     return address;
   }
 
-  // ---- Troubles
-  // -----------------------------------------------------------------------------------------
+  // Troubles
 
   void hang(long nanos) {
     hangsUntil = Math.max(hangsUntil, loop.now() + nanos);
--- a/src/main/java/pumicekeel/lab/program/VirtualLoop.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualLoop.java
@@ -160,8 +160,7 @@
     return promise;
   }
 
-  // ---- It ends with its run
-  // -----------------------------------------------------------------------------
+  // It ends with its run
 
   @Override
   public Future<?> shutdownGracefully(long quiet, long timeout, TimeUnit unit) {
--- a/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
@@ -71,8 +71,7 @@
     this.chance = chance;
   }
 
-  // ---- What the program opens
-  // ---------------------------------------------------------------------------
+  // What the program opens
 
   @Override
   public ServerChannel listening() {
@@ -150,8 +149,7 @@
     return mostBytes;
   }
 
-  // ---- Addresses
-  // ----------------------------------------------------------------------------------------
+  // Addresses
 
   InetSocketAddress listen(int port, Acceptor acceptor) throws IOException {
     int at = port == 0 ? nextPort++ : port;
--- a/src/main/java/pumicekeel/lab/program/VirtualSocket.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualSocket.java
@@ -64,8 +64,7 @@
     return end.reset() || end.over() ? Sockets.LEFT : dropped;
   }
 
-  // ---- Reading
-  // ------------------------------------------------------------------------------------------
+  // Reading
 
   @Override
   protected void doRegister(ChannelPromise promise) {
@@ -152,8 +151,7 @@
     }
   }
 
-  // ---- Writing
-  // ------------------------------------------------------------------------------------------
+  // Writing
 
   @Override
   protected void doWrite(ChannelOutboundBuffer out) throws IOException {
@@ -198,8 +196,7 @@
     }
   }
 
-  // ---- Coming up and going away
-  // -------------------------------------------------------------------------
+  // Coming up and going away
 
   private final class SocketUnsafe extends AbstractUnsafe {
 
--- a/src/main/java/pumicekeel/lab/world/Server.java
+++ b/src/main/java/pumicekeel/lab/world/Server.java
@@ -130,8 +130,7 @@
     };
   }
 
-  // ---- What is known of it
-  // ------------------------------------------------------------------------------
+  // What is known of it
 
   public ServerSpec spec() {
     return spec;
@@ -164,8 +163,7 @@
             1, spec.coldFrom() + (1 - spec.coldFrom()) * (now - startedAt) / spec.warmNanos());
   }
 
-  // ---- What happens to it
-  // -------------------------------------------------------------------------------
+  // What happens to it
 
   /** It ends without a word: what it holds is reset, and nothing more gets through. */
   public void crash() {
@@ -290,8 +288,7 @@
     }
   }
 
-  // ---- Sharing the cores
-  // --------------------------------------------------------------------------------
+  // Sharing the cores
 
   /** Work that each request gets done in a second of time. */
   private double rate() {
--- a/src/main/java/pumicekeel/measure/Measure.java
+++ b/src/main/java/pumicekeel/measure/Measure.java
@@ -161,8 +161,7 @@
     return node;
   }
 
-  // ---- The measurements
-  // ---------------------------------------------------------------------------------
+  // The measurements
 
   /** Requests a second through the balancer, without and with an operator file, against a bare relay, in turns. */
   public void relay() throws Exception {
--- a/src/main/java/pumicekeel/mesh/Mesh.java
+++ b/src/main/java/pumicekeel/mesh/Mesh.java
@@ -114,8 +114,7 @@
                 + "]\n[pools.p]\n[[routes]]\npool = \"p\"\n");
   }
 
-  // ---- The parties
-  // ------------------------------------------------------------------------------------
+  // The parties
 
   public List<Member> members() {
     return members;
--- a/src/main/java/pumicekeel/node/LentQuotas.java
+++ b/src/main/java/pumicekeel/node/LentQuotas.java
@@ -74,8 +74,7 @@
     return exchange.rate(key(pool, tenant), System.nanoTime());
   }
 
-  // ---- Datagrams
-  // ----------------------------------------------------------------------------------------
+  // Datagrams
 
   @Override
   public boolean speaks(byte[] bytes) {
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -187,8 +187,7 @@
     return core.empty() && open.used() == 0;
   }
 
-  // ---- The list
-  // -----------------------------------------------------------------------------------------
+  // The list
 
   void start() {
     HostList known = take(source.follow(this));
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -124,8 +124,7 @@
     return pools.get(name);
   }
 
-  // ---- Generations
-  // --------------------------------------------------------------------------------------
+  // Generations
 
   /** Keeps a record from now on; null for none. */
   void journal(JournalLog log) {
@@ -408,8 +407,7 @@
     }
   }
 
-  // ---- The door
-  // -----------------------------------------------------------------------------------------
+  // The door
 
   @Override
   public Lane enter(Facts head) throws Bad {
@@ -482,8 +480,7 @@
     return second == null || second == first || second.core().ready() == 0 ? null : second;
   }
 
-  // ---- What admissions ask for
-  // --------------------------------------------------------------------------
+  // What admissions ask for
 
   Clock clock() {
     return clock;
@@ -541,8 +538,7 @@
     }
   }
 
-  // ---- The end
-  // ------------------------------------------------------------------------------------------
+  // The end
 
   @Override
   public void endBy(long nanos) {
--- a/src/main/java/pumicekeel/peers/Membership.java
+++ b/src/main/java/pumicekeel/peers/Membership.java
@@ -116,8 +116,7 @@
     tell(table[self]);
   }
 
-  // ---- What is known
-  // ------------------------------------------------------------------------------------
+  // What is known
 
   /** What is held of a member. */
   public State stateOf(int member) {
@@ -173,8 +172,7 @@
     return received;
   }
 
-  // ---- Time
-  // ---------------------------------------------------------------------------------------------
+  // Time
 
   /** When {@link #tick} has something to do, at the latest. */
   public long nextAt() {
@@ -299,8 +297,7 @@
     return page;
   }
 
-  // ---- Suspicion
-  // ----------------------------------------------------------------------------------------
+  // Suspicion
 
   private double log() {
     return Math.max(1, Math.log10(Math.max(1, live())));
@@ -349,8 +346,7 @@
     }
   }
 
-  // ---- Messages
-  // -----------------------------------------------------------------------------------------
+  // Messages
 
   /** Takes a datagram that came from the address of a member, and hands over what is to be sent. */
   public List<Out> receive(int from, byte[] bytes, long now) {
--- a/src/main/java/pumicekeel/quota/QuotaExchange.java
+++ b/src/main/java/pumicekeel/quota/QuotaExchange.java
@@ -116,8 +116,7 @@
     return discarded;
   }
 
-  // ---- What may be used
-  // ---------------------------------------------------------------------------------
+  // What may be used
 
   /** So many requests of a tenant have come. */
   public void asked(String name, double count, long now) {
@@ -149,8 +148,7 @@
     changesAt = now;
   }
 
-  // ---- Asking
-  // -------------------------------------------------------------------------------------------
+  // Asking
 
   /** When {@link #tick} has something to do. */
   public long nextAt() {
@@ -254,8 +252,7 @@
             .bytes()));
   }
 
-  // ---- Messages
-  // -----------------------------------------------------------------------------------------
+  // Messages
 
   /** Whether a datagram is of this protocol. */
   public static boolean speaks(byte[] bytes) {
--- a/src/main/java/pumicekeel/quota/QuotaLedger.java
+++ b/src/main/java/pumicekeel/quota/QuotaLedger.java
@@ -47,8 +47,7 @@
     return share;
   }
 
-  // ---- Demand
-  // -------------------------------------------------------------------------------------------
+  // Demand
 
   void asked(double count, long now) {
     turn(now);
@@ -77,8 +76,7 @@
     return Math.max(0, sum) + ROOTS * Math.sqrt(Math.max(0, sum));
   }
 
-  // ---- What may be used
-  // ---------------------------------------------------------------------------------
+  // What may be used
 
   /** Requests a second that this member may admit as within the quota. */
   double usable(long now) {
@@ -131,8 +129,7 @@
     return next;
   }
 
-  // ---- Lending and borrowing
-  // ----------------------------------------------------------------------------
+  // Lending and borrowing
 
   /** Lends as much of what is asked as this member can spare; 0 for nothing. */
   double lend(int borrower, double perSecond, long now) {
--- a/src/main/java/pumicekeel/sim/FleetSim.java
+++ b/src/main/java/pumicekeel/sim/FleetSim.java
@@ -85,8 +85,7 @@
     lives = new int[size];
   }
 
-  // ---- Runs
-  // ---------------------------------------------------------------------------------------------
+  // Runs
 
   /** Faults of every kind by the seed, then quiet, then the truth in every view. */
   public Report faults() {
@@ -178,8 +177,7 @@
     return quietWorkNanos;
   }
 
-  // ---- Faults
-  // -------------------------------------------------------------------------------------------
+  // Faults
 
   private void disturb() {
     int one = random.nextInt(size);
@@ -276,8 +274,7 @@
     killedAt[i] = now;
   }
 
-  // ---- Time
-  // ---------------------------------------------------------------------------------------------
+  // Time
 
   private void run(long until, boolean calm) {
     while (fault == null && !events.isEmpty() && events.peek().at() < until) {
@@ -352,8 +349,7 @@
     }
   }
 
-  // ---- The rules
-  // ----------------------------------------------------------------------------------------
+  // The rules
 
   private int count() {
     int count = 0;
--- a/src/main/java/pumicekeel/sim/ModuleSim.java
+++ b/src/main/java/pumicekeel/sim/ModuleSim.java
@@ -388,8 +388,7 @@
     }
   }
 
-  // ---- Upstreams and their list
-  // -------------------------------------------------------------------------
+  // Upstreams and their list
 
   private Listed line(Server s) {
     return new Listed(s.id, "a", s.cell, s.state, s.startedAt, 1);
@@ -437,8 +436,7 @@
         : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (at - s.startedAt) / (double) WARM);
   }
 
-  // ---- Faults
-  // -------------------------------------------------------------------------------------------
+  // Faults
 
   private void disturb() {
     List<Server> all =
@@ -509,8 +507,7 @@
     });
   }
 
-  // ---- The judgement
-  // ------------------------------------------------------------------------------------
+  // The judgement
 
   private void judge() {
     for (Entry e : book) {
--- a/src/main/java/pumicekeel/sim/QuotaSim.java
+++ b/src/main/java/pumicekeel/sim/QuotaSim.java
@@ -192,8 +192,7 @@
     }
   }
 
-  // ---- What happens
-  // -------------------------------------------------------------------------------------
+  // What happens
 
   private void start(int i) {
     if (!running[i]) {
@@ -309,8 +308,7 @@
     return n;
   }
 
-  // ---- The rule and the figures
-  // -------------------------------------------------------------------------
+  // The rule and the figures
 
   private void judge() {
     for (String name : names) {
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
@@ -117,8 +117,7 @@
     closeIfRetired();
   }
 
-  // ---- Room
-  // ---------------------------------------------------------------------------------------------
+  // Room
 
   int out() {
     return open.size() + waiting.size();
@@ -161,8 +160,7 @@
     return id > 1 && brokenWith == 1 && frames == framesThen;
   }
 
-  // ---- Calls out
-  // ----------------------------------------------------------------------------------------
+  // Calls out
 
   void send(RpcAttempt attempt, ClientRequest request, BooleanSupplier maySend) {
     if (closed) {
@@ -289,8 +287,7 @@
     }
   }
 
-  // ---- Answers
-  // ------------------------------------------------------------------------------------------
+  // Answers
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, Frame frame) {
@@ -364,8 +361,7 @@
     }
   }
 
-  // ---- The end
-  // ------------------------------------------------------------------------------------------
+  // The end
 
   /** Takes no more calls, and closes with its last one. */
   void retire() {
--- a/src/test/java/pumicekeel/fleet/DaemonTest.java
+++ b/src/test/java/pumicekeel/fleet/DaemonTest.java
@@ -185,8 +185,7 @@
     assertTrue(holds, "a condition that was waited for");
   }
 
-  // ---- Tests
-  // --------------------------------------------------------------------------------------------
+  // Tests
 
   @Test
   void instancesComeUpCrashesAreMendedARollingRestartChangesEachAndAStopLeavesNothing()
--- a/src/test/java/pumicekeel/journal/RecoveryTest.java
+++ b/src/test/java/pumicekeel/journal/RecoveryTest.java
@@ -113,8 +113,7 @@
     assertTrue(memory.earlier("k28", "x", NOW + 62 * SECOND).isEmpty(), "over");
   }
 
-  // ---- What is said
-  // -------------------------------------------------------------------------------------
+  // What is said
 
   private static Story story(Status status, Entry.Told told) {
     Story story = new Story("n0", 1);
--- a/src/test/java/pumicekeel/node/RpcFrontTest.java
+++ b/src/test/java/pumicekeel/node/RpcFrontTest.java
@@ -90,8 +90,7 @@
     assertEquals(List.of(), t.defects);
   }
 
-  // ---- Ids
-  // ----------------------------------------------------------------------------------------------
+  // Ids
 
   @Test
   void idThatIsOpenIsNotTakenTwiceAndIsFreeRightAfterItsAnswer() throws Exception {
@@ -137,8 +136,7 @@
     assertEquals(result("1", "4"), client.send(RpcFiles.lookup("1", "4")).next(LONG));
   }
 
-  // ---- Mapping
-  // ------------------------------------------------------------------------------------------
+  // Mapping
 
   @Test
   void whatTheSettingsAskForIsNamedWhereItIsMissing() throws Exception {
@@ -185,8 +183,7 @@
     assertNothingKept();
   }
 
-  // ---- Batches
-  // ------------------------------------------------------------------------------------------
+  // Batches
 
   /** A lookup that is answered at once beside one that the server holds. */
   private void batchOfSlowAndFast(StandInRpcClient client) throws Exception {
@@ -257,8 +254,7 @@
     assertEquals(result("2", "2"), lines.send(RpcFiles.lookup("2", "2")).next(LONG));
   }
 
-  // ---- Hostile input
-  // ------------------------------------------------------------------------------------
+  // Hostile input
 
   @ParameterizedTest
   @ValueSource(
@@ -342,8 +338,7 @@
     assertNothingKept();
   }
 
-  // ---- Backpressure and leaving
-  // -------------------------------------------------------------------------
+  // Backpressure and leaving
 
   /** A busy machine may have some refused: each gets its one answer all the same, and never are more open than may be. */
   @Test
@@ -434,8 +429,7 @@
     assertTrue(second.awaitEnd(LONG), "idle for its time");
   }
 
-  // ---- Drain
-  // --------------------------------------------------------------------------------------------
+  // Drain
 
   @Test
   void stopAnswersWhatIsOpenTurnsTheRestAwayAndCloses() throws Exception {
--- a/src/test/java/pumicekeel/node/RpcServersTest.java
+++ b/src/test/java/pumicekeel/node/RpcServersTest.java
@@ -58,8 +58,7 @@
         answer);
   }
 
-  // ---- What a close leaves open
-  // -------------------------------------------------------------------------
+  // What a close leaves open
 
   @ParameterizedTest
   @ValueSource(strings = {"rate.lookup", "quote.issue"})
@@ -140,8 +139,7 @@
     assertEquals(2, t.servers.values().stream().mapToInt(s -> s.seen().size()).sum());
   }
 
-  // ---- Ids
-  // ----------------------------------------------------------------------------------------------
+  // Ids
 
   @Test
   void answersInReverseFindTheirCalls() throws Exception {
@@ -255,8 +253,7 @@
     assertNull(client.next(100));
   }
 
-  // ---- Answers that are none
-  // ----------------------------------------------------------------------------
+  // Answers that are none
 
   @ParameterizedTest
   @ValueSource(strings = {"half", "noise", "flood", "batch", "call", "deep", "utf8"})
@@ -300,8 +297,7 @@
     assertEquals(1, t.servers.get("s1").opened());
   }
 
-  // ---- Error objects
-  // ------------------------------------------------------------------------------------
+  // Error objects
 
   @Test
   void errorOfTheApplicationIsTheAnswerAndServersFailuresAreTriedAgain() throws Exception {
@@ -365,8 +361,7 @@
         answer);
   }
 
-  // ---- Other protocols
-  // ----------------------------------------------------------------------------------
+  // Other protocols
 
   @Test
   void httpClientsReachJsonRpcServers() throws Exception {
--- a/src/test/java/pumicekeel/node/ServicesTest.java
+++ b/src/test/java/pumicekeel/node/ServicesTest.java
@@ -67,8 +67,7 @@
     }
   }
 
-  // ---- Routes
-  // -------------------------------------------------------------------------------------------
+  // Routes
 
   @Test
   void hostDecidesInAnyOfItsFormsAndWhatHasNoRouteIsAnsweredAtOnceAndCounted() throws Exception {
@@ -145,8 +144,7 @@
     assertEquals(List.of("2"), q.seen().stream().map(Seen::id).toList());
   }
 
-  // ---- Shared upstreams
-  // ---------------------------------------------------------------------------------
+  // Shared upstreams
 
   @Test
   void sharedUpstreamDrainsFromOnePoolOnly() throws Exception {
@@ -270,8 +268,7 @@
     assertTrue(verdict.good(), verdict.lines().toString());
   }
 
-  // ---- Keyed requests and second pools
-  // ------------------------------------------------------------------
+  // Keyed requests and second pools
 
   /** A client's repeat with the same key stays where the first may have run, though its route now goes elsewhere. */
   @Test
@@ -383,8 +380,7 @@
     return keys;
   }
 
-  // ---- Room
-  // ---------------------------------------------------------------------------------------------
+  // Room
 
   @Test
   void fullPoolRefusesAtOnceWithARetryAfterAndTheOtherServes() throws Exception {
