--- a/src/main/java/pumicekeel/core/Tuning.java
+++ b/src/main/java/pumicekeel/core/ActiveSettings.java
@@ -4,10 +4,10 @@
 import pumicekeel.Balancer.Settings;
 
 /**
- * The settings in force, and for a moment after a change those before: clients hear of a change some time after the balancer
- * and until then ask as before. No I/O; the time is given.
+ * The settings in force and, for {@link #OVERLAP_NANOS} after a change, the settings before it: clients learn of a change later
+ * than the balancer and send requests of the former classes until then. No I/O; times are nanoseconds of a monotonic clock.
  */
-public final class Tuning {
+public final class ActiveSettings {
 
   /** Clients name what is new 1.2 s after SIGHUP; what was asked just before that may still be on its way. */
   public static final long OVERLAP_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
@@ -16,7 +16,7 @@
   private Settings former;
   private long changedAt;
 
-  public Tuning(Settings first) {
+  public ActiveSettings(Settings first) {
     current = first;
   }
 
--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -64,7 +64,7 @@
   /** The largest body at half the rate that clients have at least; what is slower is ended by its front. */
   private static final long LONGEST_UPLOAD_NANOS = TimeUnit.MINUTES.toNanos(20);
 
-  private final Tuning tuning;
+  private final ActiveSettings activeSettings;
   private final Balancer module;
   private final Clock clock;
   private final EventLoop loop;
@@ -87,7 +87,7 @@
       LoopLag lag,
       UpstreamLinks links,
       Consumer<RuntimeException> defect) {
-    tuning = new Tuning(settings);
+    activeSettings = new ActiveSettings(settings);
     this.module = module;
     this.clock = clock;
     this.loop = loop;
@@ -103,17 +103,17 @@
   }
 
   public Settings settings() {
-    return tuning.current();
+    return activeSettings.current();
   }
 
   /** The settings until a moment ago, which clients may still go by; null where there are none. */
   public Settings formerSettings() {
-    return tuning.former(clock.now());
+    return activeSettings.former(clock.now());
   }
 
   /** Takes over other settings: what is open keeps its class, what comes from now on goes by the new ones. */
   public void retune(Settings next) {
-    if (tuning.change(next, clock.now())) {
+    if (activeSettings.change(next, clock.now())) {
       tell(new Retune(next));
     }
   }
--- /dev/null
+++ b/src/main/java/pumicekeel/core/RequestRouter.java
@@ -0,0 +1,16 @@
+package pumicekeel.core;
+
+import pumicekeel.call.ClientRequest.Bad;
+import pumicekeel.call.Facts;
+
+/** Routes the requests of all fronts: picks the pool by a request's head and returns its handle. Used on the loop only. */
+public interface RequestRouter {
+
+  /**
+   * Routes a request by its head.
+   *
+   * @return the handle that carries the request to its final answer
+   * @throws Bad where no pool takes it; holds the status and the message of the answer
+   */
+  RequestHandle route(Facts head) throws Bad;
+}
--- a/src/main/java/pumicekeel/core/OneDoor.java
+++ b/src/main/java/pumicekeel/core/SinglePoolRouter.java
@@ -5,17 +5,17 @@
 import pumicekeel.call.ClientRequest;
 import pumicekeel.call.Facts;
 
-/** The door of a balancer with one pool and no operator file: everything goes to it, and nothing is kept apart. */
-public final class OneDoor implements Door, Lane {
+/** The router of a balancer with one pool and no operator file: every request goes to that pool, and no room is reserved. */
+public final class SinglePoolRouter implements RequestRouter, RequestHandle {
 
   private final BalancerCore core;
 
-  public OneDoor(BalancerCore core) {
+  public SinglePoolRouter(BalancerCore core) {
     this.core = core;
   }
 
   @Override
-  public Lane enter(Facts head) {
+  public RequestHandle route(Facts head) {
     return this;
   }
 
@@ -25,27 +25,27 @@
   }
 
   @Override
-  public Settings former() {
+  public Settings formerSettings() {
     return core.formerSettings();
   }
 
   @Override
-  public boolean room(int bytes) {
+  public boolean reserveBody(int bytes) {
     return true;
   }
 
   @Override
-  public boolean take(ClientRequest request, Client client) {
+  public boolean submit(ClientRequest request, Client client) {
     return core.take(request, client);
   }
 
   @Override
-  public void gone(String id) {
+  public void clientGone(String id) {
     core.clientGone(id);
   }
 
   @Override
-  public void leave() {
+  public void release() {
     // Nothing was kept.
   }
 }
--- a/src/main/java/pumicekeel/discovery/WatchTerms.java
+++ b/src/main/java/pumicekeel/discovery/WatchTerms.java
@@ -16,20 +16,30 @@
     boolean pushed, int connectMillis, int answerMillis, int silenceMillis, int reopenMillis) {
 
   /** A heartbeat comes every 2 s: one that stays out, and a second, mean a connection that nobody serves any more. */
-  private static final int SILENCE = 3_000;
+  private static final int SILENT_WATCH_TIMEOUT_MILLIS = 3_000;
   /** One service for all may be busy: calls wait there in turn, for 2 s at most, before they fail. */
-  private static final int ASKED_ANSWER = 3_000;
+  private static final int POLL_ANSWER_TIMEOUT_MILLIS = 3_000;
   /** A connect waits for no turn; what has not come up by then was lost on its way. */
-  private static final int ASKED_CONNECT = 1_000;
+  private static final int POLL_CONNECT_TIMEOUT_MILLIS = 1_000;
   /** An agent on the same machine answers at once and costs nothing. */
-  private static final int AGENT_CONNECT = 250;
+  private static final int PUSH_CONNECT_TIMEOUT_MILLIS = 250;
 
-  private static final int AGENT_ANSWER = 500;
-  private static final int AGENT_REOPEN = 100;
+  private static final int PUSH_ANSWER_TIMEOUT_MILLIS = 500;
+  private static final int PUSH_REOPEN_DELAY_MILLIS = 100;
 
   public static WatchTerms of(Settings settings) {
     return settings.listOnRequest()
-        ? new WatchTerms(false, ASKED_CONNECT, ASKED_ANSWER, SILENCE, 0)
-        : new WatchTerms(true, AGENT_CONNECT, AGENT_ANSWER, SILENCE, AGENT_REOPEN);
+        ? new WatchTerms(
+            false,
+            POLL_CONNECT_TIMEOUT_MILLIS,
+            POLL_ANSWER_TIMEOUT_MILLIS,
+            SILENT_WATCH_TIMEOUT_MILLIS,
+            0)
+        : new WatchTerms(
+            true,
+            PUSH_CONNECT_TIMEOUT_MILLIS,
+            PUSH_ANSWER_TIMEOUT_MILLIS,
+            SILENT_WATCH_TIMEOUT_MILLIS,
+            PUSH_REOPEN_DELAY_MILLIS);
   }
 }
--- a/src/main/java/pumicekeel/front/admin/AdminSide.java
+++ b/src/main/java/pumicekeel/front/admin/AdminEndpoint.java
@@ -17,10 +17,10 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The operators' door: a listener of its own, a call and an answer on each connection. It is opened before anything else
- * of the process, and its connections count for nobody's share: they are few and short.
+ * The admin endpoint: a listener of its own that takes one call a connection. It opens before anything else of the process,
+ * and its connections count for no share of sockets, since they are few and short.
  */
-public final class AdminSide {
+public final class AdminEndpoint {
 
   /** Callers that say nothing stay for some seconds; beyond so many the oldest gives way. */
   static final int MOST = 32;
@@ -33,7 +33,7 @@
   private Channel listener;
 
   /** {@code calls} answers a line with a line, on the loop. */
-  public AdminSide(EventLoop loop, UnaryOperator<String> calls) {
+  public AdminEndpoint(EventLoop loop, UnaryOperator<String> calls) {
     this.loop = loop;
     this.calls = calls;
   }
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Ends the door; by any thread. */
+  /** Ends the admin endpoint; by any thread. */
   public void close() {
     listener.close();
   }
--- a/src/main/java/pumicekeel/front/http/ClientHandler.java
+++ b/src/main/java/pumicekeel/front/http/ClientHandler.java
@@ -25,7 +25,7 @@
 import pumicekeel.call.ClientRequest;
 import pumicekeel.call.Flow;
 import pumicekeel.call.Upload;
-import pumicekeel.core.Lane;
+import pumicekeel.core.RequestHandle;
 import pumicekeel.runtime.Log;
 import pumicekeel.runtime.Sockets;
 
@@ -61,7 +61,7 @@
   /** The id of the request that the core has, or null. */
   private String taken;
   /** The way of the request that has begun to come or is taken; null where none is. */
-  private Lane lane;
+  private RequestHandle handle;
   /** The body of a request that was taken before it had come whole; null where there is none that still comes. */
   private Upload upload;
   /** The same until the request is over, also once it has come whole: pieces that nobody took are given back then. */
@@ -288,7 +288,7 @@
     body = new ByteArrayOutputStream();
     if (!isOwn(next.uri())) {
       try {
-        lane = side.door().enter(new RequestFacts(side.name(), next));
+        handle = side.router().route(new RequestFacts(side.name(), next));
       } catch (ClientRequest.Bad e) {
         turnAway(e);
         return;
@@ -305,7 +305,7 @@
 
   /** Keeps a piece of a body, and takes the request once that has come whole or grown too large. */
   private void keep(HttpContent part) throws IOException {
-    if (lane != null && !lane.room(part.content().readableBytes())) {
+    if (handle != null && !handle.reserveBody(part.content().readableBytes())) {
       turnAway(new ClientRequest.Bad(503, "no room for the body"));
       skip(part);
       return;
@@ -365,7 +365,7 @@
   /** Hands a request to the core, which may answer at once. */
   private void take(HttpRequest request, byte[] kept, Phase as) throws ClientRequest.Bad {
     ClientRequest next =
-        inTime(ClientRequest.of(request, kept, upload, lane.settings(), lane.former()));
+        inTime(ClientRequest.of(request, kept, upload, handle.settings(), handle.formerSettings()));
     head = null;
     taken = next.id();
     become(as);
@@ -375,7 +375,7 @@
       // Nobody takes more of it before an upstream does.
       hold(false);
     }
-    if (!lane.take(next, this)) {
+    if (!handle.submit(next, this)) {
       throw new ClientRequest.Bad(409, "this id is open already");
     }
   }
@@ -437,7 +437,7 @@
     taken = null;
     dropBody();
     upload = null;
-    lane.gone(id);
+    handle.clientGone(id);
   }
 
   private void dropBody() {
@@ -655,10 +655,10 @@
   }
 
   private void leaveLane() {
-    Lane left = lane;
-    lane = null;
+    RequestHandle left = handle;
+    handle = null;
     if (left != null) {
-      left.leave();
+      left.release();
     }
   }
 
@@ -675,7 +675,7 @@
     if (taken != null) {
       String id = taken;
       taken = null;
-      lane.gone(id);
+      handle.clientGone(id);
     }
     become(Phase.ENDING);
     leaveLane();
--- a/src/main/java/pumicekeel/front/http/ClientSide.java
+++ b/src/main/java/pumicekeel/front/http/ClientSide.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import pumicekeel.core.Door;
+import pumicekeel.core.RequestRouter;
 import pumicekeel.front.Front;
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.LoopLag;
@@ -51,7 +51,7 @@
   private final Reactor on;
   private final EventLoop loop;
   private final String name;
-  private final Door door;
+  private final RequestRouter router;
   private int most;
   /** The connection that got its last answer longest ago comes first. */
   private final Set<ClientHandler> connections = new LinkedHashSet<>();
@@ -76,12 +76,13 @@
   private long acceptsSince;
 
   /** The listener of this name, with at most so many connections; {@code warmUpPath} is answered with 200. */
-  public ClientSide(Reactor on, LoopLag lag, String name, Door door, int most, String warmUpPath) {
+  public ClientSide(
+      Reactor on, LoopLag lag, String name, RequestRouter router, int most, String warmUpPath) {
     this.on = on;
     this.lag = lag;
     loop = on.loop();
     this.name = name;
-    this.door = door;
+    this.router = router;
     this.most = most;
     this.warmUpPath = warmUpPath;
   }
@@ -177,8 +178,8 @@
     return on.sockets().drop(channel, most);
   }
 
-  Door door() {
-    return door;
+  RequestRouter router() {
+    return router;
   }
 
   int most() {
--- a/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
@@ -23,8 +23,8 @@
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
 import pumicekeel.call.ClientRequest.Bad;
-import pumicekeel.core.Door;
-import pumicekeel.core.Lane;
+import pumicekeel.core.RequestHandle;
+import pumicekeel.core.RequestRouter;
 import pumicekeel.front.jsonrpc.MethodMapping.At;
 import pumicekeel.front.jsonrpc.MethodMapping.Constant;
 import pumicekeel.front.jsonrpc.MethodMapping.Part;
@@ -192,7 +192,7 @@
       Framing framing = Framing.values()[random.nextInt(Framing.values().length)];
       BatchMode mode = BatchMode.values()[random.nextInt(BatchMode.values().length)];
       byte[] input = input(framing);
-      Door door = head -> {
+      RequestRouter router = head -> {
         int draw = random.nextInt(20);
         if (draw == 0) {
           throw new Bad(new int[] {400, 404, 502, 503}[random.nextInt(4)], "no", draw);
@@ -202,7 +202,7 @@
       RpcSide side = new RpcSide(
           new Reactor(null, new Clock(), null),
           "fuzz",
-          door,
+          router,
           10,
           new CallSettings(framing, mode, LIMITS, 1 + random.nextInt(4), 1_000_000_000L, METHODS),
           new RequestIds("fuzz", 0));
@@ -289,7 +289,7 @@
         return "the connection does not end";
       }
       return entered != left
-          ? entered + " lanes entered, " + left + " left"
+          ? entered + " handles made, " + left + " left"
           : taken != ended ? taken + " calls taken, " + ended + " ended" : null;
     }
 
@@ -360,8 +360,8 @@
       return count;
     }
 
-    /** A lane that ends its call when the run says so. */
-    private final class Way implements Lane {
+    /** A handle that ends its call when the run says so. */
+    private final class Way implements RequestHandle {
       private Client client;
       private boolean over;
       private boolean wasLeft;
@@ -376,12 +376,12 @@
       }
 
       @Override
-      public boolean room(int bytes) {
+      public boolean reserveBody(int bytes) {
         return random.nextInt(50) != 0;
       }
 
       @Override
-      public boolean take(ClientRequest request, Client to) throws Bad {
+      public boolean submit(ClientRequest request, Client to) throws Bad {
         int draw = random.nextInt(50);
         if (draw == 0) {
           throw new Bad(400, "not for this pool");
@@ -419,7 +419,7 @@
       }
 
       @Override
-      public void gone(String id) {
+      public void clientGone(String id) {
         if (over || !open.remove(this)) {
           wrong = "told of a client's leaving after the end";
         }
@@ -428,7 +428,7 @@
       }
 
       @Override
-      public void leave() {
+      public void release() {
         if (wasLeft) {
           wrong = "left twice";
         }
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
@@ -10,7 +10,7 @@
 import pumicekeel.call.ClientRequest.Bad;
 import pumicekeel.call.Facts;
 import pumicekeel.call.Payload;
-import pumicekeel.core.Lane;
+import pumicekeel.core.RequestHandle;
 import pumicekeel.front.jsonrpc.BatchAnswers.How;
 import pumicekeel.front.jsonrpc.MethodMapping.BadParams;
 import pumicekeel.front.jsonrpc.MethodMapping.Part;
@@ -29,7 +29,7 @@
   private final Message.Call call;
   private final MethodMapping mapping;
   private Said said;
-  private Lane lane;
+  private RequestHandle handle;
   private ClientRequest request;
   private boolean taken;
   private boolean over;
@@ -65,14 +65,14 @@
     }
   }
 
-  /** Reads the params and finds the lane. */
+  /** Reads the params and finds the handle. */
   void prepare(long now) throws TurnedAway {
     arrivedAt = now;
     try {
       said = mapping.read(call.params());
-      lane = connection.side().door().enter(this);
+      handle = connection.side().router().route(this);
       request = request(settings());
-      if (!lane.room(request.payload().size())) {
+      if (!handle.reserveBody(request.payload().size())) {
         throw new TurnedAway(Codes.NO_ROOM, "no room for the params", 0);
       }
     } catch (BadParams e) {
@@ -84,9 +84,10 @@
 
   /** Those before a change for a class that it dropped just now. */
   private Settings settings() {
-    boolean dropped = lane.former() != null
-        && lane.settings().classes().stream().noneMatch(c -> c.name().equals(mapping.className()));
-    return dropped ? lane.former() : lane.settings();
+    boolean dropped = handle.formerSettings() != null
+        && handle.settings().classes().stream()
+            .noneMatch(c -> c.name().equals(mapping.className()));
+    return dropped ? handle.formerSettings() : handle.settings();
   }
 
   /** What a status of the platform's protocol is here. */
@@ -148,7 +149,7 @@
   void take() throws TurnedAway {
     try {
       taken = true;
-      if (!lane.take(request, this)) {
+      if (!handle.submit(request, this)) {
         throw new TurnedAway(Codes.NO_ROOM, "its request id is open", 0);
       }
     } catch (Bad e) {
@@ -220,10 +221,10 @@
   }
 
   private void leave() {
-    Lane left = lane;
-    lane = null;
+    RequestHandle left = handle;
+    handle = null;
     if (left != null) {
-      left.leave();
+      left.release();
     }
   }
 
@@ -234,7 +235,7 @@
     }
     over = true;
     if (taken) {
-      lane.gone(request.id());
+      handle.clientGone(request.id());
     }
     leave();
   }
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcSide.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcSide.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import pumicekeel.core.Door;
+import pumicekeel.core.RequestRouter;
 import pumicekeel.front.Front;
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.Reactor;
@@ -40,7 +40,7 @@
   private final Reactor on;
   private final EventLoop loop;
   private final String name;
-  private final Door door;
+  private final RequestRouter router;
   private final RequestIds ids;
   private CallSettings settings;
   private int most;
@@ -52,11 +52,16 @@
 
   /** The listener of this name, with at most so many connections. */
   public RpcSide(
-      Reactor on, String name, Door door, int most, CallSettings settings, RequestIds ids) {
+      Reactor on,
+      String name,
+      RequestRouter router,
+      int most,
+      CallSettings settings,
+      RequestIds ids) {
     this.on = on;
     loop = on.loop();
     this.name = name;
-    this.door = door;
+    this.router = router;
     this.most = most;
     this.settings = settings;
     this.ids = ids;
@@ -114,8 +119,8 @@
     return on.clock();
   }
 
-  Door door() {
-    return door;
+  RequestRouter router() {
+    return router;
   }
 
   String newRequestId() {
@@ -135,7 +140,7 @@
     return settings;
   }
 
-  /** Calls are turned away by the door until there is something to serve them. */
+  /** Calls are turned away by the router until there is something to serve them. */
   @Override
   public void setReady() {
     // Nothing here asks for readiness.
--- a/src/main/java/pumicekeel/journal/JournalWriter.java
+++ b/src/main/java/pumicekeel/journal/JournalWriter.java
@@ -40,8 +40,8 @@
   /** Between two looks at what nobody waits for: after work, and once there was none for so long. */
   private static final long PARK_NANOS = 2_000_000L;
 
-  private static final long REST_PARK_NANOS = 50_000_000L;
-  private static final long REST_NANOS = 1_000_000_000L;
+  private static final long IDLE_PARK_NANOS = 50_000_000L;
+  private static final long IDLE_AFTER_NANOS = 1_000_000_000L;
 
   private record Waiting(Entry entry, Consumer<Boolean> told) {}
 
@@ -175,7 +175,7 @@
     parked = true;
     if (queue.isEmpty() && !stopping) {
       LockSupport.parkNanos(
-          this, System.nanoTime() - workedAt < REST_NANOS ? PARK_NANOS : REST_PARK_NANOS);
+          this, System.nanoTime() - workedAt < IDLE_AFTER_NANOS ? PARK_NANOS : IDLE_PARK_NANOS);
     }
     parked = false;
   }
--- a/src/main/java/pumicekeel/node/Admission.java
+++ b/src/main/java/pumicekeel/node/Admission.java
@@ -15,14 +15,14 @@
 import pumicekeel.call.Flow;
 import pumicekeel.core.AttemptLog;
 import pumicekeel.core.BalancerCore;
-import pumicekeel.core.Lane;
+import pumicekeel.core.RequestHandle;
 import pumicekeel.discovery.HostList;
 import pumicekeel.journal.Entry.Told;
-import pumicekeel.pool.Tally.End;
+import pumicekeel.pool.RequestCounters.End;
 import pumicekeel.route.Route;
 
 /** One request on its way through the pools: from its head to its final answer, under the generation that took it. */
-final class Admission implements Lane, Client, AttemptLog {
+final class Admission implements RequestHandle, Client, AttemptLog {
 
   private final Services services;
   private final Route route;
@@ -58,14 +58,14 @@
   }
 
   @Override
-  public Settings former() {
+  public Settings formerSettings() {
     return pool.core().formerSettings();
   }
 
   @Override
-  public boolean room(int more) {
+  public boolean reserveBody(int more) {
     if (!pool.body.tryTake(more)) {
-      services.tally().noRoom();
+      services.counters().noRoom();
       return false;
     }
     bytes += more;
@@ -73,7 +73,7 @@
   }
 
   @Override
-  public boolean take(ClientRequest taken, Client to) throws Bad {
+  public boolean submit(ClientRequest taken, Client to) throws Bad {
     String why = pool.objection(taken);
     if (why != null) {
       throw new Bad(400, why);
@@ -230,7 +230,7 @@
   }
 
   @Override
-  public void gone(String id) {
+  public void clientGone(String id) {
     boolean waited = waits;
     end(End.LEFT);
     note(Told.LEFT);
@@ -243,13 +243,13 @@
     if (!over) {
       over = true;
       services.close(request.id());
-      services.tally().ended(pool.name(), request.type().name(), how);
-      pool.residence().ended(services.now() - enteredAt);
+      services.counters().ended(pool.name(), request.type().name(), how);
+      pool.residenceTime().ended(services.now() - enteredAt);
     }
   }
 
   @Override
-  public void leave() {
+  public void release() {
     over = true;
     giveBack();
   }
--- a/src/main/java/pumicekeel/node/Listeners.java
+++ b/src/main/java/pumicekeel/node/Listeners.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.config.Operator;
-import pumicekeel.core.Door;
+import pumicekeel.core.RequestRouter;
 import pumicekeel.front.Front;
 import pumicekeel.front.http.ClientSide;
 import pumicekeel.front.jsonrpc.RequestIds;
@@ -31,21 +31,22 @@
   private final Reactor on;
   private final LoopLag lag;
   private final EventLoop loop;
-  private final Door door;
+  private final RequestRouter router;
   private final ClientSide platform;
   private final int total;
   private final RequestIds ids;
   private final Map<String, Side> sides = new LinkedHashMap<>();
   private final List<Front> leaving = new ArrayList<>();
 
-  Listeners(Reactor on, LoopLag lag, Door door, int total, String warmUpPath, RequestIds ids) {
+  Listeners(
+      Reactor on, LoopLag lag, RequestRouter router, int total, String warmUpPath, RequestIds ids) {
     this.ids = ids;
     this.on = on;
     this.lag = lag;
     loop = on.loop();
-    this.door = door;
+    this.router = router;
     this.total = total;
-    platform = new ClientSide(on, lag, Operator.PLATFORM, door, total, warmUpPath);
+    platform = new ClientSide(on, lag, Operator.PLATFORM, router, total, warmUpPath);
   }
 
   ClientSide platform() {
@@ -89,8 +90,8 @@
         continue;
       }
       Front side = l.rpc() == null
-          ? new ClientSide(on, lag, l.name(), door, most, null)
-          : new RpcSide(on, l.name(), door, most, l.rpc(), ids);
+          ? new ClientSide(on, lag, l.name(), router, most, null)
+          : new RpcSide(on, l.name(), router, most, l.rpc(), ids);
       try {
         side.listen(l.address(), false);
       } catch (Exception e) {
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -16,7 +16,7 @@
 import pumicekeel.config.Operator;
 import pumicekeel.config.OperatorLoader;
 import pumicekeel.front.Front;
-import pumicekeel.front.admin.AdminSide;
+import pumicekeel.front.admin.AdminEndpoint;
 import pumicekeel.front.http.ClientSide;
 import pumicekeel.front.jsonrpc.RequestIds;
 import pumicekeel.journal.Journal;
@@ -68,7 +68,7 @@
 
   private boolean draining;
   private final Rotation rotation = new Rotation();
-  private final AdminSide admin;
+  private final AdminEndpoint admin;
   private SocketAddress adminAddress;
   private boolean rotating;
   private final CountDownLatch ready = new CountDownLatch(1);
@@ -99,11 +99,11 @@
     firstGeneration = operator;
     OperatorCalls calls =
         new OperatorCalls(rotation, this::rotate, () -> peers == null ? null : peers.view());
-    admin = new AdminSide(loop, line -> calls.answer(line, on.clock().now()));
+    admin = new AdminEndpoint(loop, line -> calls.answer(line, on.clock().now()));
     listeners = new Listeners(
         on,
         lag,
-        serving.door(),
+        serving.router(),
         services == null ? Rooms.clientSockets(configuration) : services.rooms().clientSockets(),
         warmUpPath,
         new RequestIds(configuration.name(), on.clock().millis()));
@@ -164,7 +164,7 @@
     openPeers();
     Map<String, Front> bound = firstGeneration == null ? Map.of() : listeners.bind(firstGeneration);
     ClientSide own = configuration.inherited()
-        ? new ClientSide(on, lag, "warm-up", serving.door(), WARM_UP_SOCKETS, warmUpPath)
+        ? new ClientSide(on, lag, "warm-up", serving.router(), WARM_UP_SOCKETS, warmUpPath)
         : null;
     InetSocketAddress address = own == null
         ? listeners.platform().listen(configuration.listen())
@@ -322,8 +322,8 @@
   }
 
   /** What became of the requests so far, a line; only with an operator file. */
-  public String tally() {
-    return loop.submit(() -> services.tally().line()).syncUninterruptibly().getNow();
+  public String counters() {
+    return loop.submit(() -> services.counters().line()).syncUninterruptibly().getNow();
   }
 
   /** Whether a generation fits the platform's figures; an IllegalArgumentException says what does not. */
--- a/src/main/java/pumicekeel/node/OnePool.java
+++ b/src/main/java/pumicekeel/node/OnePool.java
@@ -4,8 +4,8 @@
 import pumicekeel.AdaptiveBalancer;
 import pumicekeel.config.Configuration;
 import pumicekeel.core.BalancerCore;
-import pumicekeel.core.Door;
-import pumicekeel.core.OneDoor;
+import pumicekeel.core.RequestRouter;
+import pumicekeel.core.SinglePoolRouter;
 import pumicekeel.discovery.Discovery;
 import pumicekeel.discovery.WatchTerms;
 import pumicekeel.runtime.LoopLag;
@@ -19,7 +19,7 @@
   private final ConnectionPool connections;
   private final BalancerCore core;
   private final Discovery discovery;
-  private final Door door;
+  private final RequestRouter router;
 
   OnePool(Configuration configuration, Reactor on, LoopLag lag, Consumer<RuntimeException> defect) {
     this.configuration = configuration;
@@ -44,12 +44,12 @@
         WatchTerms.of(settings),
         core::news,
         core::watchFailed);
-    door = new OneDoor(core);
+    router = new SinglePoolRouter(core);
   }
 
   @Override
-  public Door door() {
-    return door;
+  public RequestRouter router() {
+    return router;
   }
 
   @Override
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -19,8 +19,8 @@
 import pumicekeel.core.BalancerCore;
 import pumicekeel.discovery.HostList;
 import pumicekeel.discovery.UpstreamSource;
-import pumicekeel.pool.FairTurns;
-import pumicekeel.pool.Residence;
+import pumicekeel.pool.FairQueue;
+import pumicekeel.pool.ResidenceTime;
 import pumicekeel.pool.RoomPlan;
 import pumicekeel.pool.SharedUpstreams;
 import pumicekeel.pool.Shares;
@@ -47,7 +47,7 @@
       UpstreamSockets sockets,
       Shares open,
       Shares body,
-      FairTurns turns,
+      FairQueue fairQueue,
       SharedUpstreams<InetSocketAddress> upstreams,
       Consumer<RuntimeException> defect) {}
 
@@ -56,10 +56,10 @@
   private final UpstreamSource source;
   private final UpstreamLinks connections;
   private final BalancerCore core;
-  private final Residence residence = new Residence();
+  private final ResidenceTime residenceTime = new ResidenceTime();
   final Shares.Owner open;
   final Shares.Owner body;
-  final FairTurns.Lane turn;
+  final FairQueue.PoolQueue turn;
   /** The upstreams of the list that are this pool's, as the list names them. */
   private final Map<Long, HostList.Host> hosts = new LinkedHashMap<>();
   /** Told whose lines changed for other pools. */
@@ -78,7 +78,7 @@
     this.changed = changed;
     open = shared.open().add(0, 0);
     body = shared.body().add(0, 0);
-    turn = shared.turns().lane(MOST_WAITING);
+    turn = shared.fairQueue().queue(MOST_WAITING);
     connections = links(spec, settings, shared);
     core = new BalancerCore(
         settings,
@@ -151,8 +151,8 @@
     return core;
   }
 
-  Residence residence() {
-    return residence;
+  ResidenceTime residenceTime() {
+    return residenceTime;
   }
 
   /** Two pools with the same home have the same upstreams: one's memory of a keyed request is the other's. */
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -19,19 +19,19 @@
 import pumicekeel.call.Facts;
 import pumicekeel.config.Configuration;
 import pumicekeel.config.Operator;
-import pumicekeel.core.Door;
-import pumicekeel.core.Lane;
+import pumicekeel.core.RequestHandle;
+import pumicekeel.core.RequestRouter;
 import pumicekeel.discovery.HostList;
 import pumicekeel.discovery.UpstreamSource;
 import pumicekeel.discovery.WatchTerms;
 import pumicekeel.front.jsonrpc.MethodMapping;
 import pumicekeel.journal.KeyMemory;
-import pumicekeel.pool.FairTurns;
-import pumicekeel.pool.KeyedHomes;
+import pumicekeel.pool.FairQueue;
+import pumicekeel.pool.KeyAffinity;
+import pumicekeel.pool.RequestCounters;
 import pumicekeel.pool.RoomPlan;
 import pumicekeel.pool.SharedUpstreams;
 import pumicekeel.pool.Shares;
-import pumicekeel.pool.Tally;
 import pumicekeel.route.Route;
 import pumicekeel.route.RouteTable;
 import pumicekeel.runtime.Clock;
@@ -44,7 +44,7 @@
  * The pools of an operator file, one generation at a time. A reload swaps routes and pools at once, between two events
  * of the loop; a request goes on in the pool that took it, and a pool that is not wanted any more ends with its last one.
  */
-final class Services implements Serving, Door {
+final class Services implements Serving, RequestRouter {
 
   /** A run of waiting work; short against any aim, long against the cost of going round the loop. */
   private static final long QUANTUM_NANOS = 1_000_000L;
@@ -60,9 +60,9 @@
   private final Rooms rooms;
   private final Operator.Process process;
   private final ServicePool.Shared shared;
-  private final FairTurns turns = new FairTurns();
-  private final KeyedHomes homes = new KeyedHomes(KeyedHomes.MOST);
-  private final Tally tally = new Tally();
+  private final FairQueue fairQueue = new FairQueue();
+  private final KeyAffinity keyAffinity = new KeyAffinity(KeyAffinity.MAX_KEYS);
+  private final RequestCounters counters = new RequestCounters();
   private final Set<String> ids = new HashSet<>();
   private final Map<String, UpstreamSource> sources = new LinkedHashMap<>();
   private final Map<String, ServicePool> pools = new LinkedHashMap<>();
@@ -100,7 +100,7 @@
         new UpstreamSockets(rooms.upstreamSockets()),
         new Shares(rooms.openRequests()),
         new Shares(rooms.bodyBytes()),
-        turns,
+        fairQueue,
         new SharedUpstreams<>(),
         defect);
     check(operator);
@@ -112,8 +112,8 @@
     return rooms;
   }
 
-  Tally tally() {
-    return tally;
+  RequestCounters counters() {
+    return counters;
   }
 
   int retired() {
@@ -230,7 +230,7 @@
   }
 
   @Override
-  public Door door() {
+  public RequestRouter router() {
     return this;
   }
 
@@ -407,26 +407,26 @@
     }
   }
 
-  // The door
+  // The router
 
   @Override
-  public Lane enter(Facts head) throws Bad {
+  public RequestHandle route(Facts head) throws Bad {
     if (!started) {
       throw new Bad(503, "not started");
     }
     RouteTable.Found found = table.match(head);
     if (found instanceof RouteTable.Malformed malformed) {
-      tally.malformed();
+      counters.malformed();
       throw new Bad(400, malformed.why());
     }
     if (!(found instanceof RouteTable.Taken taken)) {
-      tally.noRoute();
+      counters.noRoute();
       throw new Bad(404, "no route");
     }
     ServicePool home = home(head);
     ServicePool pool = home == null ? poolFor(taken.route(), head) : home;
     if (!pool.open.tryTake(1)) {
-      tally.noRoom();
+      counters.noRoom();
       throw new Bad(503, "this pool is full", retryAfter(pool));
     }
     return new Admission(this, taken.route(), pool, home != null, clock.now());
@@ -434,9 +434,10 @@
 
   /** The pool that may have run a request of the same idempotency key, or null. */
   private ServicePool home(Facts head) throws Bad {
-    boolean none = homes.size() == 0 && (journal == null || journal.memory().size() == 0);
+    boolean none =
+        keyAffinity.size() == 0 && (journal == null || journal.memory().size() == 0);
     String key = none ? null : head.header(ClientRequest.IDEMPOTENCY_KEY);
-    String home = key == null ? null : homes.poolOf(key, clock.now());
+    String home = key == null ? null : keyAffinity.poolOf(key, clock.now());
     if (home == null && key != null && journal != null) {
       home = journal.memory().homeOf(KeyMemory.nameOf(Effect.KEYED, "", key), clock.now());
     }
@@ -501,12 +502,12 @@
 
   long retryAfter(ServicePool pool) {
     var limits = pool.settings().limits();
-    return pool.residence().retryAfter(limits.retryAfter(), limits.maxRetryAfterNanos());
+    return pool.residenceTime().retryAfter(limits.retryAfter(), limits.maxRetryAfterNanos());
   }
 
   /** Notes where a keyed request may run from now on. */
   void noteHome(ClientRequest request, ServicePool pool) {
-    homes.taken(
+    keyAffinity.taken(
         request.idempotencyKey(),
         pool.home(),
         clock.now(),
@@ -514,7 +515,7 @@
   }
 
   void forgetHome(ClientRequest request) {
-    homes.neverRan(request.idempotencyKey());
+    keyAffinity.neverRan(request.idempotencyKey());
   }
 
   /** Lines work up for a pool's turn; false where too much waits. */
@@ -531,8 +532,8 @@
 
   /** By a timer, not a task: tasks are run one after the other, and the sockets would not be read between them. */
   private void turn() {
-    turns.run(QUANTUM_NANOS, clock::now);
-    turning = !turns.idle();
+    fairQueue.run(QUANTUM_NANOS, clock::now);
+    turning = !fairQueue.idle();
     if (turning) {
       loop.schedule(this::turn, 1, TimeUnit.NANOSECONDS);
     }
@@ -542,7 +543,7 @@
 
   @Override
   public void endBy(long nanos) {
-    Log.line("requests: " + tally.line());
+    Log.line("requests: " + counters.line());
     all().forEach(p -> p.core().endBy(nanos));
   }
 
--- a/src/main/java/pumicekeel/node/Serving.java
+++ b/src/main/java/pumicekeel/node/Serving.java
@@ -1,13 +1,13 @@
 package pumicekeel.node;
 
 import pumicekeel.config.Configuration;
-import pumicekeel.core.Door;
+import pumicekeel.core.RequestRouter;
 
 /** What serves the requests of a node: one pool as the platform wants it, or the pools of an operator file. */
 interface Serving {
 
   /** Where all listeners bring their requests. */
-  Door door();
+  RequestRouter router();
 
   /** Follows the lists from now on. On the loop. */
   void start();
--- a/src/main/java/pumicekeel/node/WarmUp.java
+++ b/src/main/java/pumicekeel/node/WarmUp.java
@@ -20,7 +20,7 @@
 import pumicekeel.Balancer.Tenant;
 import pumicekeel.call.ClientRequest;
 import pumicekeel.core.BalancerCore;
-import pumicekeel.core.OneDoor;
+import pumicekeel.core.SinglePoolRouter;
 import pumicekeel.discovery.HostList;
 import pumicekeel.front.http.ClientHandler;
 import pumicekeel.front.http.ClientSide;
@@ -105,7 +105,7 @@
         lag,
         pool,
         e -> Log.line("defect of the module while warming up: " + e));
-    side = new ClientSide(on, lag, "warm-up", new OneDoor(core), AT_ONCE, null);
+    side = new ClientSide(on, lag, "warm-up", new SinglePoolRouter(core), AT_ONCE, null);
     tenants = real.tenants();
   }
 
--- a/src/main/java/pumicekeel/pool/Tally.java
+++ b/src/main/java/pumicekeel/pool/RequestCounters.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What became of the requests of a process, by pool and class. Bounded by the settings: both are names of theirs. */
-public final class Tally {
+/** Counts the final outcomes of the requests of a process, by pool and class; bounded, since both are names of the settings. */
+public final class RequestCounters {
 
   /** How a request ended for its client. */
   public enum End {
--- a/src/main/java/pumicekeel/pool/Residence.java
+++ b/src/main/java/pumicekeel/pool/ResidenceTime.java
@@ -1,10 +1,10 @@
 package pumicekeel.pool;
 
 /**
- * How long requests stay in a pool, as a smoothed mean: what a client is told that is turned away because the pool is
- * full. By Little's law a full pool has turned over once in that time.
+ * The mean time that requests spend in a pool, exponentially smoothed. It is the Retry-After of a request refused because the
+ * pool is full: by Little's law a full pool has turned over once in that time.
  */
-public final class Residence {
+public final class ResidenceTime {
 
   /** A sample counts a twentieth: some twenty requests tell, and one slow one does not. */
   private static final double STEP = 0.05;
--- a/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
@@ -39,19 +39,19 @@
 
   private static final byte[] START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
   /** An answer that has begun and of which nothing more comes for so long is spoilt: nobody has had any of it yet. */
-  private static final long STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+  private static final long BUFFERED_STALL_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
   /** One that is being passed on: its client waits for what the upstream still gives, unless it gives nothing. Once the client's time is
    * up it waits for nothing that does not come, and is owed an end that it can see. */
-  private static final long SILENCE_NANOS = TimeUnit.SECONDS.toNanos(10);
+  private static final long STREAM_STALL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
   /** One that still comes after so long is passed on as it is: nothing may be held back for two seconds. */
-  private static final long KEPT_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  private static final long MAX_BUFFERING_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
   /** One that takes nothing of a body for so long has vanished, or as good as: the client that sends it can't be kept waiting. */
-  private static final long UNTAKEN_NANOS = TimeUnit.SECONDS.toNanos(3);
+  private static final long UPLOAD_STALL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
   /** Or for that part of the time which its client gives it: the client may have written its last byte long before. */
-  private static final int UNTAKEN_PART = 2;
+  private static final int UPLOAD_STALL_DIVISOR = 2;
   /** A second copy of an answer may come some milliseconds behind it, and would be taken for the answer to the next request: until
    * then there is none on this connection. Short against any aim. */
-  private static final long REST_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+  private static final long REUSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
   /** A buffer that has grown beyond this is not kept for the next answer: there are hundreds of connections. */
   private static final int SMALL = 8 << 10;
 
@@ -97,7 +97,9 @@
 
   /** How long it still has to be left alone before the next request; 0 or less for not at all. */
   long restLeft() {
-    return answeredAt == 0 ? 0 : answeredAt + REST_NANOS - reactor.clock().now();
+    return answeredAt == 0
+        ? 0
+        : answeredAt + REUSE_DELAY_NANOS - reactor.clock().now();
   }
 
   /** Nothing has come since the last request was written. */
@@ -117,7 +119,7 @@
   /** Sends a request whose body still comes; its client gives it so long from its last byte on. */
   void send(UpstreamAttempt next, HttpRequest head, Upload from, long leftNanos) {
     begin(next);
-    untakenNanos = Math.min(UNTAKEN_NANOS, leftNanos / UNTAKEN_PART);
+    untakenNanos = Math.min(UPLOAD_STALL_TIMEOUT_NANOS, leftNanos / UPLOAD_STALL_DIVISOR);
     ChannelPromise all = channel.newPromise();
     written = all;
     upload = from;
@@ -320,12 +322,13 @@
     } else if (begun()) {
       long now = reactor.clock().now();
       begunAt = begunAt == 0 ? now : begunAt;
-      if (sink == null && now - begunAt > KEPT_NANOS && response != null && !interim()) {
+      if (sink == null && now - begunAt > MAX_BUFFERING_NANOS && response != null && !interim()) {
         // Where its client takes whole answers only, it is kept on.
         passOn();
       }
       if (stalled == null) {
-        stalled = ctx.executor().schedule(() -> look(ctx), STALL_NANOS, TimeUnit.NANOSECONDS);
+        stalled = ctx.executor()
+            .schedule(() -> look(ctx), BUFFERED_STALL_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
       }
     }
   }
@@ -334,7 +337,8 @@
   private void look(ChannelHandlerContext ctx) {
     long quiet = held ? 0 : reactor.clock().now() - heardAt;
     long left = attempt.leftNanos();
-    long most = sink == null || left <= 0 ? STALL_NANOS : SILENCE_NANOS;
+    long most =
+        sink == null || left <= 0 ? BUFFERED_STALL_TIMEOUT_NANOS : STREAM_STALL_TIMEOUT_NANOS;
     if (quiet >= most) {
       broken();
     } else {
--- a/src/test/java/pumicekeel/core/TuningTest.java
+++ b/src/test/java/pumicekeel/core/ActiveSettingsTest.java
@@ -13,7 +13,7 @@
 import pumicekeel.adapter.Fields;
 
 /** Which settings count, and how long those before them still do. */
-class TuningTest {
+class ActiveSettingsTest {
 
   private static Settings settings(String name) throws Exception {
     return Decoder.settings(
@@ -24,16 +24,17 @@
   void formerSettingsCountForAMomentOnly() throws Exception {
     Settings one = settings("one");
     Settings two = settings("two");
-    Tuning tuning = new Tuning(one);
-    assertNull(tuning.former(0));
-    assertFalse(tuning.change(settings("one"), 5), "the same again changes nothing");
-    assertNull(tuning.former(5));
-    assertTrue(tuning.change(two, 10));
-    assertSame(two, tuning.current());
-    assertSame(one, tuning.former(10 + Tuning.OVERLAP_NANOS - 1));
-    assertNull(tuning.former(10 + Tuning.OVERLAP_NANOS));
-    assertNull(tuning.former(11), "once over, it is over");
+    ActiveSettings activeSettings = new ActiveSettings(one);
+    assertNull(activeSettings.former(0));
+    assertFalse(activeSettings.change(settings("one"), 5), "the same again changes nothing");
+    assertNull(activeSettings.former(5));
+    assertTrue(activeSettings.change(two, 10));
+    assertSame(two, activeSettings.current());
+    assertSame(one, activeSettings.former(10 + ActiveSettings.OVERLAP_NANOS - 1));
+    assertNull(activeSettings.former(10 + ActiveSettings.OVERLAP_NANOS));
+    assertNull(activeSettings.former(11), "once over, it is over");
     assertEquals(
-        List.of("two"), tuning.current().classes().stream().map(c -> c.name()).toList());
+        List.of("two"),
+        activeSettings.current().classes().stream().map(c -> c.name()).toList());
   }
 }
--- a/src/test/java/pumicekeel/node/IsolationTest.java
+++ b/src/test/java/pumicekeel/node/IsolationTest.java
@@ -210,7 +210,7 @@
 
   private long noRooms() {
     try {
-      return t.ask(() -> t.node.services().tally().noRooms());
+      return t.ask(() -> t.node.services().counters().noRooms());
     } catch (Exception e) {
       throw new AssertionError(e);
     }
--- a/src/test/java/pumicekeel/node/RetuneReloadTest.java
+++ b/src/test/java/pumicekeel/node/RetuneReloadTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pumicekeel.config.Configuration;
-import pumicekeel.core.Tuning;
+import pumicekeel.core.ActiveSettings;
 
 /** Other settings at a reload, on sockets: a class more, a class less, another effect, and files that are no good. */
 class RetuneReloadTest {
@@ -100,7 +100,7 @@
           200,
           status(look("4").replace("look", "fresh")),
           "asked by one that has not heard of the change");
-      long until = System.nanoTime() + Tuning.OVERLAP_NANOS;
+      long until = System.nanoTime() + ActiveSettings.OVERLAP_NANOS;
       AtomicInteger ids = new AtomicInteger(10);
       TestNode.until(() -> System.nanoTime() - until > 0);
       assertEquals(400, status(look("" + ids.incrementAndGet()).replace("look", "fresh")));
@@ -130,7 +130,7 @@
         assertEquals(200, status(order("o")), "by the old ones, for a moment");
         held.countDown();
         assertEquals("fine", open.read().body());
-        long until = System.nanoTime() + Tuning.OVERLAP_NANOS;
+        long until = System.nanoTime() + ActiveSettings.OVERLAP_NANOS;
         TestNode.until(() -> System.nanoTime() - until > 0);
         assertEquals(405, status(order("p")));
       }
--- a/src/test/java/pumicekeel/node/RpcFrontTest.java
+++ b/src/test/java/pumicekeel/node/RpcFrontTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import pumicekeel.jsonrpc.Framing;
-import pumicekeel.pool.Tally.End;
+import pumicekeel.pool.RequestCounters.End;
 import pumicekeel.standin.StandInRpcClient;
 import pumicekeel.standin.StandInRpcServer;
 
@@ -379,8 +379,8 @@
     client.reset();
     assertNothingKept();
     release();
-    assertEquals(9, t.ask(() -> t.node.services().tally().count("p", "rate-lookup", End.LEFT)));
-    assertEquals(1, t.ask(() -> t.node.services().tally().count("p", "quote-issue", End.LEFT)));
+    assertEquals(9, t.ask(() -> t.node.services().counters().count("p", "rate-lookup", End.LEFT)));
+    assertEquals(1, t.ask(() -> t.node.services().counters().count("p", "quote-issue", End.LEFT)));
     // The answers of those that left meet nobody, and the connection to the server goes on.
     StandInRpcClient next = client();
     t.servers.get("s1").script(StandInRpcServer.ECHO);
--- a/src/test/java/pumicekeel/node/ServicesTest.java
+++ b/src/test/java/pumicekeel/node/ServicesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import pumicekeel.load.HttpAsk;
-import pumicekeel.pool.Tally.End;
+import pumicekeel.pool.RequestCounters.End;
 import pumicekeel.standin.StandInDiscovery;
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
@@ -75,7 +75,7 @@
     StandInUpstream r = t.upstream("r", 0);
     t.start(twoPools(t.list("q"), t.list("r"), ""));
     // The warm-up may have left some that came after it.
-    long before = t.ask(() -> t.node.services().tally().noRoutes());
+    long before = t.ask(() -> t.node.services().counters().noRoutes());
     assertEquals("1", call(lookup("1", "quote.example.org", "")).body());
     assertEquals("2", call(lookup("2", "RATES.example.org.:8080", "")).body());
     assertEquals("3", call(lookup("3", "a.rates.example.org", "")).body());
@@ -110,7 +110,7 @@
       assertEquals(
           "9", client.call(lookup("9", "quote.example.org", "")).body(), "the connection goes on");
     }
-    assertEquals(1, t.ask(() -> t.node.services().tally().noRoutes()) - before);
+    assertEquals(1, t.ask(() -> t.node.services().counters().noRoutes()) - before);
     assertEquals(2, q.seen().size());
   }
 
@@ -494,6 +494,6 @@
     }
     assertNull(t.defects.isEmpty() ? null : t.defects);
     assertEquals(
-        0L, t.ask(() -> t.node.services().tally().count("rates", "rate-lookup", End.SERVED)));
+        0L, t.ask(() -> t.node.services().counters().count("rates", "rate-lookup", End.SERVED)));
   }
 }
--- a/src/test/java/pumicekeel/pool/FairTurnsTest.java
+++ b/src/test/java/pumicekeel/pool/FairQueueTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 
 /** A flood in one pool does not stand before another's work. */
-class FairTurnsTest {
+class FairQueueTest {
 
   private final StringBuilder done = new StringBuilder();
   private long clock;
-  private final FairTurns turns = new FairTurns();
-  private final FairTurns.Lane a = turns.lane(10_000);
-  private final FairTurns.Lane b = turns.lane(2);
+  private final FairQueue fairQueue = new FairQueue();
+  private final FairQueue.PoolQueue a = fairQueue.queue(10_000);
+  private final FairQueue.PoolQueue b = fairQueue.queue(2);
 
   private Runnable piece(String name) {
     return () -> {
@@ -28,11 +28,11 @@
       a.offer(piece("a"));
     }
     b.offer(piece("b"));
-    turns.run(45, () -> clock);
+    fairQueue.run(45, () -> clock);
     assertEquals("abaaa", done.toString());
     assertEquals(996, a.waiting());
     b.offer(piece("b"));
-    turns.run(15, () -> clock);
+    fairQueue.run(15, () -> clock);
     assertEquals("abaaaab", done.toString());
   }
 
@@ -41,11 +41,11 @@
     a.offer(piece("a"));
     a.offer(piece("a"));
     b.offer(piece("b"));
-    turns.run(0, () -> clock);
+    fairQueue.run(0, () -> clock);
     assertEquals("ab", done.toString());
-    assertFalse(turns.idle());
-    turns.run(0, () -> clock);
-    assertTrue(turns.idle());
+    assertFalse(fairQueue.idle());
+    fairQueue.run(0, () -> clock);
+    assertTrue(fairQueue.idle());
   }
 
   @Test
@@ -53,8 +53,8 @@
     assertTrue(b.offer(() -> b.offer(piece("c"))));
     assertTrue(b.offer(piece("b")));
     assertFalse(b.offer(piece("b")));
-    turns.run(1_000, () -> clock);
+    fairQueue.run(1_000, () -> clock);
     assertEquals("bc", done.toString());
-    assertTrue(turns.idle());
+    assertTrue(fairQueue.idle());
   }
 }
--- /dev/null
+++ b/src/test/java/pumicekeel/pool/KeyAffinityTest.java
@@ -0,0 +1,52 @@
+package pumicekeel.pool;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import org.junit.jupiter.api.Test;
+
+/** Repeats of keyed requests find the pool that may have run the first. */
+class KeyAffinityTest {
+
+  private final KeyAffinity keyAffinity = new KeyAffinity(3);
+
+  @Test
+  void homeLastsForItsWindowAndIsLengthenedByEachAttempt() {
+    keyAffinity.taken("k", "a", 0, 100);
+    assertEquals("a", keyAffinity.poolOf("k", 99));
+    assertNull(keyAffinity.poolOf("k", 100));
+    keyAffinity.taken("k", "a", 50, 100);
+    assertEquals("a", keyAffinity.poolOf("k", 149));
+    keyAffinity.taken("k", "a", 60, 10);
+    assertEquals("a", keyAffinity.poolOf("k", 149), "a shorter window takes nothing away");
+    for (int i = 0; i < 3; i++) {
+      keyAffinity.neverRan("k");
+    }
+    assertNull(keyAffinity.poolOf("k", 61), "none of the three ran");
+  }
+
+  /** Of two requests of one key the first is refused, the second may have run: the key stays where it is. */
+  @Test
+  void oneThatNeverRanDoesNotFreeAKeyThatAnotherMayHaveRun() {
+    keyAffinity.taken("k", "a", 0, 100);
+    keyAffinity.taken("k", "a", 10, 100);
+    keyAffinity.neverRan("k");
+    assertEquals("a", keyAffinity.poolOf("k", 50));
+    keyAffinity.neverRan("k");
+    assertNull(keyAffinity.poolOf("k", 50));
+  }
+
+  @Test
+  void tableIsBoundedAndTheOldestGoesFirst() {
+    for (int i = 0; i < 5; i++) {
+      keyAffinity.taken("k" + i, "a", i, 1_000);
+    }
+    assertEquals(3, keyAffinity.size());
+    assertNull(keyAffinity.poolOf("k1", 5));
+    assertEquals("a", keyAffinity.poolOf("k2", 5));
+    assertEquals(2, keyAffinity.dropped());
+    keyAffinity.taken("late", "a", 5_000, 10);
+    assertEquals(1, keyAffinity.size(), "those whose time is up make room first");
+    assertEquals(2, keyAffinity.dropped());
+  }
+}
--- a/src/test/java/pumicekeel/pool/PoolRoomsTest.java
+++ b/src/test/java/pumicekeel/pool/PoolRoomsTest.java
@@ -103,7 +103,7 @@
 
   @Test
   void fullPoolTellsHowLongItsRequestsStay() {
-    Residence residence = new Residence();
+    ResidenceTime residence = new ResidenceTime();
     for (int i = 0; i < 500; i++) {
       residence.ended(400_000_000L);
     }
