--- /dev/null
+++ b/src/test/java/pumicekeel/rig/scale/ConfigurationGeneratorTest.java
@@ -0,0 +1,74 @@
+package pumicekeel.rig.scale;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorReader;
+import pumicekeel.rig.scale.ConfigurationGenerator.Change;
+import pumicekeel.rig.scale.ConfigurationGenerator.Size;
+
+/** Generated files are good ones, of the size that was asked for, and the same for the same seed. */
+class ConfigurationGeneratorTest {
+
+  private static final Size SMALL = new Size(11, 340, 190, 60);
+
+  private static Operator read(String text) {
+    OperatorReader.Result result = OperatorReader.read(text);
+    assertEquals(List.of(), result.faults());
+    return result.operator();
+  }
+
+  @Test
+  void textIsGoodAndOfItsSize() {
+    Operator operator = read(new ConfigurationGenerator(SMALL, 7).text());
+    assertEquals(11, operator.pools().size());
+    assertEquals(340, operator.routes().size());
+    assertEquals(
+        190,
+        operator.pools().values().stream()
+            .mapToInt(p -> p.overrides().tenants().size())
+            .sum());
+    assertEquals(
+        60,
+        operator.sources().values().stream()
+            .mapToInt(s -> s instanceof Operator.Fixed f ? f.hosts().size() : 0)
+            .sum());
+  }
+
+  @Test
+  void seedDecidesTheTextAndDiscoveriesMayStandInForLists() {
+    String text = new ConfigurationGenerator(SMALL, 7).text();
+    assertEquals(text, new ConfigurationGenerator(SMALL, 7).text());
+    assertNotEquals(text, new ConfigurationGenerator(SMALL, 8).text());
+    Operator watched = read(new ConfigurationGenerator(SMALL, 7)
+        .withDiscoveries(p -> "127.0.0.1:" + (2_000 + p))
+        .text());
+    assertTrue(watched.sources().get("service-003") instanceof Operator.Watched);
+  }
+
+  @Test
+  void changeTouchesOneLineOfAFileThatStaysGood() {
+    ConfigurationGenerator generator = new ConfigurationGenerator(SMALL, 7);
+    List<String> before = generator.text().lines().toList();
+    for (Change change : generator.changes(100)) {
+      String text = generator.text(List.of(change));
+      read(text);
+      List<String> after = text.lines().toList();
+      assertEquals(before.size(), after.size());
+      int differ = 0;
+      for (int i = 0; i < after.size(); i++) {
+        differ += before.get(i).equals(after.get(i)) ? 0 : 1;
+      }
+      assertEquals(1, differ, change.toString());
+    }
+    assertEquals(
+        3,
+        Set.copyOf(generator.changes(300).stream().map(Object::getClass).toList())
+            .size());
+  }
+}
