--- /dev/null
+++ b/src/main/java/pumicekeel/config/KeyLines.java
@@ -0,0 +1,314 @@
+package pumicekeel.config;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * The lines of all keys and array elements of a TOML text. It only looks for where things begin and takes the text to be
+ * good: where it is not, it stops, and what stands behind has no line of its own. Keys in quotes are taken as written,
+ * so one with escapes has its table's line.
+ */
+final class KeyLines {
+
+  /** A key that comes a second time: its path, its line and that of the first one. */
+  record Repeated(String path, int line, int firstLine) {}
+
+  /** A value, with what it holds where it is a table or an array. */
+  private static final class Entry {
+    private final int line;
+    private final int depth;
+    private final Map<String, Entry> keys = new HashMap<>(2);
+    private final List<Entry> elements = new ArrayList<>(0);
+    /** By a header or a value of its own, not only as a part of another key. */
+    private boolean defined;
+
+    private Entry(int line, int depth) {
+      this.line = line;
+      this.depth = depth;
+    }
+  }
+
+  private static final char END = '\0';
+
+  private final String text;
+  private final Entry root = new Entry(1, 0);
+  private int at;
+  private int line = 1;
+  private boolean broken;
+  private int deepLine;
+  private Repeated repeated;
+
+  private KeyLines(String text) {
+    this.text = text;
+  }
+
+  /** Reads a whole text. */
+  static KeyLines of(String text) {
+    KeyLines lines = new KeyLines(text);
+    lines.document();
+    return lines;
+  }
+
+  /** The line of what stands at a path, or of the nearest thing around it that is there. */
+  int lineOf(KeyPath path) {
+    for (KeyPath p = path; p != null; p = p.parent()) {
+      Entry entry = find(p);
+      if (entry != null) {
+        return entry.line;
+      }
+    }
+    return root.line;
+  }
+
+  /** The first line on which something is nested too deep; 1 where nothing is. */
+  int deepLine() {
+    return Math.max(1, deepLine);
+  }
+
+  /** The first key that comes a second time; null for none. */
+  Repeated repeated() {
+    return repeated;
+  }
+
+  private Entry find(KeyPath path) {
+    if (path.parent() == null) {
+      return root;
+    }
+    Entry outer = find(path.parent());
+    if (outer == null) {
+      return null;
+    }
+    if (path.key() != null) {
+      return outer.keys.get(path.key());
+    }
+    return path.index() < outer.elements.size() ? outer.elements.get(path.index()) : null;
+  }
+
+  // Statements
+
+  private void document() {
+    Entry table = root;
+    skipBlank();
+    while (!broken && at < text.length()) {
+      if (peek() == '[') {
+        table = header();
+      } else {
+        keyAndValue(table);
+      }
+      skipBlank();
+    }
+  }
+
+  private Entry header() {
+    int start = line;
+    advance();
+    boolean array = taken('[');
+    List<String> parts = keyParts();
+    broken |= !taken(']') || array && !taken(']');
+    Entry outer = outerOf(root, parts);
+    Entry entry = child(outer, parts.get(parts.size() - 1), start);
+    if (array) {
+      return element(entry, start);
+    }
+    define(entry, parts, start);
+    return entry;
+  }
+
+  private void keyAndValue(Entry table) {
+    int start = line;
+    List<String> parts = keyParts();
+    broken |= !taken('=');
+    if (broken) {
+      return;
+    }
+    Entry entry = child(outerOf(table, parts), parts.get(parts.size() - 1), start);
+    define(entry, parts, start);
+    value(entry);
+  }
+
+  private void define(Entry entry, List<String> parts, int start) {
+    if (entry.defined && repeated == null) {
+      repeated = new Repeated(String.join(".", parts), start, entry.line);
+    }
+    entry.defined = true;
+  }
+
+  /** The table that a dotted key's last part is in: of an array of tables the last one. */
+  private Entry outerOf(Entry table, List<String> parts) {
+    Entry outer = table;
+    for (String part : parts.subList(0, parts.size() - 1)) {
+      outer = child(outer, part, line);
+      if (!outer.elements.isEmpty()) {
+        outer = outer.elements.get(outer.elements.size() - 1);
+      }
+    }
+    return outer;
+  }
+
+  private Entry child(Entry table, String key, int start) {
+    return table.keys.computeIfAbsent(key, k -> entry(start, table.depth + 1));
+  }
+
+  private Entry element(Entry array, int start) {
+    Entry entry = entry(start, array.depth + 1);
+    array.elements.add(entry);
+    return entry;
+  }
+
+  private Entry entry(int start, int depth) {
+    if (depth > TomlDocument.MOST_NESTING && deepLine == 0) {
+      deepLine = start;
+      // Far enough: nothing that is nested deeper is ever asked for, and the stack is bounded.
+      broken = true;
+    }
+    return new Entry(start, depth);
+  }
+
+  private List<String> keyParts() {
+    List<String> parts = new ArrayList<>();
+    do {
+      skipSpaces();
+      parts.add(keyPart());
+      skipSpaces();
+    } while (!broken && taken('.'));
+    return parts;
+  }
+
+  private String keyPart() {
+    int start = at;
+    if (peek() == '"' || peek() == '\'') {
+      skipText();
+      return at - start < 2 ? "" : text.substring(start + 1, at - 1);
+    }
+    while (isBare(peek())) {
+      at++;
+    }
+    broken |= at == start;
+    return text.substring(start, at);
+  }
+
+  private static boolean isBare(char c) {
+    return c >= 'a' && c <= 'z'
+        || c >= 'A' && c <= 'Z'
+        || c >= '0' && c <= '9'
+        || c == '-'
+        || c == '_';
+  }
+
+  // Values
+
+  private void value(Entry entry) {
+    skipSpaces();
+    switch (peek()) {
+      case '"', '\'' -> skipText();
+      case '[' -> array(entry);
+      case '{' -> inlineTable(entry);
+      default -> skipScalar();
+    }
+  }
+
+  private void array(Entry array) {
+    advance();
+    skipBlank();
+    while (!broken && !taken(']')) {
+      value(element(array, line));
+      skipBlank();
+      broken |= !taken(',') && peek() != ']';
+      skipBlank();
+    }
+  }
+
+  private void inlineTable(Entry table) {
+    advance();
+    skipBlank();
+    while (!broken && !taken('}')) {
+      keyAndValue(table);
+      skipBlank();
+      broken |= !taken(',') && peek() != '}';
+      skipBlank();
+    }
+  }
+
+  private void skipScalar() {
+    while (at < text.length() && ",]}#\n".indexOf(peek()) < 0) {
+      at++;
+    }
+  }
+
+  /** A text of any of the four kinds, with its quotes. */
+  private void skipText() {
+    char quote = peek();
+    boolean multiLine = text.startsWith(String.valueOf(quote).repeat(3), at);
+    int quotes = multiLine ? 3 : 1;
+    at += quotes;
+    while (at < text.length() && !closes(quote, quotes)) {
+      if (peek() == '\\' && quote == '"') {
+        advance();
+      }
+      if (!multiLine && peek() == '\n') {
+        broken = true;
+        return;
+      }
+      advance();
+    }
+    at = Math.min(text.length(), at + quotes);
+    while (multiLine && peek() == quote) {
+      // Up to two quotes may stand in front of the three that close the text.
+      at++;
+    }
+  }
+
+  private boolean closes(char quote, int quotes) {
+    for (int i = 0; i < quotes; i++) {
+      if (at + i >= text.length() || text.charAt(at + i) != quote) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  // Characters
+
+  private char peek() {
+    return at < text.length() ? text.charAt(at) : END;
+  }
+
+  private boolean taken(char c) {
+    if (at < text.length() && text.charAt(at) == c) {
+      at++;
+      return true;
+    }
+    return false;
+  }
+
+  private void advance() {
+    if (peek() == '\n') {
+      line++;
+    }
+    at = Math.min(text.length(), at + 1);
+  }
+
+  private void skipSpaces() {
+    while (peek() == ' ' || peek() == '\t') {
+      at++;
+    }
+  }
+
+  /** Spaces, ends of lines and comments. */
+  private void skipBlank() {
+    while (at < text.length()) {
+      char c = peek();
+      if (c == '#') {
+        while (at < text.length() && peek() != '\n') {
+          at++;
+        }
+      } else if (c == ' ' || c == '\t' || c == '\r' || c == '\n') {
+        advance();
+      } else {
+        return;
+      }
+    }
+  }
+}
--- a/src/main/java/pumicekeel/config/RpcReader.java
+++ b/src/main/java/pumicekeel/config/RpcReader.java
@@ -122,7 +122,7 @@
     if (!s.has(key)) {
       return null;
     }
-    if (s.is(key, org.tomlj.TomlTable.class)) {
+    if (s.is(key, Map.class)) {
       Section at = s.table(key);
       Pointer pointer = pointer(at, at.needed("pointer", "a JSON Pointer into the params"));
       Boolean optional = at.bool("optional");
@@ -202,8 +202,7 @@
     if (known.isEmpty()) {
       s.fault("protocol", "expected at least one method for it, as [[methods]]");
     }
-    Section r =
-        own == null ? new Section(org.tomlj.Toml.parse(""), "json-rpc", s.line(), faults) : own;
+    Section r = s.tableOrEmpty("json-rpc");
     Framing framing = r.word("framing", Framing.NAMES);
     BatchMode batch = r.word("batch-answers", BatchMode.NAMES);
     CallSettings settings = new CallSettings(
--- a/src/main/java/pumicekeel/config/Section.java
+++ b/src/main/java/pumicekeel/config/Section.java
@@ -1,16 +1,12 @@
 package pumicekeel.config;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.tomlj.Toml;
-import org.tomlj.TomlArray;
-import org.tomlj.TomlParseResult;
-import org.tomlj.TomlPosition;
-import org.tomlj.TomlTable;
 
 /**
  * A table of a TOML file with checked access to its keys. Every fault is noted and reading goes on with the default, so
@@ -18,93 +14,44 @@
  */
 public final class Section {
 
-  private final TomlTable table;
-  private final String path;
-  private final int line;
+  private final TomlDocument document;
+  private final Map<String, ?> table;
+  private final KeyPath path;
   private final List<Fault> faults;
   private final Set<String> known = new TreeSet<>();
 
-  Section(TomlTable table, String path, int line, List<Fault> faults) {
+  private Section(TomlDocument document, Map<String, ?> table, KeyPath path, List<Fault> faults) {
+    this.document = document;
     this.table = table;
     this.path = path;
-    this.line = line;
     this.faults = faults;
   }
 
   /** The root of a file's text; null, with the faults noted, where it is no TOML. */
   public static Section parse(String text, List<Fault> faults) {
-    TomlParseResult toml;
-    try {
-      toml = Toml.parse(text);
-    } catch (RuntimeException | AssertionError | StackOverflowError e) {
-      // The library breaks on some escapes that TOML does not know, and on deep nesting, instead of
-      // telling.
-      String why = e instanceof StackOverflowError
-          ? "less nesting"
-          : "text that can be read, check its escapes";
-      faults.add(new Fault(lineThatBreaks(text), "TOML", "expected TOML 1.0: " + why));
-      return null;
-    }
-    toml.errors()
-        .forEach(e -> faults.add(new Fault(
-            e.position() == null ? 1 : e.position().line(),
-            "TOML",
-            "expected TOML 1.0: " + e.getMessage())));
-    return faults.isEmpty() ? new Section(toml, "", 1, faults) : null;
-  }
-
-  /** The first line behind which the library breaks: it does not say. */
-  private static int lineThatBreaks(String text) {
-    String[] lines = text.split("\n", -1);
-    int good = 0;
-    int bad = lines.length;
-    while (bad - good > 1) {
-      int middle = (good + bad) / 2;
-      if (breaks(String.join("\n", List.of(lines).subList(0, middle)) + "\n")) {
-        bad = middle;
-      } else {
-        good = middle;
-      }
-    }
-    return bad;
-  }
-
-  private static boolean breaks(String text) {
-    try {
-      Toml.parse(text);
-      return false;
-    } catch (RuntimeException | AssertionError | StackOverflowError e) {
-      return true;
-    }
+    TomlDocument document = TomlDocument.parse(text, faults);
+    return document == null ? null : new Section(document, document.root(), KeyPath.ROOT, faults);
   }
 
   /** The keys that the table has. */
   public Set<String> keys() {
     known.addAll(table.keySet());
-    return table.keySet();
+    return Collections.unmodifiableSet(table.keySet());
   }
 
+  /** Where the table itself stands. */
   int line() {
-    return line;
-  }
-
-  /** Where a key stands; the table's own line where it is absent. */
-  int lineOf(String key) {
-    TomlPosition at = table.contains(List.of(key)) ? table.inputPositionOf(List.of(key)) : null;
-    return at == null ? line : at.line();
+    return document.lineOf(path);
   }
 
   public void fault(String key, String expected) {
-    faults.add(new Fault(lineOf(key), name(key), expected));
-  }
-
-  private String name(String key) {
-    return path.isEmpty() ? key : path + "." + key;
+    KeyPath at = path.key(key);
+    faults.add(new Fault(document.lineOf(at), at.toString(), expected));
   }
 
   private Object value(String key) {
     known.add(key);
-    return table.get(List.of(key));
+    return table.get(key);
   }
 
   /** Whether a key holds a value of this kind. */
@@ -119,9 +66,9 @@
   private static String shown(Object value) {
     String text = value instanceof String
         ? "\"" + value + "\""
-        : value instanceof TomlTable
+        : value instanceof Map
             ? "a table"
-            : value instanceof TomlArray ? "an array" : String.valueOf(value);
+            : value instanceof List ? "an array" : String.valueOf(value);
     return text.length() > 80 ? text.substring(0, 80) + "..." : text;
   }
 
@@ -207,7 +154,7 @@
     List<String> out = new ArrayList<>();
     if (value instanceof String one) {
       out.add(one);
-    } else if (value instanceof TomlArray array && !array.isEmpty()) {
+    } else if (value instanceof List<?> array && !array.isEmpty()) {
       for (int i = 0; i < array.size(); i++) {
         if (array.get(i) instanceof String text) {
           out.add(text);
@@ -224,7 +171,7 @@
   /** An array of numbers; empty where there is none. */
   public List<Double> numbers(String key) {
     List<Double> out = new ArrayList<>();
-    if (!(value(key) instanceof TomlArray array)) {
+    if (!(value(key) instanceof List<?> array)) {
       mismatch(key, "an array of numbers", value(key));
       return out;
     }
@@ -245,7 +192,7 @@
       return null;
     }
     List<Integer> out = new ArrayList<>();
-    if (!(value instanceof TomlArray array)) {
+    if (!(value instanceof List<?> array)) {
       mismatch(key, "an array of whole numbers", value);
       return out;
     }
@@ -259,11 +206,23 @@
     return out;
   }
 
+  /** Every key of a document's tables is a text. */
+  @SuppressWarnings("unchecked")
+  private static Map<String, ?> tableOf(Map<?, ?> table) {
+    return (Map<String, ?>) table;
+  }
+
+  /** A table; an empty one where it is absent. */
+  Section tableOrEmpty(String key) {
+    Section inner = table(key);
+    return inner == null ? new Section(document, Map.of(), path.key(key), faults) : inner;
+  }
+
   /** A table; null where it is absent. */
   public Section table(String key) {
     Object value = value(key);
-    if (value instanceof TomlTable inner) {
-      return new Section(inner, name(key), lineOf(key), faults);
+    if (value instanceof Map<?, ?> inner) {
+      return new Section(document, tableOf(inner), path.key(key), faults);
     }
     if (value != null) {
       mismatch(key, "a table", value);
@@ -305,11 +264,10 @@
   public List<Section> tables(String key) {
     List<Section> out = new ArrayList<>();
     Object value = value(key);
-    if (value instanceof TomlArray array) {
+    if (value instanceof List<?> array) {
       for (int i = 0; i < array.size(); i++) {
-        if (array.get(i) instanceof TomlTable inner) {
-          out.add(new Section(
-              inner, name(key) + "[" + i + "]", array.inputPositionOf(i).line(), faults));
+        if (array.get(i) instanceof Map<?, ?> inner) {
+          out.add(new Section(document, tableOf(inner), path.key(key).element(i), faults));
         } else {
           mismatch(key, "tables", array.get(i));
         }
