--- /dev/null
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/package-info.java
@@ -0,0 +1,10 @@
+/**
+ * JSON-RPC connections to upstreams, many calls at a time on each, and the translation of HTTP
+ * requests to calls.
+ *
+ * <p>Threads: Event loop only.
+ *
+ * <p>May depend on: {@code upstream}, {@code jsonrpc}, {@code call}, {@code pool} and {@code
+ * runtime}.
+ */
+package pumicekeel.upstream.jsonrpc;
