--- a/src/main/java/pumicekeel/lab/world/WorldSpec.java
+++ b/src/main/java/pumicekeel/lab/world/WorldSpec.java
@@ -118,103 +118,49 @@
         next);
   }
 
-  /** One figure changed, by the name that an experiment sweeps; an IllegalArgumentException names what is expected. */
+  /**
+   * This world with one figure changed.
+   *
+   * @param key one of {@link #SWEPT}
+   * @throws IllegalArgumentException naming what is expected, for another key or a value out of range
+   */
   public WorldSpec with(String key, double value) {
     return switch (key) {
-      case "load" ->
-        new WorldSpec(
-            name,
-            balancers,
-            servers,
-            seconds,
-            value,
-            keysPerServer,
-            keySkew,
-            zones,
-            zoneNanos,
-            cellSize,
-            listNanos,
-            frontNanos,
-            retryPart,
-            followPart,
-            weighed,
-            troubles);
-      case "keys-per-server" ->
-        new WorldSpec(
-            name,
-            balancers,
-            servers,
-            seconds,
-            load,
-            value,
-            keySkew,
-            zones,
-            zoneNanos,
-            cellSize,
-            listNanos,
-            frontNanos,
-            retryPart,
-            followPart,
-            weighed,
-            troubles);
+      case "load" -> withSwept(value, keysPerServer, listNanos, retryPart, followPart);
+      case "keys-per-server" -> withSwept(load, value, listNanos, retryPart, followPart);
       case "list-late-s" ->
-        new WorldSpec(
-            name,
-            balancers,
-            servers,
-            seconds,
-            load,
-            keysPerServer,
-            keySkew,
-            zones,
-            zoneNanos,
-            cellSize,
-            (long) (value * 1e9),
-            frontNanos,
-            retryPart,
-            followPart,
-            weighed,
-            troubles);
-      case "retry-part" ->
-        new WorldSpec(
-            name,
-            balancers,
-            servers,
-            seconds,
-            load,
-            keysPerServer,
-            keySkew,
-            zones,
-            zoneNanos,
-            cellSize,
-            listNanos,
-            frontNanos,
-            value,
-            followPart,
-            weighed,
-            troubles);
-      case "follow-part" ->
-        new WorldSpec(
-            name,
-            balancers,
-            servers,
-            seconds,
-            load,
-            keysPerServer,
-            keySkew,
-            zones,
-            zoneNanos,
-            cellSize,
-            listNanos,
-            frontNanos,
-            retryPart,
-            value,
-            weighed,
-            troubles);
+        withSwept(load, keysPerServer, (long) (value * 1e9), retryPart, followPart);
+      case "retry-part" -> withSwept(load, keysPerServer, listNanos, value, followPart);
+      case "follow-part" -> withSwept(load, keysPerServer, listNanos, retryPart, value);
       default -> throw new IllegalArgumentException(key + ": expected one of " + SWEPT);
     };
   }
 
+  private WorldSpec withSwept(
+      double newLoad,
+      double newKeysPerServer,
+      long newListNanos,
+      double newRetryPart,
+      double newFollowPart) {
+    return new WorldSpec(
+        name,
+        balancers,
+        servers,
+        seconds,
+        newLoad,
+        newKeysPerServer,
+        keySkew,
+        zones,
+        zoneNanos,
+        cellSize,
+        newListNanos,
+        frontNanos,
+        newRetryPart,
+        newFollowPart,
+        weighed,
+        troubles);
+  }
+
   /** What can be swept. */
   public static final List<String> SWEPT =
       List.of("load", "keys-per-server", "list-late-s", "retry-part", "follow-part");
--- a/src/main/java/pumicekeel/route/PathIndex.java
+++ b/src/main/java/pumicekeel/route/PathIndex.java
@@ -146,10 +146,14 @@
       }
     }
     switch (route.path().kind()) {
-      case ANY, PREFIX ->
-        (node.prefix = node.prefix == null ? new Bucket() : node.prefix).add(route);
-      case EXACT, TEMPLATE ->
-        (node.whole = node.whole == null ? new Bucket() : node.whole).add(route);
+      case ANY, PREFIX -> {
+        node.prefix = node.prefix == null ? new Bucket() : node.prefix;
+        node.prefix.add(route);
+      }
+      case EXACT, TEMPLATE -> {
+        node.whole = node.whole == null ? new Bucket() : node.whole;
+        node.whole.add(route);
+      }
     }
   }
 
