--- a/src/main/java/pumicekeel/demo/Demo.java
+++ b/src/main/java/pumicekeel/demo/Demo.java
@@ -14,10 +14,10 @@
 import pumicekeel.config.Operator;
 import pumicekeel.config.OperatorReader;
 import pumicekeel.discovery.HostList;
-import pumicekeel.load.Account.End;
-import pumicekeel.load.HttpAsk;
+import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.load.Load;
-import pumicekeel.load.Shape;
+import pumicekeel.load.LoadProfile;
+import pumicekeel.load.LoadResults.Outcome;
 import pumicekeel.node.Node;
 import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInDiscovery;
@@ -140,16 +140,16 @@
       Load quoting = new Load(
               address,
               clients,
-              new HttpAsk("quote.example.org", "quote-issue", true, "demo", 2_000),
-              Shape.steady(CLIENTS, PER_SECOND),
+              new HttpRequestTemplate("quote.example.org", "quote-issue", true, "demo", 2_000),
+              LoadProfile.openLoop(CLIENTS, PER_SECOND),
               "q",
               1)
           .start();
       Load rating = new Load(
               address,
               clients,
-              new HttpAsk("rates.example.org", "rate-lookup", false, "demo", 1_500),
-              Shape.steady(CLIENTS, PER_SECOND),
+              new HttpRequestTemplate("rates.example.org", "rate-lookup", false, "demo", 1_500),
+              LoadProfile.openLoop(CLIENTS, PER_SECOND),
               "r",
               2)
           .start();
@@ -212,13 +212,13 @@
               + " %3d failed%n",
           (System.nanoTime() - startedAt) / 1e9,
           quoting.asked(),
-          quoting.count(End.SERVED),
-          quoting.count(End.REFUSED),
-          quoting.count(End.FAILED),
+          quoting.count(Outcome.SERVED),
+          quoting.count(Outcome.REFUSED),
+          quoting.count(Outcome.FAILED),
           rating.asked(),
-          rating.count(End.SERVED),
-          rating.count(End.REFUSED),
-          rating.count(End.FAILED));
+          rating.count(Outcome.SERVED),
+          rating.count(Outcome.REFUSED),
+          rating.count(Outcome.FAILED));
     }
     step.run();
   }
@@ -239,14 +239,14 @@
         "%-20s %8d %7d %7d %7d  %8.1f %7.1f  %8d%n",
         name,
         c.asked(),
-        c.count(End.SERVED),
-        c.count(End.REFUSED),
-        c.count(End.FAILED),
-        c.account().latency().getValueAtPercentile(50) / 1e3,
-        c.account().latency().getValueAtPercentile(99) / 1e3,
+        c.count(Outcome.SERVED),
+        c.count(Outcome.REFUSED),
+        c.count(Outcome.FAILED),
+        c.results().latency().getValueAtPercentile(50) / 1e3,
+        c.results().latency().getValueAtPercentile(99) / 1e3,
         seen(name.split(" ")[1])));
     Verdict verdict = Verdict.ofUpstreams(upstreams, groups);
-    rows.forEach((name, c) -> verdict.noneLost(name, c.account()));
+    rows.forEach((name, c) -> verdict.noneLost(name, c.results()));
     verdict.noneTwice();
     verdict.drainKept(
         "shared", "quote-issue", quotes.toldAt("shared", "terminating"), GRACE_MILLIS);
--- a/src/main/java/pumicekeel/demo/RpcDemo.java
+++ b/src/main/java/pumicekeel/demo/RpcDemo.java
@@ -13,10 +13,10 @@
 import pumicekeel.config.OperatorReader;
 import pumicekeel.discovery.HostList;
 import pumicekeel.jsonrpc.Framing;
-import pumicekeel.load.Account.End;
 import pumicekeel.load.Load;
-import pumicekeel.load.RpcAsk;
-import pumicekeel.load.Shape;
+import pumicekeel.load.LoadProfile;
+import pumicekeel.load.LoadResults.Outcome;
+import pumicekeel.load.RpcRequestTemplate;
 import pumicekeel.node.Node;
 import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInDiscovery;
@@ -147,8 +147,8 @@
     return new Load(
             at,
             clientLoops,
-            new RpcAsk(method, "demo", deadline),
-            new Shape(Math.max(1, count), Double.POSITIVE_INFINITY, depth, batch, leaves),
+            new RpcRequestTemplate(method, "demo", deadline),
+            new LoadProfile(Math.max(1, count), Double.POSITIVE_INFINITY, depth, batch, leaves),
             prefix,
             seed,
             true)
@@ -192,7 +192,11 @@
       StringBuilder line = new StringBuilder();
       all.forEach((name, c) -> line.append(String.format(
           "  %s %d asked %d served %d refused %d failed",
-          name, c.asked(), c.count(End.SERVED), c.count(End.REFUSED), c.count(End.FAILED))));
+          name,
+          c.asked(),
+          c.count(Outcome.SERVED),
+          c.count(Outcome.REFUSED),
+          c.count(Outcome.FAILED))));
       say(line.toString().strip());
     }
   }
@@ -208,16 +212,16 @@
         "%-20s %8d %7d %7d %7d %7d  %8.1f %7.1f%n",
         name,
         c.asked(),
-        c.count(End.SERVED),
-        c.count(End.REFUSED),
-        c.count(End.FAILED),
-        c.account().left(),
-        c.account().latency().getValueAtPercentile(50) / 1e3,
-        c.account().latency().getValueAtPercentile(99) / 1e3));
+        c.count(Outcome.SERVED),
+        c.count(Outcome.REFUSED),
+        c.count(Outcome.FAILED),
+        c.results().abandoned(),
+        c.results().latency().getValueAtPercentile(50) / 1e3,
+        c.results().latency().getValueAtPercentile(99) / 1e3));
     Verdict verdict = Verdict.ofServers(servers, CELLS, call -> nameIn(call));
-    all.forEach((name, c) -> verdict.noneLost(name, c.account()));
-    all.values().forEach(c -> verdict.servedWasSeen(c.account(), Verdict.Ran::name));
-    verdict.refusedNeverRan(all.get("quotes, singly").account());
+    all.forEach((name, c) -> verdict.noneLost(name, c.results()));
+    all.values().forEach(c -> verdict.servedWasSeen(c.results(), Verdict.Ran::name));
+    verdict.refusedNeverRan(all.get("quotes, singly").results());
     verdict.noneTwice();
     verdict.drainKept("s3", "quote.issue", discovery.toldAt("s3", "terminating"), GRACE_MILLIS);
     verdict.drainKept("s3", "rate.lookup", discovery.toldAt("s3", "terminating"), GRACE_MILLIS);
--- a/src/main/java/pumicekeel/demo/Verdict.java
+++ b/src/main/java/pumicekeel/demo/Verdict.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import pumicekeel.load.Account;
+import pumicekeel.load.LoadResults;
 import pumicekeel.standin.StandInRpcServer;
 import pumicekeel.standin.StandInUpstream;
 
@@ -78,16 +78,16 @@
   }
 
   /** Rule 1: each request or call got exactly one final answer in time, and the right one. */
-  public void noneLost(String what, Account account) {
-    noneLost(what, List.of(account));
+  public void noneLost(String what, LoadResults results) {
+    noneLost(what, List.of(results));
   }
 
   /** Rule 1 for clients of many balancers together. */
-  public void noneLost(String what, List<Account> all) {
-    long asked = all.stream().mapToLong(Account::asked).sum();
-    long left = all.stream().mapToLong(Account::left).sum();
-    long wrong = all.stream().mapToLong(Account::wrong).sum();
-    long unended = all.stream().mapToLong(Account::unended).sum();
+  public void noneLost(String what, List<LoadResults> all) {
+    long asked = all.stream().mapToLong(LoadResults::asked).sum();
+    long left = all.stream().mapToLong(LoadResults::abandoned).sum();
+    long wrong = all.stream().mapToLong(LoadResults::wrong).sum();
+    long unended = all.stream().mapToLong(LoadResults::unended).sum();
     List<String> faults =
         all.stream().flatMap(c -> c.faults().stream()).limit(5).toList();
     rule(
@@ -101,7 +101,7 @@
   }
 
   /** Each call that its client holds for served was seen by a server. */
-  public void servedWasSeen(Account clients, Function<Ran, String> name) {
+  public void servedWasSeen(LoadResults clients, Function<Ran, String> name) {
     Set<String> seen = new HashSet<>();
     upstreams.values().forEach(u -> u.get().forEach(r -> seen.add(name.apply(r))));
     long never = clients.served().stream().filter(n -> !seen.contains(n)).count();
@@ -112,7 +112,7 @@
   }
 
   /** A keyed call that its client was told to be refused, where only servers of one cell drop repeats, never ran. */
-  public void refusedNeverRan(Account clients) {
+  public void refusedNeverRan(LoadResults clients) {
     Set<String> ran = new HashSet<>();
     upstreams.values().forEach(u -> u.get().forEach(r -> ran.add(r.key())));
     long untrue = clients.refused().stream().filter(ran::contains).count();
--- a/src/main/java/pumicekeel/load/HttpAsk.java
+++ b/src/main/java/pumicekeel/load/HttpRequestTemplate.java
@@ -11,24 +11,29 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.SplittableRandom;
-import pumicekeel.load.Account.End;
+import pumicekeel.load.LoadResults.Outcome;
 
-/** A request of the platform's protocol: a class, whether it has a key, how long its client waits. */
-public record HttpAsk(
+/**
+ * HTTP requests of one class, as the platform's clients send them.
+ *
+ * @param keyed whether each is a POST with an idempotency key of its own; else a GET
+ * @param deadlineMillis how long the client waits, told to the balancer
+ */
+public record HttpRequestTemplate(
     String host, String className, boolean keyed, String tenant, long deadlineMillis)
-    implements Ask {
+    implements RequestTemplate {
 
-  private static final int MOST_BODY = 1 << 20;
+  private static final int MAX_BODY = 1 << 20;
   private static final int PATHS = 1_000;
   private static final int SESSIONS = 500;
 
   @Override
-  public Speech on(SplittableRandom random) {
+  public ClientSession openSession(SplittableRandom random) {
     return new Connection(random);
   }
 
-  /** One at a time; the body of an answer is its request's id. */
-  private final class Connection implements Speech {
+  /** One request at a time; the body of an answer is its request's id. */
+  private final class Connection implements ClientSession {
     private final SplittableRandom random;
     private long number;
     private String waiting;
@@ -44,13 +49,13 @@
         protected void initChannel(Channel channel) {
           channel
               .pipeline()
-              .addFirst(new HttpResponseDecoder(), new HttpObjectAggregator(MOST_BODY));
+              .addFirst(new HttpResponseDecoder(), new HttpObjectAggregator(MAX_BODY));
         }
       };
     }
 
     @Override
-    public ByteBuf ask(long first, List<String> names) {
+    public ByteBuf encode(long first, List<String> names) {
       number = first;
       waiting = names.get(0);
       String body = keyed ? "order " + waiting : "";
@@ -68,20 +73,22 @@
     }
 
     @Override
-    public List<Told> read(Object message) {
+    public List<Reply> decode(Object message) {
       FullHttpResponse answer = (FullHttpResponse) message;
       int status = answer.status().code();
       if (waiting == null) {
-        return List.of(new Told(-1, End.WRONG, "answer " + status));
+        return List.of(new Reply(-1, Outcome.WRONG, "answer " + status));
       }
       String body = answer.content().toString(StandardCharsets.UTF_8);
       boolean own = body.equals(waiting);
       waiting = null;
-      End how = status == 200
-          ? own ? End.SERVED : End.WRONG
-          : status == 429 || status == 503 ? End.REFUSED : status == 502 ? End.FAILED : End.WRONG;
+      Outcome how = status == 200
+          ? own ? Outcome.SERVED : Outcome.WRONG
+          : status == 429 || status == 503
+              ? Outcome.REFUSED
+              : status == 502 ? Outcome.FAILED : Outcome.WRONG;
       return List.of(
-          new Told(number, how, "answer " + status + (status == 200 ? ", body " + body : "")));
+          new Reply(number, how, "answer " + status + (status == 200 ? ", body " + body : "")));
     }
 
     @Override
--- a/src/main/java/pumicekeel/load/Load.java
+++ b/src/main/java/pumicekeel/load/Load.java
@@ -17,111 +17,119 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import pumicekeel.load.Account.End;
+import pumicekeel.load.LoadResults.Outcome;
 
 /**
- * Load on real sockets, in any of the protocols, by rate or as fast as answers come. What is asked has a time at which it is due, and its
- * latency counts from then: a balancer that keeps a client waiting is charged for what that client could not ask meanwhile (no coordinated
- * omission; Tene 2013).
+ * A load generator on real sockets for any of the protocols, with an open or a closed loop. Each request has a time at which it is due,
+ * and its latency counts from then: a balancer that keeps a client waiting is charged for the requests that the client could not send
+ * meanwhile (no coordinated omission; Tene 2013). Methods may be called from any thread; each connection belongs to its event loop.
  */
 public final class Load {
 
-  /** On top of a client's own patience, for a machine that is busy. */
+  /** Added to a client's own deadline before its request counts as late or lost, for a machine that is busy. */
   private static final long GRACE_MILLIS = 250;
 
-  private static final long AGAIN_MILLIS = 20;
-  /** Behind by so much at most: a client that was kept longer does not ask all that it missed at once. */
-  private static final long MOST_BEHIND_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long RECONNECT_DELAY_MILLIS = 20;
+  /** A connection's schedule lags by this at most: a client that waited longer does not send all that it missed at once. */
+  private static final long MAX_LAG_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final InetSocketAddress balancer;
   private final EventLoopGroup group;
-  private final Ask ask;
-  private final Shape shape;
+  private final RequestTemplate template;
+  private final LoadProfile profile;
   private final String prefix;
-  private final Account account;
+  private final LoadResults results;
   private final AtomicLong names = new AtomicLong();
-  private final List<One> all = new ArrayList<>();
+  private final List<Connection> all = new ArrayList<>();
   private volatile boolean stopped;
 
-  /** {@code prefix} makes names theirs; names of what was served and refused are kept where that is wanted. */
+  /**
+   * A load that is not started yet.
+   *
+   * @param prefix begins the names of its requests, which makes them unique among several loads
+   * @param keepsNames whether the names of served and refused requests are kept in the results
+   */
   public Load(
       InetSocketAddress balancer,
       EventLoopGroup group,
-      Ask ask,
-      Shape shape,
+      RequestTemplate template,
+      LoadProfile profile,
       String prefix,
       long seed,
       boolean keepsNames) {
     this.balancer = balancer;
     this.group = group;
-    this.ask = ask;
-    this.shape = shape;
+    this.template = template;
+    this.profile = profile;
     this.prefix = prefix;
-    account = new Account(keepsNames);
+    results = new LoadResults(keepsNames);
     SplittableRandom random = new SplittableRandom(seed);
-    for (int i = 0; i < shape.connections(); i++) {
-      all.add(new One(random.split()));
+    for (int i = 0; i < profile.connections(); i++) {
+      all.add(new Connection(random.split()));
     }
   }
 
-  /** One whose names nobody wants. */
+  /** A load that keeps no names. */
   public Load(
       InetSocketAddress balancer,
       EventLoopGroup group,
-      Ask ask,
-      Shape shape,
+      RequestTemplate template,
+      LoadProfile profile,
       String prefix,
       long seed) {
-    this(balancer, group, ask, shape, prefix, seed, false);
+    this(balancer, group, template, profile, prefix, seed, false);
   }
 
-  public Account account() {
-    return account;
+  /** The results so far, which go on changing until the load has stopped. */
+  public LoadResults results() {
+    return results;
   }
 
-  /** As the account has them by now. */
-  public long count(End end) {
-    return account.count(end);
+  /** Requests that ended in this way so far. */
+  public long count(Outcome outcome) {
+    return results.count(outcome);
   }
 
-  /** As the account has them by now. */
+  /** Requests sent so far. */
   public long asked() {
-    return account.asked();
+    return results.asked();
   }
 
+  /** Opens all connections; each sends as soon as it is up, and reconnects when it breaks. */
   public Load start() {
-    all.forEach(One::connect);
+    all.forEach(Connection::connect);
     return this;
   }
 
-  /** Asks nothing more; waits until what is open has ended, for the longest patience at most. */
-  public Account stop() throws InterruptedException {
+  /** Sends nothing more and waits until all open requests have ended, for a deadline and its grace at most. */
+  public LoadResults stop() throws InterruptedException {
     stopped = true;
-    long end =
-        System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ask.deadlineMillis() + 3 * GRACE_MILLIS);
-    while (account.unended() > 0 && System.nanoTime() - end < 0) {
+    long end = System.nanoTime()
+        + TimeUnit.MILLISECONDS.toNanos(template.deadlineMillis() + 3 * GRACE_MILLIS);
+    while (results.unended() > 0 && System.nanoTime() - end < 0) {
       TimeUnit.MILLISECONDS.sleep(5);
     }
-    all.forEach(One::close);
-    return account;
+    all.forEach(Connection::close);
+    return results;
   }
 
+  /** A request that is open; times are readings of {@link System#nanoTime}. */
   private record Sent(String name, long dueAt, long atNanos) {}
 
-  /** One connection, and those that come after it. Only on its loop. */
-  private final class One extends SimpleChannelInboundHandler<Object> {
+  /** One client: its connection, and those that replace it when it breaks. Only on its event loop. */
+  private final class Connection extends SimpleChannelInboundHandler<Object> {
     private final SplittableRandom own;
     private final Map<Long, Sent> open = new LinkedHashMap<>();
     private volatile Channel channel;
-    private Speech speech;
+    private ClientSession session;
     private Future<?> next;
     private long dueAt;
     private long lastNumber;
-    private boolean leaving;
+    private boolean abandoning;
 
-    private One(SplittableRandom own) {
+    private Connection(SplittableRandom own) {
       this.own = own;
-      dueAt = System.nanoTime() + own.nextLong(Math.max(1, shape.gapNanos()));
+      dueAt = System.nanoTime() + own.nextLong(Math.max(1, profile.gapNanos()));
     }
 
     @Override
@@ -137,14 +145,14 @@
           .handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel c) {
-              speech = ask.on(own);
-              c.pipeline().addLast(speech.codec(), One.this);
+              session = template.openSession(own);
+              c.pipeline().addLast(session.codec(), Connection.this);
             }
           })
           .connect(balancer)
           .addListener(done -> {
             if (!done.isSuccess() && !stopped) {
-              group.next().schedule(this::connect, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+              group.next().schedule(this::connect, RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             }
           });
     }
@@ -153,32 +161,35 @@
     public void channelActive(ChannelHandlerContext ctx) {
       channel = ctx.channel();
       lastNumber = 0;
-      leaving = false;
-      go(ctx);
+      abandoning = false;
+      sendDue(ctx);
       ctx.executor().schedule(() -> lookForLost(ctx), GRACE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Asks what is due, as far as there is room, and comes back for the next. */
-    private void go(ChannelHandlerContext ctx) {
+    /** Sends the requests that are due, as far as there is room, and schedules the next. */
+    private void sendDue(ChannelHandlerContext ctx) {
       if (next != null) {
         next.cancel(false);
         next = null;
       }
       long now = System.nanoTime();
       while (mayAsk(ctx) && dueAt - now <= 0) {
-        if (shape.leaves() > 0 && !open.isEmpty() && own.nextInt(1_000) < shape.leaves()) {
-          leave(ctx);
+        if (profile.abandonsPerThousand() > 0
+            && !open.isEmpty()
+            && own.nextInt(1_000) < profile.abandonsPerThousand()) {
+          abandon(ctx);
           return;
         }
-        ask(ctx, shape.gapNanos() == 0 ? now : dueAt);
-        dueAt = shape.gapNanos() == 0
+        ask(ctx, profile.gapNanos() == 0 ? now : dueAt);
+        dueAt = profile.gapNanos() == 0
             ? now
-            : Math.max(dueAt + shape.gapNanos(), now - MOST_BEHIND_NANOS);
+            : Math.max(dueAt + profile.gapNanos(), now - MAX_LAG_NANOS);
       }
       ctx.flush();
       if (mayAsk(ctx)) {
         next = ctx.executor()
-            .schedule(() -> go(ctx), Math.max(0, dueAt - System.nanoTime()), TimeUnit.NANOSECONDS);
+            .schedule(
+                () -> sendDue(ctx), Math.max(0, dueAt - System.nanoTime()), TimeUnit.NANOSECONDS);
       }
     }
 
@@ -186,12 +197,12 @@
       return !stopped
           && ctx.channel().isActive()
           && ctx.channel() == channel
-          && open.size() + shape.batch() <= shape.depth();
+          && open.size() + profile.batch() <= profile.depth();
     }
 
-    private void leave(ChannelHandlerContext ctx) {
+    private void abandon(ChannelHandlerContext ctx) {
       ctx.channel().config().setOption(ChannelOption.SO_LINGER, own.nextBoolean() ? 0 : -1);
-      leaving = true;
+      abandoning = true;
       ctx.close();
     }
 
@@ -199,66 +210,66 @@
       List<String> asked = new ArrayList<>();
       long now = System.nanoTime();
       long first = lastNumber + 1;
-      for (int i = 0; i < shape.batch(); i++) {
+      for (int i = 0; i < profile.batch(); i++) {
         String name = prefix + "-" + names.incrementAndGet();
         asked.add(name);
         open.put(++lastNumber, new Sent(name, due, now));
       }
-      account.asked(shape.batch());
-      ctx.write(speech.ask(first, asked));
+      results.asked(profile.batch());
+      ctx.write(session.encode(first, asked));
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Object message) {
-      speech.read(message).forEach(this::told);
+      session.decode(message).forEach(this::replied);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
       if (ctx.channel() == channel) {
-        go(ctx);
+        sendDue(ctx);
       }
     }
 
-    private void told(Speech.Told told) {
-      Sent sent = open.remove(told.number());
+    private void replied(ClientSession.Reply reply) {
+      Sent sent = open.remove(reply.number());
       if (sent == null) {
-        account.unasked(told.what());
+        results.unsolicited(reply.what());
         return;
       }
       long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sent.atNanos());
-      boolean late = millis > ask.deadlineMillis() + GRACE_MILLIS;
-      account.ended(
-          late ? End.LATE : told.how(),
+      boolean late = millis > template.deadlineMillis() + GRACE_MILLIS;
+      results.ended(
+          late ? Outcome.LATE : reply.how(),
           sent.name(),
           sent.dueAt(),
-          late ? "after " + millis + " ms" : told.what());
+          late ? "after " + millis + " ms" : reply.what());
     }
 
     private void lookForLost(ChannelHandlerContext ctx) {
-      long latest =
-          System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ask.deadlineMillis() + GRACE_MILLIS);
+      long latest = System.nanoTime()
+          - TimeUnit.MILLISECONDS.toNanos(template.deadlineMillis() + GRACE_MILLIS);
       List<Long> lost = open.entrySet().stream()
           .filter(e -> e.getValue().atNanos() - latest < 0)
           .map(Map.Entry::getKey)
           .toList();
       lost.forEach(number -> lost(open.remove(number), "no answer in time"));
-      if (!lost.isEmpty() && speech.inOrder()) {
+      if (!lost.isEmpty() && session.inOrder()) {
         ctx.close();
       } else if (ctx.channel().isActive()) {
-        go(ctx);
+        sendDue(ctx);
         ctx.executor().schedule(() -> lookForLost(ctx), GRACE_MILLIS, TimeUnit.MILLISECONDS);
       }
     }
 
     private void lost(Sent sent, String how) {
-      account.ended(End.LOST, sent.name(), sent.dueAt(), how);
+      results.ended(Outcome.LOST, sent.name(), sent.dueAt(), how);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      if (leaving) {
-        account.left(open.size());
+      if (abandoning) {
+        results.abandoned(open.size());
       } else {
         open.values().forEach(s -> lost(s, "the connection ended"));
       }
--- a/src/main/java/pumicekeel/load/RpcAsk.java
+++ b/src/main/java/pumicekeel/load/RpcRequestTemplate.java
@@ -17,24 +17,27 @@
 import pumicekeel.jsonrpc.Message;
 import pumicekeel.jsonrpc.MessageReader;
 import pumicekeel.jsonrpc.Writer;
-import pumicekeel.load.Account.End;
+import pumicekeel.load.LoadResults.Outcome;
 
 /**
- * A JSON-RPC call. The params carry a name of the call's own, which a server's echo has to bring back: an answer that is another call's is
- * seen.
+ * JSON-RPC calls of one method. Each call's params carry its unique name, which a server echoes: an answer that belongs to another call
+ * is detected.
+ *
+ * @param deadlineMillis how long the client waits, told to the balancer
  */
-public record RpcAsk(String method, String tenant, long deadlineMillis) implements Ask {
+public record RpcRequestTemplate(String method, String tenant, long deadlineMillis)
+    implements RequestTemplate {
 
   private static final Limits LIMITS = new Limits(4 << 20, Limits.MOST_DEPTH, 1_000);
   private static final int SESSIONS = 500;
 
   @Override
-  public Speech on(SplittableRandom random) {
+  public ClientSession openSession(SplittableRandom random) {
     return new Connection(random);
   }
 
-  /** Many at a time, answered in any order, singly or in batches. */
-  private final class Connection implements Speech {
+  /** Many calls at a time, answered in any order, singly or in batches. */
+  private final class Connection implements ClientSession {
     private final SplittableRandom random;
     private final MessageReader reader = new MessageReader(LIMITS);
     private final Map<Id, Long> numbers = new HashMap<>();
@@ -50,7 +53,7 @@
     }
 
     @Override
-    public ByteBuf ask(long first, List<String> asked) {
+    public ByteBuf encode(long first, List<String> asked) {
       List<byte[]> calls = new ArrayList<>();
       for (String name : asked) {
         long number = first + calls.size();
@@ -65,34 +68,34 @@
     }
 
     @Override
-    public List<Told> read(Object message) {
+    public List<Reply> decode(Object message) {
       Message read = message instanceof Frame.Whole whole ? reader.read(whole.bytes()) : null;
       if (read instanceof Message.One one) {
-        return List.of(told(one.entry()));
+        return List.of(reply(one.entry()));
       }
       return read instanceof Message.Batch batch
-          ? batch.entries().stream().map(this::told).toList()
-          : List.of(new Told(-1, End.WRONG, "no message"));
+          ? batch.entries().stream().map(this::reply).toList()
+          : List.of(new Reply(-1, Outcome.WRONG, "no message"));
     }
 
-    private Told told(Message.Entry entry) {
+    private Reply reply(Message.Entry entry) {
       Long number = entry instanceof Message.Reply reply ? numbers.remove(reply.id()) : null;
       if (number == null) {
-        return new Told(-1, End.WRONG, entry.toString());
+        return new Reply(-1, Outcome.WRONG, entry.toString());
       }
       String name = names.remove(number);
       Message.Reply reply = (Message.Reply) entry;
       if (reply.result() != null) {
         boolean own =
             new String(reply.result(), StandardCharsets.UTF_8).contains("\"" + name + "\"");
-        return new Told(number, own ? End.SERVED : End.WRONG, "another's result");
+        return new Reply(number, own ? Outcome.SERVED : Outcome.WRONG, "another's result");
       }
       int code = reply.code();
-      return new Told(
+      return new Reply(
           number,
           code == Codes.FAILED
-              ? End.FAILED
-              : code <= Codes.REFUSED && code >= Codes.NO_ROOM ? End.REFUSED : End.WRONG,
+              ? Outcome.FAILED
+              : code <= Codes.REFUSED && code >= Codes.NO_ROOM ? Outcome.REFUSED : Outcome.WRONG,
           new String(reply.error(), StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/pumicekeel/measure/Measure.java
+++ b/src/main/java/pumicekeel/measure/Measure.java
@@ -19,12 +19,12 @@
 import pumicekeel.config.Configuration;
 import pumicekeel.config.OperatorReader;
 import pumicekeel.discovery.HostList;
-import pumicekeel.load.Account;
-import pumicekeel.load.Account.End;
-import pumicekeel.load.Ask;
-import pumicekeel.load.HttpAsk;
+import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.load.Load;
-import pumicekeel.load.Shape;
+import pumicekeel.load.LoadProfile;
+import pumicekeel.load.LoadResults;
+import pumicekeel.load.LoadResults.Outcome;
+import pumicekeel.load.RequestTemplate;
 import pumicekeel.node.Node;
 import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInUpstream;
@@ -64,24 +64,27 @@
       throws InterruptedException {
     return load(
         address,
-        new HttpAsk(host, "rate-lookup", false, "t", 3_000),
-        perSecond == CLOSED ? Shape.busy(connections, 1) : Shape.steady(connections, perSecond),
+        new HttpRequestTemplate(host, "rate-lookup", false, "t", 3_000),
+        perSecond == CLOSED
+            ? LoadProfile.closedLoop(connections, 1)
+            : LoadProfile.openLoop(connections, perSecond),
         prefix,
         TimeUnit.SECONDS.toMillis(seconds));
   }
 
-  private Rate load(InetSocketAddress address, Ask ask, Shape shape, String prefix, long millis)
+  private Rate load(
+      InetSocketAddress address, RequestTemplate ask, LoadProfile shape, String prefix, long millis)
       throws InterruptedException {
     Load load = new Load(address, clients, ask, shape, prefix, 1).start();
     long start = System.nanoTime();
     TimeUnit.MILLISECONDS.sleep(millis);
     double taken = (System.nanoTime() - start) / 1e9;
-    long served = load.count(End.SERVED);
-    Account account = load.stop();
+    long served = load.count(Outcome.SERVED);
+    LoadResults results = load.stop();
     return new Rate(
         served / taken,
-        account.latency().getValueAtPercentile(99) / 1e3,
-        account.asked() - account.left() - account.count(End.SERVED));
+        results.latency().getValueAtPercentile(99) / 1e3,
+        results.asked() - results.abandoned() - results.count(Outcome.SERVED));
   }
 
   static String median(List<Double> values) {
@@ -239,8 +242,8 @@
     Load load = new Load(
             at,
             clients,
-            new HttpAsk("a", "rate-lookup", false, "t", 3_000),
-            Shape.steady(60, perSecond),
+            new HttpRequestTemplate("a", "rate-lookup", false, "t", 3_000),
+            LoadProfile.openLoop(60, perSecond),
             "a" + System.nanoTime(),
             3)
         .start();
@@ -308,8 +311,8 @@
         for (int p = 0; p < Math.max(1, pools); p++) {
           load(
               at,
-              new HttpAsk("h" + p, "rate-lookup", false, "t", 3_000),
-              Shape.steady(2, 200),
+              new HttpRequestTemplate("h" + p, "rate-lookup", false, "t", 3_000),
+              LoadProfile.openLoop(2, 200),
               "p" + i + "-" + p,
               100);
         }
@@ -417,8 +420,8 @@
   private Rate keyed(InetSocketAddress address, String prefix) throws InterruptedException {
     return load(
         address,
-        new HttpAsk("h", "quote-issue", true, "t", 3_000),
-        Shape.busy(CONNECTIONS, 1),
+        new HttpRequestTemplate("h", "quote-issue", true, "t", 3_000),
+        LoadProfile.closedLoop(CONNECTIONS, 1),
         prefix,
         TimeUnit.SECONDS.toMillis(seconds));
   }
--- a/src/main/java/pumicekeel/measure/RpcMeasure.java
+++ b/src/main/java/pumicekeel/measure/RpcMeasure.java
@@ -19,13 +19,13 @@
 import pumicekeel.jsonrpc.Framing;
 import pumicekeel.jsonrpc.Limits;
 import pumicekeel.jsonrpc.Writer;
-import pumicekeel.load.Account;
-import pumicekeel.load.Account.End;
-import pumicekeel.load.Ask;
-import pumicekeel.load.HttpAsk;
+import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.load.Load;
-import pumicekeel.load.RpcAsk;
-import pumicekeel.load.Shape;
+import pumicekeel.load.LoadProfile;
+import pumicekeel.load.LoadResults;
+import pumicekeel.load.LoadResults.Outcome;
+import pumicekeel.load.RequestTemplate;
+import pumicekeel.load.RpcRequestTemplate;
 import pumicekeel.node.Node;
 import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInRpcServer;
@@ -195,28 +195,31 @@
 
   private Rate calls(InetSocketAddress at, int depth, List<Long> loop, String prefix)
       throws InterruptedException {
-    return load(at, new RpcAsk("rate.lookup", "t", 3_000), depth, loop, prefix);
+    return load(at, new RpcRequestTemplate("rate.lookup", "t", 3_000), depth, loop, prefix);
   }
 
   private Rate requests(InetSocketAddress at, List<Long> loop, String prefix)
       throws InterruptedException {
-    return load(at, new HttpAsk("h", "rate-lookup", false, "t", 3_000), 1, loop, prefix);
+    return load(
+        at, new HttpRequestTemplate("h", "rate-lookup", false, "t", 3_000), 1, loop, prefix);
   }
 
-  private Rate load(InetSocketAddress at, Ask ask, int depth, List<Long> loop, String prefix)
+  private Rate load(
+      InetSocketAddress at, RequestTemplate ask, int depth, List<Long> loop, String prefix)
       throws InterruptedException {
     long bytes = allocated(loop);
-    Load load = new Load(at, clients, ask, Shape.busy(CONNECTIONS, depth), prefix, 1).start();
+    Load load =
+        new Load(at, clients, ask, LoadProfile.closedLoop(CONNECTIONS, depth), prefix, 1).start();
     long start = System.nanoTime();
     TimeUnit.SECONDS.sleep(seconds);
     double taken = (System.nanoTime() - start) / 1e9;
-    long served = load.count(End.SERVED);
+    long served = load.count(Outcome.SERVED);
     double garbage = (allocated(loop) - bytes) / (double) Math.max(1, served);
-    Account account = load.stop();
+    LoadResults results = load.stop();
     return new Rate(
         served / taken,
-        account.latency().getValueAtPercentile(99) / 1e3,
-        account.asked() - account.left() - account.count(End.SERVED),
+        results.latency().getValueAtPercentile(99) / 1e3,
+        results.asked() - results.abandoned() - results.count(Outcome.SERVED),
         garbage);
   }
 }
--- a/src/main/java/pumicekeel/measure/Torture.java
+++ b/src/main/java/pumicekeel/measure/Torture.java
@@ -22,10 +22,10 @@
 import java.util.concurrent.TimeUnit;
 import pumicekeel.journal.History;
 import pumicekeel.journal.Story;
-import pumicekeel.load.Account.End;
-import pumicekeel.load.HttpAsk;
+import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.load.Load;
-import pumicekeel.load.Shape;
+import pumicekeel.load.LoadProfile;
+import pumicekeel.load.LoadResults.Outcome;
 import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
@@ -132,14 +132,14 @@
       load = new Load(
               address,
               group,
-              new HttpAsk("h", "quote-issue", true, "t", 3_000),
-              Shape.steady(CLIENTS, PER_SECOND),
+              new HttpRequestTemplate("h", "quote-issue", true, "t", 3_000),
+              LoadProfile.openLoop(CLIENTS, PER_SECOND),
               "k" + kill,
               kill,
               true)
           .start();
       long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-      while (load.count(End.SERVED) < 20 && System.nanoTime() - end < 0) {
+      while (load.count(Outcome.SERVED) < 20 && System.nanoTime() - end < 0) {
         TimeUnit.MILLISECONDS.sleep(2);
       }
       TimeUnit.MICROSECONDS.sleep(random.nextInt(LONGEST_MILLIS * 1_000));
--- a/src/main/java/pumicekeel/rig/FleetRig.java
+++ b/src/main/java/pumicekeel/rig/FleetRig.java
@@ -21,10 +21,10 @@
 import pumicekeel.fleet.Daemon;
 import pumicekeel.fleet.Limits;
 import pumicekeel.fleet.Settings;
-import pumicekeel.load.Account.End;
-import pumicekeel.load.HttpAsk;
+import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.load.Load;
-import pumicekeel.load.Shape;
+import pumicekeel.load.LoadProfile;
+import pumicekeel.load.LoadResults.Outcome;
 import pumicekeel.standin.StandInDiscovery;
 import pumicekeel.standin.StandInUpstream;
 
@@ -152,16 +152,16 @@
       lookups.add(new Load(
               at,
               clientLoops,
-              new HttpAsk("h", "rate-lookup", false, "demo", 1_500),
-              Shape.steady(4, perSecond / instances),
+              new HttpRequestTemplate("h", "rate-lookup", false, "demo", 1_500),
+              LoadProfile.openLoop(4, perSecond / instances),
               "r" + i,
               i)
           .start());
       quotes.add(new Load(
               at,
               clientLoops,
-              new HttpAsk("h", "quote-issue", true, "demo", 2_000),
-              Shape.steady(4, perSecond / instances),
+              new HttpRequestTemplate("h", "quote-issue", true, "demo", 2_000),
+              LoadProfile.openLoop(4, perSecond / instances),
               "q" + i,
               i)
           .start());
@@ -204,12 +204,12 @@
     long end = System.nanoTime() + (long) (forSeconds * 1e9);
     while (System.nanoTime() - end < 0) {
       TimeUnit.NANOSECONDS.sleep(Math.min(1_000_000_000L, Math.max(1, end - System.nanoTime())));
-      say(sum(all, End.SERVED) + " served, " + sum(all, End.REFUSED) + " refused, "
-          + sum(all, End.FAILED) + " failed");
+      say(sum(all, Outcome.SERVED) + " served, " + sum(all, Outcome.REFUSED) + " refused, "
+          + sum(all, Outcome.FAILED) + " failed");
     }
   }
 
-  private static long sum(List<Load> all, End end) {
+  private static long sum(List<Load> all, Outcome end) {
     return all.stream().mapToLong(c -> c.count(end)).sum();
   }
 
@@ -219,8 +219,8 @@
 
   private boolean report(List<Load> lookups, List<Load> quotes, long coldAt) {
     Verdict verdict = Verdict.ofUpstreams(upstreams, cells);
-    verdict.noneLost("lookups", lookups.stream().map(Load::account).toList());
-    verdict.noneLost("quotes", quotes.stream().map(Load::account).toList());
+    verdict.noneLost("lookups", lookups.stream().map(Load::results).toList());
+    verdict.noneLost("quotes", quotes.stream().map(Load::results).toList());
     verdict.noneTwice();
     verdict.drainKept("s1", "rate-lookup", discovery.toldAt("s1", "terminating"), GRACE_MILLIS);
     verdict.drainKept("s1", "quote-issue", discovery.toldAt("s1", "terminating"), GRACE_MILLIS);
--- a/src/main/java/pumicekeel/rig/FleetThroughput.java
+++ b/src/main/java/pumicekeel/rig/FleetThroughput.java
@@ -15,10 +15,10 @@
 import pumicekeel.fleet.Daemon;
 import pumicekeel.fleet.Limits;
 import pumicekeel.fleet.Settings;
-import pumicekeel.load.Account.End;
-import pumicekeel.load.HttpAsk;
+import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.load.Load;
-import pumicekeel.load.Shape;
+import pumicekeel.load.LoadProfile;
+import pumicekeel.load.LoadResults.Outcome;
 import pumicekeel.standin.StandInDiscovery;
 import pumicekeel.standin.StandInUpstream;
 
@@ -116,8 +116,8 @@
         all.add(new Load(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i),
                 clientLoops,
-                new HttpAsk("h", "rate-lookup", false, "demo", 1_500),
-                Shape.busy(CLIENTS, 1),
+                new HttpRequestTemplate("h", "rate-lookup", false, "demo", 1_500),
+                LoadProfile.closedLoop(CLIENTS, 1),
                 "t" + i,
                 i)
             .start());
@@ -138,6 +138,6 @@
   }
 
   private static long served(List<Load> all) {
-    return all.stream().mapToLong(c -> c.count(End.SERVED)).sum();
+    return all.stream().mapToLong(c -> c.count(Outcome.SERVED)).sum();
   }
 }
--- a/src/test/java/pumicekeel/mesh/MeshTest.java
+++ b/src/test/java/pumicekeel/mesh/MeshTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.Test;
 import pumicekeel.demo.Verdict;
-import pumicekeel.load.Account.End;
-import pumicekeel.load.HttpAsk;
+import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.load.Load;
-import pumicekeel.load.Shape;
+import pumicekeel.load.LoadProfile;
+import pumicekeel.load.LoadResults.Outcome;
 
 /** Several processes of the program with faults between them; what the upstreams saw is the truth. */
 class MeshTest {
@@ -49,8 +49,8 @@
     return new Load(
             mesh.members().get(member).address(),
             CLIENTS,
-            new HttpAsk("h", className, keyed, "demo", 2_000),
-            Shape.steady(2, 40),
+            new HttpRequestTemplate("h", className, keyed, "demo", 2_000),
+            LoadProfile.openLoop(2, 40),
             className + member,
             member)
         .start();
@@ -65,17 +65,18 @@
         all.add(load(mesh, i, "rate-lookup", false));
         all.add(load(mesh, i, "quote-issue", true));
       }
-      until(() -> all.stream().allMatch(l -> l.count(End.SERVED) > 20), "served before the cut");
+      until(
+          () -> all.stream().allMatch(l -> l.count(Outcome.SERVED) > 20), "served before the cut");
       mesh.link(0, "s0").faults(Fault.NONE, Fault.CUT);
       mesh.link(1, "s0").faults(Fault.CUT, Fault.NONE);
-      long[] before = all.stream().mapToLong(l -> l.count(End.SERVED)).toArray();
+      long[] before = all.stream().mapToLong(l -> l.count(Outcome.SERVED)).toArray();
       until(() -> grew(all, before, 60), "served past the cut");
       mesh.heal();
       for (Load l : all) {
         l.stop();
       }
       Verdict verdict = mesh.verdict();
-      verdict.noneLost("requests", all.stream().map(Load::account).toList());
+      verdict.noneLost("requests", all.stream().map(Load::results).toList());
       verdict.noneTwice();
       assertTrue(verdict.good(), verdict.lines().toString());
     }
@@ -83,7 +84,7 @@
 
   private static boolean grew(List<Load> all, long[] before, long by) {
     for (int i = 0; i < before.length; i++) {
-      if (all.get(i).count(End.SERVED) < before[i] + by) {
+      if (all.get(i).count(Outcome.SERVED) < before[i] + by) {
         return false;
       }
     }
@@ -99,7 +100,7 @@
         all.add(load(mesh, i, "rate-lookup", false));
       }
       until(
-          () -> all.stream().allMatch(l -> l.count(End.SERVED) > 20)
+          () -> all.stream().allMatch(l -> l.count(Outcome.SERVED) > 20)
               && mesh.upstreams().get("s1").seen().size() > 3,
           "served before the drain");
       mesh.members().get(2).signal("STOP");
@@ -107,8 +108,8 @@
       Thread.sleep(3_500);
       long woken = System.nanoTime();
       mesh.members().get(2).signal("CONT");
-      long served = all.get(2).count(End.SERVED);
-      until(() -> all.get(2).count(End.SERVED) > served + 60, "served after it woke");
+      long served = all.get(2).count(Outcome.SERVED);
+      until(() -> all.get(2).count(Outcome.SERVED) > served + 60, "served after it woke");
       for (Load l : all) {
         l.stop();
       }
@@ -119,7 +120,7 @@
           .count();
       assertEquals(0, late, "sent to an upstream that left, half a second after the process woke");
       Verdict verdict = mesh.verdict();
-      verdict.noneLost("requests", all.subList(0, 2).stream().map(Load::account).toList());
+      verdict.noneLost("requests", all.subList(0, 2).stream().map(Load::results).toList());
       assertTrue(verdict.good(), verdict.lines().toString());
     }
   }
--- a/src/test/java/pumicekeel/node/GenerationsTest.java
+++ b/src/test/java/pumicekeel/node/GenerationsTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pumicekeel.load.Account.End;
-import pumicekeel.load.HttpAsk;
+import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.load.Load;
+import pumicekeel.load.LoadResults.Outcome;
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
 
@@ -60,17 +60,18 @@
 
   private static void noneLost(Load clients, boolean pastRoutes) throws InterruptedException {
     clients.stop();
-    assertEquals(0, clients.account().unended());
+    assertEquals(0, clients.results().unended());
     assertEquals(
         0,
-        clients.count(End.LOST) + clients.count(End.LATE),
-        clients.account().faults().toString());
+        clients.count(Outcome.LOST) + clients.count(Outcome.LATE),
+        clients.results().faults().toString());
     // 404 counts as wrong: what a removed pool's clients are told from then on, and nobody else.
     assertTrue(
-        pastRoutes || clients.count(End.WRONG) == 0, clients.account().faults().toString());
+        pastRoutes || clients.count(Outcome.WRONG) == 0,
+        clients.results().faults().toString());
     assertTrue(
-        clients.account().faults().stream().allMatch(f -> f.contains("answer 404")),
-        clients.account().faults().toString());
+        clients.results().faults().stream().allMatch(f -> f.contains("answer 404")),
+        clients.results().faults().toString());
   }
 
   /** A pool is altered and then removed while requests run in it and in another one. */
@@ -78,19 +79,25 @@
   void openRequestsEndUnderTheGenerationThatTookThem() throws Exception {
     start();
     var quotes = t.clients(
-        new HttpAsk("quote.example.org", "quote-issue", true, "acme", 5_000), "q", 8, 200);
+        new HttpRequestTemplate("quote.example.org", "quote-issue", true, "acme", 5_000),
+        "q",
+        8,
+        200);
     var rates = t.clients(
-        new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 8, 200);
-    TestNode.until(() -> quotes.count(End.SERVED) > 50 && rates.count(End.SERVED) > 50);
+        new HttpRequestTemplate("rates.example.org", "rate-lookup", false, "acme", 5_000),
+        "r",
+        8,
+        200);
+    TestNode.until(() -> quotes.count(Outcome.SERVED) > 50 && rates.count(Outcome.SERVED) > 50);
     t.upstreams.get("q0").delayMicros(400_000);
     t.upstreams.get("q1").delayMicros(400_000);
     TestNode.until(() -> t.upstreams.get("q0").open() + t.upstreams.get("q1").open() >= 4);
     t.reload(file("limits = { max-attempts = 2 }", ""));
     assertEquals(1, retired(), "the altered pool's requests run on in the one that took them");
-    long then = quotes.count(End.SERVED);
-    TestNode.until(() -> quotes.count(End.SERVED) > then + 8);
+    long then = quotes.count(Outcome.SERVED);
+    TestNode.until(() -> quotes.count(Outcome.SERVED) > then + 8);
     t.reload(file(null, ""));
-    TestNode.until(() -> quotes.count(End.WRONG) > 0);
+    TestNode.until(() -> quotes.count(Outcome.WRONG) > 0);
     TestNode.until(() -> retired() == 0);
     TestNode.until(() -> t.upstreams.get("q0").open() + t.upstreams.get("q1").open() == 0);
     noneLost(quotes, true);
@@ -114,9 +121,15 @@
   void reloadsInARowUnderLoadLoseNothing() throws Exception {
     start();
     var quotes = t.clients(
-        new HttpAsk("quote.example.org", "quote-issue", true, "acme", 5_000), "q", 8, 300);
+        new HttpRequestTemplate("quote.example.org", "quote-issue", true, "acme", 5_000),
+        "q",
+        8,
+        300);
     var rates = t.clients(
-        new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 8, 300);
+        new HttpRequestTemplate("rates.example.org", "rate-lookup", false, "acme", 5_000),
+        "r",
+        8,
+        300);
     Path path = folder.resolve("operator.toml");
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
     int done = 0;
@@ -137,8 +150,8 @@
     noneLost(quotes, false);
     noneLost(rates, false);
     assertTrue(
-        quotes.count(End.SERVED) > 200 && rates.count(End.SERVED) > 200,
-        quotes.count(End.SERVED) + " " + rates.count(End.SERVED));
+        quotes.count(Outcome.SERVED) > 200 && rates.count(Outcome.SERVED) > 200,
+        quotes.count(Outcome.SERVED) + " " + rates.count(Outcome.SERVED));
     TestNode.until(() -> retired() == 0);
     assertEquals(0L, t.ask(() -> t.node.services().pool("quotes").open.used()));
     assertTrue(t.defects.isEmpty());
--- a/src/test/java/pumicekeel/node/IsolationTest.java
+++ b/src/test/java/pumicekeel/node/IsolationTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import pumicekeel.load.Account.End;
-import pumicekeel.load.HttpAsk;
+import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.load.Load;
+import pumicekeel.load.LoadResults.Outcome;
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
 
@@ -40,20 +40,20 @@
 
   private Load b() {
     return t.clients(
-        new HttpAsk("b.example.org", "rate-lookup", false, "acme", 5_000), "b", 4, 100);
+        new HttpRequestTemplate("b.example.org", "rate-lookup", false, "acme", 5_000), "b", 4, 100);
   }
 
   private static void bIsWell(Load b) throws InterruptedException {
-    long then = b.count(End.SERVED);
-    TestNode.until(() -> b.count(End.SERVED) >= then + 200);
+    long then = b.count(Outcome.SERVED);
+    TestNode.until(() -> b.count(Outcome.SERVED) >= then + 200);
     b.stop();
     assertEquals(
         b.asked(),
-        b.count(End.SERVED),
-        "all of b is served: " + b.account().faults() + " refused " + b.count(End.REFUSED));
+        b.count(Outcome.SERVED),
+        "all of b is served: " + b.results().faults() + " refused " + b.count(Outcome.REFUSED));
     assertTrue(
-        b.account().latency().getValueAtPercentile(99) < WANTED_MICROS,
-        "b's 99th percentile, microseconds: " + b.account().latency().getValueAtPercentile(99));
+        b.results().latency().getValueAtPercentile(99) < WANTED_MICROS,
+        "b's 99th percentile, microseconds: " + b.results().latency().getValueAtPercentile(99));
   }
 
   @ParameterizedTest
@@ -62,35 +62,41 @@
       names = {"HANG", "RESET", "SPOILT", "ERROR", "FULL"})
   void upstreamsOfAAreInTrouble(Mode trouble) throws Exception {
     start();
-    var a =
-        t.clients(new HttpAsk("a.example.org", "rate-lookup", false, "acme", 2_000), "a", 60, 300);
+    var a = t.clients(
+        new HttpRequestTemplate("a.example.org", "rate-lookup", false, "acme", 2_000),
+        "a",
+        60,
+        300);
     var b = b();
-    TestNode.until(() -> a.count(End.SERVED) > 100 && b.count(End.SERVED) > 50);
+    TestNode.until(() -> a.count(Outcome.SERVED) > 100 && b.count(Outcome.SERVED) > 50);
     t.upstreams.get("a0").mode(trouble);
     t.upstreams.get("a1").mode(trouble);
     bIsWell(b);
     a.stop();
     assertEquals(
         0,
-        a.account().unended() + a.count(End.LOST) + a.count(End.WRONG),
-        a.account().faults().toString());
+        a.results().unended() + a.count(Outcome.LOST) + a.count(Outcome.WRONG),
+        a.results().faults().toString());
   }
 
   @Test
   void upstreamsOfARefuseConnections() throws Exception {
     start();
-    var a =
-        t.clients(new HttpAsk("a.example.org", "rate-lookup", false, "acme", 2_000), "a", 60, 300);
+    var a = t.clients(
+        new HttpRequestTemplate("a.example.org", "rate-lookup", false, "acme", 2_000),
+        "a",
+        60,
+        300);
     var b = b();
-    TestNode.until(() -> a.count(End.SERVED) > 100 && b.count(End.SERVED) > 50);
+    TestNode.until(() -> a.count(Outcome.SERVED) > 100 && b.count(Outcome.SERVED) > 50);
     t.upstreams.get("a0").kill();
     t.upstreams.get("a1").kill();
     bIsWell(b);
     a.stop();
     assertEquals(
         0,
-        a.account().unended() + a.count(End.LOST) + a.count(End.WRONG),
-        a.account().faults().toString());
+        a.results().unended() + a.count(Outcome.LOST) + a.count(Outcome.WRONG),
+        a.results().faults().toString());
   }
 
   /** Ten times the load, by more connections than a may have requests open; its upstreams slow down as well. */
@@ -98,17 +104,20 @@
   void aIsFlooded() throws Exception {
     start();
     var b = b();
-    TestNode.until(() -> b.count(End.SERVED) > 50);
+    TestNode.until(() -> b.count(Outcome.SERVED) > 50);
     t.upstreams.get("a0").delayMicros(100_000);
     t.upstreams.get("a1").delayMicros(100_000);
     var a = t.clients(
-        new HttpAsk("a.example.org", "rate-lookup", false, "acme", 2_000), "a", 90, 3_000);
+        new HttpRequestTemplate("a.example.org", "rate-lookup", false, "acme", 2_000),
+        "a",
+        90,
+        3_000);
     bIsWell(b);
     a.stop();
     assertEquals(
         0,
-        a.account().unended() + a.count(End.LOST) + a.count(End.WRONG),
-        a.account().faults().toString());
+        a.results().unended() + a.count(Outcome.LOST) + a.count(Outcome.WRONG),
+        a.results().faults().toString());
   }
 
   /** More slow senders than the process has sockets, who come again when closed: b's clients still get in and served. */
--- a/src/test/java/pumicekeel/node/ServicesTest.java
+++ b/src/test/java/pumicekeel/node/ServicesTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pumicekeel.load.HttpAsk;
+import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.pool.RequestCounters.End;
 import pumicekeel.standin.StandInDiscovery;
 import pumicekeel.standin.StandInUpstream;
@@ -157,9 +157,15 @@
     t.start("[sources.rates]\nstatic = " + t.list("shared0") + "\n"
         + TWO_POOLS.formatted("").replace("source = \"quotes\"", ""));
     var quotes = t.clients(
-        new HttpAsk("quote.example.org", "quote-issue", true, "acme", 5_000), "q", 8, 200);
+        new HttpRequestTemplate("quote.example.org", "quote-issue", true, "acme", 5_000),
+        "q",
+        8,
+        200);
     var rates = t.clients(
-        new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 8, 200);
+        new HttpRequestTemplate("rates.example.org", "rate-lookup", false, "acme", 5_000),
+        "r",
+        8,
+        200);
     TestNode.until(() -> quotes.count(SERVED) > 100
         && rates.count(SERVED) > 100
         && shared.seen().stream().anyMatch(s -> s.className().equals("quote-issue")));
@@ -182,20 +188,22 @@
             .anyMatch(s -> s.className().equals("rate-lookup")
                 && s.atNanos() - told > TimeUnit.SECONDS.toNanos(2)),
         "rates goes on there");
-    assertEquals(0, quotes.account().unended() + rates.account().unended());
+    assertEquals(0, quotes.results().unended() + rates.results().unended());
     assertEquals(
         quotes.asked(),
         quotes.count(SERVED) + quotes.count(REFUSED),
-        quotes.account().faults().toString());
+        quotes.results().faults().toString());
     assertEquals(
         rates.asked(),
         rates.count(SERVED) + rates.count(REFUSED),
-        rates.account().faults().toString());
+        rates.results().faults().toString());
     assertTrue(other.seen().stream().anyMatch(s -> s.atNanos() - told > 0));
   }
 
-  private static final pumicekeel.load.Account.End SERVED = pumicekeel.load.Account.End.SERVED;
-  private static final pumicekeel.load.Account.End REFUSED = pumicekeel.load.Account.End.REFUSED;
+  private static final pumicekeel.load.LoadResults.Outcome SERVED =
+      pumicekeel.load.LoadResults.Outcome.SERVED;
+  private static final pumicekeel.load.LoadResults.Outcome REFUSED =
+      pumicekeel.load.LoadResults.Outcome.REFUSED;
 
   /** Two lists give one id to two machines: each pool goes to its own. */
   @Test
@@ -221,16 +229,22 @@
     String capped = "connections-per-upstream = 3\nsource = ";
     t.start(twoPools(t.list("shared"), t.list("shared"), "").replace("source = ", capped));
     var quotes = t.clients(
-        new HttpAsk("quote.example.org", "rate-lookup", false, "acme", 5_000), "q", 12, 300);
+        new HttpRequestTemplate("quote.example.org", "rate-lookup", false, "acme", 5_000),
+        "q",
+        12,
+        300);
     var rates = t.clients(
-        new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 12, 300);
+        new HttpRequestTemplate("rates.example.org", "rate-lookup", false, "acme", 5_000),
+        "r",
+        12,
+        300);
     TestNode.until(() -> shared.seen().size() > 200);
     quotes.stop();
     rates.stop();
     // An idle one that gave way may be seen to end only after its successor was accepted; without a
     // cap 18 are busy.
     assertTrue(shared.mostOpen() <= 6, "open at once: " + shared.mostOpen());
-    assertEquals(0, quotes.account().unended() + rates.account().unended());
+    assertEquals(0, quotes.results().unended() + rates.results().unended());
   }
 
   /**
@@ -249,9 +263,15 @@
     t.start("[sources.rates]\ndiscovery = \"" + TestServices.text(rateList.address()) + "\"\n"
         + TWO_POOLS.formatted("").replace("source = \"quotes\"", ""));
     var quotes = t.clients(
-        new HttpAsk("quote.example.org", "rate-lookup", false, "acme", 5_000), "q", 16, 400);
+        new HttpRequestTemplate("quote.example.org", "rate-lookup", false, "acme", 5_000),
+        "q",
+        16,
+        400);
     var rates = t.clients(
-        new HttpAsk("rates.example.org", "rate-lookup", false, "acme", 5_000), "r", 16, 400);
+        new HttpRequestTemplate("rates.example.org", "rate-lookup", false, "acme", 5_000),
+        "r",
+        16,
+        400);
     TestNode.until(() -> quotes.count(SERVED) > 800 && rates.count(SERVED) > 800);
     StandInUpstream cold = t.upstream("cold", 2_000);
     long startedAt = System.nanoTime();
--- a/src/test/java/pumicekeel/node/TestServices.java
+++ b/src/test/java/pumicekeel/node/TestServices.java
@@ -17,7 +17,7 @@
 import pumicekeel.config.OperatorReader;
 import pumicekeel.discovery.HostList;
 import pumicekeel.jsonrpc.Framing;
-import pumicekeel.load.HttpAsk;
+import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.load.Load;
 import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInDiscovery;
@@ -157,9 +157,14 @@
     return node.loop().submit(question).get(30, TimeUnit.SECONDS);
   }
 
-  Load clients(HttpAsk ask, String prefix, int count, double perSecond) {
+  Load clients(HttpRequestTemplate ask, String prefix, int count, double perSecond) {
     Load started = new Load(
-            address, clientLoops, ask, pumicekeel.load.Shape.steady(count, perSecond), prefix, 7)
+            address,
+            clientLoops,
+            ask,
+            pumicekeel.load.LoadProfile.openLoop(count, perSecond),
+            prefix,
+            7)
         .start();
     clients.add(started);
     return started;
