--- a/src/main/java/pumicekeel/call/Client.java
+++ b/src/main/java/pumicekeel/call/Client.java
@@ -14,8 +14,8 @@
   }
 
   /**
-   * Asked right before a request's first byte goes out: whether its client is there. One that has left is gone by the return,
-   * as if it had been seen to leave.
+   * Asked right before a request's first byte goes out: whether its client is surely there. One that has left is gone by the
+   * return, as if it had been seen to leave; one that has sent so much that its end can't be seen is not, and is owed an answer.
    */
   default boolean here() {
     return true;
--- a/src/main/java/pumicekeel/front/http/ClientHandler.java
+++ b/src/main/java/pumicekeel/front/http/ClientHandler.java
@@ -44,6 +44,8 @@
   private static final int MOST_DROPPED = 64 << 10;
 
   private static final long DROPS_EVERY_MILLIS = 10;
+  /** What is dropped at once, right before an attempt, to see whether the client has left behind it: some milliseconds of the loop. */
+  private static final int MOST_DROPPED_BEFORE_ATTEMPT = 1 << 20;
   /** One that has its last answer and still sends has so long to read it and go. */
   private static final long PARTING_MILLIS = 300;
 
@@ -408,7 +410,7 @@
       reject(413, "body over 32 MiB");
       return;
     }
-    if (part instanceof LastHttpContent && left()) {
+    if (part instanceof LastHttpContent && dropUnread(MOST_DROPPED) == Unread.END) {
       // Its last byte would have the upstream begin.
       return;
     }
@@ -528,21 +530,30 @@
   @Override
   public boolean here() {
     // While a body comes or an answer passes, what waits unread may be part of a message.
-    return phase != Phase.TAKEN || !left();
+    return phase != Phase.TAKEN || dropUnread(MOST_DROPPED_BEFORE_ATTEMPT) == Unread.NONE;
   }
 
-  /** Whether the client of the request that is taken has left, unseen so far; then the request is given up. */
-  private boolean left() {
-    int read = side.drop(ctx.channel(), MOST_DROPPED);
+  /** What stands in a client's socket behind the request that is taken. */
+  private enum Unread {
+    NONE,
+    /** More than was dropped; where it ends is not known. */
+    MORE,
+    /** The client has left: its request is given up. */
+    END
+  }
+
+  /** Drops what a client has sent behind its request, so many bytes at most, to see whether it has left since. */
+  private Unread dropUnread(int most) {
+    int read = side.drop(ctx.channel(), most);
     if (read > 0) {
       dropped(read);
     }
     if (read != Sockets.LEFT) {
-      return false;
+      return read < most ? Unread.NONE : Unread.MORE;
     }
     leave();
     ctx.close();
-    return true;
+    return Unread.END;
   }
 
   // Answers
--- a/src/test/java/pumicekeel/node/TestClient.java
+++ b/src/test/java/pumicekeel/node/TestClient.java
@@ -69,6 +69,17 @@
     }
   }
 
+  /** Ends the connection by a reset, whatever is on its way. */
+  void reset() throws IOException {
+    socket.setSoLinger(true, 0);
+    socket.close();
+  }
+
+  /** Sends no more, and goes on reading. */
+  void halfClose() throws IOException {
+    socket.shutdownOutput();
+  }
+
   @Override
   public void close() throws IOException {
     socket.close();
--- a/src/test/java/pumicekeel/node/TestNode.java
+++ b/src/test/java/pumicekeel/node/TestNode.java
@@ -10,6 +10,7 @@
 import pumicekeel.config.Configuration;
 import pumicekeel.discovery.HostList;
 import pumicekeel.runtime.Addresses;
+import pumicekeel.runtime.Reactor;
 
 /** A node in this process, with settings fit for tests. */
 final class TestNode {
@@ -24,8 +25,14 @@
   }
 
   TestNode(String configuration) throws Exception {
+    this(configuration, Reactor.start());
+  }
+
+  /** A node on a loop and a clock of the test's own. */
+  TestNode(String configuration, Reactor on) throws Exception {
     Fields f = Fields.parse("configuration", configuration);
     node = new Node(
+        on,
         new Configuration(
             "n0",
             Addresses.parse("listen", f.text("listen")),
@@ -38,7 +45,9 @@
             f.has("admin") ? Addresses.parse("admin", f.text("admin")) : null,
             false,
             java.util.Map.of()),
-        () -> {});
+        null,
+        () -> {},
+        true);
     address = node.start();
     until(() -> up() == 200);
   }
