--- /dev/null
+++ b/src/main/java/pumicekeel/delivery/FileConfigurationStore.java
@@ -0,0 +1,162 @@
+package pumicekeel.delivery;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.nio.channels.FileChannel;
+import java.nio.channels.FileLock;
+import java.nio.channels.OverlappingFileLockException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.nio.file.StandardOpenOption;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.function.Consumer;
+import java.util.stream.Stream;
+
+/**
+ * A directory with one file a version, held by one process at a time. A file is written under a temporary name, synced, renamed and the
+ * directory synced; a file that has its name is never written again. A damaged one is put aside at the next start and the version before
+ * it is used.
+ */
+public final class FileConfigurationStore implements ConfigurationStore, Closeable {
+
+  /** The version in force, and the one before it for the case that the newest file is damaged. */
+  private static final int KEPT_VERSIONS = 2;
+  /** Far above any configuration; a larger file is none. */
+  static final long MOST_BYTES = 64L << 20;
+
+  private static final String SUFFIX = ".configuration";
+  private static final String TEMPORARY_SUFFIX = ".partial";
+  private static final String DAMAGED_SUFFIX = ".damaged";
+
+  private final Path directory;
+  private final DurableWriter writer;
+  private final Consumer<String> log;
+  private final FileChannel lockFile;
+
+  /** Makes and locks the directory; an IOException says in words what is wrong with it. */
+  public FileConfigurationStore(Path directory, Consumer<String> log) throws IOException {
+    this(directory, DurableWriter.SYSTEM, log);
+  }
+
+  FileConfigurationStore(Path directory, DurableWriter writer, Consumer<String> log)
+      throws IOException {
+    this.directory = directory;
+    this.writer = writer;
+    this.log = log;
+    Files.createDirectories(directory);
+    lockFile = lock(directory);
+  }
+
+  private static FileChannel lock(Path directory) throws IOException {
+    FileChannel file = FileChannel.open(
+        directory.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    FileLock lock = null;
+    try {
+      lock = file.tryLock();
+    } catch (OverlappingFileLockException e) {
+      // Held within this process: told below as well.
+    }
+    if (lock == null) {
+      file.close();
+      throw new IOException(
+          "expected a directory of this process alone, another one holds " + directory);
+    }
+    return file;
+  }
+
+  @Override
+  public List<StoredConfiguration> load() throws IOException {
+    List<StoredConfiguration> whole = new ArrayList<>();
+    for (Path file : files()) {
+      String name = file.getFileName().toString();
+      if (name.endsWith(TEMPORARY_SUFFIX)) {
+        Files.delete(file);
+      } else if (name.endsWith(SUFFIX)) {
+        readInto(whole, file);
+      }
+    }
+    whole.sort(Comparator.comparing(
+        StoredConfiguration::version, (a, b) -> a.isNewerThan(b) ? -1 : b.isNewerThan(a) ? 1 : 0));
+    return whole;
+  }
+
+  private void readInto(List<StoredConfiguration> whole, Path file) throws IOException {
+    try {
+      if (Files.size(file) > MOST_BYTES) {
+        throw new IOException("it is larger than any configuration");
+      }
+      StoredConfiguration stored = StoredFormat.decode(Files.readAllBytes(file));
+      if (!file.equals(fileOf(stored.version()))) {
+        throw new IOException("it holds version " + stored.version());
+      }
+      whole.add(stored);
+    } catch (IOException | IllegalArgumentException e) {
+      Path aside = file.resolveSibling(file.getFileName() + DAMAGED_SUFFIX);
+      Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
+      log.accept("configuration store: " + file + " is damaged and put aside: " + e.getMessage());
+    }
+  }
+
+  @Override
+  public void save(StoredConfiguration configuration) throws IOException {
+    Path file = fileOf(configuration.version());
+    Path temporary = file.resolveSibling(file.getFileName() + TEMPORARY_SUFFIX);
+    try {
+      writer.write(temporary, StoredFormat.encode(configuration));
+      Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
+      syncDirectory();
+    } catch (IOException e) {
+      Files.deleteIfExists(temporary);
+      throw e;
+    }
+    deleteOld(configuration.version());
+  }
+
+  private Path fileOf(ConfigurationVersion version) {
+    return directory.resolve(version.epoch() + "-" + version.sequence() + SUFFIX);
+  }
+
+  private void syncDirectory() throws IOException {
+    try (FileChannel parent = FileChannel.open(directory, StandardOpenOption.READ)) {
+      parent.force(true);
+    }
+  }
+
+  /** What is in the way of nothing else: a failure costs room, not the version. */
+  private void deleteOld(ConfigurationVersion newest) {
+    try {
+      List<Path> old = new ArrayList<>();
+      for (Path file : files()) {
+        if (file.getFileName().toString().endsWith(SUFFIX) && !file.equals(fileOf(newest))) {
+          old.add(file);
+        }
+      }
+      old.sort(Comparator.comparing(FileConfigurationStore::numbers).reversed());
+      for (Path file : old.subList(Math.min(KEPT_VERSIONS - 1, old.size()), old.size())) {
+        Files.delete(file);
+      }
+    } catch (IOException e) {
+      log.accept("configuration store: an old version stays: " + e);
+    }
+  }
+
+  /** Epoch and sequence of a file's name, to be compared as texts. */
+  private static String numbers(Path file) {
+    String[] parts = file.getFileName().toString().replace(SUFFIX, "").split("-", 2);
+    return String.format("%20s-%20s", parts[0], parts[parts.length - 1]);
+  }
+
+  private List<Path> files() throws IOException {
+    try (Stream<Path> files = Files.list(directory)) {
+      return files.filter(Files::isRegularFile).toList();
+    }
+  }
+
+  @Override
+  public void close() throws IOException {
+    lockFile.close();
+  }
+}
--- /dev/null
+++ b/src/main/java/pumicekeel/delivery/StoredConfiguration.java
@@ -0,0 +1,8 @@
+package pumicekeel.delivery;
+
+/**
+ * A version with its whole text, as it is kept.
+ *
+ * @param takenAtMillis when it was kept here, in Unix time
+ */
+public record StoredConfiguration(ConfigurationVersion version, long takenAtMillis, String text) {}
--- /dev/null
+++ b/src/main/java/pumicekeel/delivery/StoredFormat.java
@@ -0,0 +1,65 @@
+package pumicekeel.delivery;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.zip.CRC32C;
+
+/**
+ * The bytes of a kept version: one header line {@code honeyvalve-configuration 1 EPOCH.SEQUENCE.HASH TAKEN_AT_MILLIS LENGTH CRC}, where
+ * CRC is the CRC-32C of the line before it, then the text. Header and text have checksums, so no flipped bit passes.
+ */
+final class StoredFormat {
+
+  private static final String MAGIC = "honeyvalve-configuration 1";
+  private static final int FIELDS = 6;
+  /** Longer than any header, so that a file of other contents is not searched whole. */
+  private static final int MOST_HEADER_BYTES = 256;
+
+  private StoredFormat() {}
+
+  static ByteBuffer encode(StoredConfiguration configuration) {
+    byte[] text = configuration.text().getBytes(StandardCharsets.UTF_8);
+    String fields = MAGIC + " " + configuration.version().text() + " "
+        + configuration.takenAtMillis() + " " + text.length;
+    byte[] header = (fields + " " + checksum(fields) + "\n").getBytes(StandardCharsets.US_ASCII);
+    return ByteBuffer.allocate(header.length + text.length)
+        .put(header)
+        .put(text)
+        .flip();
+  }
+
+  /** An IOException says in which way the bytes are not what was written. */
+  static StoredConfiguration decode(byte[] bytes) throws IOException {
+    int end = 0;
+    while (end < Math.min(bytes.length, MOST_HEADER_BYTES) && bytes[end] != '\n') {
+      end++;
+    }
+    String header = new String(bytes, 0, end, StandardCharsets.US_ASCII);
+    String[] fields = header.split(" ");
+    int beforeChecksum = header.lastIndexOf(' ');
+    if (fields.length != FIELDS
+        || !header.startsWith(MAGIC + " ")
+        || !fields[FIELDS - 1].equals(checksum(header.substring(0, beforeChecksum)))) {
+      throw new IOException("its header is damaged");
+    }
+    ConfigurationVersion version = ConfigurationVersion.parse(fields[2]);
+    int length = Integer.parseInt(fields[4]);
+    if (bytes.length - end - 1 != length) {
+      throw new IOException(
+          "it holds " + Math.max(0, bytes.length - end - 1) + " bytes of text of " + length);
+    }
+    byte[] text = java.util.Arrays.copyOfRange(bytes, end + 1, bytes.length);
+    if (!version.isOf(text)) {
+      throw new IOException("its text is not the one of version " + version);
+    }
+    return new StoredConfiguration(
+        version, Long.parseLong(fields[3]), new String(text, StandardCharsets.UTF_8));
+  }
+
+  private static String checksum(String fields) {
+    CRC32C crc = new CRC32C();
+    crc.update(fields.getBytes(StandardCharsets.US_ASCII));
+    return Long.toHexString(crc.getValue());
+  }
+}
