--- a/src/main/java/pumicekeel/delivery/FileConfigurationStore.java
+++ b/src/main/java/pumicekeel/delivery/FileConfigurationStore.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 
 /**
- * A directory with one file a version, held by one process at a time. A file is written under a temporary name, synced, renamed and the
+ * A directory with one file a version. A file is written under a temporary name, synced, renamed and the
  * directory synced; a file that has its name is never written again. A damaged one is put aside at the next start and the version before
  * it is used.
  */
@@ -34,20 +34,37 @@
   private final Path directory;
   private final DurableWriter writer;
   private final Consumer<String> log;
+  /** Null where others may use the directory as well. */
   private final FileChannel lockFile;
 
-  /** Makes and locks the directory; an IOException says in words what is wrong with it. */
-  public FileConfigurationStore(Path directory, Consumer<String> log) throws IOException {
-    this(directory, DurableWriter.SYSTEM, log);
+  /** Makes a directory and holds it for this process alone; an IOException says in words what is wrong with it. */
+  public static FileConfigurationStore exclusive(Path directory, Consumer<String> log)
+      throws IOException {
+    Files.createDirectories(directory);
+    return new FileConfigurationStore(directory, DurableWriter.SYSTEM, log, lock(directory));
+  }
+
+  /**
+   * Makes a directory that the process before this one may still use while it drains. What both write is whole all the same; a save of
+   * one may fail because of the other and is then to be repeated.
+   */
+  public static FileConfigurationStore shared(Path directory, Consumer<String> log)
+      throws IOException {
+    return shared(directory, DurableWriter.SYSTEM, log);
   }
 
-  FileConfigurationStore(Path directory, DurableWriter writer, Consumer<String> log)
+  static FileConfigurationStore shared(Path directory, DurableWriter writer, Consumer<String> log)
       throws IOException {
+    Files.createDirectories(directory);
+    return new FileConfigurationStore(directory, writer, log, null);
+  }
+
+  private FileConfigurationStore(
+      Path directory, DurableWriter writer, Consumer<String> log, FileChannel lockFile) {
     this.directory = directory;
     this.writer = writer;
     this.log = log;
-    Files.createDirectories(directory);
-    lockFile = lock(directory);
+    this.lockFile = lockFile;
   }
 
   private static FileChannel lock(Path directory) throws IOException {
@@ -103,7 +120,8 @@
   @Override
   public void save(StoredConfiguration configuration) throws IOException {
     Path file = fileOf(configuration.version());
-    Path temporary = file.resolveSibling(file.getFileName() + TEMPORARY_SUFFIX);
+    long process = ProcessHandle.current().pid();
+    Path temporary = file.resolveSibling(file.getFileName() + "." + process + TEMPORARY_SUFFIX);
     try {
       writer.write(temporary, StoredFormat.encode(configuration));
       Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
@@ -157,6 +175,8 @@
 
   @Override
   public void close() throws IOException {
-    lockFile.close();
+    if (lockFile != null) {
+      lockFile.close();
+    }
   }
 }
--- a/src/main/java/pumicekeel/delivery/Subscription.java
+++ b/src/main/java/pumicekeel/delivery/Subscription.java
@@ -79,6 +79,7 @@
   private boolean needsSnapshot;
   private SnapshotTransfer transfer;
   private Candidate candidate;
+  private String refusal = "";
   private String trouble = "";
 
   /**
@@ -111,9 +112,9 @@
     return heardAt;
   }
 
-  /** What went wrong last; empty since the last success. */
+  /** Why the newest version is not in force: what it was refused for, or what went wrong since the last success; else empty. */
   public String trouble() {
-    return trouble;
+    return refused.isNewerThan(held) && trouble.isEmpty() ? refusal : trouble;
   }
 
   /** The next step; where it is not a rest or pending, it counts as begun. */
@@ -228,8 +229,8 @@
   public void refused(long takenCall, String reason, long now) {
     if (ends(takenCall)) {
       refused = ConfigurationVersion.later(refused, candidate.version());
+      refusal = reason;
       succeeded();
-      trouble = reason;
       rest(now, 0);
     }
   }
@@ -241,6 +242,17 @@
     }
   }
 
+  /** Another way than this subscription has put a newer version in force: what is under way counts for nothing any more. */
+  public void superseded(ConfigurationVersion version, long now) {
+    if (version.isNewerThan(held)) {
+      held = version;
+      transfer = null;
+      needsSnapshot = false;
+      call++;
+      rest(now, 0);
+    }
+  }
+
   private boolean ends(long takenCall) {
     return state == State.TAKING && takenCall == call;
   }
--- /dev/null
+++ b/src/main/java/pumicekeel/delivery/control/ControlHandler.java
@@ -0,0 +1,44 @@
+package pumicekeel.delivery.control;
+
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.timeout.ReadTimeoutException;
+import pumicekeel.runtime.Log;
+
+/** One connection to a control machine: one call, then its end. */
+final class ControlHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+
+  private final ControlServer server;
+  private boolean called;
+
+  ControlHandler(ControlServer server) {
+    this.server = server;
+  }
+
+  @Override
+  protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+    if (called) {
+      return;
+    }
+    called = true;
+    if (request.decoderResult().isFailure()) {
+      server.refused(ctx.channel(), HttpResponseStatus.BAD_REQUEST, "a malformed request");
+      return;
+    }
+    try {
+      server.called(ctx.channel(), request);
+    } catch (IllegalArgumentException e) {
+      server.refused(ctx.channel(), HttpResponseStatus.BAD_REQUEST, String.valueOf(e.getMessage()));
+    }
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    if (!(cause instanceof ReadTimeoutException)) {
+      Log.caused("control machine: " + cause);
+    }
+    ctx.close();
+  }
+}
--- /dev/null
+++ b/src/main/java/pumicekeel/delivery/control/ControlServer.java
@@ -0,0 +1,252 @@
+package pumicekeel.delivery.control;
+
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.channel.ChannelInitializer;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpServerCodec;
+import io.netty.handler.codec.http.QueryStringDecoder;
+import io.netty.handler.timeout.ReadTimeoutHandler;
+import io.netty.handler.timeout.WriteTimeoutHandler;
+import java.io.Closeable;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.TimeUnit;
+import pumicekeel.delivery.ConfigurationDocument;
+import pumicekeel.delivery.ConfigurationRequest;
+import pumicekeel.delivery.ConfigurationVersion;
+import pumicekeel.delivery.FileConfigurationStore;
+import pumicekeel.delivery.Reply;
+import pumicekeel.delivery.client.ConfigurationSubscriber;
+import pumicekeel.delivery.wire.DeliveryPaths;
+import pumicekeel.delivery.wire.ReplyFormat;
+import pumicekeel.runtime.Addresses;
+import pumicekeel.runtime.Log;
+import pumicekeel.runtime.Reactor;
+
+/**
+ * A control machine on HTTP/1.1: {@code GET} and {@code POST /v1/configuration}, {@code GET /v1/configuration/parts/...}, {@code GET
+ * /v1/replicas}. One event loop answers; one thread checks texts and writes files. It follows its peers as any subscriber does.
+ */
+public final class ControlServer implements Closeable {
+
+  /** Twice the largest operator file that is read. */
+  static final int MOST_BODY_BYTES = 8 << 20;
+
+  private static final int MOST_HEADER_BYTES = 8 << 10;
+  private static final int MOST_CHUNK_BYTES = 64 << 10;
+  /** A call has come whole within this. */
+  private static final int REQUEST_TIMEOUT_SECONDS = 10;
+  /** A caller reads a part of a snapshot within this. */
+  private static final int WRITE_TIMEOUT_SECONDS = 30;
+  /** Waiting calls, and as many that are being answered. */
+  private static final int MOST_CONNECTIONS = 2 * WaitingCalls.MOST;
+
+  /**
+   * What a control machine is started with.
+   *
+   * @param peers the other control machines; may hold its own address, which is passed over
+   */
+  public record Settings(InetSocketAddress listen, Path directory, List<InetSocketAddress> peers) {}
+
+  private final Reactor on = Reactor.start();
+  private final ExecutorService worker =
+      Executors.newSingleThreadExecutor(work -> new Thread(work, "configuration"));
+  private final Settings settings;
+  private final FileConfigurationStore store;
+  private final VersionKeeper keeper;
+  private final ControlState state = new ControlState(System.nanoTime());
+  private final WaitingCalls waiting = new WaitingCalls(ControlServer::answer);
+  private final UploadLimit.Count uploads = new UploadLimit.Count();
+  private InetSocketAddress address;
+  private ConfigurationSubscriber peers;
+  private int connections;
+
+  private ControlServer(Settings settings, FileConfigurationStore store, TextCheck check) {
+    this.settings = settings;
+    this.store = store;
+    keeper = new VersionKeeper(store, check, on.clock()::millis, this::kept);
+  }
+
+  /** Reads the store, listens and follows the peers; an IOException says in words why it can't. */
+  public static ControlServer start(Settings settings, TextCheck check)
+      throws IOException, InterruptedException {
+    FileConfigurationStore store =
+        FileConfigurationStore.exclusive(settings.directory(), Log::line);
+    ControlServer server = new ControlServer(settings, store, check);
+    try {
+      server.start();
+    } catch (IOException e) {
+      server.close();
+      throw e;
+    }
+    return server;
+  }
+
+  private void start() throws IOException, InterruptedException {
+    keeper.load();
+    ChannelFuture bound = new ServerBootstrap()
+        .group(on.loop())
+        .channelFactory(on.sockets()::listening)
+        .childHandler(new ChannelInitializer<Channel>() {
+          @Override
+          protected void initChannel(Channel channel) {
+            accept(channel);
+          }
+        })
+        .bind(settings.listen())
+        .await();
+    if (!bound.isSuccess()) {
+      throw new IOException("cannot listen at " + Addresses.text(settings.listen()), bound.cause());
+    }
+    address = (InetSocketAddress) bound.channel().localAddress();
+    on.loop().submit(this::follow).sync();
+  }
+
+  /** Where it listens. */
+  public InetSocketAddress address() {
+    return address;
+  }
+
+  /** Peers have the same versions: one that was away catches up with them. */
+  private void follow() {
+    List<InetSocketAddress> others =
+        settings.peers().stream().filter(p -> !p.equals(address)).toList();
+    Log.line("control machine at " + Addresses.text(address) + ", version " + state.current() + ", "
+        + others.size() + " peers");
+    if (!others.isEmpty()) {
+      peers = new ConfigurationSubscriber(
+          on,
+          "control " + Addresses.text(address),
+          others,
+          state.current(),
+          System.nanoTime(),
+          worker,
+          keeper);
+      peers.start();
+    }
+  }
+
+  /** On the worker: a version is kept. Its first ones come before the loop has anything to do. */
+  private void kept(ConfigurationVersion version, ConfigurationDocument document) {
+    on.loop().execute(() -> {
+      state.advance(version, document);
+      Log.line("control machine: version " + version);
+      if (peers != null) {
+        peers.superseded(version);
+      }
+      waiting.release(this::ask);
+    });
+  }
+
+  private void accept(Channel channel) {
+    if (connections >= MOST_CONNECTIONS) {
+      channel.close();
+      return;
+    }
+    connections++;
+    channel.closeFuture().addListener(closed -> connections--);
+    channel
+        .pipeline()
+        .addLast(
+            new ReadTimeoutHandler(REQUEST_TIMEOUT_SECONDS),
+            new WriteTimeoutHandler(WRITE_TIMEOUT_SECONDS),
+            new HttpServerCodec(
+                DeliveryPaths.MOST_TARGET_BYTES, MOST_HEADER_BYTES, MOST_CHUNK_BYTES),
+            new UploadLimit(uploads),
+            new HttpObjectAggregator(MOST_BODY_BYTES, true),
+            new ControlHandler(this));
+  }
+
+  /** A call has come whole. */
+  void called(Channel channel, FullHttpRequest request) {
+    // What comes next is the caller's end; until then it is the machine that takes its time.
+    channel.pipeline().remove(ReadTimeoutHandler.class);
+    QueryStringDecoder query = new QueryStringDecoder(request.uri());
+    String path = query.path();
+    if (path.equals(DeliveryPaths.CONFIGURATION) && request.method().equals(HttpMethod.POST)) {
+      publish(channel, DeliveryPaths.publication(query), request);
+    } else if (!request.method().equals(HttpMethod.GET)) {
+      send(channel, ReplyFormat.response(HttpResponseStatus.METHOD_NOT_ALLOWED, new byte[0]));
+    } else if (path.equals(DeliveryPaths.CONFIGURATION)) {
+      ask(channel, DeliveryPaths.request(query));
+    } else if (path.startsWith(DeliveryPaths.PARTS)) {
+      answer(channel, state.answer(DeliveryPaths.partRequest(query), now()));
+    } else if (path.equals(DeliveryPaths.REPLICAS)) {
+      json(channel, HttpResponseStatus.OK, StatusJson.of(state.current(), state.replicas(), now()));
+    } else {
+      send(channel, ReplyFormat.response(HttpResponseStatus.NOT_FOUND, new byte[0]));
+    }
+  }
+
+  /** A call that can't be read; the connection ends with it. */
+  void refused(Channel channel, HttpResponseStatus status, String why) {
+    send(channel, ReplyFormat.response(status, why.getBytes(StandardCharsets.UTF_8)));
+  }
+
+  private void ask(Channel channel, ConfigurationRequest request) {
+    Reply reply = state.answer(request, now());
+    if (reply == null && !waiting.isFull()) {
+      waiting.add(channel, request);
+    } else {
+      answer(channel, reply == null ? new Reply.Unchanged() : reply);
+    }
+  }
+
+  private void publish(
+      Channel channel, DeliveryPaths.Publication publication, FullHttpRequest request) {
+    byte[] body = io.netty.buffer.ByteBufUtil.getBytes(request.content());
+    worker.execute(() -> {
+      PublishResult result = keeper.publish(publication, body);
+      HttpResponseStatus status = HttpResponseStatus.valueOf(result.kind().status());
+      on.loop().execute(() -> json(channel, status, StatusJson.of(result)));
+    });
+  }
+
+  private void json(Channel channel, HttpResponseStatus status, byte[] body) {
+    FullHttpResponse response = ReplyFormat.response(status, body);
+    response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+    send(channel, response);
+  }
+
+  private static void answer(Channel channel, Reply reply) {
+    send(channel, ReplyFormat.response(reply));
+  }
+
+  private static void send(Channel channel, FullHttpResponse response) {
+    channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+  }
+
+  private long now() {
+    return on.clock().now();
+  }
+
+  /** Ends the machine; what it has acknowledged is stored. */
+  @Override
+  public void close() throws IOException {
+    if (peers != null) {
+      peers.close();
+    }
+    on.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
+    worker.shutdown();
+    try {
+      worker.awaitTermination(REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+    store.close();
+  }
+}
--- /dev/null
+++ b/src/main/java/pumicekeel/delivery/control/ReplicaRegistry.java
@@ -0,0 +1,32 @@
+package pumicekeel.delivery.control;
+
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.TreeMap;
+import pumicekeel.delivery.ReplicaReport;
+
+/** What the subscribers told of themselves when they last called. Bounded: those that were heard longest ago are forgotten. */
+final class ReplicaRegistry {
+
+  /** Far above any known fleet. */
+  static final int MOST = 4_000;
+
+  /** A report and when it came, in nanoseconds of the machine's clock. */
+  record Heard(ReplicaReport report, long at) {}
+
+  private final Map<String, Heard> replicas = new LinkedHashMap<>();
+
+  void heard(ReplicaReport report, long now) {
+    replicas.remove(report.name());
+    replicas.put(report.name(), new Heard(report, now));
+    if (replicas.size() > MOST) {
+      replicas.remove(replicas.keySet().iterator().next());
+    }
+  }
+
+  /** All, by name. */
+  Collection<Heard> all() {
+    return new TreeMap<>(replicas).values();
+  }
+}
--- /dev/null
+++ b/src/main/java/pumicekeel/delivery/control/StatusJson.java
@@ -0,0 +1,81 @@
+package pumicekeel.delivery.control;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.util.Collection;
+import java.util.concurrent.TimeUnit;
+import pumicekeel.delivery.ConfigurationVersion;
+
+/** What a control machine tells operators and writers, as JSON in UTF-8. */
+final class StatusJson {
+
+  private static final JsonFactory JSON = new JsonFactory();
+
+  @FunctionalInterface
+  private interface Fields {
+    void write(JsonGenerator out) throws IOException;
+  }
+
+  private StatusJson() {}
+
+  /** {@code {"result": KIND, "version": VERSION, "lines": [...]}}. */
+  static byte[] of(PublishResult result) {
+    return object(out -> {
+      out.writeStringField("result", result.kind().name().toLowerCase(java.util.Locale.ROOT));
+      out.writeStringField("version", result.current().text());
+      out.writeArrayFieldStart("lines");
+      for (String line : result.lines()) {
+        out.writeString(line);
+      }
+      out.writeEndArray();
+    });
+  }
+
+  /**
+   * {@code {"version": VERSION, "replicas": [{"name", "in-force", "refused", "behind", "trouble", "heard-ms-ago"}]}}; {@code behind} counts
+   * versions and is null where the one in force is of another epoch.
+   */
+  static byte[] of(
+      ConfigurationVersion current, Collection<ReplicaRegistry.Heard> replicas, long now) {
+    return object(out -> {
+      out.writeStringField("version", current.text());
+      out.writeArrayFieldStart("replicas");
+      for (ReplicaRegistry.Heard heard : replicas) {
+        write(out, heard, current, now);
+      }
+      out.writeEndArray();
+    });
+  }
+
+  private static void write(
+      JsonGenerator out, ReplicaRegistry.Heard heard, ConfigurationVersion current, long now)
+      throws IOException {
+    ConfigurationVersion inForce = heard.report().inForce();
+    out.writeStartObject();
+    out.writeStringField("name", heard.report().name());
+    out.writeStringField("in-force", inForce.text());
+    out.writeStringField("refused", heard.report().refused().text());
+    if (inForce.epoch() == current.epoch()) {
+      out.writeNumberField("behind", current.sequence() - inForce.sequence());
+    } else {
+      out.writeNullField("behind");
+    }
+    out.writeStringField("trouble", heard.report().trouble());
+    out.writeNumberField("heard-ms-ago", TimeUnit.NANOSECONDS.toMillis(now - heard.at()));
+    out.writeEndObject();
+  }
+
+  private static byte[] object(Fields fields) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    try (JsonGenerator out = JSON.createGenerator(bytes)) {
+      out.writeStartObject();
+      fields.write(out);
+      out.writeEndObject();
+    } catch (IOException e) {
+      throw new IllegalStateException("memory can be written to", e);
+    }
+    return bytes.toByteArray();
+  }
+}
--- a/src/test/java/pumicekeel/delivery/FileConfigurationStoreTest.java
+++ b/src/test/java/pumicekeel/delivery/FileConfigurationStoreTest.java
@@ -26,7 +26,7 @@
   }
 
   private FileConfigurationStore open() throws IOException {
-    return new FileConfigurationStore(directory, lines::add);
+    return FileConfigurationStore.exclusive(directory, lines::add);
   }
 
   private List<StoredConfiguration> saveThenLoad(long... sequences) throws IOException {
@@ -80,7 +80,7 @@
       Files.write(file, new byte[] {1, 2, 3});
       throw new IOException("No space left on device");
     };
-    try (var store = new FileConfigurationStore(directory, full, lines::add)) {
+    try (var store = FileConfigurationStore.shared(directory, full, lines::add)) {
       IOException e = assertThrows(IOException.class, () -> store.save(configuration(2)));
       assertTrue(e.getMessage().contains("No space left"), e.getMessage());
     }
--- /dev/null
+++ b/src/test/java/pumicekeel/delivery/control/VirtualFleet.java
@@ -0,0 +1,189 @@
+package pumicekeel.delivery.control;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import pumicekeel.delivery.Candidate;
+import pumicekeel.delivery.ConfigurationDelta;
+import pumicekeel.delivery.ConfigurationDocument;
+import pumicekeel.delivery.ConfigurationRequest;
+import pumicekeel.delivery.ConfigurationVersion;
+import pumicekeel.delivery.PartRequest;
+import pumicekeel.delivery.ReplicaReport;
+import pumicekeel.delivery.Reply;
+import pumicekeel.delivery.Subscription;
+
+/** Control machines and subscribers in virtual time, with a network that loses, doubles and delays by a seed. */
+final class VirtualFleet {
+
+  static final long MS = 1_000_000L;
+  private static final long TIMEOUT = 5_500 * MS;
+
+  /** A control machine that may be down. */
+  final class Machine {
+    final ControlState state = new ControlState(random.nextLong());
+    final TreeMap<Long, Integer> callsByTenth = new TreeMap<>();
+    final List<Runnable> waiting = new ArrayList<>();
+    boolean up = true;
+    int mostSnapshots;
+
+    void advance(ConfigurationVersion version, String text) {
+      state.advance(version, ConfigurationDocument.parse(text));
+      List<Runnable> released = new ArrayList<>(waiting);
+      waiting.clear();
+      released.forEach(Runnable::run);
+    }
+
+    private void call(Replica from, Object request, long call, boolean again) {
+      if (!again) {
+        callsByTenth.merge(now / (100 * MS), 1, Integer::sum);
+      }
+      Reply reply = !up
+          ? new Reply.Failed("down")
+          : request instanceof PartRequest part
+              ? state.answer(part, now)
+              : state.answer((ConfigurationRequest) request, now);
+      mostSnapshots = Math.max(mostSnapshots, state.snapshotsUnderWay());
+      if (reply != null) {
+        send(from, call, reply);
+        return;
+      }
+      Runnable release = () -> call(from, request, call, true);
+      waiting.add(release);
+      at(now + ((ConfigurationRequest) request).waitMillis() * MS, () -> {
+        if (waiting.remove(release)) {
+          send(from, call, new Reply.Unchanged());
+        }
+      });
+    }
+  }
+
+  /** A subscriber, and what it took in which order. */
+  final class Replica {
+    final String name;
+    final Subscription subscription;
+    final List<ConfigurationVersion> taken = new ArrayList<>();
+    String text;
+    long lastTakenAt;
+    int parts;
+    boolean understandsAll = true;
+
+    private Replica(String name, ConfigurationVersion held, String text) {
+      this.name = name;
+      this.text = text;
+      subscription = new Subscription(machines.size(), held, random.nextLong(), now);
+      run();
+    }
+
+    private void run() {
+      Subscription.Step step = subscription.next(now);
+      if (step instanceof Subscription.Rest rest) {
+        at(rest.untilNanos(), this::run);
+      } else if (step instanceof Subscription.Ask ask) {
+        ReplicaReport report = new ReplicaReport(
+            name, subscription.held(), subscription.refused(), subscription.trouble());
+        Object request =
+            new ConfigurationRequest(report, ask.held(), ask.known(), ask.waitMillis());
+        call(ask.server(), request, ask.call());
+      } else if (step instanceof Subscription.AskPart ask) {
+        parts++;
+        call(ask.server(), new PartRequest(name, ask.version(), ask.offset()), ask.call());
+      } else if (step instanceof Subscription.Take take) {
+        at(now + 20 * MS, () -> take(take.call(), take.candidate()));
+      }
+    }
+
+    private void call(int server, Object request, long call) {
+      at(now + latency(), () -> machines.get(server).call(this, request, call, false));
+      at(now + TIMEOUT, () -> replied(call, new Reply.Failed("silent")));
+    }
+
+    private void replied(long call, Reply reply) {
+      subscription.replied(call, reply, now);
+      run();
+    }
+
+    private void take(long call, Candidate candidate) {
+      try {
+        String next = candidate.text(text);
+        if (!understandsAll && next.contains("unknown-key")) {
+          subscription.refused(call, "unknown-key: expected a known key", now);
+        } else {
+          text = next;
+          taken.add(candidate.version());
+          lastTakenAt = now;
+          subscription.taken(call, now);
+        }
+      } catch (ConfigurationDelta.Refused e) {
+        subscription.damaged(call, e.getMessage(), now);
+      }
+      run();
+    }
+  }
+
+  private record Event(long at, long order, Runnable what) {}
+
+  final SplittableRandom random;
+  final List<Machine> machines = new ArrayList<>();
+  final List<Replica> replicas = new ArrayList<>();
+  private final PriorityQueue<Event> events = new PriorityQueue<>(
+      java.util.Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+  long now = 1_000 * MS;
+  /** Parts of a hundred. */
+  int lost;
+
+  int doubled;
+  long mostLatency = 10 * MS;
+  private long order;
+
+  VirtualFleet(int machineCount, long seed) {
+    System.out.println("seed " + seed);
+    random = new SplittableRandom(seed);
+    for (int i = 0; i < machineCount; i++) {
+      machines.add(new Machine());
+    }
+  }
+
+  VirtualFleet replicas(int count, ConfigurationVersion held, String text) {
+    for (int i = 0; i < count; i++) {
+      replicas.add(new Replica("n" + i, held, text));
+    }
+    return this;
+  }
+
+  void at(long time, Runnable what) {
+    events.add(new Event(time, order++, what));
+  }
+
+  void runFor(long nanos) {
+    long end = now + nanos;
+    while (!events.isEmpty() && events.peek().at() <= end) {
+      Event next = events.poll();
+      now = Math.max(now, next.at());
+      next.what().run();
+    }
+    now = end;
+  }
+
+  /** Publishes to all machines that are up. */
+  ConfigurationVersion publish(long epoch, long sequence, String text) {
+    ConfigurationVersion version = ConfigurationVersion.of(epoch, sequence, text);
+    machines.stream().filter(m -> m.up).forEach(m -> m.advance(version, text));
+    return version;
+  }
+
+  private void send(Replica to, long call, Reply reply) {
+    if (random.nextInt(100) >= lost) {
+      at(now + latency(), () -> to.replied(call, reply));
+    }
+    if (random.nextInt(100) < doubled) {
+      at(now + 100 * latency(), () -> to.replied(call, reply));
+    }
+  }
+
+  private long latency() {
+    return MS + random.nextLong(mostLatency);
+  }
+}
--- /dev/null
+++ b/src/test/java/pumicekeel/delivery/control/VirtualFleetTest.java
@@ -0,0 +1,199 @@
+package pumicekeel.delivery.control;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static pumicekeel.delivery.control.VirtualFleet.MS;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import pumicekeel.delivery.ConfigurationVersion;
+
+/** Control machines and subscribers together, in virtual time. */
+class VirtualFleetTest {
+
+  private static final int FLEET = 590;
+  private static final String FIRST = text(0);
+  private static final ConfigurationVersion ONE = ConfigurationVersion.of(1, 1, FIRST);
+
+  /** A document of some 6 KB whose number stands in one of its entries. */
+  private static String text(int number) {
+    return document(20, number);
+  }
+
+  /** One of three parts. */
+  private static final String LARGE = document(2_000, 1);
+
+  private static String document(int routes, int number) {
+    StringBuilder out = new StringBuilder("default-pool = \"a\"\n");
+    for (int i = 0; i < routes; i++) {
+      out.append("[[routes]]\nname = \"r")
+          .append(i)
+          .append("\"\npath = \"/")
+          .append("x".repeat(250));
+      out.append("\"\nweight = ").append(i == 10 ? number : 0).append("\n");
+    }
+    return out.toString();
+  }
+
+  private static VirtualFleet fleet(int machines, int replicas, long seed) {
+    VirtualFleet fleet = new VirtualFleet(machines, seed);
+    fleet.publish(1, 1, FIRST);
+    return fleet.replicas(replicas, ONE, FIRST);
+  }
+
+  private static void allHold(VirtualFleet fleet, ConfigurationVersion version) {
+    for (VirtualFleet.Replica replica : fleet.replicas) {
+      assertEquals(version, replica.subscription.held(), replica.name);
+      ConfigurationVersion before = ConfigurationVersion.NONE;
+      for (ConfigurationVersion taken : replica.taken) {
+        assertTrue(taken.isNewerThan(before), replica.name + " took " + replica.taken);
+        before = taken;
+      }
+      assertEquals(
+          version, ConfigurationVersion.of(version.epoch(), version.sequence(), replica.text));
+    }
+  }
+
+  private static long lastTakenAt(VirtualFleet fleet) {
+    return fleet.replicas.stream().mapToLong(r -> r.lastTakenAt).max().orElseThrow();
+  }
+
+  private static int mostCallsInATenth(VirtualFleet fleet) {
+    return fleet.machines.stream()
+        .flatMap(m -> m.callsByTenth.values().stream())
+        .mapToInt(n -> n)
+        .max()
+        .orElse(0);
+  }
+
+  @Test
+  void changeIsInForceEverywhereAtOnceAndAsADelta() {
+    VirtualFleet fleet = fleet(4, FLEET, 11);
+    fleet.runFor(10_000 * MS);
+    long published = fleet.now;
+    ConfigurationVersion two = fleet.publish(1, 2, text(2));
+    fleet.runFor(1_000 * MS);
+    allHold(fleet, two);
+    assertTrue(lastTakenAt(fleet) - published < 100 * MS);
+    assertEquals(0, fleet.replicas.stream().mapToInt(r -> r.parts).sum());
+  }
+
+  /** Those that have nothing ask at once: snapshots are bounded at each machine, and those turned away come back spread. */
+  @Test
+  void fleetThatStartsWithNothingIsServedInTurns() {
+    VirtualFleet fleet = new VirtualFleet(4, 12);
+    fleet.mostLatency = 100 * MS;
+    ConfigurationVersion one = fleet.publish(1, 1, LARGE);
+    fleet.replicas(FLEET, ConfigurationVersion.NONE, "");
+    fleet.runFor(30_000 * MS);
+    allHold(fleet, one);
+    for (VirtualFleet.Machine machine : fleet.machines) {
+      assertEquals(SnapshotSlots.MOST, machine.mostSnapshots, "the bound was met");
+    }
+    assertTrue(mostCallsInATenth(fleet) < FLEET / 8, "calls in 0.1 s " + mostCallsInATenth(fleet));
+  }
+
+  @Test
+  void returnOfAllControlMachinesIsNoStorm() {
+    VirtualFleet fleet = fleet(4, FLEET, 13);
+    fleet.runFor(3_000 * MS);
+    fleet.machines.forEach(m -> m.up = false);
+    fleet.runFor(60_000 * MS);
+    fleet.replicas.forEach(r -> assertTrue(fleet.now - r.subscription.heardAt() > 50_000 * MS));
+    fleet.machines.forEach(m -> m.callsByTenth.clear());
+    fleet.machines.forEach(m -> m.up = true);
+    long back = fleet.now;
+    ConfigurationVersion two = fleet.publish(1, 2, text(2));
+    fleet.runFor(10_000 * MS);
+    allHold(fleet, two);
+    assertTrue(lastTakenAt(fleet) - back < 7_000 * MS);
+    assertTrue(mostCallsInATenth(fleet) < FLEET / 12, "calls in 0.1 s " + mostCallsInATenth(fleet));
+  }
+
+  @Test
+  void changesEveryFiftyMillisecondsAreTakenInOrderAndTheLastOneByAll() {
+    VirtualFleet fleet = fleet(4, 40, 14);
+    fleet.replicas(1, ConfigurationVersion.NONE, "");
+    ConfigurationVersion last = ONE;
+    for (int sequence = 2; sequence <= 200; sequence++) {
+      last = fleet.publish(1, sequence, text(sequence));
+      fleet.runFor(50 * MS);
+    }
+    fleet.runFor(3_000 * MS);
+    allHold(fleet, last);
+    int taken = fleet.replicas.get(0).taken.size();
+    assertTrue(taken > 50 && taken <= 199, "versions taken " + taken);
+  }
+
+  /** Lost and doubled replies, some of them late by a second and behind newer ones. */
+  @Test
+  void badNetworkBreaksNoOrder() {
+    VirtualFleet fleet = fleet(3, 30, 15);
+    fleet.lost = 20;
+    fleet.doubled = 30;
+    fleet.replicas(10, ConfigurationVersion.NONE, "");
+    ConfigurationVersion last = ONE;
+    for (int sequence = 2; sequence <= 30; sequence++) {
+      last = fleet.publish(1, sequence, text(sequence));
+      fleet.runFor(fleet.random.nextLong(1_500 * MS));
+    }
+    fleet.lost = 0;
+    fleet.runFor(30_000 * MS);
+    allHold(fleet, last);
+  }
+
+  @Test
+  void snapshotThatIsCutOffGoesOnAtAnotherMachine() {
+    VirtualFleet fleet = new VirtualFleet(2, 16);
+    ConfigurationVersion one = fleet.publish(1, 1, LARGE);
+    fleet.replicas(1, ConfigurationVersion.NONE, "");
+    VirtualFleet.Replica replica = fleet.replicas.get(0);
+    while (replica.parts == 0) {
+      fleet.runFor(MS);
+    }
+    VirtualFleet.Machine asked =
+        fleet.machines.get(fleet.machines.get(0).callsByTenth.isEmpty() ? 1 : 0);
+    asked.up = false;
+    fleet.runFor(10_000 * MS);
+    allHold(fleet, one);
+    assertEquals(3, replica.parts, "the first part came with the ask, one call was cut off");
+  }
+
+  @Test
+  void machineThatReturnsWithAnOldVersionTurnsNobodyBack() {
+    VirtualFleet fleet = fleet(2, 20, 17);
+    fleet.machines.get(1).up = false;
+    ConfigurationVersion two = fleet.publish(1, 2, text(2));
+    fleet.runFor(10_000 * MS);
+    fleet.machines.get(1).up = true;
+    fleet.machines.get(0).up = false;
+    fleet.runFor(20_000 * MS);
+    allHold(fleet, two);
+    assertTrue(fleet.replicas.get(0).subscription.trouble().contains("behind")
+        || fleet.replicas.get(0).subscription.trouble().contains("down"));
+    fleet.machines.get(0).up = true;
+    ConfigurationVersion three = fleet.publish(1, 3, text(3));
+    fleet.runFor(10_000 * MS);
+    allHold(fleet, three);
+  }
+
+  @Test
+  void versionThatSomeBuildsDoNotUnderstandIsPassedOverByThose() {
+    VirtualFleet fleet = fleet(2, 10, 18);
+    List<VirtualFleet.Replica> old = fleet.replicas.subList(0, 4);
+    old.forEach(r -> r.understandsAll = false);
+    ConfigurationVersion two = fleet.publish(1, 2, FIRST + "unknown-key = 1\n");
+    fleet.runFor(10_000 * MS);
+    old.forEach(r -> assertEquals(ONE, r.subscription.held()));
+    old.forEach(r -> assertEquals(two, r.subscription.refused()));
+    assertEquals(
+        4,
+        fleet.machines.get(0).state.replicas().stream()
+            .filter(
+                r -> r.report().refused().equals(two) && r.report().trouble().contains("known"))
+            .count());
+    ConfigurationVersion three = fleet.publish(1, 3, text(3));
+    fleet.runFor(10_000 * MS);
+    allHold(fleet, three);
+  }
+}
