--- a/src/main/java/pumicekeel/discovery/Discovery.java
+++ b/src/main/java/pumicekeel/discovery/Discovery.java
@@ -123,16 +123,22 @@
       reopening.cancel(false);
       reopening = null;
     }
+    Channel channel = on.connecting();
+    if (channel == null) {
+      failed("no descriptor");
+      return;
+    }
     WatchHandler handler = new WatchHandler();
-    current = new Bootstrap()
+    handler.channel = channel;
+    current = channel;
+    new Bootstrap()
         .group(on.loop())
-        .channelFactory(on.sockets()::connecting)
+        .channelFactory(() -> channel)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, terms.connectMillis())
         .handler(new ChannelInitializer<Channel>() {
           @Override
-          protected void initChannel(Channel channel) {
-            channel
-                .pipeline()
+          protected void initChannel(Channel made) {
+            made.pipeline()
                 .addLast(new HttpClientCodec(), handler, handler.frames, handler.new Lists());
           }
         })
@@ -141,9 +147,7 @@
           if (!connected.isSuccess()) {
             handler.end("cannot connect");
           }
-        })
-        .channel();
-    handler.channel = current;
+        });
   }
 
   /** A watch has failed. */
--- a/src/main/java/pumicekeel/front/admin/AdminEndpoint.java
+++ b/src/main/java/pumicekeel/front/admin/AdminEndpoint.java
@@ -15,6 +15,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.UnaryOperator;
+import pumicekeel.front.AcceptFaults;
 
 /**
  * The admin endpoint: a listener of its own that takes one call a connection. It opens before anything else of the process,
@@ -40,8 +41,10 @@
 
   /** Listens at an address, or at a path of the file system; waits for the bind, so it is not for the loop. */
   public SocketAddress listen(SocketAddress at) throws IOException, InterruptedException {
-    ServerBootstrap bootstrap =
-        new ServerBootstrap().group(loop, loop).option(ChannelOption.SO_BACKLOG, BACKLOG);
+    ServerBootstrap bootstrap = new ServerBootstrap()
+        .group(loop, loop)
+        .handler(new AcceptFaults(() -> {}, () -> listener.config().setAutoRead(true)))
+        .option(ChannelOption.SO_BACKLOG, BACKLOG);
     if (at instanceof UnixDomainSocketAddress path) {
       // Left by a process that was killed.
       Files.deleteIfExists(path.getPath());
--- a/src/main/java/pumicekeel/front/http/ClientSide.java
+++ b/src/main/java/pumicekeel/front/http/ClientSide.java
@@ -15,8 +15,10 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.core.RequestRouter;
+import pumicekeel.front.AcceptFaults;
 import pumicekeel.front.Front;
 import pumicekeel.runtime.Clock;
+import pumicekeel.runtime.Log;
 import pumicekeel.runtime.LoopLag;
 import pumicekeel.runtime.NioSockets;
 import pumicekeel.runtime.Reactor;
@@ -45,6 +47,8 @@
   private static final int SPARE_PART = 4;
 
   private static final long LAST_CALL_NANOS = 20_000_000L;
+  /** Descriptors that clients leave to others once one could not be accepted: as many as a round of accepts takes. */
+  private static final int KEPT_ASIDE = 16;
   /** Usual clients ask at once; at the end, one that has not for so long gives way to those in line. */
   private static final long SAID_NOTHING_NANOS = 100_000_000L;
 
@@ -128,6 +132,7 @@
   private ServerBootstrap bootstrap() {
     return new ServerBootstrap()
         .group(loop, loop)
+        .handler(new AcceptFaults(this::makeRoom, this::acceptAgain))
         .option(ChannelOption.AUTO_READ, accepting)
         .childOption(ChannelOption.TCP_NODELAY, true)
         .childOption(
@@ -236,8 +241,26 @@
     }
   }
 
+  /**
+   * The process has no descriptor left, so the limit was too high: it falls below what is open, and those that say nothing and the
+   * longest idle ones give way until lists, upstreams and operators have room again.
+   */
+  private void makeRoom() {
+    most = Math.max(1, Math.min(most, connections.size() - KEPT_ASIDE));
+    Log.caused(name + " takes " + most + " connections from now on");
+    pause();
+    connections.stream()
+        .filter(c -> c.idle() && !c.neverAsked())
+        .findFirst()
+        .ifPresent(ClientHandler::close);
+  }
+
   public void closed(ClientHandler handler) {
     connections.remove(handler);
+    acceptAgain();
+  }
+
+  private void acceptAgain() {
     if (connections.size() < most
         && listener != null
         && listener.isOpen()
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcSide.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcSide.java
@@ -14,6 +14,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.core.RequestRouter;
+import pumicekeel.front.AcceptFaults;
 import pumicekeel.front.Front;
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.Reactor;
@@ -73,6 +74,7 @@
     listener = new ServerBootstrap()
         .group(loop, loop)
         .channelFactory(on.sockets()::listening)
+        .handler(new AcceptFaults(this::makeRoom, this::acceptAgain))
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .option(ChannelOption.AUTO_READ, accepting)
@@ -162,8 +164,18 @@
     }
   }
 
+  /** The process has no descriptor left: the longest idle connection gives way, as at the limit. */
+  private void makeRoom() {
+    long now = clock().now();
+    connections.stream().filter(c -> c.mayGiveWay(now)).findFirst().ifPresent(RpcClient::finish);
+  }
+
   void closed(RpcClient client) {
     connections.remove(client);
+    acceptAgain();
+  }
+
+  private void acceptAgain() {
     if (connections.size() < most && listener != null && listener.isOpen()) {
       listener.config().setAutoRead(true);
     }
--- a/src/main/java/pumicekeel/node/Rooms.java
+++ b/src/main/java/pumicekeel/node/Rooms.java
@@ -10,15 +10,26 @@
   private static final double CLIENT_SHARE = 0.45;
 
   private static final double UPSTREAM_SHARE = 0.4;
+  /**
+   * The least number of descriptors that neither clients nor upstreams get: 12 that the virtual machine holds, 16 connections that
+   * one round of accepts may bring beyond the limit, and one each for lists, operators' calls and files that are read again.
+   */
+  private static final int KEPT_ASIDE = 40;
   /** Bodies in all, where the file says nothing: a quarter of the smallest heap in service. */
   private static final long BODY_BYTES = 16L << 20;
 
   static int clientSockets(Configuration configuration) {
-    return (int) (configuration.sockets() * CLIENT_SHARE);
+    return part(configuration.sockets(), CLIENT_SHARE);
   }
 
   static int upstreamSockets(Configuration configuration) {
-    return (int) (configuration.sockets() * UPSTREAM_SHARE);
+    return part(configuration.sockets(), UPSTREAM_SHARE);
+  }
+
+  /** A share of all sockets, or less, so that enough is kept aside; of very few sockets at most half are kept. */
+  private static int part(int sockets, double share) {
+    int most = Math.max(sockets - KEPT_ASIDE, sockets / 2);
+    return (int) Math.min(sockets * share, most * share / (CLIENT_SHARE + UPSTREAM_SHARE));
   }
 
   static Rooms of(Configuration configuration, Operator.Process process) {
--- a/src/main/java/pumicekeel/runtime/Reactor.java
+++ b/src/main/java/pumicekeel/runtime/Reactor.java
@@ -1,5 +1,7 @@
 package pumicekeel.runtime;
 
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelException;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -16,4 +18,17 @@
   public static Reactor of(EventLoop loop) {
     return new Reactor(loop, new Clock(), new NioSockets());
   }
+
+  /**
+   * A channel to connect with; null where the process has no descriptor left for one. Left to Netty, such a connect fails on
+   * another thread, with a channel that can't be closed.
+   */
+  public Channel connecting() {
+    try {
+      return sockets.connecting();
+    } catch (ChannelException e) {
+      Log.caused("no descriptor for a connection: " + e.getCause());
+      return null;
+    }
+  }
 }
--- a/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
+++ b/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
@@ -64,7 +64,6 @@
     sockets.add(this);
     bootstrap = new Bootstrap()
         .group(on.loop())
-        .channelFactory(on.sockets()::connecting)
         .option(ChannelOption.TCP_NODELAY, true)
         .option(
             ChannelOption.WRITE_BUFFER_WATER_MARK,
@@ -95,13 +94,21 @@
     return pool;
   }
 
-  /** Opens a connection; null where the limit on sockets leaves no room for one. */
+  /** Opens a connection; null where the limit on sockets or the process's descriptors leave no room for one. */
   public ChannelFuture connect(UpstreamPool pool) {
     if (!sockets.take(this, pool.address())) {
       return null;
     }
+    Channel made = on.connecting();
+    if (made == null) {
+      sockets.release(this, pool.address());
+      // Its descriptor is free for the next attempt.
+      closeOldest();
+      return null;
+    }
     ChannelFuture connecting = bootstrap
         .clone()
+        .channelFactory(() -> made)
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
@@ -1,6 +1,7 @@
 package pumicekeel.upstream.jsonrpc;
 
 import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
 import io.netty.channel.ChannelOption;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
@@ -46,10 +47,7 @@
     this.settings = settings;
     share = sockets.shares().add(0, 0);
     sockets.add(this);
-    bootstrap = new Bootstrap()
-        .group(on.loop())
-        .channelFactory(on.sockets()::connecting)
-        .option(ChannelOption.TCP_NODELAY, true);
+    bootstrap = new Bootstrap().group(on.loop()).option(ChannelOption.TCP_NODELAY, true);
     tune(connectTimeoutNanos, idleNanos);
   }
 
@@ -86,13 +84,22 @@
     return settings;
   }
 
-  /** Opens a connection; null where the limit on sockets leaves no room for one. */
+  /** Opens a connection; null where the limit on sockets or the process's descriptors leave no room for one. */
   RpcConnection connect(RpcLink link) {
     if (!sockets.take(this, link.address())) {
       return null;
     }
+    Channel made = on.connecting();
+    if (made == null) {
+      sockets.release(this, link.address());
+      return null;
+    }
     RpcConnection connection = new RpcConnection(link, settings, on);
-    var connecting = bootstrap.clone().handler(connection.pipeline()).connect(link.address());
+    var connecting = bootstrap
+        .clone()
+        .channelFactory(() -> made)
+        .handler(connection.pipeline())
+        .connect(link.address());
     connecting.channel().closeFuture().addListener(closed -> sockets.release(this, link.address()));
     connection.connecting(connecting);
     return connection;
