--- a/src/main/java/pumicekeel/discovery/Discovery.java
+++ b/src/main/java/pumicekeel/discovery/Discovery.java
@@ -91,11 +91,12 @@
 
   /**
    * Follows the list at another address from now on. A watch starts there at once, however long the module would
-   * still wait after a failure of the old one; versions of the list there have nothing to do with those here.
+   * still wait after a failure of the old one; versions of the list there have nothing to do with those here. Returns
+   * whether the address is another: then failures of the old one say nothing any more.
    */
-  public void moveTo(InetSocketAddress next) {
+  public boolean moveTo(InetSocketAddress next) {
     if (next.equals(address)) {
-      return;
+      return false;
     }
     address = next;
     index = NO_INDEX;
@@ -103,6 +104,7 @@
     if (wanted) {
       connect();
     }
+    return true;
   }
 
   /** Ends the watch that may be on; it is nobody's failure. */
--- a/src/main/java/pumicekeel/discovery/UpstreamSource.java
+++ b/src/main/java/pumicekeel/discovery/UpstreamSource.java
@@ -90,9 +90,11 @@
     }
   }
 
-  /** The same list from elsewhere. */
+  /** The same list from elsewhere; followers are told of no change, so that their back-off begins anew. */
   public void moveTo(InetSocketAddress address) {
-    discovery.moveTo(address);
+    if (discovery.moveTo(address)) {
+      List.copyOf(followers).forEach(f -> f.news(HostList.unchanged(index)));
+    }
   }
 
   /** Other settings; with nobody who follows it, the watch waits for one. */
--- a/src/main/java/pumicekeel/node/OnePool.java
+++ b/src/main/java/pumicekeel/node/OnePool.java
@@ -7,6 +7,7 @@
 import pumicekeel.core.RequestRouter;
 import pumicekeel.core.SinglePoolRouter;
 import pumicekeel.discovery.Discovery;
+import pumicekeel.discovery.HostList;
 import pumicekeel.discovery.WatchTerms;
 import pumicekeel.runtime.LoopLag;
 import pumicekeel.runtime.Reactor;
@@ -66,7 +67,9 @@
 
   @Override
   public void reload(Configuration next) {
-    discovery.moveTo(next.discovery());
+    if (discovery.moveTo(next.discovery())) {
+      core.news(HostList.unchanged(Discovery.NO_INDEX));
+    }
     discovery.retune(WatchTerms.of(next.settings()), true);
     connections.tune(
         next.settings().limits().connectTimeoutNanos(),
--- a/src/test/java/pumicekeel/node/TestNode.java
+++ b/src/test/java/pumicekeel/node/TestNode.java
@@ -30,28 +30,28 @@
 
   /** A node on a loop and a clock of the test's own. */
   TestNode(String configuration, Reactor on) throws Exception {
-    Fields f = Fields.parse("configuration", configuration);
-    node = new Node(
-        on,
-        new Configuration(
-            "n0",
-            Addresses.parse("listen", f.text("listen")),
-            Addresses.parse("discovery", f.text("discovery")),
-            1,
-            (int) f.nested("limits").integer("sockets"),
-            HostList.of(f.nested("known")),
-            Decoder.settings(f.nested("settings")),
-            false,
-            f.has("admin") ? Addresses.parse("admin", f.text("admin")) : null,
-            false,
-            java.util.Map.of()),
-        null,
-        () -> {},
-        true);
+    node = new Node(on, read(configuration, 1), null, () -> {}, true);
     address = node.start();
     until(() -> up() == 200);
   }
 
+  /** A configuration as a process reads it, with another seed. */
+  static Configuration read(String configuration, long seed) throws java.io.IOException {
+    Fields f = Fields.parse("configuration", configuration);
+    return new Configuration(
+        "n0",
+        Addresses.parse("listen", f.text("listen")),
+        Addresses.parse("discovery", f.text("discovery")),
+        seed,
+        (int) f.nested("limits").integer("sockets"),
+        HostList.of(f.nested("known")),
+        Decoder.settings(f.nested("settings")),
+        false,
+        f.has("admin") ? Addresses.parse("admin", f.text("admin")) : null,
+        false,
+        java.util.Map.of());
+  }
+
   /** Returns once the loop has read all that had come to its sockets before the call, as far as it reads them. */
   void pass() {
     for (int i = 0; i < 2; i++) {
