--- a/src/main/java/pumicekeel/delivery/control/ReplicaRegistry.java
+++ b/src/main/java/pumicekeel/delivery/control/ReplicaRegistry.java
@@ -17,7 +17,11 @@
 
   private final Map<String, Heard> replicas = new LinkedHashMap<>();
 
+  /** Notes a report; a caller without a name is no replica. */
   void heard(ReplicaReport report, long now) {
+    if (report.name().isEmpty()) {
+      return;
+    }
     replicas.remove(report.name());
     replicas.put(report.name(), new Heard(report, now));
     if (replicas.size() > MOST) {
--- a/src/main/java/pumicekeel/delivery/control/UploadLimit.java
+++ b/src/main/java/pumicekeel/delivery/control/UploadLimit.java
@@ -34,7 +34,8 @@
     if (message instanceof HttpRequest request && !refused) {
       boolean hasBody =
           HttpUtil.isTransferEncodingChunked(request) || HttpUtil.getContentLength(request, 0L) > 0;
-      if (hasBody && !request.method().equals(HttpMethod.POST)) {
+      boolean tooLarge = HttpUtil.getContentLength(request, 0L) > ControlServer.MOST_BODY_BYTES;
+      if (tooLarge || hasBody && !request.method().equals(HttpMethod.POST)) {
         refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
       } else if (hasBody && count.open >= MOST_UPLOADS) {
         refuse(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE);
--- a/src/main/java/pumicekeel/delivery/wire/DeliveryPaths.java
+++ b/src/main/java/pumicekeel/delivery/wire/DeliveryPaths.java
@@ -44,7 +44,7 @@
     ConfigurationVersion held = version(query);
     return new ConfigurationRequest(
         new ReplicaReport(
-            text(query, "name", "unnamed"),
+            text(query, "name", ""),
             ConfigurationVersion.parse(text(query, "in-force", NONE)),
             ConfigurationVersion.parse(text(query, "refused", NONE)),
             text(query, "trouble", "")),
@@ -67,9 +67,7 @@
   public static PartRequest partRequest(QueryStringDecoder query) {
     String version = query.path().substring(PARTS.length()).replace('/', '.');
     return new PartRequest(
-        text(query, "name", "unnamed"),
-        ConfigurationVersion.parse(version),
-        number(query, "offset", 0));
+        text(query, "name", ""), ConfigurationVersion.parse(version), number(query, "offset", 0));
   }
 
   /** {@code POST}: a version, whose text is the body. */
--- a/src/main/java/pumicekeel/delivery/wire/ReplyFormat.java
+++ b/src/main/java/pumicekeel/delivery/wire/ReplyFormat.java
@@ -12,6 +12,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
+import java.util.function.UnaryOperator;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import pumicekeel.delivery.ConfigurationVersion;
@@ -87,49 +88,55 @@
 
   /** The reply that a response carries; {@link Reply.Failed} where it makes no sense. */
   public static Reply reply(FullHttpResponse response) {
+    return reply(
+        response.status().code(),
+        name -> response.headers().get(name, ""),
+        ByteBufUtil.getBytes(response.content()));
+  }
+
+  /**
+   * The same for any HTTP client.
+   *
+   * @param header the value of a header, empty where it is absent
+   */
+  public static Reply reply(int status, UnaryOperator<String> header, byte[] body) {
     try {
-      return switch (response.status().code()) {
-        case 200 -> new Reply.Delta(DeltaJson.read(bytes(response)));
+      return switch (status) {
+        case 200 -> new Reply.Delta(DeltaJson.read(body));
         case 204 -> new Reply.Unchanged();
-        case 206 -> new Reply.Part(part(response));
+        case 206 -> new Reply.Part(part(header, body));
         case 410 -> new Reply.Gone();
-        case 503 -> new Reply.Busy(retryAfterNanos(response));
-        default -> new Reply.Failed(reason(response));
+        case 503 -> new Reply.Busy(retryAfterNanos(header));
+        default -> new Reply.Failed(reason(status, body));
       };
     } catch (IOException | IllegalArgumentException e) {
       return new Reply.Failed("an answer that makes no sense: " + e.getMessage());
     }
   }
 
-  private static byte[] bytes(FullHttpResponse response) {
-    return ByteBufUtil.getBytes(response.content());
-  }
-
-  private static String reason(FullHttpResponse response) {
-    String text = response.content().toString(StandardCharsets.UTF_8);
+  private static String reason(int status, byte[] body) {
+    String text = new String(body, StandardCharsets.UTF_8);
     String shown = text.substring(0, Math.min(MOST_REASON_CHARS, text.length()));
-    return "answer " + response.status().code() + (shown.isEmpty() ? "" : ": " + shown);
+    return "answer " + status + (shown.isEmpty() ? "" : ": " + shown);
   }
 
-  private static long retryAfterNanos(FullHttpResponse response) {
-    Integer seconds = response.headers().getInt(HttpHeaderNames.RETRY_AFTER);
+  private static long retryAfterNanos(UnaryOperator<String> header) {
+    String seconds = header.apply(HttpHeaderNames.RETRY_AFTER.toString());
     return TimeUnit.SECONDS.toNanos(
-        seconds == null || seconds < 0 ? DEFAULT_RETRY_SECONDS : seconds);
+        seconds.matches("\\d{1,4}") ? Long.parseLong(seconds) : DEFAULT_RETRY_SECONDS);
   }
 
-  private static SnapshotPart part(FullHttpResponse response) {
-    String version = response.headers().get(VERSION_HEADER, "");
-    String range = response.headers().get(HttpHeaderNames.CONTENT_RANGE, "");
+  private static SnapshotPart part(UnaryOperator<String> header, byte[] body) {
+    String range = header.apply(HttpHeaderNames.CONTENT_RANGE.toString());
     Matcher m = RANGE.matcher(range);
     if (!m.matches()) {
       throw new IllegalArgumentException("Content-Range \"" + range + "\"");
     }
-    byte[] bytes = bytes(response);
     long from = Long.parseLong(m.group(1));
-    if (Long.parseLong(m.group(2)) != from + bytes.length - 1) {
+    if (Long.parseLong(m.group(2)) != from + body.length - 1) {
       throw new IllegalArgumentException("Content-Range \"" + range + "\" with other bytes");
     }
-    return new SnapshotPart(
-        ConfigurationVersion.parse(version), from, Long.parseLong(m.group(3)), bytes);
+    ConfigurationVersion version = ConfigurationVersion.parse(header.apply(VERSION_HEADER));
+    return new SnapshotPart(version, from, Long.parseLong(m.group(3)), body);
   }
 }
