--- /dev/null
+++ b/src/main/java/pumicekeel/config/ControlSettings.java
@@ -0,0 +1,44 @@
+package pumicekeel.config;
+
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import pumicekeel.runtime.Addresses;
+
+/**
+ * The table {@code [control]}: where configurations are delivered from. Counts at a start only.
+ *
+ * @param addresses of the control machines, 1 to 16
+ * @param directory in which the last delivered versions are kept
+ */
+public record ControlSettings(List<InetSocketAddress> addresses, Path directory) {
+
+  private static final int MOST_ADDRESSES = 16;
+
+  /** Reads the table, or gives null where there is none. */
+  static ControlSettings read(Section s) {
+    if (s == null) {
+      return null;
+    }
+    List<InetSocketAddress> addresses = new ArrayList<>();
+    List<String> texts = s.texts("addresses");
+    for (String text : texts == null ? List.<String>of() : texts) {
+      try {
+        addresses.add(Addresses.parse("addresses", text));
+      } catch (IllegalArgumentException e) {
+        s.fault(
+            "addresses", "expected ADDRESS:PORT, without a name to look up, got \"" + text + "\"");
+      }
+    }
+    String directory =
+        s.needed("directory", "the directory in which the last delivered versions are kept");
+    s.done();
+    int count = addresses.size();
+    if (count < 1 || count > MOST_ADDRESSES || Set.copyOf(addresses).size() != count) {
+      s.fault("addresses", "expected 1 to " + MOST_ADDRESSES + " control machines, each once");
+    }
+    return new ControlSettings(addresses, directory == null ? null : Path.of(directory));
+  }
+}
--- a/src/main/java/pumicekeel/config/Operator.java
+++ b/src/main/java/pumicekeel/config/Operator.java
@@ -17,8 +17,8 @@
 import pumicekeel.upstream.jsonrpc.ServerSettings;
 
 /**
- * An operator file that has passed its checks: one generation of listeners, sources, pools and routes. {@code peers} counts at a
- * start only.
+ * An operator file that has passed its checks: one generation of listeners, sources, pools and routes. {@code peers} and {@code control},
+ * null where no control machines deliver, count at a start only.
  */
 public record Operator(
     Process process,
@@ -27,7 +27,8 @@
     Map<String, Pool> pools,
     List<Route> routes,
     Journal journal,
-    Peers peers) {
+    Peers peers,
+    ControlSettings control) {
 
   /** The listener and the source that the platform's own configuration names. */
   public static final String PLATFORM = "platform";
--- a/src/main/java/pumicekeel/config/OperatorReader.java
+++ b/src/main/java/pumicekeel/config/OperatorReader.java
@@ -92,9 +92,10 @@
         new RouteReader(pools, listeners.keySet(), faults).routes(root, defaultPool);
     Operator.Journal journal = journal(root.table("journal"));
     Operator.Peers peers = peers(root.table("peers"));
+    ControlSettings control = ControlSettings.read(root.table("control"));
     root.done();
     checkRoom(root, process, pools);
-    return new Operator(process, listeners, sources, pools, routes, journal, peers);
+    return new Operator(process, listeners, sources, pools, routes, journal, peers, control);
   }
 
   // The process and its listeners
--- a/src/main/java/pumicekeel/delivery/Subscription.java
+++ b/src/main/java/pumicekeel/delivery/Subscription.java
@@ -26,6 +26,9 @@
   /** A machine that answers at once instead of waiting is not asked more often than this. */
   private static final long LEAST_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
+  /** Each try checks a whole text, a second of a core at the largest known size: seldom against what control may cost. */
+  private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(30);
+
   /** What is to be done now. */
   public sealed interface Step {}
 
@@ -79,6 +82,9 @@
   private boolean needsSnapshot;
   private SnapshotTransfer transfer;
   private Candidate candidate;
+  /** When a version that was postponed is tried again. */
+  private long retryRefusedAt = Long.MAX_VALUE;
+
   private String refusal = "";
   private String trouble = "";
 
@@ -130,6 +136,10 @@
   }
 
   private Step ask(long now) {
+    if (now >= retryRefusedAt) {
+      retryRefusedAt = Long.MAX_VALUE;
+      refused = ConfigurationVersion.NONE;
+    }
     state = State.ASKING;
     askedAt = now;
     call++;
@@ -230,15 +240,17 @@
     if (ends(takenCall)) {
       refused = ConfigurationVersion.later(refused, candidate.version());
       refusal = reason;
+      retryRefusedAt = Long.MAX_VALUE;
       succeeded();
       rest(now, 0);
     }
   }
 
-  /** It can't be taken just now: it is tried again after a rest. */
+  /** It can't be taken just now: it is tried again after a while, and a newer one at any time. */
   public void postponed(long takenCall, String reason, long now) {
     if (ends(takenCall)) {
-      failed(reason, now);
+      refused(takenCall, reason, now);
+      retryRefusedAt = now + RETRY_NANOS + random.nextLong(RETRY_NANOS);
     }
   }
 
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -11,6 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
+import java.util.concurrent.ExecutorService;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.config.Configuration;
 import pumicekeel.config.Operator;
@@ -119,9 +120,17 @@
     try {
       Configuration configuration = Configuration.read(environment);
       Operator operator = operatorFile == null ? null : OperatorLoader.load(operatorFile);
-      node = new Node(configuration, operator, () -> Runtime.getRuntime().halt(1));
-      Reload.onHangup(environment, operatorFile, node);
+      DeliveredConfiguration delivered = operator == null || operator.control() == null
+          ? null
+          : DeliveredConfiguration.open(configuration, operator);
+      Operator first = delivered == null ? operator : delivered.first();
+      node = new Node(configuration, first, () -> Runtime.getRuntime().halt(1));
+      ExecutorService worker = Reload.newWorker();
+      Reload.onHangup(environment, operatorFile, node, delivered, worker);
       node.start();
+      if (delivered != null) {
+        delivered.follow(node, worker);
+      }
     } catch (OperatorLoader.Faulty e) {
       e.lines().forEach(err::println);
       return 2;
--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/pumicekeel/node/Reload.java
@@ -7,6 +7,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicBoolean;
 import pumicekeel.config.OperatorLoader;
+import pumicekeel.delivery.ConfigurationVersion;
 import pumicekeel.runtime.Log;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
@@ -19,18 +20,30 @@
 
   private Reload() {}
 
+  /** The one thread that reads and checks files and delivered configurations. */
+  static ExecutorService newWorker() {
+    return Executors.newSingleThreadExecutor(work -> {
+      Thread thread = new Thread(work, "reload");
+      thread.setDaemon(true);
+      return thread;
+    });
+  }
+
   /**
    * Reads the configuration and, where there is one, the operator file at each SIGHUP; one that is no good costs lines
    * of the log and changes nothing, and the other counts all the same. A thread of its own reads the files, since the
    * event loop must not wait for them, and one alone, or an older reading could overtake a newer one. Signals that come
    * while one waits to be carried out are one with it.
+   *
+   * @param operatorFile null where there is none
+   * @param delivered null where no control machines deliver
    */
-  static void onHangup(Map<String, String> environment, Path operatorFile, Node node) {
-    ExecutorService reader = Executors.newSingleThreadExecutor(work -> {
-      Thread thread = new Thread(work, "reload");
-      thread.setDaemon(true);
-      return thread;
-    });
+  static void onHangup(
+      Map<String, String> environment,
+      Path operatorFile,
+      Node node,
+      DeliveredConfiguration delivered,
+      ExecutorService reader) {
     AtomicBoolean waits = new AtomicBoolean();
     SignalHandler before = Signal.handle(new Signal("HUP"), signal -> {
       if (!waits.getAndSet(true)) {
@@ -38,7 +51,7 @@
           waits.set(false);
           read(environment, node);
           if (operatorFile != null) {
-            readOperator(operatorFile, node);
+            readOperator(operatorFile, node, delivered);
           }
         });
       }
@@ -57,6 +70,17 @@
     }
   }
 
+  /** The operator file counts until the control machines have delivered a version. */
+  static void readOperator(Path file, Node node, DeliveredConfiguration delivered) {
+    if (delivered != null && !delivered.inForce().equals(ConfigurationVersion.NONE)) {
+      Log.line("reload: the operator file is not read, version " + delivered.inForce()
+          + " of the control machines is in force; what it says of process, journal, peers and"
+          + " control needs a restart");
+      return;
+    }
+    readOperator(file, node);
+  }
+
   static void readOperator(Path file, Node node) {
     try {
       node.reload(OperatorLoader.load(file));
--- a/src/test/java/pumicekeel/delivery/SubscriptionTest.java
+++ b/src/test/java/pumicekeel/delivery/SubscriptionTest.java
@@ -145,7 +145,14 @@
   void postponedVersionIsTriedAgainAndADamagedOneIsFetchedWhole() {
     reply(ask().call(), delta(5, 6));
     subscription.postponed(assertInstanceOf(Take.class, step()).call(), "drains", now);
-    reply(ask().call(), delta(5, 6));
+    Ask meanwhile = ask();
+    assertEquals(version(6), meanwhile.known());
+    assertEquals("drains", subscription.trouble());
+    now += 60_000_000_000L;
+    reply(meanwhile.call(), new Reply.Unchanged());
+    Ask again = ask();
+    assertEquals(HELD, again.known());
+    reply(again.call(), delta(5, 6));
     subscription.damaged(assertInstanceOf(Take.class, step()).call(), "hash", now);
     assertEquals(ConfigurationVersion.NONE, ask().held());
   }
