--- a/src/main/java/pumicekeel/cli/Commands.java
+++ b/src/main/java/pumicekeel/cli/Commands.java
@@ -25,6 +25,8 @@
       CallCommand.class,
       SimCommand.class,
       FleetCommand.class,
+      ControlCommand.class,
+      ConfigCommand.class,
       RigCommand.class,
       LabCommand.class
     })
--- /dev/null
+++ b/src/main/java/pumicekeel/cli/ConfigFile.java
@@ -0,0 +1,27 @@
+package pumicekeel.cli;
+
+import java.io.PrintWriter;
+import java.nio.file.Path;
+import java.util.List;
+import pumicekeel.config.OperatorFile;
+import pumicekeel.node.DeliveredOperator;
+
+/** A file that is to be published: read whole and checked as a control machine does. */
+final class ConfigFile {
+
+  private ConfigFile() {}
+
+  /** The text, or null once its faults have been printed. */
+  static String read(Path file, PrintWriter err) {
+    String text;
+    try {
+      text = OperatorFile.read(file);
+    } catch (OperatorFile.Unreadable e) {
+      err.println(file + ":1: file: " + e.getMessage());
+      return null;
+    }
+    List<String> faults = DeliveredOperator.faults(file.toString(), text);
+    faults.forEach(err::println);
+    return faults.isEmpty() ? text : null;
+  }
+}
