--- a/src/main/java/pumicekeel/lab/experiment/Shrinker.java
+++ b/src/main/java/pumicekeel/lab/experiment/Shrinker.java
@@ -6,11 +6,11 @@
 import pumicekeel.lab.fleet.Figures;
 import pumicekeel.lab.fleet.FleetRun;
 import pumicekeel.lab.policy.Policies;
-import pumicekeel.lab.world.Trouble;
+import pumicekeel.lab.world.FaultSpec;
 import pumicekeel.lab.world.WorldSpec;
 
 /**
- * Cuts a world in which a rule is broken down to a smaller one in which it still is: fewer troubles, fewer balancers and upstreams, a
+ * Cuts a world in which a rule is broken down to a smaller one in which it still is: fewer faults, fewer balancers and upstreams, a
  * shorter day. Greedy, one part at a time (delta debugging, Zeller and Hildebrandt 2002, with parts of one).
  */
 public final class Shrinker {
@@ -45,7 +45,7 @@
         String still = broken(smaller);
         if (still != null) {
           progress.accept(smaller.balancers() + " balancers, " + smaller.servers() + " servers, "
-              + smaller.seconds() + " s, " + smaller.troubles().size() + " troubles: " + still);
+              + smaller.seconds() + " s, " + smaller.faults().size() + " troubles: " + still);
           best = smaller;
           again = true;
           break;
@@ -57,10 +57,10 @@
 
   private static List<WorldSpec> smaller(WorldSpec of) {
     List<WorldSpec> out = new ArrayList<>();
-    for (int i = 0; i < of.troubles().size(); i++) {
-      List<Trouble> fewer = new ArrayList<>(of.troubles());
+    for (int i = 0; i < of.faults().size(); i++) {
+      List<FaultSpec> fewer = new ArrayList<>(of.faults());
       fewer.remove(i);
-      out.add(of.withTroubles(fewer));
+      out.add(of.withFaults(fewer));
     }
     if (of.balancers() > 1) {
       out.add(of.withSize(of.balancers() / 2, Math.max(1, of.servers() / 2)));
--- a/src/main/java/pumicekeel/lab/fleet/Try.java
+++ b/src/main/java/pumicekeel/lab/fleet/ClientAttempt.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import pumicekeel.lab.world.Server;
-import pumicekeel.lab.world.Traffic.Ask;
+import pumicekeel.lab.world.Traffic.Arrival;
 
-/** One try of a client at one balancer: what the fleet's books hold of it. */
-final class Try {
+/** One attempt of a client at one balancer: the first, or a retry. */
+final class ClientAttempt {
 
   /** An attempt at an upstream. */
   static final class Attempt {
@@ -20,10 +20,10 @@
     }
   }
 
-  final Ask ask;
+  final Arrival ask;
   final String id;
   final int number;
-  /** When the client first asked, and until when this try is waited for. */
+  /** When the client first asked, and until when this attempt is waited for. */
   final long askedAt;
 
   final long deadline;
@@ -34,7 +34,7 @@
   /** Where it runs or ran; -1 for nowhere. */
   int cell = -1;
 
-  Try(Ask ask, int number, long askedAt, long deadline) {
+  ClientAttempt(Arrival ask, int number, long askedAt, long deadline) {
     this.ask = ask;
     this.number = number;
     this.askedAt = askedAt;
--- a/src/main/java/pumicekeel/lab/fleet/Customers.java
+++ b/src/main/java/pumicekeel/lab/fleet/ClientPopulation.java
@@ -3,19 +3,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.HdrHistogram.Histogram;
-import pumicekeel.lab.world.Agenda;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.EventScheduler;
+import pumicekeel.lab.world.FaultSpec;
+import pumicekeel.lab.world.RandomStream;
 import pumicekeel.lab.world.RequestKind;
 import pumicekeel.lab.world.Traffic;
-import pumicekeel.lab.world.Traffic.Ask;
-import pumicekeel.lab.world.Trouble;
+import pumicekeel.lab.world.Traffic.Arrival;
 import pumicekeel.lab.world.WorldSpec;
 
 /**
- * The clients and the front layer that spreads them over the balancers: whom they ask, what they do with an answer, and what that was
- * worth. A client's further tries belong to its first; an answer after the wanted time is worth nothing (BRIEF).
+ * The clients and the front layer that spreads them over the balancers: which balancer is asked, retries after a failure or a refusal,
+ * and the value earned by answers in time. Retries belong to the client's first attempt; an answer after the wanted time earns nothing
+ * (BRIEF).
  */
-final class Customers {
+final class ClientPopulation {
+
+  /** The name decides the draws; a new one would change what a recorded seed plays. */
+  private static final String RANDOM_STREAM = "customers";
 
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1_000 * MS;
@@ -32,9 +36,9 @@
   private static final long LONGEST_MICROS = 60_000_000L;
 
   private final FleetRun run;
-  private final Agenda agenda;
+  private final EventScheduler scheduler;
   private final WorldSpec spec;
-  private final Chance chance;
+  private final RandomStream random;
   private final List<Host> believed = new ArrayList<>();
   private final Histogram latency = new Histogram(LONGEST_MICROS, 3);
   private final double[] askedBySecond;
@@ -50,11 +54,11 @@
   private long failed;
   private long unreached;
 
-  Customers(FleetRun run, long seed) {
+  ClientPopulation(FleetRun run, long seed) {
     this.run = run;
-    agenda = run.agenda();
+    scheduler = run.scheduler();
     spec = run.spec();
-    chance = new Chance(seed, "customers");
+    random = new RandomStream(seed, RANDOM_STREAM);
     askedBySecond = new double[(int) spec.seconds() + 1];
     earnedBySecond = new double[(int) spec.seconds() + 1];
   }
@@ -69,7 +73,7 @@
 
   /** It is dead, and the front layer finds out some time later. */
   void down(Host host) {
-    agenda.in((long) (spec.frontNanos() * chance.between(0.5, 1)), () -> {
+    scheduler.in((long) (spec.frontNanos() * random.between(0.5, 1)), () -> {
       if (!host.up()) {
         believed.remove(host);
       }
@@ -78,27 +82,27 @@
 
   // Asking
 
-  void ask(Ask ask) {
+  void ask(Arrival ask) {
     asked++;
     double worth = worth(ask);
     askedBySecond[second()] += worth;
     askedByClass[RequestKind.BRIEF.indexOf(ask.kind())] += worth;
     askedByTenant[ask.tenant()] += worth;
-    go(ask, 0, agenda.now());
+    go(ask, 0, scheduler.now());
   }
 
   private int second() {
-    return (int) Math.min(askedBySecond.length - 1, agenda.now() / SECOND);
+    return (int) Math.min(askedBySecond.length - 1, scheduler.now() / SECOND);
   }
 
-  private static double worth(Ask ask) {
+  private static double worth(Arrival ask) {
     return ask.kind().type().worth() * ask.work();
   }
 
-  private void go(Ask ask, int number, long askedAt) {
+  private void go(Arrival ask, int number, long askedAt) {
     tries++;
-    Try t = new Try(ask, number, askedAt, agenda.now() + ask.patience());
-    Host host = believed.isEmpty() ? null : believed.get(chance.below(believed.size()));
+    ClientAttempt t = new ClientAttempt(ask, number, askedAt, scheduler.now() + ask.patience());
+    Host host = believed.isEmpty() ? null : believed.get(random.below(believed.size()));
     run.trace(
         t,
         "asks "
@@ -108,7 +112,7 @@
             + ", " + ask.kind().type().name() + " of " + ask.work() / 1e6 + " ms of work, waits "
             + ask.patience() / MS + " ms");
     if (host == null || !host.up()) {
-      agenda.in(MS, () -> unreached(t));
+      scheduler.in(MS, () -> unreached(t));
     } else {
       host.take(t);
     }
@@ -116,9 +120,9 @@
 
   // Answers
 
-  void served(Try t) {
+  void served(ClientAttempt t) {
     served++;
-    long took = agenda.now() - t.askedAt;
+    long took = scheduler.now() - t.askedAt;
     latency.recordValue(Math.min(LONGEST_MICROS, took / 1_000));
     boolean inTime = took <= t.ask.kind().type().aimNanos();
     run.trace(t, "served after " + took / MS + " ms" + (inTime ? "" : ", too late"));
@@ -130,45 +134,45 @@
     }
   }
 
-  void refused(Try t, long retryAfter) {
+  void refused(ClientAttempt t, long retryAfter) {
     refused++;
     again(t, retryAfter);
   }
 
-  void failed(Try t) {
+  void failed(ClientAttempt t) {
     failed++;
     again(t, 0);
   }
 
   /** No balancer was there, or it died with the request. */
-  void unreached(Try t) {
+  void unreached(ClientAttempt t) {
     unreached++;
     run.trace(t, "its balancer was not there");
     again(t, 0);
   }
 
-  private void again(Try t, long told) {
+  private void again(ClientAttempt t, long told) {
     int storm = storm();
     int most = storm > 0 ? storm : t.ask.retries() ? 1 : 0;
     if (t.number >= most) {
       return;
     }
-    long own = storm > 0 ? MS : (long) (OWN_WAIT * chance.between(0.2, 1));
+    long own = storm > 0 ? MS : (long) (OWN_WAIT * random.between(0.2, 1));
     long wait = storm == 0 && t.ask.follows() && told > 0 ? told : own;
-    agenda.in(wait, () -> go(t.ask, t.number + 1, t.askedAt));
+    scheduler.in(wait, () -> go(t.ask, t.number + 1, t.askedAt));
   }
 
   private int storm() {
-    double second = agenda.now() / 1e9;
-    for (Trouble trouble : spec.troubles()) {
-      if (trouble instanceof Trouble.RetryStorm s && second >= s.from() && second < s.to()) {
+    double second = scheduler.now() / 1e9;
+    for (FaultSpec fault : spec.faults()) {
+      if (fault instanceof FaultSpec.RetryStorm s && second >= s.from() && second < s.to()) {
         return s.tries();
       }
     }
     return 0;
   }
 
-  // The account
+  // Results
 
   Figures figures(
       Judge judge, FleetRun.Count count, double wasted, double utilization, long events) {
--- a/src/main/java/pumicekeel/lab/fleet/Deployment.java
+++ b/src/main/java/pumicekeel/lab/fleet/Deployment.java
@@ -11,8 +11,8 @@
 import pumicekeel.Balancer.Settings;
 import pumicekeel.Balancer.Tenant;
 import pumicekeel.Balancer.WeightKind;
-import pumicekeel.lab.world.Agenda;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.EventScheduler;
+import pumicekeel.lab.world.RandomStream;
 import pumicekeel.lab.world.RequestKind;
 import pumicekeel.lab.world.Server;
 import pumicekeel.lab.world.ServerSpec;
@@ -31,17 +31,17 @@
   private static final double WEIGHT_SIGMA = 0.15;
 
   private final WorldSpec spec;
-  private final Agenda agenda;
-  private final Chance chance;
+  private final EventScheduler scheduler;
+  private final RandomStream random;
   private final Map<Long, Server> byId = new LinkedHashMap<>();
   private final Map<Integer, Server.Cell> cells = new HashMap<>();
   private final double capacity;
   private long nextId = FIRST_ID;
 
-  public Deployment(WorldSpec spec, Agenda agenda, long seed) {
+  public Deployment(WorldSpec spec, EventScheduler scheduler, long seed) {
     this.spec = spec;
-    this.agenda = agenda;
-    chance = new Chance(seed, "fleet");
+    this.scheduler = scheduler;
+    random = new RandomStream(seed, "fleet");
     for (int i = 0; i < spec.servers(); i++) {
       // Those that start with the world are warm: their start was long ago.
       add(draw(), i % spec.zones(), i / spec.cellSize(), -1);
@@ -55,9 +55,9 @@
   }
 
   private ServerSpec draw() {
-    boolean large = chance.uniform() < 0.4;
+    boolean large = random.uniform() < 0.4;
     int cores = large ? 3 : 2;
-    double speed = large ? chance.between(0.85, 1.1) : chance.between(0.51, 0.69);
+    double speed = large ? random.between(0.85, 1.1) : random.between(0.51, 0.69);
     return new ServerSpec(
         cores,
         speed,
@@ -66,12 +66,12 @@
         0.005,
         0.32,
         8_500 * MS,
-        chance.below(1_500) + 1_200,
-        (long) (MS * chance.between(0.89, 3.4)),
-        (long) (SECOND * chance.between(19, 39)),
+        random.below(1_500) + 1_200,
+        (long) (MS * random.between(0.89, 3.4)),
+        (long) (SECOND * random.between(19, 39)),
         0.75,
         400,
-        spec.weighed() ? cores * speed * chance.lognormal(WEIGHT_SIGMA) : 1);
+        spec.weighed() ? cores * speed * random.lognormal(WEIGHT_SIGMA) : 1);
   }
 
   /** What one balancer is told. */
@@ -111,7 +111,7 @@
 
   /** Another one, that starts now. */
   Server successor(Server of) {
-    return add(of.spec(), Integer.parseInt(of.zone.substring(1)), of.cellNumber, agenda.now());
+    return add(of.spec(), Integer.parseInt(of.zone.substring(1)), of.cellNumber, scheduler.now());
   }
 
   private Server add(ServerSpec its, int zone, int cell, long startedAt) {
@@ -121,7 +121,7 @@
         cell,
         its,
         cells.computeIfAbsent(cell, k -> new Server.Cell()),
-        agenda,
+        scheduler,
         startedAt);
     byId.put(s.id, s);
     return s;
--- a/src/main/java/pumicekeel/lab/fleet/Troubles.java
+++ b/src/main/java/pumicekeel/lab/fleet/FaultInjector.java
@@ -3,15 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import pumicekeel.Balancer.State;
-import pumicekeel.lab.world.Agenda;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.EventScheduler;
+import pumicekeel.lab.world.FaultSpec;
+import pumicekeel.lab.world.RandomStream;
 import pumicekeel.lab.world.Server;
-import pumicekeel.lab.world.Trouble;
 
-/** Plays a world's troubles on a fleet; whom they meet is the seed's. */
-final class Troubles {
+/** Schedules a world's faults on a fleet; the seed chooses which upstreams and balancers they hit. */
+final class FaultInjector {
 
   private static final double SECOND = 1e9;
+
+  /** The name decides the draws; a new one would change what a recorded seed plays. */
+  private static final String RANDOM_STREAM = "troubles";
+
   /** A drained upstream ends when all have been told and have had their grace, and its successor needs so long to start. */
   private static final long GRACE = 2_500_000_000L;
 
@@ -20,48 +24,48 @@
   private static final long BALANCER_START = 2_500_000_000L;
 
   private final FleetRun run;
-  private final Agenda agenda;
-  private final Chance chance;
+  private final EventScheduler scheduler;
+  private final RandomStream random;
 
-  Troubles(FleetRun run, long seed) {
+  FaultInjector(FleetRun run, long seed) {
     this.run = run;
-    agenda = run.agenda();
-    chance = new Chance(seed, "troubles");
+    scheduler = run.scheduler();
+    random = new RandomStream(seed, RANDOM_STREAM);
   }
 
-  void plan(List<Trouble> troubles) {
-    for (Trouble t : troubles) {
-      if (t instanceof Trouble.Crash c) {
+  void plan(List<FaultSpec> faults) {
+    for (FaultSpec t : faults) {
+      if (t instanceof FaultSpec.Crash c) {
         at(c.at(), () -> some(c.part()).forEach(s -> crash(s, c.backAfter())));
-      } else if (t instanceof Trouble.ZoneLost z) {
+      } else if (t instanceof FaultSpec.ZoneLost z) {
         at(
             z.at(),
             () -> run.servers().stream()
                 .filter(s -> s.zone.equals(Deployment.zone(z.zone())))
                 .toList()
                 .forEach(s -> crash(s, z.lasts())));
-      } else if (t instanceof Trouble.Slow s) {
+      } else if (t instanceof FaultSpec.Slow s) {
         at(
             s.at(),
             () -> some(s.part()).forEach(one -> {
               one.slow(s.times());
               in(s.lasts(), () -> one.slow(1));
             }));
-      } else if (t instanceof Trouble.Failing f) {
+      } else if (t instanceof FaultSpec.Failing f) {
         at(
             f.at(),
             () -> some(f.part()).forEach(one -> {
               one.fail(f.share());
               in(f.lasts(), () -> one.fail(0));
             }));
-      } else if (t instanceof Trouble.Mute m) {
+      } else if (t instanceof FaultSpec.Mute m) {
         at(
             m.at(),
             () -> some(m.part()).forEach(one -> {
               one.mute(true);
               in(m.lasts(), () -> one.mute(false));
             }));
-      } else if (t instanceof Trouble.ListLate l) {
+      } else if (t instanceof FaultSpec.ListLate l) {
         long usual = run.list().lateNanos();
         at(l.from(), () -> run.list().late((long) (l.seconds() * SECOND)));
         at(l.to(), () -> run.list().late(usual));
@@ -71,15 +75,15 @@
     }
   }
 
-  private void planFleet(Trouble t) {
-    if (t instanceof Trouble.Deploy d) {
+  private void planFleet(FaultSpec t) {
+    if (t instanceof FaultSpec.Deploy d) {
       at(
           d.from(),
           () -> inGroups(
               some(d.part()), d.atOnce() * run.servers().size(), d.lasts(), s -> drain(s, true)));
-    } else if (t instanceof Trouble.Shrink s) {
+    } else if (t instanceof FaultSpec.Shrink s) {
       at(s.from(), () -> inGroups(some(1 - s.to()), 1, s.lasts(), one -> drain(one, false)));
-    } else if (t instanceof Trouble.Restart r) {
+    } else if (t instanceof FaultSpec.Restart r) {
       at(
           r.from(),
           () -> inGroups(
@@ -87,17 +91,17 @@
               Math.max(1, r.atOnce() * run.hosts().size()),
               r.lasts(),
               h -> away(h, BALANCER_START)));
-    } else if (t instanceof Trouble.BalancerCrash b) {
+    } else if (t instanceof FaultSpec.BalancerCrash b) {
       at(b.at(), () -> hosts(b.part()).forEach(h -> away(h, (long) (b.backAfter() * SECOND))));
     }
   }
 
   private void at(double second, Runnable what) {
-    agenda.at((long) (second * SECOND), what);
+    scheduler.at((long) (second * SECOND), what);
   }
 
   private void in(double seconds, Runnable what) {
-    agenda.in((long) (seconds * SECOND), what);
+    scheduler.in((long) (seconds * SECOND), what);
   }
 
   /** A part of the upstreams by chance, at least one where the part is not 0. */
@@ -112,7 +116,7 @@
   private <T> List<T> part(List<T> of, double part) {
     List<T> all = new ArrayList<>(of);
     for (int i = all.size() - 1; i > 0; i--) {
-      int j = chance.below(i + 1);
+      int j = random.below(i + 1);
       T t = all.get(i);
       all.set(i, all.get(j));
       all.set(j, t);
@@ -139,11 +143,11 @@
 
   private void drain(Server s, boolean replaced) {
     run.list().change(s, State.DRAINING);
-    agenda.in(run.list().lateNanos() + GRACE, () -> {
+    scheduler.in(run.list().lateNanos() + GRACE, () -> {
       run.end(s);
       run.list().change(s, State.GONE);
       if (replaced) {
-        agenda.in(START, () -> run.replace(s));
+        scheduler.in(START, () -> run.replace(s));
       }
     });
   }
@@ -151,10 +155,10 @@
   private void away(Host host, long nanos) {
     if (host.up()) {
       host.crash();
-      run.customers().down(host);
-      agenda.in(nanos, () -> {
+      run.clients().down(host);
+      scheduler.in(nanos, () -> {
         host.restart();
-        run.customers().up(host);
+        run.clients().up(host);
       });
     }
   }
--- a/src/main/java/pumicekeel/lab/fleet/FleetRun.java
+++ b/src/main/java/pumicekeel/lab/fleet/FleetRun.java
@@ -10,7 +10,7 @@
 import pumicekeel.Balancer.State;
 import pumicekeel.lab.policy.Oracle;
 import pumicekeel.lab.policy.Policies;
-import pumicekeel.lab.world.Agenda;
+import pumicekeel.lab.world.EventScheduler;
 import pumicekeel.lab.world.RequestKind;
 import pumicekeel.lab.world.Server;
 import pumicekeel.lab.world.Traffic;
@@ -66,7 +66,7 @@
   private final Policies.Maker maker;
   private final long seed;
   private final Trace trace;
-  private final Agenda agenda = new Agenda();
+  private final EventScheduler scheduler = new EventScheduler();
   private final Deployment deployment;
   private final Map<Long, Server> byId;
   private final Map<Long, Integer> lives = new HashMap<>();
@@ -76,7 +76,7 @@
   private final NodeList list;
   private final Settings settings;
   private final Judge judge;
-  private final Customers customers;
+  private final ClientPopulation clients;
   private final double capacity;
 
   /** A run; {@code trace} may be null. */
@@ -85,23 +85,23 @@
     this.maker = maker;
     this.seed = seed;
     this.trace = trace;
-    deployment = new Deployment(spec, agenda, seed);
+    deployment = new Deployment(spec, scheduler, seed);
     byId = deployment.servers();
     capacity = deployment.capacity();
-    list = new NodeList(agenda, seed, hosts, spec.listNanos());
+    list = new NodeList(scheduler, seed, hosts, spec.listNanos());
     byId.values().forEach(list::enter);
     settings = deployment.settings(0, Deployment.zone(0));
     judge = new Judge(settings.contract(), RequestKind.meanWork(RequestKind.BRIEF));
     for (int i = 0; i < spec.balancers(); i++) {
       hosts.add(new Host(i, this, Deployment.zone(i % spec.zones()), seed));
     }
-    customers = new Customers(this, seed);
+    clients = new ClientPopulation(this, seed);
   }
 
   // For those that play in it
 
-  Agenda agenda() {
-    return agenda;
+  EventScheduler scheduler() {
+    return scheduler;
   }
 
   WorldSpec spec() {
@@ -116,8 +116,8 @@
     return judge;
   }
 
-  Customers customers() {
-    return customers;
+  ClientPopulation clients() {
+    return clients;
   }
 
   NodeList list() {
@@ -148,9 +148,9 @@
     return Traffic.TENANTS.get(number);
   }
 
-  void trace(Try t, String what) {
+  void trace(ClientAttempt t, String what) {
     if (trace != null) {
-      trace.line(t.ask.number(), agenda.now(), t.id + ": " + what);
+      trace.line(t.ask.number(), scheduler.now(), t.id + ": " + what);
     }
   }
 
@@ -190,24 +190,24 @@
   public Figures play(BooleanSupplier stop) {
     hosts.forEach(h -> {
       h.start(list.lines());
-      customers.up(h);
+      clients.up(h);
     });
-    Traffic traffic = new Traffic(agenda, spec, RequestKind.BRIEF, capacity, seed, customers::ask);
+    Traffic traffic = new Traffic(scheduler, spec, RequestKind.BRIEF, capacity, seed, clients::ask);
     traffic.start();
-    new Troubles(this, seed).plan(spec.troubles());
+    new FaultInjector(this, seed).plan(spec.faults());
     look();
     long end = (long) (spec.seconds() * SECOND);
-    if (!agenda.run(end, stop)) {
+    if (!scheduler.run(end, stop)) {
       return null;
     }
     double done = byId.values().stream().mapToDouble(Server::workDone).sum();
     double utilization = done / (capacity * spec.seconds());
-    if (!agenda.run(end + TAIL, stop)) {
+    if (!scheduler.run(end + TAIL, stop)) {
       return null;
     }
     done = byId.values().stream().mapToDouble(Server::workDone).sum();
     double wasted = Math.max(0, 1 - count.useful / Math.max(1, done));
-    return customers.figures(judge, count, wasted, utilization, agenda.happened());
+    return clients.figures(judge, count, wasted, utilization, scheduler.processedEvents());
   }
 
   private void look() {
@@ -215,11 +215,11 @@
       crowds.put(
           s.id,
           s.up()
-              ? s.held() / (s.spec().capacity() * s.warmth(agenda.now()) / 1e9)
+              ? s.held() / (s.spec().capacity() * s.warmth(scheduler.now()) / 1e9)
               : Double.POSITIVE_INFINITY);
     }
-    if (agenda.now() < spec.seconds() * SECOND) {
-      agenda.in(ORACLE_AGE, this::look);
+    if (scheduler.now() < spec.seconds() * SECOND) {
+      scheduler.in(ORACLE_AGE, this::look);
     }
   }
 }
--- a/src/main/java/pumicekeel/lab/fleet/Host.java
+++ b/src/main/java/pumicekeel/lab/fleet/Host.java
@@ -21,7 +21,7 @@
 import pumicekeel.Balancer.State;
 import pumicekeel.Balancer.Status;
 import pumicekeel.Balancer.TimerFired;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.RandomStream;
 import pumicekeel.lab.world.Server;
 
 /**
@@ -40,10 +40,10 @@
 
   final int number;
   private final FleetRun run;
-  private final Chance chance;
+  private final RandomStream random;
   private final String zone;
   private final long origin;
-  private final Map<String, Try> open = new HashMap<>();
+  private final Map<String, ClientAttempt> open = new HashMap<>();
   private final Map<Long, Long> toldAt = new HashMap<>();
   private final Map<Long, Long> startsKnown = new HashMap<>();
   private final Map<Long, Links> links = new HashMap<>();
@@ -55,8 +55,8 @@
     this.number = number;
     this.run = run;
     this.zone = zone;
-    chance = new Chance(seed, "host " + number);
-    origin = Math.floorMod(chance.next(), 1_000_000_000_000_000L);
+    random = new RandomStream(seed, "host " + number);
+    origin = Math.floorMod(random.next(), 1_000_000_000_000_000L);
   }
 
   boolean up() {
@@ -71,7 +71,7 @@
 
   void start(List<Listed> list) {
     life++;
-    policy = run.policyOf(this, chance.next());
+    policy = run.policyOf(this, random.next());
     toldAt.clear();
     startsKnown.clear();
     tell(new ListNews(ListKind.CACHED, own(list)));
@@ -85,11 +85,11 @@
     links.values().forEach(l -> l.idle = 0);
     links.forEach((id, l) -> run.server(id).disconnect());
     links.clear();
-    List<Try> lost = new ArrayList<>(open.values());
+    List<ClientAttempt> lost = new ArrayList<>(open.values());
     open.clear();
     lost.stream().filter(t -> !t.answered).forEach(t -> {
       t.answered = true;
-      run.customers().unreached(t);
+      run.clients().unreached(t);
     });
   }
 
@@ -97,7 +97,7 @@
   void restart() {
     start(known);
     int of = life;
-    run.agenda().in((long) (chance.uniform() * 1_000 * MS), () -> {
+    run.scheduler().in((long) (random.uniform() * 1_000 * MS), () -> {
       if (of == life) {
         tell(new ListNews(ListKind.FULL, own(run.list().lines())));
       }
@@ -127,7 +127,7 @@
       hear(news);
     }
     List<Action> actions = new ArrayList<>(2);
-    policy.handle(run.agenda().now() + origin, event, actions::add);
+    policy.handle(run.scheduler().now() + origin, event, actions::add);
     actions.forEach(this::perform);
   }
 
@@ -137,22 +137,22 @@
       if (l.state() == State.READY) {
         toldAt.remove(l.upstream());
       } else {
-        toldAt.putIfAbsent(l.upstream(), run.agenda().now());
+        toldAt.putIfAbsent(l.upstream(), run.scheduler().now());
       }
     }
   }
 
   // Requests
 
-  void take(Try t) {
+  void take(ClientAttempt t) {
     open.put(t.id, t);
     int of = life;
-    run.agenda().at(t.deadline + run.settings().contract().answerSlackNanos() + 1, () -> {
+    run.scheduler().at(t.deadline + run.settings().contract().answerSlackNanos() + 1, () -> {
       if (of == life && !t.answered) {
         run.judge()
-            .broken("lost", run.agenda().now(), t.id + " had no answer from balancer " + number);
+            .broken("lost", run.scheduler().now(), t.id + " had no answer from balancer " + number);
         t.answered = true;
-        run.customers().failed(t);
+        run.clients().failed(t);
         tell(new ClientGone(t.id));
       }
     });
@@ -172,19 +172,19 @@
     } else if (action instanceof Refuse a) {
       refuse(open.get(a.id()), a.retryAfterNanos());
     } else if (action instanceof Fail a) {
-      Try t = open.get(a.id());
+      ClientAttempt t = open.get(a.id());
       if (answers(t)) {
         run.trace(t, "failed, no promise");
-        run.customers().failed(t);
+        run.clients().failed(t);
       }
     } else if (action instanceof Cancel a) {
-      Try t = open.get(a.id());
+      ClientAttempt t = open.get(a.id());
       if (t != null && a.attempt() < t.attempts.size()) {
         end(t, a.attempt(), Status.CANCELLED);
       }
     } else if (action instanceof SetTimer a) {
       int of = life;
-      run.agenda().at(a.atNanos() - origin, () -> {
+      run.scheduler().at(a.atNanos() - origin, () -> {
         if (of == life) {
           tell(new TimerFired(a.token()));
         }
@@ -192,33 +192,33 @@
     }
   }
 
-  private void refuse(Try t, long retryAfter) {
+  private void refuse(ClientAttempt t, long retryAfter) {
     if (answers(t)) {
       t.refused = true;
       boolean ran = t.attempts.stream().anyMatch(a -> !a.over) || t.cell >= 0;
       if (ran && t.ask.kind().type().effect() != Balancer.Effect.SAFE) {
-        run.judge().broken("twice", run.agenda().now(), t.id + " was refused, and may have run");
+        run.judge().broken("twice", run.scheduler().now(), t.id + " was refused, and may have run");
       }
       run.trace(t, "refused, come back in " + retryAfter / MS + " ms");
-      run.customers().refused(t, retryAfter);
+      run.clients().refused(t, retryAfter);
       forget(t);
     }
   }
 
   /** True once: the caller then gives the only final answer. A second one, and one to nobody, is no answer. */
-  private boolean answers(Try t) {
+  private boolean answers(ClientAttempt t) {
     if (t == null || t.served) {
       return false;
     }
     if (t.answered) {
-      run.judge().broken("lost", run.agenda().now(), t.id + " has two final answers");
+      run.judge().broken("lost", run.scheduler().now(), t.id + " has two final answers");
       return false;
     }
     t.answered = true;
     return true;
   }
 
-  private void forget(Try t) {
+  private void forget(ClientAttempt t) {
     if (t.answered && t.attempts.stream().allMatch(a -> a.over)) {
       open.remove(t.id);
     }
@@ -227,14 +227,14 @@
   // Attempts
 
   private void send(Send a) {
-    Try t = open.get(a.id());
+    ClientAttempt t = open.get(a.id());
     Server server = run.server(a.upstream());
-    long now = run.agenda().now();
+    long now = run.scheduler().now();
     if (t == null) {
       return;
     }
     int number = t.attempts.size();
-    Try.Attempt attempt = new Try.Attempt(server, now);
+    ClientAttempt.Attempt attempt = new ClientAttempt.Attempt(server, now);
     t.attempts.add(attempt);
     if (t.answered) {
       // As the table of open requests does: nothing goes out for one that has its answer.
@@ -251,7 +251,7 @@
     }
     int of = life;
     long left = Math.max(1, t.deadline - now);
-    run.agenda()
+    run.scheduler()
         .in(
             a.timeoutNanos() == 0 ? left : Math.min(a.timeoutNanos(), left),
             () -> ended(of, t, number, Status.TIMEOUT));
@@ -259,11 +259,11 @@
   }
 
   private long oneWay(Server server) {
-    return (long) (MS * chance.between(0.1, 0.6))
+    return (long) (MS * random.between(0.1, 0.6))
         + (server.zone.equals(zone) ? 0 : run.spec().zoneNanos());
   }
 
-  private void connect(int of, Try t, int number, Try.Attempt attempt) {
+  private void connect(int of, ClientAttempt t, int number, ClientAttempt.Attempt attempt) {
     Server server = attempt.server;
     Links l = links.computeIfAbsent(server.id, k -> new Links());
     if (l.life != run.lifeOf(server)) {
@@ -275,10 +275,10 @@
     long way = oneWay(server);
     if (l.idle > 0) {
       l.idle--;
-      run.agenda().in(way, () -> arrive(of, t, number, attempt));
+      run.scheduler().in(way, () -> arrive(of, t, number, attempt));
       return;
     }
-    run.agenda().in(2 * way, () -> {
+    run.scheduler().in(2 * way, () -> {
       if (of != life || attempt.over) {
         return;
       }
@@ -287,11 +287,11 @@
         ended(of, t, number, Status.CONNECT_FAILED);
         return;
       }
-      run.agenda().in(way, () -> arrive(of, t, number, attempt));
+      run.scheduler().in(way, () -> arrive(of, t, number, attempt));
     });
   }
 
-  private void arrive(int of, Try t, int number, Try.Attempt attempt) {
+  private void arrive(int of, ClientAttempt t, int number, ClientAttempt.Attempt attempt) {
     Server server = attempt.server;
     if (attempt.over) {
       // Given up while it was on its way: its connection is closed.
@@ -309,19 +309,26 @@
             new Server.Sender() {
               @Override
               public void begins() {
-                run.judge().runs(t, server.cellNumber, run.agenda().now());
+                run.judge().runs(t, server.cellNumber, run.scheduler().now());
               }
 
               @Override
               public void ended(Status status, double work) {
-                run.agenda().in(oneWay(server), () -> heard(of, t, number, attempt, status, work));
+                run.scheduler()
+                    .in(oneWay(server), () -> heard(of, t, number, attempt, status, work));
               }
             }),
-        chance);
+        random);
   }
 
   /** What the upstream says has come back. */
-  private void heard(int of, Try t, int number, Try.Attempt attempt, Status status, double work) {
+  private void heard(
+      int of,
+      ClientAttempt t,
+      int number,
+      ClientAttempt.Attempt attempt,
+      Status status,
+      double work) {
     if (of != life || attempt.over || status == Status.RESET) {
       attempt.server.disconnect();
     } else {
@@ -333,31 +340,31 @@
     ended(of, t, number, status);
   }
 
-  private void ended(int of, Try t, int number, Status status) {
+  private void ended(int of, ClientAttempt t, int number, Status status) {
     if (of == life) {
       end(t, number, status);
     }
   }
 
-  private void end(Try t, int number, Status status) {
-    Try.Attempt attempt = t.attempts.get(number);
+  private void end(ClientAttempt t, int number, Status status) {
+    ClientAttempt.Attempt attempt = t.attempts.get(number);
     if (attempt.over) {
       return;
     }
     attempt.over = true;
-    long took = run.agenda().now() - attempt.sentAt;
+    long took = run.scheduler().now() - attempt.sentAt;
     if (status != Status.NOT_SENT) {
       run.trace(t, "attempt " + number + " ended after " + took / MS + " ms: " + status);
     }
     if (status == Status.SERVED && !t.answered) {
       t.answered = true;
       t.served = true;
-      run.customers().served(t);
+      run.clients().served(t);
     }
     // As on sockets: told later, never from within an action.
     int of = life;
     boolean finished = t.answered;
-    run.agenda().in(0, () -> {
+    run.scheduler().in(0, () -> {
       if (of == life) {
         tell(new Outcome(t.id, number, attempt.server.id, status, took, finished, Map.of()));
         forget(t);
--- a/src/main/java/pumicekeel/lab/fleet/Judge.java
+++ b/src/main/java/pumicekeel/lab/fleet/Judge.java
@@ -20,7 +20,7 @@
     private double work;
   }
 
-  /** Chance: so many roots of the number of requests, in mean ones, may come beyond a budget. */
+  /** RandomStream: so many roots of the number of requests, in mean ones, may come beyond a budget. */
   private static final double ROOTS = 3;
 
   private final Contract contract;
@@ -99,7 +99,7 @@
   }
 
   /** An attempt of one try begins to run in a cell. */
-  void runs(Try t, int cell, long now) {
+  void runs(ClientAttempt t, int cell, long now) {
     if (t.refused && t.ask.kind().type().effect() != Effect.SAFE) {
       broken("twice", now, t.id + " ran after it was refused");
     }
--- a/src/main/java/pumicekeel/lab/fleet/NodeList.java
+++ b/src/main/java/pumicekeel/lab/fleet/NodeList.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.State;
-import pumicekeel.lab.world.Agenda;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.EventScheduler;
+import pumicekeel.lab.world.RandomStream;
 import pumicekeel.lab.world.Server;
 
 /**
@@ -17,18 +17,18 @@
  */
 final class NodeList {
 
-  private final Agenda agenda;
-  private final Chance chance;
+  private final EventScheduler scheduler;
+  private final RandomStream random;
   private final List<Host> hosts;
   private final Map<Long, Listed> lines = new LinkedHashMap<>();
   private final Map<Long, Long> versions = new HashMap<>();
   private long lateNanos;
 
-  NodeList(Agenda agenda, long seed, List<Host> hosts, long lateNanos) {
-    this.agenda = agenda;
+  NodeList(EventScheduler scheduler, long seed, List<Host> hosts, long lateNanos) {
+    this.scheduler = scheduler;
     this.hosts = hosts;
     this.lateNanos = lateNanos;
-    chance = new Chance(seed, "list");
+    random = new RandomStream(seed, "list");
   }
 
   void late(long nanos) {
@@ -64,7 +64,7 @@
     }
     long version = versions.merge(s.id, 1L, Long::sum);
     for (Host host : hosts) {
-      agenda.in((long) (chance.uniform() * lateNanos), () -> {
+      scheduler.in((long) (random.uniform() * lateNanos), () -> {
         if (versions.get(s.id) == version) {
           host.news(line);
         }
--- a/src/main/java/pumicekeel/lab/program/Fate.java
+++ b/src/main/java/pumicekeel/lab/program/Fate.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 import pumicekeel.Balancer.Effect;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.RandomStream;
 
 /** All that one request is and its client does, drawn from the seed and its number. */
 final class Fate {
@@ -56,7 +56,7 @@
   Fate(Script script, int number) {
     this.number = number;
     id = "q" + number;
-    Chance c = script.chance("ask " + number);
+    RandomStream c = script.randomFor("ask " + number);
     int kind = c.below(4);
     effect = kind < 2 ? Effect.SAFE : kind == 2 ? Effect.KEYED : Effect.UNSAFE;
     type = kind < 2 ? "look" : kind == 2 ? "quote" : "order";
--- a/src/main/java/pumicekeel/lab/program/Line.java
+++ b/src/main/java/pumicekeel/lab/program/Line.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.RandomStream;
 
 /**
  * One TCP connection, as its two ends see it: bytes come in order, in pieces of any size, some time later; each side holds so many
@@ -24,7 +24,7 @@
   private static final int CUT_IN = 8;
 
   private final VirtualLoop loop;
-  private final Chance chance;
+  private final RandomStream random;
   private final long delay;
   private final int window;
   final End caller;
@@ -32,13 +32,13 @@
 
   Line(
       VirtualLoop loop,
-      Chance chance,
+      RandomStream random,
       long delay,
       int window,
       InetSocketAddress caller,
       InetSocketAddress called) {
     this.loop = loop;
-    this.chance = chance;
+    this.random = random;
     this.delay = delay;
     this.window = window;
     this.caller = new End(caller);
@@ -136,7 +136,7 @@
       }
       int sent = 0;
       while (sent < n) {
-        int piece = !uncut && chance.below(CUT_IN) == 0 ? 1 + chance.below(n - sent) : n - sent;
+        int piece = !uncut && random.below(CUT_IN) == 0 ? 1 + random.below(n - sent) : n - sent;
         byte[] copy = new byte[piece];
         System.arraycopy(bytes, from + sent, copy, 0, piece);
         peer.flying += piece;
@@ -188,7 +188,7 @@
     }
 
     private void arrive(Runnable what) {
-      lastArrival = Math.max(lastArrival, loop.now() + delay + (long) (delay * chance.uniform()));
+      lastArrival = Math.max(lastArrival, loop.now() + delay + (long) (delay * random.uniform()));
       loop.at(lastArrival, what);
     }
 
--- a/src/main/java/pumicekeel/lab/program/ProgramRun.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramRun.java
@@ -92,7 +92,7 @@
   /** One whose every event is told, a line each. */
   ProgramRun(Script script, Consumer<String> trace) {
     this.script = script;
-    network = new VirtualNetwork(loop, script.chance("network"), this::broken);
+    network = new VirtualNetwork(loop, script.randomFor("network"), this::broken);
     settings = settings(400 * MS);
     book = new Book(loop, settings.contract(), DEDUP + 2 * MS, trace);
   }
--- a/src/main/java/pumicekeel/lab/program/RawCalls.java
+++ b/src/main/java/pumicekeel/lab/program/RawCalls.java
@@ -11,7 +11,7 @@
 import pumicekeel.adapter.Fields;
 import pumicekeel.adapter.WireException;
 import pumicekeel.lab.program.Fate.Leaving;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.RandomStream;
 
 /** Stand-in clients of the JSON-RPC front: a few connections with several calls open each, one message a line. */
 final class RawCalls {
@@ -32,7 +32,7 @@
   private final Book book;
   private final InetSocketAddress balancer;
   private final Script script;
-  private final Chance chance;
+  private final RandomStream random;
   private final List<Connection> open = new ArrayList<>();
   private boolean stopped;
 
@@ -42,7 +42,7 @@
     this.book = book;
     this.balancer = balancer;
     loop = network.loop();
-    chance = script.chance("calls");
+    random = script.randomFor("calls");
   }
 
   void stopped() {
@@ -106,7 +106,7 @@
       });
       if (fate.leaving == Leaving.WAITING) {
         loop.at(loop.now() + fate.leavesAfter, this::leave);
-      } else if (chance.below(ENDS_IN) == 0) {
+      } else if (random.below(ENDS_IN) == 0) {
         ended = true;
         out.then(end::finish);
       }
--- a/src/main/java/pumicekeel/lab/program/RawServer.java
+++ b/src/main/java/pumicekeel/lab/program/RawServer.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 import pumicekeel.lab.program.Messages.Message;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.RandomStream;
 
 /** A stand-in upstream: runs what comes, and answers as its fate for that request has it. */
 final class RawServer implements VirtualNetwork.Acceptor {
@@ -50,7 +50,7 @@
   private final Book book;
   private final InetSocketAddress address;
   private final Set<Connection> open = new LinkedHashSet<>();
-  private final Chance chance;
+  private final RandomStream random;
   private long hangsUntil;
   private long fullUntil;
   private long slowUntil;
@@ -65,7 +65,7 @@
     this.network = network;
     this.book = book;
     loop = network.loop();
-    chance = script.chance("upstream " + number);
+    random = script.randomFor("upstream " + number);
     address = network.listen(0, this);
   }
 
@@ -73,7 +73,7 @@
     return address;
   }
 
-  // Troubles
+  // Fault injection
 
   void hang(long nanos) {
     hangsUntil = Math.max(hangsUntil, loop.now() + nanos);
@@ -173,8 +173,8 @@
         if (!begun) {
           begun = true;
           book.begins(number);
-          if (chance.below(BREAKS_IN) == 0) {
-            loop.at(loop.now() + chance.below(BREAKS_WITHIN), this::crash);
+          if (random.below(BREAKS_IN) == 0) {
+            loop.at(loop.now() + random.below(BREAKS_WITHIN), this::crash);
           }
         }
         int n = end.read(buffer, 0, buffer.length);
@@ -200,9 +200,9 @@
       }
       busy = true;
       current = id;
-      Chance chance = script.chance("run " + id + " " + number);
+      RandomStream random = script.randomFor("run " + id + " " + number);
       Word word =
-          chance.below(100) < USUAL ? Word.OK : Word.values()[chance.below(Word.values().length)];
+          random.below(100) < USUAL ? Word.OK : Word.values()[random.below(Word.values().length)];
       if (loop.now() < fullUntil) {
         word = Word.TURNED_AWAY;
       }
@@ -215,9 +215,9 @@
         return;
       }
       long takes =
-          (long) (MS + chance.exponential() * MEAN_MS * MS * (loop.now() < slowUntil ? SLOWER : 1));
+          (long) (MS + random.exponential() * MEAN_MS * MS * (loop.now() < slowUntil ? SLOWER : 1));
       Word as = word;
-      loop.at(loop.now() + takes, () -> answer(id, as, chance));
+      loop.at(loop.now() + takes, () -> answer(id, as, random));
     }
 
     /** A call has an id of the balancer's own, and its client's name for it in its params. */
@@ -232,15 +232,15 @@
       return params.substring(from, params.indexOf('"', from));
     }
 
-    private void answer(String id, Word word, Chance chance) {
+    private void answer(String id, Word word, RandomStream random) {
       if (!open.contains(this) || cut) {
         return;
       }
       switch (word) {
-        case ERROR -> whole(id, 500, "", "", chance);
-        case TURNED_AWAY -> whole(id, 503, "X-Unprocessed: 1\r\n", "", chance);
+        case ERROR -> whole(id, 500, "", "", random);
+        case TURNED_AWAY -> whole(id, 503, "X-Unprocessed: 1\r\n", "", random);
         case RESET -> crash();
-        case CUT, STALLED -> part(id, word, chance);
+        case CUT, STALLED -> part(id, word, random);
         case NOISE -> {
           book.spoilt(id);
           out.add("!! no answer at all\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -248,7 +248,7 @@
         case TWICE -> {
           // All at once: a copy that comes when the connection is in use again can't be told from
           // an answer.
-          byte[] bytes = bytes(id, 200, "", SMALL, chance);
+          byte[] bytes = bytes(id, 200, "", SMALL, random);
           byte[] both = Arrays.copyOf(bytes, 2 * bytes.length);
           System.arraycopy(bytes, 0, both, bytes.length, bytes.length);
           end.uncut(true);
@@ -259,15 +259,15 @@
         case UNASKED -> {
           // Once the connection is in use again it breaks the next answer; before that it must not
           // be used.
-          whole(id, 200, "", "", chance);
-          loop.at(loop.now() + chance.below(UNASKED_WITHIN), () -> {
+          whole(id, 200, "", "", random);
+          loop.at(loop.now() + random.below(UNASKED_WITHIN), () -> {
             spoilAll();
             out.add("X".getBytes(StandardCharsets.US_ASCII));
           });
         }
-        case LAST -> whole(id, 200, "Connection: close\r\n", "", chance);
+        case LAST -> whole(id, 200, "Connection: close\r\n", "", random);
         case THEN_ENDS -> {
-          whole(id, 200, "", "", chance);
+          whole(id, 200, "", "", random);
           out.then(end::close);
         }
         default ->
@@ -275,14 +275,14 @@
               id,
               200,
               "",
-              chance.below(30) == 0 ? "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" : "",
-              chance);
+              random.below(30) == 0 ? "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" : "",
+              random);
       }
     }
 
-    private void whole(String id, int status, String more, String before, Chance chance) {
+    private void whole(String id, int status, String more, String before, RandomStream random) {
       out.add(before.getBytes(StandardCharsets.US_ASCII));
-      out.add(bytes(id, status, more, size(chance), chance));
+      out.add(bytes(id, status, more, size(random), random));
       out.then(this::rest);
       if (more.startsWith("Connection")) {
         out.then(end::close);
@@ -294,18 +294,18 @@
       current = null;
     }
 
-    private void part(String id, Word word, Chance chance) {
+    private void part(String id, Word word, RandomStream random) {
       book.spoilt(id);
-      byte[] bytes = bytes(id, 200, "", size(chance), chance);
-      out.add(Arrays.copyOf(bytes, 1 + chance.below(bytes.length - 1)));
+      byte[] bytes = bytes(id, 200, "", size(random), random);
+      out.add(Arrays.copyOf(bytes, 1 + random.below(bytes.length - 1)));
       if (word == Word.CUT) {
-        out.then(chance.below(2) == 0 ? end::close : this::crash);
+        out.then(random.below(2) == 0 ? end::close : this::crash);
       }
     }
 
-    private byte[] bytes(String id, int status, String more, int size, Chance chance) {
+    private byte[] bytes(String id, int status, String more, int size, RandomStream random) {
       byte[] body = status == 200 ? Messages.bodyOf(id, size) : new byte[0];
-      boolean chunked = chance.below(5) == 0 && body.length > 0;
+      boolean chunked = random.below(5) == 0 && body.length > 0;
       byte[] head = ("HTTP/1.1 " + status + " X\r\n" + more
               + (chunked
                   ? "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length) + "\r\n"
@@ -318,11 +318,11 @@
       return all;
     }
 
-    private int size(Chance chance) {
-      int kind = chance.below(40);
+    private int size(RandomStream random) {
+      int kind = random.below(40);
       return kind == 0
-          ? (64 << 10) + chance.below(200 << 10)
-          : kind < 4 ? (8 << 10) + chance.below(56 << 10) : chance.below(1_500);
+          ? (64 << 10) + random.below(200 << 10)
+          : kind < 4 ? (8 << 10) + random.below(56 << 10) : random.below(1_500);
     }
   }
 }
--- a/src/main/java/pumicekeel/lab/program/Script.java
+++ b/src/main/java/pumicekeel/lab/program/Script.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import pumicekeel.lab.program.Step.Kind;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.RandomStream;
 
 /**
  * What happens in a run, all of it drawn from the seed. What a request or an upstream does is drawn from the seed and its number alone,
@@ -24,7 +24,7 @@
   /** One run in so many goes on without a stop: limits have to end what a stop would. */
   private static final int STOPS_NOT_IN = 6;
 
-  private static final Kind[] TROUBLES = {
+  private static final Kind[] FAULTS = {
     Kind.BURST,
     Kind.CROWD,
     Kind.DRAIN,
@@ -42,29 +42,29 @@
   };
 
   static Script of(long seed) {
-    Chance chance = new Chance(seed, "script");
-    int servers = 2 + chance.below(5);
-    int sockets = 48 + chance.below(200);
-    double rate = chance.between(20, 60);
-    long end = (long) chance.between(LEAST_END, MOST_END);
+    RandomStream random = new RandomStream(seed, "script");
+    int servers = 2 + random.below(5);
+    int sockets = 48 + random.below(200);
+    double rate = random.between(20, 60);
+    long end = (long) random.between(LEAST_END, MOST_END);
     List<Step> steps = new ArrayList<>();
     int number = 0;
-    for (double at = 0; at < end; at += chance.exponential() * SECOND / rate) {
+    for (double at = 0; at < end; at += random.exponential() * SECOND / rate) {
       steps.add(new Step((long) at, Kind.ASK, number++, 0));
     }
-    int troubles = chance.below(6);
-    for (int i = 0; i < troubles; i++) {
-      Kind kind = TROUBLES[chance.below(TROUBLES.length)];
-      int of = chance.below(servers);
-      steps.add(new Step((long) (chance.uniform() * end), kind, kind == Kind.BURST ? i : of, (long)
-          chance.between(100 * MS, 3 * SECOND)));
+    int faults = random.below(6);
+    for (int i = 0; i < faults; i++) {
+      Kind kind = FAULTS[random.below(FAULTS.length)];
+      int of = random.below(servers);
+      steps.add(new Step((long) (random.uniform() * end), kind, kind == Kind.BURST ? i : of, (long)
+          random.between(100 * MS, 3 * SECOND)));
     }
-    if (chance.below(STOPS_NOT_IN) > 0) {
+    if (random.below(STOPS_NOT_IN) > 0) {
       // Clients go on for a while after the balancer was told to stop, as they do.
-      steps.add(new Step((long) (end * chance.between(0.6, 1)), Kind.STOP, 0, 0));
+      steps.add(new Step((long) (end * random.between(0.6, 1)), Kind.STOP, 0, 0));
     }
     steps.sort(Comparator.comparingLong(Step::at));
-    return new Script(seed, servers, sockets, rate, chance.below(2) == 0, List.copyOf(steps));
+    return new Script(seed, servers, sockets, rate, random.below(2) == 0, List.copyOf(steps));
   }
 
   /** The same with these steps alone, by their numbers from 0; an IllegalArgumentException where there is none of a number. */
@@ -82,7 +82,7 @@
         numbers.stream().map(steps::get).toList());
   }
 
-  Chance chance(String of) {
-    return new Chance(seed, of);
+  RandomStream randomFor(String of) {
+    return new RandomStream(seed, of);
   }
 }
--- a/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.RandomStream;
 import pumicekeel.runtime.Sockets;
 
 /**
@@ -52,7 +52,7 @@
   private static final int MOST_LATE = 1_000_000;
 
   private final VirtualLoop loop;
-  private final Chance chance;
+  private final RandomStream random;
   private final InetAddress host = InetAddress.getLoopbackAddress();
   private final Map<Integer, Acceptor> listening = new HashMap<>();
   private final Map<Integer, Reach> reach = new HashMap<>();
@@ -65,10 +65,10 @@
   private long mostBytes;
 
   /** {@code broken} is told of what the program may not do on its sockets. */
-  VirtualNetwork(VirtualLoop loop, Chance chance, Consumer<String> broken) {
+  VirtualNetwork(VirtualLoop loop, RandomStream random, Consumer<String> broken) {
     this.broken = broken;
     this.loop = loop;
-    this.chance = chance;
+    this.random = random;
   }
 
   // What the program opens
@@ -100,7 +100,7 @@
 
   /** How long the loop takes until it looks at a socket on which something has come: mostly no time at all. */
   long untilRead() {
-    return chance.below(LATE_IN) == 0 ? chance.below(MOST_LATE) : 0;
+    return random.below(LATE_IN) == 0 ? random.below(MOST_LATE) : 0;
   }
 
   void broken(String what) {
@@ -170,9 +170,9 @@
   /** Connects: one of the two is told some time later, or, where nothing answers, neither. */
   void connect(
       InetSocketAddress to, Consumer<Line.End> up, BiConsumer<Boolean, IOException> failed) {
-    long delay = (long) chance.between(DELAY_LEAST, DELAY_MOST);
+    long delay = (long) random.between(DELAY_LEAST, DELAY_MOST);
     long comesUp =
-        chance.below(SLOW_IN) == 0 ? (long) chance.between(DELAY_MOST, SLOW_MOST) : delay;
+        random.below(SLOW_IN) == 0 ? (long) random.between(DELAY_MOST, SLOW_MOST) : delay;
     loop.at(loop.now() + comesUp, () -> {
       Reach how = reach.getOrDefault(to.getPort(), Reach.OPEN);
       if (how == Reach.SILENT) {
@@ -185,9 +185,9 @@
             () -> failed.accept(true, new ConnectException("Connection refused")));
         return;
       }
-      int window = (int) chance.between(WINDOW_LEAST, WINDOW_MOST);
+      int window = (int) random.between(WINDOW_LEAST, WINDOW_MOST);
       Line line =
-          new Line(loop, chance, delay, window, new InetSocketAddress(host, nextPort++), to);
+          new Line(loop, random, delay, window, new InetSocketAddress(host, nextPort++), to);
       there.accepted(line.called);
       loop.at(loop.now() + delay, () -> up.accept(line.caller));
     });
--- a/src/main/java/pumicekeel/lab/real/Asker.java
+++ b/src/main/java/pumicekeel/lab/real/Asker.java
@@ -26,7 +26,7 @@
 import org.HdrHistogram.Histogram;
 import pumicekeel.Balancer.Effect;
 import pumicekeel.lab.world.Traffic;
-import pumicekeel.lab.world.Traffic.Ask;
+import pumicekeel.lab.world.Traffic.Arrival;
 
 /**
  * Clients of one balancer on sockets, an open loop: each request has its time, taken from the moment at which it was due, whether a
@@ -74,7 +74,7 @@
   }
 
   /** Asks now. */
-  void ask(Ask ask) {
+  void ask(Arrival ask) {
     asked++;
     worthAsked += ask.kind().type().worth() * ask.work();
     Call call = new Call(ask, System.nanoTime());
@@ -116,14 +116,14 @@
 
   /** One request. */
   private final class Call {
-    private final Ask ask;
+    private final Arrival ask;
     private final long dueAt;
     private ScheduledFuture<?> late;
     private Channel on;
     private boolean over;
     private boolean again;
 
-    private Call(Ask ask, long dueAt) {
+    private Call(Arrival ask, long dueAt) {
       this.ask = ask;
       this.dueAt = dueAt;
     }
--- a/src/main/java/pumicekeel/lab/real/Pump.java
+++ b/src/main/java/pumicekeel/lab/real/Pump.java
@@ -3,31 +3,31 @@
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import pumicekeel.lab.world.Agenda;
+import pumicekeel.lab.world.EventScheduler;
 
 /** Has a world's time go by as real time does, on one event loop. Whatever comes in from sockets calls {@link #now} first. */
 final class Pump {
 
-  private final Agenda agenda;
+  private final EventScheduler scheduler;
   private final EventLoop loop;
   private final long origin = System.nanoTime();
   private ScheduledFuture<?> next;
   private long worstLate;
 
-  Pump(Agenda agenda, EventLoop loop) {
-    this.agenda = agenda;
+  Pump(EventScheduler scheduler, EventLoop loop) {
+    this.scheduler = scheduler;
     this.loop = loop;
   }
 
   /** Lets all happen that is due by now, and comes back for what is next; the world's present time. */
   long now() {
-    long due = agenda.nextAt();
+    long due = scheduler.nextAt();
     long now = System.nanoTime() - origin;
     if (due <= now) {
       worstLate = Math.max(worstLate, now - due);
     }
-    agenda.run(now, () -> false);
-    return agenda.now();
+    scheduler.run(now, () -> false);
+    return scheduler.now();
   }
 
   /** To be called after anything that may have asked for something to happen. */
@@ -35,7 +35,7 @@
     if (next != null) {
       next.cancel(false);
     }
-    long due = agenda.nextAt();
+    long due = scheduler.nextAt();
     next = due == Long.MAX_VALUE
         ? null
         : loop.schedule(
--- a/src/main/java/pumicekeel/lab/real/RealRun.java
+++ b/src/main/java/pumicekeel/lab/real/RealRun.java
@@ -19,19 +19,19 @@
 import pumicekeel.config.Configuration;
 import pumicekeel.discovery.HostList;
 import pumicekeel.lab.fleet.Deployment;
-import pumicekeel.lab.world.Agenda;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.EventScheduler;
+import pumicekeel.lab.world.RandomStream;
 import pumicekeel.lab.world.RequestKind;
 import pumicekeel.lab.world.Server;
 import pumicekeel.lab.world.Traffic;
-import pumicekeel.lab.world.Traffic.Ask;
+import pumicekeel.lab.world.Traffic.Arrival;
 import pumicekeel.lab.world.WorldSpec;
 import pumicekeel.node.Node;
 import pumicekeel.standin.StandInDiscovery;
 
 /**
  * A small world on real sockets: the same upstreams, traffic and settings as {@link pumicekeel.lab.fleet.FleetRun} has under the seed,
- * with the real program between them, all of it in this process. Without troubles but bursts, and without clients' second tries.
+ * with the real program between them, all of it in this process. Without faults but bursts, and without clients' second tries.
  */
 public final class RealRun {
 
@@ -53,11 +53,11 @@
 
   private final WorldSpec spec;
   private final long seed;
-  private final Agenda agenda = new Agenda();
+  private final EventScheduler scheduler = new EventScheduler();
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private final Pump pump = new Pump(agenda, loop);
-  private final Map<String, Ask> asks = new HashMap<>();
+  private final Pump pump = new Pump(scheduler, loop);
+  private final Map<String, Arrival> asks = new HashMap<>();
   private final AtomicBoolean crashed = new AtomicBoolean();
 
   public RealRun(WorldSpec spec, long seed) {
@@ -67,15 +67,15 @@
 
   /** Plays it in real time. */
   public Figures play() throws IOException, InterruptedException {
-    Deployment deployment = new Deployment(spec, agenda, seed);
+    Deployment deployment = new Deployment(spec, scheduler, seed);
     List<ServerSocketSide> sides = new ArrayList<>();
     List<Node> nodes = new ArrayList<>();
     MultiThreadIoEventLoopGroup other =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try {
-      Chance chance = new Chance(seed, "sockets");
+      RandomStream random = new RandomStream(seed, "sockets");
       for (Server s : deployment.servers().values()) {
-        sides.add(new ServerSocketSide(s, loop, pump, chance, asks::get));
+        sides.add(new ServerSocketSide(s, loop, pump, random, asks::get));
       }
       StandInDiscovery discovery = new StandInDiscovery(other);
       tell(deployment, sides, discovery);
@@ -144,11 +144,11 @@
 
   private void drive(Deployment deployment, List<Asker> askers) throws InterruptedException {
     CountDownLatch over = new CountDownLatch(1);
-    Chance choice = new Chance(seed, "front");
+    RandomStream choice = new RandomStream(seed, "front");
     loop.execute(() -> {
       long from = pump.now();
       Traffic traffic =
-          new Traffic(agenda, spec, RequestKind.BRIEF, deployment.capacity(), seed, ask -> {
+          new Traffic(scheduler, spec, RequestKind.BRIEF, deployment.capacity(), seed, ask -> {
             asks.put("q" + ask.number(), ask);
             askers.get(choice.below(askers.size())).ask(ask);
           });
--- a/src/main/java/pumicekeel/lab/real/ServerSocketSide.java
+++ b/src/main/java/pumicekeel/lab/real/ServerSocketSide.java
@@ -21,9 +21,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Function;
 import pumicekeel.Balancer.Status;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.RandomStream;
 import pumicekeel.lab.world.Server;
-import pumicekeel.lab.world.Traffic.Ask;
+import pumicekeel.lab.world.Traffic.Arrival;
 
 /** A world's upstream on a socket: the model says when each request ends and how. Only on the world's loop. */
 final class ServerSocketSide {
@@ -32,17 +32,17 @@
 
   private final Server server;
   private final Pump pump;
-  private final Chance chance;
-  private final Function<String, Ask> asks;
+  private final RandomStream random;
+  private final Function<String, Arrival> asks;
   private final Channel listener;
 
   /** {@code asks} knows a request by its id. Waits for the bind, so it is not for the loop. */
   ServerSocketSide(
-      Server server, EventLoop loop, Pump pump, Chance chance, Function<String, Ask> asks)
+      Server server, EventLoop loop, Pump pump, RandomStream random, Function<String, Arrival> asks)
       throws InterruptedException {
     this.server = server;
     this.pump = pump;
-    this.chance = chance;
+    this.random = random;
     this.asks = asks;
     listener = new ServerBootstrap()
         .group(loop, loop)
@@ -93,7 +93,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
       String id = request.headers().get("X-Correlation-Id", "");
-      Ask ask = asks.apply(id);
+      Arrival ask = asks.apply(id);
       if (ask == null) {
         write(ctx, HttpResponseStatus.NOT_FOUND, "", false);
         return;
@@ -116,7 +116,7 @@
                   answer(ctx, status, id);
                 }
               }),
-          chance);
+          random);
       pump.plan();
     }
 
--- a/src/main/java/pumicekeel/lab/world/Agenda.java
+++ b/src/main/java/pumicekeel/lab/world/EventScheduler.java
@@ -3,12 +3,12 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time in nanoseconds and what is to happen in it. Of two things due at the same nanosecond the one that was asked for
- * first happens first, so a run depends on nothing but its seed.
+ * A discrete-event scheduler: virtual time in nanoseconds, and the events due in it. Events due at the same nanosecond run in the order
+ * in which they were scheduled, so a run depends on nothing but its seed. Not thread-safe: one thread runs a world.
  */
-public final class Agenda {
+public final class EventScheduler {
 
-  /** Something that will happen, unless it is taken back. */
+  /** A scheduled event, which can be cancelled. */
   public static final class Timer implements Comparable<Timer> {
     private final long at;
     private final long order;
@@ -20,7 +20,7 @@
       this.what = what;
     }
 
-    /** It does not happen; no effect once it has, or while it does. */
+    /** Cancels the event; no effect once it has run, or while it does. */
     public void cancel() {
       what = null;
     }
@@ -31,35 +31,37 @@
     }
   }
 
-  /** Events between two looks at whether the run is to end early. */
-  private static final int LOOK_EVERY = 1 << 14;
+  /** Events between two checks of whether the run is to end early. */
+  private static final int STOP_CHECK_INTERVAL = 1 << 14;
 
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private long now;
   private long order;
-  private long happened;
+  private long processedEvents;
 
+  /** The current virtual time. */
   public long now() {
     return now;
   }
 
-  /** Things that have happened. */
-  public long happened() {
-    return happened;
+  /** Events that have run; cancelled ones do not count. */
+  public long processedEvents() {
+    return processedEvents;
   }
 
-  /** Has something happen at a time; what is due in the past happens now, after all that was asked for before. */
+  /** Schedules an event at a virtual time; one that is due in the past runs now, after those scheduled before it. */
   public Timer at(long when, Runnable what) {
     Timer timer = new Timer(Math.max(now, when), order++, what);
     timers.add(timer);
     return timer;
   }
 
+  /** Schedules an event after a delay in nanoseconds. */
   public Timer in(long nanos, Runnable what) {
     return at(now + nanos, what);
   }
 
-  /** When the next thing happens; {@link Long#MAX_VALUE} where nothing will. */
+  /** When the next event is due; {@link Long#MAX_VALUE} where there is none. */
   public long nextAt() {
     while (!timers.isEmpty() && timers.peek().what == null) {
       timers.poll();
@@ -67,7 +69,7 @@
     return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
   }
 
-  /** Lets all happen that is due before {@code end}, or until {@code stop} says so; false for the latter. */
+  /** Runs all events due before {@code end}; returns false if {@code stop} ended the run before that. */
   public boolean run(long end, java.util.function.BooleanSupplier stop) {
     for (Timer next = timers.peek(); next != null && next.at < end; next = timers.peek()) {
       timers.poll();
@@ -76,7 +78,7 @@
         now = next.at;
         next.what = null;
         what.run();
-        if (++happened % LOOK_EVERY == 0 && stop.getAsBoolean()) {
+        if (++processedEvents % STOP_CHECK_INTERVAL == 0 && stop.getAsBoolean()) {
           return false;
         }
       }
--- a/src/main/java/pumicekeel/lab/world/Server.java
+++ b/src/main/java/pumicekeel/lab/world/Server.java
@@ -83,7 +83,7 @@
   public final int cellNumber;
   private final ServerSpec spec;
   private final Cell cell;
-  private final Agenda agenda;
+  private final EventScheduler scheduler;
   private final PriorityQueue<Running> running = new PriorityQueue<>();
   private final ArrayDeque<Job> waiting = new ArrayDeque<>();
   private final LinkedHashMap<String, Long> keys;
@@ -93,7 +93,7 @@
   private double served;
   private long servedAt;
   private long order;
-  private Agenda.Timer next;
+  private EventScheduler.Timer next;
   private long startedAt;
   private boolean up = true;
   private boolean mute;
@@ -109,16 +109,16 @@
       int cellNumber,
       ServerSpec spec,
       Cell cell,
-      Agenda agenda,
+      EventScheduler scheduler,
       long startedAt) {
     this.id = id;
     this.zone = zone;
     this.cellNumber = cellNumber;
     this.spec = spec;
     this.cell = cell;
-    this.agenda = agenda;
+    this.scheduler = scheduler;
     this.startedAt = startedAt;
-    servedAt = agenda.now();
+    servedAt = scheduler.now();
     int most = spec.keys();
     keys = new LinkedHashMap<>(16, 0.75f, true) {
       private static final long serialVersionUID = 1L;
@@ -188,10 +188,10 @@
   /** It is back, cold. */
   public void restart() {
     up = true;
-    startedAt = agenda.now();
+    startedAt = scheduler.now();
     slowness = 1;
     failing = 0;
-    servedAt = agenda.now();
+    servedAt = scheduler.now();
   }
 
   /** From now on each of its cores is so many times slower. */
@@ -231,7 +231,7 @@
   }
 
   /** A request arrives; the reply says how it ended, at once for one that is turned away. */
-  public void submit(Job job, Chance chance) {
+  public void submit(Job job, RandomStream random) {
     if (!up) {
       job.sender().ended(Status.RESET, 0);
     } else if (running.size() + holding.size() >= spec.slots()) {
@@ -240,10 +240,10 @@
       } else {
         waiting.add(job);
       }
-    } else if (failing > 0 && chance.uniform() < failing) {
+    } else if (failing > 0 && random.uniform() < failing) {
       note(job);
       int of = life;
-      agenda.in(1_000_000L, () -> {
+      scheduler.in(1_000_000L, () -> {
         if (of == life) {
           reply(job, Status.ERROR, 0);
         }
@@ -260,8 +260,8 @@
   }
 
   private void run(Job job) {
-    boolean repeat =
-        job.effect() == Effect.KEYED && cell.drops(job.effectKey(), agenda.now(), job.dedupNanos());
+    boolean repeat = job.effect() == Effect.KEYED
+        && cell.drops(job.effectKey(), scheduler.now(), job.dedupNanos());
     note(job);
     double work = repeat ? 0 : job.work() * (1 - (knows(job.key()) ? spec.keySaving() : 0));
     running.add(new Running(job, served + work, work, order++));
@@ -270,7 +270,7 @@
   private void note(Job job) {
     job.sender().begins();
     if (job.effect() == Effect.KEYED) {
-      cell.ran.putIfAbsent(job.effectKey(), agenda.now());
+      cell.ran.putIfAbsent(job.effectKey(), scheduler.now());
     }
   }
 
@@ -278,8 +278,8 @@
     if (key == null || spec.keys() == 0) {
       return false;
     }
-    Long at = keys.put(key, agenda.now());
-    return at != null && agenda.now() - at <= spec.keyMemoryNanos();
+    Long at = keys.put(key, scheduler.now());
+    return at != null && scheduler.now() - at <= spec.keyMemoryNanos();
   }
 
   private void reply(Job job, Status status, double work) {
@@ -298,7 +298,7 @@
     }
     double crowd = Math.max(0, in + holding.size() - FREE_PER_CORE * spec.cores());
     return spec.speed()
-        * warmth(agenda.now())
+        * warmth(scheduler.now())
         / slowness
         * Math.min(1, spec.cores() / (double) in)
         / (1 + spec.thrash() * crowd);
@@ -308,7 +308,7 @@
 
   /** Books the work that was done since the last change. */
   private void advance() {
-    long now = agenda.now();
+    long now = scheduler.now();
     double done = (now - servedAt) * ratedAt;
     served += done;
     workDone += done * running.size();
@@ -325,8 +325,8 @@
       return;
     }
     long takes = (long) Math.ceil(Math.max(0, running.peek().until - served) / ratedAt);
-    boolean warming = warmth(agenda.now()) < 1;
-    next = agenda.in(warming ? Math.min(takes, WARMING_STEP) : takes, this::step);
+    boolean warming = warmth(scheduler.now()) < 1;
+    next = scheduler.in(warming ? Math.min(takes, WARMING_STEP) : takes, this::step);
   }
 
   private void step() {
@@ -350,7 +350,7 @@
     }
     holding.add(job);
     int of = life;
-    agenda.in(job.waitNanos(), () -> {
+    scheduler.in(job.waitNanos(), () -> {
       if (of == life) {
         advance();
         holding.remove(job);
--- a/src/main/java/pumicekeel/lab/world/Traffic.java
+++ b/src/main/java/pumicekeel/lab/world/Traffic.java
@@ -14,7 +14,7 @@
 public final class Traffic {
 
   /** A request as its client means it, before any balancer knows of it. */
-  public record Ask(
+  public record Arrival(
       long number,
       RequestKind kind,
       int tenant,
@@ -33,33 +33,33 @@
   private static final double WORK_SIGMA = 0.5;
   private static final double HINT_SIGMA = 0.2;
 
-  private final Agenda agenda;
+  private final EventScheduler scheduler;
   private final WorldSpec spec;
   private final List<RequestKind> kinds;
   private final double perSecond;
-  private final Chance chance;
+  private final RandomStream random;
   private final DiscreteSampler keys;
-  private final Consumer<Ask> to;
+  private final Consumer<Arrival> to;
   private long number;
   private long origin;
 
   /** {@code capacity}: work that all upstreams can do in a second. */
   public Traffic(
-      Agenda agenda,
+      EventScheduler scheduler,
       WorldSpec spec,
       List<RequestKind> kinds,
       double capacity,
       long seed,
-      Consumer<Ask> to) {
-    this.agenda = agenda;
+      Consumer<Arrival> to) {
+    this.scheduler = scheduler;
     this.spec = spec;
     this.kinds = kinds;
     this.to = to;
     perSecond = spec.load() * capacity / RequestKind.meanWork(kinds);
-    chance = new Chance(seed, "traffic");
+    random = new RandomStream(seed, "traffic");
     int count = (int) Math.min(10_000_000, spec.keysPerServer() * spec.servers());
     keys =
-        count < 1 ? null : RejectionInversionZipfSampler.of(chance.source(), count, spec.keySkew());
+        count < 1 ? null : RejectionInversionZipfSampler.of(random.source(), count, spec.keySkew());
   }
 
   /** Requests a second while nothing is the matter. */
@@ -68,7 +68,7 @@
   }
 
   public void start() {
-    start(agenda.now());
+    start(scheduler.now());
   }
 
   /** Begins at a moment from which the world's seconds count. */
@@ -78,16 +78,16 @@
   }
 
   private void next() {
-    double peak = IntStream.range(0, spec.troubles().size())
-        .mapToDouble(i -> spec.troubles().get(i) instanceof Trouble.Burst b ? b.times() : 1)
+    double peak = IntStream.range(0, spec.faults().size())
+        .mapToDouble(i -> spec.faults().get(i) instanceof FaultSpec.Burst b ? b.times() : 1)
         .filter(t -> t > 1)
         .reduce(1, (a, b) -> a * b);
     // Thinning (Lewis, Shedler 1979): arrivals at the peak's rate, of which the present rate's part
     // is kept.
-    agenda.in((long) (chance.exponential() * 1e9 / (perSecond * peak)), () -> {
-      boolean comes = chance.uniform() * peak < factor((agenda.now() - origin) / 1e9);
-      Ask ask = draw();
-      if (agenda.now() - origin < spec.seconds() * 1e9) {
+    scheduler.in((long) (random.exponential() * 1e9 / (perSecond * peak)), () -> {
+      boolean comes = random.uniform() * peak < factor((scheduler.now() - origin) / 1e9);
+      Arrival ask = draw();
+      if (scheduler.now() - origin < spec.seconds() * 1e9) {
         if (comes) {
           to.accept(ask);
         }
@@ -99,28 +99,28 @@
   /** How much of the usual comes at a moment. */
   private double factor(double second) {
     double factor = 1;
-    for (Trouble t : spec.troubles()) {
-      if (t instanceof Trouble.Burst b && second >= b.from() && second < b.to()) {
+    for (FaultSpec t : spec.faults()) {
+      if (t instanceof FaultSpec.Burst b && second >= b.from() && second < b.to()) {
         factor *= b.times();
-      } else if (t instanceof Trouble.Shrink s && second >= s.from()) {
+      } else if (t instanceof FaultSpec.Shrink s && second >= s.from()) {
         factor *= 1 - (1 - s.to()) * Math.min(1, (second - s.from()) / s.lasts());
       }
     }
     return factor;
   }
 
-  private Ask draw() {
+  private Arrival draw() {
     RequestKind kind =
         kinds.get(pick(kinds.stream().mapToDouble(RequestKind::part).toArray()));
     int tenant = pick(SHARES);
     String key = keys == null ? null : "k" + keys.sample();
-    double size = chance.lognormal(WORK_SIGMA);
+    double size = random.lognormal(WORK_SIGMA);
     double work = kind.workNanos() * size;
-    long hint = (long) (work * chance.lognormal(HINT_SIGMA));
-    long wait = (long) (kind.waitNanos() * chance.between(0.7, 1.3));
-    long patience = (long) (kind.type().deadlineNanos() * chance.between(0.7, 1));
-    boolean retries = chance.uniform() < spec.retryPart();
-    return new Ask(
+    long hint = (long) (work * random.lognormal(HINT_SIGMA));
+    long wait = (long) (kind.waitNanos() * random.between(0.7, 1.3));
+    long patience = (long) (kind.type().deadlineNanos() * random.between(0.7, 1));
+    boolean retries = random.uniform() < spec.retryPart();
+    return new Arrival(
         number++,
         kind,
         tenant,
@@ -130,11 +130,11 @@
         hint,
         patience,
         retries,
-        chance.uniform() < spec.followPart());
+        random.uniform() < spec.followPart());
   }
 
   private int pick(double[] parts) {
-    double left = chance.uniform();
+    double left = random.uniform();
     for (int i = 0; i < parts.length - 1; i++) {
       left -= parts[i];
       if (left < 0) {
--- a/src/main/java/pumicekeel/lab/world/WorldSpec.java
+++ b/src/main/java/pumicekeel/lab/world/WorldSpec.java
@@ -31,13 +31,13 @@
     double retryPart,
     double followPart,
     boolean weighed,
-    List<Trouble> troubles) {
+    List<FaultSpec> faults) {
 
   public static final int MOST_BALANCERS = 1_000;
   public static final int MOST_SERVERS = 20_000;
 
   public WorldSpec {
-    troubles = List.copyOf(troubles);
+    faults = List.copyOf(faults);
     check(
         balancers >= 1 && balancers <= MOST_BALANCERS,
         "balancers",
@@ -75,7 +75,7 @@
         retryPart,
         followPart,
         weighed,
-        troubles);
+        faults);
   }
 
   public WorldSpec withSeconds(double next) {
@@ -95,10 +95,10 @@
         retryPart,
         followPart,
         weighed,
-        troubles);
+        faults);
   }
 
-  public WorldSpec withTroubles(List<Trouble> next) {
+  public WorldSpec withFaults(List<FaultSpec> next) {
     return new WorldSpec(
         name,
         balancers,
@@ -158,7 +158,7 @@
         newRetryPart,
         newFollowPart,
         weighed,
-        troubles);
+        faults);
   }
 
   /** What can be swept. */
--- a/src/main/java/pumicekeel/lab/world/Worlds.java
+++ b/src/main/java/pumicekeel/lab/world/Worlds.java
@@ -11,61 +11,65 @@
   /** Worlds after the days of the standing test (STANDING): lists tell sizes there. */
   private static final String MASS = "mass-";
 
-  private static final Map<String, List<Trouble>> TROUBLES = troubles();
+  private static final Map<String, List<FaultSpec>> FAULTS = faults();
 
   private Worlds() {}
 
-  private static Map<String, List<Trouble>> troubles() {
-    Map<String, List<Trouble>> t = new LinkedHashMap<>();
+  private static Map<String, List<FaultSpec>> faults() {
+    Map<String, List<FaultSpec>> t = new LinkedHashMap<>();
     t.put("calm", List.of());
-    t.put("burst", List.of(new Trouble.Burst(15, 30, 2)));
-    t.put("shrink", List.of(new Trouble.Shrink(12, 16, 0.45)));
-    t.put("rolling-restart", List.of(new Trouble.Restart(10, 18, 0.96, 0.3)));
-    t.put("rolling-deploy", List.of(new Trouble.Deploy(8, 30, 0.95, 0.18)));
-    t.put("quarter-crashed", List.of(new Trouble.Crash(15, 0.25, 15)));
-    t.put("fifth-slow", List.of(new Trouble.Slow(12, 0.2, 6, 20)));
-    t.put("zone-lost", List.of(new Trouble.ZoneLost(15, 1, 20)));
+    t.put("burst", List.of(new FaultSpec.Burst(15, 30, 2)));
+    t.put("shrink", List.of(new FaultSpec.Shrink(12, 16, 0.45)));
+    t.put("rolling-restart", List.of(new FaultSpec.Restart(10, 18, 0.96, 0.3)));
+    t.put("rolling-deploy", List.of(new FaultSpec.Deploy(8, 30, 0.95, 0.18)));
+    t.put("quarter-crashed", List.of(new FaultSpec.Crash(15, 0.25, 15)));
+    t.put("fifth-slow", List.of(new FaultSpec.Slow(12, 0.2, 6, 20)));
+    t.put("zone-lost", List.of(new FaultSpec.ZoneLost(15, 1, 20)));
     t.put(
         "lists-late",
-        List.of(new Trouble.ListLate(0, 60, 6), new Trouble.Deploy(8, 30, 0.6, 0.18)));
-    t.put("retry-storm", List.of(new Trouble.Burst(15, 25, 1.6), new Trouble.RetryStorm(0, 60, 3)));
-    t.put("balancers-crashed", List.of(new Trouble.BalancerCrash(15, 0.3, 8)));
-    t.put("failing", List.of(new Trouble.Failing(12, 0.15, 0.9, 20)));
-    t.put("mute", List.of(new Trouble.Mute(12, 0.15, 10)));
+        List.of(new FaultSpec.ListLate(0, 60, 6), new FaultSpec.Deploy(8, 30, 0.6, 0.18)));
+    t.put(
+        "retry-storm",
+        List.of(new FaultSpec.Burst(15, 25, 1.6), new FaultSpec.RetryStorm(0, 60, 3)));
+    t.put("balancers-crashed", List.of(new FaultSpec.BalancerCrash(15, 0.3, 8)));
+    t.put("failing", List.of(new FaultSpec.Failing(12, 0.15, 0.9, 20)));
+    t.put("mute", List.of(new FaultSpec.Mute(12, 0.15, 10)));
     t.put(
         "crash-and-burst",
-        List.of(new Trouble.Crash(15, 0.25, 15), new Trouble.Burst(18, 30, 1.5)));
+        List.of(new FaultSpec.Crash(15, 0.25, 15), new FaultSpec.Burst(18, 30, 1.5)));
     t.put(
         "restart-and-slow",
-        List.of(new Trouble.Restart(10, 18, 0.96, 0.3), new Trouble.Slow(12, 0.2, 6, 20)));
-    t.put("mass-calm", List.of(new Trouble.Burst(15, 25, 1.5)));
+        List.of(new FaultSpec.Restart(10, 18, 0.96, 0.3), new FaultSpec.Slow(12, 0.2, 6, 20)));
+    t.put("mass-calm", List.of(new FaultSpec.Burst(15, 25, 1.5)));
     t.put(
         "mass-roll",
         List.of(
-            new Trouble.Deploy(8, 20, 0.5, 0.1),
-            new Trouble.Restart(8, 25, 1, 0.1),
-            new Trouble.Mute(12, 0.05, 15)));
+            new FaultSpec.Deploy(8, 20, 0.5, 0.1),
+            new FaultSpec.Restart(8, 25, 1, 0.1),
+            new FaultSpec.Mute(12, 0.05, 15)));
     t.put(
         "mass-herd",
         List.of(
-            new Trouble.ListLate(10, 18, 8),
-            new Trouble.Deploy(16, 15, 0.5, 0.1),
-            new Trouble.BalancerCrash(20, 0.7, 3),
-            new Trouble.Failing(12, 0.125, 0.9, 20)));
-    t.put("mass-zone", List.of(new Trouble.ZoneLost(15, 1, 5), new Trouble.Slow(12, 0.125, 6, 20)));
-    t.put("mass-split", List.of(new Trouble.Mute(15, 0.2, 6), new Trouble.ListLate(14, 22, 4)));
-    t.put("mass-join", List.of(new Trouble.Deploy(8, 7, 0.6, 0.02)));
+            new FaultSpec.ListLate(10, 18, 8),
+            new FaultSpec.Deploy(16, 15, 0.5, 0.1),
+            new FaultSpec.BalancerCrash(20, 0.7, 3),
+            new FaultSpec.Failing(12, 0.125, 0.9, 20)));
+    t.put(
+        "mass-zone",
+        List.of(new FaultSpec.ZoneLost(15, 1, 5), new FaultSpec.Slow(12, 0.125, 6, 20)));
+    t.put("mass-split", List.of(new FaultSpec.Mute(15, 0.2, 6), new FaultSpec.ListLate(14, 22, 4)));
+    t.put("mass-join", List.of(new FaultSpec.Deploy(8, 7, 0.6, 0.02)));
     return t;
   }
 
   public static List<String> names() {
-    return List.copyOf(TROUBLES.keySet());
+    return List.copyOf(FAULTS.keySet());
   }
 
   /** A world by name, of this size; null for no such name. */
   public static WorldSpec of(String name, int balancers, int servers) {
-    List<Trouble> troubles = TROUBLES.get(name);
-    if (troubles == null) {
+    List<FaultSpec> faults = FAULTS.get(name);
+    if (faults == null) {
       return null;
     }
     int zones = name.equals("zone-lost") || name.equals("mass-zone") ? Math.min(3, servers) : 1;
@@ -85,6 +89,6 @@
         0.7,
         0.5,
         name.startsWith(MASS),
-        troubles);
+        faults);
   }
 }
--- a/src/test/java/pumicekeel/lab/program/LineTest.java
+++ b/src/test/java/pumicekeel/lab/program/LineTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import pumicekeel.lab.world.Chance;
+import pumicekeel.lab.world.RandomStream;
 
 class LineTest {
 
@@ -18,7 +18,7 @@
   private static final int WINDOW = 100;
 
   private final VirtualLoop loop = new VirtualLoop();
-  private final Line line = new Line(loop, new Chance(1, "line"), DELAY, WINDOW, null, null);
+  private final Line line = new Line(loop, new RandomStream(1, "line"), DELAY, WINDOW, null, null);
 
   /** Reads all that comes. */
   private static final class Reader implements Line.Listener {
@@ -89,7 +89,7 @@
     line.called.close();
     passes(10);
     assertTrue(line.caller.reset());
-    Line other = new Line(loop, new Chance(2, "line"), DELAY, WINDOW, null, null);
+    Line other = new Line(loop, new RandomStream(2, "line"), DELAY, WINDOW, null, null);
     other.called.close();
     passes(10);
     assertTrue(other.caller.over());
--- a/src/test/java/pumicekeel/lab/world/ServerModelTest.java
+++ b/src/test/java/pumicekeel/lab/world/ServerModelTest.java
@@ -16,24 +16,24 @@
   private static final double WITHIN = 0.02;
   private static final long SEED = 4;
 
-  private final Agenda agenda = new Agenda();
-  private final Chance chance = new Chance(SEED, "test");
+  private final EventScheduler scheduler = new EventScheduler();
+  private final RandomStream random = new RandomStream(SEED, "test");
   private double stayed;
   private long ended;
 
   private Server server(ServerSpec spec) {
-    return new Server(1, "z", 0, spec, new Server.Cell(), agenda, -1);
+    return new Server(1, "z", 0, spec, new Server.Cell(), scheduler, -1);
   }
 
   private Server.Sender counts() {
-    long from = agenda.now();
+    long from = scheduler.now();
     return new Server.Sender() {
       @Override
       public void begins() {}
 
       @Override
       public void ended(Status status, double work) {
-        stayed += agenda.now() - from;
+        stayed += scheduler.now() - from;
         ended++;
       }
     };
@@ -41,10 +41,10 @@
 
   private void arrive(
       Server server, double perSecond, long left, java.util.function.DoubleSupplier work) {
-    agenda.in((long) (chance.exponential() * SECOND / perSecond), () -> {
+    scheduler.in((long) (random.exponential() * SECOND / perSecond), () -> {
       server.submit(
           new Server.Job(null, null, Effect.SAFE, 0, work.getAsDouble() * SECOND, 0, counts()),
-          chance);
+          random);
       if (left > 1) {
         arrive(server, perSecond, left - 1, work);
       }
@@ -55,7 +55,7 @@
   private double meanStay(
       ServerSpec spec, double perSecond, long count, java.util.function.DoubleSupplier work) {
     arrive(server(spec), perSecond, count, work);
-    agenda.run(Long.MAX_VALUE, () -> false);
+    scheduler.run(Long.MAX_VALUE, () -> false);
     assertEquals(count, ended);
     return stayed / SECOND / ended;
   }
@@ -80,7 +80,7 @@
 
   @Test
   void asManySlotsAsCoresIsTheQueueOfErlang() {
-    close(erlang(3, 2.1), meanStay(ServerSpec.plain(3, 3), 2.1, 600_000, chance::exponential));
+    close(erlang(3, 2.1), meanStay(ServerSpec.plain(3, 3), 2.1, 600_000, random::exponential));
   }
 
   @Test
@@ -94,7 +94,7 @@
     // With exponential sizes, sharing min(1, c/n) each has the states of M/M/c, and so its mean.
     close(
         erlang(2, 1.4),
-        meanStay(ServerSpec.plain(2, Integer.MAX_VALUE), 1.4, 600_000, chance::exponential));
+        meanStay(ServerSpec.plain(2, Integer.MAX_VALUE), 1.4, 600_000, random::exponential));
   }
 
   @Test
@@ -102,14 +102,14 @@
     List<Status> statuses = new ArrayList<>();
     Server s = server(new ServerSpec(1, 1, 1, 1, 0, 1, 0, 10, 0, 0, 0, 0, 1));
     for (int i = 0; i < 3; i++) {
-      s.submit(new Server.Job(null, null, Effect.SAFE, 0, SECOND, 0, sender(statuses)), chance);
+      s.submit(new Server.Job(null, null, Effect.SAFE, 0, SECOND, 0, sender(statuses)), random);
     }
     assertEquals(List.of(Status.FULL), statuses);
     s.crash();
     assertEquals(List.of(Status.FULL, Status.RESET, Status.RESET), statuses);
     assertTrue(!s.connect());
     s.restart();
-    agenda.run((long) (10 * SECOND), () -> false);
+    scheduler.run((long) (10 * SECOND), () -> false);
     assertEquals(3, statuses.size(), "what it held is not done by its next life");
   }
 
@@ -135,15 +135,15 @@
         new ServerSpec(
             1, 1, 9, 9, 0, 0.25, (long) (1_000 * SECOND), 9, 0, (long) (60 * SECOND), 0.75, 9, 1),
         new Server.Cell(),
-        agenda,
+        scheduler,
         0);
-    cold.submit(new Server.Job("k", null, Effect.SAFE, 0, SECOND, 0, sender(statuses)), chance);
-    agenda.run((long) (3.9 * SECOND), () -> false);
+    cold.submit(new Server.Job("k", null, Effect.SAFE, 0, SECOND, 0, sender(statuses)), random);
+    scheduler.run((long) (3.9 * SECOND), () -> false);
     assertEquals(0, statuses.size(), "four times as long, less the warmth of four seconds");
-    agenda.run((long) (4.01 * SECOND), () -> false);
+    scheduler.run((long) (4.01 * SECOND), () -> false);
     assertEquals(1, statuses.size());
-    cold.submit(new Server.Job("k", null, Effect.SAFE, 0, SECOND, 0, sender(statuses)), chance);
-    agenda.run((long) (5.02 * SECOND), () -> false);
+    cold.submit(new Server.Job("k", null, Effect.SAFE, 0, SECOND, 0, sender(statuses)), random);
+    scheduler.run((long) (5.02 * SECOND), () -> false);
     assertEquals(2, statuses.size(), "a quarter of the work at a quarter of the speed");
   }
 }
