--- a/src/main/java/pumicekeel/config/OperatorReader.java
+++ b/src/main/java/pumicekeel/config/OperatorReader.java
@@ -130,11 +130,11 @@
     }
     s.done();
     if (out.size() < 2
-        || out.size() > Datagram.MOST_MEMBERS
+        || out.size() > Datagram.MAX_MEMBERS
         || Set.copyOf(out).size() != out.size()) {
       s.fault(
           "addresses",
-          "expected 2 to " + Datagram.MOST_MEMBERS
+          "expected 2 to " + Datagram.MAX_MEMBERS
               + " addresses, each once, in the order of the instances");
     }
     return new Operator.Peers(out, lend);
--- a/src/main/java/pumicekeel/peers/Datagram.java
+++ b/src/main/java/pumicekeel/peers/Datagram.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * One message between members, at most {@link #MOST} bytes, as the platform carries them. Big-endian: magic 2, version 1,
- * kind 1, sender 2, its epoch 8, its incarnation 4, sequence 4, target 2, count 1, then 15 bytes for each rumour (member 2,
+ * One message between members, at most {@link #MAX_BYTES} bytes, as the platform carries them. Big-endian: magic 2, version 1,
+ * kind 1, sender 2, its epoch 8, its incarnation 4, sequence 4, target 2, count 1, then 15 bytes for each update (member 2,
  * state 1, epoch 8, incarnation 4).
  */
 public record Datagram(
@@ -16,9 +16,9 @@
     long incarnation,
     long sequence,
     int target,
-    List<Rumour> rumours) {
+    List<GossipUpdate> updates) {
 
-  /** What a message asks or answers. */
+  /** Message types: a probe, a request to probe another member, their answers, and a page of the table. */
   public enum Kind {
     PING,
     PING_REQUEST,
@@ -27,28 +27,30 @@
     SYNC
   }
 
-  /** The platform's limit. */
-  public static final int MOST = 256;
+  /** The largest datagram, a limit of the platform. */
+  public static final int MAX_BYTES = 256;
+
+  /** The most members of a list; a member's number takes two bytes. */
+  public static final int MAX_MEMBERS = 4_096;
 
-  public static final int MOST_MEMBERS = 4_096;
   private static final short MAGIC = 0x4856;
   private static final byte VERSION = 1;
-  private static final int HEAD = 25;
-  private static final int RUMOUR = 15;
-  /** Rumours that fit. */
-  public static final int MOST_RUMOURS = (MOST - HEAD) / RUMOUR;
+  private static final int HEADER_BYTES = 25;
+  private static final int UPDATE_BYTES = 15;
+  /** Updates that fit in one datagram. */
+  public static final int MAX_UPDATES = (MAX_BYTES - HEADER_BYTES) / UPDATE_BYTES;
 
-  private static final long MOST_INCARNATION = 0xffffffffL;
+  private static final long MAX_INCARNATION = 0xffffffffL;
   /** Milliseconds since 1970 stay below this for ten thousand years; a forged one can't end the numbers. */
-  static final long MOST_EPOCH = 1L << 50;
+  static final long MAX_EPOCH = 1L << 50;
 
   public Datagram {
-    rumours = List.copyOf(rumours);
+    updates = List.copyOf(updates);
   }
 
-  /** As it goes out. */
+  /** The wire format. */
   public byte[] bytes() {
-    ByteBuffer out = ByteBuffer.allocate(HEAD + RUMOUR * rumours.size());
+    ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + UPDATE_BYTES * updates.size());
     out.putShort(MAGIC)
         .put(VERSION)
         .put((byte) kind.ordinal())
@@ -57,8 +59,8 @@
         .putInt((int) incarnation)
         .putInt((int) sequence)
         .putShort((short) target)
-        .put((byte) rumours.size());
-    for (Rumour r : rumours) {
+        .put((byte) updates.size());
+    for (GossipUpdate r : updates) {
       out.putShort((short) r.member())
           .put((byte) r.state().ordinal())
           .putLong(r.epoch())
@@ -67,9 +69,9 @@
     return out.array();
   }
 
-  /** Reads one among so many members; null for anything that is none, to the last byte. */
+  /** Decodes a datagram of a list with so many members; null for bytes that are not exactly one valid datagram. */
   public static Datagram of(byte[] bytes, int members) {
-    if (bytes.length < HEAD || bytes.length > MOST) {
+    if (bytes.length < HEADER_BYTES || bytes.length > MAX_BYTES) {
       return null;
     }
     ByteBuffer in = ByteBuffer.wrap(bytes);
@@ -79,7 +81,7 @@
     int kind = in.get();
     int from = in.getShort() & 0xffff;
     long epoch = in.getLong();
-    long incarnation = in.getInt() & MOST_INCARNATION;
+    long incarnation = in.getInt() & MAX_INCARNATION;
     long sequence = in.getInt() & 0xffffffffL;
     int target = in.getShort() & 0xffff;
     int count = in.get();
@@ -89,32 +91,32 @@
         || target >= members
         || !sound(epoch)
         || count < 0
-        || bytes.length != HEAD + count * RUMOUR) {
+        || bytes.length != HEADER_BYTES + count * UPDATE_BYTES) {
       return null;
     }
-    List<Rumour> rumours = new ArrayList<>(count);
+    List<GossipUpdate> updates = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
       int member = in.getShort() & 0xffff;
       int state = in.get();
       long of = in.getLong();
-      long its = in.getInt() & MOST_INCARNATION;
+      long its = in.getInt() & MAX_INCARNATION;
       if (member >= members || state <= 0 || state >= State.values().length || !sound(of)) {
         return null;
       }
-      rumours.add(new Rumour(member, State.values()[state], of, its));
+      updates.add(new GossipUpdate(member, State.values()[state], of, its));
     }
-    return new Datagram(Kind.values()[kind], from, epoch, incarnation, sequence, target, rumours);
+    return new Datagram(Kind.values()[kind], from, epoch, incarnation, sequence, target, updates);
   }
 
-  /** Whether it begins as one of this protocol in another version, which this build can't read. */
-  static boolean isOfAnotherVersion(byte[] bytes) {
+  /** Whether the bytes begin as a datagram of this protocol in a version that this build can't read. */
+  static boolean isOtherVersion(byte[] bytes) {
     return bytes.length > 3
-        && bytes.length <= MOST
+        && bytes.length <= MAX_BYTES
         && ByteBuffer.wrap(bytes).getShort() == MAGIC
         && bytes[2] != VERSION;
   }
 
   private static boolean sound(long epoch) {
-    return epoch >= 0 && epoch < MOST_EPOCH;
+    return epoch >= 0 && epoch < MAX_EPOCH;
   }
 }
--- a/src/main/java/pumicekeel/peers/Membership.java
+++ b/src/main/java/pumicekeel/peers/Membership.java
@@ -14,16 +14,16 @@
 import pumicekeel.peers.Datagram.Kind;
 
 /**
- * One member's part in SWIM with Lifeguard's refinements: who of a fixed list of peers is there. No I/O; times are readings
- * of one clock in nanoseconds; the seed is the only chance. Members are numbers of the list, so a stranger can't join; a life
- * of a member is told by its boot epoch, so what was said of an earlier life counts for nothing.
+ * Failure detection among a fixed list of peers: one member's side of SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar,
+ * Phillips, Currey 2017). No I/O; times are readings of one monotonic clock in nanoseconds; all randomness comes from the seed. Members
+ * are numbers of the list, so others can't join. A restart has a higher boot epoch, so updates about an earlier life are ignored.
  */
 public final class Membership {
 
-  /** Where a datagram is to go. */
+  /** A datagram to send to a member. */
   public record Out(int to, byte[] bytes) {}
 
-  /** A probe that waits. */
+  /** The probe of this period, until it is acknowledged. */
   private static final class Probe {
     private final int target;
     private final long sequence;
@@ -38,8 +38,9 @@
     }
   }
 
-  /** A probe made for somebody else. */
-  private record Errand(int asker, long theirSequence, int target, long sequence, long until) {}
+  /** A probe on behalf of another member, which answers its PING_REQUEST with ACK or NACK. */
+  private record RelayedProbe(
+      int asker, long theirSequence, int target, long sequence, long until) {}
 
   private static final class Suspicion {
     private final long since;
@@ -51,29 +52,29 @@
     }
   }
 
-  /** A rumour and how often it was passed on. */
-  private static final class Told {
-    private final Rumour rumour;
+  /** An update and how often it was sent. */
+  private static final class Broadcast {
+    private final GossipUpdate update;
     private int times;
 
-    private Told(Rumour rumour) {
-      this.rumour = rumour;
+    private Broadcast(GossipUpdate update) {
+      this.update = update;
     }
   }
 
-  /** Errands at once; a flood of requests must not become a flood of probes. */
-  private static final int MOST_ERRANDS = 64;
+  /** Probes on behalf of others at one time; a flood of requests must not become a flood of probes. */
+  private static final int MAX_RELAYED_PROBES = 64;
   /** The part of the probe time after which a helper says that it heard nothing (Lifeguard, section IV.A). */
-  private static final double NACK_PART = 0.8;
+  private static final double NACK_AFTER_PART = 0.8;
 
   private final MembershipSettings settings;
   private final int self;
   private final int size;
   private final SplittableRandom random;
-  private final Rumour[] table;
+  private final GossipUpdate[] table;
   private final Map<Integer, Suspicion> suspicions = new HashMap<>();
-  private final Map<Integer, Told> news = new HashMap<>();
-  private final List<Errand> errands = new ArrayList<>();
+  private final Map<Integer, Broadcast> broadcasts = new HashMap<>();
+  private final List<RelayedProbe> relayedProbes = new ArrayList<>();
   private final int[] round;
   private int place;
   private Probe probe;
@@ -91,20 +92,20 @@
   /** The member of this number in a list of so many; {@code epoch}: the wall clock in milliseconds at the start. */
   public Membership(
       MembershipSettings settings, int self, int size, long epoch, long seed, long now) {
-    if (size < 1 || size > Datagram.MOST_MEMBERS || self < 0 || self >= size) {
+    if (size < 1 || size > Datagram.MAX_MEMBERS || self < 0 || self >= size) {
       throw new IllegalArgumentException(
-          "members: expected 1 to " + Datagram.MOST_MEMBERS + ", got " + self + " of " + size);
+          "members: expected 1 to " + Datagram.MAX_MEMBERS + ", got " + self + " of " + size);
     }
     this.settings = settings;
     this.self = self;
     this.size = size;
     random = new SplittableRandom(seed);
-    table = new Rumour[size];
+    table = new GossipUpdate[size];
     for (int i = 0; i < size; i++) {
-      table[i] = new Rumour(i, State.UNKNOWN, 0, 0);
+      table[i] = new GossipUpdate(i, State.UNKNOWN, 0, 0);
     }
-    table[self] =
-        new Rumour(self, State.ALIVE, Math.max(0, Math.min(epoch, Datagram.MOST_EPOCH - 1)), 0);
+    table[self] = new GossipUpdate(
+        self, State.ALIVE, Math.max(0, Math.min(epoch, Datagram.MAX_EPOCH - 1)), 0);
     round = new int[size];
     for (int i = 0; i < size; i++) {
       round[i] = i;
@@ -113,7 +114,7 @@
     // Members that start together do not probe together.
     periodEnds = now + random.nextLong(settings.periodNanos());
     syncAt = now + random.nextLong(settings.syncNanos());
-    tell(table[self]);
+    broadcast(table[self]);
   }
 
   // What is known
@@ -123,7 +124,7 @@
     return table[member].state();
   }
 
-  public Rumour rumourOf(int member) {
+  public GossipUpdate updateOf(int member) {
     return table[member];
   }
 
@@ -142,7 +143,7 @@
   /** The numbers of those that are alive or suspected. */
   public BitSet liveSet() {
     BitSet set = new BitSet(size);
-    for (Rumour r : table) {
+    for (GossipUpdate r : table) {
       set.set(r.member(), r.state() == State.ALIVE || r.state() == State.SUSPECT);
     }
     return set;
@@ -180,7 +181,7 @@
     if (probe != null && !probe.helped) {
       next = Math.min(next, probe.sentAt + probeTime());
     }
-    for (Errand e : errands) {
+    for (RelayedProbe e : relayedProbes) {
       next = Math.min(next, e.until());
     }
     for (Map.Entry<Integer, Suspicion> s : suspicions.entrySet()) {
@@ -196,10 +197,10 @@
   /** Does what is due, and hands over what is to be sent. */
   public List<Out> tick(long now) {
     if (probe != null && !probe.helped && now - probe.sentAt >= probeTime()) {
-      askForHelp();
+      requestIndirectProbes();
     }
-    for (Iterator<Errand> it = errands.iterator(); it.hasNext(); ) {
-      Errand e = it.next();
+    for (Iterator<RelayedProbe> it = relayedProbes.iterator(); it.hasNext(); ) {
+      RelayedProbe e = it.next();
       if (now - e.until() >= 0) {
         it.remove();
         send(e.asker(), Kind.NACK, e.theirSequence(), e.target());
@@ -225,9 +226,10 @@
   private void endPeriod(long now) {
     if (probe != null) {
       health = Math.min(settings.healthMost(), health + 1 + probe.nacksDue);
-      Rumour of = table[probe.target];
+      GossipUpdate of = table[probe.target];
       if (of.state() == State.ALIVE || of.state() == State.SUSPECT) {
-        suspect(new Rumour(of.member(), State.SUSPECT, of.epoch(), of.incarnation()), self, now);
+        suspect(
+            new GossipUpdate(of.member(), State.SUSPECT, of.epoch(), of.incarnation()), self, now);
       }
       probe = null;
     }
@@ -261,7 +263,7 @@
     return -1;
   }
 
-  private void askForHelp() {
+  private void requestIndirectProbes() {
     probe.helped = true;
     List<Integer> helpers = new ArrayList<>();
     for (int i = 0; i < size && helpers.size() < settings.helpers(); i++) {
@@ -286,9 +288,9 @@
     send(to >= self ? to + 1 : to, Kind.SYNC, 0, self);
   }
 
-  private List<Rumour> page() {
-    List<Rumour> page = new ArrayList<>(Datagram.MOST_RUMOURS);
-    for (int i = 0; i < size && page.size() < Datagram.MOST_RUMOURS; i++) {
+  private List<GossipUpdate> page() {
+    List<GossipUpdate> page = new ArrayList<>(Datagram.MAX_UPDATES);
+    for (int i = 0; i < size && page.size() < Datagram.MAX_UPDATES; i++) {
       syncFrom = (syncFrom + 1) % size;
       if (table[syncFrom].state() != State.UNKNOWN) {
         page.add(table[syncFrom]);
@@ -324,25 +326,25 @@
     });
     for (int member : over) {
       suspicions.remove(member);
-      Rumour r = table[member];
+      GossipUpdate r = table[member];
       if (r.state() == State.SUSPECT) {
-        set(new Rumour(member, State.DEAD, r.epoch(), r.incarnation()));
+        set(new GossipUpdate(member, State.DEAD, r.epoch(), r.incarnation()));
       }
     }
   }
 
-  private void suspect(Rumour rumour, int by, long now) {
-    Suspicion known = suspicions.get(rumour.member());
-    Rumour held = table[rumour.member()];
-    boolean same = held.epoch() == rumour.epoch() && held.incarnation() == rumour.incarnation();
+  private void suspect(GossipUpdate update, int by, long now) {
+    Suspicion known = suspicions.get(update.member());
+    GossipUpdate held = table[update.member()];
+    boolean same = held.epoch() == update.epoch() && held.incarnation() == update.incarnation();
     if (held.state() == State.SUSPECT && same && known != null) {
       // Passed on again only while it adds something: the K first, as the paper has it.
       if (known.from.size() <= settings.confirmations() && known.from.add(by)) {
-        tell(rumour);
+        broadcast(update);
       }
-    } else if (rumour.overrides(held)) {
-      suspicions.put(rumour.member(), new Suspicion(now, by));
-      set(rumour);
+    } else if (update.overrides(held)) {
+      suspicions.put(update.member(), new Suspicion(now, by));
+      set(update);
     }
   }
 
@@ -351,15 +353,15 @@
   /** Takes a datagram that came from the address of a member, and hands over what is to be sent. */
   public List<Out> receive(int from, byte[] bytes, long now) {
     Datagram d = Datagram.of(bytes, size);
-    if (d == null && Datagram.isOfAnotherVersion(bytes)) {
+    if (d == null && Datagram.isOtherVersion(bytes)) {
       otherVersions++;
     }
     if (d == null || d.from() != from || from == self) {
       discarded++;
       return List.of();
     }
-    Rumour held = table[from];
-    Rumour says = new Rumour(from, State.ALIVE, d.epoch(), d.incarnation());
+    GossipUpdate held = table[from];
+    GossipUpdate says = new GossipUpdate(from, State.ALIVE, d.epoch(), d.incarnation());
     if (d.epoch() < held.epoch()) {
       // From an earlier life, or replayed: it says nothing of now, and nothing is done for it but
       // to tell its writer. What it
@@ -368,7 +370,7 @@
       // back would else hold each other for dead for ever, each deaf to the word that would mend
       // it.
       discarded++;
-      d.rumours().stream().filter(r -> r.member() == self).forEach(this::hearOfSelf);
+      d.updates().stream().filter(r -> r.member() == self).forEach(this::refute);
       if (d.kind() == Kind.PING || d.kind() == Kind.SYNC) {
         sendWith(from, Kind.NACK, d.sequence(), d.target(), List.of(held));
         return taken();
@@ -380,14 +382,14 @@
       suspicions.remove(from);
       set(says);
     }
-    d.rumours().forEach(r -> hear(r, from, now));
+    d.updates().forEach(r -> hear(r, from, now));
     answer(d, now);
     return taken();
   }
 
-  private void hear(Rumour r, int by, long now) {
+  private void hear(GossipUpdate r, int by, long now) {
     if (r.member() == self) {
-      hearOfSelf(r);
+      refute(r);
     } else if (r.state() == State.SUSPECT) {
       suspect(r, by, now);
     } else if (r.overrides(table[r.member()])) {
@@ -397,18 +399,18 @@
   }
 
   /** Somebody holds this member for suspect or dead, or knows a later life of it: it says otherwise, above that. */
-  private void hearOfSelf(Rumour r) {
-    Rumour mine = table[self];
+  private void refute(GossipUpdate r) {
+    GossipUpdate mine = table[self];
     if (r.epoch() > mine.epoch()) {
       // A clock set back at the restart: the number of this life has to be the highest all the
       // same.
-      set(new Rumour(self, State.ALIVE, Math.min(r.epoch() + 1, Datagram.MOST_EPOCH - 1), 0));
+      set(new GossipUpdate(self, State.ALIVE, Math.min(r.epoch() + 1, Datagram.MAX_EPOCH - 1), 0));
     } else if (r.epoch() == mine.epoch()
         && r.state() != State.ALIVE
         && r.incarnation() >= mine.incarnation()) {
       falseSuspicions++;
       health = Math.min(settings.healthMost(), health + 1);
-      set(new Rumour(self, State.ALIVE, mine.epoch(), r.incarnation() + 1));
+      set(new GossipUpdate(self, State.ALIVE, mine.epoch(), r.incarnation() + 1));
     }
   }
 
@@ -416,14 +418,14 @@
     switch (d.kind()) {
       case PING -> send(d.from(), Kind.ACK, d.sequence(), self);
       case PING_REQUEST -> {
-        if (errands.size() < MOST_ERRANDS && d.target() != self) {
-          Errand e = new Errand(
+        if (relayedProbes.size() < MAX_RELAYED_PROBES && d.target() != self) {
+          RelayedProbe e = new RelayedProbe(
               d.from(),
               d.sequence(),
               d.target(),
               ++sequence & 0xffffffffL,
-              now + (long) (NACK_PART * settings.probeNanos()));
-          errands.add(e);
+              now + (long) (NACK_AFTER_PART * settings.probeNanos()));
+          relayedProbes.add(e);
           send(e.target(), Kind.PING, e.sequence(), e.target());
         }
       }
@@ -443,8 +445,8 @@
       health = Math.max(0, health - 1);
       return;
     }
-    for (Iterator<Errand> it = errands.iterator(); it.hasNext(); ) {
-      Errand e = it.next();
+    for (Iterator<RelayedProbe> it = relayedProbes.iterator(); it.hasNext(); ) {
+      RelayedProbe e = it.next();
       if (e.sequence() == d.sequence() && e.target() == d.from()) {
         it.remove();
         send(e.asker(), Kind.ACK, e.theirSequence(), e.target());
@@ -457,43 +459,43 @@
     sendWith(to, kind, with, target, kind == Kind.SYNC ? page() : List.of());
   }
 
-  private void sendWith(int to, Kind kind, long with, int target, List<Rumour> first) {
-    List<Rumour> rumours = new ArrayList<>(first);
+  private void sendWith(int to, Kind kind, long with, int target, List<GossipUpdate> first) {
+    List<GossipUpdate> updates = new ArrayList<>(first);
     // The buddy system (Lifeguard, section IV.C): one that is suspected is told of it by whoever
     // probes it.
     if (kind == Kind.PING
         && table[to].state() != State.ALIVE
         && table[to].state() != State.UNKNOWN
-        && !rumours.contains(table[to])) {
-      rumours.add(table[to]);
+        && !updates.contains(table[to])) {
+      updates.add(table[to]);
     }
     int limit = (int) Math.ceil(settings.retransmit() * Math.max(1, Math.log10(live() + 1)));
-    news.values().stream()
-        .sorted(
-            Comparator.<Told>comparingInt(t -> t.times).thenComparingInt(t -> t.rumour.member()))
-        .limit(Datagram.MOST_RUMOURS)
+    broadcasts.values().stream()
+        .sorted(Comparator.<Broadcast>comparingInt(t -> t.times)
+            .thenComparingInt(t -> t.update.member()))
+        .limit(Datagram.MAX_UPDATES)
         .toList()
         .forEach(t -> {
-          if (rumours.size() < Datagram.MOST_RUMOURS && !rumours.contains(t.rumour)) {
-            rumours.add(t.rumour);
+          if (updates.size() < Datagram.MAX_UPDATES && !updates.contains(t.update)) {
+            updates.add(t.update);
             if (++t.times >= limit) {
-              news.remove(t.rumour.member());
+              broadcasts.remove(t.update.member());
             }
           }
         });
-    Rumour mine = table[self];
+    GossipUpdate mine = table[self];
     out.add(new Out(
         to,
-        new Datagram(kind, self, mine.epoch(), mine.incarnation(), with, target, rumours).bytes()));
+        new Datagram(kind, self, mine.epoch(), mine.incarnation(), with, target, updates).bytes()));
   }
 
-  private void set(Rumour r) {
+  private void set(GossipUpdate r) {
     table[r.member()] = r;
-    tell(r);
+    broadcast(r);
   }
 
-  /** One rumour a member: the table is the bound. */
-  private void tell(Rumour r) {
-    news.put(r.member(), new Told(r));
+  /** One pending update per member, so the size of the list is the bound. */
+  private void broadcast(GossipUpdate r) {
+    broadcasts.put(r.member(), new Broadcast(r));
   }
 }
--- a/src/main/java/pumicekeel/peers/MembershipSettings.java
+++ b/src/main/java/pumicekeel/peers/MembershipSettings.java
@@ -6,7 +6,7 @@
  * @param periodNanos between two probes of one member
  * @param probeNanos how long a direct answer is waited for, before others are asked
  * @param helpers members that are asked to probe instead (k of SWIM)
- * @param retransmit a rumour is passed on this many times the decimal logarithm of the members
+ * @param retransmit a update is passed on this many times the decimal logarithm of the members
  * @param suspicionLeast the least suspicion, in periods times that logarithm (Lifeguard's alpha)
  * @param suspicionMost the longest, in least ones (Lifeguard's beta)
  * @param confirmations independent suspicions that bring it down to the least (Lifeguard's K)
--- a/src/main/java/pumicekeel/peers/PeerLink.java
+++ b/src/main/java/pumicekeel/peers/PeerLink.java
@@ -24,10 +24,10 @@
 public final class PeerLink implements Closeable {
 
   /** A larger datagram is cut to this by the kernel, and so is none. */
-  private static final int READ_BYTES = Datagram.MOST + 1;
+  private static final int READ_BYTES = Datagram.MAX_BYTES + 1;
 
-  private static final int READS_IN_A_ROW = 16;
-  private static final long LEAST_NANOS = 1_000_000L;
+  private static final int MAX_READS_PER_WAKEUP = 16;
+  private static final long MIN_TIMER_NANOS = 1_000_000L;
 
   private final EventLoop loop;
   private final List<InetSocketAddress> peers;
@@ -67,7 +67,7 @@
         .channel(NioDatagramChannel.class)
         .option(
             ChannelOption.RECVBUF_ALLOCATOR,
-            new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_IN_A_ROW))
+            new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(MAX_READS_PER_WAKEUP))
         .handler(new Reader())
         .bind(own)
         .sync()
@@ -136,7 +136,7 @@
     long due =
         service == null ? membership.nextAt() : Math.min(membership.nextAt(), service.nextAt());
     timer = loop.schedule(
-        this::tick, Math.max(LEAST_NANOS, due - System.nanoTime()), TimeUnit.NANOSECONDS);
+        this::tick, Math.max(MIN_TIMER_NANOS, due - System.nanoTime()), TimeUnit.NANOSECONDS);
   }
 
   /** Has another protocol spoken on this socket too; only on the loop. */
--- a/src/main/java/pumicekeel/peers/PeerView.java
+++ b/src/main/java/pumicekeel/peers/PeerView.java
@@ -6,7 +6,7 @@
 record PeerView(Membership membership, int size, long strangers) {
 
   /** Members that are named at most, of each state; beyond it their number tells. */
-  private static final int MOST_NAMED = 64;
+  private static final int MAX_LISTED = 64;
 
   String json() {
     return "{\"size\":" + size + ",\"live\":" + membership.live() + ",\"unknown\":"
@@ -20,7 +20,7 @@
   private String named(State state) {
     StringJoiner out = new StringJoiner(",", "[", "]");
     int named = 0;
-    for (int i = 0; i < size && named < MOST_NAMED; i++) {
+    for (int i = 0; i < size && named < MAX_LISTED; i++) {
       if (membership.stateOf(i) == state) {
         out.add(Integer.toString(i));
         named++;
--- a/src/main/java/pumicekeel/peers/State.java
+++ b/src/main/java/pumicekeel/peers/State.java
@@ -1,6 +1,6 @@
 package pumicekeel.peers;
 
-/** What is held of a member. Of two words of the same incarnation the later of these counts (SWIM, section 4.2). */
+/** The state of a member. Of two updates of the same incarnation the one with the later constant wins (SWIM, section 4.2). */
 public enum State {
   UNKNOWN,
   ALIVE,
--- a/src/main/java/pumicekeel/sim/FleetSim.java
+++ b/src/main/java/pumicekeel/sim/FleetSim.java
@@ -337,7 +337,7 @@
     for (Membership.Out o : out) {
       datagrams++;
       bytes += o.bytes().length;
-      if (o.bytes().length > Datagram.MOST) {
+      if (o.bytes().length > Datagram.MAX_BYTES) {
         fault = "a datagram of " + o.bytes().length + " bytes";
       }
       if (old.size() < 1_000 && random.nextInt(50) == 0) {
--- a/src/test/java/pumicekeel/peers/DatagramTest.java
+++ b/src/test/java/pumicekeel/peers/DatagramTest.java
@@ -14,13 +14,13 @@
 class DatagramTest {
 
   private static Datagram full() {
-    List<Rumour> rumours = new ArrayList<>();
-    for (int i = 0; i < Datagram.MOST_RUMOURS; i++) {
-      rumours.add(
-          new Rumour(i, State.values()[1 + i % 3], 1_700_000_000_000L + i, 0xffffffffL - i));
+    List<GossipUpdate> updates = new ArrayList<>();
+    for (int i = 0; i < Datagram.MAX_UPDATES; i++) {
+      updates.add(
+          new GossipUpdate(i, State.values()[1 + i % 3], 1_700_000_000_000L + i, 0xffffffffL - i));
     }
     return new Datagram(
-        Datagram.Kind.PING_REQUEST, 19, 1_700_000_000_123L, 7, 0xfffffffeL, 3, rumours);
+        Datagram.Kind.PING_REQUEST, 19, 1_700_000_000_123L, 7, 0xfffffffeL, 3, updates);
   }
 
   @Test
--- a/src/test/java/pumicekeel/peers/MembershipTest.java
+++ b/src/test/java/pumicekeel/peers/MembershipTest.java
@@ -34,11 +34,11 @@
       long incarnation,
       long sequence,
       int target,
-      Rumour... rumours) {
+      GossipUpdate... updates) {
     return m
         .receive(
             from,
-            new Datagram(kind, from, epoch, incarnation, sequence, target, List.of(rumours))
+            new Datagram(kind, from, epoch, incarnation, sequence, target, List.of(updates))
                 .bytes(),
             now)
         .stream()
@@ -46,8 +46,8 @@
         .toList();
   }
 
-  private static Rumour says(int member, State state, long epoch, long incarnation) {
-    return new Rumour(member, state, epoch, incarnation);
+  private static GossipUpdate says(int member, State state, long epoch, long incarnation) {
+    return new GossipUpdate(member, state, epoch, incarnation);
   }
 
   /** All others are alive as far as member 0 knows. */
@@ -150,18 +150,18 @@
   void ownSuspicionIsTakenBackAboveIt() {
     List<Datagram> out = hear(2, Kind.PING, 500, 0, 1, 0, says(0, State.SUSPECT, EPOCH, 0));
     assertEquals(1, out.get(0).incarnation());
-    assertTrue(out.get(0).rumours().contains(says(0, State.ALIVE, EPOCH, 1)));
+    assertTrue(out.get(0).updates().contains(says(0, State.ALIVE, EPOCH, 1)));
     assertEquals(1, m.refuted());
     assertEquals(1, m.health());
     hear(2, Kind.PING, 500, 0, 2, 0, says(0, State.DEAD, EPOCH, 5));
-    assertEquals(6, m.rumourOf(0).incarnation());
+    assertEquals(6, m.updateOf(0).incarnation());
   }
 
   @Test
   void lifeAfterAClockSetBackOutranksTheOneBefore() {
     hear(2, Kind.PING, 500, 0, 1, 0, says(0, State.DEAD, EPOCH + 3_600_000, 4));
-    assertEquals(State.ALIVE, m.rumourOf(0).state());
-    assertEquals(EPOCH + 3_600_001, m.rumourOf(0).epoch());
+    assertEquals(State.ALIVE, m.updateOf(0).state());
+    assertEquals(EPOCH + 3_600_001, m.updateOf(0).epoch());
   }
 
   @Test
@@ -172,9 +172,9 @@
     assertEquals(before + 1, m.discarded());
     assertEquals(
         State.UNKNOWN, m.stateOf(4), "what an earlier life says of others is not heard either");
-    assertEquals(900, m.rumourOf(3).epoch());
+    assertEquals(900, m.updateOf(3).epoch());
     assertTrue(
-        told.get(0).rumours().contains(m.rumourOf(3)),
+        told.get(0).updates().contains(m.updateOf(3)),
         "but its writer is told of what outranks it");
     hear(5, Kind.ACK, 500, 0, 1, 5, says(3, State.DEAD, 500, 99));
     assertEquals(State.ALIVE, m.stateOf(3));
@@ -189,7 +189,7 @@
     other.receive(0, new Datagram(Kind.ACK, 0, 900, 0, 1, 0, List.of()).bytes(), 0);
     long at = 0;
     for (int i = 0;
-        i < 1_000 && (one.rumourOf(1).epoch() <= 900 || other.rumourOf(0).epoch() <= 900);
+        i < 1_000 && (one.updateOf(1).epoch() <= 900 || other.updateOf(0).epoch() <= 900);
         i++) {
       at = Math.min(one.nextAt(), other.nextAt());
       for (Membership.Out o : one.nextAt() <= at ? one.tick(at) : List.<Membership.Out>of()) {
@@ -204,7 +204,7 @@
       }
     }
     assertEquals(List.of(State.ALIVE, State.ALIVE), List.of(one.stateOf(1), other.stateOf(0)));
-    assertTrue(one.rumourOf(1).epoch() > 900 && other.rumourOf(0).epoch() > 900);
+    assertTrue(one.updateOf(1).epoch() > 900 && other.updateOf(0).epoch() > 900);
   }
 
   @Test
