--- a/src/test/java/pumicekeel/node/DescriptorsTest.java
+++ b/src/test/java/pumicekeel/node/DescriptorsTest.java
@@ -3,6 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelException;
+import io.netty.channel.ServerChannel;
 import java.io.BufferedReader;
 import java.io.File;
 import java.io.IOException;
@@ -26,7 +29,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
 import pumicekeel.runtime.Addresses;
+import pumicekeel.runtime.Reactor;
+import pumicekeel.runtime.Sockets;
 
 /** Idle clients hold all descriptors that they can get while discovery is down, in a process with a limit on descriptors. */
 class DescriptorsTest {
@@ -83,7 +89,9 @@
   @AfterEach
   void stop() {
     over = true;
-    process.destroyForcibly();
+    if (process != null) {
+      process.destroyForcibly();
+    }
   }
 
   /** Clients that connect and never ask, more than there are descriptors; one that is closed comes again. */
@@ -182,6 +190,92 @@
     }
   }
 
+  /** Sockets of a process that has no descriptor for another connection while a test says so. */
+  private static final class Scarce implements Sockets {
+    private final Sockets system;
+    private final AtomicInteger refused = new AtomicInteger();
+    private volatile boolean none;
+
+    private Scarce(Sockets system) {
+      this.system = system;
+    }
+
+    @Override
+    public Channel connecting() {
+      if (none) {
+        refused.incrementAndGet();
+        throw new ChannelException("no socket", new IOException("Too many open files"));
+      }
+      return system.connecting();
+    }
+
+    @Override
+    public ServerChannel listening() {
+      return system.listening();
+    }
+
+    @Override
+    public void closeBehindLine(Channel listener, int most) {
+      system.closeBehindLine(listener, most);
+    }
+
+    @Override
+    public boolean quiet(Channel channel) {
+      return system.quiet(channel);
+    }
+
+    @Override
+    public int drop(Channel channel, int most) {
+      return system.drop(channel, most);
+    }
+  }
+
+  /** Neither a watch nor a place for a connection is lost by a connect that found no descriptor. */
+  @ParameterizedTest
+  @ValueSource(booleans = {true, false})
+  void whatFoundNoDescriptorIsTriedAgain(boolean pushed) throws Exception {
+    Reactor system = Reactor.start();
+    Scarce scarce = new Scarce(system.sockets());
+    CountDownLatch watched = new CountDownLatch(1);
+    try (FakeServer before = FakeServer.serving("before");
+        FakeServer after = FakeServer.serving("after");
+        FakeServer discovery = new FakeServer((request, connection, out) -> {
+          watched.countDown();
+          connection.close();
+        })) {
+      String json = pushed
+          ? TestNode.pushed(discovery.address(), 1, before)
+          : TestNode.json(discovery.address(), 1, before);
+      TestNode node = new TestNode(
+          json.replace("\"sockets\":1024", "\"sockets\":20"),
+          new Reactor(system.loop(), system.clock(), scarce));
+      watched.await();
+      scarce.none = true;
+      try (TestClient client = new TestClient(node.address)) {
+        for (int i = 0; i < 10; i++) {
+          int status = client.call(TestClient.look("none" + i, LEFT_MILLIS, "")).status();
+          assertTrue(status == 429 || status == 502, "answered " + status);
+        }
+        int byClients = scarce.refused.get();
+        TestNode.until(() -> scarce.refused.get() > byClients);
+        discovery.behaviour = (request, connection, out) -> tell(out, after);
+        scarce.none = false;
+        TestNode.until(() -> isServedBy(client, "after"));
+      }
+    }
+  }
+
+  private static boolean isServedBy(TestClient client, String upstream) {
+    try {
+      return client
+          .call(TestClient.look("again" + System.nanoTime(), LEFT_MILLIS, ""))
+          .body()
+          .equals(upstream);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
   private static void tell(OutputStream out, FakeServer upstream) throws IOException {
     String list = "{\"index\":8,\"snapshot\":true,\"endpoints\":["
         + TestNode.endpoint("s-9", upstream.address(), "in_service") + "]}\n";
