--- a/src/main/java/pumicekeel/AdaptiveBalancer.java
+++ b/src/main/java/pumicekeel/AdaptiveBalancer.java
@@ -535,13 +535,20 @@
   }
 
   /** Sends that a cold upstream may still get: its warmth's part of what a warm one usually gets. The trickle
-   * guards against a fleet that is cold all at once and would wait for traffic to be allowed any. */
+   * guards against a fleet that is cold all at once and would wait for traffic to be allowed any. None beside
+   * a warm one: balancers that do not know how many they are would each send all of it. */
   private double coldTokens(Upstream u) {
-    double rate = Math.max(COLD_TRICKLE / settings.groupSize(), warmth(u) * usualSends);
+    double trickle = someWarm() ? 0 : COLD_TRICKLE / settings.groupSize();
+    double rate = Math.max(trickle, warmth(u) * usualSends);
     double seconds = COLD_BURST * settings.contract().fallWindowNanos() / SECOND;
     return u.cold.fill(now, rate, Math.max(1, rate * seconds));
   }
 
+  private boolean someWarm() {
+    return upstreams.values().stream()
+        .anyMatch(u -> u.listed.state() == State.READY && warmth(u) >= 1);
+  }
+
   /** A balancer with hardly a request for each upstream would save up for a send to a cold one until long
    * after its warm-up, and all such together would leave it idle. Theirs is a lot: each request draws
    * one upstream, whatever its key (a hot one's home would get too much), and a cold one takes its warmth's
