--- a/src/main/java/pumicekeel/AdaptiveBalancer.java
+++ b/src/main/java/pumicekeel/AdaptiveBalancer.java
@@ -165,6 +165,9 @@
   private boolean full;
 
   private boolean looked;
+  /** In this event: whether a warm upstream is ready; null while that was not asked. */
+  private Boolean someWarm;
+
   private double retryTokens = 1;
   private double hedgeTokens = HEDGE_MOST;
   private long sweepAt = Long.MAX_VALUE;
@@ -194,6 +197,7 @@
     out = actions;
     full = false;
     looked = false;
+    someWarm = null;
     if (event instanceof Request e) {
       onRequest(e);
     } else if (event instanceof Outcome e) {
@@ -545,8 +549,11 @@
   }
 
   private boolean someWarm() {
-    return upstreams.values().stream()
-        .anyMatch(u -> u.listed.state() == State.READY && warmth(u) >= 1);
+    if (someWarm == null) {
+      someWarm = upstreams.values().stream()
+          .anyMatch(u -> u.listed.state() == State.READY && warmth(u) >= 1);
+    }
+    return someWarm;
   }
 
   /** A balancer with hardly a request for each upstream would save up for a send to a cold one until long
