--- a/src/main/java/pumicekeel/peers/Membership.java
+++ b/src/main/java/pumicekeel/peers/Membership.java
@@ -1,17 +1,11 @@
 package pumicekeel.peers;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.BitSet;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.Iterator;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
 import pumicekeel.peers.Datagram.Kind;
+import pumicekeel.peers.RelayedProbes.RelayedProbe;
 
 /**
  * Failure detection among a fixed list of peers: one member's side of SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar,
@@ -38,49 +32,23 @@
     }
   }
 
-  /** A probe on behalf of another member, which answers its PING_REQUEST with ACK or NACK. */
-  private record RelayedProbe(
-      int asker, long theirSequence, int target, long sequence, long until) {}
-
-  private static final class Suspicion {
-    private final long since;
-    private final Set<Integer> from = new HashSet<>();
-
-    private Suspicion(long since, int by) {
-      this.since = since;
-      from.add(by);
-    }
-  }
-
-  /** An update and how often it was sent. */
-  private static final class Broadcast {
-    private final GossipUpdate update;
-    private int times;
-
-    private Broadcast(GossipUpdate update) {
-      this.update = update;
-    }
-  }
-
-  /** Probes on behalf of others at one time; a flood of requests must not become a flood of probes. */
-  private static final int MAX_RELAYED_PROBES = 64;
   /** The part of the probe time after which a helper says that it heard nothing (Lifeguard, section IV.A). */
   private static final double NACK_AFTER_PART = 0.8;
+  /** Sequence numbers take four bytes of a datagram. */
+  private static final long MAX_SEQUENCE = 0xffffffffL;
 
   private final MembershipSettings settings;
   private final int self;
   private final int size;
   private final SplittableRandom random;
-  private final GossipUpdate[] table;
-  private final Map<Integer, Suspicion> suspicions = new HashMap<>();
-  private final Map<Integer, Broadcast> broadcasts = new HashMap<>();
-  private final List<RelayedProbe> relayedProbes = new ArrayList<>();
-  private final int[] round;
-  private int place;
+  private final MembershipTable table;
+  private final SuspicionTimers suspicions;
+  private final BroadcastQueue broadcasts;
+  private final ProbeSchedule schedule;
+  private final RelayedProbes relayedProbes = new RelayedProbes();
   private Probe probe;
   private long periodEnds;
   private long syncAt;
-  private int syncFrom;
   private long sequence;
   private int health;
   private long received;
@@ -100,53 +68,42 @@
     this.self = self;
     this.size = size;
     random = new SplittableRandom(seed);
-    table = new GossipUpdate[size];
-    for (int i = 0; i < size; i++) {
-      table[i] = new GossipUpdate(i, State.UNKNOWN, 0, 0);
-    }
-    table[self] = new GossipUpdate(
-        self, State.ALIVE, Math.max(0, Math.min(epoch, Datagram.MAX_EPOCH - 1)), 0);
-    round = new int[size];
-    for (int i = 0; i < size; i++) {
-      round[i] = i;
-    }
-    place = size;
+    table = new MembershipTable(size);
+    suspicions = new SuspicionTimers(settings);
+    broadcasts = new BroadcastQueue(settings.retransmit());
+    schedule = new ProbeSchedule(size, random);
+    set(new GossipUpdate(
+        self, State.ALIVE, Math.max(0, Math.min(epoch, Datagram.MAX_EPOCH - 1)), 0));
     // Members that start together do not probe together.
     periodEnds = now + random.nextLong(settings.periodNanos());
     syncAt = now + random.nextLong(settings.syncNanos());
-    broadcast(table[self]);
   }
 
   // What is known
 
-  /** What is held of a member. */
+  /** The state of a member, as far as this one knows. */
   public State stateOf(int member) {
-    return table[member].state();
+    return table.stateOf(member);
   }
 
+  /** The newest update about a member. */
   public GossipUpdate updateOf(int member) {
-    return table[member];
+    return table.get(member);
   }
 
   /** Members that are alive or suspected, this one among them: a suspicion is no proof. */
   public int live() {
-    return (int) Arrays.stream(table)
-        .filter(r -> r.state() == State.ALIVE || r.state() == State.SUSPECT)
-        .count();
+    return table.live();
   }
 
   /** Members of which nothing was ever heard. */
   public int unknown() {
-    return (int) Arrays.stream(table).filter(r -> r.state() == State.UNKNOWN).count();
+    return table.unknown();
   }
 
   /** The numbers of those that are alive or suspected. */
   public BitSet liveSet() {
-    BitSet set = new BitSet(size);
-    for (GossipUpdate r : table) {
-      set.set(r.member(), r.state() == State.ALIVE || r.state() == State.SUSPECT);
-    }
-    return set;
+    return table.liveSet();
   }
 
   /** Lifeguard's score of this member's own health: 0 for well. */
@@ -181,11 +138,9 @@
     if (probe != null && !probe.helped) {
       next = Math.min(next, probe.sentAt + probeTime());
     }
-    for (RelayedProbe e : relayedProbes) {
-      next = Math.min(next, e.until());
-    }
-    for (Map.Entry<Integer, Suspicion> s : suspicions.entrySet()) {
-      next = Math.min(next, endOf(s.getValue()));
+    next = Math.min(next, relayedProbes.nextAt());
+    if (!suspicions.isEmpty()) {
+      next = Math.min(next, suspicions.nextAt(table.live()));
     }
     return next;
   }
@@ -199,12 +154,8 @@
     if (probe != null && !probe.helped && now - probe.sentAt >= probeTime()) {
       requestIndirectProbes();
     }
-    for (Iterator<RelayedProbe> it = relayedProbes.iterator(); it.hasNext(); ) {
-      RelayedProbe e = it.next();
-      if (now - e.until() >= 0) {
-        it.remove();
-        send(e.asker(), Kind.NACK, e.theirSequence(), e.target());
-      }
+    for (RelayedProbe expired : relayedProbes.takeExpired(now)) {
+      send(expired.requester(), Kind.NACK, expired.requesterSequence(), expired.target());
     }
     endSuspicions(now);
     if (now - periodEnds >= 0) {
@@ -226,8 +177,8 @@
   private void endPeriod(long now) {
     if (probe != null) {
       health = Math.min(settings.healthMost(), health + 1 + probe.nacksDue);
-      GossipUpdate of = table[probe.target];
-      if (of.state() == State.ALIVE || of.state() == State.SUSPECT) {
+      GossipUpdate of = table.get(probe.target);
+      if (table.isLive(probe.target)) {
         suspect(
             new GossipUpdate(of.member(), State.SUSPECT, of.epoch(), of.incarnation()), self, now);
       }
@@ -236,31 +187,16 @@
     // A clock that jumped or a process that slept starts a new period now, and not as many as it
     // missed.
     periodEnds = now + settings.periodNanos() * (health + 1);
-    int target = next();
+    int target = schedule.next(this::mayBeProbed);
     if (target >= 0) {
-      probe = new Probe(target, ++sequence & 0xffffffffL, now);
+      probe = new Probe(target, nextSequence(), now);
       send(target, Kind.PING, probe.sequence, target);
     }
   }
 
-  /** The next of a shuffled round of all that are not dead; members never heard of are asked too, without a consequence. */
-  private int next() {
-    for (int tries = 0; tries < 2 * size; tries++) {
-      if (place == size) {
-        place = 0;
-        for (int i = size - 1; i > 0; i--) {
-          int j = random.nextInt(i + 1);
-          int t = round[i];
-          round[i] = round[j];
-          round[j] = t;
-        }
-      }
-      int member = round[place++];
-      if (member != self && table[member].state() != State.DEAD) {
-        return member;
-      }
-    }
-    return -1;
+  /** All that are not dead; members never heard of are probed too, without a consequence. */
+  private boolean mayBeProbed(int member) {
+    return member != self && table.stateOf(member) != State.DEAD;
   }
 
   private void requestIndirectProbes() {
@@ -270,7 +206,7 @@
       int member = random.nextInt(size);
       if (member != self
           && member != probe.target
-          && table[member].state() == State.ALIVE
+          && table.stateOf(member) == State.ALIVE
           && !helpers.contains(member)) {
         helpers.add(member);
       }
@@ -288,62 +224,31 @@
     send(to >= self ? to + 1 : to, Kind.SYNC, 0, self);
   }
 
-  private List<GossipUpdate> page() {
-    List<GossipUpdate> page = new ArrayList<>(Datagram.MAX_UPDATES);
-    for (int i = 0; i < size && page.size() < Datagram.MAX_UPDATES; i++) {
-      syncFrom = (syncFrom + 1) % size;
-      if (table[syncFrom].state() != State.UNKNOWN) {
-        page.add(table[syncFrom]);
-      }
-    }
-    return page;
-  }
-
   // Suspicion
 
-  private double log() {
-    return Math.max(1, Math.log10(Math.max(1, live())));
-  }
-
-  /** Lifeguard, section IV.B: from the longest time to the least as independent suspicions come. */
-  private long endOf(Suspicion s) {
-    double least = settings.suspicionLeast() * log() * settings.periodNanos();
-    double most = settings.suspicionMost() * least;
-    // No more confirm than there are others beside the suspect and the first; where nobody can, the
-    // least it is.
-    int wanted = Math.min(settings.confirmations(), live() - 3);
-    int confirmed = Math.min(wanted, s.from.size() - 1);
-    double part = wanted <= 0 ? 1 : Math.log(confirmed + 1) / Math.log(wanted + 1);
-    return s.since + (long) Math.max(least, most - (most - least) * part);
-  }
-
   private void endSuspicions(long now) {
-    List<Integer> over = new ArrayList<>();
-    suspicions.forEach((member, s) -> {
-      if (now - endOf(s) >= 0) {
-        over.add(member);
-      }
-    });
-    for (int member : over) {
-      suspicions.remove(member);
-      GossipUpdate r = table[member];
-      if (r.state() == State.SUSPECT) {
-        set(new GossipUpdate(member, State.DEAD, r.epoch(), r.incarnation()));
+    if (suspicions.isEmpty()) {
+      return;
+    }
+    for (int member : suspicions.takeExpired(now, table.live())) {
+      GossipUpdate update = table.get(member);
+      if (update.state() == State.SUSPECT) {
+        set(new GossipUpdate(member, State.DEAD, update.epoch(), update.incarnation()));
       }
     }
   }
 
   private void suspect(GossipUpdate update, int by, long now) {
-    Suspicion known = suspicions.get(update.member());
-    GossipUpdate held = table[update.member()];
+    int member = update.member();
+    GossipUpdate held = table.get(member);
     boolean same = held.epoch() == update.epoch() && held.incarnation() == update.incarnation();
-    if (held.state() == State.SUSPECT && same && known != null) {
-      // Passed on again only while it adds something: the K first, as the paper has it.
-      if (known.from.size() <= settings.confirmations() && known.from.add(by)) {
-        broadcast(update);
+    if (held.state() == State.SUSPECT && same && suspicions.isRunning(member)) {
+      // Sent again only while it adds something: the K first, as the paper has it.
+      if (suspicions.confirm(member, by)) {
+        broadcasts.add(update);
       }
     } else if (update.overrides(held)) {
-      suspicions.put(update.member(), new Suspicion(now, by));
+      suspicions.start(member, by, now);
       set(update);
     }
   }
@@ -360,7 +265,7 @@
       discarded++;
       return List.of();
     }
-    GossipUpdate held = table[from];
+    GossipUpdate held = table.get(from);
     GossipUpdate says = new GossipUpdate(from, State.ALIVE, d.epoch(), d.incarnation());
     if (d.epoch() < held.epoch()) {
       // From an earlier life, or replayed: it says nothing of now, and nothing is done for it but
@@ -379,7 +284,7 @@
     }
     received++;
     if (says.overrides(held)) {
-      suspicions.remove(from);
+      suspicions.cancel(from);
       set(says);
     }
     d.updates().forEach(r -> hear(r, from, now));
@@ -392,15 +297,15 @@
       refute(r);
     } else if (r.state() == State.SUSPECT) {
       suspect(r, by, now);
-    } else if (r.overrides(table[r.member()])) {
-      suspicions.remove(r.member());
+    } else if (r.overrides(table.get(r.member()))) {
+      suspicions.cancel(r.member());
       set(r);
     }
   }
 
   /** Somebody holds this member for suspect or dead, or knows a later life of it: it says otherwise, above that. */
   private void refute(GossipUpdate r) {
-    GossipUpdate mine = table[self];
+    GossipUpdate mine = table.get(self);
     if (r.epoch() > mine.epoch()) {
       // A clock set back at the restart: the number of this life has to be the highest all the
       // same.
@@ -418,15 +323,8 @@
     switch (d.kind()) {
       case PING -> send(d.from(), Kind.ACK, d.sequence(), self);
       case PING_REQUEST -> {
-        if (relayedProbes.size() < MAX_RELAYED_PROBES && d.target() != self) {
-          RelayedProbe e = new RelayedProbe(
-              d.from(),
-              d.sequence(),
-              d.target(),
-              ++sequence & 0xffffffffL,
-              now + (long) (NACK_AFTER_PART * settings.probeNanos()));
-          relayedProbes.add(e);
-          send(e.target(), Kind.PING, e.sequence(), e.target());
+        if (!relayedProbes.isFull() && d.target() != self) {
+          relay(d, now);
         }
       }
       case ACK -> acknowledged(d);
@@ -435,67 +333,61 @@
           probe.nacksDue--;
         }
       }
-      case SYNC -> sendWith(d.from(), Kind.NACK, 0, self, page());
+      case SYNC -> sendWith(d.from(), Kind.NACK, 0, self, table.nextPage());
     }
   }
 
+  private void relay(Datagram request, long now) {
+    RelayedProbe relayed = new RelayedProbe(
+        request.from(),
+        request.sequence(),
+        request.target(),
+        nextSequence(),
+        now + (long) (NACK_AFTER_PART * settings.probeNanos()));
+    relayedProbes.add(relayed);
+    send(relayed.target(), Kind.PING, relayed.sequence(), relayed.target());
+  }
+
   private void acknowledged(Datagram d) {
     if (probe != null && probe.sequence == d.sequence() && probe.target == d.target()) {
       probe = null;
       health = Math.max(0, health - 1);
       return;
     }
-    for (Iterator<RelayedProbe> it = relayedProbes.iterator(); it.hasNext(); ) {
-      RelayedProbe e = it.next();
-      if (e.sequence() == d.sequence() && e.target() == d.from()) {
-        it.remove();
-        send(e.asker(), Kind.ACK, e.theirSequence(), e.target());
-        return;
-      }
+    RelayedProbe answered = relayedProbes.takeAnswered(d.from(), d.sequence());
+    if (answered != null) {
+      send(answered.requester(), Kind.ACK, answered.requesterSequence(), answered.target());
     }
   }
 
+  private long nextSequence() {
+    return ++sequence & MAX_SEQUENCE;
+  }
+
   private void send(int to, Kind kind, long with, int target) {
-    sendWith(to, kind, with, target, kind == Kind.SYNC ? page() : List.of());
+    sendWith(to, kind, with, target, kind == Kind.SYNC ? table.nextPage() : List.of());
   }
 
   private void sendWith(int to, Kind kind, long with, int target, List<GossipUpdate> first) {
     List<GossipUpdate> updates = new ArrayList<>(first);
-    // The buddy system (Lifeguard, section IV.C): one that is suspected is told of it by whoever
+    // The buddy system (Lifeguard, section IV.C): a suspected member is told of it by whoever
     // probes it.
+    GossipUpdate receiver = table.get(to);
     if (kind == Kind.PING
-        && table[to].state() != State.ALIVE
-        && table[to].state() != State.UNKNOWN
-        && !updates.contains(table[to])) {
-      updates.add(table[to]);
+        && receiver.state() != State.ALIVE
+        && receiver.state() != State.UNKNOWN
+        && !updates.contains(receiver)) {
+      updates.add(receiver);
     }
-    int limit = (int) Math.ceil(settings.retransmit() * Math.max(1, Math.log10(live() + 1)));
-    broadcasts.values().stream()
-        .sorted(Comparator.<Broadcast>comparingInt(t -> t.times)
-            .thenComparingInt(t -> t.update.member()))
-        .limit(Datagram.MAX_UPDATES)
-        .toList()
-        .forEach(t -> {
-          if (updates.size() < Datagram.MAX_UPDATES && !updates.contains(t.update)) {
-            updates.add(t.update);
-            if (++t.times >= limit) {
-              broadcasts.remove(t.update.member());
-            }
-          }
-        });
-    GossipUpdate mine = table[self];
+    broadcasts.fill(updates, table.live());
+    GossipUpdate mine = table.get(self);
     out.add(new Out(
         to,
         new Datagram(kind, self, mine.epoch(), mine.incarnation(), with, target, updates).bytes()));
   }
 
   private void set(GossipUpdate r) {
-    table[r.member()] = r;
-    broadcast(r);
-  }
-
-  /** One pending update per member, so the size of the list is the bound. */
-  private void broadcast(GossipUpdate r) {
-    broadcasts.put(r.member(), new Broadcast(r));
+    table.put(r);
+    broadcasts.add(r);
   }
 }
