--- a/src/main/java/pumicekeel/cli/RigCommand.java
+++ b/src/main/java/pumicekeel/cli/RigCommand.java
@@ -16,7 +16,7 @@
     name = "rig",
     mixinStandardHelpOptions = true,
     description = "Real processes on this machine, judged by stand-ins.",
-    subcommands = {RigCommand.Fleet.class, RigCommand.Throughput.class})
+    subcommands = {RigCommand.Fleet.class, RigCommand.Throughput.class, RigScaleCommand.class})
 final class RigCommand implements Callable<Integer> {
 
   @Spec
--- a/src/main/java/pumicekeel/peers/PeerLink.java
+++ b/src/main/java/pumicekeel/peers/PeerLink.java
@@ -38,6 +38,8 @@
   private ScheduledFuture<?> timer;
   private int told;
   private long strangers;
+  private long sentDatagrams;
+  private long sentBytes;
   private boolean closed;
   private PeerService service;
 
@@ -100,6 +102,8 @@
 
   private void send(List<Membership.Out> out) {
     for (Membership.Out o : out) {
+      sentDatagrams++;
+      sentBytes += o.bytes().length;
       channel.write(
           new DatagramPacket(Unpooled.wrappedBuffer(o.bytes()), peers.get(o.to())),
           channel.voidPromise());
@@ -154,6 +158,16 @@
     return membership;
   }
 
+  /** Datagrams sent so far. Only on the loop. */
+  public long sentDatagrams() {
+    return sentDatagrams;
+  }
+
+  /** Bytes of all datagrams sent so far, without the network's own headers. Only on the loop. */
+  public long sentBytes() {
+    return sentBytes;
+  }
+
   /** Datagrams from addresses that are nobody's. */
   public long strangers() {
     return strangers;
--- /dev/null
+++ b/src/main/java/pumicekeel/rig/scale/CheckScenario.java
@@ -0,0 +1,92 @@
+package pumicekeel.rig.scale;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.TimeoutException;
+
+/** The command {@code check FILE} as an operator calls it: a process that reads and checks a whole configuration. */
+final class CheckScenario implements Scenario {
+
+  private static final long HEAP_BYTES = 512L << 20;
+  private static final List<String> FLAGS =
+      List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx" + HEAP_BYTES);
+  /** The file's text in this process, some copies of it. */
+  private static final long TEXT_BYTES = 32L << 20;
+
+  private static final long DESCRIPTORS = 200;
+
+  @Override
+  public String name() {
+    return "check-command";
+  }
+
+  @Override
+  public Role role() {
+    return Role.OPERATOR_COMMAND;
+  }
+
+  @Override
+  public Axis axis() {
+    return Axis.PERCENT;
+  }
+
+  @Override
+  public long estimatedBytes(int size) {
+    return HEAP_BYTES;
+  }
+
+  @Override
+  public long estimatedHeapBytes(int size) {
+    return TEXT_BYTES;
+  }
+
+  @Override
+  public long estimatedDescriptors(int size) {
+    return DESCRIPTORS;
+  }
+
+  @Override
+  public Map<String, Double> measure(int size, long seed, Deadline deadline)
+      throws RefusedException, TimeoutException, InterruptedException, IOException {
+    Path folder = Files.createTempDirectory("scale");
+    Path file = folder.resolve("operator.toml");
+    try {
+      Files.writeString(
+          file, new ConfigurationGenerator(ConfigurationSizes.of(Axis.PERCENT, size), seed).text());
+      return measure(file, deadline);
+    } finally {
+      Files.deleteIfExists(file);
+      Files.delete(folder);
+    }
+  }
+
+  private static Map<String, Double> measure(Path file, Deadline deadline)
+      throws RefusedException, TimeoutException, InterruptedException, IOException {
+    Map<String, Double> figures = new TreeMap<>();
+    long from = System.nanoTime();
+    try (ChildProcess check =
+        ChildProcess.start(FLAGS, Map.of(), List.of("check", file.toString()))) {
+      double processorMillis = 0;
+      while (check.isRunning() && !deadline.isOver()) {
+        check.peakBytes();
+        processorMillis = Math.max(processorMillis, check.processorTime().toMillis());
+        Thread.sleep(5);
+      }
+      if (check.isRunning()) {
+        throw new TimeoutException("not reached in time: the end of check");
+      }
+      if (check.status() != 0) {
+        throw new RefusedException("check ended with " + check.status() + ": "
+            + check.lines().stream().findFirst().orElse("no word"));
+      }
+      figures.put("wall-ms", (System.nanoTime() - from) / 1e6);
+      figures.put("processor-ms", processorMillis);
+      figures.put("resident-peak-bytes", (double) check.peakBytes());
+    }
+    return figures;
+  }
+}
--- /dev/null
+++ b/src/main/java/pumicekeel/rig/scale/HollowFleet.java
@@ -0,0 +1,141 @@
+package pumicekeel.rig.scale;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.net.DatagramSocket;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import pumicekeel.peers.PeerLink;
+import pumicekeel.peers.PeerService;
+import pumicekeel.peers.State;
+
+/** The members of a fleet in this process: each has its own loop, datagram socket, list of addresses and view of the others. */
+final class HollowFleet implements Closeable {
+
+  /** Free ports can be taken by others between the look and the bind. */
+  private static final int TRIES = 3;
+
+  private final Loops loops;
+  private final List<PeerLink> members;
+
+  private HollowFleet(Loops loops, List<PeerLink> members) {
+    this.loops = loops;
+    this.members = members;
+  }
+
+  /** Starts a member on each loop; all know all addresses and nothing of each other. */
+  static HollowFleet start(Loops loops, long seed) throws IOException, InterruptedException {
+    for (int i = 1; ; i++) {
+      List<PeerLink> members = new ArrayList<>();
+      List<Integer> ports = freePorts(loops.size());
+      try {
+        for (int number = 0; number < loops.size(); number++) {
+          List<InetSocketAddress> addresses = addresses(ports);
+          PeerLink member = new PeerLink(
+              loops.get(number),
+              addresses,
+              number,
+              System.currentTimeMillis(),
+              seed + number,
+              line -> {});
+          members.add(member);
+          member.open(addresses.get(number));
+        }
+        return new HollowFleet(loops, members);
+      } catch (Exception e) {
+        // Netty throws the bind's exception as it is, checked or not.
+        new HollowFleet(loops, members).close();
+        if (!(e instanceof IOException) || i == TRIES) {
+          throw e;
+        }
+      }
+    }
+  }
+
+  private static List<Integer> freePorts(int count) throws IOException {
+    List<DatagramSocket> sockets = new ArrayList<>();
+    try {
+      for (int i = 0; i < count; i++) {
+        sockets.add(new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
+      }
+      return sockets.stream().map(DatagramSocket::getLocalPort).toList();
+    } finally {
+      sockets.forEach(DatagramSocket::close);
+    }
+  }
+
+  /** A list of a member's own: in processes of their own members share none. */
+  private static List<InetSocketAddress> addresses(List<Integer> ports) {
+    byte[] loopback = InetAddress.getLoopbackAddress().getAddress();
+    List<InetSocketAddress> addresses = new ArrayList<>();
+    for (int port : ports) {
+      try {
+        addresses.add(new InetSocketAddress(InetAddress.getByAddress(loopback.clone()), port));
+      } catch (java.net.UnknownHostException e) {
+        throw new IllegalStateException(e);
+      }
+    }
+    return addresses;
+  }
+
+  int size() {
+    return members.size();
+  }
+
+  /** Whether every member takes every other one for alive. */
+  boolean allKnown() {
+    return loops.callAll(i -> members.get(i).membership().live() == members.size()).stream()
+        .allMatch(known -> known);
+  }
+
+  /** Whether every member but that one takes it for dead. */
+  boolean allHoldDead(int dead) {
+    return loops
+        .callAll(i -> i == dead || members.get(i).membership().stateOf(dead) == State.DEAD)
+        .stream()
+        .allMatch(known -> known);
+  }
+
+  /** Whether every member takes so many for alive. */
+  boolean allCount(int live) {
+    return loops.callAll(i -> members.get(i).membership().live() == live).stream()
+        .allMatch(known -> known);
+  }
+
+  /** A member falls silent without a word. */
+  void kill(int number) {
+    loops.call(number, () -> {
+      members.get(number).close();
+      return null;
+    });
+  }
+
+  /** Has another protocol spoken on each member's socket. */
+  void carry(Loops.NumberedCall<PeerService> service) {
+    loops.callAll(i -> {
+      members.get(i).carry(service.call(i));
+      return null;
+    });
+  }
+
+  long sentDatagrams() {
+    return loops.callAll(i -> members.get(i).sentDatagrams()).stream()
+        .mapToLong(n -> n)
+        .sum();
+  }
+
+  long sentBytes() {
+    return loops.callAll(i -> members.get(i).sentBytes()).stream()
+        .mapToLong(n -> n)
+        .sum();
+  }
+
+  @Override
+  public void close() {
+    for (int i = 0; i < members.size(); i++) {
+      kill(i);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/pumicekeel/rig/scale/ListWatcher.java
@@ -0,0 +1,65 @@
+package pumicekeel.rig.scale;
+
+import io.netty.channel.EventLoop;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import pumicekeel.discovery.HostList;
+import pumicekeel.discovery.UpstreamSource;
+import pumicekeel.discovery.WatchTerms;
+import pumicekeel.runtime.Reactor;
+import pumicekeel.runtime.Sockets;
+
+/** A hollow balancer's watch on a list of upstreams. Only on its loop. */
+final class ListWatcher implements UpstreamSource.Follower {
+
+  /** As soon as a module asks again after its first failure. */
+  private static final long ASK_AGAIN_MILLIS = 500;
+
+  private final EventLoop loop;
+  private final UpstreamSource source;
+  private long index;
+  private long failures;
+  private boolean closed;
+
+  /** Begins to watch with nothing known. */
+  ListWatcher(EventLoop loop, Sockets sockets, InetSocketAddress discovery, WatchTerms terms) {
+    this.loop = loop;
+    Reactor reactor = new Reactor(loop, new pumicekeel.runtime.Clock(), sockets);
+    source = UpstreamSource.watched(reactor, discovery, new HostList(0, true, List.of()), terms);
+    source.follow(this);
+    source.watch(this, true);
+  }
+
+  @Override
+  public void news(HostList list) {
+    index = list.index();
+  }
+
+  @Override
+  public void failed() {
+    failures++;
+    loop.schedule(this::askAgain, ASK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+  }
+
+  private void askAgain() {
+    if (!closed) {
+      source.watch(this, true);
+    }
+  }
+
+  /** The version of the list that is in force. */
+  long index() {
+    return index;
+  }
+
+  /** Watches that failed. */
+  long failures() {
+    return failures;
+  }
+
+  void close() {
+    closed = true;
+    source.unfollow(this);
+  }
+}
--- /dev/null
+++ b/src/main/java/pumicekeel/rig/scale/Scenarios.java
@@ -0,0 +1,43 @@
+package pumicekeel.rig.scale;
+
+import java.util.List;
+
+/** All that can be played. */
+public final class Scenarios {
+
+  /** Balancers that watch a list of growing length; enough for a mean. */
+  private static final int WATCHERS = 20;
+  /** Upstreams of the list that ever more balancers watch. */
+  private static final int LISTED = 500;
+
+  private static final List<Scenario> ALL = List.of(
+      new MembershipScenario(),
+      ListWatchScenario.byUpstreams(WATCHERS),
+      ListWatchScenario.byBalancers(LISTED),
+      new ConfigurationScenario(Axis.SERVICES),
+      new ConfigurationScenario(Axis.ROUTES),
+      new ConfigurationScenario(Axis.TENANTS),
+      new ConfigurationScenario(Axis.UPSTREAMS),
+      new ConfigurationScenario(Axis.PERCENT),
+      new CheckScenario(),
+      new ServeScenario(Axis.SERVICES),
+      new ServeScenario(Axis.ROUTES),
+      new ServeScenario(Axis.TENANTS),
+      new ServeScenario(Axis.UPSTREAMS),
+      new ServeScenario(Axis.PERCENT));
+
+  private Scenarios() {}
+
+  public static List<Scenario> all() {
+    return ALL;
+  }
+
+  /** The scenario of a name; null for none. */
+  public static Scenario of(String name) {
+    return ALL.stream().filter(s -> s.name().equals(name)).findFirst().orElse(null);
+  }
+
+  public static List<String> names() {
+    return ALL.stream().map(Scenario::name).toList();
+  }
+}
--- /dev/null
+++ b/src/test/java/pumicekeel/rig/scale/ScaleRunTest.java
@@ -0,0 +1,151 @@
+package pumicekeel.rig.scale;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import pumicekeel.rig.scale.ScaleRun.End;
+
+class ScaleRunTest {
+
+  @TempDir
+  Path folder;
+
+  /** Its figure is its size; it refuses sizes beyond one. */
+  private static final class Fake implements Scenario {
+    private final List<Integer> played = new ArrayList<>();
+    private final int most;
+    private boolean fails;
+
+    private Fake(int most) {
+      this.most = most;
+    }
+
+    @Override
+    public String name() {
+      return "fake";
+    }
+
+    @Override
+    public Role role() {
+      return Role.MEMBER;
+    }
+
+    @Override
+    public Axis axis() {
+      return Axis.BALANCERS;
+    }
+
+    @Override
+    public long estimatedBytes(int size) {
+      return size;
+    }
+
+    @Override
+    public long estimatedDescriptors(int size) {
+      return size;
+    }
+
+    @Override
+    public Map<String, Double> measure(int size, long seed, Deadline deadline)
+        throws RefusedException, TimeoutException {
+      if (fails) {
+        throw new TimeoutException("not reached");
+      }
+      if (size > most) {
+        throw new RefusedException("too large");
+      }
+      played.add(size);
+      return Map.of("state-bytes", (double) size);
+    }
+  }
+
+  private End run(Fake fake, Deadline deadline) throws IOException, InterruptedException {
+    ScaleRun.Plan plan = new ScaleRun.Plan(List.of(fake), List.of(), 3, 7);
+    return new ScaleRun(plan, results(), deadline, new PrintStream(OutputStream.nullOutputStream()))
+        .run();
+  }
+
+  private ResultFile results() throws IOException {
+    return ResultFile.open(folder.resolve("result.jsonl"));
+  }
+
+  private static Deadline later() {
+    return Deadline.after(1, TimeUnit.MINUTES);
+  }
+
+  @Test
+  void everySizeOfEveryRoundIsKept() throws Exception {
+    assertEquals(End.COMPLETE, run(new Fake(590), later()));
+    assertEquals(12, results().samples().size());
+    Sample last = results().of("fake").get(11);
+    assertEquals(590, last.size());
+    assertEquals(3, last.round());
+    assertEquals(10, last.seed());
+    assertEquals(Map.of("state-bytes", 590.0), last.figures());
+  }
+
+  @Test
+  void whatTheFileHasIsNotPlayedAgain() throws Exception {
+    Fake first = new Fake(590);
+    first.fails = true;
+    assertEquals(End.NOT_REACHED, run(first, later()));
+    run(new Fake(590), later());
+    Fake again = new Fake(590);
+    assertEquals(End.COMPLETE, run(again, later()));
+    assertEquals(List.of(), again.played);
+  }
+
+  @Test
+  void nothingBeginsOnceTheTimeIsUp() throws Exception {
+    Fake fake = new Fake(590);
+    assertEquals(End.OUT_OF_TIME, run(fake, Deadline.after(0, TimeUnit.SECONDS)));
+    assertEquals(List.of(), fake.played);
+  }
+
+  @Test
+  void aRefusedSizeIsAResult() throws Exception {
+    assertEquals(End.COMPLETE, run(new Fake(350), later()));
+    assertEquals(
+        3,
+        results().samples().stream()
+            .filter(s -> s.figures().containsKey(ScaleRun.REFUSED))
+            .count());
+    assertEquals(350, Slope.of(results().of("fake"), "state-bytes").largest());
+  }
+
+  @Test
+  void aSizeThatTheMachineCannotHoldIsRefusedInOneLine() {
+    Fake fake = new Fake(590);
+    assertNull(new MachineLimits(1_000, 1_000, 1_000).objection(fake, 500));
+    assertTrue(new MachineLimits(1_000, 1_000, 1_000)
+        .objection(fake, 501)
+        .contains("more than half of this machine's"));
+    assertTrue(new MachineLimits(1_000, 400, 1_000).objection(fake, 401).contains("larger -Xmx"));
+    assertTrue(new MachineLimits(1_000, 1_000, 400).objection(fake, 401).contains("descriptors"));
+  }
+
+  @Test
+  void theWatchdogEndsWhatHangsAndLeavesWhatEnds() throws Exception {
+    CountDownLatch ended = new CountDownLatch(1);
+    try (Watchdog watchdog = new Watchdog(10, TimeUnit.MILLISECONDS, ended::countDown)) {
+      assertTrue(ended.await(1, TimeUnit.MINUTES));
+    }
+    CountDownLatch spared = new CountDownLatch(1);
+    Watchdog other = new Watchdog(1, TimeUnit.HOURS, spared::countDown);
+    other.close();
+    assertEquals(1, spared.getCount());
+  }
+}
