--- a/src/main/java/pumicekeel/cli/LabCommand.java
+++ b/src/main/java/pumicekeel/cli/LabCommand.java
@@ -2,13 +2,11 @@
 
 import java.io.IOException;
 import java.io.PrintWriter;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -59,22 +57,6 @@
     throw new ParameterException(spec.commandLine(), "expected a command");
   }
 
-  /** The program that is tried, for results that outlive it. */
-  private static String build() {
-    try {
-      Process git = new ProcessBuilder("git", "rev-parse", "--short", "HEAD")
-          .redirectErrorStream(true)
-          .start();
-      String out = new String(git.getInputStream().readNBytes(64), StandardCharsets.UTF_8).strip();
-      return git.waitFor(2, TimeUnit.SECONDS) && git.exitValue() == 0 ? out : Commands.VERSION;
-    } catch (IOException e) {
-      return Commands.VERSION;
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-      return Commands.VERSION;
-    }
-  }
-
   /** An experiment. */
   @Command(
       name = "run",
@@ -114,7 +96,7 @@
         Experiment experiment = Experiment.read(file);
         int without = new Runner(
                 experiment,
-                build(),
+                BuildName.current(),
                 threads == null ? Runtime.getRuntime().availableProcessors() : threads,
                 err::println)
             .run(results);
--- a/src/main/java/pumicekeel/cli/RigScaleCommand.java
+++ b/src/main/java/pumicekeel/cli/RigScaleCommand.java
@@ -12,13 +12,16 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import pumicekeel.rig.scale.CapacityPage;
 import pumicekeel.rig.scale.Deadline;
 import pumicekeel.rig.scale.MachineLimits;
 import pumicekeel.rig.scale.ResultFile;
 import pumicekeel.rig.scale.ScaleRun;
 import pumicekeel.rig.scale.Scenario;
 import pumicekeel.rig.scale.Scenarios;
+import pumicekeel.rig.scale.SlopePlot;
 import pumicekeel.rig.scale.Watchdog;
 
 /** What the control side costs by the size of the fleet. */
@@ -29,6 +32,7 @@
         "Measure what the control side costs by size: hollow balancers, which are the control classes of the real program on"
             + " sockets and loops of their own in this process, and stand-ins, over loopback. Each point is kept in the result"
             + " file as soon as it is measured, and what is there is not measured again.",
+    subcommands = {RigScaleCommand.Page.class},
     footer = {
       "Exit status: 0 where every point is in the result file, 1 where the time was up first or a state was not reached,"
           + " 2 for a wrong command line or a point that this machine can't hold."
@@ -101,7 +105,8 @@
                   + s.axis().sizes()));
       return 0;
     }
-    ScaleRun.Plan plan = new ScaleRun.Plan(scenarios(), checkedSizes(), rounds, seed);
+    ScaleRun.Plan plan =
+        new ScaleRun.Plan(scenarios(), checkedSizes(), rounds, BuildName.current(), seed);
     if (rounds < 1 || rounds > 100 || timeLimit < 5 || timeLimit > 86_400) {
       throw new ParameterException(
           spec.commandLine(), "expected --rounds 1 to 100 and --time-limit 5 to 86400");
@@ -180,4 +185,57 @@
     }
     return false;
   }
+
+  /** Figures of a page from the results. */
+  @Command(
+      name = "page",
+      mixinStandardHelpOptions = true,
+      description =
+          "Fill the figures of a page from a result file, and draw a plot for each slope that it shows.",
+      footer = {
+        "Exit status: 0 where the page was filled or stands as it should, 1 where --check finds another, 2 for a"
+            + " wrong command line."
+      })
+  static final class Page implements Callable<Integer> {
+
+    @Parameters(index = "0", paramLabel = "FILE", description = "The page, Markdown.")
+    private Path page;
+
+    @Option(
+        names = "--result",
+        paramLabel = "FILE",
+        required = true,
+        description = "The results, as rig scale keeps them.")
+    private Path result;
+
+    @Option(
+        names = "--check",
+        description = "Change nothing, and say whether the page is as the results have it.")
+    private boolean check;
+
+    @Spec
+    private CommandSpec spec;
+
+    @Override
+    public Integer call() throws IOException {
+      for (Path file : List.of(page, result)) {
+        if (!Files.isRegularFile(file)) {
+          throw new ParameterException(spec.commandLine(), "expected a file, got " + file);
+        }
+      }
+      ResultFile results = ResultFile.open(result);
+      String before = Files.readString(page);
+      String after = new CapacityPage(results).filled(before);
+      if (check) {
+        boolean same = after.equals(before);
+        spec.commandLine()
+            .getOut()
+            .println(same ? "as the results have it" : "differs from the results");
+        return same ? 0 : 1;
+      }
+      Files.writeString(page, after);
+      SlopePlot.writeAll(page, after, results);
+      return 0;
+    }
+  }
 }
--- a/src/main/java/pumicekeel/rig/scale/ResultFile.java
+++ b/src/main/java/pumicekeel/rig/scale/ResultFile.java
@@ -62,6 +62,7 @@
         axis,
         (int) fields.integer("size"),
         (int) fields.integer("round"),
+        fields.text("build"),
         fields.integer("seed"),
         fields.number("load-before", 0),
         (int) fields.integer("processors"),
@@ -109,6 +110,7 @@
       json.writeStringField("axis", sample.axis().key());
       json.writeNumberField("size", sample.size());
       json.writeNumberField("round", sample.round());
+      json.writeStringField("build", sample.build());
       json.writeNumberField("seed", sample.seed());
       json.writeNumberField("load-before", sample.loadBefore());
       json.writeNumberField("processors", sample.processors());
--- a/src/main/java/pumicekeel/rig/scale/Sample.java
+++ b/src/main/java/pumicekeel/rig/scale/Sample.java
@@ -6,6 +6,7 @@
  * What one scenario came to at one size in one round.
  *
  * @param scenario the scenario's name
+ * @param build the program that was measured
  * @param seed what decided all chance in it
  * @param loadBefore the machine's load average of one minute as it began, others' work included
  * @param processors processors that the run was allowed
@@ -17,6 +18,7 @@
     Axis axis,
     int size,
     int round,
+    String build,
     long seed,
     double loadBefore,
     int processors,
--- a/src/main/java/pumicekeel/rig/scale/ScaleRun.java
+++ b/src/main/java/pumicekeel/rig/scale/ScaleRun.java
@@ -25,8 +25,9 @@
     NOT_REACHED
   }
 
-  /** How much is played. */
-  public record Plan(List<Scenario> scenarios, List<Integer> sizes, int rounds, long seed) {
+  /** How much is played, and of which build. */
+  public record Plan(
+      List<Scenario> scenarios, List<Integer> sizes, int rounds, String build, long seed) {
 
     /** The sizes of a scenario: those that were asked for, or its axis's. */
     public List<Integer> sizesOf(Scenario scenario) {
@@ -108,6 +109,7 @@
         scenario.axis(),
         size,
         round,
+        plan.build(),
         seed,
         load,
         Runtime.getRuntime().availableProcessors(),
--- a/src/main/java/pumicekeel/rig/scale/Slope.java
+++ b/src/main/java/pumicekeel/rig/scale/Slope.java
@@ -52,6 +52,9 @@
   /** A squared term needs a degree of freedom beside three coefficients. */
   private static final int LEAST_SAMPLES = 4;
 
+  /** A second-degree curve goes through any three points. */
+  static final int LEAST_SIZES = 3;
+
   /** Fits a figure of the samples of one scenario. */
   public static Slope of(List<Sample> samples, String figure) {
     List<Sample> with =
@@ -122,7 +125,7 @@
         : Shape.LINEAR;
   }
 
-  private static double median(List<Double> values) {
+  static double median(List<Double> values) {
     List<Double> sorted = values.stream().sorted().toList();
     int middle = sorted.size() / 2;
     return sorted.size() % 2 == 1
--- a/src/test/java/pumicekeel/rig/scale/ScaleRunTest.java
+++ b/src/test/java/pumicekeel/rig/scale/ScaleRunTest.java
@@ -73,7 +73,7 @@
   }
 
   private End run(Fake fake, Deadline deadline) throws IOException, InterruptedException {
-    ScaleRun.Plan plan = new ScaleRun.Plan(List.of(fake), List.of(), 3, 7);
+    ScaleRun.Plan plan = new ScaleRun.Plan(List.of(fake), List.of(), 3, "build", 7);
     return new ScaleRun(plan, results(), deadline, new PrintStream(OutputStream.nullOutputStream()))
         .run();
   }
@@ -94,6 +94,7 @@
     assertEquals(590, last.size());
     assertEquals(3, last.round());
     assertEquals(10, last.seed());
+    assertEquals("build", last.build());
     assertEquals(Map.of("state-bytes", 590.0), last.figures());
   }
 
