--- a/src/main/java/pumicekeel/rig/scale/Deadline.java
+++ b/src/main/java/pumicekeel/rig/scale/Deadline.java
@@ -7,8 +7,8 @@
 /** A point of the monotonic clock until which a run may go on. */
 public final class Deadline {
 
-  /** Between two looks at a condition; each look costs the loops that are measured. */
-  private static final long POLL_MILLIS = 20;
+  /** Between two looks at a condition; each look costs the loops that are measured, so times are taken elsewhere. */
+  private static final long POLL_MILLIS = 100;
 
   private final long at;
 
--- a/src/main/java/pumicekeel/rig/scale/HollowFleet.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowFleet.java
@@ -7,6 +7,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.atomic.AtomicLongArray;
 import pumicekeel.peers.PeerLink;
 import pumicekeel.peers.PeerService;
 import pumicekeel.peers.State;
@@ -19,19 +20,24 @@
 
   private final Loops loops;
   private final List<PeerLink> members;
+  /** When each member last took another number of members for alive, by System.nanoTime. */
+  private final AtomicLongArray changedAt;
 
-  private HollowFleet(Loops loops, List<PeerLink> members) {
+  private HollowFleet(Loops loops, List<PeerLink> members, AtomicLongArray changedAt) {
     this.loops = loops;
     this.members = members;
+    this.changedAt = changedAt;
   }
 
   /** Starts a member on each loop; all know all addresses and nothing of each other. */
   static HollowFleet start(Loops loops, long seed) throws IOException, InterruptedException {
-    for (int i = 1; ; i++) {
+    for (int tries = 1; ; tries++) {
       List<PeerLink> members = new ArrayList<>();
+      AtomicLongArray changedAt = new AtomicLongArray(loops.size());
       List<Integer> ports = freePorts(loops.size());
       try {
-        for (int number = 0; number < loops.size(); number++) {
+        for (int i = 0; i < loops.size(); i++) {
+          int number = i;
           List<InetSocketAddress> addresses = addresses(ports);
           PeerLink member = new PeerLink(
               loops.get(number),
@@ -39,15 +45,15 @@
               number,
               System.currentTimeMillis(),
               seed + number,
-              line -> {});
+              line -> changedAt.set(number, System.nanoTime()));
           members.add(member);
           member.open(addresses.get(number));
         }
-        return new HollowFleet(loops, members);
+        return new HollowFleet(loops, members, changedAt);
       } catch (Exception e) {
         // Netty throws the bind's exception as it is, checked or not.
-        new HollowFleet(loops, members).close();
-        if (!(e instanceof IOException) || i == TRIES) {
+        new HollowFleet(loops, members, changedAt).close();
+        if (!(e instanceof IOException) || tries == TRIES) {
           throw e;
         }
       }
@@ -90,6 +96,15 @@
         .allMatch(known -> known);
   }
 
+  /** The last time that any member took another number of members for alive, by System.nanoTime. */
+  long lastChangeAt() {
+    long last = changedAt.get(0);
+    for (int i = 1; i < changedAt.length(); i++) {
+      last = changedAt.get(i) - last > 0 ? changedAt.get(i) : last;
+    }
+    return last;
+  }
+
   /** Whether every member but that one takes it for dead. */
   boolean allHoldDead(int dead) {
     return loops
@@ -98,12 +113,6 @@
         .allMatch(known -> known);
   }
 
-  /** Whether every member takes so many for alive. */
-  boolean allCount(int live) {
-    return loops.callAll(i -> members.get(i).membership().live() == live).stream()
-        .allMatch(known -> known);
-  }
-
   /** A member falls silent without a word. */
   void kill(int number) {
     loops.call(number, () -> {
--- a/src/main/java/pumicekeel/rig/scale/ListWatchScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/ListWatchScenario.java
@@ -118,9 +118,11 @@
     long heapBefore = ProcessMeter.heapAfterCollection();
 
     long processor = loops.processorNanos();
+    long startedAt = System.nanoTime();
     List<ListWatcher> watchers =
         loops.callAll(i -> new ListWatcher(loops.get(i), sockets, discovery.address(), terms));
-    figures.put("snapshot-ms", awaitVersion(loops, watchers, counts.upstreams() + 1, deadline));
+    figures.put(
+        "snapshot-ms", awaitVersion(loops, watchers, counts.upstreams() + 1, startedAt, deadline));
     figures.put("snapshot-processor-us", (loops.processorNanos() - processor) / 1e3 / balancers);
     figures.put("snapshot-bytes", sockets.readBytes() / balancers);
     figures.put("connections", sockets.connections() / balancers);
@@ -158,21 +160,28 @@
     long bytes = sockets.readBytes();
     double slowest = 0;
     for (int i = 0; i < CHANGES; i++) {
+      long since = System.nanoTime();
       tell(discovery, i % counts.upstreams(), "terminating");
       int version = counts.upstreams() + 2 + i;
-      slowest = Math.max(slowest, awaitVersion(loops, watchers, version, deadline));
+      slowest = Math.max(slowest, awaitVersion(loops, watchers, version, since, deadline));
     }
     figures.put("change-ms", slowest);
     figures.put(
         "change-bytes", (sockets.readBytes() - bytes) / (double) counts.balancers() / CHANGES);
   }
 
+  /** Waits until all have a version, and says how long after a moment the last one had it, in milliseconds. */
   private static double awaitVersion(
-      Loops loops, List<ListWatcher> watchers, long version, Deadline deadline)
+      Loops loops, List<ListWatcher> watchers, long version, long since, Deadline deadline)
       throws TimeoutException, InterruptedException {
-    return deadline.await(
+    deadline.await(
         "version " + version + " of the list at all",
         () -> loops.callAll(i -> watchers.get(i).index() >= version).stream().allMatch(b -> b));
+    return loops.callAll(i -> watchers.get(i).toldAt() - since).stream()
+            .mapToLong(nanos -> nanos)
+            .max()
+            .orElseThrow()
+        / 1e6;
   }
 
   private static void tell(StandInDiscovery discovery, int number, String status) {
--- a/src/main/java/pumicekeel/rig/scale/ListWatcher.java
+++ b/src/main/java/pumicekeel/rig/scale/ListWatcher.java
@@ -19,6 +19,7 @@
   private final EventLoop loop;
   private final UpstreamSource source;
   private long index;
+  private long toldAt;
   private long failures;
   private boolean closed;
 
@@ -34,6 +35,7 @@
   @Override
   public void news(HostList list) {
     index = list.index();
+    toldAt = System.nanoTime();
   }
 
   @Override
@@ -53,6 +55,11 @@
     return index;
   }
 
+  /** When it came into force, by System.nanoTime. */
+  long toldAt() {
+    return toldAt;
+  }
+
   /** Watches that failed. */
   long failures() {
     return failures;
--- a/src/main/java/pumicekeel/rig/scale/MembershipScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/MembershipScenario.java
@@ -16,11 +16,11 @@
 
   /** Some probes and two exchanges of pages a member. */
   private static final Duration REST = Duration.ofSeconds(5);
-  /** Some 20,000 datagrams in virtual time, then the sockets. */
-  private static final int WARM_UP_MEMBERS = 50;
+  /** Some 100,000 datagrams in virtual time, then the sockets. */
+  private static final int WARM_UP_MEMBERS = 30;
 
-  private static final int WARM_UP_DEATHS = 3;
-  private static final long WARM_UP_NANOS = TimeUnit.SECONDS.toNanos(100);
+  private static final int WARM_UP_DEATHS = 1;
+  private static final long WARM_UP_NANOS = TimeUnit.SECONDS.toNanos(1_000);
 
   private final Duration rest;
 
@@ -75,16 +75,17 @@
     try (Loops loops = new Loops(size)) {
       long heapBefore = ProcessMeter.heapAfterCollection();
       try (HollowFleet fleet = HollowFleet.start(loops, seed)) {
-        figures.put(
-            "all-known-ms", deadline.await("every member knows every other", fleet::allKnown));
+        long startedAt = System.nanoTime();
+        deadline.await("every member knows every other", fleet::allKnown);
+        figures.put("all-known-ms", (fleet.lastChangeAt() - startedAt) / 1e6);
         rest(loops, fleet, figures);
         long heapAfter = ProcessMeter.heapAfterCollection();
         figures.put("state-bytes", (double) (heapAfter - heapBefore) / size);
         int dead = (int) Math.floorMod(seed, (long) size);
+        long diedAt = System.nanoTime();
         fleet.kill(dead);
-        figures.put(
-            "death-known-ms",
-            deadline.await("every member knows of the death", () -> fleet.allHoldDead(dead)));
+        deadline.await("every member knows of the death", () -> fleet.allHoldDead(dead));
+        figures.put("death-known-ms", (fleet.lastChangeAt() - diedAt) / 1e6);
       }
     }
     return figures;
