--- a/src/main/java/pumicekeel/rig/scale/ChildProcess.java
+++ b/src/main/java/pumicekeel/rig/scale/ChildProcess.java
@@ -66,6 +66,11 @@
     return lines;
   }
 
+  /** The first of them, or that there was none. */
+  String firstLine() {
+    return lines.stream().findFirst().orElse("no word");
+  }
+
   boolean isRunning() {
     return process.isAlive();
   }
--- a/src/main/java/pumicekeel/rig/scale/Scenarios.java
+++ b/src/main/java/pumicekeel/rig/scale/Scenarios.java
@@ -12,6 +12,7 @@
 
   private static final List<Scenario> ALL = List.of(
       new MembershipScenario(),
+      new QuotaScenario(),
       ListWatchScenario.byUpstreams(WATCHERS),
       ListWatchScenario.byBalancers(LISTED),
       new ConfigurationScenario(Axis.SERVICES),
@@ -24,7 +25,8 @@
       new ServeScenario(Axis.ROUTES),
       new ServeScenario(Axis.TENANTS),
       new ServeScenario(Axis.UPSTREAMS),
-      new ServeScenario(Axis.PERCENT));
+      new ServeScenario(Axis.PERCENT),
+      new RequestPathScenario());
 
   private Scenarios() {}
 
--- a/src/test/java/pumicekeel/rig/scale/HollowScenariosTest.java
+++ b/src/test/java/pumicekeel/rig/scale/HollowScenariosTest.java
@@ -1,6 +1,7 @@
 package pumicekeel.rig.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
@@ -8,6 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import pumicekeel.quota.QuotaExchange;
 
 class HollowScenariosTest {
 
@@ -49,4 +51,28 @@
   void theWholeTargetIsAHundredPercent() {
     assertEquals(ConfigurationGenerator.Size.TARGET, ConfigurationSizes.of(Axis.PERCENT, 100));
   }
+
+  @Test
+  void quotasAreAskedForWhereDemandMoves() throws Exception {
+    Map<String, Double> figures =
+        new QuotaScenario(Duration.ofSeconds(4)).measure(100, SEED, later());
+    assertTrue(figures.get("messages-per-s") > 0, figures::toString);
+    assertThrows(
+        RefusedException.class,
+        () -> new QuotaScenario().measure(QuotaExchange.MOST_TENANTS + 1, SEED, later()));
+  }
+
+  @Test
+  void everyRequestIsServedThroughBothBalancers() throws Exception {
+    Map<String, Double> figures = new RequestPathScenario(
+            Duration.ofMillis(200), Duration.ofSeconds(1))
+        .measure(5, SEED, later());
+    for (String turn : List.of("", "one-", "burst-", "one-burst-")) {
+      assertTrue(figures.get(turn + "asked") > 0, figures::toString);
+      assertTrue(figures.get(turn + "p99-us") > 0, figures::toString);
+    }
+    assertTrue(
+        figures.get("connections-per-request") > figures.get("one-connections-per-request"),
+        figures::toString);
+  }
 }
