--- a/src/main/java/pumicekeel/rig/scale/Scenarios.java
+++ b/src/main/java/pumicekeel/rig/scale/Scenarios.java
@@ -10,6 +10,9 @@
   /** Upstreams of the list that ever more balancers watch. */
   private static final int LISTED = 500;
 
+  /** Of the target's configuration: as much as the limits of pools allow. */
+  private static final int DELIVERED_PERCENT = 25;
+
   private static final List<Scenario> ALL = List.of(
       new MembershipScenario(),
       new QuotaScenario(),
@@ -20,6 +23,7 @@
       new ConfigurationScenario(Axis.TENANTS),
       new ConfigurationScenario(Axis.UPSTREAMS),
       new ConfigurationScenario(Axis.PERCENT),
+      new DeliveryScenario(DELIVERED_PERCENT),
       new CheckScenario(),
       new ServeScenario(Axis.SERVICES),
       new ServeScenario(Axis.ROUTES),
