--- a/src/main/java/pumicekeel/route/RouteTable.java
+++ b/src/main/java/pumicekeel/route/RouteTable.java
@@ -111,15 +111,6 @@
 
   /** Routes that one earlier route covers whole. Several that cover one only together are not looked for. */
   public List<Covered> covered() {
-    List<Covered> out = new ArrayList<>();
-    for (int i = 1; i < routes.size(); i++) {
-      for (int j = 0; j < i; j++) {
-        if (routes.get(j).covers(routes.get(i))) {
-          out.add(new Covered(routes.get(i), routes.get(j)));
-          break;
-        }
-      }
-    }
-    return out;
+    return new RouteCoverage(routes).covered();
   }
 }
