--- a/src/main/java/pumicekeel/front/jsonrpc/RpcClient.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcClient.java
@@ -38,6 +38,8 @@
 
   /** Answers that a client does not read; more is given up at once, the rest after a time. */
   private static final int MOST_UNREAD = 1 << 20;
+  /** What is read of calls that can't be taken yet. Behind more than that a client's reset is not seen before it is read. */
+  private static final int READ_AHEAD = 16 << 10;
   /** Messages that could not be read; a client that sends more does not speak JSON-RPC. */
   private static final int MOST_BROKEN = 100;
   /** Between our last byte and the close: what the client sends meanwhile must not turn its answers into a reset. */
@@ -113,6 +115,12 @@
         && ctx.channel().isWritable();
   }
 
+  /** Reads while calls are taken, and a little further: a client that has gone is seen to have gone by a read alone. */
+  private void readOrPause(boolean takes) {
+    boolean ahead = !readsNoMore && decoder.heldBytes() < READ_AHEAD;
+    ctx.channel().config().setAutoRead(takes || finishing || ahead);
+  }
+
   @Override
   public void handlerAdded(ChannelHandlerContext context) {
     ctx = context;
@@ -352,7 +360,7 @@
     } else {
       partSince = 0;
     }
-    context.channel().config().setAutoRead(takes || finishing);
+    readOrPause(takes);
     if (inputOver) {
       goOnLater();
     }
@@ -377,7 +385,7 @@
         if (!decoder.resume()) {
           return;
         }
-        ctx.channel().config().setAutoRead(takesMore());
+        readOrPause(takesMore());
       }
       if (inputOver && decoder.holdsBytes() && takesMore()) {
         endWith(Codes.PARSE, "cut short");
--- a/src/main/java/pumicekeel/jsonrpc/FrameDecoder.java
+++ b/src/main/java/pumicekeel/jsonrpc/FrameDecoder.java
@@ -46,6 +46,11 @@
     return actualReadableBytes() > 0;
   }
 
+  /** How many bytes are held: of a message that has come in part, and of those that wait in whole. */
+  public int heldBytes() {
+    return actualReadableBytes();
+  }
+
   /** Drops what is held and what still comes. */
   public void discard() {
     broken = true;
--- /dev/null
+++ b/src/test/java/pumicekeel/node/RpcLeavingClientTest.java
@@ -0,0 +1,78 @@
+package pumicekeel.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.util.Queue;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import pumicekeel.jsonrpc.Framing;
+import pumicekeel.standin.StandInRpcClient;
+import pumicekeel.standin.StandInRpcServer;
+
+/**
+ * JSON-RPC clients that reset their connection after a first attempt: no further one begins. A half-close is no end: what was
+ * asked before it is still owed ({@code RpcFrontTest.halfClosedClientGetsItsAnswersAndThenTheEnd}).
+ */
+class RpcLeavingClientTest {
+
+  private static final long LONG = 20_000;
+  private static final String LEAVES = "\"leaves\"";
+
+  private final TestServices t = new TestServices();
+  private final Queue<Runnable> breaks = new ConcurrentLinkedQueue<>();
+
+  @AfterEach
+  void stop() {
+    t.close();
+  }
+
+  private long attempts() {
+    return t.servers.get("s1").seen().stream()
+        .filter(s -> s.params().contains(LEAVES))
+        .count();
+  }
+
+  /** Reading is paused where no more calls may be open; what stands behind the call is read ahead or not. */
+  @ParameterizedTest
+  @CsvSource({"10,0", "1,0", "1,1", "1,100"})
+  void resetBeforeItsFirstAttemptBreaks(int mostOpen, int behind) throws Exception {
+    StandInRpcServer server = t.server("s1");
+    t.start(RpcFiles.toServers(t, "max-open-calls = " + mostOpen, "", "s1"));
+    server.script((call, connection) -> {
+      if (call.params().contains(LEAVES) && breaks.isEmpty()) {
+        breaks.add(connection::reset);
+      } else {
+        StandInRpcServer.ECHO.on(call, connection);
+      }
+    });
+    StandInRpcClient leaves = t.rpcClient("rpc", Framing.VALUES);
+    StandInRpcClient stays = t.rpcClient("rpc", Framing.VALUES);
+    leaves.send(RpcFiles.lookup("1", LEAVES));
+    TestNode.until(() -> attempts() == 1);
+    for (int i = 0; i < behind; i++) {
+      leaves.send(RpcFiles.lookup("2" + i, "\"behind\""));
+    }
+    pass(stays, "a");
+    leaves.reset();
+    pass(stays, "b");
+    t.standIns.submit(breaks.peek()).sync();
+    pass(stays, "c");
+    assertEquals(1, attempts(), () -> "sent on: " + server.seen());
+    boolean behindSent = server.seen().stream().anyMatch(s -> s.params().contains("behind"));
+    assertFalse(behindSent, () -> "sent on: " + server.seen());
+  }
+
+  /** By its answers the loop has read what had come to its sockets before. */
+  private static void pass(StandInRpcClient stays, String name) throws Exception {
+    for (int i = 0; i < 5; i++) {
+      String n = "\"" + name + i + "\"";
+      assertEquals(
+          "{\"jsonrpc\":\"2.0\",\"result\":{\"account\":\"acme\",\"n\":" + n + "},\"id\":" + n
+              + "}",
+          stays.send(RpcFiles.lookup(n, n)).next(LONG));
+    }
+  }
+}
