--- a/src/main/java/pumicekeel/delivery/DocumentSplitter.java
+++ b/src/main/java/pumicekeel/delivery/DocumentSplitter.java
@@ -78,8 +78,22 @@
     if (!element.startsWith("[[")) {
       return false;
     }
-    String path = element.replaceAll("^\\[\\[|\\]\\]$", "").strip();
-    return header.replaceFirst("^\\[+\\s*", "").startsWith(path + ".");
+    String path = pathOf(element);
+    String own = pathOf(header);
+    return own.length() > path.length() && own.startsWith(path) && own.charAt(path.length()) == '.';
+  }
+
+  /** A header without its brackets. */
+  private static String pathOf(String header) {
+    int start = 0;
+    int end = header.length();
+    while (start < end && (header.charAt(start) == '[' || header.charAt(start) == ' ')) {
+      start++;
+    }
+    while (end > start && (header.charAt(end - 1) == ']' || header.charAt(end - 1) == ' ')) {
+      end--;
+    }
+    return header.substring(start, end);
   }
 
   private int skipBlanks(int from) {
