--- /dev/null
+++ b/src/main/java/pumicekeel/sim/ModuleSimSettings.java
@@ -0,0 +1,65 @@
+package pumicekeel.sim;
+
+import java.util.List;
+import pumicekeel.Balancer.Contract;
+import pumicekeel.Balancer.DedupScope;
+import pumicekeel.Balancer.Effect;
+import pumicekeel.Balancer.Limits;
+import pumicekeel.Balancer.Prices;
+import pumicekeel.Balancer.RequestClass;
+import pumicekeel.Balancer.Settings;
+import pumicekeel.Balancer.WeightKind;
+
+/** What the modules of {@link ModuleSim} are configured with, and what their upstreams do. Durations are nanoseconds. */
+final class ModuleSimSettings {
+
+  static final long MS = 1_000_000L;
+  static final long SECOND = 1_000 * MS;
+  /** How long an instance may still send to an upstream after it was told that it drains. */
+  static final long GRACE = 2 * SECOND;
+  /** How long a started upstream takes to its whole capacity, rising evenly from {@link #COLD_FROM}. */
+  static final long WARM = 8 * SECOND;
+
+  static final double COLD_FROM = 0.3;
+  /** A cold upstream may get this multiple of its capacity in any {@link #WINDOW}, from all instances together. */
+  static final double MULTIPLE = 3;
+
+  static final long WINDOW = 3 * SECOND;
+  /** How long a cell drops repeats of a keyed request. */
+  static final long DEDUP = 2 * SECOND;
+
+  static final long DEADLINE = 2 * SECOND;
+  /** How late after its deadline an answer may come. */
+  static final long SLACK = 8 * MS;
+
+  static final double ARRIVALS_PER_SECOND = 10;
+  /** What an upstream can do, in multiples of what it is usually asked: the budget of a cold one goes by it. */
+  static final double CAPACITY = 2;
+
+  private ModuleSimSettings() {}
+
+  /** The settings of each module in a fleet of this size. */
+  static Settings of(int size) {
+    return new Settings(
+        0,
+        size,
+        "a",
+        List.of(
+            requestClass("look", Effect.SAFE, DedupScope.ALL),
+            requestClass("quote", Effect.KEYED, DedupScope.CELL),
+            requestClass("order", Effect.UNSAFE, DedupScope.ALL)),
+        List.of(),
+        new Limits(true, false, false, true, true, SECOND, 4, 10_000, 1, 200 * MS, 5 * SECOND),
+        new Contract(SLACK, 0, GRACE, COLD_FROM, WARM, MULTIPLE, WINDOW),
+        new Prices(0, 0, 0),
+        false,
+        WeightKind.NONE,
+        0.2,
+        true,
+        MS);
+  }
+
+  private static RequestClass requestClass(String name, Effect effect, DedupScope scope) {
+    return new RequestClass(name, effect, scope, DEDUP, 400 * MS, 0, DEADLINE, 1, 0, false);
+  }
+}
