--- a/src/main/java/pumicekeel/fleet/Daemon.java
+++ b/src/main/java/pumicekeel/fleet/Daemon.java
@@ -22,7 +22,7 @@
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import pumicekeel.config.OperatorLoader;
-import pumicekeel.fleet.InstanceDoor.Look;
+import pumicekeel.fleet.InstanceAdminClient.InstanceStatus;
 import pumicekeel.fleet.Supervisor.Action;
 import pumicekeel.fleet.Supervisor.State;
 import pumicekeel.fleet.Supervisor.Work;
@@ -33,11 +33,11 @@
  */
 public final class Daemon implements Closeable {
 
-  private static final long LOOK_MILLIS = 50;
-  /** Between two looks at whether a ready instance still answers. */
-  private static final long READY_LOOK_NANOS = 1_000_000_000L;
+  private static final long CHECK_INTERVAL_MILLIS = 50;
+  /** Between two checks of whether a ready instance still answers. */
+  private static final long READY_CHECK_NANOS = 1_000_000_000L;
 
-  private static final int LOOKERS = 4;
+  private static final int CHECKERS = 4;
   /** A command's line; a client that sends more or nothing is cut off. */
   private static final int MOST_LINE = 256;
 
@@ -50,7 +50,7 @@
   private final RunDirectory run;
   private final Processes processes;
   private final Supervisor supervisor;
-  private final InstanceDoor door;
+  private final InstanceAdminClient admin;
   private final Consumer<String> log;
   private final ProcessHandle[] handles;
   private final boolean[] asked;
@@ -60,7 +60,7 @@
 
   private final ScheduledExecutorService loop =
       Executors.newSingleThreadScheduledExecutor(named("fleet"));
-  private final ExecutorService lookers = Executors.newFixedThreadPool(LOOKERS, named("look"));
+  private final ExecutorService checkers = Executors.newFixedThreadPool(CHECKERS, named("look"));
   private final CountDownLatch over = new CountDownLatch(1);
   private ServerSocketChannel control;
 
@@ -81,7 +81,7 @@
     }
     run = RunDirectory.take(settings.directory());
     processes = new Processes(settings, run, log);
-    door = new InstanceDoor(settings, run);
+    admin = new InstanceAdminClient(settings, run);
     supervisor = new Supervisor(settings.instances(), settings.limits());
     handles = new ProcessHandle[settings.instances()];
     asked = new boolean[settings.instances()];
@@ -113,7 +113,8 @@
     }
     Thread listener = named("control").newThread(this::listen);
     loop.execute(this::takeOver);
-    loop.scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(
+        this::checkInstances, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     listener.start();
   }
 
@@ -152,21 +153,21 @@
         }));
   }
 
-  private void look() {
+  private void checkInstances() {
     long now = System.nanoTime();
     carryOut(supervisor.tick(now));
     for (int i = 0; i < handles.length; i++) {
       boolean starts = supervisor.stateOf(i) == State.STARTING;
-      boolean looks =
-          starts || supervisor.stateOf(i) == State.READY && now - askedAt[i] >= READY_LOOK_NANOS;
-      if (looks && handles[i] != null && !asked[i]) {
+      boolean isDue =
+          starts || supervisor.stateOf(i) == State.READY && now - askedAt[i] >= READY_CHECK_NANOS;
+      if (isDue && handles[i] != null && !asked[i]) {
         asked[i] = true;
         askedAt[i] = now;
         int instance = i;
         ProcessHandle of = handles[i];
-        lookers.execute(() -> {
-          Look look = door.look(instance, !starts);
-          loop.execute(() -> looked(instance, of, look));
+        checkers.execute(() -> {
+          InstanceStatus status = admin.query(instance, !starts);
+          loop.execute(() -> checked(instance, of, status));
         });
       }
     }
@@ -175,16 +176,16 @@
     }
   }
 
-  private void looked(int instance, ProcessHandle of, Look look) {
+  private void checked(int instance, ProcessHandle of, InstanceStatus status) {
     asked[instance] = false;
     if (handles[instance] != of) {
       return;
     }
-    views[instance] = look.view();
-    if (look.answered()) {
+    views[instance] = status.view();
+    if (status.answered()) {
       supervisor.heard(instance, System.nanoTime());
     }
-    if (look.up()) {
+    if (status.up()) {
       carryOut(supervisor.ready(instance, System.nanoTime()));
     }
   }
@@ -362,8 +363,8 @@
   @Override
   public void close() throws IOException {
     loop.shutdownNow();
-    lookers.shutdownNow();
-    door.close();
+    checkers.shutdownNow();
+    admin.close();
     if (control != null) {
       control.close();
     }
--- a/src/main/java/pumicekeel/fleet/InstanceDoor.java
+++ b/src/main/java/pumicekeel/fleet/InstanceAdminClient.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Asks an instance by its operators' door whether it is up and what it holds of its fleet. Waits, so not on the daemon's thread. */
-final class InstanceDoor {
+/** Asks an instance at its admin endpoint whether it is up, and for its view of the fleet. Blocks, so not on the daemon's thread. */
+final class InstanceAdminClient {
 
   /**
    * What an instance said.
@@ -23,12 +23,12 @@
    * @param up whether it takes clients
    * @param view what it holds of the fleet, JSON; null where it holds nothing or was not asked
    */
-  record Look(boolean answered, boolean up, String view) {}
+  record InstanceStatus(boolean answered, boolean up, String view) {}
 
-  /** A look may not keep the others waiting: a hung instance takes connections, by the kernel, and says nothing. */
-  private static final long LOOK_MILLIS = 250;
+  /** A query may not keep the others waiting: a hung instance takes connections, by the kernel, and says nothing. */
+  private static final long QUERY_TIMEOUT_MILLIS = 250;
   /** A view names members; beyond this it is none. */
-  private static final int MOST_ANSWER = 8 << 10;
+  private static final int MAX_ANSWER_BYTES = 8 << 10;
 
   private static final String YES = "YES";
 
@@ -41,26 +41,26 @@
         return thread;
       });
 
-  InstanceDoor(Settings settings, RunDirectory run) {
+  InstanceAdminClient(Settings settings, RunDirectory run) {
     this.settings = settings;
     this.run = run;
   }
 
   /** Asks whether it is up, and for its view where that is wanted. */
-  Look look(int instance, boolean wantsView) {
+  InstanceStatus query(int instance, boolean wantsView) {
     Path path = RunDirectory.door(run.path(), instance);
     if (!settings.oneAddress() && !Files.exists(path)) {
       // One that an earlier build's daemon started.
       String head = ask(
           settings.addressOf(instance),
           "GET /up HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n");
-      return new Look(!head.isEmpty(), head.startsWith("HTTP/1.1 200"), null);
+      return new InstanceStatus(!head.isEmpty(), head.startsWith("HTTP/1.1 200"), null);
     }
     SocketAddress door =
         settings.oneAddress() ? settings.addressOf(instance) : UnixDomainSocketAddress.of(path);
     String ready = ask(door, "readyz\n");
     String view = wantsView && !ready.isEmpty() ? ask(door, "peers\n") : "";
-    return new Look(
+    return new InstanceStatus(
         !ready.isEmpty(),
         ready.startsWith(YES),
         view.startsWith(YES + " {") ? view.substring(YES.length()).strip() : null);
@@ -68,7 +68,7 @@
 
   /** The answer, as far as it came in time; empty for none. */
   private String ask(SocketAddress at, String call) {
-    ByteBuffer in = ByteBuffer.allocate(MOST_ANSWER);
+    ByteBuffer in = ByteBuffer.allocate(MAX_ANSWER_BYTES);
     try (SocketChannel channel = SocketChannel.open(
         at instanceof UnixDomainSocketAddress
             ? java.net.StandardProtocolFamily.UNIX
@@ -78,7 +78,7 @@
             channel.close();
             return null;
           },
-          LOOK_MILLIS,
+          QUERY_TIMEOUT_MILLIS,
           TimeUnit.MILLISECONDS);
       channel.connect(at);
       channel.write(ByteBuffer.wrap(call.getBytes(StandardCharsets.US_ASCII)));
