--- a/src/main/java/pumicekeel/lab/program/ProgramRun.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramRun.java
@@ -25,7 +25,7 @@
 
 /**
  * The whole serving program in virtual time: fronts, core, module, upstream connections, discovery and stop as in service, on a loop
- * and a network that the seed decides, between stand-ins that keep the book. The same script gives the same run to the byte.
+ * and a network that the seed decides, between stand-ins that record the truth. The same script gives the same run to the byte.
  */
 public final class ProgramRun {
 
@@ -68,7 +68,7 @@
   private final VirtualNetwork network;
   private final Clock clock = new Clock(loop::now, UNIX_MILLIS);
   private final Settings settings;
-  private final Book book;
+  private final RunVerifier verifier;
   private final Map<Integer, RawServer> servers = new HashMap<>();
   private RawDiscovery discovery;
   private RawClients clients;
@@ -94,7 +94,7 @@
     this.script = script;
     network = new VirtualNetwork(loop, script.randomFor("network"), this::broken);
     settings = settings(400 * MS);
-    book = new Book(loop, settings.contract(), DEDUP + 2 * MS, trace);
+    verifier = new RunVerifier(loop, settings.contract(), DEDUP + 2 * MS, trace);
   }
 
   private static Settings settings(long aim) {
@@ -118,7 +118,7 @@
   }
 
   private void broken(String what) {
-    book.broken(what);
+    verifier.broken(what);
   }
 
   private static RequestClass type(String name, Effect effect, DedupScope scope, long aim) {
@@ -128,7 +128,7 @@
   /** Plays it. */
   public Report play() {
     Log.to(this::logged);
-    loop.onFailure(e -> book.broken(
+    loop.onFailure(e -> verifier.broken(
         "thrown: " + e + (e.getStackTrace().length == 0 ? "" : " at " + e.getStackTrace()[0])));
     try {
       begin();
@@ -139,7 +139,7 @@
       long last = script.steps().stream().mapToLong(Step::at).max().orElse(0);
       loop.runUntil(start + last + STOP_WITHIN + SECOND);
       if (stopped && !node.hasDrained()) {
-        book.broken("the balancer did not end within its time");
+        verifier.broken("the balancer did not end within its time");
       }
       clients.close();
       if (calls != null) {
@@ -148,26 +148,26 @@
       loop.runUntil(loop.now() + SETTLES);
       end();
     } catch (IOException | InterruptedException | RuntimeException e) {
-      book.broken("the run ended with " + e + " at " + e.getStackTrace()[0]);
+      verifier.broken("the run ended with " + e + " at " + e.getStackTrace()[0]);
     } finally {
       Log.to(null);
     }
     return new Report(
         script.seed(),
-        book.breach(),
-        book.asked(),
-        book.served(),
-        book.refused(),
-        book.sum(),
+        verifier.breach(),
+        verifier.asked(),
+        verifier.served(),
+        verifier.refused(),
+        verifier.sum(),
         loop.done(),
         network.mostOpen(),
         network.mostBytes());
   }
 
   private void begin() throws IOException, InterruptedException {
-    discovery = new RawDiscovery(network, book);
+    discovery = new RawDiscovery(network, verifier);
     for (int i = 0; i < script.servers(); i++) {
-      servers.put(i, new RawServer(i, 0, script, network, book));
+      servers.put(i, new RawServer(i, 0, script, network, verifier));
       discovery.tell(servers.get(i), "in_service", 0);
     }
     Configuration configuration = new Configuration(
@@ -185,20 +185,20 @@
         new Reactor(loop, clock, network),
         configuration,
         script.pools() ? OperatorFiles.generation(0, operatorListener) : null,
-        () -> book.broken("the program ended itself"),
+        () -> verifier.broken("the program ended itself"),
         false);
-    clients = new RawClients(script, network, book, node.start());
-    calls = script.pools() ? new RawCalls(script, network, book, operatorListener) : null;
+    clients = new RawClients(script, network, verifier, node.start());
+    calls = script.pools() ? new RawCalls(script, network, verifier, operatorListener) : null;
     loop.runUntil(loop.now() + 200 * MS);
     start = loop.now();
   }
 
   private void logged(String line) {
-    book.note("log: " + line, 0);
+    verifier.note("log: " + line, 0);
     if (line.contains("Exception") && !line.contains("IOException")
         || line.contains("Error")
         || line.startsWith("defect")) {
-      book.broken("logged: " + line);
+      verifier.broken("logged: " + line);
     }
   }
 
@@ -227,13 +227,13 @@
             settings(400 * MS + generation % 2 * 200 * MS)));
       }
     } catch (IOException | InterruptedException e) {
-      book.broken("a reload failed: " + e.getMessage());
+      verifier.broken("a reload failed: " + e.getMessage());
     }
   }
 
   private void happen(Step step) {
     if (step.kind() != Step.Kind.ASK) {
-      book.note(step.kind().toString(), step.which());
+      verifier.note(step.kind().toString(), step.which());
     }
     RawServer server = servers.get(step.which());
     switch (step.kind()) {
@@ -272,36 +272,37 @@
 
   private void fresh() {
     try {
-      RawServer server = new RawServer(servers.size(), loop.now(), script, network, book);
+      RawServer server = new RawServer(servers.size(), loop.now(), script, network, verifier);
       servers.put(server.number, server);
       discovery.tell(server, "in_service", clock.millis());
     } catch (IOException e) {
-      book.broken("the world: " + e.getMessage());
+      verifier.broken("the world: " + e.getMessage());
     }
   }
 
   private void end() {
     servers.values().stream()
         .filter(s -> s.startedAt > 0)
-        .forEach(s -> book.judgeCold(
+        .forEach(s -> verifier.judgeCold(
             s.number, s.startedAt, CAPACITY * script.perSecond() / script.servers()));
     if (network.mostOpen() > script.sockets()) {
-      book.broken("held " + network.mostOpen() + " sockets of " + script.sockets());
+      verifier.broken("held " + network.mostOpen() + " sockets of " + script.sockets());
     }
     if (network.mostBytes() > script.sockets() * BYTES_EACH) {
-      book.broken("held " + network.mostBytes() + " bytes for " + script.sockets() + " sockets");
+      verifier.broken(
+          "held " + network.mostBytes() + " bytes for " + script.sockets() + " sockets");
     }
     String left = network.open().stream()
         .filter(s -> !discovery.address().equals(s.remoteAddress()))
         .map(s -> s.localAddress() + " to " + s.remoteAddress())
         .collect(Collectors.joining(", "));
     if (!left.isEmpty()) {
-      book.broken("connections left behind: " + left);
+      verifier.broken("connections left behind: " + left);
     }
     List.copyOf(network.open()).forEach(VirtualSocket::close);
     loop.runUntil(loop.now() + SECOND);
     if (network.bytes() > 0) {
-      book.broken("buffers left behind: " + network.bytes() + " bytes");
+      verifier.broken("buffers left behind: " + network.bytes() + " bytes");
     }
   }
 }
--- a/src/main/java/pumicekeel/lab/program/RawCalls.java
+++ b/src/main/java/pumicekeel/lab/program/RawCalls.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import pumicekeel.adapter.Fields;
 import pumicekeel.adapter.WireException;
-import pumicekeel.lab.program.Fate.Leaving;
+import pumicekeel.lab.program.RequestScenario.Leaving;
 import pumicekeel.lab.world.RandomStream;
 
 /** Stand-in clients of the JSON-RPC front: a few connections with several calls open each, one message a line. */
@@ -29,17 +29,18 @@
 
   private final VirtualLoop loop;
   private final VirtualNetwork network;
-  private final Book book;
+  private final RunVerifier verifier;
   private final InetSocketAddress balancer;
   private final Script script;
   private final RandomStream random;
   private final List<Connection> open = new ArrayList<>();
   private boolean stopped;
 
-  RawCalls(Script script, VirtualNetwork network, Book book, InetSocketAddress balancer) {
+  RawCalls(
+      Script script, VirtualNetwork network, RunVerifier verifier, InetSocketAddress balancer) {
     this.script = script;
     this.network = network;
-    this.book = book;
+    this.verifier = verifier;
     this.balancer = balancer;
     loop = network.loop();
     random = script.randomFor("calls");
@@ -50,13 +51,13 @@
   }
 
   void ask(int number) {
-    Fate fate = new Fate(script, number);
+    RequestScenario scenario = new RequestScenario(script, number);
     Connection free = open.stream()
         .filter(c -> c.waiting.size() < DEPTH && !c.ended)
         .findFirst()
         .orElse(null);
     if (free != null && (free.waiting.isEmpty() || open.size() >= CONNECTIONS)) {
-      free.call(fate);
+      free.call(scenario);
     } else if (!stopped) {
       network.connect(
           balancer,
@@ -64,11 +65,11 @@
             Connection c = new Connection(end);
             open.add(c);
             end.listener(c);
-            c.call(fate);
+            c.call(scenario);
           },
           (refused, why) -> {
             if (!stopped) {
-              book.broken("a connection for calls was refused");
+              verifier.broken("a connection for calls was refused");
             }
           });
     }
@@ -82,7 +83,7 @@
   private final class Connection implements Line.Listener {
     private final Line.End end;
     private final Outgoing out;
-    private final Map<Integer, Fate> waiting = new HashMap<>();
+    private final Map<Integer, RequestScenario> waiting = new HashMap<>();
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private final byte[] buffer = new byte[4 << 10];
     private int lastId;
@@ -93,28 +94,29 @@
       out = new Outgoing(end);
     }
 
-    private void call(Fate fate) {
-      book.asked(fate);
+    private void call(RequestScenario scenario) {
+      verifier.asked(scenario);
       int id = ++lastId;
-      waiting.put(id, fate);
-      out.add(("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"" + fate.type
-              + "\",\"params\":{\"n\":\"" + fate.id + "\",\"left\":" + fate.patience / MS + "}}\n")
+      waiting.put(id, scenario);
+      out.add(("{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"method\":\"" + scenario.type
+              + "\",\"params\":{\"n\":\"" + scenario.id + "\",\"left\":" + scenario.patience / MS
+              + "}}\n")
           .getBytes(StandardCharsets.US_ASCII));
       out.then(() -> {
-        book.sentWhole(fate);
-        loop.at(loop.now() + fate.patience + SLACK, () -> late(id, fate));
+        verifier.sentWhole(scenario);
+        loop.at(loop.now() + scenario.patience + SLACK, () -> late(id, scenario));
       });
-      if (fate.leaving == Leaving.WAITING) {
-        loop.at(loop.now() + fate.leavesAfter, this::leave);
+      if (scenario.leaving == Leaving.WAITING) {
+        loop.at(loop.now() + scenario.leavesAfter, this::leave);
       } else if (random.below(ENDS_IN) == 0) {
         ended = true;
         out.then(end::finish);
       }
     }
 
-    private void late(int id, Fate fate) {
-      if (waiting.remove(id, fate)) {
-        book.lost(fate, "no answer to the call in time");
+    private void late(int id, RequestScenario scenario) {
+      if (waiting.remove(id, scenario)) {
+        verifier.lost(scenario, "no answer to the call in time");
       }
     }
 
@@ -151,7 +153,8 @@
         if (!stopped) {
           waiting
               .values()
-              .forEach(f -> book.lost(f, "its connection was ended without an answer to the call"));
+              .forEach(
+                  f -> verifier.lost(f, "its connection was ended without an answer to the call"));
         }
         waiting.clear();
       }
@@ -162,22 +165,22 @@
       try {
         answer(Fields.parse("answer", text));
       } catch (IOException | WireException e) {
-        book.nonsense("a call was answered with " + text + ": " + e.getMessage());
+        verifier.nonsense("a call was answered with " + text + ": " + e.getMessage());
       }
     }
 
     private void answer(Fields reply) {
-      Fate fate = reply.has("id") ? waiting.remove((int) reply.integer("id")) : null;
-      if (fate == null) {
-        book.nonsense("an answer to no call: " + reply.values());
+      RequestScenario scenario = reply.has("id") ? waiting.remove((int) reply.integer("id")) : null;
+      if (scenario == null) {
+        verifier.nonsense("an answer to no call: " + reply.values());
       } else if (reply.has("result")) {
-        book.answered(fate, 200, reply.text("result").getBytes(StandardCharsets.US_ASCII));
+        verifier.answered(scenario, 200, reply.text("result").getBytes(StandardCharsets.US_ASCII));
       } else {
         long code = reply.nested("error").integer("code");
         if (code > FAILED || code < NO_ROOM) {
-          book.nonsense("a call was answered with " + reply.values());
+          verifier.nonsense("a call was answered with " + reply.values());
         }
-        book.answered(fate, code <= REFUSED ? 429 : 502, new byte[0]);
+        verifier.answered(scenario, code <= REFUSED ? 429 : 502, new byte[0]);
       }
     }
   }
--- a/src/main/java/pumicekeel/lab/program/RawClients.java
+++ b/src/main/java/pumicekeel/lab/program/RawClients.java
@@ -4,9 +4,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.List;
-import pumicekeel.lab.program.Fate.Breach;
-import pumicekeel.lab.program.Fate.Leaving;
 import pumicekeel.lab.program.Messages.Message;
+import pumicekeel.lab.program.RequestScenario.Breach;
+import pumicekeel.lab.program.RequestScenario.Leaving;
 
 /** Stand-in clients of one balancer: each request has a connection for itself while it lasts, kept ones are used again. */
 final class RawClients {
@@ -21,7 +21,7 @@
   private final Script script;
   private final VirtualLoop loop;
   private final VirtualNetwork network;
-  private final Book book;
+  private final RunVerifier verifier;
   private final InetSocketAddress balancer;
   private final ArrayDeque<Connection> idle = new ArrayDeque<>();
   /** When the balancer was told to stop; clients may find it gone from then on. */
@@ -33,10 +33,11 @@
 
   private int crowd;
 
-  RawClients(Script script, VirtualNetwork network, Book book, InetSocketAddress balancer) {
+  RawClients(
+      Script script, VirtualNetwork network, RunVerifier verifier, InetSocketAddress balancer) {
     this.script = script;
     this.network = network;
-    this.book = book;
+    this.verifier = verifier;
     this.balancer = balancer;
     loop = network.loop();
   }
@@ -46,17 +47,17 @@
   }
 
   void ask(int number) {
-    Fate fate = new Fate(script, number);
-    book.asked(fate);
-    Connection kept = fate.reuses ? idle.poll() : null;
+    RequestScenario scenario = new RequestScenario(script, number);
+    verifier.asked(scenario);
+    Connection kept = scenario.reuses ? idle.poll() : null;
     if (kept != null) {
-      kept.send(fate);
+      kept.send(scenario);
     } else {
-      connect(fate);
+      connect(scenario);
     }
   }
 
-  private void connect(Fate fate) {
+  private void connect(RequestScenario scenario) {
     if (loop.now() - 300 * MS > stoppedAt) {
       // The front brings no more clients.
       return;
@@ -66,12 +67,12 @@
         end -> {
           Connection c = new Connection(end);
           c.fresh = true;
-          c.send(fate);
+          c.send(scenario);
           end.listener(c);
         },
         (refused, why) -> {
           if (loop.now() < stoppedAt) {
-            book.lost(fate, "its connection was refused");
+            verifier.lost(scenario, "its connection was refused");
           }
         });
   }
@@ -124,7 +125,7 @@
     private final Messages reader = new Messages(true, this::answer);
     private final byte[] buffer = new byte[8 << 10];
     private boolean fresh;
-    private Fate fate;
+    private RequestScenario scenario;
     private boolean sending;
     private boolean wholeSent;
     private boolean over;
@@ -137,8 +138,8 @@
       out = new Outgoing(end);
     }
 
-    private void send(Fate next) {
-      fate = next;
+    private void send(RequestScenario next) {
+      scenario = next;
       sending = true;
       wholeSent = false;
       long of = ++turn;
@@ -163,7 +164,7 @@
       }
     }
 
-    private void pipeline(Fate next) {
+    private void pipeline(RequestScenario next) {
       if (next.breach == Breach.PIPELINED) {
         out.add(("GET /look HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: p" + next.number
                 + "\r\nX-Service-Class: look\r\nX-Time-Left-Ms: 900\r\n\r\n")
@@ -176,32 +177,32 @@
         return;
       }
       sending = false;
-      if (fate == null) {
+      if (scenario == null) {
         // Its answer had come before its last byte went out.
         rest();
         return;
       }
       wholeSent = true;
-      book.sentWhole(fate);
-      Fate mine = fate;
+      verifier.sentWhole(scenario);
+      RequestScenario mine = scenario;
       loop.at(loop.now() + mine.patience + SLACK, () -> late(of, mine));
       if (mine.leaving == Leaving.WAITING) {
         loop.at(loop.now() + mine.leavesAfter, () -> leave(of));
       }
     }
 
-    private void late(long of, Fate mine) {
-      if (of == turn && !over && fate == mine && reader.atRest() && end.unread() == 0) {
-        book.lost(mine, "no answer in time");
+    private void late(long of, RequestScenario mine) {
+      if (of == turn && !over && scenario == mine && reader.atRest() && end.unread() == 0) {
+        verifier.lost(mine, "no answer in time");
         end();
       }
     }
 
     private void leave(long of) {
-      if (of == turn && !over && fate != null) {
+      if (of == turn && !over && scenario != null) {
         over = true;
         out.drop();
-        if (fate.abrupt) {
+        if (scenario.abrupt) {
           end.abort();
         } else {
           end.close();
@@ -221,7 +222,7 @@
       if (over) {
         return;
       }
-      if (fate != null && fate.slowReader) {
+      if (scenario != null && scenario.slowReader) {
         readSlowly();
         return;
       }
@@ -250,19 +251,19 @@
 
     private void take(int most) {
       int n = end.read(buffer, 0, Math.min(most, buffer.length));
-      if (n > 0 && fate == null) {
-        book.nonsense("bytes on a connection that asks nothing");
+      if (n > 0 && scenario == null) {
+        verifier.nonsense("bytes on a connection that asks nothing");
         end();
         return;
       }
-      if (fate != null && fate.leaving == Leaving.READING) {
+      if (scenario != null && scenario.leaving == Leaving.READING) {
         leave(turn);
         return;
       }
       try {
         reader.feed(buffer, n);
       } catch (Messages.Malformed e) {
-        book.nonsense(fate.id + " was answered with what is not HTTP: " + e.getMessage());
+        verifier.nonsense(scenario.id + " was answered with what is not HTTP: " + e.getMessage());
         end();
       }
     }
@@ -272,13 +273,13 @@
         // One that sent two requests at once may get two answers; it has gone after the first.
         return;
       }
-      Fate mine = fate;
+      RequestScenario mine = scenario;
       if (mine == null) {
-        book.nonsense("an answer that nobody waits for");
+        verifier.nonsense("an answer that nobody waits for");
         return;
       }
-      book.answered(mine, message.status(), message.body());
-      fate = null;
+      verifier.answered(mine, message.status(), message.body());
+      scenario = null;
       last = message.closes() || !mine.keeps || mine.breach != Breach.NONE;
       if (!sending) {
         rest();
@@ -301,7 +302,7 @@
         return;
       }
       reader.ended();
-      Fate mine = fate;
+      RequestScenario mine = scenario;
       boolean begun = !reader.atRest();
       boolean whole = wholeSent;
       idle.remove(this);
@@ -310,12 +311,12 @@
         return;
       }
       if (begun) {
-        book.cutShort(mine);
-      } else if (whole && !fresh && !book.ran(mine)) {
+        verifier.cutShort(mine);
+      } else if (whole && !fresh && !verifier.ran(mine)) {
         // A close that crossed the request: it is sent once more, on a new connection.
         connect(mine);
       } else if (whole) {
-        book.lost(mine, "its connection was ended without an answer");
+        verifier.lost(mine, "its connection was ended without an answer");
       }
     }
 
--- a/src/main/java/pumicekeel/lab/program/RawDiscovery.java
+++ b/src/main/java/pumicekeel/lab/program/RawDiscovery.java
@@ -22,7 +22,7 @@
   private record Change(long index, int server, String text, boolean leaves, boolean gone) {}
 
   private final VirtualLoop loop;
-  private final Book book;
+  private final RunVerifier verifier;
   private final InetSocketAddress address;
   private final List<Change> changes = new ArrayList<>();
   private final Map<Integer, Change> current = new LinkedHashMap<>();
@@ -31,9 +31,9 @@
   private long silentUntil;
   private long wroteAt;
 
-  RawDiscovery(VirtualNetwork network, Book book) throws IOException {
+  RawDiscovery(VirtualNetwork network, RunVerifier verifier) throws IOException {
     loop = network.loop();
-    this.book = book;
+    this.verifier = verifier;
     address = network.listen(0, this);
   }
 
@@ -100,7 +100,7 @@
         try {
           reader.feed(buffer, n);
         } catch (Messages.Malformed e) {
-          book.nonsense("discovery was asked in what is not HTTP: " + e.getMessage());
+          verifier.nonsense("discovery was asked in what is not HTTP: " + e.getMessage());
         }
       }
       if (end.reset() || end.over()) {
@@ -146,7 +146,7 @@
           ? List.copyOf(current.values())
           : changes.stream().filter(c -> c.index() > told).toList();
       told = index;
-      lines.stream().filter(Change::leaves).forEach(l -> book.told(l.server()));
+      lines.stream().filter(Change::leaves).forEach(l -> verifier.told(l.server()));
       wroteAt = loop.now();
       chunk("{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":["
           + lines.stream().map(Change::text).collect(Collectors.joining(",")) + "]}\n");
--- a/src/main/java/pumicekeel/lab/program/RawServer.java
+++ b/src/main/java/pumicekeel/lab/program/RawServer.java
@@ -11,7 +11,7 @@
 import pumicekeel.lab.program.Messages.Message;
 import pumicekeel.lab.world.RandomStream;
 
-/** A stand-in upstream: runs what comes, and answers as its fate for that request has it. */
+/** A stand-in upstream: runs what comes, and answers as the scenario of that request says. */
 final class RawServer implements VirtualNetwork.Acceptor {
 
   /** How an answer goes. */
@@ -47,7 +47,7 @@
   private final Script script;
   private final VirtualLoop loop;
   private final VirtualNetwork network;
-  private final Book book;
+  private final RunVerifier verifier;
   private final InetSocketAddress address;
   private final Set<Connection> open = new LinkedHashSet<>();
   private final RandomStream random;
@@ -56,14 +56,14 @@
   private long slowUntil;
   private boolean cut;
 
-  RawServer(int number, long startedAt, Script script, VirtualNetwork network, Book book)
+  RawServer(int number, long startedAt, Script script, VirtualNetwork network, RunVerifier verifier)
       throws IOException {
     this.number = number;
     this.cell = number / 2;
     this.startedAt = startedAt;
     this.script = script;
     this.network = network;
-    this.book = book;
+    this.verifier = verifier;
     loop = network.loop();
     random = script.randomFor("upstream " + number);
     address = network.listen(0, this);
@@ -158,7 +158,7 @@
 
     private void spoilAll() {
       if (current != null) {
-        book.spoilt(current);
+        verifier.spoilt(current);
       }
     }
 
@@ -172,7 +172,7 @@
       while (end.unread() > 0) {
         if (!begun) {
           begun = true;
-          book.begins(number);
+          verifier.begins(number);
           if (random.below(BREAKS_IN) == 0) {
             loop.at(loop.now() + random.below(BREAKS_WITHIN), this::crash);
           }
@@ -181,7 +181,7 @@
         try {
           reader.feed(buffer, n);
         } catch (Messages.Malformed e) {
-          book.nonsense("upstream " + number + " was sent what is not HTTP: " + e.getMessage());
+          verifier.nonsense("upstream " + number + " was sent what is not HTTP: " + e.getMessage());
         }
       }
       if (end.reset() || end.over()) {
@@ -195,7 +195,7 @@
       begun = false;
       String id = idOf(request);
       if (busy) {
-        book.nonsense("upstream " + number + " was sent " + id + " before it had answered");
+        verifier.nonsense("upstream " + number + " was sent " + id + " before it had answered");
         return;
       }
       busy = true;
@@ -208,10 +208,10 @@
       }
       if (word != Word.TURNED_AWAY) {
         boolean call = request.fields().get("x-correlation-id").startsWith("n0-");
-        book.runs(id, number, cell, call ? new byte[0] : request.body());
+        verifier.runs(id, number, cell, call ? new byte[0] : request.body());
       }
       if (loop.now() < hangsUntil || word == Word.SILENT) {
-        book.spoilt(id);
+        verifier.spoilt(id);
         return;
       }
       long takes =
@@ -242,7 +242,7 @@
         case RESET -> crash();
         case CUT, STALLED -> part(id, word, random);
         case NOISE -> {
-          book.spoilt(id);
+          verifier.spoilt(id);
           out.add("!! no answer at all\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         }
         case TWICE -> {
@@ -295,7 +295,7 @@
     }
 
     private void part(String id, Word word, RandomStream random) {
-      book.spoilt(id);
+      verifier.spoilt(id);
       byte[] bytes = bytes(id, 200, "", size(random), random);
       out.add(Arrays.copyOf(bytes, 1 + random.below(bytes.length - 1)));
       if (word == Word.CUT) {
--- a/src/main/java/pumicekeel/lab/program/RequestScenario.java
+++ b/src/main/java/pumicekeel/lab/program/RequestScenario.java
@@ -7,8 +7,8 @@
 import pumicekeel.Balancer.Effect;
 import pumicekeel.lab.world.RandomStream;
 
-/** All that one request is and its client does, drawn from the seed and its number. */
-final class Fate {
+/** What one request is and how its client behaves, drawn from the seed and its number. */
+final class RequestScenario {
 
   /** How a client breaks what was agreed; an answer is owed to none but the first. */
   enum Breach {
@@ -53,7 +53,7 @@
   final int pieces;
   final long pause;
 
-  Fate(Script script, int number) {
+  RequestScenario(Script script, int number) {
     this.number = number;
     id = "q" + number;
     RandomStream c = script.randomFor("ask " + number);
--- a/src/main/java/pumicekeel/lab/program/RunVerifier.java
+++ b/src/main/java/pumicekeel/lab/program/RunVerifier.java
@@ -9,10 +9,10 @@
 import pumicekeel.Balancer.Effect;
 
 /**
- * What really happened in a run, kept by the two sides that the program stands between: held against the four rules, and against what a
- * client may read. The first breach stands; the sum of all that happened tells two runs apart.
+ * The truth about a run, reported by the clients and the upstreams around the program, and checked against the four rules and against what
+ * a client may read. The first violation is kept; a checksum of all events tells two runs apart.
  */
-final class Book {
+final class RunVerifier {
 
   /** Rules on sockets are that much longer than in the simulator. */
   private static final long SOCKET_SLACK = 50_000_000L;
@@ -25,14 +25,14 @@
 
   /** One request. */
   private static final class Entry {
-    private final Fate fate;
+    private final RequestScenario scenario;
     private final List<Run> runs = new ArrayList<>();
     private int answers;
     private int status;
     private boolean spoilt;
 
-    private Entry(Fate fate) {
-      this.fate = fate;
+    private Entry(RequestScenario scenario) {
+      this.scenario = scenario;
     }
   }
 
@@ -48,7 +48,7 @@
   private int served;
   private int refused;
 
-  Book(VirtualLoop loop, Contract contract, long windowNanos, Consumer<String> trace) {
+  RunVerifier(VirtualLoop loop, Contract contract, long windowNanos, Consumer<String> trace) {
     this.trace = trace;
     this.loop = loop;
     this.contract = contract;
@@ -94,38 +94,39 @@
 
   // Clients
 
-  void asked(Fate fate) {
-    entries.put(fate.id, new Entry(fate));
+  void asked(RequestScenario scenario) {
+    entries.put(scenario.id, new Entry(scenario));
     note(
-        "asked " + fate.id + " " + fate.type + " " + fate.breach + " " + fate.leaving + ", body",
-        fate.bodySize);
+        "asked " + scenario.id + " " + scenario.type + " " + scenario.breach + " "
+            + scenario.leaving + ", body",
+        scenario.bodySize);
   }
 
-  void sentWhole(Fate fate) {
-    note("sent whole", fate.number);
+  void sentWhole(RequestScenario scenario) {
+    note("sent whole", scenario.number);
   }
 
   /** Whether a request has run anywhere. */
-  boolean ran(Fate fate) {
-    return !entries.get(fate.id).runs.isEmpty();
+  boolean ran(RequestScenario scenario) {
+    return !entries.get(scenario.id).runs.isEmpty();
   }
 
-  void answered(Fate fate, int status, byte[] body) {
-    Entry e = entries.get(fate.id);
-    note("answered " + fate.id + ", status", status);
+  void answered(RequestScenario scenario, int status, byte[] body) {
+    Entry e = entries.get(scenario.id);
+    note("answered " + scenario.id + ", status", status);
     e.answers++;
     if (e.answers > 1) {
-      broken("two answers to " + fate.id);
+      broken("two answers to " + scenario.id);
     }
     e.status = status;
     if (status == 200) {
       served++;
-      if (!Messages.isOf(fate.id, body)) {
-        broken(fate.id + " got a body that is not its own: "
+      if (!Messages.isOf(scenario.id, body)) {
+        broken(scenario.id + " got a body that is not its own: "
             + new String(body, 0, Math.min(20, body.length)));
       }
       if (e.runs.isEmpty()) {
-        broken(fate.id + " was served, and ran nowhere");
+        broken(scenario.id + " was served, and ran nowhere");
       }
     } else if (status == REFUSED || status == UNAVAILABLE) {
       refused++;
@@ -134,8 +135,8 @@
   }
 
   private void judgeRefused(Entry e) {
-    if (e.fate.effect != Effect.SAFE && !e.runs.isEmpty()) {
-      broken(e.fate.id + " was refused, and ran");
+    if (e.scenario.effect != Effect.SAFE && !e.runs.isEmpty()) {
+      broken(e.scenario.id + " was refused, and ran");
     }
   }
 
@@ -145,17 +146,17 @@
   }
 
   /** It will have no answer. */
-  void lost(Fate fate, String how) {
-    if (fate.owed()) {
-      broken("lost " + fate.id + ": " + how);
+  void lost(RequestScenario scenario, String how) {
+    if (scenario.owed()) {
+      broken("lost " + scenario.id + ": " + how);
     }
   }
 
   /** An answer that had begun did not come whole, which its client can tell. */
-  void cutShort(Fate fate) {
-    note("cut the answer to " + fate.id + ", status", entries.get(fate.id).status);
-    if (fate.owed() && !fate.slowReader && !entries.get(fate.id).spoilt) {
-      broken("the answer to " + fate.id + " was cut, and its upstream's was not");
+  void cutShort(RequestScenario scenario) {
+    note("cut the answer to " + scenario.id + ", status", entries.get(scenario.id).status);
+    if (scenario.owed() && !scenario.slowReader && !entries.get(scenario.id).spoilt) {
+      broken("the answer to " + scenario.id + " was cut, and its upstream's was not");
     }
   }
 
@@ -185,16 +186,16 @@
       broken(id + " reached its upstream with another body");
     }
     long now = loop.now();
-    if (e.fate.effect == Effect.UNSAFE && !e.runs.isEmpty()) {
+    if (e.scenario.effect == Effect.UNSAFE && !e.runs.isEmpty()) {
       broken(id + " is unsafe and ran twice");
     }
-    if (e.fate.effect == Effect.KEYED
+    if (e.scenario.effect == Effect.KEYED
         && e.runs.stream().anyMatch(r -> r.cell() != cell || now - r.at() > windowNanos)) {
       broken(id + " is keyed and had its effect twice");
     }
     if (e.answers > 0
         && (e.status == REFUSED || e.status == UNAVAILABLE)
-        && e.fate.effect != Effect.SAFE) {
+        && e.scenario.effect != Effect.SAFE) {
       broken(id + " ran after it was refused");
     }
     e.runs.add(new Run(server, cell, now));
--- a/src/main/java/pumicekeel/lab/program/Step.java
+++ b/src/main/java/pumicekeel/lab/program/Step.java
@@ -11,7 +11,7 @@
 
   /** What can happen; the order counts for nothing. */
   enum Kind {
-    /** A client asks; all of its fate hangs on the seed and its number. */
+    /** A client asks; its scenario depends on the seed and its number alone. */
     ASK,
     /** Many ask within a moment. */
     BURST,
--- a/src/test/java/pumicekeel/lab/program/ProgramRunTest.java
+++ b/src/test/java/pumicekeel/lab/program/ProgramRunTest.java
@@ -79,7 +79,7 @@
     Script any = Script.of(5);
     List<Step> steps = new ArrayList<>();
     for (int number = 0; number < 600; number++) {
-      Fate f = new Fate(any, number);
+      RequestScenario f = new RequestScenario(any, number);
       if (f.bodySize > 200_000
           && f.owed()
           && !f.slowReader
