--- a/src/test/java/pumicekeel/node/ToldInTimeTest.java
+++ b/src/test/java/pumicekeel/node/ToldInTimeTest.java
@@ -6,6 +6,7 @@
 import java.io.OutputStream;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
@@ -103,6 +104,16 @@
     }
   }
 
+  /** So many that the back-off has reached its longest. */
+  private static final int REFUSALS = 7;
+
+  private static Call[] refusals() {
+    Call[] calls = new Call[REFUSALS + 1];
+    Arrays.fill(calls, Call.REFUSE);
+    calls[REFUSALS] = Call.TELL;
+    return calls;
+  }
+
   private final List<Order> orders = new ArrayList<>();
   private final List<FakeServer> servers = new CopyOnWriteArrayList<>();
 
@@ -128,16 +139,7 @@
         new Order(kind + "endless list", 0, TOLD_SECONDS, Call.ENDLESS_LIST, Call.TELL),
         new Order(
             kind + "broken, then silent", 0, TOLD_SECONDS, Call.BREAK, Call.SILENT, Call.TELL),
-        new Order(
-            kind + "refusing, then back",
-            4,
-            TOLD_SECONDS,
-            Call.REFUSE,
-            Call.REFUSE,
-            Call.REFUSE,
-            Call.REFUSE,
-            Call.REFUSE,
-            Call.TELL),
+        new Order(kind + "refusing, then back", REFUSALS - 1, TOLD_SECONDS, refusals()),
         new Order(
             kind + "refusing, then silent",
             1,
