--- a/src/main/java/pumicekeel/config/OperatorFile.java
+++ b/src/main/java/pumicekeel/config/OperatorFile.java
@@ -19,8 +19,8 @@
  */
 public final class OperatorFile {
 
-  /** 10,000 routes take some 1.5 MB; a file beyond this is a mistake, and would not fit the smallest heap in service. */
-  public static final int MOST_BYTES = 4 << 20;
+  /** The largest known configuration takes 3.5 MB; reading a file takes some ten times its size of heap for a moment. */
+  public static final int MOST_BYTES = 16 << 20;
   /** Readings of a file that goes on changing. */
   private static final int TRIES = 3;
 
--- a/src/main/java/pumicekeel/config/OperatorReader.java
+++ b/src/main/java/pumicekeel/config/OperatorReader.java
@@ -35,17 +35,28 @@
 /** Turns the text of an operator file into an {@link Operator}, or into the list of all that is wrong with it. */
 public final class OperatorReader {
 
-  /** Each pool has a module instance, some 0.3 MB warm, in a process that may have 96 MB. */
-  public static final int MOST_POOLS = 64;
-
+  /** Each pool has a module instance with its list and connections; twice the largest known configuration's 220. */
+  public static final int MOST_POOLS = 512;
+  /** Each is a socket of its own, and a part of the clients' room. */
   public static final int MOST_LISTENERS = 32;
-  public static final int MOST_SOURCES = 64;
-  /** As measured for the index; far above any known table. */
+  /** Each may be a watch on a discovery with a connection of its own; as many as pools, which have one each at most. */
+  public static final int MOST_SOURCES = MOST_POOLS;
+  /** Twice the largest known configuration's 9,800; the index and the check of what they cover grow with their number. */
   public static final int MOST_ROUTES = 20_000;
-
+  /** Static upstreams of a source and, twice the largest known configuration's 5,500 and more, of all sources. */
   private static final int MOST_FIXED = 10_000;
+
+  private static final int MOST_FIXED_IN_ALL = 20_000;
+  /** Tenants of a pool, each with an entry in its module, and of all pools: twice the largest known 35,000. */
+  private static final int MOST_TENANTS = 10_000;
+
+  private static final int MOST_TENANTS_IN_ALL = 70_000;
+  /** Names, zones, types or groups that a pool selects by: each upstream is held against each. */
+  private static final int MOST_SELECTED = 1_000;
+  /** Names that a fault lists when none of them was meant. */
+  private static final int MOST_LISTED = 8;
+
   private static final int MOST_CLASSES = 100;
-  private static final int MOST_TENANTS = 1_000;
   private static final long MS = 1_000_000L;
   private static final long MOST_MS = 3_600_000;
   private static final long MOST_ROOM = 1_000_000;
@@ -210,6 +221,12 @@
     }
   }
 
+  private static void boundedInAll(Section root, String key, String what, int size, int most) {
+    if (size > most) {
+      root.fault(key, "expected at most " + most + " " + what + " in all, got " + size);
+    }
+  }
+
   // Sources
 
   private Map<String, Source> sources(Section root) {
@@ -231,6 +248,10 @@
       out.put(name, watched ? new Watched(address(s, "discovery")) : new Fixed(fixed(s)));
       s.done();
     });
+    int hosts = out.values().stream()
+        .mapToInt(source -> source instanceof Fixed fixed ? fixed.hosts().size() : 0)
+        .sum();
+    boundedInAll(root, "sources", "static upstreams", hosts, MOST_FIXED_IN_ALL);
     return out;
   }
 
@@ -276,15 +297,18 @@
     Map<String, Section> named = root.named("pools");
     bounded(root, "pools", named.size(), MOST_POOLS);
     named.forEach((name, s) -> out.put(name, pool(name, s, sources)));
+    int tenants = out.values().stream()
+        .map(pool -> pool.overrides().tenants())
+        .mapToInt(list -> list == null ? 0 : list.size())
+        .sum();
+    boundedInAll(root, "pools", "tenants", tenants, MOST_TENANTS_IN_ALL);
     return out;
   }
 
   private Pool pool(String name, Section s, Map<String, Source> sources) {
     String source = s.text("source", Operator.PLATFORM);
     if (!sources.containsKey(source)) {
-      s.fault(
-          "source",
-          "expected one of " + String.join(", ", sources.keySet()) + ", got \"" + source + "\"");
+      s.fault("source", "expected one of " + listed(sources.keySet()) + ", got \"" + source + "\"");
     }
     Long perUpstream = s.integer("connections-per-upstream", 0, 100_000);
     Pool pool = new Pool(
@@ -307,6 +331,13 @@
     return pool;
   }
 
+  private static String listed(Set<String> names) {
+    String first = String.join(", ", names.stream().limit(MOST_LISTED).toList());
+    return names.size() > MOST_LISTED
+        ? first + " and " + (names.size() - MOST_LISTED) + " more"
+        : first;
+  }
+
   /** A class that never goes on record, or is none of the pool's, was meant otherwise. */
   private static void checkRecorded(Section s, Pool pool) {
     List<RequestClass> classes = pool.overrides().classes();
@@ -346,6 +377,10 @@
         or(s.texts("types"), List.of()),
         groups);
     s.done();
+    bounded(s, "names", select.names().size(), MOST_SELECTED);
+    bounded(s, "zones", select.zones().size(), MOST_SELECTED);
+    bounded(s, "types", select.types().size(), MOST_SELECTED);
+    bounded(s, "groups", groups.size(), MOST_SELECTED);
     return select;
   }
 
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -52,6 +52,9 @@
       Consumer<RuntimeException> defect) {}
 
   private Operator.Pool spec;
+  /** Made once: a keyed repeat compares it with that of each pool. What it is made of needs a new pool to change. */
+  private final String home;
+
   private final Shared shared;
   private final UpstreamSource source;
   private final UpstreamLinks connections;
@@ -73,6 +76,7 @@
       UpstreamSource source,
       Consumer<Map<ServicePool, Set<InetSocketAddress>>> changed) {
     this.spec = spec;
+    home = spec.name() + '|' + spec.source() + '|' + spec.select();
     this.shared = shared;
     this.source = source;
     this.changed = changed;
@@ -157,7 +161,7 @@
 
   /** Two pools with the same home have the same upstreams: one's memory of a keyed request is the other's. */
   String home() {
-    return spec.name() + '|' + spec.source() + '|' + spec.select();
+    return home;
   }
 
   /** The class of the same name, if it may run again as the other may; else null. */
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -3,10 +3,13 @@
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.EnumSet;
+import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
@@ -14,6 +17,7 @@
 import pumicekeel.Balancer.Effect;
 import pumicekeel.Balancer.RequestClass;
 import pumicekeel.Balancer.Settings;
+import pumicekeel.Balancer.Tenant;
 import pumicekeel.call.ClientRequest;
 import pumicekeel.call.ClientRequest.Bad;
 import pumicekeel.call.Facts;
@@ -48,7 +52,7 @@
 
   /** A run of waiting work; short against any aim, long against the cost of going round the loop. */
   private static final long QUANTUM_NANOS = 1_000_000L;
-  /** Retired pools that still have something open: each holds a module instance, so a reload waits for some to end. */
+  /** Pools of earlier generations with something open: each holds a module instance, so a reload waits for some to end. */
   static final int MOST_RETIRED = 64;
 
   private static final long RETIRED_MILLIS = 20;
@@ -161,10 +165,13 @@
     plan("sockets", rooms.upstreamSockets(), next, Operator.Pool::sockets);
     plan("body-memory-kib", rooms.bodyBytes(), next, Operator.Pool::body);
     Listeners.plan(rooms.clientSockets(), next);
+    Map<String, Set<Effect>> effects = new HashMap<>();
     for (Operator.Pool pool : next.pools().values()) {
-      settingsOf(configuration, pool);
+      for (RequestClass type : settingsOf(configuration, pool).classes()) {
+        effects.computeIfAbsent(type.name(), k -> EnumSet.noneOf(Effect.class)).add(type.effect());
+      }
     }
-    checkMethods(configuration, next);
+    checkMethods(effects, next);
     int me = configuration.settings().me();
     int members = next.peers().addresses().size();
     if (members > 0 && me >= members) {
@@ -180,29 +187,27 @@
   }
 
   /** A method's class has to be some pool's, and a keyed one needs its key: no call of it could ever be taken. */
-  private static void checkMethods(Configuration configuration, Operator next) {
+  private static void checkMethods(Map<String, Set<Effect>> effects, Operator next) {
     for (Operator.Listener listener : next.listeners().values()) {
-      for (MethodMapping m : listener.rpc() == null
-          ? List.<MethodMapping>of()
-          : listener.rpc().methods().values()) {
-        List<Effect> effects = next.pools().values().stream()
-            .flatMap(p -> settingsOf(configuration, p).classes().stream())
-            .filter(c -> c.name().equals(m.className()))
-            .map(RequestClass::effect)
-            .toList();
-        if (effects.isEmpty()) {
-          throw new IllegalArgumentException(
-              "methods: expected a class that a pool has as the class of \"" + m.method()
-                  + "\", got \"" + m.className() + "\"");
-        }
-        if (effects.contains(Effect.KEYED) && !m.states(MethodMapping.Part.IDEMPOTENCY_KEY)) {
-          throw new IllegalArgumentException(
-              "methods: expected idempotency-key for \"" + m.method() + "\", whose class is keyed");
-        }
+      if (listener.rpc() != null) {
+        listener.rpc().methods().values().forEach(m -> checkMethod(effects, m));
       }
     }
   }
 
+  private static void checkMethod(Map<String, Set<Effect>> effects, MethodMapping m) {
+    Set<Effect> ofClass = effects.getOrDefault(m.className(), Set.of());
+    if (ofClass.isEmpty()) {
+      throw new IllegalArgumentException(
+          "methods: expected a class that a pool has as the class of \"" + m.method() + "\", got \""
+              + m.className() + "\"");
+    }
+    if (ofClass.contains(Effect.KEYED) && !m.states(MethodMapping.Part.IDEMPOTENCY_KEY)) {
+      throw new IllegalArgumentException(
+          "methods: expected idempotency-key for \"" + m.method() + "\", whose class is keyed");
+    }
+  }
+
   private Settings settingsOf(Operator.Pool pool) {
     return settingsOf(configuration, pool);
   }
@@ -260,7 +265,7 @@
 
   /** Whether another generation may be taken over now; otherwise why not. */
   String objection(Operator next) {
-    return retired.size() + pools.size() > MOST_RETIRED && !next.pools().equals(operator.pools())
+    return retired.size() >= MOST_RETIRED && !next.pools().equals(operator.pools())
         ? retired.size() + " pools of earlier generations still have requests open"
         : null;
   }
@@ -274,7 +279,7 @@
     note(out, "process.upstream-sockets", now.upstreamSockets(), then.upstreamSockets());
     note(out, "process.open-requests", now.openRequests(), then.openRequests());
     note(out, "process.body-memory-kib", now.bodyBytes(), then.bodyBytes());
-    if (!java.util.Objects.equals(first.journal(), next.journal())) {
+    if (!Objects.equals(first.journal(), next.journal())) {
       out.add("journal");
     }
     if (!first.peers().equals(next.peers())) {
@@ -284,7 +289,7 @@
   }
 
   private static void note(List<String> out, String key, Long now, Long then) {
-    if (!java.util.Objects.equals(now, then)) {
+    if (!Objects.equals(now, then)) {
       out.add(key);
     }
   }
@@ -296,21 +301,10 @@
     List<ServicePool> fresh = new ArrayList<>();
     Map<String, ServicePool> after = new LinkedHashMap<>();
     for (Operator.Pool spec : next.pools().values()) {
+      Settings settings = settingsOf(spec);
       ServicePool pool = pools.get(spec.name());
-      boolean keeps = pool != null
-          && sources.get(spec.source()) == before.get(spec.source())
-          && pool.spec().source().equals(spec.source())
-          && pool.spec().select().equals(spec.select())
-          && java.util.Objects.equals(pool.spec().rpc(), spec.rpc())
-          && pool.settings().equals(settingsOf(spec));
-      if (!keeps) {
-        pool = new ServicePool(
-            spec,
-            settingsOf(spec),
-            configuration.seed() + made++,
-            shared,
-            sources.get(spec.source()),
-            others -> others.forEach(ServicePool::retell));
+      if (pool == null || !sameUpstreams(pool, spec, before) || !retuned(pool, settings)) {
+        pool = newPool(spec, settings);
         fresh.add(pool);
       }
       pool.spec(spec);
@@ -319,7 +313,7 @@
     }
     List<RoomPlan.Part> socketParts =
         plan("sockets", rooms.upstreamSockets(), next, Operator.Pool::sockets);
-    pools.values().stream().filter(p -> !after.containsValue(p)).forEach(this::retire);
+    pools.values().stream().filter(p -> after.get(p.name()) != p).forEach(this::retire);
     pools.clear();
     pools.putAll(after);
     resize(next, socketParts);
@@ -330,6 +324,55 @@
     sources.keySet().removeIf(name -> !next.sources().containsKey(name));
   }
 
+  private boolean sameUpstreams(
+      ServicePool pool, Operator.Pool spec, Map<String, UpstreamSource> before) {
+    Operator.Pool was = pool.spec();
+    return sources.get(spec.source()) == before.get(spec.source())
+        && was.source().equals(spec.source())
+        && was.select().equals(spec.select())
+        && Objects.equals(was.rpc(), spec.rpc());
+  }
+
+  /** Has a pool work by other settings where its module can go on with them; false where it needs a new one. */
+  private static boolean retuned(ServicePool pool, Settings next) {
+    Settings now = pool.settings();
+    if (now.equals(next)) {
+      return true;
+    }
+    if (!withTenants(now, next.tenants()).equals(next)) {
+      return false;
+    }
+    pool.retune(next);
+    return true;
+  }
+
+  private static Settings withTenants(Settings s, List<Tenant> tenants) {
+    return new Settings(
+        s.me(),
+        s.groupSize(),
+        s.zone(),
+        s.classes(),
+        tenants,
+        s.limits(),
+        s.contract(),
+        s.prices(),
+        s.listOnRequest(),
+        s.weightKind(),
+        s.overShareWorth(),
+        s.warmKeys(),
+        s.tickNanos());
+  }
+
+  private ServicePool newPool(Operator.Pool spec, Settings settings) {
+    return new ServicePool(
+        spec,
+        settings,
+        configuration.seed() + made++,
+        shared,
+        sources.get(spec.source()),
+        others -> others.forEach(ServicePool::retell));
+  }
+
   /** Has tenants' quotas lent and borrowed between the members of the fleet from now on; null for even parts. */
   void lend(LentQuotas quotas) {
     lending = quotas;
