--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -126,7 +126,9 @@
       Operator first = delivered == null ? operator : delivered.first();
       node = new Node(configuration, first, () -> Runtime.getRuntime().halt(1));
       ExecutorService worker = Reload.newWorker();
-      Reload.onHangup(environment, operatorFile, node, delivered, worker);
+      Runnable operatorReading =
+          operatorFile == null ? null : Reload.operatorReading(operatorFile, node, delivered);
+      Reload.onHangup(environment, operatorReading, node, worker);
       node.start();
       if (delivered != null) {
         delivered.follow(node, worker);
--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/pumicekeel/node/Reload.java
@@ -35,14 +35,12 @@
    * event loop must not wait for them, and one alone, or an older reading could overtake a newer one. Signals that come
    * while one waits to be carried out are one with it.
    *
-   * @param operatorFile null where there is none
-   * @param delivered null where no control machines deliver
+   * @param operatorReading reads the operator file; null where there is none
    */
   static void onHangup(
       Map<String, String> environment,
-      Path operatorFile,
+      Runnable operatorReading,
       Node node,
-      DeliveredConfiguration delivered,
       ExecutorService reader) {
     AtomicBoolean waits = new AtomicBoolean();
     SignalHandler before = Signal.handle(new Signal("HUP"), signal -> {
@@ -50,8 +48,8 @@
         reader.execute(() -> {
           waits.set(false);
           read(environment, node);
-          if (operatorFile != null) {
-            readOperator(operatorFile, node, delivered);
+          if (operatorReading != null) {
+            operatorReading.run();
           }
         });
       }
@@ -70,6 +68,11 @@
     }
   }
 
+  /** What SIGHUP does with the operator file; {@code delivered} is null where no control machines deliver. */
+  static Runnable operatorReading(Path file, Node node, DeliveredConfiguration delivered) {
+    return () -> readOperator(file, node, delivered);
+  }
+
   /** The operator file counts until the control machines have delivered a version. */
   static void readOperator(Path file, Node node, DeliveredConfiguration delivered) {
     if (delivered != null && !delivered.inForce().equals(ConfigurationVersion.NONE)) {
--- a/src/test/java/pumicekeel/node/DeliveryProcessTest.java
+++ b/src/test/java/pumicekeel/node/DeliveryProcessTest.java
@@ -1,6 +1,7 @@
 package pumicekeel.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
@@ -44,6 +45,7 @@
       List<String> command = new ArrayList<>(List.of(
           Path.of(System.getProperty("java.home"), "bin", "java").toString(),
           "-XX:+UseSerialGC",
+          "-Xlog:class+load:file=" + folder.resolve("classes.log"),
           "-cp",
           System.getProperty("java.class.path"),
           "pumicekeel.cli.Main"));
@@ -126,4 +128,17 @@
     assertTrue(controlAgain.process.waitFor(GENEROUS_SECONDS, TimeUnit.SECONDS));
     assertEquals(0, controlAgain.process.exitValue());
   }
+
+  /** Delivery costs nothing where it is off: none of its classes is loaded. */
+  @Test
+  void balancerWithoutAFileLoadsNothingOfIt() throws Exception {
+    Files.writeString(folder.resolve("config.json"), TestNode.json(TestNode.nowhere(), 1));
+    Program balancer = new Program("serve");
+    balancer.await(" serves at ");
+    balancer.kill();
+    String loaded = Files.readString(folder.resolve("classes.log"));
+    assertTrue(loaded.contains("pumicekeel.node.Node "), "classes are told");
+    assertFalse(loaded.contains("pumicekeel.delivery."));
+    assertFalse(loaded.contains("pumicekeel.node.Delivered"));
+  }
 }
