--- a/src/main/java/pumicekeel/delivery/control/ControlServer.java
+++ b/src/main/java/pumicekeel/delivery/control/ControlServer.java
@@ -210,12 +210,22 @@
       Channel channel, DeliveryPaths.Publication publication, FullHttpRequest request) {
     byte[] body = io.netty.buffer.ByteBufUtil.getBytes(request.content());
     worker.execute(() -> {
-      PublishResult result = keeper.publish(publication, body);
+      PublishResult result = publishOrFail(publication, body);
       HttpResponseStatus status = HttpResponseStatus.valueOf(result.kind().status());
       on.loop().execute(() -> json(channel, status, StatusJson.of(result)));
     });
   }
 
+  /** A check that breaks on some text must not leave its writer without an answer. */
+  private PublishResult publishOrFail(DeliveryPaths.Publication publication, byte[] body) {
+    try {
+      return keeper.publish(publication, body);
+    } catch (RuntimeException e) {
+      Log.line("control machine: the check of a text broke: " + e);
+      return keeper.failed("the check of the text broke: " + e);
+    }
+  }
+
   private void json(Channel channel, HttpResponseStatus status, byte[] body) {
     FullHttpResponse response = ReplyFormat.response(status, body);
     response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
--- a/src/main/java/pumicekeel/delivery/control/VersionKeeper.java
+++ b/src/main/java/pumicekeel/delivery/control/VersionKeeper.java
@@ -89,6 +89,11 @@
     return result(Kind.KEPT, List.of());
   }
 
+  /** The result of a publish that broke off; nothing was kept. */
+  PublishResult failed(String why) {
+    return result(Kind.FAULTY, List.of(why));
+  }
+
   private PublishResult result(Kind kind, List<String> lines) {
     return new PublishResult(kind, current, lines);
   }
--- a/src/test/java/pumicekeel/delivery/control/ControlServerTest.java
+++ b/src/test/java/pumicekeel/delivery/control/ControlServerTest.java
@@ -55,11 +55,18 @@
   private ControlServer machine(String name, InetSocketAddress... peers) throws Exception {
     ControlServer server = ControlServer.start(
         new ControlServer.Settings(anyPort(), directory.resolve(name), List.of(peers)),
-        text -> text.contains("bad") ? List.of("1: bad: expected no such key") : List.of());
+        ControlServerTest::faults);
     open.add(server);
     return server;
   }
 
+  private static List<String> faults(String text) {
+    if (text.contains("broken")) {
+      throw new IllegalStateException("a defect of the check");
+    }
+    return text.contains("bad") ? List.of("1: bad: expected no such key") : List.of();
+  }
+
   private static ControlApi.Published publish(ControlServer to, long sequence, String text)
       throws Exception {
     return new ControlApi(to.address())
@@ -129,6 +136,7 @@
     assertFalse(faulty.accepted());
     assertEquals(List.of("1: bad: expected no such key"), faulty.lines());
     assertEquals("out_of_order", publish(machine, 7, TEXT).result());
+    assertTrue(publish(machine, 1, "broken").lines().get(0).contains("a defect of the check"));
     assertEquals(ConfigurationVersion.NONE, api.status().current());
   }
 
