--- a/src/main/java/pumicekeel/rig/scale/HollowFleet.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowFleet.java
@@ -141,10 +141,12 @@
         .sum();
   }
 
+  /** Ends all members and drops their state. */
   @Override
   public void close() {
     for (int i = 0; i < members.size(); i++) {
       kill(i);
     }
+    members.clear();
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/MembershipScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/MembershipScenario.java
@@ -73,19 +73,19 @@
       throws TimeoutException, InterruptedException, IOException {
     Map<String, Double> figures = new TreeMap<>();
     try (Loops loops = new Loops(size)) {
-      long heapBefore = ProcessMeter.heapAfterCollection();
       try (HollowFleet fleet = HollowFleet.start(loops, seed)) {
         long startedAt = System.nanoTime();
         deadline.await("every member knows every other", fleet::allKnown);
         figures.put("all-known-ms", (fleet.lastChangeAt() - startedAt) / 1e6);
         rest(loops, fleet, figures);
-        long heapAfter = ProcessMeter.heapAfterCollection();
-        figures.put("state-bytes", (double) (heapAfter - heapBefore) / size);
+        long heapWith = ProcessMeter.heapAfterCollection();
         int dead = (int) Math.floorMod(seed, (long) size);
         long diedAt = System.nanoTime();
         fleet.kill(dead);
         deadline.await("every member knows of the death", () -> fleet.allHoldDead(dead));
         figures.put("death-known-ms", (fleet.lastChangeAt() - diedAt) / 1e6);
+        fleet.close();
+        figures.put("state-bytes", (double) (heapWith - ProcessMeter.heapAfterCollection()) / size);
       }
     }
     return figures;
--- a/src/main/java/pumicekeel/rig/scale/Slope.java
+++ b/src/main/java/pumicekeel/rig/scale/Slope.java
@@ -18,6 +18,8 @@
  * @param curvatureSignificance the probability that chance alone makes such a squared term
  * @param largest the largest size that was measured
  * @param samples points that were fitted
+ * @param medians of the values at each size
+ * @param line what intervals of the line are made from
  */
 public record Slope(
     double perUnit,
--- a/src/test/java/pumicekeel/rig/scale/HollowScenariosTest.java
+++ b/src/test/java/pumicekeel/rig/scale/HollowScenariosTest.java
@@ -75,4 +75,14 @@
         figures.get("connections-per-request") > figures.get("one-connections-per-request"),
         figures::toString);
   }
+
+  @Test
+  void everySubscriberHasTheSnapshotAndEachChange() throws Exception {
+    Map<String, Double> figures =
+        new DeliveryScenario(2, Duration.ofMillis(200)).measure(3, SEED, later());
+    assertTrue(figures.get("snapshot-bytes") >= figures.get("text-bytes"), figures::toString);
+    assertTrue(figures.get("change-bytes") > 0, figures::toString);
+    assertTrue(figures.get("change-bytes") < figures.get("text-bytes"), figures::toString);
+    assertTrue(figures.get("change-p50-ms") <= figures.get("change-last-ms"), figures::toString);
+  }
 }
