--- a/src/main/java/pumicekeel/rig/scale/QuotaScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/QuotaScenario.java
@@ -77,7 +77,6 @@
   private Map<String, Double> measure(int tenants, long seed, Loops loops, HollowFleet fleet)
       throws InterruptedException {
     Map<String, Double> figures = new TreeMap<>();
-    long heapBefore = ProcessMeter.heapAfterCollection();
     double withoutQuotas = processorMicrosPerSecond(loops);
     List<HollowQuotas> quotas = new ArrayList<>();
     for (int i = 0; i < MEMBERS; i++) {
@@ -96,11 +95,18 @@
         (sum(loops.callAll(i -> quotas.get(i).sentDatagrams())) - datagrams) / seconds);
     figures.put(
         "bytes-per-s", (sum(loops.callAll(i -> quotas.get(i).sentBytes())) - bytes) / seconds);
-    figures.put(
-        "state-bytes", (double) (ProcessMeter.heapAfterCollection() - heapBefore) / MEMBERS);
+    figures.put("state-bytes", stateBytes(fleet, quotas) / MEMBERS);
     return figures;
   }
 
+  /** The heap with all books less the heap once they are dropped. */
+  private static double stateBytes(HollowFleet fleet, List<HollowQuotas> quotas) {
+    long with = ProcessMeter.heapAfterCollection();
+    fleet.carry(i -> null);
+    quotas.clear();
+    return with - ProcessMeter.heapAfterCollection();
+  }
+
   /** Of one member, while the rest passes. */
   private double processorMicrosPerSecond(Loops loops) throws InterruptedException {
     long before = loops.processorNanos();
