--- a/src/main/java/pumicekeel/config/OperatorFile.java
+++ b/src/main/java/pumicekeel/config/OperatorFile.java
@@ -21,6 +21,8 @@
 
   /** The largest known configuration takes 3.5 MB; reading a file takes some ten times its size of heap for a moment. */
   public static final int MOST_BYTES = 16 << 20;
+  /** Heap at the height of a reading, by the byte of the file: its bytes, its text, the library's tree and the plain one. */
+  private static final int HEAP_PER_BYTE = 14;
   /** Readings of a file that goes on changing. */
   private static final int TRIES = 3;
 
@@ -69,6 +71,7 @@
       if (channel.size() > MOST_BYTES) {
         throw new Unreadable("expected at most " + MOST_BYTES + " bytes, got " + channel.size());
       }
+      checkHeap(channel.size(), Runtime.getRuntime().maxMemory());
       while (bytes.hasRemaining() && channel.read(bytes) >= 0) {
         // The buffer is one byte longer than the file was: a full one shows that it grew.
       }
@@ -81,6 +84,19 @@
     return same ? decode(bytes.flip()) : null;
   }
 
+  /** Refuses a file that would end the process for want of memory while it is read. */
+  static void checkHeap(long fileBytes, long heapBytes) throws Unreadable {
+    long needed = fileBytes * HEAP_PER_BYTE;
+    if (needed > heapBytes) {
+      throw new Unreadable("expected a heap (-Xmx) of at least " + mebibytes(needed)
+          + " MiB to read a file of this size, got " + mebibytes(heapBytes));
+    }
+  }
+
+  private static long mebibytes(long bytes) {
+    return (bytes + (1 << 20) - 1) >> 20;
+  }
+
   private static String decode(ByteBuffer bytes) throws IOException {
     String text = StandardCharsets.UTF_8
         .newDecoder()
--- a/src/test/java/pumicekeel/config/OperatorFileTest.java
+++ b/src/test/java/pumicekeel/config/OperatorFileTest.java
@@ -43,6 +43,15 @@
     refused(file, "can be read");
   }
 
+  @Test
+  void fileThatTheHeapCannotReadIsRefusedInOneLine() throws IOException {
+    OperatorFile.checkHeap(4 << 20, 56L << 20);
+    OperatorFile.Unreadable e = assertThrows(
+        OperatorFile.Unreadable.class, () -> OperatorFile.checkHeap((4 << 20) + 1, 56L << 20));
+    assertTrue(e.getMessage().contains("at least 57 MiB"), e.getMessage());
+    assertTrue(e.getMessage().endsWith("got 56"), e.getMessage());
+  }
+
   /** A link that is swapped all the time between two good files: each reading is one of them, whole. */
   @Test
   void linkSwappedUnderTheReaderGivesOneFileOrTheOther() throws Exception {
