--- a/src/main/java/pumicekeel/config/OperatorFile.java
+++ b/src/main/java/pumicekeel/config/OperatorFile.java
@@ -88,15 +88,12 @@
   static void checkHeap(long fileBytes, long heapBytes) throws Unreadable {
     long needed = fileBytes * HEAP_PER_BYTE;
     if (needed > heapBytes) {
-      throw new Unreadable("expected a heap (-Xmx) of at least " + mebibytes(needed)
-          + " MiB to read a file of this size, got " + mebibytes(heapBytes));
+      // Rounded apart, so that the two never read as the same.
+      throw new Unreadable("expected a heap (-Xmx) of at least " + ((needed >> 20) + 1)
+          + " MiB to read a file of this size, got " + (heapBytes >> 20));
     }
   }
 
-  private static long mebibytes(long bytes) {
-    return (bytes + (1 << 20) - 1) >> 20;
-  }
-
   private static String decode(ByteBuffer bytes) throws IOException {
     String text = StandardCharsets.UTF_8
         .newDecoder()
