--- a/src/main/java/pumicekeel/delivery/client/ConfigurationSubscriber.java
+++ b/src/main/java/pumicekeel/delivery/client/ConfigurationSubscriber.java
@@ -131,12 +131,15 @@
     }
   }
 
-  /** A defect in the taker must not end the subscription. */
+  /** A defect in the taker, or a text that is too much for the memory, must not end the subscription. */
   private VersionTaker.Outcome outcomeOf(Candidate candidate) {
     try {
       return taker.take(candidate);
     } catch (RuntimeException e) {
       return new VersionTaker.Refused(e.toString());
+    } catch (Error e) {
+      Log.line("configuration: version " + candidate.version() + " could not be taken: " + e);
+      return new VersionTaker.Postponed(e.toString());
     }
   }
 
--- a/src/main/java/pumicekeel/delivery/control/ControlServer.java
+++ b/src/main/java/pumicekeel/delivery/control/ControlServer.java
@@ -220,7 +220,7 @@
   private PublishResult publishOrFail(DeliveryPaths.Publication publication, byte[] body) {
     try {
       return keeper.publish(publication, body);
-    } catch (RuntimeException e) {
+    } catch (RuntimeException | Error e) {
       Log.line("control machine: the check of a text broke: " + e);
       return keeper.failed("the check of the text broke: " + e);
     }
--- a/src/test/java/pumicekeel/delivery/control/ControlServerTest.java
+++ b/src/test/java/pumicekeel/delivery/control/ControlServerTest.java
@@ -62,7 +62,7 @@
 
   private static List<String> faults(String text) {
     if (text.contains("broken")) {
-      throw new IllegalStateException("a defect of the check");
+      throw new NoClassDefFoundError("a defect of the check");
     }
     return text.contains("bad") ? List.of("1: bad: expected no such key") : List.of();
   }
@@ -93,7 +93,11 @@
     @Override
     public Outcome take(Candidate candidate) {
       try {
-        held = candidate.text(held);
+        String text = candidate.text(held);
+        if (text.contains("too much")) {
+          throw new OutOfMemoryError("as a test makes it");
+        }
+        held = text;
         texts.add(held);
         return new InForce();
       } catch (ConfigurationDelta.Refused e) {
@@ -180,6 +184,26 @@
     assertEquals(ConfigurationVersion.of(1, 1, TEXT), replica.report().inForce());
   }
 
+  /** A text on which the taker ends with an error is tried again later; the subscription goes on. */
+  @Test
+  void errorOfTheTakerEndsNoSubscription() throws Exception {
+    ControlServer machine = machine("c0");
+    publish(machine, 1, TEXT);
+    Subscriber subscriber = new Subscriber("n0", machine);
+    subscriber.awaitText(TEXT);
+    ConfigurationVersion heavy = ConfigurationVersion.of(1, 2, TEXT + "# too much\n");
+    publish(machine, 2, TEXT + "# too much\n");
+    ControlApi api = new ControlApi(machine.address());
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GENEROUS_SECONDS);
+    while (!api.status().replicas().get(0).report().refused().equals(heavy)
+        && System.nanoTime() < end) {
+      Thread.sleep(5);
+    }
+    assertTrue(api.status().replicas().get(0).report().trouble().contains("OutOfMemoryError"));
+    publish(machine, 3, TEXT + "# less\n");
+    subscriber.awaitText(TEXT + "# less\n");
+  }
+
   private static String statusLine(ControlServer machine, String request) throws IOException {
     try (Socket socket =
         new Socket(machine.address().getAddress(), machine.address().getPort())) {
