--- a/src/test/java/pumicekeel/delivery/control/VirtualFleetTest.java
+++ b/src/test/java/pumicekeel/delivery/control/VirtualFleetTest.java
@@ -129,6 +129,20 @@
     assertTrue(taken > 50 && taken <= 199, "versions taken " + taken);
   }
 
+  /** One that stood still while more versions came than the machines keep as bases has the newest by a snapshot. */
+  @Test
+  void subscriberWhoseVersionIsNoBaseAnyMoreTakesTheNewestWhole() {
+    VirtualFleet fleet = fleet(2, 0, 19);
+    ConfigurationVersion last = ONE;
+    for (int sequence = 2; sequence <= 2 * ConfigurationHistory.MOST_VERSIONS; sequence++) {
+      last = fleet.publish(1, sequence, text(sequence));
+    }
+    fleet.replicas(1, ONE, FIRST);
+    fleet.runFor(5_000 * MS);
+    allHold(fleet, last);
+    assertEquals(List.of(last), fleet.replicas.get(0).taken);
+  }
+
   /** Lost and doubled replies, some of them late by a second and behind newer ones. */
   @Test
   void badNetworkBreaksNoOrder() {
