--- a/src/test/java/pumicekeel/cli/FleetCommandsTest.java
+++ b/src/test/java/pumicekeel/cli/FleetCommandsTest.java
@@ -87,7 +87,7 @@
     assertEquals(
         0,
         run("rig", "fleet", "--instances", "3", "--seconds", "10", "--per-second", "150"),
-        out.toString());
+        () -> out.toString() + err);
     assertTrue(out.toString().contains("rolling restart done"), out.toString());
   }
 }
