--- a/src/main/java/pumicekeel/rig/scale/CapacityPage.java
+++ b/src/main/java/pumicekeel/rig/scale/CapacityPage.java
@@ -15,6 +15,8 @@
  * `SCENARIO/FIGURE`}; the cells for slope, value at the target, growth, largest size and what is left of the budget are filled in.
  * A number in the text stands in front of {@code <!--SCENARIO/FIGURE@SIZE-->}, and is the median at that size.
  *
+ * <p>Only a straight line is followed beyond the largest size that was measured. A figure that does not grow has its mean at the target.
+ *
  * <p>Filling a page twice gives the same page, so one that was filled last from other results, or edited by hand, is told apart.
  */
 public final class CapacityPage {
@@ -88,8 +90,7 @@
 
   private void fill(String[] cells, String scenario, String figure) {
     List<Sample> samples = samples(scenario, figure);
-    long sizes = samples.stream().mapToInt(Sample::size).distinct().count();
-    if (sizes < Slope.LEAST_SIZES) {
+    if (!Slope.isFit(samples)) {
       cells[SLOPE_CELL] = EMPTY;
       cells[TARGET_CELL] = UNMEASURED;
       cells[GROWTH_CELL] = EMPTY;
@@ -100,12 +101,24 @@
     Unit unit = Unit.of(figure);
     Axis axis = samples.get(0).axis();
     Slope slope = Slope.of(samples, figure);
-    Slope.Projection target = slope.at(axis.target());
     cells[SLOPE_CELL] = slope(slope, unit, axis);
-    cells[TARGET_CELL] =
-        unit.shown(target.value()) + " ± " + Figures.shown(unit.of(target.error()));
     cells[GROWTH_CELL] = growth(slope);
-    cells[LARGEST_CELL] = largest(scenario, slope, unit, figure, axis);
+    cells[LARGEST_CELL] = largest(scenario, slope, unit, figure);
+    boolean projects = axis.target() > slope.largest();
+    if (projects && slope.isCurved()) {
+      cells[TARGET_CELL] = "no projection: curved";
+      cells[LEFT_CELL] = EMPTY;
+      return;
+    }
+    boolean grows = slope.shape() != Slope.Shape.CONSTANT;
+    Slope.Projection target = grows ? slope.at(axis.target()) : slope.mean();
+    String shown = unit.shown(target.value()) + " ± " + Figures.shown(unit.of(target.error()));
+    if (projects && !grows) {
+      cells[TARGET_CELL] = "no slope seen, mean " + shown;
+      cells[LEFT_CELL] = EMPTY;
+      return;
+    }
+    cells[TARGET_CELL] = shown;
     cells[LEFT_CELL] = left(cells[BUDGET_CELL], unit, target);
   }
 
@@ -133,7 +146,7 @@
   }
 
   /** The largest size that was measured with the median there, and from where on the program refuses. */
-  private String largest(String scenario, Slope slope, Unit unit, String figure, Axis axis) {
+  private String largest(String scenario, Slope slope, Unit unit, String figure) {
     Map<Integer, Double> medians = new TreeMap<>(slope.medians());
     String measured = String.format(Locale.ROOT, "%,d", slope.largest()) + ": "
         + unit.shown(medians.get(slope.largest()));
--- a/src/main/java/pumicekeel/rig/scale/Figures.java
+++ b/src/main/java/pumicekeel/rig/scale/Figures.java
@@ -8,6 +8,8 @@
 /** Numbers as people read them. */
 final class Figures {
 
+  private static final int MOST_DECIMALS = 12;
+
   private Figures() {}
 
   /** Three significant digits, without an exponent. */
@@ -19,7 +21,7 @@
     if (size >= 100) {
       return String.format(Locale.ROOT, "%,.0f", value);
     }
-    int decimals = (int) Math.min(6, 2 - Math.floor(Math.log10(size)));
+    int decimals = (int) Math.min(MOST_DECIMALS, 2 - Math.floor(Math.log10(size)));
     return String.format(Locale.ROOT, "%." + decimals + "f", value);
   }
 
--- a/src/main/java/pumicekeel/rig/scale/Slope.java
+++ b/src/main/java/pumicekeel/rig/scale/Slope.java
@@ -55,7 +55,13 @@
   private static final int LEAST_SAMPLES = 4;
 
   /** A second-degree curve goes through any three points. */
-  static final int LEAST_SIZES = 3;
+  private static final int LEAST_SIZES = 3;
+
+  /** Whether there are points enough, at sizes enough, for a line and a curve. */
+  static boolean isFit(List<Sample> samples) {
+    return samples.size() >= LEAST_SAMPLES
+        && samples.stream().mapToInt(Sample::size).distinct().count() >= LEAST_SIZES;
+  }
 
   /** Fits a figure of the samples of one scenario. */
   public static Slope of(List<Sample> samples, String figure) {
@@ -135,6 +141,16 @@
         : (sorted.get(middle - 1) + sorted.get(middle)) / 2;
   }
 
+  /** Whether a straight line does not describe the values. */
+  boolean isCurved() {
+    return shape == Shape.SUPERLINEAR || shape == Shape.SUBLINEAR;
+  }
+
+  /** The mean of all values, with its interval. */
+  public Projection mean() {
+    return at(line.meanSize());
+  }
+
   /** The line's value at a size, with the interval of its mean. */
   public Projection at(double size) {
     double distance = size - line.meanSize();
--- a/src/main/java/pumicekeel/rig/scale/SlopePlot.java
+++ b/src/main/java/pumicekeel/rig/scale/SlopePlot.java
@@ -48,13 +48,15 @@
   public static void writeAll(Path page, String text, ResultFile results) throws IOException {
     Matcher picture = PICTURE.matcher(text);
     while (picture.find()) {
+      List<Sample> samples = results.of(picture.group(3)).stream()
+          .filter(s -> s.figures().containsKey(picture.group(4)))
+          .toList();
+      if (!Slope.isFit(samples)) {
+        continue;
+      }
       double budget =
           picture.group(1) == null ? 0 : Double.parseDouble(picture.group(1).replace(",", ""));
-      write(
-          page.resolveSibling(picture.group(2)),
-          results.of(picture.group(3)),
-          picture.group(4),
-          budget);
+      write(page.resolveSibling(picture.group(2)), samples, picture.group(4), budget);
     }
   }
 
