--- a/src/test/java/pumicekeel/cli/RigScaleCommandTest.java
+++ b/src/test/java/pumicekeel/cli/RigScaleCommandTest.java
@@ -95,4 +95,30 @@
     assertEquals(0, run("--list"));
     assertTrue(out.toString().contains("membership (member): balancers [50, 150, 350, 590]"));
   }
+
+  @Test
+  void aPageIsFilledAndCheckedAgainstItsResults() throws Exception {
+    Path page = Files.writeString(
+        folder.resolve("page.md"),
+        "| file | `configuration-by-services/file-bytes` | | | | | | | |\n\n"
+            + "![plot](plots/configuration-by-services.file-bytes.png)\n");
+    assertEquals(
+        0,
+        run(
+            "--scenario",
+            "configuration-by-services",
+            "--sizes",
+            "2,5,8",
+            "--rounds",
+            "2",
+            "--result",
+            result()),
+        err::toString);
+    String[] check = {"page", page.toString(), "--result", result(), "--check"};
+    assertEquals(1, run(check));
+    assertEquals(0, run("page", page.toString(), "--result", result()), err::toString);
+    assertEquals(0, run(check));
+    assertTrue(Files.size(folder.resolve("plots/configuration-by-services.file-bytes.png")) > 0);
+    assertEquals(2, run("page", "none.md", "--result", result()));
+  }
 }
