--- a/src/main/java/pumicekeel/rig/FleetRig.java
+++ b/src/main/java/pumicekeel/rig/FleetRig.java
@@ -14,6 +14,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.demo.DemoSettings;
 import pumicekeel.demo.Verdict;
@@ -34,6 +35,10 @@
  */
 public final class FleetRig {
 
+  /** Where Linux begins to give ports to connections unless it is told otherwise (ip_local_port_range). */
+  private static final int EPHEMERAL_PORTS = 32_768;
+
+  private static final int LOWEST_PORT = 20_000;
   private static final int UPSTREAMS = 6;
   private static final long DELAY_MICROS = 3_000;
   private static final long GRACE_MILLIS = 2_000;
@@ -120,14 +125,16 @@
         + "\"settings\":" + DemoSettings.JSON + "}";
   }
 
-  /** A block of ports that are free now. */
+  /**
+   * A block of ports that are free now. Below those that the system gives to connections: between the look and an instance's start, a
+   * connection of any program on the machine may get one of them, and that instance can't listen.
+   */
   static int freePorts(int count) throws IOException {
     for (int tries = 0; tries < 200; tries++) {
       List<ServerSocket> held = new ArrayList<>();
       try {
-        held.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
-        int first = held.get(0).getLocalPort();
-        for (int i = 1; i < count; i++) {
+        int first = ThreadLocalRandom.current().nextInt(LOWEST_PORT, EPHEMERAL_PORTS - count);
+        for (int i = 0; i < count; i++) {
           held.add(new ServerSocket(first + i, 1, InetAddress.getLoopbackAddress()));
         }
         return first;
