--- a/src/main/java/pumicekeel/delivery/client/ControlApi.java
+++ b/src/main/java/pumicekeel/delivery/client/ControlApi.java
@@ -30,7 +30,9 @@
 
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
   /** A publish is answered after the whole text has been checked. */
-  private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(60);
+  private static final Duration PUBLISH_TIMEOUT = Duration.ofSeconds(60);
+  /** All else is answered at once; a machine that stands still must not hold the others up. */
+  private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(5);
   /** A machine that has all its snapshots under way is asked again this often. */
   private static final int MOST_BUSY_REPLIES = 10;
 
@@ -70,8 +72,9 @@
       throws IOException, InterruptedException {
     String target = DeliveryPaths.target(new DeliveryPaths.Publication(version, dryRun));
     byte[] body = text.getBytes(StandardCharsets.UTF_8);
-    HttpResponse<byte[]> response =
-        send(request(target).POST(HttpRequest.BodyPublishers.ofByteArray(body)));
+    HttpResponse<byte[]> response = send(request(target)
+        .timeout(PUBLISH_TIMEOUT)
+        .POST(HttpRequest.BodyPublishers.ofByteArray(body)));
     Fields fields = fields(response);
     List<String> lines = new ArrayList<>();
     ((List<?>) fields.values().get("lines")).forEach(l -> lines.add(String.valueOf(l)));
--- a/src/main/java/pumicekeel/delivery/client/ControlCluster.java
+++ b/src/main/java/pumicekeel/delivery/client/ControlCluster.java
@@ -94,7 +94,7 @@
           null, "epoch " + epoch + " is older than that of version " + newest, List.of());
     }
     ConfigurationVersion version = next(newest, epoch, text);
-    return new Publication(version, null, publish(version, dryRun, text));
+    return new Publication(version, null, publish(statuses, version, dryRun, text));
   }
 
   private static ConfigurationVersion next(ConfigurationVersion newest, long epoch, String text) {
@@ -103,10 +103,29 @@
     return same.equals(newest) ? same : new ConfigurationVersion(epoch, sequence + 1, same.hash());
   }
 
-  private List<Answer<ControlApi.Published>> publish(
-      ConfigurationVersion version, boolean dryRun, String text) throws InterruptedException {
-    List<Answer<ControlApi.Published>> answers =
-        ask(addresses, api -> api.publish(version, dryRun, text));
+  /** Publishes to the machines that have told their status; one that is silent would only be waited for once more. */
+  private static List<Answer<ControlApi.Published>> publish(
+      List<Answer<ControlApi.Status>> statuses,
+      ConfigurationVersion version,
+      boolean dryRun,
+      String text)
+      throws InterruptedException {
+    List<Answer<ControlApi.Published>> answers = new ArrayList<>(ask(
+        statuses.stream().filter(s -> s.value() != null).map(Answer::address).toList(),
+        api -> api.publish(version, dryRun, text)));
+    statuses.stream()
+        .filter(s -> s.value() == null)
+        .forEach(s -> answers.add(new Answer<>(s.address(), null, s.error())));
+    return catchUp(answers, version, dryRun, text);
+  }
+
+  private static List<Answer<ControlApi.Published>> catchUp(
+      List<Answer<ControlApi.Published>> first,
+      ConfigurationVersion version,
+      boolean dryRun,
+      String text)
+      throws InterruptedException {
+    List<Answer<ControlApi.Published>> answers = first;
     long end = System.nanoTime() + CATCH_UP_NANOS;
     while (answers.stream().anyMatch(a -> isCatchingUp(a, version)) && System.nanoTime() < end) {
       TimeUnit.MILLISECONDS.sleep(CATCH_UP_PERIOD_MILLIS);
@@ -124,7 +143,7 @@
         && version.isNewerThan(answer.value().current());
   }
 
-  private List<Answer<ControlApi.Published>> again(
+  private static List<Answer<ControlApi.Published>> again(
       List<Answer<ControlApi.Published>> answers,
       ConfigurationVersion version,
       boolean dryRun,
--- a/src/test/java/pumicekeel/cli/ConfigCommandsTest.java
+++ b/src/test/java/pumicekeel/cli/ConfigCommandsTest.java
@@ -9,6 +9,7 @@
 import java.io.PrintStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -106,6 +107,19 @@
     assertEquals(two, new ControlApi(machines.get(0).address()).status().current());
   }
 
+  /** A machine that accepts and says nothing, as one that is stopped does, is passed over within seconds. */
+  @Test
+  void silentMachineHoldsNobodyUp() throws Exception {
+    close(2);
+    try (ServerSocket silent = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
+      to = addresses() + ",127.0.0.1:" + silent.getLocalPort();
+      long began = System.nanoTime();
+      assertEquals(0, publish(GOOD, 1), err.toString());
+      assertTrue(System.nanoTime() - began < TimeUnit.SECONDS.toNanos(GENEROUS_SECONDS));
+      assertTrue(out.toString().contains("no answer: request timed out"), out.toString());
+    }
+  }
+
   @Test
   void writerOfAnOlderEpochIsRefusedAndADryRunChangesNothing() throws Exception {
     assertEquals(0, publish(GOOD, 2));
