--- a/src/main/java/pumicekeel/rig/FleetRig.java
+++ b/src/main/java/pumicekeel/rig/FleetRig.java
@@ -81,10 +81,6 @@
       int port = freePorts(instances);
       Path config = Files.writeString(
           folder.resolve("config.json"), configuration(discovery.address().getPort()));
-      List<String> command = new ArrayList<>(
-          List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-      command.addAll(flags);
-      command.addAll(List.of("-cp", System.getProperty("java.class.path"), "pumicekeel.cli.Main"));
       Path run = folder.resolve("run");
       daemon = new Daemon(
           new Settings(
@@ -94,7 +90,7 @@
               null,
               config,
               "rig",
-              command,
+              ProgramCommand.with(flags),
               Limits.of(1, 500 * MS)),
           line -> say(line));
       startedAt = System.nanoTime();
--- a/src/main/java/pumicekeel/rig/FleetThroughput.java
+++ b/src/main/java/pumicekeel/rig/FleetThroughput.java
@@ -92,10 +92,6 @@
     Path folder = Files.createTempDirectory("rig");
     int port = FleetRig.freePorts(instances);
     Path config = Files.writeString(folder.resolve("config.json"), configuration);
-    List<String> command = new ArrayList<>(
-        List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-    command.addAll(flags);
-    command.addAll(List.of("-cp", System.getProperty("java.class.path"), "pumicekeel.cli.Main"));
     Path run = folder.resolve("run");
     Daemon daemon = new Daemon(
         new Settings(
@@ -105,7 +101,7 @@
             null,
             config,
             "rig",
-            command,
+            ProgramCommand.with(flags),
             Limits.of(1, 500 * MS)),
         line -> {});
     try {
--- a/src/main/java/pumicekeel/rig/scale/ChildProcess.java
+++ b/src/main/java/pumicekeel/rig/scale/ChildProcess.java
@@ -13,6 +13,7 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
+import pumicekeel.rig.ProgramCommand;
 
 /** This program in a process of its own. It ends with this object, and with this process however that ends (Linux). */
 final class ChildProcess implements Closeable {
@@ -40,9 +41,7 @@
     if (Files.isExecutable(SET_PRIVILEGES)) {
       command.addAll(List.of(SET_PRIVILEGES.toString(), "--pdeathsig", "KILL"));
     }
-    command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(flags);
-    command.addAll(List.of("-cp", System.getProperty("java.class.path"), "pumicekeel.cli.Main"));
+    command.addAll(ProgramCommand.with(flags));
     command.addAll(arguments);
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
