--- a/src/main/java/pumicekeel/rig/scale/Scenarios.java
+++ b/src/main/java/pumicekeel/rig/scale/Scenarios.java
@@ -10,8 +10,10 @@
   /** Upstreams of the list that ever more balancers watch. */
   private static final int LISTED = 500;
 
-  /** Of the target's configuration: as much as the limits of pools allow. */
-  private static final int DELIVERED_PERCENT = 25;
+  /** Of the configuration that has to be carried, in percent: a part that earlier builds take too, and all of it. */
+  private static final int QUARTER = 25;
+
+  private static final int WHOLE = 100;
 
   private static final List<Scenario> ALL = List.of(
       new MembershipScenario(),
@@ -23,7 +25,8 @@
       new ConfigurationScenario(Axis.TENANTS),
       new ConfigurationScenario(Axis.UPSTREAMS),
       new ConfigurationScenario(Axis.PERCENT),
-      new DeliveryScenario(DELIVERED_PERCENT),
+      new DeliveryScenario(QUARTER),
+      new DeliveryScenario(WHOLE),
       new CheckScenario(),
       new ServeScenario(Axis.SERVICES),
       new ServeScenario(Axis.ROUTES),
