--- a/src/main/java/pumicekeel/rig/scale/SlopePlot.java
+++ b/src/main/java/pumicekeel/rig/scale/SlopePlot.java
@@ -19,7 +19,7 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** A figure by its size: each sample, the fitted line up to the target, and the interval of its mean. */
+/** A figure by its size: each sample, the fitted line, up to the target where it is straight, and the interval of its mean. */
 public final class SlopePlot {
 
   private static final int WIDTH = 640;
@@ -95,8 +95,10 @@
     XYSeries low = new XYSeries("95 % interval of the line");
     XYSeries high = new XYSeries("upper end");
     XYSeries most = new XYSeries("budget");
+    // Only a straight line is followed beyond what was measured.
+    double end = slope.shape() == Slope.Shape.LINEAR ? axis.target() : slope.largest();
     for (int i = 0; i <= STEPS; i++) {
-      double size = (double) axis.target() * i / STEPS;
+      double size = end * i / STEPS;
       Slope.Projection at = slope.at(size);
       line.add(size, unit.of(at.value()));
       low.add(size, unit.of(at.value() - at.error()));
