--- a/src/main/java/pumicekeel/rig/scale/ChildProcess.java
+++ b/src/main/java/pumicekeel/rig/scale/ChildProcess.java
@@ -97,8 +97,12 @@
           .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")) << 10)
           .findFirst()
           .orElse(0);
-    } catch (java.nio.file.NoSuchFileException e) {
-      return 0;
+    } catch (IOException e) {
+      // It ended before the file was opened, or while it was read.
+      if (!process.isAlive()) {
+        return 0;
+      }
+      throw e;
     }
   }
 
