--- a/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
+++ b/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
@@ -27,6 +27,8 @@
   private static final double IDLE_PART = 0.7;
 
   private static final int SWEEPS = 20;
+  /** However short the limit on idle connections is: a look walks all upstreams. */
+  private static final long SHORTEST_SWEEP_NANOS = 1_000_000;
   /** Large bodies pass in pieces, through hundreds of connections at once: what each may hold has to be little. */
   private static final int UNSENT_LOW = 8 << 10;
 
@@ -43,6 +45,7 @@
   private int perUpstream;
   private long idleNanos;
   private final Set<UpstreamPool> pools = new LinkedHashSet<>();
+  /** The next look for connections that have stood idle too long; null while none stands idle, so that a pool at rest costs nothing. */
   private Future<?> sweep;
 
   /** Connections with a room of their own. */
@@ -82,9 +85,20 @@
     this.idleNanos = (long) (idleNanos * IDLE_PART);
     if (sweep != null) {
       sweep.cancel(false);
+      sweepLater();
+    }
+  }
+
+  private void sweepLater() {
+    long period = Math.max(SHORTEST_SWEEP_NANOS, idleNanos / SWEEPS);
+    sweep = on.loop().schedule(this::closeOld, period, TimeUnit.NANOSECONDS);
+  }
+
+  /** A connection stands idle from now on. */
+  void becameIdle() {
+    if (sweep == null) {
+      sweepLater();
     }
-    long period = Math.max(1_000_000, this.idleNanos / SWEEPS);
-    sweep = on.loop().scheduleAtFixedRate(this::closeOld, period, period, TimeUnit.NANOSECONDS);
   }
 
   @Override
@@ -129,7 +143,9 @@
 
   @Override
   public void close() {
-    sweep.cancel(false);
+    if (sweep != null) {
+      sweep.cancel(false);
+    }
     List.copyOf(pools).forEach(UpstreamPool::close);
     sockets.remove(this);
     share.leave();
@@ -166,6 +182,10 @@
   private void closeOld() {
     long before = on.clock().now() - idleNanos;
     pools.forEach(p -> p.closeOlderThan(before));
+    sweep = null;
+    if (pools.stream().anyMatch(p -> p.oldest() != null)) {
+      sweepLater();
+    }
   }
 
   @Override
--- a/src/main/java/pumicekeel/upstream/http/UpstreamPool.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamPool.java
@@ -83,6 +83,7 @@
     }
     connection.idleSince = clock.now();
     idle.addFirst(connection);
+    all.becameIdle();
   }
 
   /** Forgets a connection that has ended. */
