--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -40,7 +40,7 @@
 import pumicekeel.discovery.HostList;
 import pumicekeel.discovery.ListCurrency;
 import pumicekeel.guard.Denial;
-import pumicekeel.guard.SendQuestion;
+import pumicekeel.guard.SendContext;
 import pumicekeel.guard.ServingGuard;
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.Log;
@@ -168,7 +168,7 @@
     if (table.putIfAbsent(request.id(), r) != null) {
       return false;
     }
-    if (!guard.mayTake(listOutdated(now))) {
+    if (!guard.mayAdmit(listOutdated(now))) {
       table.remove(request.id(), r);
       r.ended = true;
       if (!client.handOver(left)) {
@@ -457,7 +457,7 @@
     long now = clock.now();
     // None to one that is known to leave: its grace began when it was told, which may be long
     // before the list came here.
-    Denial denial = guard.denies(new SendQuestion(
+    Denial denial = guard.checkSend(new SendContext(
         r.request.id(),
         r.ended,
         r.ended || r.client.here(),
--- a/src/main/java/pumicekeel/guard/SendQuestion.java
+++ b/src/main/java/pumicekeel/guard/SendContext.java
@@ -13,13 +13,13 @@
  * @param clientLeftNanos what its client has left; Long.MAX_VALUE while its body comes
  * @param toldNanos what its upstream would be told
  */
-public record SendQuestion(
-    String id,
-    boolean ended,
-    boolean clientHere,
-    boolean upstreamLeaves,
+public record SendContext(
+    String requestId,
+    boolean requestEnded,
+    boolean clientConnected,
+    boolean upstreamLeaving,
     boolean listOutdated,
-    boolean harmless,
-    boolean attemptLeft,
-    long clientLeftNanos,
-    long toldNanos) {}
+    boolean repeatIsHarmless,
+    boolean withinAttemptLimit,
+    long clientRemainingNanos,
+    long announcedNanos) {}
--- a/src/main/java/pumicekeel/guard/ServingGuard.java
+++ b/src/main/java/pumicekeel/guard/ServingGuard.java
@@ -20,7 +20,7 @@
   private static final AtomicLong IN_PROCESS = new AtomicLong();
 
   private final Map<Denial, Long> denials = new EnumMap<>(Denial.class);
-  private final Map<Violation, Long> violations = new EnumMap<>(Violation.class);
+  private final Map<Violation, Long> violationCount = new EnumMap<>(Violation.class);
   private final Map<CloseReason, Long> closes = new EnumMap<>(CloseReason.class);
   private final Consumer<String> defects;
   private final Consumer<String> notes;
@@ -33,10 +33,10 @@
   }
 
   /** Whether an attempt may be sent now; null for yes, else why not. */
-  public Denial denies(SendQuestion question) {
+  public Denial checkSend(SendContext question) {
     Denial denial = denialOf(question);
-    if (denial == null && question.toldNanos() - question.clientLeftNanos() > TOLD_SLACK_NANOS) {
-      violated(Violation.TOLD_TOO_MUCH_TIME, question.id());
+    if (denial == null && question.announcedNanos() - question.clientRemainingNanos() > TOLD_SLACK_NANOS) {
+      reportViolation(Violation.TOLD_TOO_MUCH_TIME, question.requestId());
       denial = Denial.TIME_UP;
     }
     if (denial == null) {
@@ -47,30 +47,30 @@
     return denial;
   }
 
-  private static Denial denialOf(SendQuestion question) {
-    if (question.ended()) {
+  private static Denial denialOf(SendContext question) {
+    if (question.requestEnded()) {
       return Denial.REQUEST_ENDED;
     }
-    if (!question.attemptLeft()) {
+    if (!question.withinAttemptLimit()) {
       return Denial.ATTEMPTS_SPENT;
     }
-    if (question.upstreamLeaves()) {
+    if (question.upstreamLeaving()) {
       return Denial.UPSTREAM_LEAVES;
     }
     if (question.listOutdated()) {
       return Denial.LIST_OUTDATED;
     }
-    if (!question.harmless()) {
+    if (!question.repeatIsHarmless()) {
       return Denial.NOT_REPEATABLE;
     }
-    if (question.clientLeftNanos() <= 0) {
+    if (question.clientRemainingNanos() <= 0) {
       return Denial.TIME_UP;
     }
-    return question.clientHere() ? null : Denial.CLIENT_LEFT;
+    return question.clientConnected() ? null : Denial.CLIENT_LEFT;
   }
 
   /** Whether a request may be taken to be sent by a list of upstreams; where not, it is to be refused at once. */
-  public boolean mayTake(boolean listOutdated) {
+  public boolean mayAdmit(boolean listOutdated) {
     if (listOutdated) {
       denials.merge(Denial.LIST_OUTDATED, 1L, Long::sum);
     }
@@ -80,7 +80,7 @@
   /** Whether a request may be refused; where not, it is to be answered as failed. */
   public boolean mayRefuse(String id, boolean harmless) {
     if (!harmless) {
-      violated(Violation.REFUSAL_NOT_HARMLESS, id);
+      reportViolation(Violation.REFUSAL_NOT_HARMLESS, id);
     }
     return harmless;
   }
@@ -88,7 +88,7 @@
   /** Whether an answer may be written to a connection; {@code open} is the request that is taken there, null for none. */
   public boolean mayAnswer(String open) {
     if (open == null) {
-      violated(Violation.ANSWER_NOT_OWED, "unknown");
+      reportViolation(Violation.ANSWER_NOT_OWED, "unknown");
     }
     return open != null;
   }
@@ -96,7 +96,7 @@
   /** Whether a connection may be closed; {@code open} is the request that is taken there, null for none. */
   public boolean mayClose(CloseReason reason, String open) {
     if (open != null && !reason.endsRequest()) {
-      violated(Violation.CLOSE_UNDER_REQUEST, open + " " + reason);
+      reportViolation(Violation.CLOSE_UNDER_REQUEST, open + " " + reason);
       return false;
     }
     closes.merge(reason, 1L, Long::sum);
@@ -107,25 +107,25 @@
   }
 
   /** Something was done, or about to be done, that must never be. */
-  public void violated(Violation what, String detail) {
+  public void reportViolation(Violation what, String detail) {
     IN_PROCESS.incrementAndGet();
-    violations.merge(what, 1L, Long::sum);
+    violationCount.merge(what, 1L, Long::sum);
     defects.accept("rule violated: " + what + " " + detail);
   }
 
   /** How many there were. */
-  public long violations() {
-    return violations.values().stream().mapToLong(n -> n).sum();
+  public long violationCount() {
+    return violationCount.values().stream().mapToLong(n -> n).sum();
   }
 
   /** How many there were in this process, of all balancers. For any thread. */
-  public static long violationsInProcess() {
+  public static long violationCountInProcess() {
     return IN_PROCESS.get();
   }
 
   /** All counts in one line. */
-  public String line() {
-    return "violations " + violations() + text(violations) + "; sent " + sent + "; not sent"
+  public String summary() {
+    return "violations " + violationCount() + text(violationCount) + "; sent " + sent + "; not sent"
         + text(denials) + "; closed" + text(closes);
   }
 
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -110,7 +110,7 @@
         rotation,
         this::rotate,
         () -> peers == null ? null : peers.view(),
-        on.guard()::line,
+        on.guard()::summary,
         this::listLine);
     admin = new AdminEndpoint(on, line -> calls.answer(line, on.clock().now()));
     listeners = new Listeners(
--- a/src/test/java/pumicekeel/guard/NoViolations.java
+++ b/src/test/java/pumicekeel/guard/NoViolations.java
@@ -13,7 +13,7 @@
 
   @Override
   public void beforeEach(ExtensionContext test) {
-    before = ServingGuard.violationsInProcess();
+    before = ServingGuard.violationCountInProcess();
   }
 
   @Override
@@ -21,8 +21,8 @@
     boolean wanted =
         test.getTestClass().filter(c -> c == ServingGuardTest.class).isPresent();
     assertEquals(
-        wanted ? ServingGuard.violationsInProcess() : before,
-        ServingGuard.violationsInProcess(),
+        wanted ? ServingGuard.violationCountInProcess() : before,
+        ServingGuard.violationCountInProcess(),
         "violations that the guard counted");
   }
 }
--- a/src/test/java/pumicekeel/guard/ServingGuardTest.java
+++ b/src/test/java/pumicekeel/guard/ServingGuardTest.java
@@ -18,42 +18,42 @@
   private final List<String> notes = new ArrayList<>();
   private final ServingGuard guard = new ServingGuard(defects::add, notes::add);
 
-  private static SendQuestion question(
+  private static SendContext question(
       boolean ended, boolean here, boolean leaves, boolean harmless, boolean attempt, long left) {
-    return new SendQuestion("r1", ended, here, leaves, false, harmless, attempt, left, SECOND / 2);
+    return new SendContext("r1", ended, here, leaves, false, harmless, attempt, left, SECOND / 2);
   }
 
   @Test
   void eachReasonDeniesASendAndIsCounted() {
-    assertNull(guard.denies(question(false, true, false, true, true, SECOND)));
+    assertNull(guard.checkSend(question(false, true, false, true, true, SECOND)));
     assertEquals(
-        Denial.REQUEST_ENDED, guard.denies(question(true, true, false, true, true, SECOND)));
+        Denial.REQUEST_ENDED, guard.checkSend(question(true, true, false, true, true, SECOND)));
     assertEquals(
-        Denial.CLIENT_LEFT, guard.denies(question(false, false, false, true, true, SECOND)));
+        Denial.CLIENT_LEFT, guard.checkSend(question(false, false, false, true, true, SECOND)));
     assertEquals(
-        Denial.UPSTREAM_LEAVES, guard.denies(question(false, true, true, true, true, SECOND)));
+        Denial.UPSTREAM_LEAVES, guard.checkSend(question(false, true, true, true, true, SECOND)));
     assertEquals(
-        Denial.NOT_REPEATABLE, guard.denies(question(false, true, false, false, true, SECOND)));
+        Denial.NOT_REPEATABLE, guard.checkSend(question(false, true, false, false, true, SECOND)));
     assertEquals(
-        Denial.ATTEMPTS_SPENT, guard.denies(question(false, true, false, true, false, SECOND)));
-    assertEquals(Denial.TIME_UP, guard.denies(question(false, true, false, true, true, 0)));
+        Denial.ATTEMPTS_SPENT, guard.checkSend(question(false, true, false, true, false, SECOND)));
+    assertEquals(Denial.TIME_UP, guard.checkSend(question(false, true, false, true, true, 0)));
     assertEquals(
         Denial.LIST_OUTDATED,
-        guard.denies(new SendQuestion("r1", false, true, false, true, true, true, SECOND, SECOND)));
-    assertFalse(guard.mayTake(true));
-    assertTrue(guard.mayTake(false));
-    assertEquals(0, guard.violations());
+        guard.checkSend(new SendContext("r1", false, true, false, true, true, true, SECOND, SECOND)));
+    assertFalse(guard.mayAdmit(true));
+    assertTrue(guard.mayAdmit(false));
+    assertEquals(0, guard.violationCount());
     assertEquals(
         "violations 0; sent 1; not sent request_ended=1 client_left=1 upstream_leaves=1 list_outdated=2"
             + " not_repeatable=1 attempts_spent=1 time_up=1; closed",
-        guard.line());
+        guard.summary());
   }
 
   @Test
   void timeToldBeyondTheClientsIsAViolationAndNotSent() {
     assertEquals(
-        Denial.TIME_UP, guard.denies(question(false, true, false, true, true, SECOND / 4)));
-    assertEquals(1, guard.violations());
+        Denial.TIME_UP, guard.checkSend(question(false, true, false, true, true, SECOND / 4)));
+    assertEquals(1, guard.violationCount());
     assertEquals(List.of("rule violated: TOLD_TOO_MUCH_TIME r1"), defects);
   }
 
@@ -61,7 +61,7 @@
   void aConnectionIsNotClosedUnderARequestButByItsClientsOrItsAnswersEnd() {
     assertTrue(guard.mayClose(CloseReason.IDLE, null));
     assertTrue(guard.mayClose(CloseReason.CLIENT_LEFT, "r1"));
-    assertEquals(0, guard.violations());
+    assertEquals(0, guard.violationCount());
     assertEquals(List.of("request r1: its connection is closed, CLIENT_LEFT"), notes);
     assertFalse(guard.mayClose(CloseReason.GIVES_WAY, "r2"));
     assertEquals(List.of("rule violated: CLOSE_UNDER_REQUEST r2 GIVES_WAY"), defects);
@@ -73,6 +73,6 @@
     assertTrue(guard.mayAnswer("r1"));
     assertFalse(guard.mayRefuse("r1", false));
     assertFalse(guard.mayAnswer(null));
-    assertEquals(2, guard.violations());
+    assertEquals(2, guard.violationCount());
   }
 }
