--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -302,7 +302,7 @@
   // The list of upstreams
 
   public void news(HostList list) {
-    news(list.whole() ? ListKind.FULL : ListKind.DELTA, list);
+    news(list.snapshot() ? ListKind.FULL : ListKind.DELTA, list);
   }
 
   private void news(ListKind kind, HostList list) {
--- a/src/main/java/pumicekeel/discovery/DepartureExchange.java
+++ b/src/main/java/pumicekeel/discovery/DepartureExchange.java
@@ -54,7 +54,7 @@
   private record Word(long to, long at, long backAt) {}
 
   /** An upstream that serves again by others' word, which counts as told by now; it started then at the latest. */
-  public record Back(long id, long startedNanos) {}
+  public record ReturnedUpstream(long id, long startedNanos) {}
 
   /** The parts of a word of several datagrams that have come. */
   private record Parts(long from, long to, Set<Integer> came) {}
@@ -102,7 +102,7 @@
   }
 
   /** The list as it stands at the start has this version; others are asked at once what it has missed. */
-  void begin(long version) {
+  void start(long version) {
     index = version;
     covered = version;
     shared = version;
@@ -120,7 +120,7 @@
   }
 
   /** Whether an upstream left by others' word. */
-  boolean left(long id) {
+  boolean hasDeparted(long id) {
     return words.containsKey(id);
   }
 
@@ -128,7 +128,7 @@
    * The own list has come to a version, in which these have left, or were away, and these serve again, or for the first time; those whose
    * departure by others' word it covers.
    */
-  Set<Long> listed(long version, Set<Long> left, Set<Long> back, long now) {
+  Set<Long> listUpdated(long version, Set<Long> left, Set<Long> back, long now) {
     if (version < index) {
       // Another discovery's count: what was known of the one before says nothing of it.
       history.clear();
@@ -159,15 +159,15 @@
   }
 
   /** Those that serve again by others' word, now that this counts as told here; each once. */
-  public List<Back> back(long now) {
-    List<Back> back = new ArrayList<>();
+  public List<ReturnedUpstream> pollReturned(long now) {
+    List<ReturnedUpstream> back = new ArrayList<>();
     words.forEach((id, word) -> {
       if (word.backAt() != NEVER
-          && now - word.backAt() > ListCurrency.TOLD_NANOS + 2 * DELIVERY_NANOS) {
-        back.add(new Back(id, word.backAt()));
+          && now - word.backAt() > ListCurrency.CHANGE_NOTICE_NANOS + 2 * DELIVERY_NANOS) {
+        back.add(new ReturnedUpstream(id, word.backAt()));
       }
     });
-    for (Back one : back) {
+    for (ReturnedUpstream one : back) {
       words.remove(one.id());
       returned.put(one.id(), one.startedNanos());
     }
@@ -189,7 +189,7 @@
 
   private void asked(DepartureMessage message, long now) {
     heardAsks++;
-    currency.othersAsk(now);
+    currency.peerQueried(now);
     if (knows(now)) {
       answerFrom = answerAt == NEVER ? message.from() : Math.min(answerFrom, message.from());
       answerAt = Math.min(answerAt, now + pause(ANSWER_SPREAD_NANOS));
@@ -201,12 +201,12 @@
 
   /** Whether discovery itself was heard a moment ago. */
   private boolean knows(long now) {
-    return now - currency.heardAt() <= ASK_AGE_NANOS;
+    return now - currency.lastContactAt() <= ASK_AGE_NANOS;
   }
 
   private Set<Long> told(int from, DepartureMessage message, long now) {
     heardTells++;
-    currency.othersKnow(now);
+    currency.peerReported(now);
     Set<Long> fresh = new LinkedHashSet<>();
     if (message.to() > index && words.size() < MAX_WORDS) {
       for (DepartureMessage.Departure one : message.departures()) {
@@ -229,7 +229,7 @@
     }
     if (message.from() <= covered && message.to() >= covered) {
       covered = message.to();
-      currency.confirmed(now - TimeUnit.MILLISECONDS.toNanos(message.ageMillis()) - DELIVERY_NANOS);
+      currency.confirmedByPeer(now - TimeUnit.MILLISECONDS.toNanos(message.ageMillis()) - DELIVERY_NANOS);
     }
     return fresh;
   }
@@ -270,7 +270,7 @@
   }
 
   /** When {@link #tick} has something to send, at the latest. */
-  public long nextAt() {
+  public long nextTickAt() {
     long due = Math.min(tellAt, Math.min(answerAt, askAt));
     return askAt == NEVER ? Math.min(due, currency.asOf() + ASK_AGE_NANOS) : due;
   }
@@ -321,7 +321,7 @@
     List<DepartureMessage.Departure> departures = new ArrayList<>();
     changes.forEach((id, back) -> departures.add(new DepartureMessage.Departure(id, back)));
     int age = (int) Math.min(
-        Integer.MAX_VALUE, TimeUnit.NANOSECONDS.toMillis(Math.max(0, now - currency.heardAt())));
+        Integer.MAX_VALUE, TimeUnit.NANOSECONDS.toMillis(Math.max(0, now - currency.lastContactAt())));
     DepartureMessage.tell(from, index, age, departures).forEach(m -> out.add(m.bytes()));
     shared = Math.max(shared, index);
     tells++;
@@ -353,7 +353,7 @@
   }
 
   /** For operators: what was said and heard, a line. */
-  public String line() {
+  public String statusLine() {
     return "departures known to version " + covered + ", by others' word " + words.size()
         + ", words sent " + tells + " heard " + heardTells + ", questions sent " + asks + " heard "
         + heardAsks;
--- a/src/main/java/pumicekeel/discovery/Discovery.java
+++ b/src/main/java/pumicekeel/discovery/Discovery.java
@@ -92,7 +92,7 @@
   }
 
   /** Other settings: how a watch is kept from now on. */
-  public void retune(WatchTerms next, boolean followed) {
+  public void reconfigure(WatchTerms next, boolean followed) {
     terms = next;
     if (followed) {
       start();
@@ -158,7 +158,7 @@
   }
 
   private void logCurrency() {
-    String line = currency.changed(on.clock().now());
+    String line = currency.stateChangeLine(on.clock().now());
     if (line != null) {
       Log.line("discovery: list " + index + " " + line);
     }
@@ -209,10 +209,10 @@
   /** A call has failed. */
   private void failed(String why, CallFailure how, long waited) {
     long now = on.clock().now();
-    currency.failed(how, now);
+    currency.callFailed(how, now);
     long pause = terms.pushed()
         ? terms.reopenNanos()
-        : plan.pause(how, waited, currency.left(now), currency.knownByOthers());
+        : plan.pause(how, waited, currency.sendableNanosLeft(now), currency.isConfirmedByPeer());
     Log.caused("discovery: watch failed: " + why + ", " + how + " after "
         + TimeUnit.NANOSECONDS.toMillis(waited) + " ms; list " + index + " is "
         + TimeUnit.NANOSECONDS.toMillis(currency.age(now)) + " ms old, next call in "
@@ -226,8 +226,8 @@
 
   /** Something whole came on this call: it stays, others are not needed. */
   private void alive(WatchHandler call, long now) {
-    starts.heard(now);
-    currency.heard(now);
+    starts.discoveryResponded(now);
+    currency.markCurrent(now);
     cancelNext();
     for (WatchHandler other : List.copyOf(calls)) {
       if (other != call) {
@@ -353,7 +353,7 @@
     private void noteDate(HttpResponse head) {
       Date date = DateFormatter.parseHttpDate(head.headers().get(HttpHeaderNames.DATE, ""));
       if (date != null) {
-        starts.clocksRead(
+        starts.recordClockOffset(
             TimeUnit.MILLISECONDS.toNanos(date.getTime()), on.clock().now());
       }
     }
@@ -374,8 +374,8 @@
         }
         index = list.index();
         long now = on.clock().now();
-        starts.clocksRead(on.clock().wallNanos(), now);
-        news.accept(starts.byOwnClock(list, now));
+        starts.recordClockOffset(on.clock().wallNanos(), now);
+        news.accept(starts.toLocalClock(list, now));
       }
 
       @Override
--- a/src/main/java/pumicekeel/discovery/HostList.java
+++ b/src/main/java/pumicekeel/discovery/HostList.java
@@ -9,7 +9,7 @@
 import pumicekeel.runtime.Addresses;
 
 /** A list of upstreams in discovery's form, whole or only what changed. */
-public record HostList(long index, boolean whole, List<Host> hosts) {
+public record HostList(long index, boolean snapshot, List<Host> hosts) {
 
   private static final Map<String, State> STATUS =
       Map.of("in_service", State.READY, "terminating", State.DRAINING, "terminated", State.GONE);
@@ -23,7 +23,7 @@
     }
 
     /** The same with another line for the module. */
-    public Host as(Listed other) {
+    public Host withListed(Listed other) {
       return new Host(name, type, address, other);
     }
   }
--- a/src/main/java/pumicekeel/discovery/ListCurrency.java
+++ b/src/main/java/pumicekeel/discovery/ListCurrency.java
@@ -30,7 +30,7 @@
   }
 
   /** A change counts as told so long after discovery had it and could be reached. */
-  public static final long TOLD_NANOS = TimeUnit.SECONDS.toNanos(6);
+  public static final long CHANGE_NOTICE_NANOS = TimeUnit.SECONDS.toNanos(6);
   /** A process may be held up for so long between its clock and its write. */
   private static final long HELD_UP_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
   /** A heartbeat comes every 2 s. */
@@ -51,8 +51,8 @@
   private final boolean pushed;
   private long graceNanos;
   private long asOf;
-  private long heardAt = NEVER;
-  private boolean confirmed;
+  private long lastContactAt = NEVER;
+  private boolean confirmedByPeer;
   private State state = State.CURRENT;
   private long since;
   private int failuresInARow;
@@ -76,15 +76,15 @@
   }
 
   /** Another drain grace counts. */
-  public void grace(long nanos) {
+  public void setGrace(long nanos) {
     graceNanos = nanos;
   }
 
   /** A watch has told all that discovery had: a whole list, or a sign of life. */
-  public void heard(long now) {
+  public void markCurrent(long now) {
     asOf = Math.max(asOf, now);
-    confirmed = false;
-    heardAt = now;
+    confirmedByPeer = false;
+    lastContactAt = now;
     failuresInARow = 0;
     partialAnswerAt = NEVER;
     ignoredAt = NEVER;
@@ -92,13 +92,13 @@
   }
 
   /** Another balancer's word covers this list: who had left at that time is known. */
-  public void confirmed(long then) {
-    confirmed |= then > asOf;
+  public void confirmedByPeer(long then) {
+    confirmedByPeer |= then > asOf;
     asOf = Math.max(asOf, then);
   }
 
   /** A call has failed. */
-  public void failed(CallFailure how, long now) {
+  public void callFailed(CallFailure how, long now) {
     switch (how) {
       case UNREACHABLE -> failuresInARow++;
       case UNCONNECTED -> failuresInARow += FAILURES_OF_AN_OUTAGE / UNCONNECTED_OF_AN_OUTAGE;
@@ -111,12 +111,12 @@
   }
 
   /** Another balancer asks for who has left, since its list is old. */
-  public void othersAsk(long now) {
+  public void peerQueried(long now) {
     othersAskAt = now;
   }
 
   /** Another balancer has a current list, whether or not its word covers this one. */
-  public void othersKnow(long now) {
+  public void peerReported(long now) {
     othersKnowAt = now;
   }
 
@@ -126,13 +126,13 @@
   }
 
   /** Whether who has left is known by other balancers' words, later than by discovery's own. */
-  public boolean knownByOthers() {
-    return confirmed;
+  public boolean isConfirmedByPeer() {
+    return confirmedByPeer;
   }
 
   /** When discovery itself was last heard. */
-  public long heardAt() {
-    return heardAt;
+  public long lastContactAt() {
+    return lastContactAt;
   }
 
   /** The list's age in nanoseconds. */
@@ -142,17 +142,17 @@
 
   /** Until when requests may be sent by this list, unless discovery can't be reached. */
   public long sendableUntil() {
-    return asOf + TOLD_NANOS + graceNanos - 2 * HELD_UP_NANOS;
+    return asOf + CHANGE_NOTICE_NANOS + graceNanos - 2 * HELD_UP_NANOS;
   }
 
   /** What is left until then; under 0 where it is past. */
-  public long left(long now) {
+  public long sendableNanosLeft(long now) {
     return sendableUntil() - now;
   }
 
   /** Whether requests may be sent by this list. */
   public boolean sendable(long now) {
-    return left(now) > 0 || outage(now);
+    return sendableNanosLeft(now) > 0 || outage(now);
   }
 
   /** The state now; {@link #changed} tells of another one. */
@@ -160,14 +160,14 @@
     if (age(now) <= CURRENT_NANOS) {
       return State.CURRENT;
     }
-    if (left(now) > 0) {
+    if (sendableNanosLeft(now) > 0) {
       return State.AGING;
     }
     return outage(now) ? State.OUTAGE : State.OUTDATED;
   }
 
   /** A line for the log where the state is another than at the last call; else null. */
-  public String changed(long now) {
+  public String stateChangeLine(long now) {
     State next = state(now);
     if (next == state) {
       return null;
@@ -210,8 +210,8 @@
   }
 
   /** For operators: state and age, a line. */
-  public String line(long now) {
-    return state(now) + ", age " + millis(age(now)) + " ms, sendable for " + millis(left(now))
+  public String statusLine(long now) {
+    return state(now) + ", age " + millis(age(now)) + " ms, sendable for " + millis(sendableNanosLeft(now))
         + " ms, calls in a row that could not be made " + failuresInARow;
   }
 }
--- a/src/main/java/pumicekeel/discovery/StartTimes.java
+++ b/src/main/java/pumicekeel/discovery/StartTimes.java
@@ -38,10 +38,10 @@
   /** The balancer's clock less the wall clock, as it stood at some time: the newest comes last. */
   private final List<Long> offsets = new ArrayList<>();
   /** When a list or its heartbeat came last; 0 for never. */
-  private long heardAt;
+  private long lastContactAt;
 
   /** A reading of a wall clock, this machine's or one that an answer told, with the balancer's own at that moment. */
-  public void clocksRead(long wallNanos, long now) {
+  public void recordClockOffset(long wallNanos, long now) {
     long offset = now - wallNanos;
     if (offsets.stream().noneMatch(o -> Math.abs(o - offset) < SAME_NANOS)) {
       offsets.add(offset);
@@ -52,19 +52,19 @@
   }
 
   /** Something came from discovery: what it knew until now is known here. */
-  public void heard(long now) {
-    heardAt = now;
+  public void discoveryResponded(long now) {
+    lastContactAt = now;
   }
 
   /** The list with each upstream's start by the balancer's clock. */
-  public HostList byOwnClock(HostList list, long now) {
+  public HostList toLocalClock(HostList list, long now) {
     List<HostList.Host> hosts =
-        list.hosts().stream().map(h -> h.as(byOwnClock(h.listed(), now))).toList();
-    heardAt = now;
-    return new HostList(list.index(), list.whole(), hosts);
+        list.hosts().stream().map(h -> h.withListed(toLocalClock(h.listed(), now))).toList();
+    lastContactAt = now;
+    return new HostList(list.index(), list.snapshot(), hosts);
   }
 
-  private Listed byOwnClock(Listed listed, long now) {
+  private Listed toLocalClock(Listed listed, long now) {
     long since = listed.startedNanos();
     if (since == 0) {
       return listed;
@@ -92,10 +92,10 @@
         latest = Math.max(latest, Math.min(started, now));
       }
     }
-    if (latest == Long.MIN_VALUE || heardAt != 0 && latest < heardAt - TOLD_LATE_NANOS) {
+    if (latest == Long.MIN_VALUE || lastContactAt != 0 && latest < lastContactAt - TOLD_LATE_NANOS) {
       // Still to come by every clock, or long before the list that did not have it: it began just
       // now.
-      clocksRead(since, now);
+      recordClockOffset(since, now);
       return now;
     }
     return latest;
--- a/src/main/java/pumicekeel/discovery/UpstreamSource.java
+++ b/src/main/java/pumicekeel/discovery/UpstreamSource.java
@@ -21,21 +21,21 @@
 public final class UpstreamSource {
 
   /** One who is told of the list. */
-  public interface Follower {
-    void news(HostList list);
+  public interface Observer {
+    void listChanged(HostList list);
   }
 
   /** Two readings of one start may differ by what clocks are read with. */
   private static final long SAME_START_NANOS = 1_000_000_000L;
 
-  private final Set<Follower> followers = new LinkedHashSet<>();
+  private final Set<Observer> followers = new LinkedHashSet<>();
   private final Map<Long, HostList.Host> hosts = new LinkedHashMap<>();
   private final Clock clock;
   private final ListCurrency currency;
   private Discovery discovery;
   private DepartureExchange exchange;
   private long index;
-  private long failures;
+  private long failureCount;
   /** Whether a discovery has told of the list since the start, or the list is fixed. */
   private boolean told;
 
@@ -91,13 +91,13 @@
   }
 
   /** Shares with other balancers who has left, from now on. */
-  public void exchange(DepartureExchange with) {
+  public void shareDepartures(DepartureExchange with) {
     exchange = with;
-    with.begin(index);
+    with.start(index);
   }
 
   /** Follows the list from now on; the list as it stands. */
-  public HostList follow(Follower follower) {
+  public HostList addObserver(Observer follower) {
     followers.add(follower);
     if (discovery != null) {
       discovery.start();
@@ -106,7 +106,7 @@
   }
 
   /** Follows no more; with the last follower the watch ends. */
-  public void unfollow(Follower follower) {
+  public void removeObserver(Observer follower) {
     followers.remove(follower);
     if (followers.isEmpty() && discovery != null) {
       discovery.watch(false);
@@ -116,12 +116,12 @@
   }
 
   /** A follower wants news: one that asks while the watch is on, or of a fixed list, gets the whole list at once. */
-  public void watch(Follower follower, boolean on) {
+  public void watch(Observer follower, boolean on) {
     if (!on) {
       return;
     }
     if (told) {
-      follower.news(whole());
+      follower.listChanged(whole());
     }
     if (discovery != null) {
       discovery.watch(true);
@@ -134,10 +134,10 @@
   }
 
   /** Other settings; with nobody who follows it, the watch waits for one. */
-  public void retune(WatchTerms terms, long graceNanos) {
+  public void reconfigure(WatchTerms terms, long graceNanos) {
     if (discovery != null) {
-      currency.grace(graceNanos);
-      discovery.retune(terms, !followers.isEmpty());
+      currency.setGrace(graceNanos);
+      discovery.reconfigure(terms, !followers.isEmpty());
     }
   }
 
@@ -147,7 +147,7 @@
   }
 
   /** Other balancers have a newer word of who left: those of them that still serve by this list are told as draining. */
-  public void othersSay(Set<Long> left) {
+  public void markDeparted(Set<Long> left) {
     List<HostList.Host> leaving = left.stream()
         .map(hosts::get)
         .filter(host -> host != null && host.listed().state() == State.READY)
@@ -161,9 +161,9 @@
   }
 
   /** These serve again by other balancers' word, cold: as if they had started when that was told first. */
-  public void othersSayBack(List<DepartureExchange.Back> back) {
+  public void markReturned(List<DepartureExchange.ReturnedUpstream> back) {
     List<HostList.Host> serving = new ArrayList<>();
-    for (DepartureExchange.Back one : back) {
+    for (DepartureExchange.ReturnedUpstream one : back) {
       HostList.Host host = hosts.get(one.id());
       if (host != null && host.listed().state() == State.READY) {
         HostList.Host cold = startedAt(host, one.startedNanos());
@@ -180,18 +180,18 @@
 
   private static HostList.Host startedAt(HostList.Host host, long startedNanos) {
     Listed l = host.listed();
-    return host.as(
+    return host.withListed(
         new Listed(l.upstream(), l.zone(), l.cell(), l.state(), startedNanos, l.weight()));
   }
 
   private void failed() {
     told = false;
-    failures++;
+    failureCount++;
   }
 
   /** Calls to discovery that failed so far. */
-  public long failures() {
-    return failures;
+  public long failureCount() {
+    return failureCount;
   }
 
   private HostList whole() {
@@ -207,38 +207,38 @@
       tell(list);
       return;
     }
-    Set<Long> served = exchange.listed(list.index(), left, back, clock.now());
+    Set<Long> served = exchange.listUpdated(list.index(), left, back, clock.now());
     List<HostList.Host> seen =
         new ArrayList<>(list.hosts().stream().map(this::seen).toList());
-    if (!list.whole()) {
+    if (!list.snapshot()) {
       // The list has come to where others' word was, and says nothing of these: they have not left.
       served.stream()
           .map(hosts::get)
           .filter(host -> host != null && !list.hosts().contains(host))
           .forEach(seen::add);
     }
-    tell(new HostList(list.index(), list.whole(), seen));
+    tell(new HostList(list.index(), list.snapshot(), seen));
   }
 
   private void tell(HostList list) {
-    List.copyOf(followers).forEach(f -> f.news(list));
+    List.copyOf(followers).forEach(f -> f.listChanged(list));
   }
 
   /** As followers are to see it. */
   private HostList.Host seen(HostList.Host host) {
-    boolean left = exchange != null && exchange.left(host.listed().upstream());
+    boolean left = exchange != null && exchange.hasDeparted(host.listed().upstream());
     return left && host.listed().state() == State.READY ? draining(host) : host;
   }
 
   private static HostList.Host draining(HostList.Host host) {
     Listed l = host.listed();
-    return host.as(
+    return host.withListed(
         new Listed(l.upstream(), l.zone(), l.cell(), State.DRAINING, l.startedNanos(), l.weight()));
   }
 
   /** Takes a list in; adds those that have left, or have been away, since the one before, and those that serve since. */
   private void merge(HostList list, Set<Long> left, Set<Long> back) {
-    Set<Long> absent = list.whole() ? new LinkedHashSet<>(hosts.keySet()) : new LinkedHashSet<>();
+    Set<Long> absent = list.snapshot() ? new LinkedHashSet<>(hosts.keySet()) : new LinkedHashSet<>();
     for (HostList.Host host : list.hosts()) {
       long id = host.listed().upstream();
       HostList.Host before = hosts.get(id);
--- a/src/main/java/pumicekeel/discovery/WatchCall.java
+++ b/src/main/java/pumicekeel/discovery/WatchCall.java
@@ -84,7 +84,7 @@
 
   /** From when on another call is made beside this one. */
   long stalledAt() {
-    if (!terms.overlaps()) {
+    if (!terms.overlapsCalls()) {
       return Long.MAX_VALUE;
     }
     return switch (phase) {
@@ -99,14 +99,14 @@
   long endsAt() {
     return switch (phase) {
       case CONNECTING -> begunAt + terms.connectNanos();
-      case WAITING -> phaseAt + terms.patienceNanos();
+      case WAITING -> phaseAt + terms.giveUpNanos();
       case RECEIVING -> receivingEndsAt();
       case LIVE -> progressAt + terms.silenceNanos();
     };
   }
 
   private long receivingEndsAt() {
-    if (terms.overlaps()) {
+    if (terms.overlapsCalls()) {
       return Math.min(progressAt + 2 * terms.progressNanos(), phaseAt + terms.silenceNanos());
     }
     return told ? wholeAt + terms.silenceNanos() : connectedAt + terms.answerNanos();
--- a/src/main/java/pumicekeel/discovery/WatchTerms.java
+++ b/src/main/java/pumicekeel/discovery/WatchTerms.java
@@ -23,10 +23,10 @@
  */
 public record WatchTerms(
     boolean pushed,
-    boolean overlaps,
+    boolean overlapsCalls,
     int connectMillis,
     int answerMillis,
-    int patienceMillis,
+    int giveUpMillis,
     int progressMillis,
     int quietMillis,
     int silenceMillis,
@@ -96,8 +96,8 @@
     return answerMillis * NANOS_PER_MILLI;
   }
 
-  long patienceNanos() {
-    return patienceMillis * NANOS_PER_MILLI;
+  long giveUpNanos() {
+    return giveUpMillis * NANOS_PER_MILLI;
   }
 
   long progressNanos() {
--- a/src/main/java/pumicekeel/node/DepartureSharing.java
+++ b/src/main/java/pumicekeel/node/DepartureSharing.java
@@ -56,7 +56,7 @@
     }
     source = of;
     exchange = new DepartureExchange(of.currency(), size, seed);
-    source.exchange(exchange);
+    source.shareDepartures(exchange);
     peers.open();
     next();
   }
@@ -67,7 +67,7 @@
     }
     Set<Long> left = exchange.receive(from, bytes, clock.now());
     if (!left.isEmpty()) {
-      source.othersSay(left);
+      source.markDeparted(left);
     }
     next();
   }
@@ -75,7 +75,7 @@
   /** One timer, for whatever is due next; a flood of datagrams does not put it off. */
   private void next() {
     long now = clock.now();
-    long due = Math.max(SHORTEST_TICK_NANOS, exchange.nextAt() - now);
+    long due = Math.max(SHORTEST_TICK_NANOS, exchange.nextTickAt() - now);
     long at = now + Math.min(LONGEST_TICK_NANOS, due);
     if (timer != null && !timer.isDone()) {
       if (tickAt <= at) {
@@ -94,14 +94,14 @@
     }
     if (peers.isOpen()) {
       peers.send(exchange.tick(clock.now()));
-      source.othersSayBack(exchange.back(clock.now()));
+      source.markReturned(exchange.pollReturned(clock.now()));
     }
     next();
   }
 
   /** For operators. */
   String line() {
-    return exchange == null ? "" : "; " + exchange.line();
+    return exchange == null ? "" : "; " + exchange.statusLine();
   }
 
   @Override
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -316,7 +316,7 @@
     UpstreamSource source = serving.platformSource();
     return source == null || source.currency() == null
         ? null
-        : source.currency().line(on.clock().now()) + ", calls failed " + source.failures()
+        : source.currency().statusLine(on.clock().now()) + ", calls failed " + source.failureCount()
             + (departures == null ? "" : departures.line());
   }
 
--- a/src/main/java/pumicekeel/node/OnePool.java
+++ b/src/main/java/pumicekeel/node/OnePool.java
@@ -14,7 +14,7 @@
 import pumicekeel.upstream.http.ConnectionPool;
 
 /** A node without an operator file: one module, one list, one pool of connections. */
-final class OnePool implements Serving, UpstreamSource.Follower {
+final class OnePool implements Serving, UpstreamSource.Observer {
 
   private final ConnectionPool connections;
   private final BalancerCore core;
@@ -53,11 +53,11 @@
 
   @Override
   public void start() {
-    core.start(source.follow(this), on -> source.watch(this, on));
+    core.start(source.addObserver(this), on -> source.watch(this, on));
   }
 
   @Override
-  public void news(HostList list) {
+  public void listChanged(HostList list) {
     core.news(list);
   }
 
@@ -75,7 +75,7 @@
   @Override
   public void reload(Configuration next) {
     source.moveTo(next.discovery());
-    source.retune(WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos());
+    source.reconfigure(WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos());
     connections.tune(
         next.settings().limits().connectTimeoutNanos(),
         next.settings().limits().connectionIdleNanos());
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -35,7 +35,7 @@
  * One pool of an operator file at work: a module instance of its own with its list, its connections and its part of the
  * room. Its name, its source and what it selects there say whose memory of keyed requests its upstreams are.
  */
-final class ServicePool implements UpstreamSource.Follower {
+final class ServicePool implements UpstreamSource.Observer {
 
   /** Requests that wait for their turn, each an open one of some connection: the room for those is the bound. */
   private static final int MOST_WAITING = 1 << 16;
@@ -194,18 +194,18 @@
   // The list
 
   void start() {
-    HostList known = take(source.follow(this));
+    HostList known = take(source.addObserver(this));
     core.start(known, on -> source.watch(this, on));
   }
 
   @Override
-  public void news(HostList list) {
+  public void listChanged(HostList list) {
     core.news(take(list));
   }
 
   /** Ends the pool: nothing is open any more. */
   void close() {
-    source.unfollow(this);
+    source.removeObserver(this);
     connections.close();
     open.leave();
     body.leave();
@@ -224,11 +224,11 @@
       HostList.Host before = hosts.get(host.listed().upstream());
       if (spec.select().takes(host)) {
         mine.add(host);
-      } else if (before != null && !list.whole()) {
+      } else if (before != null && !list.snapshot()) {
         mine.add(gone(before));
       }
     }
-    if (list.whole()) {
+    if (list.snapshot()) {
       List<Long> named = mine.stream().map(h -> h.listed().upstream()).toList();
       Set<Long> absent = new LinkedHashSet<>(hosts.keySet());
       absent.removeAll(Set.copyOf(named));
@@ -236,14 +236,14 @@
     }
     mine.forEach(h -> enter(h, others));
     HostList seen =
-        new HostList(list.index(), list.whole(), mine.stream().map(this::seen).toList());
+        new HostList(list.index(), list.snapshot(), mine.stream().map(this::seen).toList());
     changed.accept(others);
     return seen;
   }
 
   private static HostList.Host gone(HostList.Host host) {
     Listed l = host.listed();
-    return host.as(
+    return host.withListed(
         new Listed(l.upstream(), l.zone(), l.cell(), State.GONE, l.startedNanos(), l.weight()));
   }
 
@@ -266,7 +266,7 @@
   }
 
   private HostList.Host seen(HostList.Host host) {
-    return host.as(shared.upstreams().seenBy(this, host.address(), host.listed()));
+    return host.withListed(shared.upstreams().seenBy(this, host.address(), host.listed()));
   }
 
   /** Tells the module again of what listens at these addresses, after another pool's news of them. */
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -259,7 +259,7 @@
     sources
         .values()
         .forEach(s ->
-            s.retune(WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos()));
+            s.reconfigure(WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos()));
     UpstreamSource source = sources.get(Operator.PLATFORM);
     if (source != null) {
       source.moveTo(platformDiscovery);
--- a/src/main/java/pumicekeel/rig/scale/ListWatcher.java
+++ b/src/main/java/pumicekeel/rig/scale/ListWatcher.java
@@ -11,7 +11,7 @@
 import pumicekeel.runtime.Sockets;
 
 /** A hollow balancer's watch on a list of upstreams. Only on its loop. */
-final class ListWatcher implements UpstreamSource.Follower {
+final class ListWatcher implements UpstreamSource.Observer {
 
   private static final long GRACE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
@@ -24,12 +24,12 @@
     Reactor reactor = new Reactor(loop, new pumicekeel.runtime.Clock(), sockets);
     source = UpstreamSource.watched(
         reactor, discovery, new HostList(0, true, List.of()), terms, GRACE_NANOS, loop.hashCode());
-    source.follow(this);
+    source.addObserver(this);
     source.watch(this, true);
   }
 
   @Override
-  public void news(HostList list) {
+  public void listChanged(HostList list) {
     index = list.index();
     toldAt = System.nanoTime();
   }
@@ -46,10 +46,10 @@
 
   /** Watches that failed. */
   long failures() {
-    return source.failures();
+    return source.failureCount();
   }
 
   void close() {
-    source.unfollow(this);
+    source.removeObserver(this);
   }
 }
--- a/src/test/java/pumicekeel/discovery/DepartureExchangeTest.java
+++ b/src/test/java/pumicekeel/discovery/DepartureExchangeTest.java
@@ -29,7 +29,7 @@
     private Member(int size, long version, long seed) {
       currency = new ListCurrency(false, 2_000 * MS, 0);
       exchange = new DepartureExchange(currency, size, seed);
-      exchange.begin(version);
+      exchange.start(version);
     }
   }
 
@@ -58,7 +58,7 @@
   private void until(long end, int... hearDiscovery) {
     for (; now < end; now += TICK) {
       for (int i : hearDiscovery) {
-        members.get(i).currency.heard(now);
+        members.get(i).currency.markCurrent(now);
       }
       while (!flights.isEmpty() && flights.peek().at() <= now) {
         Flight flight = flights.poll();
@@ -100,11 +100,11 @@
       loss = 0.3;
       until(3_000 * MS, first(30));
       for (int i = 0; i < 30; i++) {
-        members.get(i).exchange.listed(9, Set.of(S1), Set.of(), now);
+        members.get(i).exchange.listUpdated(9, Set.of(S1), Set.of(), now);
       }
       until(6_000 * MS, first(30));
       for (int i = 30; i < 100; i++) {
-        assertTrue(members.get(i).exchange.left(S1), "member " + i + ", seed " + seed);
+        assertTrue(members.get(i).exchange.hasDeparted(S1), "member " + i + ", seed " + seed);
         assertTrue(members.get(i).currency.age(now) < 3_500 * MS, "member " + i + ", seed " + seed);
       }
     }
@@ -115,13 +115,13 @@
     for (long seed = 1; seed <= 50; seed++) {
       fleet(3, 8, seed);
       loss = 0;
-      members.get(0).currency.heard(0);
-      members.get(0).exchange.listed(9, Set.of(S1), Set.of(), now);
+      members.get(0).currency.markCurrent(0);
+      members.get(0).exchange.listUpdated(9, Set.of(S1), Set.of(), now);
       until(5_000 * MS, 0);
       members.set(2, new Member(3, 8, seed));
-      members.get(2).currency.confirmed(now);
+      members.get(2).currency.confirmedByPeer(now);
       until(6_000 * MS, 0);
-      assertTrue(members.get(2).exchange.left(S1), "seed " + seed);
+      assertTrue(members.get(2).exchange.hasDeparted(S1), "seed " + seed);
     }
   }
 
@@ -133,7 +133,7 @@
       until(1_000 * MS, first(size));
       sent = 0;
       for (int i = 0; i < size; i++) {
-        members.get(i).exchange.listed(9, Set.of(S1), Set.of(), now);
+        members.get(i).exchange.listUpdated(9, Set.of(S1), Set.of(), now);
       }
       until(5_000 * MS, first(size));
       assertTrue(sent <= 20, "sent " + sent + " of " + size);
@@ -148,28 +148,28 @@
   void upstreamIsBackByOthersWordOnceItsReturnCountsAsToldAndNotBefore() {
     fleet(2, 8, 1);
     loss = 0;
-    members.get(0).currency.heard(0);
-    members.get(0).exchange.listed(9, Set.of(S1), Set.of(), now);
+    members.get(0).currency.markCurrent(0);
+    members.get(0).exchange.listUpdated(9, Set.of(S1), Set.of(), now);
     until(2_000 * MS, 0);
     long returned = now;
-    members.get(0).exchange.listed(13, Set.of(), Set.of(S1), now);
+    members.get(0).exchange.listUpdated(13, Set.of(), Set.of(S1), now);
     Member other = members.get(1);
-    List<DepartureExchange.Back> back = List.of();
+    List<DepartureExchange.ReturnedUpstream> back = List.of();
     while (back.isEmpty() && now < 20_000 * MS) {
       until(now + TICK, 0);
-      back = other.exchange.back(now);
-      assertTrue(!back.isEmpty() || other.exchange.left(S1), "away until then");
+      back = other.exchange.pollReturned(now);
+      assertTrue(!back.isEmpty() || other.exchange.hasDeparted(S1), "away until then");
     }
     assertEquals(S1, back.get(0).id());
     assertTrue(now - returned >= 6_000 * MS, "back after " + (now - returned) / MS + " ms");
     assertTrue(now - returned <= 6_500 * MS, "back after " + (now - returned) / MS + " ms");
     assertTrue(Math.abs(back.get(0).startedNanos() - returned) <= 100 * MS, "and cold");
-    assertFalse(other.exchange.left(S1));
+    assertFalse(other.exchange.hasDeparted(S1));
     int millis = (int) ((now - returned) / MS);
     for (DepartureMessage again :
         DepartureMessage.tell(8, 13, 0, List.of(new DepartureMessage.Departure(S1, millis)))) {
       assertEquals(Set.of(), other.exchange.receive(0, again.bytes(), now));
-      assertFalse(other.exchange.left(S1), "the same word again takes nobody away");
+      assertFalse(other.exchange.hasDeparted(S1), "the same word again takes nobody away");
     }
   }
 
@@ -177,21 +177,21 @@
   void ownListThatIsOlderThanTheWordBringsNobodyBack() {
     fleet(2, 8, 1);
     loss = 0;
-    members.get(0).currency.heard(0);
-    members.get(0).exchange.listed(9, Set.of(S1), Set.of(), now);
+    members.get(0).currency.markCurrent(0);
+    members.get(0).exchange.listUpdated(9, Set.of(S1), Set.of(), now);
     until(2_000 * MS, 0);
-    members.get(0).exchange.listed(13, Set.of(), Set.of(), now);
+    members.get(0).exchange.listUpdated(13, Set.of(), Set.of(), now);
     until(4_000 * MS, 0);
     Member other = members.get(1);
-    assertTrue(other.exchange.left(S1));
-    other.currency.heard(now);
+    assertTrue(other.exchange.hasDeparted(S1));
+    other.currency.markCurrent(now);
     assertEquals(
         Set.of(),
-        other.exchange.listed(8, Set.of(), Set.of(), now),
+        other.exchange.listUpdated(8, Set.of(), Set.of(), now),
         "an older list says nothing of it");
-    assertTrue(other.exchange.left(S1));
-    assertEquals(Set.of(S1), other.exchange.listed(13, Set.of(), Set.of(), now));
-    assertFalse(other.exchange.left(S1));
+    assertTrue(other.exchange.hasDeparted(S1));
+    assertEquals(Set.of(S1), other.exchange.listUpdated(13, Set.of(), Set.of(), now));
+    assertFalse(other.exchange.hasDeparted(S1));
   }
 
   @Test
--- a/src/test/java/pumicekeel/discovery/ListCurrencyTest.java
+++ b/src/test/java/pumicekeel/discovery/ListCurrencyTest.java
@@ -20,7 +20,7 @@
 
   private void failed(int times, CallFailure how, long at) {
     for (int i = 0; i < times; i++) {
-      currency.failed(how, at);
+      currency.callFailed(how, at);
     }
   }
 
@@ -31,7 +31,7 @@
     assertTrue(currency.sendable(LAST_SEND - 1));
     assertFalse(currency.sendable(LAST_SEND));
     assertEquals(State.OUTDATED, currency.state(LAST_SEND));
-    currency.heard(9_000 * MS);
+    currency.markCurrent(9_000 * MS);
     assertTrue(currency.sendable(9_000 * MS + LAST_SEND - 1));
   }
 
@@ -42,7 +42,7 @@
     failed(1, CallFailure.UNREACHABLE, 5_000 * MS);
     assertEquals(State.OUTAGE, currency.state(LAST_SEND));
     assertTrue(currency.sendable(30_000 * MS));
-    currency.failed(CallFailure.CUT, 30_000 * MS);
+    currency.callFailed(CallFailure.CUT, 30_000 * MS);
     assertFalse(currency.sendable(30_000 * MS), "discovery has answered in part");
   }
 
@@ -56,11 +56,11 @@
 
   @Test
   void watchThatDiscoveryEndedIsAnOutageForAWhileUnlessCallsAreIgnored() {
-    currency.failed(CallFailure.ENDED, 0);
+    currency.callFailed(CallFailure.ENDED, 0);
     failed(4, CallFailure.TURNED_AWAY_LATE, 8_000 * MS);
     assertEquals(State.OUTAGE, currency.state(19_999 * MS));
     assertEquals(State.OUTDATED, currency.state(20_000 * MS));
-    currency.failed(CallFailure.IGNORED, 12_000 * MS);
+    currency.callFailed(CallFailure.IGNORED, 12_000 * MS);
     assertEquals(State.OUTDATED, currency.state(12_000 * MS));
   }
 
@@ -73,11 +73,11 @@
 
   @Test
   void otherBalancersThatAskInVainMeanAnOutageAndOneThatKnowsMeansNone() {
-    currency.othersAsk(8_000 * MS);
+    currency.peerQueried(8_000 * MS);
     assertEquals(State.OUTAGE, currency.state(8_000 * MS));
-    currency.othersKnow(9_000 * MS);
+    currency.peerReported(9_000 * MS);
     assertEquals(State.OUTDATED, currency.state(9_000 * MS));
-    currency.confirmed(8_900 * MS);
+    currency.confirmedByPeer(8_900 * MS);
     assertEquals(State.CURRENT, currency.state(9_000 * MS));
   }
 
@@ -88,9 +88,9 @@
 
   @Test
   void eachChangeOfStateIsOneLine() {
-    assertNull(currency.changed(1_000 * MS));
-    assertNotNull(currency.changed(4_000 * MS));
-    assertNull(currency.changed(5_000 * MS));
-    assertTrue(currency.changed(8_000 * MS).contains("OUTDATED"));
+    assertNull(currency.stateChangeLine(1_000 * MS));
+    assertNotNull(currency.stateChangeLine(4_000 * MS));
+    assertNull(currency.stateChangeLine(5_000 * MS));
+    assertTrue(currency.stateChangeLine(8_000 * MS).contains("OUTDATED"));
   }
 }
--- a/src/test/java/pumicekeel/discovery/StartTimesTest.java
+++ b/src/test/java/pumicekeel/discovery/StartTimesTest.java
@@ -27,7 +27,7 @@
 
   private long startOf(long upstream, long sinceNanos) {
     return starts
-        .byOwnClock(list(upstream, sinceNanos), now)
+        .toLocalClock(list(upstream, sinceNanos), now)
         .hosts()
         .get(0)
         .listed()
@@ -36,24 +36,24 @@
 
   @Test
   void withoutAStepAStartIsWhatTheListSays() {
-    starts.clocksRead(now, now);
+    starts.recordClockOffset(now, now);
     assertEquals(now - 5 * SECOND, startOf(1, now - 5 * SECOND));
     assertEquals(0, startOf(2, 0), "long ago");
     assertEquals(now - 2 * HOUR, new StartTimesTest().first(now - 2 * HOUR), "on the first list");
   }
 
   private long first(long sinceNanos) {
-    starts.clocksRead(now, now);
+    starts.recordClockOffset(now, now);
     return startOf(1, sinceNanos);
   }
 
   @Test
   void aStepWhileTheProcessRunsMakesNoColdUpstreamWarm() {
-    starts.clocksRead(now, now);
+    starts.recordClockOffset(now, now);
     startOf(1, now - 5 * SECOND);
     for (long step : new long[] {HOUR, -HOUR, 7 * SECOND, -7 * SECOND}) {
       now += 30 * SECOND;
-      starts.clocksRead(now + step, now);
+      starts.recordClockOffset(now + step, now);
       long started = startOf(100 + step, now + step - SECOND);
       assertTrue(
           started >= now - SECOND && started <= now,
@@ -64,10 +64,10 @@
 
   @Test
   void aWallClockThatWasWrongFromTheBeginningIsFoundByTheFirstStart() {
-    starts.clocksRead(now + HOUR, now);
+    starts.recordClockOffset(now + HOUR, now);
     startOf(1, 0);
     now += 10 * SECOND;
-    starts.clocksRead(now + HOUR, now);
+    starts.recordClockOffset(now + HOUR, now);
     assertEquals(now, startOf(2, now), "an hour old by a clock that is an hour ahead");
     now += SECOND;
     long next = startOf(3, now - SECOND / 2);
@@ -76,24 +76,24 @@
 
   @Test
   void aStartThatIsStillToComeIsNow() {
-    starts.clocksRead(now - HOUR, now);
+    starts.recordClockOffset(now - HOUR, now);
     assertEquals(now, startOf(1, now));
   }
 
   @Test
   void discoverysOwnDateCountsFromTheFirstListOn() {
-    starts.clocksRead(now + HOUR, now);
-    starts.clocksRead(now - SECOND / 2, now);
+    starts.recordClockOffset(now + HOUR, now);
+    starts.recordClockOffset(now - SECOND / 2, now);
     long started = startOf(1, now - 2 * SECOND);
     assertTrue(started >= now - 3 * SECOND, "started " + (now - started) + " ns ago");
   }
 
   @Test
   void anOutageOfDiscoveryMakesNoOldStartANewOne() {
-    starts.clocksRead(now, now);
+    starts.recordClockOffset(now, now);
     startOf(1, 0);
     now += 50 * SECOND;
-    starts.clocksRead(now, now);
+    starts.recordClockOffset(now, now);
     assertEquals(now - 40 * SECOND, startOf(2, now - 40 * SECOND));
   }
 }
