--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -227,7 +227,7 @@
     r.deadline = now + left;
     r.clientUntil = now + r.request.leftNanos();
     r.guard = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
-    r.attempts.stream().filter(UpstreamAttempt::out).forEach(a -> a.bodyCame(left, loop));
+    r.attempts.stream().filter(UpstreamAttempt::inFlight).forEach(a -> a.bodyReceived(left, loop));
     tell(new RequestCame(r.request.id(), r.deadline));
   }
 
@@ -306,13 +306,13 @@
   }
 
   private void news(ListKind kind, HostList list) {
-    upstreams.news(kind != ListKind.DELTA, list.hosts());
+    upstreams.applyList(kind != ListKind.DELTA, list.hosts());
     tell(new ListNews(kind, list.hosts().stream().map(HostList.Host::listed).toList()));
   }
 
   /** How many upstreams are ready, as the list tells. */
   public int ready() {
-    return upstreams.ready();
+    return upstreams.readyCount();
   }
 
   /** Whether no request is open and no attempt is out. */
@@ -378,7 +378,7 @@
     // Out of the table first: what takes it over may come back here with the same id.
     boolean untouched = !r.mayHaveRun()
         && (r.request.upload() == null || !r.request.upload().spent())
-        && r.attempts.stream().noneMatch(UpstreamAttempt::out);
+        && r.attempts.stream().noneMatch(UpstreamAttempt::inFlight);
     end(r);
     if (untouched) {
       table.remove(a.id(), r);
@@ -402,19 +402,19 @@
     }
     UpstreamAttempt attempt = upstream
         .link()
-        .attempt(r.attempts.size(), a.upstream(), clock.now(), new UpstreamAttempt.Ending() {
+        .attempt(r.attempts.size(), a.upstream(), clock.now(), new UpstreamAttempt.Observer() {
           @Override
           public void ended(UpstreamAttempt ended, Status status, Answer answer) {
-            upstreams.ended(upstream);
+            upstreams.attemptEnded(upstream);
             BalancerCore.this.ended(r, ended, status, answer);
           }
 
           @Override
-          public BodySink begins(UpstreamAttempt begun, AnswerStart start, Flow source) {
+          public BodySink answerStarted(UpstreamAttempt begun, AnswerStart start, Flow source) {
             return BalancerCore.this.begins(r, begun, start, source);
           }
         });
-    upstreams.started(upstream);
+    upstreams.attemptStarted(upstream);
     // Checked where the attempt's first byte goes out, which may be a connect later than the
     // decision.
     boolean counts =
@@ -424,13 +424,13 @@
       start(a, r, attempt, upstream, counts);
       return;
     }
-    attempt.whenWritten(() -> r.log.written(r.request, attempt.number));
+    attempt.onWritten(() -> r.log.written(r.request, attempt.number));
     r.log.before(
         r.request,
         attempt.number,
         upstream.host(),
         () -> {
-          if (attempt.out()) {
+          if (attempt.inFlight()) {
             start(a, r, attempt, upstream, counts);
           }
         },
@@ -461,12 +461,12 @@
         r.request.id(),
         r.ended,
         r.ended || r.client.here(),
-        upstream.leaves(),
+        upstream.leaving(),
         listOutdated(now),
         r.repeatIsHarmless(now),
         counts,
         r.coming() ? Long.MAX_VALUE : r.clientUntil - now,
-        attempt.leftNanos()));
+        attempt.remainingNanos()));
     if (denial != null) {
       Log.caused("request " + r.request.id() + ": attempt " + attempt.number + " not sent, "
           + denial + listAge(now));
--- a/src/main/java/pumicekeel/core/OpenRequest.java
+++ b/src/main/java/pumicekeel/core/OpenRequest.java
@@ -50,7 +50,7 @@
   }
 
   public boolean over() {
-    return ended && attempts.stream().noneMatch(UpstreamAttempt::out);
+    return ended && attempts.stream().noneMatch(UpstreamAttempt::inFlight);
   }
 
   /** Its body still comes: its time has not begun. */
--- a/src/main/java/pumicekeel/discovery/DepartureExchange.java
+++ b/src/main/java/pumicekeel/discovery/DepartureExchange.java
@@ -229,7 +229,8 @@
     }
     if (message.from() <= covered && message.to() >= covered) {
       covered = message.to();
-      currency.confirmedByPeer(now - TimeUnit.MILLISECONDS.toNanos(message.ageMillis()) - DELIVERY_NANOS);
+      currency.confirmedByPeer(
+          now - TimeUnit.MILLISECONDS.toNanos(message.ageMillis()) - DELIVERY_NANOS);
     }
     return fresh;
   }
@@ -321,7 +322,8 @@
     List<DepartureMessage.Departure> departures = new ArrayList<>();
     changes.forEach((id, back) -> departures.add(new DepartureMessage.Departure(id, back)));
     int age = (int) Math.min(
-        Integer.MAX_VALUE, TimeUnit.NANOSECONDS.toMillis(Math.max(0, now - currency.lastContactAt())));
+        Integer.MAX_VALUE,
+        TimeUnit.NANOSECONDS.toMillis(Math.max(0, now - currency.lastContactAt())));
     DepartureMessage.tell(from, index, age, departures).forEach(m -> out.add(m.bytes()));
     shared = Math.max(shared, index);
     tells++;
--- a/src/main/java/pumicekeel/discovery/ListCurrency.java
+++ b/src/main/java/pumicekeel/discovery/ListCurrency.java
@@ -155,7 +155,7 @@
     return sendableNanosLeft(now) > 0 || outage(now);
   }
 
-  /** The state now; {@link #changed} tells of another one. */
+  /** The state now; {@link #stateChangeLine} tells of another one. */
   public State state(long now) {
     if (age(now) <= CURRENT_NANOS) {
       return State.CURRENT;
@@ -211,7 +211,8 @@
 
   /** For operators: state and age, a line. */
   public String statusLine(long now) {
-    return state(now) + ", age " + millis(age(now)) + " ms, sendable for " + millis(sendableNanosLeft(now))
-        + " ms, calls in a row that could not be made " + failuresInARow;
+    return state(now) + ", age " + millis(age(now)) + " ms, sendable for "
+        + millis(sendableNanosLeft(now)) + " ms, calls in a row that could not be made "
+        + failuresInARow;
   }
 }
--- a/src/main/java/pumicekeel/discovery/StartTimes.java
+++ b/src/main/java/pumicekeel/discovery/StartTimes.java
@@ -58,8 +58,9 @@
 
   /** The list with each upstream's start by the balancer's clock. */
   public HostList toLocalClock(HostList list, long now) {
-    List<HostList.Host> hosts =
-        list.hosts().stream().map(h -> h.withListed(toLocalClock(h.listed(), now))).toList();
+    List<HostList.Host> hosts = list.hosts().stream()
+        .map(h -> h.withListed(toLocalClock(h.listed(), now)))
+        .toList();
     lastContactAt = now;
     return new HostList(list.index(), list.snapshot(), hosts);
   }
@@ -92,7 +93,8 @@
         latest = Math.max(latest, Math.min(started, now));
       }
     }
-    if (latest == Long.MIN_VALUE || lastContactAt != 0 && latest < lastContactAt - TOLD_LATE_NANOS) {
+    if (latest == Long.MIN_VALUE
+        || lastContactAt != 0 && latest < lastContactAt - TOLD_LATE_NANOS) {
       // Still to come by every clock, or long before the list that did not have it: it began just
       // now.
       recordClockOffset(since, now);
--- a/src/main/java/pumicekeel/discovery/UpstreamSource.java
+++ b/src/main/java/pumicekeel/discovery/UpstreamSource.java
@@ -238,7 +238,8 @@
 
   /** Takes a list in; adds those that have left, or have been away, since the one before, and those that serve since. */
   private void merge(HostList list, Set<Long> left, Set<Long> back) {
-    Set<Long> absent = list.snapshot() ? new LinkedHashSet<>(hosts.keySet()) : new LinkedHashSet<>();
+    Set<Long> absent =
+        list.snapshot() ? new LinkedHashSet<>(hosts.keySet()) : new LinkedHashSet<>();
     for (HostList.Host host : list.hosts()) {
       long id = host.listed().upstream();
       HostList.Host before = hosts.get(id);
--- a/src/main/java/pumicekeel/front/admin/AdminEndpoint.java
+++ b/src/main/java/pumicekeel/front/admin/AdminEndpoint.java
@@ -24,7 +24,7 @@
 public final class AdminEndpoint {
 
   /** Callers that say nothing stay for some seconds; beyond so many the oldest gives way. */
-  static final int MOST = 32;
+  static final int MAX_CONNECTIONS = 32;
 
   private static final int BACKLOG = 128;
   /** After a failed accept: long enough for descriptors to come back, short for an operator. */
@@ -62,7 +62,8 @@
     }
     listener = bootstrap
         .childOption(
-            ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(AdminHandler.MOST_LINE))
+            ChannelOption.RECVBUF_ALLOCATOR,
+            new FixedRecvByteBufAllocator(AdminHandler.MAX_LINE_BYTES))
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
@@ -79,7 +80,7 @@
   private void opened(Channel channel) {
     open.add(channel);
     channel.closeFuture().addListener(closed -> open.remove(channel));
-    if (open.size() > MOST) {
+    if (open.size() > MAX_CONNECTIONS) {
       open.iterator().next().close();
     }
   }
--- a/src/main/java/pumicekeel/front/admin/AdminHandler.java
+++ b/src/main/java/pumicekeel/front/admin/AdminHandler.java
@@ -15,7 +15,7 @@
 final class AdminHandler extends SimpleChannelInboundHandler<ByteBuf> {
 
   /** Calls are words; more is none. */
-  static final int MOST_LINE = 256;
+  static final int MAX_LINE_BYTES = 256;
   /** A caller that has not said all by then gets its NO. */
   private static final long LINE_MILLIS = 5_000;
 
@@ -42,8 +42,8 @@
     if (over) {
       return;
     }
-    if (line.length() + length > MOST_LINE) {
-      answer(ctx, "NO the call is too long: expected at most " + MOST_LINE + " bytes");
+    if (line.length() + length > MAX_LINE_BYTES) {
+      answer(ctx, "NO the call is too long: expected at most " + MAX_LINE_BYTES + " bytes");
       return;
     }
     line.append(bytes.toString(bytes.readerIndex(), length, StandardCharsets.US_ASCII));
--- a/src/main/java/pumicekeel/guard/ServingGuard.java
+++ b/src/main/java/pumicekeel/guard/ServingGuard.java
@@ -35,7 +35,8 @@
   /** Whether an attempt may be sent now; null for yes, else why not. */
   public Denial checkSend(SendContext question) {
     Denial denial = denialOf(question);
-    if (denial == null && question.announcedNanos() - question.clientRemainingNanos() > TOLD_SLACK_NANOS) {
+    if (denial == null
+        && question.announcedNanos() - question.clientRemainingNanos() > TOLD_SLACK_NANOS) {
       reportViolation(Violation.TOLD_TOO_MUCH_TIME, question.requestId());
       denial = Denial.TIME_UP;
     }
--- a/src/main/java/pumicekeel/node/OnePool.java
+++ b/src/main/java/pumicekeel/node/OnePool.java
@@ -75,8 +75,9 @@
   @Override
   public void reload(Configuration next) {
     source.moveTo(next.discovery());
-    source.reconfigure(WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos());
-    connections.tune(
+    source.reconfigure(
+        WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos());
+    connections.setTimeouts(
         next.settings().limits().connectTimeoutNanos(),
         next.settings().limits().connectionIdleNanos());
     core.retune(next.settings());
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -142,7 +142,8 @@
 
   /** Takes over what the platform's settings have otherwise from now on. */
   void retune(Settings next) {
-    connections.tune(next.limits().connectTimeoutNanos(), next.limits().connectionIdleNanos());
+    connections.setTimeouts(
+        next.limits().connectTimeoutNanos(), next.limits().connectionIdleNanos());
     core.retune(next);
   }
 
@@ -235,8 +236,8 @@
       absent.forEach(id -> enter(gone(hosts.get(id)), others));
     }
     mine.forEach(h -> enter(h, others));
-    HostList seen =
-        new HostList(list.index(), list.snapshot(), mine.stream().map(this::seen).toList());
+    HostList seen = new HostList(
+        list.index(), list.snapshot(), mine.stream().map(this::seen).toList());
     changed.accept(others);
     return seen;
   }
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -258,8 +258,8 @@
     platformDiscovery = next.discovery();
     sources
         .values()
-        .forEach(s ->
-            s.reconfigure(WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos()));
+        .forEach(s -> s.reconfigure(
+            WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos()));
     UpstreamSource source = sources.get(Operator.PLATFORM);
     if (source != null) {
       source.moveTo(platformDiscovery);
--- a/src/main/java/pumicekeel/upstream/SocketUser.java
+++ b/src/main/java/pumicekeel/upstream/SocketUser.java
@@ -9,11 +9,11 @@
   Shares.Owner share();
 
   /** The most connections to one address at which this one still opens another; 0 for no cap. */
-  int perUpstream();
+  int maxPerAddress();
 
   /** Closes the connection to this address that has been idle longest; false where none is idle. */
   boolean closeIdleAt(InetSocketAddress address);
 
   /** Closes the connection that has been idle longest; false where none is idle. */
-  boolean closeOldest();
+  boolean closeLongestIdle();
 }
--- a/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
@@ -16,11 +16,11 @@
 public abstract class UpstreamAttempt {
 
   /** Told how the attempt ended; the answer is null where none came whole. */
-  public interface Ending {
+  public interface Observer {
     void ended(UpstreamAttempt attempt, Status status, Answer answer);
 
     /** Asked when an answer begins that is not kept: where its pieces go, null for nowhere. The end is told as ever. */
-    default BodySink begins(UpstreamAttempt attempt, AnswerStart start, Flow source) {
+    default BodySink answerStarted(UpstreamAttempt attempt, AnswerStart start, Flow source) {
       return null;
     }
   }
@@ -28,35 +28,39 @@
   public final int number;
   public final long upstream;
   public final long decidedAt;
-  private final Ending ending;
+  private final Observer observer;
   private ScheduledFuture<?> timeout;
   private long timeoutNanos;
   /** When its client's time is up. */
-  private long timeUpAt;
+  private long deadline;
   /** Its answer is large and may take longer than that, as long as it comes. */
-  private boolean untimed;
+  private boolean exemptFromTimeout;
 
   private boolean sent;
   private long sentAt;
   private Clock clock;
   private Status status;
-  private Runnable whenWritten;
+  private Runnable onWritten;
   /** A part of the request's body has not gone out: it can't have begun. */
   private boolean bodyPending;
   /** When its answer began to be passed on; 0 for not yet. */
-  private long begunAt;
+  private long answerStartedAt;
 
-  protected UpstreamAttempt(int number, long upstream, long decidedAt, Ending ending) {
+  protected UpstreamAttempt(int number, long upstream, long decidedAt, Observer observer) {
     this.number = number;
     this.upstream = upstream;
     this.decidedAt = decidedAt;
-    this.ending = ending;
+    this.observer = observer;
   }
 
   /** Sends on a connection that is there or a new one; {@code maySend} is asked again right before the first byte. */
   public final void start(
-      ClientRequest request, long nanos, BooleanSupplier maySend, Clock by, EventLoop loop) {
-    clock = by;
+      ClientRequest request,
+      long nanos,
+      BooleanSupplier maySend,
+      Clock clockSource,
+      EventLoop loop) {
+    clock = clockSource;
     arm(nanos, loop);
     begin(request, maySend);
   }
@@ -65,13 +69,13 @@
   protected abstract void begin(ClientRequest request, BooleanSupplier maySend);
 
   /** The attempt has just ended like this, and nobody was told yet: its connection may have to go. */
-  protected abstract void over(Status how);
+  protected abstract void onEnded(Status how);
 
   /** Whether the request found a kept connection broken, of which it could not know. */
   public abstract boolean stale();
 
   /** The first byte goes out now; what is left of the time to wait, in whole milliseconds and at least one. */
-  protected final long sending() {
+  protected final long markSending() {
     sent = true;
     sentAt = clock.now();
     return Math.max(1, (timeoutNanos - (sentAt - decidedAt)) / 1_000_000);
@@ -83,7 +87,7 @@
   }
 
   /** The last byte of the request has come: the time to wait, and the latency, begin now. */
-  public final void bodyCame(long nanos, EventLoop loop) {
+  public final void bodyReceived(long nanos, EventLoop loop) {
     bodyPending = false;
     if (status != null || timeout == null) {
       return;
@@ -95,55 +99,55 @@
 
   private void arm(long nanos, EventLoop loop) {
     timeoutNanos = nanos;
-    timeUpAt = clock.now() + nanos;
-    timeout = loop.schedule(this::timeIsUp, Math.max(0, nanos), TimeUnit.NANOSECONDS);
+    deadline = clock.now() + nanos;
+    timeout = loop.schedule(this::onTimeout, Math.max(0, nanos), TimeUnit.NANOSECONDS);
   }
 
-  private void timeIsUp() {
-    if (!untimed) {
+  private void onTimeout() {
+    if (!exemptFromTimeout) {
       end(Status.TIMEOUT, null);
     }
   }
 
-  /** An answer begins that is passed on while it comes; its client's time limits it still, unless it is {@link #untimed}. */
+  /** An answer begins that is passed on while it comes; its client's time limits it still, unless it is {@link #exemptFromTimeout}. */
   public final BodySink begin(AnswerStart start, Flow source) {
-    BodySink sink = status != null ? null : ending.begins(this, start, source);
+    BodySink sink = status != null ? null : observer.answerStarted(this, start, source);
     if (sink != null) {
-      begunAt = clock.now();
+      answerStartedAt = clock.now();
     }
     return sink;
   }
 
   /** The answer that is passed on is a large one: it may last for as long as it comes. */
-  public final void untimed() {
-    untimed = true;
+  public final void exemptFromTimeout() {
+    exemptFromTimeout = true;
   }
 
   /** What is left of its client's time; 0 or less for nothing. */
-  public final long leftNanos() {
-    return timeUpAt - clock.now();
+  public final long remainingNanos() {
+    return deadline - clock.now();
   }
 
   /** The last byte has gone out. */
-  protected final void written() {
-    if (whenWritten != null) {
-      whenWritten.run();
+  protected final void notifyWritten() {
+    if (onWritten != null) {
+      onWritten.run();
     }
   }
 
-  protected final boolean recordsWriting() {
-    return whenWritten != null;
+  protected final boolean hasWriteCallback() {
+    return onWritten != null;
   }
 
   protected final long timeoutNanos() {
     return timeoutNanos;
   }
 
-  protected final long sinceSent() {
+  protected final long nanosSinceSent() {
     return clock.now() - sentAt;
   }
 
-  public final boolean out() {
+  public final boolean inFlight() {
     return status == null;
   }
 
@@ -162,12 +166,14 @@
    */
   public final long latencyNanos(long until) {
     return Math.max(
-        0, (begunAt == 0 ? until : Math.min(begunAt, until)) - (sent ? sentAt : decidedAt));
+        0,
+        (answerStartedAt == 0 ? until : Math.min(answerStartedAt, until))
+            - (sent ? sentAt : decidedAt));
   }
 
   /** Run once the attempt's last byte has gone out; to be set before the start. */
-  public final void whenWritten(Runnable then) {
-    whenWritten = then;
+  public final void onWritten(Runnable then) {
+    onWritten = then;
   }
 
   /** Ends the attempt once. */
@@ -179,7 +185,7 @@
     if (timeout != null) {
       timeout.cancel(false);
     }
-    over(how);
-    ending.ended(this, how, answer);
+    onEnded(how);
+    observer.ended(this, how, answer);
   }
 }
--- a/src/main/java/pumicekeel/upstream/UpstreamLink.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamLink.java
@@ -8,7 +8,8 @@
   InetSocketAddress address();
 
   /** An attempt that has not started yet. */
-  UpstreamAttempt attempt(int number, long upstream, long decidedAt, UpstreamAttempt.Ending ending);
+  UpstreamAttempt attempt(
+      int number, long upstream, long decidedAt, UpstreamAttempt.Observer ending);
 
   /** The upstream is gone or has moved: what is idle goes now, the rest when its attempts have ended. */
   void close();
--- a/src/main/java/pumicekeel/upstream/UpstreamLinks.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamLinks.java
@@ -12,7 +12,7 @@
   void resize(long guaranteed, long most, int connectionsPerUpstream);
 
   /** Other times: the connect's for what is opened from now on, and how long an upstream keeps what is idle. */
-  void tune(long connectTimeoutNanos, long idleNanos);
+  void setTimeouts(long connectTimeoutNanos, long idleNanos);
 
   /** Ends the pool: closes what is idle and looks for no more. */
   void close();
--- a/src/main/java/pumicekeel/upstream/UpstreamSockets.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamSockets.java
@@ -35,20 +35,21 @@
   }
 
   /** Connections to an address, of all pools. */
-  public int openAt(InetSocketAddress address) {
+  public int openConnections(InetSocketAddress address) {
     return open.getOrDefault(address, 0);
   }
 
   /** Takes a socket for a connection; false where there is no room for it and nothing idle gives way. */
-  public boolean take(SocketUser pool, InetSocketAddress address) {
-    if (pool.perUpstream() > 0
-        && openAt(address) >= pool.perUpstream()
+  public boolean acquire(SocketUser pool, InetSocketAddress address) {
+    if (pool.maxPerAddress() > 0
+        && openConnections(address) >= pool.maxPerAddress()
         && pools.stream().noneMatch(p -> p.closeIdleAt(address))) {
       return false;
     }
     if (!pool.share().tryTake(1)) {
-      if (!pool.closeOldest()
-          && pools.stream().noneMatch(p -> p != pool && p.share().borrows() && p.closeOldest())) {
+      if (!pool.closeLongestIdle()
+          && pools.stream()
+              .noneMatch(p -> p != pool && p.share().borrows() && p.closeLongestIdle())) {
         return false;
       }
       // The one that gave way may be given back only after this.
--- a/src/main/java/pumicekeel/upstream/UpstreamTable.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamTable.java
@@ -16,9 +16,9 @@
   public static final class Entry {
     private final long id;
     private UpstreamLink link;
-    private boolean leaves;
-    private boolean gone;
-    private int out;
+    private boolean leaving;
+    private boolean removed;
+    private int inFlight;
     private HostList.Host host;
 
     private Entry(long id) {
@@ -35,14 +35,14 @@
     }
 
     /** Whether the list says that it drains or is gone. */
-    public boolean leaves() {
-      return leaves;
+    public boolean leaving() {
+      return leaving;
     }
   }
 
   private final UpstreamLinks links;
   private final Map<Long, Entry> entries = new HashMap<>();
-  private int ready;
+  private int readyCount;
 
   public UpstreamTable(UpstreamLinks links) {
     this.links = links;
@@ -54,8 +54,8 @@
   }
 
   /** How many are ready, as the list tells. */
-  public int ready() {
-    return ready;
+  public int readyCount() {
+    return readyCount;
   }
 
   public int size() {
@@ -63,7 +63,7 @@
   }
 
   /** Takes in changes, or the whole list: one that is absent from that is gone. */
-  public void news(boolean whole, List<HostList.Host> hosts) {
+  public void applyList(boolean whole, List<HostList.Host> hosts) {
     Set<Long> named = new HashSet<>();
     for (HostList.Host host : hosts) {
       named.add(host.listed().upstream());
@@ -72,50 +72,50 @@
     if (whole) {
       List.copyOf(entries.values()).stream()
           .filter(e -> !named.contains(e.id))
-          .forEach(e -> leave(e, true));
+          .forEach(e -> markLeaving(e, true));
     }
-    ready = (int) entries.values().stream().filter(e -> !e.leaves).count();
+    readyCount = (int) entries.values().stream().filter(e -> !e.leaving).count();
   }
 
   private void update(HostList.Host host) {
     Listed listed = host.listed();
     Entry e = entries.computeIfAbsent(listed.upstream(), Entry::new);
     e.host = host;
-    if (e.link == null || !e.link.address().equals(host.address()) || e.gone) {
+    if (e.link == null || !e.link.address().equals(host.address()) || e.removed) {
       if (e.link != null) {
         e.link.close();
       }
       e.link = links.of(host.address());
     }
     if (listed.state() == State.READY) {
-      e.leaves = false;
-      e.gone = false;
+      e.leaving = false;
+      e.removed = false;
     } else {
-      leave(e, listed.state() == State.GONE);
+      markLeaving(e, listed.state() == State.GONE);
     }
   }
 
-  private void leave(Entry e, boolean gone) {
-    e.leaves = true;
-    e.gone = gone;
+  private void markLeaving(Entry e, boolean gone) {
+    e.leaving = true;
+    e.removed = gone;
     if (gone) {
       e.link.close();
-      forgetIfOver(e);
+      removeIfUnused(e);
     }
   }
 
-  public void started(Entry e) {
-    e.out++;
+  public void attemptStarted(Entry e) {
+    e.inFlight++;
   }
 
-  public void ended(Entry e) {
-    e.out--;
-    forgetIfOver(e);
+  public void attemptEnded(Entry e) {
+    e.inFlight--;
+    removeIfUnused(e);
   }
 
   /** Guards the memory where upstreams are replaced all day under new ids. */
-  private void forgetIfOver(Entry e) {
-    if (e.gone && e.out == 0) {
+  private void removeIfUnused(Entry e) {
+    if (e.removed && e.inFlight == 0) {
       entries.remove(e.id, e);
     }
   }
--- a/src/main/java/pumicekeel/upstream/http/AnswerDecoder.java
+++ b/src/main/java/pumicekeel/upstream/http/AnswerDecoder.java
@@ -16,7 +16,7 @@
  */
 public final class AnswerDecoder extends HttpResponseDecoder {
 
-  private Predicate<ByteBuf> reader;
+  private Predicate<ByteBuf> rawFilter;
   /** From an answer's first line to its end; the line itself may end in a blank where it gives no reason. */
   private boolean behindFirstLine;
 
@@ -24,12 +24,12 @@
     super(new HttpDecoderConfig().setStrictLineParsing(true));
   }
 
-  public void reader(Predicate<ByteBuf> next) {
-    reader = next;
+  public void setRawFilter(Predicate<ByteBuf> next) {
+    rawFilter = next;
   }
 
   /** Whether bytes are left over that belong to no message yet. */
-  public boolean leftOver() {
+  public boolean hasUnreadBytes() {
     return actualReadableBytes() > 0;
   }
 
@@ -61,7 +61,7 @@
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-    if (message instanceof ByteBuf bytes && !reader.test(bytes)) {
+    if (message instanceof ByteBuf bytes && !rawFilter.test(bytes)) {
       ReferenceCountUtil.release(message);
       return;
     }
--- a/src/main/java/pumicekeel/upstream/http/AnswerHead.java
+++ b/src/main/java/pumicekeel/upstream/http/AnswerHead.java
@@ -15,7 +15,7 @@
 public final class AnswerHead {
 
   /** Interim answers that are skipped ahead of an answer; more come from an upstream that never answers. */
-  public static final int MOST_INTERIM = 10;
+  public static final int MAX_INTERIM = 10;
 
   private AnswerHead() {}
 
@@ -24,7 +24,7 @@
    * refuses two lengths, and a length beside chunks, in HTTP/1.1 only: there is no other version here. Without either
    * it ends with its connection, where it says so (RFC 9112, section 6.3); else it can't be told from one cut short.
    */
-  public static boolean sound(HttpResponse head) {
+  public static boolean hasValidFraming(HttpResponse head) {
     if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)
         || head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
       return false;
--- a/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
+++ b/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
@@ -42,7 +42,7 @@
   private final Bootstrap bootstrap;
   private final UpstreamSockets sockets;
   private final Shares.Owner share;
-  private int perUpstream;
+  private int maxPerAddress;
   private long idleNanos;
   private final Set<UpstreamPool> pools = new LinkedHashSet<>();
   /** The next look for connections that have stood idle too long; null while none stands idle, so that a pool at rest costs nothing. */
@@ -74,11 +74,11 @@
             ChannelOption.RECVBUF_ALLOCATOR,
             new AdaptiveRecvByteBufAllocator(READ_LEAST, READ_FIRST, READ_MOST)
                 .maxMessagesPerRead(READS_IN_A_ROW));
-    tune(connectTimeoutNanos, idleNanos);
+    setTimeouts(connectTimeoutNanos, idleNanos);
   }
 
   @Override
-  public void tune(long connectTimeoutNanos, long idleNanos) {
+  public void setTimeouts(long connectTimeoutNanos, long idleNanos) {
     bootstrap.option(
         ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNanos / 1_000_000));
     this.idleNanos = (long) (idleNanos * IDLE_PART);
@@ -109,14 +109,14 @@
 
   /** Opens a connection; null where the limit on sockets or the process's descriptors leave no room for one. */
   public ChannelFuture connect(UpstreamPool pool) {
-    if (!sockets.take(this, pool.address())) {
+    if (!sockets.acquire(this, pool.address())) {
       return null;
     }
     Channel made = on.connecting();
     if (made == null) {
       sockets.release(this, pool.address());
       // Its descriptor is free for the next attempt.
-      closeOldest();
+      closeLongestIdle();
       return null;
     }
     ChannelFuture connecting = bootstrap
@@ -127,7 +127,7 @@
           protected void initChannel(Channel channel) {
             AnswerDecoder decoder = new AnswerDecoder();
             UpstreamConnection connection = new UpstreamConnection(pool, on, channel, decoder);
-            decoder.reader(connection::accepts);
+            decoder.setRawFilter(connection::accepts);
             channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
           }
         })
@@ -136,7 +136,7 @@
     return connecting;
   }
 
-  public void forget(UpstreamPool pool) {
+  public void removePool(UpstreamPool pool) {
     pools.remove(pool);
   }
 
@@ -158,12 +158,12 @@
   @Override
   public void resize(long guaranteed, long most, int connectionsPerUpstream) {
     share.resize(guaranteed, most);
-    perUpstream = connectionsPerUpstream;
+    maxPerAddress = connectionsPerUpstream;
   }
 
   @Override
-  public int perUpstream() {
-    return perUpstream;
+  public int maxPerAddress() {
+    return maxPerAddress;
   }
 
   @Override
@@ -188,7 +188,7 @@
   }
 
   @Override
-  public boolean closeOldest() {
+  public boolean closeLongestIdle() {
     UpstreamConnection oldest = null;
     for (UpstreamPool pool : pools) {
       UpstreamConnection next = pool.oldest();
--- a/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
+++ b/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
@@ -32,7 +32,7 @@
 
   private ScheduledFuture<?> rested;
 
-  HttpAttempt(int number, long upstream, long decidedAt, UpstreamPool pool, Ending ending) {
+  HttpAttempt(int number, long upstream, long decidedAt, UpstreamPool pool, Observer ending) {
     super(number, upstream, decidedAt, ending);
     this.pool = pool;
   }
@@ -50,7 +50,7 @@
       return;
     }
     connecting.addListener(done -> {
-      if (!out()) {
+      if (!inFlight()) {
         connecting.channel().close();
       } else if (!done.isSuccess() || !connecting.channel().isActive()) {
         end(Status.CONNECT_FAILED, null);
@@ -82,14 +82,14 @@
 
   private void write(UpstreamConnection to, ClientRequest request, BooleanSupplier maySend) {
     if (!maySend.getAsBoolean()) {
-      to.giveBack();
+      to.returnToPool();
       end(Status.NOT_SENT, null);
       return;
     }
     connection = to;
     Payload.Http http = request.payload().http(request.type().effect());
     if (http.upload() == null) {
-      to.send(this, message(request, http, sending()));
+      to.send(this, message(request, http, markSending()));
     } else {
       if (!http.upload().isWhole()) {
         bodyPending();
@@ -101,12 +101,12 @@
               request,
               http,
               http.upload().length(),
-              sending()),
+              markSending()),
           http.upload(),
           request.leftNanos());
     }
-    if (recordsWriting()) {
-      to.whenWritten(this::written);
+    if (hasWriteCallback()) {
+      to.whenWritten(this::notifyWritten);
     }
   }
 
@@ -146,16 +146,16 @@
   }
 
   @Override
-  protected void over(Status how) {
+  protected void onEnded(Status how) {
     if (resting != null) {
       rested.cancel(false);
-      resting.giveBack();
+      resting.returnToPool();
       resting = null;
     }
     stale = how == Status.RESET
         && connecting == null
-        && connection.nothingHeard()
-        && sinceSent() < STALE_NANOS;
+        && connection.nothingReceived()
+        && nanosSinceSent() < STALE_NANOS;
     if (stale) {
       // What was kept for longer has most likely gone the same way, and would cost an attempt each.
       pool.closeOlderThan(connection.idleSince);
@@ -167,7 +167,7 @@
         connecting.channel().close();
       }
     }
-    if (how == Status.TIMEOUT && !pool.heardWithin(timeoutNanos())) {
+    if (how == Status.TIMEOUT && !pool.receivedWithin(timeoutNanos())) {
       // A machine that vanished keeps its connections open and silent: none of them is used again.
       // One that still
       // answers others was only slow, and closing all would cost it a storm of new connections.
--- a/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
@@ -105,12 +105,12 @@
   }
 
   /** Nothing has come since the last request was written. */
-  public boolean nothingHeard() {
+  public boolean nothingReceived() {
     return heard == 0;
   }
 
-  public void giveBack() {
-    pool.giveBack(this);
+  public void returnToPool() {
+    pool.returnIdle(this);
   }
 
   public void send(UpstreamAttempt next, FullHttpRequest request) {
@@ -250,7 +250,7 @@
 
   /** An answer's first bytes already show noise: it is not waited for any longer. */
   boolean accepts(ByteBuf bytes) {
-    pool.heard();
+    pool.dataReceived();
     if (attempt == null || whole || surplus) {
       surplus = true;
       return false;
@@ -273,7 +273,8 @@
     }
     if (message instanceof HttpResponse head) {
       response = head;
-      surplus |= !AnswerHead.sound(head) || interim() && ++interim > AnswerHead.MOST_INTERIM;
+      surplus |=
+          !AnswerHead.hasValidFraming(head) || interim() && ++interim > AnswerHead.MAX_INTERIM;
     }
     if (message instanceof HttpContent part && response != null && !interim() && !surplus) {
       received += part.content().readableBytes();
@@ -297,7 +298,7 @@
       return false;
     }
     if (sink != null && received > Answer.MAX_BODY) {
-      attempt.untimed();
+      attempt.exemptFromTimeout();
     }
     if (sink == null) {
       piece.readBytes(body, piece.readableBytes());
@@ -316,7 +317,7 @@
     sink = attempt.begin(
         new AnswerStart(response.headers().get(HttpHeaderNames.CONTENT_TYPE), length), this::flow);
     if (sink != null && length > Answer.MAX_BODY) {
-      attempt.untimed();
+      attempt.exemptFromTimeout();
     }
     if (sink != null && body.size() > 0) {
       sink.piece(Unpooled.wrappedBuffer(body.toByteArray()));
@@ -352,7 +353,7 @@
   /** Ends an answer of which nothing comes any more; one whose client takes nothing is waited for by its front. */
   private void look(ChannelHandlerContext ctx) {
     long quiet = held ? 0 : reactor.clock().now() - heardAt;
-    long left = attempt.leftNanos();
+    long left = attempt.remainingNanos();
     long most =
         sink == null || left <= 0 ? BUFFERED_STALL_TIMEOUT_NANOS : STREAM_STALL_TIMEOUT_NANOS;
     if (quiet >= most) {
@@ -365,7 +366,7 @@
 
   /** Part of the answer itself has come, not only of interim ones ahead of it. */
   private boolean begun() {
-    return attempt != null && (decoder.leftOver() || response != null && !interim());
+    return attempt != null && (decoder.hasUnreadBytes() || response != null && !interim());
   }
 
   private void answered() {
@@ -379,12 +380,12 @@
       flow(true);
     }
     if (!surplus
-        && !decoder.leftOver()
+        && !decoder.hasUnreadBytes()
         && HttpUtil.isKeepAlive(response)
         && written.isSuccess()
         && channel.isActive()) {
       answeredAt = reactor.clock().now();
-      pool.giveBack(this);
+      pool.returnIdle(this);
     } else {
       channel.close();
     }
--- a/src/main/java/pumicekeel/upstream/http/UpstreamPool.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamPool.java
@@ -24,13 +24,13 @@
   private final InetSocketAddress address;
   private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
   private boolean closed;
-  private long heardAt;
+  private long lastReceivedAt;
 
   public UpstreamPool(ConnectionPool all, InetSocketAddress address, Reactor on) {
     this.all = all;
     clock = on.clock();
     loop = on.loop();
-    heardAt = clock.now();
+    lastReceivedAt = clock.now();
     this.address = address;
   }
 
@@ -41,7 +41,7 @@
 
   @Override
   public UpstreamAttempt attempt(
-      int number, long upstream, long decidedAt, UpstreamAttempt.Ending ending) {
+      int number, long upstream, long decidedAt, UpstreamAttempt.Observer ending) {
     return new HttpAttempt(number, upstream, decidedAt, this, ending);
   }
 
@@ -76,7 +76,7 @@
     return all.connect(this);
   }
 
-  public void giveBack(UpstreamConnection connection) {
+  public void returnIdle(UpstreamConnection connection) {
     if (closed) {
       connection.close();
       return;
@@ -92,13 +92,13 @@
   }
 
   /** The upstream has sent something. */
-  public void heard() {
-    heardAt = clock.now();
+  public void dataReceived() {
+    lastReceivedAt = clock.now();
   }
 
   /** Whether the upstream has sent anything, on any connection, in this time. */
-  public boolean heardWithin(long nanos) {
-    return clock.now() - heardAt < nanos;
+  public boolean receivedWithin(long nanos) {
+    return clock.now() - lastReceivedAt < nanos;
   }
 
   public void closeIdle() {
@@ -111,7 +111,7 @@
   public void close() {
     closed = true;
     closeIdle();
-    all.forget(this);
+    all.removePool(this);
   }
 
   public void closeOlderThan(long before) {
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
@@ -19,7 +19,7 @@
   private long framesThen;
   private boolean stale;
 
-  RpcAttempt(int number, long upstream, long decidedAt, RpcLink link, Ending ending) {
+  RpcAttempt(int number, long upstream, long decidedAt, RpcLink link, Observer ending) {
     super(number, upstream, decidedAt, ending);
     this.link = link;
   }
@@ -39,7 +39,7 @@
   void goesOut(long as) {
     id = as;
     framesThen = connection.frames();
-    sending();
+    markSending();
   }
 
   long id() {
@@ -47,11 +47,11 @@
   }
 
   long sinceGoingOut() {
-    return sinceSent();
+    return nanosSinceSent();
   }
 
   void wholeOut() {
-    written();
+    notifyWritten();
   }
 
   @Override
@@ -60,13 +60,13 @@
   }
 
   @Override
-  protected void over(Status how) {
+  protected void onEnded(Status how) {
     if (connection == null) {
       return;
     }
     stale = how == Status.RESET
         && connection.keptAndSilent(id, framesThen)
-        && sinceSent() < STALE_NANOS;
+        && nanosSinceSent() < STALE_NANOS;
     if (how == Status.TIMEOUT || how == Status.CANCELLED) {
       // By what came since it was sent, not by a clock: its time-out began before its connection
       // did.
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
@@ -171,7 +171,7 @@
   }
 
   private void write(RpcAttempt attempt, ClientRequest request, BooleanSupplier maySend) {
-    if (!attempt.out()) {
+    if (!attempt.inFlight()) {
       return;
     }
     if (closed || !channel.isActive()) {
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLink.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLink.java
@@ -26,7 +26,7 @@
 
   @Override
   public UpstreamAttempt attempt(
-      int number, long upstream, long decidedAt, UpstreamAttempt.Ending ending) {
+      int number, long upstream, long decidedAt, UpstreamAttempt.Observer ending) {
     return new RpcAttempt(number, upstream, decidedAt, this, ending);
   }
 
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
@@ -49,11 +49,11 @@
     share = sockets.shares().add(0, 0);
     sockets.add(this);
     bootstrap = new Bootstrap().group(on.loop());
-    tune(connectTimeoutNanos, idleNanos);
+    setTimeouts(connectTimeoutNanos, idleNanos);
   }
 
   @Override
-  public void tune(long connectTimeoutNanos, long idleNanos) {
+  public void setTimeouts(long connectTimeoutNanos, long idleNanos) {
     bootstrap.option(
         ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNanos / 1_000_000));
     this.idleNanos = (long) (idleNanos * IDLE_PART);
@@ -87,7 +87,7 @@
 
   /** Opens a connection; null where the limit on sockets or the process's descriptors leave no room for one. */
   RpcConnection connect(RpcLink link) {
-    if (!sockets.take(this, link.address())) {
+    if (!sockets.acquire(this, link.address())) {
       return null;
     }
     Channel made = on.connecting();
@@ -130,7 +130,7 @@
   }
 
   @Override
-  public int perUpstream() {
+  public int maxPerAddress() {
     return perUpstream;
   }
 
@@ -140,7 +140,7 @@
   }
 
   @Override
-  public boolean closeOldest() {
+  public boolean closeLongestIdle() {
     return closed(oldest(null));
   }
 
--- a/src/test/java/pumicekeel/guard/ServingGuardTest.java
+++ b/src/test/java/pumicekeel/guard/ServingGuardTest.java
@@ -39,7 +39,8 @@
     assertEquals(Denial.TIME_UP, guard.checkSend(question(false, true, false, true, true, 0)));
     assertEquals(
         Denial.LIST_OUTDATED,
-        guard.checkSend(new SendContext("r1", false, true, false, true, true, true, SECOND, SECOND)));
+        guard.checkSend(
+            new SendContext("r1", false, true, false, true, true, true, SECOND, SECOND)));
     assertFalse(guard.mayAdmit(true));
     assertTrue(guard.mayAdmit(false));
     assertEquals(0, guard.violationCount());
--- a/src/test/java/pumicekeel/node/ConnectionPoolTest.java
+++ b/src/test/java/pumicekeel/node/ConnectionPoolTest.java
@@ -37,7 +37,8 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final BlockingQueue<Status> outcomes = new LinkedBlockingQueue<>();
 
-  private void send(UpstreamPool pool, String id, boolean maySend, UpstreamAttempt.Ending ending) {
+  private void send(
+      UpstreamPool pool, String id, boolean maySend, UpstreamAttempt.Observer ending) {
     RequestClass type =
         new RequestClass("look", Effect.SAFE, DedupScope.ALL, LONG, LONG, 0, LONG, 1, 0, false);
     ClientRequest request = new ClientRequest(
--- a/src/test/java/pumicekeel/node/UpstreamTableTest.java
+++ b/src/test/java/pumicekeel/node/UpstreamTableTest.java
@@ -41,10 +41,10 @@
 
   @Test
   void thousandReplacedUpstreamsLeaveNothingBehind() {
-    table.news(true, List.of(host(0, State.READY)));
+    table.applyList(true, List.of(host(0, State.READY)));
     for (int id = 1; id <= 1_000; id++) {
-      table.news(false, List.of(host(id, State.READY), host(id - 1, State.DRAINING)));
-      table.news(false, List.of(host(id - 1, State.GONE)));
+      table.applyList(false, List.of(host(id, State.READY), host(id - 1, State.DRAINING)));
+      table.applyList(false, List.of(host(id - 1, State.GONE)));
     }
     assertEquals(1, table.size());
     assertNotNull(table.get(1_000));
@@ -52,36 +52,36 @@
 
   @Test
   void oneThatIsGoneIsRememberedWhileAnAttemptIsOut() {
-    table.news(true, List.of(host(1, State.READY), host(2, State.READY)));
+    table.applyList(true, List.of(host(1, State.READY), host(2, State.READY)));
     UpstreamTable.Entry first = table.get(1);
-    table.started(first);
-    table.news(true, List.of(host(2, State.READY)));
+    table.attemptStarted(first);
+    table.applyList(true, List.of(host(2, State.READY)));
     assertSame(first, table.get(1));
-    assertTrue(first.leaves(), "absent from a whole list");
-    table.ended(first);
+    assertTrue(first.leaving(), "absent from a whole list");
+    table.attemptEnded(first);
     assertNull(table.get(1));
-    assertTrue(first.leaves(), "a send that is still to come may ask");
+    assertTrue(first.leaving(), "a send that is still to come may ask");
   }
 
   @Test
   void successorAtTheSameAddressInheritsNothing() {
-    table.news(true, List.of(host(1, State.READY)));
-    table.news(false, List.of(host(1, State.DRAINING)));
+    table.applyList(true, List.of(host(1, State.READY)));
+    table.applyList(false, List.of(host(1, State.DRAINING)));
     UpstreamPool before = (UpstreamPool) table.get(1).link();
-    table.news(false, List.of(host(2, State.READY)));
+    table.applyList(false, List.of(host(2, State.READY)));
     UpstreamPool after = (UpstreamPool) table.get(2).link();
     assertEquals(before.address(), after.address());
     assertFalse(before == after);
-    assertFalse(table.get(2).leaves());
-    assertTrue(table.get(1).leaves());
+    assertFalse(table.get(2).leaving());
+    assertTrue(table.get(1).leaving());
   }
 
   @Test
   void oneThatIsReadyAgainLeavesNoMore() {
-    table.news(true, List.of(host(1, State.READY)));
-    table.news(false, List.of(host(1, State.DRAINING)));
-    table.news(false, List.of(host(1, State.GONE)));
-    table.news(false, List.of(host(1, State.READY)));
-    assertFalse(table.get(1).leaves());
+    table.applyList(true, List.of(host(1, State.READY)));
+    table.applyList(false, List.of(host(1, State.DRAINING)));
+    table.applyList(false, List.of(host(1, State.GONE)));
+    table.applyList(false, List.of(host(1, State.READY)));
+    assertFalse(table.get(1).leaving());
   }
 }
--- a/src/test/java/pumicekeel/upstream/jsonrpc/RpcConnectionTest.java
+++ b/src/test/java/pumicekeel/upstream/jsonrpc/RpcConnectionTest.java
@@ -148,7 +148,7 @@
       }
       assertEquals(may, arrived, "what arrived whole is what may have run");
       sent.stream()
-          .filter(a -> !a.out())
+          .filter(a -> !a.inFlight())
           .forEach(a -> assertEquals(may.contains(a.number), a.mayHaveRun()));
     }
   }
