--- a/src/main/java/pumicekeel/guard/CloseReason.java
+++ b/src/main/java/pumicekeel/guard/CloseReason.java
@@ -2,27 +2,27 @@
 
 /** Why a client's connection is closed. */
 public enum CloseReason {
-  /** Nothing was asked on it for the idle limit. */
+  /** No request arrived on it within the idle limit. */
   IDLE(false),
-  /** It gives way to others at the limit on connections, or in a shortage of descriptors. */
+  /** Closed to make place for other clients, at the connection limit or when file descriptors run short. */
   GIVES_WAY(false),
-  /** The process ends, or its listener does. */
+  /** The process or its listener is shutting down. */
   STOPPING(false),
-  /** It had its last answer. */
+  /** Its last response has been sent. */
   LAST_ANSWER(false),
-  /** What it sends of a request comes too slowly, or is too much. */
+  /** A request on it arrives too slowly or exceeds a size limit. */
   TOO_SLOW(false),
-  /** A request's rest that is dropped does not end. */
+  /** The discarded remainder of a request does not end. */
   SKIPPED_TOO_MUCH(false),
-  /** A defect of its handling, with nothing taken. */
+  /** An internal error while handling the connection, with no request accepted. */
   DEFECT(false),
-  /** It takes nothing of what was written to it. */
+  /** The client does not read what was written to it. */
   STUCK(true),
-  /** Its client has ended it. */
+  /** The client closed it. */
   CLIENT_LEFT(true),
-  /** It broke: a reset, or a read or write that can't be repeated. */
+  /** Connection failure: a reset, or a read or write that cannot be retried. */
   BROKEN(true),
-  /** An answer that was being passed on is cut, so that its client can tell. */
+  /** A response that was being streamed is cut off, so that the client can detect that it is incomplete. */
   ANSWER_CUT(true);
 
   private final boolean endsRequest;
@@ -31,7 +31,7 @@
     this.endsRequest = endsRequest;
   }
 
-  /** Whether a request that is open ends with the connection, by its client's or its answer's doing. */
+  /** Returns whether closing for this reason also ends an open request, because its client or its response is at an end. */
   public boolean endsRequest() {
     return endsRequest;
   }
--- a/src/main/java/pumicekeel/guard/Denial.java
+++ b/src/main/java/pumicekeel/guard/Denial.java
@@ -1,19 +1,19 @@
 package pumicekeel.guard;
 
-/** Why an attempt may not be sent now. Each is a usual course of things. */
+/** Why an attempt must not be sent now. Each reason occurs in normal operation. */
 public enum Denial {
-  /** The request has its final answer, or its client has been given up. */
+  /** The request already has its final response, or its client was given up. */
   REQUEST_ENDED,
-  /** Its client has closed its connection, or nobody can say that it has not. */
+  /** The client has closed its connection, or the connection's state cannot be determined. */
   CLIENT_LEFT,
-  /** The upstream is told to leave, or gone. */
+  /** The upstream is draining or removed. */
   UPSTREAM_LEAVES,
-  /** The list that names the upstream is too old: a leaving that it does not tell may count as told. */
+  /** The list that names the upstream is too old: a departure missing from it may already be in effect. */
   LIST_OUTDATED,
-  /** An earlier attempt may have run, and its effect would be repeated. */
+  /** An earlier attempt may have run, so that another one could repeat its effect. */
   NOT_REPEATABLE,
-  /** As many attempts as the settings allow were made. */
+  /** The maximum number of attempts was made. */
   ATTEMPTS_SPENT,
-  /** The client's time is up. */
+  /** The client's time limit has passed. */
   TIME_UP
 }
--- a/src/main/java/pumicekeel/guard/SendContext.java
+++ b/src/main/java/pumicekeel/guard/SendContext.java
@@ -1,17 +1,16 @@
 package pumicekeel.guard;
 
 /**
- * What is known of an attempt right before its first byte.
- *
- * @param id the request's
- * @param ended it has its final answer
- * @param clientHere its client has not left, as far as its socket tells
- * @param upstreamLeaves the list says that its upstream drains or is gone
- * @param listOutdated the list is too old to say that it does not, and discovery can be reached
- * @param harmless nothing of it may have run, or a repeat is dropped there
- * @param attemptLeft the settings allow one more
- * @param clientLeftNanos what its client has left; Long.MAX_VALUE while its body comes
- * @param toldNanos what its upstream would be told
+ * State of a request and its upstream immediately before the first byte of an attempt is written.
+ * | @param requestId ID of the request
+ * @param requestEnded the request already has its final response
+ * @param clientConnected the client is still connected, as far as its socket shows
+ * @param upstreamLeaving the list says that the upstream drains or is removed
+ * @param listOutdated the list is too old to rule out that the upstream drains, and discovery can be reached
+ * @param repeatIsHarmless no earlier attempt may have run, or the upstream drops repeats
+ * @param withinAttemptLimit the settings allow one more attempt
+ * @param clientRemainingNanos time left to the client; Long.MAX_VALUE while the request's body is still arriving
+ * @param announcedNanos time limit that would be announced to the upstream
  */
 public record SendContext(
     String requestId,
--- a/src/main/java/pumicekeel/guard/ServingGuard.java
+++ b/src/main/java/pumicekeel/guard/ServingGuard.java
@@ -9,35 +9,38 @@
 import java.util.stream.Collectors;
 
 /**
- * Says whether something may be done now, for all paths that send, repeat, refuse, answer or close; counts what it denied by reason,
- * and what would have broken a rule. Those who ask keep to what it says. One for each balancer; only on its loop.
+ * Decides whether an operation is permitted now, for every path that sends, retries, rejects, answers or closes. Counts denials by
+ * reason, and attempts to break a rule as violations. Callers must obey its decision. One instance per balancer; event loop only.
  */
 public final class ServingGuard {
 
-  /** Between the reading of the clock and the write; what the platform allows for a process that is held up. */
-  private static final long TOLD_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+  /** Allowed difference between reading the clock and writing; the platform allows for a process that is delayed this long. */
+  private static final long ANNOUNCED_TIME_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  private static final AtomicLong IN_PROCESS = new AtomicLong();
+  private static final AtomicLong PROCESS_VIOLATIONS = new AtomicLong();
 
   private final Map<Denial, Long> denials = new EnumMap<>(Denial.class);
   private final Map<Violation, Long> violationCount = new EnumMap<>(Violation.class);
   private final Map<CloseReason, Long> closes = new EnumMap<>(CloseReason.class);
-  private final Consumer<String> defects;
-  private final Consumer<String> notes;
+  private final Consumer<String> violationLog;
+  private final Consumer<String> closeLog;
   private long sent;
 
-  /** A line goes to {@code defects} for each violation, and to {@code notes} for each request that ends with its connection. */
-  public ServingGuard(Consumer<String> defects, Consumer<String> notes) {
-    this.defects = defects;
-    this.notes = notes;
+  /**
+   * Creates a guard that writes a line to {@code violationLog} for each violation, and one to {@code closeLog} for each request that ends
+   * with its connection.
+   */
+  public ServingGuard(Consumer<String> violationLog, Consumer<String> closeLog) {
+    this.violationLog = violationLog;
+    this.closeLog = closeLog;
   }
 
-  /** Whether an attempt may be sent now; null for yes, else why not. */
-  public Denial checkSend(SendContext question) {
-    Denial denial = denialOf(question);
+  /** Returns why an attempt must not be sent now, or null if it may be sent. */
+  public Denial checkSend(SendContext context) {
+    Denial denial = reasonToDeny(context);
     if (denial == null
-        && question.announcedNanos() - question.clientRemainingNanos() > TOLD_SLACK_NANOS) {
-      reportViolation(Violation.TOLD_TOO_MUCH_TIME, question.requestId());
+        && context.announcedNanos() - context.clientRemainingNanos() > ANNOUNCED_TIME_SLACK_NANOS) {
+      reportViolation(Violation.TOLD_TOO_MUCH_TIME, context.requestId());
       denial = Denial.TIME_UP;
     }
     if (denial == null) {
@@ -48,29 +51,29 @@
     return denial;
   }
 
-  private static Denial denialOf(SendContext question) {
-    if (question.requestEnded()) {
+  private static Denial reasonToDeny(SendContext context) {
+    if (context.requestEnded()) {
       return Denial.REQUEST_ENDED;
     }
-    if (!question.withinAttemptLimit()) {
+    if (!context.withinAttemptLimit()) {
       return Denial.ATTEMPTS_SPENT;
     }
-    if (question.upstreamLeaving()) {
+    if (context.upstreamLeaving()) {
       return Denial.UPSTREAM_LEAVES;
     }
-    if (question.listOutdated()) {
+    if (context.listOutdated()) {
       return Denial.LIST_OUTDATED;
     }
-    if (!question.repeatIsHarmless()) {
+    if (!context.repeatIsHarmless()) {
       return Denial.NOT_REPEATABLE;
     }
-    if (question.clientRemainingNanos() <= 0) {
+    if (context.clientRemainingNanos() <= 0) {
       return Denial.TIME_UP;
     }
-    return question.clientConnected() ? null : Denial.CLIENT_LEFT;
+    return context.clientConnected() ? null : Denial.CLIENT_LEFT;
   }
 
-  /** Whether a request may be taken to be sent by a list of upstreams; where not, it is to be refused at once. */
+  /** Returns whether a request that needs the list of upstreams may be admitted; if not, it has to be rejected at once. */
   public boolean mayAdmit(boolean listOutdated) {
     if (listOutdated) {
       denials.merge(Denial.LIST_OUTDATED, 1L, Long::sum);
@@ -78,7 +81,7 @@
     return !listOutdated;
   }
 
-  /** Whether a request may be refused; where not, it is to be answered as failed. */
+  /** Returns whether a request may be rejected; if not, it has to be answered as failed. */
   public boolean mayRefuse(String id, boolean harmless) {
     if (!harmless) {
       reportViolation(Violation.REFUSAL_NOT_HARMLESS, id);
@@ -86,51 +89,51 @@
     return harmless;
   }
 
-  /** Whether an answer may be written to a connection; {@code open} is the request that is taken there, null for none. */
-  public boolean mayAnswer(String open) {
-    if (open == null) {
+  /** Returns whether a response may be written to a connection; {@code openRequest} is the request accepted there, or null. */
+  public boolean mayAnswer(String openRequest) {
+    if (openRequest == null) {
       reportViolation(Violation.ANSWER_NOT_OWED, "unknown");
     }
-    return open != null;
+    return openRequest != null;
   }
 
-  /** Whether a connection may be closed; {@code open} is the request that is taken there, null for none. */
-  public boolean mayClose(CloseReason reason, String open) {
-    if (open != null && !reason.endsRequest()) {
-      reportViolation(Violation.CLOSE_UNDER_REQUEST, open + " " + reason);
+  /** Returns whether a connection may be closed; {@code openRequest} is the request accepted there, or null. */
+  public boolean mayClose(CloseReason reason, String openRequest) {
+    if (openRequest != null && !reason.endsRequest()) {
+      reportViolation(Violation.CLOSE_UNDER_REQUEST, openRequest + " " + reason);
       return false;
     }
     closes.merge(reason, 1L, Long::sum);
-    if (open != null) {
-      notes.accept("request " + open + ": its connection is closed, " + reason);
+    if (openRequest != null) {
+      closeLog.accept("request " + openRequest + ": its connection is closed, " + reason);
     }
     return true;
   }
 
-  /** Something was done, or about to be done, that must never be. */
-  public void reportViolation(Violation what, String detail) {
-    IN_PROCESS.incrementAndGet();
-    violationCount.merge(what, 1L, Long::sum);
-    defects.accept("rule violated: " + what + " " + detail);
+  /** Records that something forbidden was done, or was about to be done. */
+  public void reportViolation(Violation violation, String detail) {
+    PROCESS_VIOLATIONS.incrementAndGet();
+    violationCount.merge(violation, 1L, Long::sum);
+    violationLog.accept("rule violated: " + violation + " " + detail);
   }
 
-  /** How many there were. */
+  /** Returns the number of violations of this balancer. */
   public long violationCount() {
     return violationCount.values().stream().mapToLong(n -> n).sum();
   }
 
-  /** How many there were in this process, of all balancers. For any thread. */
+  /** Returns the number of violations of all balancers in this process. Thread-safe. */
   public static long violationCountInProcess() {
-    return IN_PROCESS.get();
+    return PROCESS_VIOLATIONS.get();
   }
 
-  /** All counts in one line. */
+  /** Returns all counters in one line. */
   public String summary() {
-    return "violations " + violationCount() + text(violationCount) + "; sent " + sent + "; not sent"
-        + text(denials) + "; closed" + text(closes);
+    return "violations " + violationCount() + countsText(violationCount) + "; sent " + sent
+        + "; not sent" + countsText(denials) + "; closed" + countsText(closes);
   }
 
-  private static <K extends Enum<K>> String text(Map<K, Long> counts) {
+  private static <K extends Enum<K>> String countsText(Map<K, Long> counts) {
     return counts.entrySet().stream()
         .map(e -> " " + e.getKey().name().toLowerCase(Locale.ROOT) + "=" + e.getValue())
         .collect(Collectors.joining());
--- a/src/main/java/pumicekeel/guard/Violation.java
+++ b/src/main/java/pumicekeel/guard/Violation.java
@@ -1,13 +1,13 @@
 package pumicekeel.guard;
 
-/** What must never come to be; each is a defect of the program. */
+/** Operations that must never happen; each one indicates a defect in this program. */
 public enum Violation {
-  /** A connection was to be closed under a request that is taken and has no answer. */
+  /** A connection was about to be closed while a request accepted on it had no response. */
   CLOSE_UNDER_REQUEST,
-  /** An answer came for a connection on which none is owed. */
+  /** A response was produced for a connection with no outstanding request. */
   ANSWER_NOT_OWED,
-  /** A refusal, which promises that trying again is harmless, where something may have run. */
+  /** A rejection, which promises that a retry is harmless, although an attempt may have run. */
   REFUSAL_NOT_HARMLESS,
-  /** An attempt would tell its upstream more time than its client has left. */
+  /** An attempt was about to announce more time to its upstream than its client has left. */
   TOLD_TOO_MUCH_TIME
 }
--- a/src/test/java/pumicekeel/guard/NoViolations.java
+++ b/src/test/java/pumicekeel/guard/NoViolations.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.extension.BeforeEachCallback;
 import org.junit.jupiter.api.extension.ExtensionContext;
 
-/** Fails each test in whose time the program's guard counted a violation; registered for all tests by META-INF/services. */
+/** Fails each test during which the program's guard counted a violation; registered for all tests in META-INF/services. */
 public final class NoViolations implements BeforeEachCallback, AfterEachCallback {
 
   private long before;
--- a/src/test/java/pumicekeel/guard/ServingGuardTest.java
+++ b/src/test/java/pumicekeel/guard/ServingGuardTest.java
@@ -9,34 +9,34 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What may be done now, and what is counted. */
+/** Checks which operations the guard permits, and what it counts. */
 class ServingGuardTest {
 
   private static final long SECOND = 1_000_000_000L;
 
-  private final List<String> defects = new ArrayList<>();
-  private final List<String> notes = new ArrayList<>();
-  private final ServingGuard guard = new ServingGuard(defects::add, notes::add);
+  private final List<String> violationLog = new ArrayList<>();
+  private final List<String> closeLog = new ArrayList<>();
+  private final ServingGuard guard = new ServingGuard(violationLog::add, closeLog::add);
 
-  private static SendContext question(
+  private static SendContext context(
       boolean ended, boolean here, boolean leaves, boolean harmless, boolean attempt, long left) {
     return new SendContext("r1", ended, here, leaves, false, harmless, attempt, left, SECOND / 2);
   }
 
   @Test
   void eachReasonDeniesASendAndIsCounted() {
-    assertNull(guard.checkSend(question(false, true, false, true, true, SECOND)));
+    assertNull(guard.checkSend(context(false, true, false, true, true, SECOND)));
     assertEquals(
-        Denial.REQUEST_ENDED, guard.checkSend(question(true, true, false, true, true, SECOND)));
+        Denial.REQUEST_ENDED, guard.checkSend(context(true, true, false, true, true, SECOND)));
     assertEquals(
-        Denial.CLIENT_LEFT, guard.checkSend(question(false, false, false, true, true, SECOND)));
+        Denial.CLIENT_LEFT, guard.checkSend(context(false, false, false, true, true, SECOND)));
     assertEquals(
-        Denial.UPSTREAM_LEAVES, guard.checkSend(question(false, true, true, true, true, SECOND)));
+        Denial.UPSTREAM_LEAVES, guard.checkSend(context(false, true, true, true, true, SECOND)));
     assertEquals(
-        Denial.NOT_REPEATABLE, guard.checkSend(question(false, true, false, false, true, SECOND)));
+        Denial.NOT_REPEATABLE, guard.checkSend(context(false, true, false, false, true, SECOND)));
     assertEquals(
-        Denial.ATTEMPTS_SPENT, guard.checkSend(question(false, true, false, true, false, SECOND)));
-    assertEquals(Denial.TIME_UP, guard.checkSend(question(false, true, false, true, true, 0)));
+        Denial.ATTEMPTS_SPENT, guard.checkSend(context(false, true, false, true, false, SECOND)));
+    assertEquals(Denial.TIME_UP, guard.checkSend(context(false, true, false, true, true, 0)));
     assertEquals(
         Denial.LIST_OUTDATED,
         guard.checkSend(
@@ -51,25 +51,25 @@
   }
 
   @Test
-  void timeToldBeyondTheClientsIsAViolationAndNotSent() {
+  void announcingMoreTimeThanTheClientHasIsAViolationAndNotSent() {
     assertEquals(
-        Denial.TIME_UP, guard.checkSend(question(false, true, false, true, true, SECOND / 4)));
+        Denial.TIME_UP, guard.checkSend(context(false, true, false, true, true, SECOND / 4)));
     assertEquals(1, guard.violationCount());
-    assertEquals(List.of("rule violated: TOLD_TOO_MUCH_TIME r1"), defects);
+    assertEquals(List.of("rule violated: TOLD_TOO_MUCH_TIME r1"), violationLog);
   }
 
   @Test
-  void aConnectionIsNotClosedUnderARequestButByItsClientsOrItsAnswersEnd() {
+  void connectionWithAnOpenRequestIsClosedOnlyWhenItsClientOrAnswerEnded() {
     assertTrue(guard.mayClose(CloseReason.IDLE, null));
     assertTrue(guard.mayClose(CloseReason.CLIENT_LEFT, "r1"));
     assertEquals(0, guard.violationCount());
-    assertEquals(List.of("request r1: its connection is closed, CLIENT_LEFT"), notes);
+    assertEquals(List.of("request r1: its connection is closed, CLIENT_LEFT"), closeLog);
     assertFalse(guard.mayClose(CloseReason.GIVES_WAY, "r2"));
-    assertEquals(List.of("rule violated: CLOSE_UNDER_REQUEST r2 GIVES_WAY"), defects);
+    assertEquals(List.of("rule violated: CLOSE_UNDER_REQUEST r2 GIVES_WAY"), violationLog);
   }
 
   @Test
-  void aRefusalThatIsNotHarmlessAndAnAnswerThatIsNotOwedAreViolations() {
+  void harmfulRejectionAndUnexpectedAnswerAreViolations() {
     assertTrue(guard.mayRefuse("r1", true));
     assertTrue(guard.mayAnswer("r1"));
     assertFalse(guard.mayRefuse("r1", false));
