--- a/src/main/java/pumicekeel/discovery/CallFailure.java
+++ b/src/main/java/pumicekeel/discovery/CallFailure.java
@@ -2,20 +2,22 @@
 
 /** How a call to discovery failed. */
 public enum CallFailure {
-  /** No connection, or one that broke before an answer, soon after the call was made. */
+  /** No connection, or one that failed before a response, shortly after the call was made. */
   UNREACHABLE,
-  /** No answer to the connect, which the kernel has repeated. */
+  /** The connect timed out, although the kernel retransmitted it. */
   UNCONNECTED,
-  /** Answered otherwise than by a list, soon after it was made: a service that is down may say so, and one that is crowded. */
+  /**
+   * Any response other than a list, shortly after the call was made; a service that is down may answer so, and so may an overloaded one.
+   */
   TURNED_AWAY,
-  /** The same, or broken before an answer, after it had waited for its turn. */
+  /** As {@link #TURNED_AWAY}, or the connection failed before a response, after the call had waited in the service's queue. */
   TURNED_AWAY_LATE,
-  /** Accepted, and not answered for too long. */
+  /** Accepted, but not answered within the time limit. */
   IGNORED,
-  /** A list began and stopped, or was malformed. */
+  /** A list began and did not complete, or was malformed. */
   CUT,
-  /** A watch that lived was ended by discovery. */
+  /** Discovery ended a working watch. */
   ENDED,
-  /** A watch that lived fell silent. */
+  /** A working watch received nothing more. */
   SILENT
 }
--- a/src/main/java/pumicekeel/discovery/CallPlan.java
+++ b/src/main/java/pumicekeel/discovery/CallPlan.java
@@ -4,48 +4,48 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When the next call to a discovery that is asked is made after one that failed. No I/O; time is handed in, the seed is its only randomness.
- *
- * <p>A call that fails at once is made again soon: the longest pause falls with what is left until the list may not be acted on any more,
- * and has a floor, so that a fleet makes a bounded number of calls. A call that was turned away after it had waited for its turn has
- * paused already, and comes again nearly at once, in the order in which the callers were turned away. Unless such calls wait for
- * different times: then their refusals wait in turn too and take the service's time, and each pauses for as long as it has waited and, while
- * refusals go on, for twice as long each time, so that all callers together ask for less than they get.
- *
- * <p>Where answers take long, or calls were turned away behind others, the service is crowded: one that it turns away at once finds its queue
- * full, and leaves it a second on average; no call is made beside one that waits, and a watch that fell silent is opened anew
- * only when twice the time of an answer is left.
+ * Schedules the next call to a polled discovery service after a failure. No I/O; time is passed in, and the seed is its only source of
+ * randomness.
+ * | <p>A call that fails at once is retried soon: the maximum pause shrinks with the time left until the list must no longer be used, and
+ * has a lower bound, so that a fleet makes a bounded number of calls. A call that was rejected after waiting in the service's queue has
+ * already paused, and is repeated almost at once, in the order in which the callers were rejected. The exception is when such calls wait
+ * for different lengths of time: then their rejections are queued as well and consume the service's time, so each caller pauses on
+ * average for as long as it has waited, and twice as long after each further rejection, and all callers together demand less than the
+ * service can handle.
+ * | <p>The service counts as crowded if its responses take long or if calls were rejected after queueing. A call that a crowded service
+ * rejects at once has found a full queue and pauses for one second on average; no second call is made beside one that waits; and a watch
+ * that fell silent is reopened only when twice the response time is left.
  */
 final class CallPlan {
 
-  private static final long SHORTEST_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-  private static final long LONGEST_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-  /** The longest pause of one that others tell who has left. */
-  private static final long SPARED_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(2);
-  /** So many tries should fit into what is left. */
-  private static final int TRIES_LEFT = 16;
-  /** A call that was turned away after so long had waited for its turn. */
-  static final long WAITED_NANOS = TimeUnit.SECONDS.toNanos(1);
-  /** Refusals by a limit on waiting come after the same time, but for what busy loops take: up to a quarter more. */
-  private static final double SAME_WAIT = 1.25;
-  /** An answer that takes longer has waited for others. */
-  private static final long CROWDED_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-  /** Beside the time of answers, what a call may take until its list is in force. */
-  private static final long MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
-
-  private static final int MOST_DOUBLINGS = 10;
-  /** Pauses of up to 8 times what a call has waited. */
-  private static final int MOST_REFUSED_IN_TURN = 3;
+  private static final long MIN_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long MAX_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  /** Maximum pause while other balancers report departures to this one. */
+  private static final long MAX_INFORMED_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(2);
+  /** The remaining time should allow this many tries. */
+  private static final int TARGET_TRIES = 16;
+  /** A call rejected after at least this time had waited in the service's queue. */
+  static final long QUEUED_REFUSAL_NANOS = TimeUnit.SECONDS.toNanos(1);
+  /** Rejections by a limit on queueing time take the same time, except for delays by busy event loops: up to a quarter more. */
+  private static final double SAME_WAIT_FACTOR = 1.25;
+  /** A response that takes at least this long was queued behind others. */
+  private static final long CROWDED_ANSWER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  /** Time, besides two responses, that a call may take until its list is in force. */
+  private static final long REOPEN_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+
+  private static final int MAX_DOUBLINGS = 10;
+  /** Limits the pause to 8 times the time that the call has waited. */
+  private static final int MAX_QUEUED_REFUSALS = 3;
 
   private final SplittableRandom random;
-  private int failures;
-  private long shortestRefusedNanos = Long.MAX_VALUE;
-  private long longestRefusedNanos;
-  /** Since the last answer. */
-  private boolean refusedLate;
+  private int consecutiveFailures;
+  private long minRefusalNanos = Long.MAX_VALUE;
+  private long maxRefusalNanos;
+  /** Whether a call was rejected after queueing since the last response. */
+  private boolean refusedAfterWait;
 
-  /** Refusals that took turns, less answers since. */
-  private int refusedInTurn;
+  /** Number of rejections that were queued themselves, less the responses since. */
+  private int queuedRefusals;
 
   private long answerNanos;
 
@@ -53,79 +53,74 @@
     random = new SplittableRandom(seed);
   }
 
-  /** A call has told its first list, so long after it was made: the next failure is the first one. */
-  void answered(long nanos) {
-    failures = 0;
+  /** Records that a call received its first list after this time; the next failure counts as the first one. */
+  void answerReceived(long nanos) {
+    consecutiveFailures = 0;
     answerNanos = nanos;
-    refusedLate = false;
-    refusedInTurn = Math.max(0, refusedInTurn - 1);
+    refusedAfterWait = false;
+    queuedRefusals = Math.max(0, queuedRefusals - 1);
   }
 
-  /** Another discovery is asked from now on. */
-  void moved() {
-    answered(0);
-    refusedInTurn = 0;
-    shortestRefusedNanos = Long.MAX_VALUE;
-    longestRefusedNanos = 0;
+  /** Resets all state, since another discovery service is called from now on. */
+  void reset() {
+    answerReceived(0);
+    queuedRefusals = 0;
+    minRefusalNanos = Long.MAX_VALUE;
+    maxRefusalNanos = 0;
   }
 
-  /** Whether calls wait for their turn at the service. */
+  /** Returns whether calls are queued at the service. */
   boolean crowded() {
-    return refusedLate || refusedInTurn > 0 || answerNanos >= CROWDED_NANOS;
+    return refusedAfterWait || queuedRefusals > 0 || answerNanos >= CROWDED_ANSWER_NANOS;
   }
 
   /**
-   * How long to pause before the next call, in nanoseconds.
-   *
-   * @param waitedNanos from the failed call's begin to its end
-   * @param leftNanos until the list may not be acted on any more
-   * @param knownByOthers whether other balancers tell who has left meanwhile, so that calls are left to those that nobody tells
+   * Returns the pause before the next call, in nanoseconds.
+   * | @param waitedNanos from the start of the failed call to its end
+   * @param leftNanos until the list must no longer be used
+   * @param confirmedByPeer whether other balancers currently report departures, so that calls are left to balancers without such reports
    */
-  long pause(CallFailure how, long waitedNanos, long leftNanos, boolean knownByOthers) {
-    long pause = pause(how, waitedNanos, leftNanos);
-    return knownByOthers ? Math.max(pause, random.nextLong(SPARED_PAUSE_NANOS)) : pause;
+  long pause(CallFailure failure, long waitedNanos, long leftNanos, boolean confirmedByPeer) {
+    long pause = pause(failure, waitedNanos, leftNanos);
+    return confirmedByPeer ? Math.max(pause, random.nextLong(MAX_INFORMED_PAUSE_NANOS)) : pause;
   }
 
-  /** The same for a balancer that nobody else tells. */
-  long pause(CallFailure how, long waitedNanos, long leftNanos) {
-    return switch (how) {
-      case TURNED_AWAY_LATE -> afterLateRefusal(waitedNanos);
-      case ENDED -> random.nextLong(LONGEST_PAUSE_NANOS);
-      case SILENT -> random.nextLong(SHORTEST_PAUSE_NANOS) + spared(leftNanos);
+  /** Returns the pause for a balancer that receives no reports from others. */
+  long pause(CallFailure failure, long waitedNanos, long leftNanos) {
+    return switch (failure) {
+      case TURNED_AWAY_LATE -> pauseAfterQueuedRefusal(waitedNanos);
+      case ENDED -> random.nextLong(MAX_PAUSE_NANOS);
+      case SILENT -> random.nextLong(MIN_PAUSE_NANOS) + crowdedDelay(leftNanos);
       case CUT, IGNORED ->
-        waitedNanos >= LONGEST_PAUSE_NANOS
-            ? random.nextLong(SHORTEST_PAUSE_NANOS)
-            : doubled(leftNanos);
+        waitedNanos >= MAX_PAUSE_NANOS ? random.nextLong(MIN_PAUSE_NANOS) : backoff(leftNanos);
       case TURNED_AWAY ->
-        crowded()
-            ? LONGEST_PAUSE_NANOS + random.nextLong(2 * LONGEST_PAUSE_NANOS)
-            : doubled(leftNanos);
-      case UNREACHABLE, UNCONNECTED -> doubled(leftNanos);
+        crowded() ? MAX_PAUSE_NANOS + random.nextLong(2 * MAX_PAUSE_NANOS) : backoff(leftNanos);
+      case UNREACHABLE, UNCONNECTED -> backoff(leftNanos);
     };
   }
 
-  private long afterLateRefusal(long waitedNanos) {
-    refusedLate = true;
-    shortestRefusedNanos = Math.min(shortestRefusedNanos, waitedNanos);
-    longestRefusedNanos = Math.max(longestRefusedNanos, waitedNanos);
-    if (longestRefusedNanos <= SAME_WAIT * shortestRefusedNanos) {
-      return random.nextLong(SHORTEST_PAUSE_NANOS);
+  private long pauseAfterQueuedRefusal(long waitedNanos) {
+    refusedAfterWait = true;
+    minRefusalNanos = Math.min(minRefusalNanos, waitedNanos);
+    maxRefusalNanos = Math.max(maxRefusalNanos, waitedNanos);
+    if (maxRefusalNanos <= SAME_WAIT_FACTOR * minRefusalNanos) {
+      return random.nextLong(MIN_PAUSE_NANOS);
     }
-    refusedInTurn = Math.min(MOST_REFUSED_IN_TURN, refusedInTurn + 1);
-    return random.nextLong(waitedNanos << refusedInTurn);
+    queuedRefusals = Math.min(MAX_QUEUED_REFUSALS, queuedRefusals + 1);
+    return random.nextLong(waitedNanos << queuedRefusals);
   }
 
-  /** What a crowded service is spared: the time that is left beyond what two calls take. */
-  private long spared(long leftNanos) {
-    return crowded() ? Math.max(0, leftNanos - 2 * answerNanos - MARGIN_NANOS) : 0;
+  /** Returns an extra delay that spares a crowded service: the time left beyond what two calls take. */
+  private long crowdedDelay(long leftNanos) {
+    return crowded() ? Math.max(0, leftNanos - 2 * answerNanos - REOPEN_MARGIN_NANOS) : 0;
   }
 
-  private long doubled(long leftNanos) {
-    long doubled = SHORTEST_PAUSE_NANOS << Math.min(failures++, MOST_DOUBLINGS);
-    long most = leftNanos <= 0
-        ? LONGEST_PAUSE_NANOS
-        : Math.max(SHORTEST_PAUSE_NANOS, Math.min(LONGEST_PAUSE_NANOS, leftNanos / TRIES_LEFT));
-    long pause = Math.min(doubled, most);
+  private long backoff(long leftNanos) {
+    long doubled = MIN_PAUSE_NANOS << Math.min(consecutiveFailures++, MAX_DOUBLINGS);
+    long limit = leftNanos <= 0
+        ? MAX_PAUSE_NANOS
+        : Math.max(MIN_PAUSE_NANOS, Math.min(MAX_PAUSE_NANOS, leftNanos / TARGET_TRIES));
+    long pause = Math.min(doubled, limit);
     return pause / 2 + random.nextLong(pause / 2 + 1);
   }
 }
--- a/src/main/java/pumicekeel/discovery/DepartureExchange.java
+++ b/src/main/java/pumicekeel/discovery/DepartureExchange.java
@@ -13,351 +13,373 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What balancers tell each other of upstreams that left, in datagrams to all: so that one to which discovery's lists come late, or not at
- * all, sends nothing to them. No I/O; times are nanoseconds of one monotonic clock, the seed is its only randomness.
- *
- * <p>A word says who left, or was away for a while, between two versions of the list. Who serves again may be sent to only once that counts as
- * told here as well: when the own list says so, or 6 s after another balancer's list did. One whose list is old asks; one with a current list answers. A word that reaches
- * back to the version that is known here also confirms the list as of the time at which its sender last heard from discovery.
- *
- * <p>Words and questions are sent to all after a random pause, and left out where an equal one was heard meanwhile, so that their number
- * does not grow with the fleet. Each change is told twice, against loss. A word that is not covered by a list within
- * {@link #WORD_NANOS} is dropped: then versions here have nothing to do with those of its sender.
+ * Exchanges upstream departures among balancers in broadcast datagrams, so that a balancer that receives discovery's lists late, or not
+ * at all, sends nothing to departed upstreams. No I/O; times are nanoseconds of one monotonic clock, and the seed is its only source of
+ * randomness.
+ * | <p>A report names the upstreams that departed, or were away for a while, between two versions of the list. An upstream that serves
+ * again may receive requests only once its return counts as announced here as well: when the own list says so, or 6 s after another
+ * balancer's list did. A balancer whose list is old sends a query; one with a current list replies. A report that reaches back to the
+ * version that is known here also confirms the list as of the time at which its sender last received data from discovery.
+ * | <p>Reports and queries are broadcast after a random delay, and suppressed if an equal one was received meanwhile, so that their
+ * number does not grow with the fleet. Each change is reported twice, against loss. A reported departure that no list covers within
+ * {@link #REPORT_RETENTION_NANOS} is dropped: then the versions here are unrelated to those of its sender.
  */
 public final class DepartureExchange {
 
-  private static final long TELL_SPREAD_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-  private static final long TELL_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
-  private static final long ANSWER_SPREAD_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
-  private static final long ASK_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
+  private static final long REPORT_JITTER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long REPORT_REPEAT_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
+  private static final long REPLY_JITTER_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+  private static final long QUERY_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
   /** A list older than this has missed a heartbeat. */
-  private static final long ASK_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
-  /** On its way a datagram takes this long at most, or counts as lost. */
-  private static final long DELIVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-  /** Longer than a list stays away in any outage that is survived. */
-  private static final long WORD_NANOS = TimeUnit.SECONDS.toNanos(30);
-  /** Departures are told of for so long. */
-  private static final long HISTORY_NANOS = TimeUnit.SECONDS.toNanos(120);
-  /** One return is told at different times to balancers that discovery reaches, up to so far apart. */
-  private static final long SAME_RETURN_NANOS = TimeUnit.SECONDS.toNanos(4);
-  /** Words that are kept, of others. */
-  private static final int MAX_WORDS = 10_000;
+  private static final long STALE_LIST_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
+  /** Maximum delivery time of a datagram; a later one counts as lost. */
+  private static final long MAX_DELIVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  /** Longer than the list is unavailable in any outage that must be survived. */
+  private static final long REPORT_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(30);
+  /** Departures are reported for this long. */
+  private static final long HISTORY_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(120);
+  /** Balancers that discovery reaches learn of one return at times that differ by up to this much. */
+  private static final long SAME_RETURN_TOLERANCE_NANOS = TimeUnit.SECONDS.toNanos(4);
+  /** Maximum number of departures kept from other balancers' reports. */
+  private static final int MAX_REPORTED_DEPARTURES = 10_000;
 
   private static final long NEVER = Long.MAX_VALUE;
-  /** Before any reading of a clock, and far from an overflow. */
-  private static final long AT_ONCE = Long.MIN_VALUE / 4;
+  /** Earlier than any reading of the clock, and far from an overflow. */
+  private static final long IMMEDIATELY = Long.MIN_VALUE / 4;
 
-  /** Upstreams that a version told as away, and those that it told as serving again. */
-  private record Changes(Set<Long> left, Set<Long> back, long at) {}
+  /** Upstreams that a version of the list reported as away, and those that it reported as serving again. */
+  private record Changes(Set<Long> departed, Set<Long> returned, long listedAt) {}
 
-  /** Of one upstream: the version, when it came, and when its return was told to another balancer, {@link #NEVER} for not yet. */
-  private record Word(long to, long at, long backAt) {}
+  /**
+   * A departure reported for one upstream: the version, when the report was received, and when another balancer's list reported the
+   * return, {@link #NEVER} for not yet.
+   */
+  private record ReportedDeparture(long toVersion, long receivedAt, long returnedAt) {}
 
-  /** An upstream that serves again by others' word, which counts as told by now; it started then at the latest. */
+  /**
+   * An upstream that serves again according to other balancers, whose return counts as announced by now; it started at
+   * {@code startedNanos} at the latest.
+   */
   public record ReturnedUpstream(long id, long startedNanos) {}
 
-  /** The parts of a word of several datagrams that have come. */
-  private record Parts(long from, long to, Set<Integer> came) {}
+  /** The datagrams received so far of a report that consists of several. */
+  private record PartialReport(long from, long to, Set<Integer> receivedParts) {}
 
   private final ListCurrency currency;
   private final SplittableRandom random;
-  private final double density;
-  /** By the version that told of it. */
+  private final double delayDensity;
+  /** Changes by the version that reported them. */
   private final TreeMap<Long, Changes> history = new TreeMap<>();
 
-  private final Map<Long, Word> words = new HashMap<>();
-  /** Returns by others' word that have counted as told: an upstream's id, and when it was back. */
-  private final Map<Long, Long> returned = new HashMap<>();
+  private final Map<Long, ReportedDeparture> reportedDepartures = new HashMap<>();
+  /** Returns reported by others that counted as announced: the upstream's ID, and when it returned. */
+  private final Map<Long, Long> reportedReturns = new HashMap<>();
 
-  private final Map<Integer, Parts> parts = new HashMap<>();
+  private final Map<Integer, PartialReport> partialReports = new HashMap<>();
   /** From this version on, all departures are in the history. */
   private long historyFrom;
-  /** The own list's version, and when discovery last told it, or gave a sign of life. */
-  private long index;
-
-  /** The version up to which departures are known, by the own list or others' words. */
-  private long covered;
-  /** The version up to which all have been told. */
-  private long shared;
-
-  /** The next telling of what was listed last: the first or the second, from which version on, and what was heard of it since. */
-  private long tellAt = NEVER;
-
-  private int round;
-  private long tellFrom;
-  private boolean toldByOthers;
-  private long answerAt = NEVER;
-  private long answerFrom;
-  private long askAt = NEVER;
-  private long asks;
-  private long tells;
-  private long heardAsks;
-  private long heardTells;
-
-  /** Of a balancer of a tier of this size, whose list this is the currency of. */
+  /** Version of the own list. */
+  private long listVersion;
+
+  /** The version up to which departures are known, from the own list or other balancers' reports. */
+  private long knownVersion;
+  /** The version up to which all departures have been reported. */
+  private long sharedVersion;
+
+  /**
+   * The next report of the latest change: when it is due, whether it is the first or the second, from which version on, and whether
+   * another balancer has reported the same since.
+   */
+  private long reportAt = NEVER;
+
+  private int reportRound;
+  private long reportFrom;
+  private boolean reportedByPeer;
+  private long replyAt = NEVER;
+  private long replyFrom;
+  private long queryAt = NEVER;
+  private long queriesSent;
+  private long reportsSent;
+  private long queriesReceived;
+  private long reportsReceived;
+
+  /** Creates the exchange of one balancer in a tier of {@code size}; {@code currency} belongs to its list. */
   public DepartureExchange(ListCurrency currency, int size, long seed) {
     this.currency = currency;
-    density = 1 + Math.log(Math.max(1, size));
+    delayDensity = 1 + Math.log(Math.max(1, size));
     random = new SplittableRandom(seed);
   }
 
-  /** The list as it stands at the start has this version; others are asked at once what it has missed. */
+  /** Starts with the version of the initial list; other balancers are queried at once for what it has missed. */
   void start(long version) {
-    index = version;
-    covered = version;
-    shared = version;
+    listVersion = version;
+    knownVersion = version;
+    sharedVersion = version;
     historyFrom = version;
-    askAt = AT_ONCE;
+    queryAt = IMMEDIATELY;
   }
 
   /**
-   * A pause within a span, of which few of a large fleet have a short one: the first of them spare the others the datagram (Nonnenmacher and
-   * Biersack, "Scalable Feedback for Large Groups", 1999).
+   * Returns a random delay within a span, of which few members of a large fleet draw a short one: the first of them spare the others the
+   * datagram (Nonnenmacher and Biersack, "Scalable Feedback for Large Groups", 1999).
    */
-  private long pause(long spanNanos) {
-    double part = Math.log1p(random.nextDouble() * Math.expm1(density)) / density;
-    return (long) (spanNanos * part);
+  private long suppressionDelay(long spanNanos) {
+    double fraction = Math.log1p(random.nextDouble() * Math.expm1(delayDensity)) / delayDensity;
+    return (long) (spanNanos * fraction);
   }
 
-  /** Whether an upstream left by others' word. */
+  /** Returns whether an upstream has departed according to other balancers. */
   boolean hasDeparted(long id) {
-    return words.containsKey(id);
+    return reportedDepartures.containsKey(id);
   }
 
   /**
-   * The own list has come to a version, in which these have left, or were away, and these serve again, or for the first time; those whose
-   * departure by others' word it covers.
+   * Records that the own list has reached a version, in which some upstreams departed, or were away, and others serve again or for the
+   * first time. Returns the upstreams whose reported departure this version covers.
    */
-  Set<Long> listUpdated(long version, Set<Long> left, Set<Long> back, long now) {
-    if (version < index) {
-      // Another discovery's count: what was known of the one before says nothing of it.
+  Set<Long> listUpdated(long version, Set<Long> departed, Set<Long> returned, long now) {
+    if (version < listVersion) {
+      // The version count of another discovery service: what was known of the previous one does not
+      // apply to it.
       history.clear();
-      tellAt = NEVER;
+      reportAt = NEVER;
       historyFrom = version;
-      covered = version;
-      shared = version;
+      knownVersion = version;
+      sharedVersion = version;
     }
-    index = version;
-    covered = Math.max(covered, version);
-    if (!left.isEmpty() || !back.isEmpty()) {
-      history.put(version, new Changes(left, back, now));
+    listVersion = version;
+    knownVersion = Math.max(knownVersion, version);
+    if (!departed.isEmpty() || !returned.isEmpty()) {
+      history.put(version, new Changes(departed, returned, now));
     }
-    if (!left.isEmpty()) {
-      tellFrom = tellAt == NEVER ? shared : Math.min(tellFrom, shared);
-      round = 1;
-      toldByOthers = false;
-      tellAt = now + pause(TELL_SPREAD_NANOS);
+    if (!departed.isEmpty()) {
+      reportFrom = reportAt == NEVER ? sharedVersion : Math.min(reportFrom, sharedVersion);
+      reportRound = 1;
+      reportedByPeer = false;
+      reportAt = now + suppressionDelay(REPORT_JITTER_NANOS);
     }
     Set<Long> cleared = new LinkedHashSet<>();
-    words.forEach((id, word) -> {
-      if (word.to() <= version) {
+    reportedDepartures.forEach((id, reported) -> {
+      if (reported.toVersion() <= version) {
         cleared.add(id);
       }
     });
-    words.keySet().removeAll(cleared);
+    reportedDepartures.keySet().removeAll(cleared);
     return cleared;
   }
 
-  /** Those that serve again by others' word, now that this counts as told here; each once. */
+  /** Returns the upstreams that serve again according to other balancers and whose return now counts as announced here; each once. */
   public List<ReturnedUpstream> pollReturned(long now) {
-    List<ReturnedUpstream> back = new ArrayList<>();
-    words.forEach((id, word) -> {
-      if (word.backAt() != NEVER
-          && now - word.backAt() > ListCurrency.CHANGE_NOTICE_NANOS + 2 * DELIVERY_NANOS) {
-        back.add(new ReturnedUpstream(id, word.backAt()));
+    List<ReturnedUpstream> returned = new ArrayList<>();
+    reportedDepartures.forEach((id, reported) -> {
+      if (reported.returnedAt() != NEVER
+          && now - reported.returnedAt()
+              > ListCurrency.CHANGE_NOTICE_NANOS + 2 * MAX_DELIVERY_NANOS) {
+        returned.add(new ReturnedUpstream(id, reported.returnedAt()));
       }
     });
-    for (ReturnedUpstream one : back) {
-      words.remove(one.id());
-      returned.put(one.id(), one.startedNanos());
+    for (ReturnedUpstream upstream : returned) {
+      reportedDepartures.remove(upstream.id());
+      reportedReturns.put(upstream.id(), upstream.startedNanos());
     }
-    return back;
+    return returned;
   }
 
-  /** Takes a datagram from a balancer of this number; those that left by it and were not known to have. */
+  /**
+   * Processes a datagram from the balancer with this number; returns the upstreams that departed according to it and were not known to
+   * have.
+   */
   public Set<Long> receive(int from, byte[] bytes, long now) {
-    DepartureMessage message = DepartureMessage.read(bytes);
+    DepartureMessage message = DepartureMessage.decode(bytes);
     if (message == null) {
       return Set.of();
     }
     if (message.kind() == DepartureMessage.Kind.ASK) {
-      asked(message, now);
+      receiveQuery(message, now);
       return Set.of();
     }
-    return told(from, message, now);
+    return receiveReport(from, message, now);
   }
 
-  private void asked(DepartureMessage message, long now) {
-    heardAsks++;
+  private void receiveQuery(DepartureMessage message, long now) {
+    queriesReceived++;
     currency.peerQueried(now);
-    if (knows(now)) {
-      answerFrom = answerAt == NEVER ? message.from() : Math.min(answerFrom, message.from());
-      answerAt = Math.min(answerAt, now + pause(ANSWER_SPREAD_NANOS));
-    } else if (message.from() <= covered && askAt != NEVER) {
-      // Its answer will do here too.
-      askAt = Math.max(askAt, now + ASK_PERIOD_NANOS / 2 + pause(ASK_PERIOD_NANOS));
+    if (hasFreshList(now)) {
+      replyFrom = replyAt == NEVER ? message.from() : Math.min(replyFrom, message.from());
+      replyAt = Math.min(replyAt, now + suppressionDelay(REPLY_JITTER_NANOS));
+    } else if (message.from() <= knownVersion && queryAt != NEVER) {
+      // The reply to that query serves this balancer too.
+      queryAt =
+          Math.max(queryAt, now + QUERY_PERIOD_NANOS / 2 + suppressionDelay(QUERY_PERIOD_NANOS));
     }
   }
 
-  /** Whether discovery itself was heard a moment ago. */
-  private boolean knows(long now) {
-    return now - currency.lastContactAt() <= ASK_AGE_NANOS;
+  /** Returns whether data from discovery itself arrived recently. */
+  private boolean hasFreshList(long now) {
+    return now - currency.lastContactAt() <= STALE_LIST_AGE_NANOS;
   }
 
-  private Set<Long> told(int from, DepartureMessage message, long now) {
-    heardTells++;
+  private Set<Long> receiveReport(int from, DepartureMessage message, long now) {
+    reportsReceived++;
     currency.peerReported(now);
-    Set<Long> fresh = new LinkedHashSet<>();
-    if (message.to() > index && words.size() < MAX_WORDS) {
-      for (DepartureMessage.Departure one : message.departures()) {
-        if (heard(one, message.to(), now)) {
-          fresh.add(one.id());
+    Set<Long> newlyDeparted = new LinkedHashSet<>();
+    if (message.to() > listVersion && reportedDepartures.size() < MAX_REPORTED_DEPARTURES) {
+      for (DepartureMessage.Departure departure : message.departures()) {
+        if (recordDeparture(departure, message.to(), now)) {
+          newlyDeparted.add(departure.id());
         }
       }
     }
-    if (!complete(from, message)) {
-      return fresh;
+    if (!allPartsReceived(from, message)) {
+      return newlyDeparted;
     }
-    if (message.to() >= index) {
-      toldByOthers |= message.from() <= tellFrom;
-      if (message.from() <= shared) {
-        shared = Math.max(shared, message.to());
+    if (message.to() >= listVersion) {
+      reportedByPeer |= message.from() <= reportFrom;
+      if (message.from() <= sharedVersion) {
+        sharedVersion = Math.max(sharedVersion, message.to());
       }
-      if (answerAt != NEVER && message.from() <= answerFrom) {
-        answerAt = NEVER;
+      if (replyAt != NEVER && message.from() <= replyFrom) {
+        replyAt = NEVER;
       }
     }
-    if (message.from() <= covered && message.to() >= covered) {
-      covered = message.to();
+    if (message.from() <= knownVersion && message.to() >= knownVersion) {
+      knownVersion = message.to();
       currency.confirmedByPeer(
-          now - TimeUnit.MILLISECONDS.toNanos(message.ageMillis()) - DELIVERY_NANOS);
+          now - TimeUnit.MILLISECONDS.toNanos(message.ageMillis()) - MAX_DELIVERY_NANOS);
     }
-    return fresh;
+    return newlyDeparted;
   }
 
-  /** Takes one upstream's departure in; whether it was not known. An older word changes nothing. */
-  private boolean heard(DepartureMessage.Departure one, long to, long now) {
-    Word before = words.get(one.id());
-    if (before != null && before.to() > to) {
+  /** Records the departure of one upstream; returns whether it was unknown. An older report changes nothing. */
+  private boolean recordDeparture(DepartureMessage.Departure departure, long to, long now) {
+    ReportedDeparture before = reportedDepartures.get(departure.id());
+    if (before != null && before.toVersion() > to) {
       return false;
     }
-    long backAt = one.backMillis() == DepartureMessage.AWAY
+    long returnedAt = departure.returnedMillisAgo() == DepartureMessage.AWAY
         ? NEVER
-        : now - TimeUnit.MILLISECONDS.toNanos(one.backMillis());
-    Long known = before == null && backAt != NEVER ? returned.get(one.id()) : null;
-    if (known != null && Math.abs(known - backAt) < SAME_RETURN_NANOS) {
-      // Told again, as others ask.
+        : now - TimeUnit.MILLISECONDS.toNanos(departure.returnedMillisAgo());
+    Long known = before == null && returnedAt != NEVER ? reportedReturns.get(departure.id()) : null;
+    if (known != null && Math.abs(known - returnedAt) < SAME_RETURN_TOLERANCE_NANOS) {
+      // A repeated report, sent because other balancers queried.
       return false;
     }
-    if (before != null && before.backAt() != NEVER && backAt != NEVER) {
-      // The same return by another's list: the first that told it counts.
-      backAt = Math.min(before.backAt(), backAt);
+    if (before != null && before.returnedAt() != NEVER && returnedAt != NEVER) {
+      // The same return from another balancer's list: the earliest report counts.
+      returnedAt = Math.min(before.returnedAt(), returnedAt);
     }
-    words.put(one.id(), new Word(to, now, backAt));
+    reportedDepartures.put(departure.id(), new ReportedDeparture(to, now, returnedAt));
     return before == null;
   }
 
-  private boolean complete(int from, DepartureMessage message) {
+  private boolean allPartsReceived(int from, DepartureMessage message) {
     if (message.parts() == 1) {
       return true;
     }
-    Parts of = parts.get(from);
-    if (of == null || of.from() != message.from() || of.to() != message.to()) {
-      of = new Parts(message.from(), message.to(), new HashSet<>());
-      parts.put(from, of);
+    PartialReport partial = partialReports.get(from);
+    if (partial == null || partial.from() != message.from() || partial.to() != message.to()) {
+      partial = new PartialReport(message.from(), message.to(), new HashSet<>());
+      partialReports.put(from, partial);
     }
-    of.came().add(message.part());
-    return of.came().size() == message.parts();
+    partial.receivedParts().add(message.part());
+    return partial.receivedParts().size() == message.parts();
   }
 
-  /** When {@link #tick} has something to send, at the latest. */
+  /** Returns the latest time at which {@link #tick} has something to send. */
   public long nextTickAt() {
-    long due = Math.min(tellAt, Math.min(answerAt, askAt));
-    return askAt == NEVER ? Math.min(due, currency.asOf() + ASK_AGE_NANOS) : due;
+    long due = Math.min(reportAt, Math.min(replyAt, queryAt));
+    return queryAt == NEVER ? Math.min(due, currency.asOf() + STALE_LIST_AGE_NANOS) : due;
   }
 
-  /** Datagrams to all that are due. */
+  /** Returns the datagrams to broadcast that are due. */
   public List<byte[]> tick(long now) {
-    forget(now);
+    evictExpired(now);
     List<byte[]> out = new ArrayList<>();
-    if (now >= tellAt) {
-      tellAgain(now, out);
+    if (now >= reportAt) {
+      sendScheduledReport(now, out);
     }
-    if (now >= answerAt) {
-      answerAt = NEVER;
-      if (knows(now)) {
-        tell(answerFrom, now, out);
+    if (now >= replyAt) {
+      replyAt = NEVER;
+      if (hasFreshList(now)) {
+        appendReport(replyFrom, now, out);
       }
     }
-    ask(now, out);
+    appendQueryIfDue(now, out);
     return out;
   }
 
-  /** Two words of each change are enough, whoever sends them. */
-  private void tellAgain(long now, List<byte[]> out) {
-    if (!toldByOthers && knows(now)) {
-      tell(tellFrom, now, out);
+  /** Two reports of each change suffice, whoever sends them. */
+  private void sendScheduledReport(long now, List<byte[]> out) {
+    if (!reportedByPeer && hasFreshList(now)) {
+      appendReport(reportFrom, now, out);
     }
-    toldByOthers = false;
-    tellAt = round == 1 ? now + TELL_AGAIN_NANOS + pause(TELL_SPREAD_NANOS) : NEVER;
-    round++;
+    reportedByPeer = false;
+    reportAt = reportRound == 1
+        ? now + REPORT_REPEAT_DELAY_NANOS + suppressionDelay(REPORT_JITTER_NANOS)
+        : NEVER;
+    reportRound++;
   }
 
-  /** Tells of all departures behind a version, as far as they are known. */
-  private void tell(long behind, long now, List<byte[]> out) {
-    long from = Math.max(behind, historyFrom);
+  /** Appends a report of all departures after a version, as far as they are known. */
+  private void appendReport(long afterVersion, long now, List<byte[]> out) {
+    long from = Math.max(afterVersion, historyFrom);
     Map<Long, Integer> changes = new LinkedHashMap<>();
     for (long version : history.descendingKeySet()) {
       Changes more = history.get(version);
-      boolean fits = changes.size() + more.left().size() + more.back().size()
+      boolean fits = changes.size() + more.departed().size() + more.returned().size()
           <= DepartureMessage.MAX_PARTS * DepartureMessage.MAX_DEPARTURES;
       if (version <= from || !fits) {
         from = Math.max(from, version);
         break;
       }
-      int millis = (int) TimeUnit.NANOSECONDS.toMillis(now - more.at());
-      more.back().forEach(id -> changes.putIfAbsent(id, millis));
-      more.left().forEach(id -> changes.putIfAbsent(id, DepartureMessage.AWAY));
+      int millis = (int) TimeUnit.NANOSECONDS.toMillis(now - more.listedAt());
+      more.returned().forEach(id -> changes.putIfAbsent(id, millis));
+      more.departed().forEach(id -> changes.putIfAbsent(id, DepartureMessage.AWAY));
     }
     List<DepartureMessage.Departure> departures = new ArrayList<>();
-    changes.forEach((id, back) -> departures.add(new DepartureMessage.Departure(id, back)));
+    changes.forEach((id, returned) -> departures.add(new DepartureMessage.Departure(id, returned)));
     int age = (int) Math.min(
         Integer.MAX_VALUE,
         TimeUnit.NANOSECONDS.toMillis(Math.max(0, now - currency.lastContactAt())));
-    DepartureMessage.tell(from, index, age, departures).forEach(m -> out.add(m.bytes()));
-    shared = Math.max(shared, index);
-    tells++;
+    DepartureMessage.report(from, listVersion, age, departures).forEach(m -> out.add(m.encode()));
+    sharedVersion = Math.max(sharedVersion, listVersion);
+    reportsSent++;
   }
 
-  private void ask(long now, List<byte[]> out) {
-    if (askAt == NEVER && now - currency.asOf() > ASK_AGE_NANOS) {
-      askAt = now + pause(ANSWER_SPREAD_NANOS);
+  private void appendQueryIfDue(long now, List<byte[]> out) {
+    if (queryAt == NEVER && now - currency.asOf() > STALE_LIST_AGE_NANOS) {
+      queryAt = now + suppressionDelay(REPLY_JITTER_NANOS);
     }
-    if (now < askAt) {
+    if (now < queryAt) {
       return;
     }
-    boolean first = askAt == AT_ONCE;
-    if (!first && now - currency.asOf() <= ASK_AGE_NANOS) {
-      askAt = NEVER;
+    boolean first = queryAt == IMMEDIATELY;
+    if (!first && now - currency.asOf() <= STALE_LIST_AGE_NANOS) {
+      queryAt = NEVER;
       return;
     }
-    out.add(DepartureMessage.ask(covered).bytes());
-    asks++;
-    askAt = now + ASK_PERIOD_NANOS / 2 + pause(ASK_PERIOD_NANOS);
+    out.add(DepartureMessage.query(knownVersion).encode());
+    queriesSent++;
+    queryAt = now + QUERY_PERIOD_NANOS / 2 + suppressionDelay(QUERY_PERIOD_NANOS);
   }
 
-  private void forget(long now) {
-    words.values().removeIf(word -> now - word.at() > WORD_NANOS);
-    returned.values().removeIf(at -> now - at > HISTORY_NANOS);
-    while (!history.isEmpty() && now - history.firstEntry().getValue().at() > HISTORY_NANOS) {
+  private void evictExpired(long now) {
+    reportedDepartures
+        .values()
+        .removeIf(reported -> now - reported.receivedAt() > REPORT_RETENTION_NANOS);
+    reportedReturns.values().removeIf(at -> now - at > HISTORY_RETENTION_NANOS);
+    while (!history.isEmpty()
+        && now - history.firstEntry().getValue().listedAt() > HISTORY_RETENTION_NANOS) {
       historyFrom = Math.max(historyFrom, history.pollFirstEntry().getKey());
     }
   }
 
-  /** For operators: what was said and heard, a line. */
+  /** Returns the exchange's state and counters in one line for operators. */
   public String statusLine() {
-    return "departures known to version " + covered + ", by others' word " + words.size()
-        + ", words sent " + tells + " heard " + heardTells + ", questions sent " + asks + " heard "
-        + heardAsks;
+    return "departures known to version " + knownVersion + ", by others' word "
+        + reportedDepartures.size()
+        + ", words sent " + reportsSent + " heard " + reportsReceived + ", questions sent "
+        + queriesSent + " heard "
+        + queriesReceived;
   }
 }
--- a/src/main/java/pumicekeel/discovery/Discovery.java
+++ b/src/main/java/pumicekeel/discovery/Discovery.java
@@ -33,38 +33,39 @@
 import pumicekeel.runtime.Reactor;
 
 /**
- * The watch on discovery: calls {@link #watch} once wanted, and again after each failure for as long as it is. {@link CallPlan} says when
- * to call again, {@link WatchCall} when a call has stalled or is over, {@link ListCurrency} learns how current the list is. While the only
- * call has stalled another one is made beside it; the first that tells something whole stays, the other is closed.
+ * The watch on discovery: opens calls once {@link #watch} is turned on, and again after each failure while it stays on. {@link CallPlan}
+ * decides when to call again, {@link WatchCall} when a call has stalled or is over, and {@link ListCurrency} tracks how current the list
+ * is. While the only call has stalled a second one is made in parallel; the first that receives something complete is kept, the other is
+ * closed.
  */
 public final class Discovery {
 
-  /** No version of the list is known, so all of it is asked for. */
+  /** No version of the list is known, so the full list is requested. */
   public static final long NO_INDEX = -1;
-  /** Far above any list; one without an end must not fill the memory. */
-  private static final int MAX_LIST = 4 << 20;
+  /** Far above the size of any list; a list without an end must not fill the memory. */
+  private static final int MAX_LIST_BYTES = 4 << 20;
 
   private static final int MAX_CALLS = 2;
   private static final long CURRENCY_CHECK_MILLIS = 500;
 
-  private final Reactor on;
+  private final Reactor reactor;
   private WatchTerms terms;
-  private final Consumer<HostList> news;
-  private final Runnable failed;
+  private final Consumer<HostList> onList;
+  private final Runnable onFailure;
   private final ListCurrency currency;
   private final CallPlan plan;
-  private final StartTimes starts = new StartTimes();
+  private final StartTimes startTimes = new StartTimes();
   /** Open calls, the oldest first. */
   private final List<WatchHandler> calls = new ArrayList<>();
 
   private InetSocketAddress address;
   private long index;
   private boolean wanted;
-  private ScheduledFuture<?> next;
-  private ScheduledFuture<?> check;
-  private long made;
+  private ScheduledFuture<?> nextCall;
+  private ScheduledFuture<?> currencyCheck;
+  private long callCount;
 
-  /** One that is not followed yet; {@code seed} spreads its calls, and {@code failed} is run after each that failed. */
+  /** Creates a watch that is not started yet; {@code seed} spreads its calls, and {@code failed} runs after each call that failed. */
   public Discovery(
       Reactor on,
       InetSocketAddress address,
@@ -74,24 +75,24 @@
       long seed,
       Consumer<HostList> news,
       Runnable failed) {
-    this.on = on;
+    this.reactor = on;
     this.address = address;
     this.index = index;
     this.terms = terms;
     this.currency = currency;
-    this.news = news;
-    this.failed = failed;
+    this.onList = news;
+    this.onFailure = failed;
     plan = new CallPlan(seed);
   }
 
-  /** Begins to follow the list where that is pushed; where it is asked, the module says when. */
+  /** Starts watching the list if it is pushed; if it is polled, the module decides when. */
   public void start() {
     if (terms.pushed()) {
       watch(true);
     }
   }
 
-  /** Other settings: how a watch is kept from now on. */
+  /** Changes the terms for calls made from now on. */
   public void reconfigure(WatchTerms next, boolean followed) {
     terms = next;
     if (followed) {
@@ -99,20 +100,20 @@
     }
   }
 
-  /** Starts a watch, unless one is on already, or ends it. */
+  /** Starts the watch unless it is on already, or ends it. */
   public void watch(boolean on) {
     wanted = on;
     if (!on) {
-      stop();
+      closeCalls();
     } else if (calls.isEmpty()) {
-      call();
+      openCall();
       checkCurrency();
     }
   }
 
   /**
-   * Follows the list at another address from now on. A watch starts there at once, however long the plan would still wait after a failure of
-   * the old one; versions of the list there have nothing to do with those here. Returns whether the address is another.
+   * Watches the list at another address from now on. The call there starts at once, whatever pause was left after a failure at the old
+   * one; versions of the list there are unrelated to those here. Returns whether the address is a different one.
    */
   public boolean moveTo(InetSocketAddress to) {
     if (to.equals(address)) {
@@ -120,115 +121,117 @@
     }
     address = to;
     index = NO_INDEX;
-    plan.moved();
-    stop();
+    plan.reset();
+    closeCalls();
     if (wanted) {
-      call();
+      openCall();
       checkCurrency();
     }
     return true;
   }
 
-  /** Ends the calls that may be open; it is nobody's failure. */
-  private void stop() {
-    cancelNext();
-    if (check != null) {
-      check.cancel(false);
-      check = null;
+  /** Closes any open calls; this does not count as a failure. */
+  private void closeCalls() {
+    cancelNextCall();
+    if (currencyCheck != null) {
+      currencyCheck.cancel(false);
+      currencyCheck = null;
     }
     List<WatchHandler> before = List.copyOf(calls);
     calls.clear();
     before.forEach(WatchHandler::close);
   }
 
-  private void cancelNext() {
-    if (next != null) {
-      next.cancel(false);
-      next = null;
+  private void cancelNextCall() {
+    if (nextCall != null) {
+      nextCall.cancel(false);
+      nextCall = null;
     }
   }
 
-  /** Logs the list's state where it is another, now and for as long as the list is followed. */
+  /** Logs the list's state if it has changed, now and periodically while the list is watched. */
   private void checkCurrency() {
-    if (check != null) {
-      check.cancel(false);
+    if (currencyCheck != null) {
+      currencyCheck.cancel(false);
     }
     logCurrency();
-    check = on.loop().schedule(this::checkCurrency, CURRENCY_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+    currencyCheck =
+        reactor.loop().schedule(this::checkCurrency, CURRENCY_CHECK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private void logCurrency() {
-    String line = currency.stateChangeLine(on.clock().now());
+    String line = currency.stateChangeLine(reactor.clock().now());
     if (line != null) {
       Log.line("discovery: list " + index + " " + line);
     }
   }
 
-  private void call() {
-    cancelNext();
-    Channel channel = on.connecting();
+  private void openCall() {
+    cancelNextCall();
+    Channel channel = reactor.connecting();
     if (channel == null) {
-      failed("no descriptor", CallFailure.UNREACHABLE, 0);
+      callFailed("no file descriptor available", CallFailure.UNREACHABLE, 0);
       return;
     }
     WatchHandler handler = new WatchHandler(channel);
     calls.add(handler);
-    handler.expect();
+    handler.scheduleCheck();
     new Bootstrap()
-        .group(on.loop())
+        .group(reactor.loop())
         .channelFactory(() -> channel)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, terms.connectMillis())
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel made) {
             made.pipeline()
-                .addLast(new HttpClientCodec(), handler, handler.frames, handler.new Lists());
+                .addLast(new HttpClientCodec(), handler, handler.frames, handler.new ListHandler());
           }
         })
         .connect(address)
         .addListener(connected -> {
           if (!connected.isSuccess()) {
-            handler.end("cannot connect", End.BROKEN);
+            handler.finish("cannot connect", End.BROKEN);
           }
         });
   }
 
-  /** Whether another call is to be made: none is open, or the only one has stalled. */
+  /** Returns whether another call is to be made: none is open, or the only one has stalled. */
   private boolean callDue(long now) {
     return calls.isEmpty()
         || calls.size() < MAX_CALLS && calls.stream().allMatch(c -> c.call.stalledAt() <= now);
   }
 
   private void callIfDue() {
-    next = null;
-    if (wanted && callDue(on.clock().now())) {
-      call();
+    nextCall = null;
+    if (wanted && callDue(reactor.clock().now())) {
+      openCall();
     }
   }
 
-  /** A call has failed. */
-  private void failed(String why, CallFailure how, long waited) {
-    long now = on.clock().now();
-    currency.callFailed(how, now);
+  /** Handles the failure of a call and schedules the next one. */
+  private void callFailed(String reason, CallFailure failure, long elapsedNanos) {
+    long now = reactor.clock().now();
+    currency.callFailed(failure, now);
     long pause = terms.pushed()
         ? terms.reopenNanos()
-        : plan.pause(how, waited, currency.sendableNanosLeft(now), currency.isConfirmedByPeer());
-    Log.caused("discovery: watch failed: " + why + ", " + how + " after "
-        + TimeUnit.NANOSECONDS.toMillis(waited) + " ms; list " + index + " is "
+        : plan.pause(
+            failure, elapsedNanos, currency.sendableNanosLeft(now), currency.isConfirmedByPeer());
+    Log.caused("discovery: watch failed: " + reason + ", " + failure + " after "
+        + TimeUnit.NANOSECONDS.toMillis(elapsedNanos) + " ms; list " + index + " is "
         + TimeUnit.NANOSECONDS.toMillis(currency.age(now)) + " ms old, next call in "
         + TimeUnit.NANOSECONDS.toMillis(pause) + " ms");
     logCurrency();
-    if (wanted && next == null) {
-      next = on.loop().schedule(this::callIfDue, pause, TimeUnit.NANOSECONDS);
+    if (wanted && nextCall == null) {
+      nextCall = reactor.loop().schedule(this::callIfDue, pause, TimeUnit.NANOSECONDS);
     }
-    failed.run();
+    onFailure.run();
   }
 
-  /** Something whole came on this call: it stays, others are not needed. */
-  private void alive(WatchHandler call, long now) {
-    starts.discoveryResponded(now);
+  /** Keeps only this call, on which something complete arrived, and closes the others. */
+  private void keepOnly(WatchHandler call, long now) {
+    startTimes.discoveryResponded(now);
     currency.markCurrent(now);
-    cancelNext();
+    cancelNextCall();
     for (WatchHandler other : List.copyOf(calls)) {
       if (other != call) {
         calls.remove(other);
@@ -237,35 +240,35 @@
     }
   }
 
-  /** Lists as they begin and end in the stream. */
+  /** Splits the stream into lists. */
   private static final class ListFrames extends JsonObjectDecoder {
     private ListFrames() {
-      super(MAX_LIST);
+      super(MAX_LIST_BYTES);
     }
 
-    /** One has begun and has not come to its end. */
-    private boolean half() {
+    /** Returns whether a list has begun and has not ended. */
+    private boolean hasPartialList() {
       return actualReadableBytes() > 0;
     }
   }
 
-  /** One call on its connection. Lists may be split anywhere over the chunks, and over lines. */
+  /** One call on its connection. Lists may be split anywhere across chunks, and across lines. */
   private final class WatchHandler extends SimpleChannelInboundHandler<HttpObject> {
     private final Channel channel;
     private final ListFrames frames = new ListFrames();
     private final WatchCall call =
-        new WatchCall(terms, plan.crowded(), on.clock().now());
-    private final long number = ++made;
-    /** Whether it has told a list. */
-    private boolean listed;
+        new WatchCall(terms, plan.crowded(), reactor.clock().now());
+    private final long callNumber = ++callCount;
+    /** Whether a list has been received. */
+    private boolean listReceived;
 
-    private ScheduledFuture<?> due;
+    private ScheduledFuture<?> checkTask;
 
     private WatchHandler(Channel channel) {
       this.channel = channel;
     }
 
-    private boolean open() {
+    private boolean isOpen() {
       return calls.contains(this);
     }
 
@@ -279,136 +282,140 @@
           .headers()
           .set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
       ctx.writeAndFlush(request);
-      call.connected(on.clock().now());
-      expect();
+      call.connected(reactor.clock().now());
+      scheduleCheck();
     }
 
-    /** Looks again when the call may have stalled or may be over. */
-    private void expect() {
-      if (due != null) {
-        due.cancel(false);
+    /** Schedules the next check, for when the call may have stalled or may be over. */
+    private void scheduleCheck() {
+      if (checkTask != null) {
+        checkTask.cancel(false);
       }
-      long now = on.clock().now();
+      long now = reactor.clock().now();
       long stalls = call.stalledAt() > now ? call.stalledAt() : Long.MAX_VALUE;
-      long at = Math.min(stalls, call.endsAt());
-      due = on.loop().schedule(this::look, Math.max(0, at - now), TimeUnit.NANOSECONDS);
+      long at = Math.min(stalls, call.givenUpAt());
+      checkTask =
+          reactor.loop().schedule(this::checkProgress, Math.max(0, at - now), TimeUnit.NANOSECONDS);
     }
 
-    private void look() {
-      long now = on.clock().now();
-      if (!open()) {
+    private void checkProgress() {
+      long now = reactor.clock().now();
+      if (!isOpen()) {
         return;
       }
-      if (now >= call.endsAt()) {
-        end("silent", End.LIMIT);
+      if (now >= call.givenUpAt()) {
+        finish("timed out", End.LIMIT);
         return;
       }
-      if (next == null && callDue(now)) {
-        Log.caused("discovery: call " + number + " has stalled, " + call.phase() + " after "
-            + TimeUnit.NANOSECONDS.toMillis(call.waited(now)) + " ms");
-        call();
+      if (nextCall == null && callDue(now)) {
+        Log.caused("discovery: call " + callNumber + " has stalled, " + call.phase() + " after "
+            + TimeUnit.NANOSECONDS.toMillis(call.elapsedNanos(now)) + " ms");
+        openCall();
       }
-      expect();
+      scheduleCheck();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
       if (message instanceof HttpResponse head) {
-        noteDate(head);
+        recordServerDate(head);
       }
       if (message.decoderResult().isFailure()) {
-        end("malformed answer", End.ANSWERED);
+        finish("malformed response", End.ANSWERED);
       } else if (message instanceof HttpResponse response && response.status().code() != 200) {
-        end("answer " + response.status().code(), End.ANSWERED);
-      } else if (message instanceof HttpContent part && open()) {
+        finish("answer " + response.status().code(), End.ANSWERED);
+      } else if (message instanceof HttpContent part && isOpen()) {
         ctx.fireChannelRead(part.content().retain());
-        if (open()) {
-          cameOn(part);
+        if (isOpen()) {
+          contentReceived(part);
         }
       }
     }
 
-    /** A piece of the answer has come. Nothing is whole before the first list is: a heartbeat alone says nothing of what came before. */
-    private void cameOn(HttpContent piece) {
-      long now = on.clock().now();
-      boolean whole = listed && !frames.half();
+    /**
+     * Handles a piece of the response. Nothing counts as complete before the first list: a heartbeat alone does not show that earlier
+     * data arrived.
+     */
+    private void contentReceived(HttpContent piece) {
+      long now = reactor.clock().now();
+      boolean whole = listReceived && !frames.hasPartialList();
       if (piece.content().writerIndex() > 0) {
-        if (whole && !call.told()) {
-          plan.answered(call.waited(now));
+        if (whole && !call.hasReceivedList()) {
+          plan.answerReceived(call.elapsedNanos(now));
         }
         call.progress(whole, now);
         if (whole) {
-          alive(this, now);
+          keepOnly(this, now);
           logCurrency();
         }
       }
       if (piece instanceof LastHttpContent) {
-        end("ended", End.ANSWERED);
+        finish("response ended", End.ANSWERED);
       } else {
-        expect();
+        scheduleCheck();
       }
     }
 
-    /** Discovery's own wall clock, where it tells it. */
-    private void noteDate(HttpResponse head) {
+    /** Records discovery's own wall clock, if its response states it. */
+    private void recordServerDate(HttpResponse head) {
       Date date = DateFormatter.parseHttpDate(head.headers().get(HttpHeaderNames.DATE, ""));
       if (date != null) {
-        starts.recordClockOffset(
-            TimeUnit.MILLISECONDS.toNanos(date.getTime()), on.clock().now());
+        startTimes.recordClockOffset(
+            TimeUnit.MILLISECONDS.toNanos(date.getTime()), reactor.clock().now());
       }
     }
 
-    /** What the answer's body holds, a list at a time. */
-    private final class Lists extends SimpleChannelInboundHandler<ByteBuf> {
+    /** Handles the content of the response's body, one list at a time. */
+    private final class ListHandler extends SimpleChannelInboundHandler<ByteBuf> {
       @Override
       protected void channelRead0(ChannelHandlerContext ctx, ByteBuf whole) throws IOException {
-        if (!open()) {
+        if (!isOpen()) {
           return;
         }
         HostList list = HostList.of(Fields.parse("list", whole.toString(StandardCharsets.UTF_8)));
-        listed = true;
+        listReceived = true;
         boolean beside = calls.get(0) != WatchHandler.this;
         if (beside && list.index() <= index) {
-          // The older call has told it already.
+          // The older call has delivered it already.
           return;
         }
         index = list.index();
-        long now = on.clock().now();
-        starts.recordClockOffset(on.clock().wallNanos(), now);
-        news.accept(starts.toLocalClock(list, now));
+        long now = reactor.clock().now();
+        startTimes.recordClockOffset(reactor.clock().wallNanos(), now);
+        onList.accept(startTimes.toLocalClock(list, now));
       }
 
       @Override
       public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        end(cause.toString(), End.ANSWERED);
+        finish(cause.toString(), End.ANSWERED);
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      end("connection ended", End.BROKEN);
+      finish("connection closed", End.BROKEN);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      end(cause.toString(), End.BROKEN);
+      finish(cause.toString(), End.BROKEN);
     }
 
-    /** Closes the connection; that is nobody's failure. */
+    /** Closes the connection; this does not count as a failure. */
     private void close() {
-      if (due != null) {
-        due.cancel(false);
+      if (checkTask != null) {
+        checkTask.cancel(false);
       }
       channel.close();
     }
 
-    /** Ends this call once; one that was replaced or stopped is nobody's failure. */
-    private void end(String why, End end) {
+    /** Ends this call once; a call that was replaced or closed does not count as failed. */
+    private void finish(String reason, End end) {
       boolean mine = calls.remove(this);
       close();
       if (mine) {
-        long now = on.clock().now();
-        failed(why, call.failure(end, now), call.waited(now));
+        long now = reactor.clock().now();
+        callFailed(reason, call.failure(end, now), call.elapsedNanos(now));
       }
     }
   }
--- a/src/main/java/pumicekeel/discovery/HostList.java
+++ b/src/main/java/pumicekeel/discovery/HostList.java
@@ -8,21 +8,21 @@
 import pumicekeel.adapter.Fields;
 import pumicekeel.runtime.Addresses;
 
-/** A list of upstreams in discovery's form, whole or only what changed. */
+/** A list of upstreams in the format of discovery, either a full snapshot or only the changes. */
 public record HostList(long index, boolean snapshot, List<Host> hosts) {
 
   private static final Map<String, State> STATUS =
       Map.of("in_service", State.READY, "terminating", State.DRAINING, "terminated", State.GONE);
 
-  /** One upstream: its name and type, where it listens as this balancer sees it, and what the module is told of it. */
+  /** An upstream: its name and type, its address as this balancer sees it, and what the module is given about it. */
   public record Host(String name, String type, InetSocketAddress address, Listed listed) {
 
-    /** One whose name and type nobody asks for. */
+    /** Creates a host whose name and type are not used. */
     public Host(InetSocketAddress address, Listed listed) {
       this("", "", address, listed);
     }
 
-    /** The same with another line for the module. */
+    /** Returns a copy with other data for the module. */
     public Host withListed(Listed other) {
       return new Host(name, type, address, other);
     }
@@ -47,7 +47,7 @@
         f.text("name"), f.text("type", ""), Addresses.parse("address", f.text("address")), listed);
   }
 
-  /** FNV-1a: the same at every balancer and after every restart, so that all agree on the ring. */
+  /** Returns the FNV-1a hash of a name: equal at every balancer and after every restart, so that all agree on the ring. */
   public static long idOf(String name) {
     long hash = 0xcbf29ce484222325L;
     for (int i = 0; i < name.length(); i++) {
--- a/src/main/java/pumicekeel/discovery/StartTimes.java
+++ b/src/main/java/pumicekeel/discovery/StartTimes.java
@@ -8,22 +8,22 @@
 import pumicekeel.Balancer.Listed;
 
 /**
- * When upstreams started, by the balancer's own clock. Lists tell it in Unix time, and the wall clock that this is compared with may be
- * stepped, before this process began or while it runs. A start that is known keeps its time. A new one is judged by each difference
- * between the two clocks for which there is evidence, and counts as the latest of these that is not still to come: an upstream taken
- * for colder than it is gets less, one taken for warmer is pushed over. No I/O; times are parameters.
+ * Start times of upstreams by the balancer's own monotonic clock. Lists state them in Unix time, and the wall clock that they are
+ * compared with may be stepped, before this process began or while it runs. A start that is already known keeps its time. A new one is
+ * converted with each clock offset for which there is evidence, and the latest result that is not in the future counts: an upstream
+ * treated as colder than it is receives less load, one treated as warmer would be overloaded. No I/O; times are parameters.
  */
 public final class StartTimes {
 
-  /** Differences of the clocks closer than this are one. */
-  private static final long SAME_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-  /** The seconds of a Date header, and what it takes to come here. */
-  private static final long SOON_NANOS = TimeUnit.SECONDS.toNanos(2);
-  /** A start that was told of first though it is so much older than the list before: then the clocks differ, not the lists. */
-  private static final long TOLD_LATE_NANOS = TimeUnit.SECONDS.toNanos(60);
+  /** Clock offsets that differ by less than this count as equal. */
+  private static final long SAME_OFFSET_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  /** Resolution of a Date header in seconds, plus the time of its delivery. */
+  private static final long CLOCK_READING_TOLERANCE_NANOS = TimeUnit.SECONDS.toNanos(2);
+  /** A start that is first reported although it is this much older than the previous list: then the clocks differ, not the lists. */
+  private static final long MAX_REPORT_DELAY_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-  private static final int MOST_OFFSETS = 8;
-  private static final int MOST_STARTS = 10_000;
+  private static final int MAX_OFFSETS = 8;
+  private static final int MAX_STARTS = 10_000;
 
   private record Start(long sinceNanos, long startedNanos) {}
 
@@ -32,31 +32,31 @@
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<Long, Start> eldest) {
-      return size() > MOST_STARTS;
+      return size() > MAX_STARTS;
     }
   };
-  /** The balancer's clock less the wall clock, as it stood at some time: the newest comes last. */
+  /** Differences between the balancer's clock and the wall clock, as observed; the newest is last. */
   private final List<Long> offsets = new ArrayList<>();
-  /** When a list or its heartbeat came last; 0 for never. */
+  /** Time of the last list or heartbeat; 0 for none. */
   private long lastContactAt;
 
-  /** A reading of a wall clock, this machine's or one that an answer told, with the balancer's own at that moment. */
+  /** Records a reading of a wall clock, this machine's or one from a response, with the balancer's own clock at that moment. */
   public void recordClockOffset(long wallNanos, long now) {
     long offset = now - wallNanos;
-    if (offsets.stream().noneMatch(o -> Math.abs(o - offset) < SAME_NANOS)) {
+    if (offsets.stream().noneMatch(o -> Math.abs(o - offset) < SAME_OFFSET_TOLERANCE_NANOS)) {
       offsets.add(offset);
-      if (offsets.size() > MOST_OFFSETS) {
+      if (offsets.size() > MAX_OFFSETS) {
         offsets.remove(0);
       }
     }
   }
 
-  /** Something came from discovery: what it knew until now is known here. */
+  /** Records that discovery responded: what it knew until now is known here. */
   public void discoveryResponded(long now) {
     lastContactAt = now;
   }
 
-  /** The list with each upstream's start by the balancer's clock. */
+  /** Returns the list with each upstream's start time by the balancer's clock. */
   public HostList toLocalClock(HostList list, long now) {
     List<HostList.Host> hosts = list.hosts().stream()
         .map(h -> h.withListed(toLocalClock(h.listed(), now)))
@@ -72,7 +72,7 @@
     }
     Start known = starts.get(listed.upstream());
     if (known == null || known.sinceNanos() != since) {
-      known = new Start(since, startOf(since, now));
+      known = new Start(since, localStartOf(since, now));
       starts.put(listed.upstream(), known);
     }
     return new Listed(
@@ -85,18 +85,18 @@
         listed.sharers());
   }
 
-  private long startOf(long since, long now) {
+  private long localStartOf(long since, long now) {
     long latest = Long.MIN_VALUE;
     for (long offset : offsets) {
       long started = since + offset;
-      if (started <= now + SOON_NANOS) {
+      if (started <= now + CLOCK_READING_TOLERANCE_NANOS) {
         latest = Math.max(latest, Math.min(started, now));
       }
     }
     if (latest == Long.MIN_VALUE
-        || lastContactAt != 0 && latest < lastContactAt - TOLD_LATE_NANOS) {
-      // Still to come by every clock, or long before the list that did not have it: it began just
-      // now.
+        || lastContactAt != 0 && latest < lastContactAt - MAX_REPORT_DELAY_NANOS) {
+      // In the future by every offset, or long before the previous list, which did not contain it:
+      // it started just now.
       recordClockOffset(since, now);
       return now;
     }
--- a/src/main/java/pumicekeel/discovery/UpstreamSource.java
+++ b/src/main/java/pumicekeel/discovery/UpstreamSource.java
@@ -14,21 +14,21 @@
 import pumicekeel.runtime.Reactor;
 
 /**
- * One list of upstreams and all who follow it: one watch serves every pool, and a pool that comes later begins with the
- * whole list as it stands. An upstream of which other balancers say that it left is told as draining until the list itself says
- * more. Only on the loop.
+ * One list of upstreams and its observers: a single watch serves every pool, and a pool that is added later starts with the full list as
+ * it stands. An upstream that departed according to other balancers is presented as draining until a later version of the list covers it.
+ * Event loop only.
  */
 public final class UpstreamSource {
 
-  /** One who is told of the list. */
+  /** Receives updates of the list. */
   public interface Observer {
     void listChanged(HostList list);
   }
 
-  /** Two readings of one start may differ by what clocks are read with. */
-  private static final long SAME_START_NANOS = 1_000_000_000L;
+  /** Two readings of one start time may differ by the precision of the clocks. */
+  private static final long SAME_START_TOLERANCE_NANOS = 1_000_000_000L;
 
-  private final Set<Observer> followers = new LinkedHashSet<>();
+  private final Set<Observer> observers = new LinkedHashSet<>();
   private final Map<Long, HostList.Host> hosts = new LinkedHashMap<>();
   private final Clock clock;
   private final ListCurrency currency;
@@ -36,8 +36,8 @@
   private DepartureExchange exchange;
   private long index;
   private long failureCount;
-  /** Whether a discovery has told of the list since the start, or the list is fixed. */
-  private boolean told;
+  /** Whether discovery has delivered the list since the start, or the list is fixed. */
+  private boolean listReceived;
 
   private UpstreamSource(Clock clock, ListCurrency currency) {
     this.clock = clock;
@@ -45,38 +45,37 @@
   }
 
   /**
-   * A list that is followed at an address, beginning with what was last known of it.
-   *
-   * @param graceNanos the drain grace
+   * Creates a list that is watched at an address, starting with its last known content.
+   * | @param graceNanos the drain grace
    * @param seed spreads its calls among those of other balancers
    */
   public static UpstreamSource watched(
-      Reactor on,
+      Reactor reactor,
       InetSocketAddress address,
       HostList known,
       WatchTerms terms,
       long graceNanos,
       long seed) {
     ListCurrency currency =
-        new ListCurrency(terms.pushed(), graceNanos, on.clock().now());
-    UpstreamSource source = new UpstreamSource(on.clock(), currency);
+        new ListCurrency(terms.pushed(), graceNanos, reactor.clock().now());
+    UpstreamSource source = new UpstreamSource(reactor.clock(), currency);
     source.merge(known, new LinkedHashSet<>(), new LinkedHashSet<>());
     source.discovery = new Discovery(
-        on,
+        reactor,
         address,
         known.hosts().isEmpty() ? Discovery.NO_INDEX : known.index(),
         terms,
         currency,
         seed,
-        source::news,
-        source::failed);
+        source::applyList,
+        source::callFailed);
     return source;
   }
 
-  /** A list that only a reload changes. */
+  /** Creates a list that only a reload changes. */
   public static UpstreamSource fixed(List<HostList.Host> hosts) {
     UpstreamSource source = new UpstreamSource(null, null);
-    source.told = true;
+    source.listReceived = true;
     source.merge(new HostList(0, true, hosts), new LinkedHashSet<>(), new LinkedHashSet<>());
     return source;
   }
@@ -85,149 +84,154 @@
     return discovery == null;
   }
 
-  /** How current the list is; null for a fixed one, which always is. */
+  /** Returns how current the list is; null for a fixed list, which always is. */
   public ListCurrency currency() {
     return currency;
   }
 
-  /** Shares with other balancers who has left, from now on. */
+  /** Shares departures with other balancers from now on. */
   public void shareDepartures(DepartureExchange with) {
     exchange = with;
     with.start(index);
   }
 
-  /** Follows the list from now on; the list as it stands. */
-  public HostList addObserver(Observer follower) {
-    followers.add(follower);
+  /** Adds an observer and returns the full list as it stands. */
+  public HostList addObserver(Observer observer) {
+    observers.add(observer);
     if (discovery != null) {
       discovery.start();
     }
-    return whole();
+    return snapshot();
   }
 
-  /** Follows no more; with the last follower the watch ends. */
-  public void removeObserver(Observer follower) {
-    followers.remove(follower);
-    if (followers.isEmpty() && discovery != null) {
+  /** Removes an observer; with the last one the watch ends. */
+  public void removeObserver(Observer observer) {
+    observers.remove(observer);
+    if (observers.isEmpty() && discovery != null) {
       discovery.watch(false);
-      // What is told while nobody listens is missed, so the next follower has to ask for all.
-      told = false;
+      // Updates are missed while there are no observers, so the next one has to request the full
+      // list.
+      listReceived = false;
     }
   }
 
-  /** A follower wants news: one that asks while the watch is on, or of a fixed list, gets the whole list at once. */
-  public void watch(Observer follower, boolean on) {
-    if (!on) {
+  /** Turns the watch on for an observer; if the list has been received already, or is fixed, the observer gets all of it at once. */
+  public void watch(Observer observer, boolean reactor) {
+    if (!reactor) {
       return;
     }
-    if (told) {
-      follower.listChanged(whole());
+    if (listReceived) {
+      observer.listChanged(snapshot());
     }
     if (discovery != null) {
       discovery.watch(true);
     }
   }
 
-  /** The same list from elsewhere; whether the address is another. */
+  /** Watches the same list at another address; returns whether the address is a different one. */
   public boolean moveTo(InetSocketAddress address) {
     return discovery.moveTo(address);
   }
 
-  /** Other settings; with nobody who follows it, the watch waits for one. */
+  /** Applies other settings; without observers, the watch waits for one. */
   public void reconfigure(WatchTerms terms, long graceNanos) {
     if (discovery != null) {
       currency.setGrace(graceNanos);
-      discovery.reconfigure(terms, !followers.isEmpty());
+      discovery.reconfigure(terms, !observers.isEmpty());
     }
   }
 
-  /** Another fixed list. */
+  /** Replaces a fixed list. */
   public void replace(List<HostList.Host> next) {
-    news(new HostList(index + 1, true, next));
+    applyList(new HostList(index + 1, true, next));
   }
 
-  /** Other balancers have a newer word of who left: those of them that still serve by this list are told as draining. */
-  public void markDeparted(Set<Long> left) {
-    List<HostList.Host> leaving = left.stream()
+  /** Marks upstreams that departed according to other balancers: those that still serve by this list are presented as draining. */
+  public void markDeparted(Set<Long> departed) {
+    List<HostList.Host> leaving = departed.stream()
         .map(hosts::get)
         .filter(host -> host != null && host.listed().state() == State.READY)
         .map(UpstreamSource::draining)
         .toList();
     if (!leaving.isEmpty()) {
-      Log.line("discovery: list " + index + ", left by other balancers' word: "
+      Log.line("discovery: list " + index + ", departed according to other balancers: "
           + String.join(" ", leaving.stream().map(HostList.Host::name).toList()));
-      tell(new HostList(index, false, leaving));
+      notifyObservers(new HostList(index, false, leaving));
     }
   }
 
-  /** These serve again by other balancers' word, cold: as if they had started when that was told first. */
-  public void markReturned(List<DepartureExchange.ReturnedUpstream> back) {
+  /**
+   * Marks upstreams that serve again according to other balancers, as cold: as if they had started when the return was first reported.
+   */
+  public void markReturned(List<DepartureExchange.ReturnedUpstream> returned) {
     List<HostList.Host> serving = new ArrayList<>();
-    for (DepartureExchange.ReturnedUpstream one : back) {
-      HostList.Host host = hosts.get(one.id());
+    for (DepartureExchange.ReturnedUpstream upstream : returned) {
+      HostList.Host host = hosts.get(upstream.id());
       if (host != null && host.listed().state() == State.READY) {
-        HostList.Host cold = startedAt(host, one.startedNanos());
-        hosts.put(one.id(), cold);
+        HostList.Host cold = withStartTime(host, upstream.startedNanos());
+        hosts.put(upstream.id(), cold);
         serving.add(cold);
       }
     }
     if (!serving.isEmpty()) {
-      Log.line("discovery: list " + index + ", back by other balancers' word: "
+      Log.line("discovery: list " + index + ", returned according to other balancers: "
           + String.join(" ", serving.stream().map(HostList.Host::name).toList()));
-      tell(new HostList(index, false, serving));
+      notifyObservers(new HostList(index, false, serving));
     }
   }
 
-  private static HostList.Host startedAt(HostList.Host host, long startedNanos) {
+  private static HostList.Host withStartTime(HostList.Host host, long startedNanos) {
     Listed l = host.listed();
     return host.withListed(
         new Listed(l.upstream(), l.zone(), l.cell(), l.state(), startedNanos, l.weight()));
   }
 
-  private void failed() {
-    told = false;
+  private void callFailed() {
+    listReceived = false;
     failureCount++;
   }
 
-  /** Calls to discovery that failed so far. */
+  /** Returns the number of calls to discovery that failed so far. */
   public long failureCount() {
     return failureCount;
   }
 
-  private HostList whole() {
-    return new HostList(index, true, hosts.values().stream().map(this::seen).toList());
+  private HostList snapshot() {
+    return new HostList(
+        index, true, hosts.values().stream().map(this::applyPeerDepartures).toList());
   }
 
-  private void news(HostList list) {
-    told = true;
-    Set<Long> left = new LinkedHashSet<>();
-    Set<Long> back = new LinkedHashSet<>();
-    merge(list, left, back);
+  private void applyList(HostList list) {
+    listReceived = true;
+    Set<Long> departed = new LinkedHashSet<>();
+    Set<Long> returned = new LinkedHashSet<>();
+    merge(list, departed, returned);
     if (exchange == null) {
-      tell(list);
+      notifyObservers(list);
       return;
     }
-    Set<Long> served = exchange.listUpdated(list.index(), left, back, clock.now());
-    List<HostList.Host> seen =
-        new ArrayList<>(list.hosts().stream().map(this::seen).toList());
+    Set<Long> cleared = exchange.listUpdated(list.index(), departed, returned, clock.now());
+    List<HostList.Host> visible =
+        new ArrayList<>(list.hosts().stream().map(this::applyPeerDepartures).toList());
     if (!list.snapshot()) {
-      // The list has come to where others' word was, and says nothing of these: they have not left.
-      served.stream()
+      // The list has caught up with the other balancers' reports and does not name these upstreams:
+      // they have not departed.
+      cleared.stream()
           .map(hosts::get)
           .filter(host -> host != null && !list.hosts().contains(host))
-          .forEach(seen::add);
+          .forEach(visible::add);
     }
-    tell(new HostList(list.index(), list.snapshot(), seen));
+    notifyObservers(new HostList(list.index(), list.snapshot(), visible));
   }
 
-  private void tell(HostList list) {
-    List.copyOf(followers).forEach(f -> f.listChanged(list));
+  private void notifyObservers(HostList list) {
+    List.copyOf(observers).forEach(f -> f.listChanged(list));
   }
 
-  /** As followers are to see it. */
-  private HostList.Host seen(HostList.Host host) {
-    boolean left = exchange != null && exchange.hasDeparted(host.listed().upstream());
-    return left && host.listed().state() == State.READY ? draining(host) : host;
+  /** Returns the host as observers are to see it. */
+  private HostList.Host applyPeerDepartures(HostList.Host host) {
+    boolean departed = exchange != null && exchange.hasDeparted(host.listed().upstream());
+    return departed && host.listed().state() == State.READY ? draining(host) : host;
   }
 
   private static HostList.Host draining(HostList.Host host) {
@@ -236,20 +240,23 @@
         new Listed(l.upstream(), l.zone(), l.cell(), State.DRAINING, l.startedNanos(), l.weight()));
   }
 
-  /** Takes a list in; adds those that have left, or have been away, since the one before, and those that serve since. */
-  private void merge(HostList list, Set<Long> left, Set<Long> back) {
+  /**
+   * Merges a list; adds upstreams that departed, or were away, since the previous list to {@code departed}, and those that serve since to
+   * {@code returned}.
+   */
+  private void merge(HostList list, Set<Long> departed, Set<Long> returned) {
     Set<Long> absent =
         list.snapshot() ? new LinkedHashSet<>(hosts.keySet()) : new LinkedHashSet<>();
     for (HostList.Host host : list.hosts()) {
       long id = host.listed().upstream();
       HostList.Host before = hosts.get(id);
       boolean ready = host.listed().state() == State.READY;
-      boolean hasLeft = before != null && hasLeft(before.listed(), host.listed());
-      if (hasLeft) {
-        left.add(id);
+      boolean hasDeparted = before != null && hasDeparted(before.listed(), host.listed());
+      if (hasDeparted) {
+        departed.add(id);
       }
-      if (ready && (before == null || hasLeft || before.listed().state() != State.READY)) {
-        back.add(id);
+      if (ready && (before == null || hasDeparted || before.listed().state() != State.READY)) {
+        returned.add(id);
       }
       absent.remove(id);
       if (host.listed().state() == State.GONE) {
@@ -260,15 +267,15 @@
     }
     for (long id : absent) {
       if (hosts.remove(id).listed().state() == State.READY) {
-        left.add(id);
+        departed.add(id);
       }
     }
     index = list.index();
   }
 
-  private static boolean hasLeft(Listed before, Listed now) {
+  private static boolean hasDeparted(Listed before, Listed now) {
     return before.state() == State.READY
         && (now.state() != State.READY
-            || now.startedNanos() > before.startedNanos() + SAME_START_NANOS);
+            || now.startedNanos() > before.startedNanos() + SAME_START_TOLERANCE_NANOS);
   }
 }
--- a/src/main/java/pumicekeel/discovery/WatchCall.java
+++ b/src/main/java/pumicekeel/discovery/WatchCall.java
@@ -1,63 +1,63 @@
 package pumicekeel.discovery;
 
 /**
- * One call to discovery, from its connect to the silence of its watch: says when it has stalled, so that another is made beside it, and when
- * it is given up. No I/O; times are nanoseconds of one monotonic clock.
+ * One call to discovery, from its connect until its watch falls silent. Determines when it has stalled, so that a second call is made in
+ * parallel, and when it is given up. No I/O; times are nanoseconds of one monotonic clock.
  */
 final class WatchCall {
 
-  /** How far it has come. */
+  /** Progress of the call. */
   enum Phase {
     CONNECTING,
-    /** For its turn at the service. */
+    /** Waiting in the service's queue. */
     WAITING,
     /** A list has begun. */
     RECEIVING,
-    /** All that came was whole. */
+    /** Everything received so far is complete. */
     LIVE
   }
 
-  /** What ended it. */
+  /** What ended the call. */
   enum End {
-    /** An answer that is no list, or none that is whole. */
+    /** A response that is not a list, or not a complete one. */
     ANSWERED,
-    /** Its connection did not come up, or broke. */
+    /** The connection could not be established, or it failed. */
     BROKEN,
-    /** One of its own limits. */
+    /** One of the call's own time limits. */
     LIMIT
   }
 
   private final WatchTerms terms;
   private final boolean crowded;
-  private final long begunAt;
+  private final long startedAt;
   private Phase phase = Phase.CONNECTING;
   private long phaseAt;
   private long progressAt;
   private long connectedAt;
-  private long wholeAt;
-  private boolean told;
+  private long completeAt;
+  private boolean receivedList;
 
-  /** One that begins now; nothing is made beside it while it waits for its turn at a crowded service. */
+  /** Starts a call; no second one is made in parallel while this one waits in the queue of a crowded service. */
   WatchCall(WatchTerms terms, boolean crowded, long now) {
     this.terms = terms;
     this.crowded = crowded;
-    begunAt = now;
+    startedAt = now;
     phaseAt = now;
     progressAt = now;
   }
 
-  /** The connection is up, and the request is written. */
+  /** Records that the connection is established and the request is written. */
   void connected(long now) {
     connectedAt = now;
     enter(Phase.WAITING, now);
   }
 
-  /** Bytes of the answer came. */
-  void progress(boolean whole, long now) {
+  /** Records that bytes of the response arrived. */
+  void progress(boolean complete, long now) {
     progressAt = now;
-    if (whole) {
-      told = true;
-      wholeAt = now;
+    if (complete) {
+      receivedList = true;
+      completeAt = now;
       enter(Phase.LIVE, now);
     } else if (phase != Phase.RECEIVING) {
       enter(Phase.RECEIVING, now);
@@ -73,61 +73,63 @@
     return phase;
   }
 
-  /** Whether it has told a whole list or given a whole sign of life. */
-  boolean told() {
-    return told;
+  /** Returns whether a complete list or heartbeat has been received. */
+  boolean hasReceivedList() {
+    return receivedList;
   }
 
-  long waited(long now) {
-    return now - begunAt;
+  long elapsedNanos(long now) {
+    return now - startedAt;
   }
 
-  /** From when on another call is made beside this one. */
+  /** Returns when a second call is to be made in parallel to this one. */
   long stalledAt() {
     if (!terms.overlapsCalls()) {
       return Long.MAX_VALUE;
     }
     return switch (phase) {
-      case CONNECTING -> begunAt + terms.connectNanos();
+      case CONNECTING -> startedAt + terms.connectNanos();
       case WAITING -> crowded ? Long.MAX_VALUE : phaseAt + terms.answerNanos();
       case RECEIVING -> progressAt + terms.progressNanos();
       case LIVE -> crowded ? Long.MAX_VALUE : progressAt + terms.quietNanos();
     };
   }
 
-  /** When it is given up. */
-  long endsAt() {
+  /** Returns when the call is given up. */
+  long givenUpAt() {
     return switch (phase) {
-      case CONNECTING -> begunAt + terms.connectNanos();
+      case CONNECTING -> startedAt + terms.connectNanos();
       case WAITING -> phaseAt + terms.giveUpNanos();
-      case RECEIVING -> receivingEndsAt();
+      case RECEIVING -> receivingGivenUpAt();
       case LIVE -> progressAt + terms.silenceNanos();
     };
   }
 
-  private long receivingEndsAt() {
+  private long receivingGivenUpAt() {
     if (terms.overlapsCalls()) {
       return Math.min(progressAt + 2 * terms.progressNanos(), phaseAt + terms.silenceNanos());
     }
-    return told ? wholeAt + terms.silenceNanos() : connectedAt + terms.answerNanos();
+    return receivedList ? completeAt + terms.silenceNanos() : connectedAt + terms.answerNanos();
   }
 
-  /** What its end was. */
+  /** Classifies the failure of the call. */
   CallFailure failure(End end, long now) {
     return switch (phase) {
       case CONNECTING ->
-        waited(now) >= terms.connectNanos() / 2 ? CallFailure.UNCONNECTED : CallFailure.UNREACHABLE;
-      case WAITING -> unanswered(end, now);
+        elapsedNanos(now) >= terms.connectNanos() / 2
+            ? CallFailure.UNCONNECTED
+            : CallFailure.UNREACHABLE;
+      case WAITING -> unansweredFailure(end, now);
       case RECEIVING -> CallFailure.CUT;
       case LIVE -> end == End.LIMIT ? CallFailure.SILENT : CallFailure.ENDED;
     };
   }
 
-  private CallFailure unanswered(End end, long now) {
+  private CallFailure unansweredFailure(End end, long now) {
     if (end == End.LIMIT) {
       return CallFailure.IGNORED;
     }
-    if (waited(now) >= CallPlan.WAITED_NANOS) {
+    if (elapsedNanos(now) >= CallPlan.QUEUED_REFUSAL_NANOS) {
       return CallFailure.TURNED_AWAY_LATE;
     }
     return end == End.ANSWERED ? CallFailure.TURNED_AWAY : CallFailure.UNREACHABLE;
--- a/src/main/java/pumicekeel/discovery/WatchTerms.java
+++ b/src/main/java/pumicekeel/discovery/WatchTerms.java
@@ -3,23 +3,21 @@
 import pumicekeel.Balancer.Settings;
 
 /**
- * How a watch on the list is kept, in milliseconds.
- *
- * <p>What a watch misses counts as told 6 s after discovery had it, and the least grace known is 1 s more. Asked: a call whose list stops
- * half way is given up after 1 s, and another one is made beside it after half of that; one that is not answered is left its place in the
- * service's queue for twice as long as another one is waited with. Pushed: 3 s of silence and 0.85 s for each try that stalls, so four
- * tries before 6.5 s. A return of the agent counts as told at once: one try is always under way or begins within 0.1 s, and the one that
- * stalls is given up within 0.75 s.
- *
- * @param pushed an agent on this machine hands lists on
- * @param overlaps whether another call is made beside one that has stalled
- * @param connectMillis a connect is waited for
- * @param answerMillis the first answer is waited for before the call counts as stalled
- * @param patienceMillis the first answer is waited for before the call is given up
- * @param progressMillis more of a list that has begun is waited for before the call counts as stalled
- * @param quietMillis a watch may say nothing before it counts as stalled
- * @param silenceMillis a watch may say nothing before it is given up
- * @param reopenMillis after which a pushed watch that failed is opened anew
+ * Time limits of a watch on the list, in milliseconds.
+ * | <p>A change that a watch misses counts as announced 6 s after discovery had it, and the shortest drain grace in use adds 1 s. Polled:
+ * a call whose list stops half way is given up after 1 s, and a second call is made in parallel after half of that; a call that gets no
+ * response keeps its place in the service's queue for twice the time after which the second one is made. Pushed: 3 s of silence and 0.85
+ * s for each try that stalls, so four tries before 6.5 s. A return of the agent counts as announced at once: one try is always in
+ * progress or begins within 0.1 s, and one that stalls is given up within 0.75 s.
+ * | @param pushed an agent on this machine forwards lists
+ * @param overlapsCalls whether a second call is made in parallel to one that has stalled
+ * @param connectMillis time limit of a connect
+ * @param answerMillis wait for the first response before the call counts as stalled
+ * @param giveUpMillis wait for the first response before the call is given up
+ * @param progressMillis wait for more of a list that has begun before the call counts as stalled
+ * @param quietMillis silence of a watch before it counts as stalled
+ * @param silenceMillis silence of a watch before it is given up
+ * @param reopenMillis delay before a pushed watch that failed is reopened
  */
 public record WatchTerms(
     boolean pushed,
@@ -32,19 +30,19 @@
     int silenceMillis,
     int reopenMillis) {
 
-  /** A heartbeat comes every 2 s: one that stays out, and a second, mean a connection that nobody serves any more. */
+  /** A heartbeat comes every 2 s: one that is missing and another second mean that nobody serves the connection any more. */
   private static final int SILENT_WATCH_TIMEOUT_MILLIS = 3_000;
-  /** One heartbeat that stays out. */
+  /** One missing heartbeat. */
   private static final int QUIET_WATCH_MILLIS = 2_400;
-  /** One service for all may be busy: calls wait there in turn, for 2 s at most, before they fail. */
+  /** A service shared by all may be busy: calls wait in its queue, for at most 2 s, before they fail. */
   private static final int POLL_ANSWER_TIMEOUT_MILLIS = 3_000;
-  /** A service that lets calls wait for longer answers the one that has waited longest first. */
+  /** A service that lets calls wait longer answers the longest waiting one first. */
   private static final int POLL_PATIENCE_MILLIS = 6_000;
-  /** A list comes in a few pieces, one behind the other. */
+  /** A list arrives in a few pieces, in quick succession. */
   private static final int POLL_PROGRESS_TIMEOUT_MILLIS = 500;
-  /** A connect waits for no turn; what has not come up by then was lost on its way. */
+  /** A connect does not wait in the service's queue; one that is not established by then was lost in the network. */
   private static final int POLL_CONNECT_TIMEOUT_MILLIS = 1_000;
-  /** An agent on the same machine answers at once and costs nothing. */
+  /** An agent on the same machine answers at once, and calls to it cost nothing. */
   private static final int PUSH_CONNECT_TIMEOUT_MILLIS = 250;
 
   private static final int PUSH_ANSWER_TIMEOUT_MILLIS = 500;
@@ -52,7 +50,7 @@
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** One call at a time. */
+  /** Creates terms with one call at a time. */
   public WatchTerms(
       boolean pushed, int connectMillis, int answerMillis, int silenceMillis, int reopenMillis) {
     this(
@@ -67,7 +65,7 @@
         reopenMillis);
   }
 
-  /** What the settings call for. */
+  /** Returns the terms for the given settings. */
   public static WatchTerms of(Settings settings) {
     return settings.listOnRequest()
         ? new WatchTerms(
--- a/src/test/java/pumicekeel/discovery/CallPlanTest.java
+++ b/src/test/java/pumicekeel/discovery/CallPlanTest.java
@@ -11,8 +11,8 @@
   private static final long MS = 1_000_000L;
   private static final long SPAN = 7_700 * MS;
 
-  /** How many calls that fail in this way, each after so long, fit into what is left of a list. */
-  private static int calls(CallFailure how, long takesNanos, long seed) {
+  /** Returns how many calls that fail in this way, each after this time, fit into the time left to a list. */
+  private static int callsThatFit(CallFailure how, long takesNanos, long seed) {
     CallPlan plan = new CallPlan(seed);
     int calls = 0;
     long now = 0;
@@ -25,13 +25,14 @@
   }
 
   @Test
-  void enoughCallsFitThatOneGetsThroughThoughSevenInTenFail() {
+  void enoughCallsFitForOneToSucceedWhenSevenInTenFail() {
     for (long seed = 1; seed <= 100; seed++) {
       // 0.7 to the 16th is 0.003, for one list in three hundred.
-      int calls = calls(CallFailure.TURNED_AWAY, MS, seed);
+      int calls = callsThatFit(CallFailure.TURNED_AWAY, MS, seed);
       assertTrue(calls >= 16, calls + " calls, seed " + seed);
-      // Half of the lists cut, each found out after a second: one in a hundred.
-      assertTrue(calls(CallFailure.CUT, 1_000 * MS, seed) >= 7, "cut, seed " + seed);
+      // Half of the lists are cut off, each detected after a second: one list in a hundred gets no
+      // complete call.
+      assertTrue(callsThatFit(CallFailure.CUT, 1_000 * MS, seed) >= 7, "cut, seed " + seed);
     }
   }
 
@@ -48,7 +49,7 @@
   }
 
   @Test
-  void callerThatWasTurnedAwayByALimitOnWaitingComesBackAtOnce() {
+  void callerRejectedByAQueueTimeLimitRetriesAtOnce() {
     CallPlan plan = new CallPlan(1);
     for (int i = 0; i < 20; i++) {
       assertTrue(plan.pause(CallFailure.TURNED_AWAY_LATE, 2_005 * MS, SPAN) <= 100 * MS);
@@ -57,7 +58,7 @@
   }
 
   @Test
-  void serviceWhoseQueueIsFullIsNotStormedByThoseThatItTurnsAway() {
+  void serviceWithAFullQueueIsNotFloodedByRejectedCallers() {
     CallPlan plan = new CallPlan(1);
     plan.pause(CallFailure.TURNED_AWAY_LATE, 2_005 * MS, SPAN);
     long pauses = 0;
@@ -67,56 +68,57 @@
     assertTrue(pauses >= 80_000 * MS, "100 calls in " + pauses / MS + " ms");
   }
 
-  /** Fifty callers of a service that takes 0.2 s for each call, refused ones as well, after 2 s of waiting. */
+  /** Fifty callers of a service that spends 0.2 s on each call, rejected ones included, after 2 s of queueing. */
   @Test
-  void refusalsThatTakeTurnsDoNotCollapseTheService() {
+  void queuedRejectionsDoNotOverloadTheService() {
     int callers = 50;
-    long turn = 200 * MS;
+    long serviceTime = 200 * MS;
     CallPlan[] plans = new CallPlan[callers];
-    long[] comesAt = new long[callers];
+    long[] callAt = new long[callers];
     for (int i = 0; i < callers; i++) {
       plans[i] = new CallPlan(i);
     }
-    long free = 0;
+    long freeAt = 0;
     int served = 0;
-    while (free < 100_000 * MS) {
+    while (freeAt < 100_000 * MS) {
       int first = 0;
       for (int i = 1; i < callers; i++) {
-        first = comesAt[i] < comesAt[first] ? i : first;
+        first = callAt[i] < callAt[first] ? i : first;
       }
-      long begins = Math.max(free, comesAt[first]);
-      free = begins + turn;
-      long waited = free - comesAt[first];
-      if (waited - turn > 2_000 * MS) {
-        comesAt[first] = free + plans[first].pause(CallFailure.TURNED_AWAY_LATE, waited, SPAN);
+      long startsAt = Math.max(freeAt, callAt[first]);
+      freeAt = startsAt + serviceTime;
+      long waited = freeAt - callAt[first];
+      if (waited - serviceTime > 2_000 * MS) {
+        callAt[first] = freeAt + plans[first].pause(CallFailure.TURNED_AWAY_LATE, waited, SPAN);
       } else {
         served++;
-        plans[first].answered(waited);
+        plans[first].answerReceived(waited);
         long silent = 3_000 * MS;
-        comesAt[first] =
-            free + silent + plans[first].pause(CallFailure.SILENT, waited + silent, SPAN - silent);
+        callAt[first] = freeAt
+            + silent
+            + plans[first].pause(CallFailure.SILENT, waited + silent, SPAN - silent);
       }
     }
-    int had = (int) (free / turn);
-    System.out.println("served " + served + " of " + had);
-    assertTrue(served >= had / 4, "served " + served + " of " + had);
+    int total = (int) (freeAt / serviceTime);
+    System.out.println("served " + served + " of " + total);
+    assertTrue(served >= total / 4, "served " + served + " of " + total);
   }
 
   @Test
-  void serviceThatAnswersAtOnceAgainIsNoLongerTakenForCrowded() {
+  void serviceThatAnswersAtOnceAgainIsNoLongerCrowded() {
     CallPlan plan = new CallPlan(1);
     plan.pause(CallFailure.TURNED_AWAY_LATE, 2_000 * MS, SPAN);
     assertTrue(plan.crowded());
-    plan.answered(5 * MS);
+    plan.answerReceived(5 * MS);
     assertFalse(plan.crowded());
     assertTrue(plan.pause(CallFailure.SILENT, 3_000 * MS, SPAN) <= 100 * MS);
   }
 
   @Test
-  void anotherDiscoveryIsNotTakenForCrowded() {
+  void anotherDiscoveryServiceStartsAsNotCrowded() {
     CallPlan plan = new CallPlan(1);
     plan.pause(CallFailure.TURNED_AWAY_LATE, 2_000 * MS, SPAN);
-    plan.moved();
+    plan.reset();
     assertFalse(plan.crowded());
     assertEquals(0, plan.pause(CallFailure.SILENT, 3_000 * MS, SPAN) / (100 * MS));
   }
--- a/src/test/java/pumicekeel/discovery/DepartureExchangeTest.java
+++ b/src/test/java/pumicekeel/discovery/DepartureExchangeTest.java
@@ -14,7 +14,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Fleets in virtual time, whose datagrams are late, lost or repeated by a seed. */
+/** Fleets in virtual time whose datagrams are delayed, lost or repeated, driven by a seed. */
 class DepartureExchangeTest {
 
   private static final long MS = 1_000_000L;
@@ -24,7 +24,7 @@
   private static final class Member {
     private final ListCurrency currency;
     private final DepartureExchange exchange;
-    private final Set<Long> left = new HashSet<>();
+    private final Set<Long> departed = new HashSet<>();
 
     private Member(int size, long version, long seed) {
       currency = new ListCurrency(false, 2_000 * MS, 0);
@@ -33,10 +33,10 @@
     }
   }
 
-  private record Flight(long at, int to, int from, byte[] bytes) {}
+  private record Delivery(long at, int to, int from, byte[] bytes) {}
 
   private final List<Member> members = new ArrayList<>();
-  private final PriorityQueue<Flight> flights =
+  private final PriorityQueue<Delivery> deliveries =
       new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
   private SplittableRandom random;
   private double loss;
@@ -46,7 +46,7 @@
 
   private void fleet(int size, long version, long seed) {
     members.clear();
-    flights.clear();
+    deliveries.clear();
     random = new SplittableRandom(seed);
     now = 0;
     sent = 0;
@@ -55,15 +55,15 @@
     }
   }
 
-  private void until(long end, int... hearDiscovery) {
+  private void until(long end, int... membersWithDiscovery) {
     for (; now < end; now += TICK) {
-      for (int i : hearDiscovery) {
+      for (int i : membersWithDiscovery) {
         members.get(i).currency.markCurrent(now);
       }
-      while (!flights.isEmpty() && flights.peek().at() <= now) {
-        Flight flight = flights.poll();
-        Member to = members.get(flight.to());
-        to.left.addAll(to.exchange.receive(flight.from(), flight.bytes(), now));
+      while (!deliveries.isEmpty() && deliveries.peek().at() <= now) {
+        Delivery delivery = deliveries.poll();
+        Member to = members.get(delivery.to());
+        to.departed.addAll(to.exchange.receive(delivery.from(), delivery.bytes(), now));
       }
       for (int i = 0; i < members.size(); i++) {
         send(i, members.get(i).exchange.tick(now));
@@ -77,7 +77,7 @@
       largest = Math.max(largest, bytes.length);
       for (int to = 0; to < members.size(); to++) {
         if (to != from && random.nextDouble() >= loss) {
-          flights.add(new Flight(now + MS + random.nextLong(20 * MS), to, from, bytes));
+          deliveries.add(new Delivery(now + MS + random.nextLong(20 * MS), to, from, bytes));
         }
       }
     }
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void balancerThatDiscoveryDoesNotReachLearnsWhoLeftFromOthers() {
+  void balancerCutOffFromDiscoveryLearnsOfDeparturesFromPeers() {
     for (long seed = 1; seed <= 50; seed++) {
       fleet(100, 8, seed);
       loss = 0.3;
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void balancerThatStartedAfterwardsAsksWhatItsOldListHasMissed() {
+  void balancerStartedLaterQueriesForDeparturesMissingFromItsList() {
     for (long seed = 1; seed <= 50; seed++) {
       fleet(3, 8, seed);
       loss = 0;
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void wordsDoNotGrowWithTheFleet() {
+  void numberOfReportsDoesNotGrowWithTheFleet() {
     for (int size : new int[] {20, 100, 400}) {
       fleet(size, 8, size);
       loss = 0;
@@ -140,12 +140,12 @@
       System.out.println(size + " members: " + sent + " datagrams to all for one change");
       sent = 0;
       until(35_000 * MS, first(size));
-      assertEquals(0, sent, "nothing is said while nothing changes");
+      assertEquals(0, sent, "no datagrams without a change");
     }
   }
 
   @Test
-  void upstreamIsBackByOthersWordOnceItsReturnCountsAsToldAndNotBefore() {
+  void reportedReturnTakesEffectOnceItCountsAsAnnounced() {
     fleet(2, 8, 1);
     loss = 0;
     members.get(0).currency.markCurrent(0);
@@ -158,23 +158,26 @@
     while (back.isEmpty() && now < 20_000 * MS) {
       until(now + TICK, 0);
       back = other.exchange.pollReturned(now);
-      assertTrue(!back.isEmpty() || other.exchange.hasDeparted(S1), "away until then");
+      assertTrue(!back.isEmpty() || other.exchange.hasDeparted(S1), "departed until then");
     }
     assertEquals(S1, back.get(0).id());
     assertTrue(now - returned >= 6_000 * MS, "back after " + (now - returned) / MS + " ms");
     assertTrue(now - returned <= 6_500 * MS, "back after " + (now - returned) / MS + " ms");
-    assertTrue(Math.abs(back.get(0).startedNanos() - returned) <= 100 * MS, "and cold");
+    assertTrue(
+        Math.abs(back.get(0).startedNanos() - returned) <= 100 * MS,
+        "a returned upstream counts as cold");
     assertFalse(other.exchange.hasDeparted(S1));
     int millis = (int) ((now - returned) / MS);
     for (DepartureMessage again :
-        DepartureMessage.tell(8, 13, 0, List.of(new DepartureMessage.Departure(S1, millis)))) {
-      assertEquals(Set.of(), other.exchange.receive(0, again.bytes(), now));
-      assertFalse(other.exchange.hasDeparted(S1), "the same word again takes nobody away");
+        DepartureMessage.report(8, 13, 0, List.of(new DepartureMessage.Departure(S1, millis)))) {
+      assertEquals(Set.of(), other.exchange.receive(0, again.encode(), now));
+      assertFalse(
+          other.exchange.hasDeparted(S1), "a repeated report marks no upstream as departed");
     }
   }
 
   @Test
-  void ownListThatIsOlderThanTheWordBringsNobodyBack() {
+  void ownListOlderThanTheReportRestoresNoUpstream() {
     fleet(2, 8, 1);
     loss = 0;
     members.get(0).currency.markCurrent(0);
@@ -188,50 +191,51 @@
     assertEquals(
         Set.of(),
         other.exchange.listUpdated(8, Set.of(), Set.of(), now),
-        "an older list says nothing of it");
+        "an older list does not cover the report");
     assertTrue(other.exchange.hasDeparted(S1));
     assertEquals(Set.of(S1), other.exchange.listUpdated(13, Set.of(), Set.of(), now));
     assertFalse(other.exchange.hasDeparted(S1));
   }
 
   @Test
-  void wordThatDoesNotReachBackConfirmsNothing() {
+  void reportThatDoesNotReachBackConfirmsNothing() {
     fleet(2, 8, 1);
     ListCurrency currency = members.get(1).currency;
     DepartureExchange exchange = members.get(1).exchange;
-    byte[] behind9 = DepartureMessage.tell(9, 11, 0, List.of(away(S1))).get(0).bytes();
-    assertEquals(Set.of(S1), exchange.receive(0, behind9, 5_000 * MS));
+    byte[] after9 = DepartureMessage.report(9, 11, 0, List.of(away(S1))).get(0).encode();
+    assertEquals(Set.of(S1), exchange.receive(0, after9, 5_000 * MS));
     assertEquals(0, currency.asOf());
-    byte[] behind8 = DepartureMessage.tell(8, 11, 500, List.of(away(S1))).get(0).bytes();
-    exchange.receive(0, behind8, 5_000 * MS);
+    byte[] after8 =
+        DepartureMessage.report(8, 11, 500, List.of(away(S1))).get(0).encode();
+    exchange.receive(0, after8, 5_000 * MS);
     assertEquals(4_400 * MS, currency.asOf());
   }
 
   @Test
-  void wordOfManyPartsConfirmsOnceAllHaveCome() {
+  void reportOfSeveralPartsConfirmsOnceAllHaveArrived() {
     fleet(2, 8, 1);
     List<DepartureMessage.Departure> many = new ArrayList<>();
     for (long id = 1; id <= 45; id++) {
       many.add(away(id));
     }
-    List<DepartureMessage> parts = DepartureMessage.tell(8, 11, 0, many);
+    List<DepartureMessage> parts = DepartureMessage.report(8, 11, 0, many);
     assertEquals(3, parts.size());
     ListCurrency currency = members.get(1).currency;
     for (int i : new int[] {2, 0, 0}) {
-      members.get(1).exchange.receive(0, parts.get(i).bytes(), 5_000 * MS);
+      members.get(1).exchange.receive(0, parts.get(i).encode(), 5_000 * MS);
       assertEquals(0, currency.asOf());
     }
-    members.get(1).exchange.receive(0, parts.get(1).bytes(), 5_000 * MS);
+    members.get(1).exchange.receive(0, parts.get(1).encode(), 5_000 * MS);
     assertEquals(4_900 * MS, currency.asOf());
   }
 
   @Test
-  void whatIsNoDatagramOfThisIsDropped() {
+  void invalidDatagramsAreDropped() {
     SplittableRandom noise = new SplittableRandom(1);
-    byte[] good = DepartureMessage.tell(8, 9, 0, List.of(away(S1))).get(0).bytes();
-    assertNull(DepartureMessage.read(new byte[0]));
-    assertNull(DepartureMessage.read(Arrays.copyOf(good, good.length - 1)));
-    assertNull(DepartureMessage.read(Arrays.copyOf(good, good.length + 1)));
+    byte[] good = DepartureMessage.report(8, 9, 0, List.of(away(S1))).get(0).encode();
+    assertNull(DepartureMessage.decode(new byte[0]));
+    assertNull(DepartureMessage.decode(Arrays.copyOf(good, good.length - 1)));
+    assertNull(DepartureMessage.decode(Arrays.copyOf(good, good.length + 1)));
     fleet(2, 8, 1);
     for (int i = 0; i < 100_000; i++) {
       byte[] bytes = new byte[noise.nextInt(300)];
--- a/src/test/java/pumicekeel/discovery/ListCurrencyTest.java
+++ b/src/test/java/pumicekeel/discovery/ListCurrencyTest.java
@@ -13,7 +13,7 @@
 
   private static final long MS = 1_000_000L;
   private static final long GRACE = 2_000 * MS;
-  /** Told after 6 s, the grace of 2 s, and 0.15 s of being held up before and after the look. */
+  /** A change counts as announced after 6 s, the drain grace is 2 s, and 0.15 s are allowed for delays before and after the check. */
   private static final long LAST_SEND = 7_700 * MS;
 
   private final ListCurrency currency = new ListCurrency(false, GRACE, 0);
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void nothingIsSentByAListOfUnknownAgeOnceAMissedLeavingCountsAsTold() {
+  void nothingIsSentOnceAMissedDepartureMayBeInEffect() {
     assertEquals(State.CURRENT, currency.state(3_000 * MS));
     assertEquals(State.AGING, currency.state(3_001 * MS));
     assertTrue(currency.sendable(LAST_SEND - 1));
@@ -36,18 +36,19 @@
   }
 
   @Test
-  void callsThatCanNotBeMadeInARowAreAnOutageAndFewerAreNone() {
+  void sixteenUnreachableCallsInARowAreAnOutageAndFewerAreNot() {
     failed(15, CallFailure.UNREACHABLE, 5_000 * MS);
     assertEquals(State.OUTDATED, currency.state(LAST_SEND));
     failed(1, CallFailure.UNREACHABLE, 5_000 * MS);
     assertEquals(State.OUTAGE, currency.state(LAST_SEND));
     assertTrue(currency.sendable(30_000 * MS));
     currency.callFailed(CallFailure.CUT, 30_000 * MS);
-    assertFalse(currency.sendable(30_000 * MS), "discovery has answered in part");
+    assertFalse(
+        currency.sendable(30_000 * MS), "a partial response shows that discovery can be reached");
   }
 
   @Test
-  void discoveryThatIsCutOffForEightSecondsDoesNotStopService() {
+  void discoveryCutOffForEightSecondsDoesNotStopService() {
     failed(3, CallFailure.UNCONNECTED, 5_000 * MS);
     assertEquals(State.OUTDATED, currency.state(LAST_SEND));
     failed(1, CallFailure.UNCONNECTED, 6_000 * MS);
@@ -55,7 +56,7 @@
   }
 
   @Test
-  void watchThatDiscoveryEndedIsAnOutageForAWhileUnlessCallsAreIgnored() {
+  void watchEndedByDiscoveryIsAnOutageForAWhileUnlessCallsAreIgnored() {
     currency.callFailed(CallFailure.ENDED, 0);
     failed(4, CallFailure.TURNED_AWAY_LATE, 8_000 * MS);
     assertEquals(State.OUTAGE, currency.state(19_999 * MS));
@@ -65,14 +66,14 @@
   }
 
   @Test
-  void refusalsAloneAreNoOutage() {
+  void rejectionsAloneAreNotAnOutage() {
     failed(40, CallFailure.TURNED_AWAY_LATE, 8_000 * MS);
     failed(40, CallFailure.TURNED_AWAY, 8_000 * MS);
     assertEquals(State.OUTDATED, currency.state(8_000 * MS));
   }
 
   @Test
-  void otherBalancersThatAskInVainMeanAnOutageAndOneThatKnowsMeansNone() {
+  void queriesFromPeersMeanAnOutageAndAReportMeansNone() {
     currency.peerQueried(8_000 * MS);
     assertEquals(State.OUTAGE, currency.state(8_000 * MS));
     currency.peerReported(9_000 * MS);
@@ -82,12 +83,12 @@
   }
 
   @Test
-  void silentAgentIsDownAndNothingCounts() {
+  void silentAgentMeansAnOutage() {
     assertEquals(State.OUTAGE, new ListCurrency(true, GRACE, 0).state(60_000 * MS));
   }
 
   @Test
-  void eachChangeOfStateIsOneLine() {
+  void eachStateChangeIsLoggedOnce() {
     assertNull(currency.stateChangeLine(1_000 * MS));
     assertNotNull(currency.stateChangeLine(4_000 * MS));
     assertNull(currency.stateChangeLine(5_000 * MS));
--- a/src/test/java/pumicekeel/discovery/StartTimesTest.java
+++ b/src/test/java/pumicekeel/discovery/StartTimesTest.java
@@ -9,7 +9,7 @@
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.State;
 
-/** Starts of upstreams by the balancer's clock, in virtual time, with a wall clock that is stepped. */
+/** Upstreams' start times by the balancer's clock, in virtual time, with a wall clock that is stepped. */
 class StartTimesTest {
 
   private static final long SECOND = 1_000_000_000L;
@@ -35,10 +35,10 @@
   }
 
   @Test
-  void withoutAStepAStartIsWhatTheListSays() {
+  void startTimeFollowsTheListWithoutAClockStep() {
     starts.recordClockOffset(now, now);
     assertEquals(now - 5 * SECOND, startOf(1, now - 5 * SECOND));
-    assertEquals(0, startOf(2, 0), "long ago");
+    assertEquals(0, startOf(2, 0), "no start time listed");
     assertEquals(now - 2 * HOUR, new StartTimesTest().first(now - 2 * HOUR), "on the first list");
   }
 
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void aStepWhileTheProcessRunsMakesNoColdUpstreamWarm() {
+  void clockStepAtRunTimeDoesNotMakeAColdUpstreamWarm() {
     starts.recordClockOffset(now, now);
     startOf(1, now - 5 * SECOND);
     for (long step : new long[] {HOUR, -HOUR, 7 * SECOND, -7 * SECOND}) {
@@ -58,30 +58,34 @@
       assertTrue(
           started >= now - SECOND && started <= now,
           "a step of " + step + " ns: started " + (now - started) + " ns ago");
-      assertEquals(BEGIN - 5 * SECOND, startOf(1, BEGIN - 5 * SECOND), "one that was known stays");
+      assertEquals(
+          BEGIN - 5 * SECOND, startOf(1, BEGIN - 5 * SECOND), "a known start time is kept");
     }
   }
 
   @Test
-  void aWallClockThatWasWrongFromTheBeginningIsFoundByTheFirstStart() {
+  void initiallyWrongWallClockIsDetectedByTheFirstStart() {
     starts.recordClockOffset(now + HOUR, now);
     startOf(1, 0);
     now += 10 * SECOND;
     starts.recordClockOffset(now + HOUR, now);
-    assertEquals(now, startOf(2, now), "an hour old by a clock that is an hour ahead");
+    assertEquals(
+        now,
+        startOf(2, now),
+        "a new start that appears an hour old by a clock that is an hour ahead");
     now += SECOND;
     long next = startOf(3, now - SECOND / 2);
-    assertTrue(next >= now - SECOND, "and the next one by what that one showed");
+    assertTrue(next >= now - SECOND, "the next start uses the offset learned from the first one");
   }
 
   @Test
-  void aStartThatIsStillToComeIsNow() {
+  void futureStartCountsAsNow() {
     starts.recordClockOffset(now - HOUR, now);
     assertEquals(now, startOf(1, now));
   }
 
   @Test
-  void discoverysOwnDateCountsFromTheFirstListOn() {
+  void serverDateIsUsedFromTheFirstListOn() {
     starts.recordClockOffset(now + HOUR, now);
     starts.recordClockOffset(now - SECOND / 2, now);
     long started = startOf(1, now - 2 * SECOND);
@@ -89,7 +93,7 @@
   }
 
   @Test
-  void anOutageOfDiscoveryMakesNoOldStartANewOne() {
+  void discoveryOutageDoesNotResetStartTimes() {
     starts.recordClockOffset(now, now);
     startOf(1, 0);
     now += 50 * SECOND;
