--- a/src/main/java/pumicekeel/upstream/SocketUser.java
+++ b/src/main/java/pumicekeel/upstream/SocketUser.java
@@ -3,17 +3,17 @@
 import java.net.InetSocketAddress;
 import pumicekeel.pool.Shares;
 
-/** One of those that share the sockets to upstreams. */
+/** One of the users that share the sockets to upstreams. */
 public interface SocketUser {
 
   Shares.Owner share();
 
-  /** The most connections to one address at which this one still opens another; 0 for no cap. */
+  /** Returns the number of connections to one address from which on this user opens no further one; 0 for no limit. */
   int maxPerAddress();
 
-  /** Closes the connection to this address that has been idle longest; false where none is idle. */
+  /** Closes the connection to this address that has been idle longest; returns false if none is idle. */
   boolean closeIdleAt(InetSocketAddress address);
 
-  /** Closes the connection that has been idle longest; false where none is idle. */
+  /** Closes the connection that has been idle longest; returns false if none is idle. */
   boolean closeLongestIdle();
 }
--- a/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
@@ -12,14 +12,17 @@
 import pumicekeel.call.Flow;
 import pumicekeel.runtime.Clock;
 
-/** One Send of the module: from the decision to exactly one outcome, over whatever protocol its upstream speaks. */
+/** One Send action of the module, from the decision to exactly one outcome, independent of the upstream's protocol. */
 public abstract class UpstreamAttempt {
 
-  /** Told how the attempt ended; the answer is null where none came whole. */
+  /** Receives the outcome of an attempt; the answer is null unless it arrived completely. */
   public interface Observer {
     void ended(UpstreamAttempt attempt, Status status, Answer answer);
 
-    /** Asked when an answer begins that is not kept: where its pieces go, null for nowhere. The end is told as ever. */
+    /**
+     * Called when an answer starts that is not buffered; returns where its pieces go, or null to decline it. The outcome is reported as
+     * usual.
+     */
     default BodySink answerStarted(UpstreamAttempt attempt, AnswerStart start, Flow source) {
       return null;
     }
@@ -29,11 +32,11 @@
   public final long upstream;
   public final long decidedAt;
   private final Observer observer;
-  private ScheduledFuture<?> timeout;
+  private ScheduledFuture<?> timeoutTask;
   private long timeoutNanos;
-  /** When its client's time is up. */
+  /** When the client's time limit passes. */
   private long deadline;
-  /** Its answer is large and may take longer than that, as long as it comes. */
+  /** Set for a large answer, which may take longer than that as long as data arrives. */
   private boolean exemptFromTimeout;
 
   private boolean sent;
@@ -41,9 +44,9 @@
   private Clock clock;
   private Status status;
   private Runnable onWritten;
-  /** A part of the request's body has not gone out: it can't have begun. */
+  /** Part of the request's body has not been sent, so the upstream cannot have begun to process it. */
   private boolean bodyPending;
-  /** When its answer began to be passed on; 0 for not yet. */
+  /** When streaming of the answer to the client began; 0 for not yet. */
   private long answerStartedAt;
 
   protected UpstreamAttempt(int number, long upstream, long decidedAt, Observer observer) {
@@ -53,7 +56,7 @@
     this.observer = observer;
   }
 
-  /** Sends on a connection that is there or a new one; {@code maySend} is asked again right before the first byte. */
+  /** Sends on an existing connection or a new one; {@code maySend} is checked again immediately before the first byte. */
   public final void start(
       ClientRequest request,
       long nanos,
@@ -65,34 +68,34 @@
     begin(request, maySend);
   }
 
-  /** Finds a connection, asks {@code maySend}, and writes; whatever hinders it ends the attempt. */
+  /** Obtains a connection, checks {@code maySend}, and writes; any failure to do so ends the attempt. */
   protected abstract void begin(ClientRequest request, BooleanSupplier maySend);
 
-  /** The attempt has just ended like this, and nobody was told yet: its connection may have to go. */
+  /** Called when the attempt has just ended, before the observer is notified; releases its connection if necessary. */
   protected abstract void onEnded(Status how);
 
-  /** Whether the request found a kept connection broken, of which it could not know. */
+  /** Returns whether the attempt failed because a kept connection turned out to be broken, which could not be known before. */
   public abstract boolean stale();
 
-  /** The first byte goes out now; what is left of the time to wait, in whole milliseconds and at least one. */
+  /** Records that the first byte is sent now; returns the remaining time limit in whole milliseconds, at least one. */
   protected final long markSending() {
     sent = true;
     sentAt = clock.now();
     return Math.max(1, (timeoutNanos - (sentAt - decidedAt)) / 1_000_000);
   }
 
-  /** The request's body goes out while it comes, from now on. */
+  /** Records that the request's body is sent while it arrives. */
   protected final void bodyPending() {
     bodyPending = true;
   }
 
-  /** The last byte of the request has come: the time to wait, and the latency, begin now. */
+  /** Records that the last byte of the request has arrived: the time limit and the latency measurement start now. */
   public final void bodyReceived(long nanos, EventLoop loop) {
     bodyPending = false;
-    if (status != null || timeout == null) {
+    if (status != null || timeoutTask == null) {
       return;
     }
-    timeout.cancel(false);
+    timeoutTask.cancel(false);
     sentAt = sent ? clock.now() : sentAt;
     arm(nanos, loop);
   }
@@ -100,7 +103,7 @@
   private void arm(long nanos, EventLoop loop) {
     timeoutNanos = nanos;
     deadline = clock.now() + nanos;
-    timeout = loop.schedule(this::onTimeout, Math.max(0, nanos), TimeUnit.NANOSECONDS);
+    timeoutTask = loop.schedule(this::onTimeout, Math.max(0, nanos), TimeUnit.NANOSECONDS);
   }
 
   private void onTimeout() {
@@ -109,7 +112,10 @@
     }
   }
 
-  /** An answer begins that is passed on while it comes; its client's time limits it still, unless it is {@link #exemptFromTimeout}. */
+  /**
+   * Starts an answer that is streamed to the client; the client's time limit still applies unless the answer is
+   * {@link #exemptFromTimeout}.
+   */
   public final BodySink begin(AnswerStart start, Flow source) {
     BodySink sink = status != null ? null : observer.answerStarted(this, start, source);
     if (sink != null) {
@@ -118,17 +124,17 @@
     return sink;
   }
 
-  /** The answer that is passed on is a large one: it may last for as long as it comes. */
+  /** Exempts a large streamed answer from the time limit: it may last as long as data arrives. */
   public final void exemptFromTimeout() {
     exemptFromTimeout = true;
   }
 
-  /** What is left of its client's time; 0 or less for nothing. */
+  /** Returns what is left of the client's time limit; 0 or less once it has passed. */
   public final long remainingNanos() {
     return deadline - clock.now();
   }
 
-  /** The last byte has gone out. */
+  /** Runs the callback for the last byte having been sent. */
   protected final void notifyWritten() {
     if (onWritten != null) {
       onWritten.run();
@@ -151,7 +157,7 @@
     return status == null;
   }
 
-  /** Whether this attempt may have an effect by now. */
+  /** Returns whether this attempt may have had an effect by now. */
   public final boolean mayHaveRun() {
     return sent && !bodyPending && (status == null || !status.provesNotRun());
   }
@@ -161,8 +167,8 @@
   }
 
   /**
-   * From the first byte's writing to the time given, when the answer came; of one that was not sent, from the decision.
-   * What passes before the writing is a connect, which a slow loop makes long, and no upstream's work.
+   * Returns the time from writing the first byte until the given time, when the answer arrived; for an attempt that was not sent, from
+   * the decision. The time before the write is spent on connecting, which a slow event loop prolongs, and is not the upstream's work.
    */
   public final long latencyNanos(long until) {
     return Math.max(
@@ -171,19 +177,19 @@
             - (sent ? sentAt : decidedAt));
   }
 
-  /** Run once the attempt's last byte has gone out; to be set before the start. */
+  /** Sets a callback for when the attempt's last byte has been sent; to be called before the start. */
   public final void onWritten(Runnable then) {
     onWritten = then;
   }
 
-  /** Ends the attempt once. */
+  /** Ends the attempt; only the first call has an effect. */
   public final void end(Status how, Answer answer) {
     if (status != null) {
       return;
     }
     status = how;
-    if (timeout != null) {
-      timeout.cancel(false);
+    if (timeoutTask != null) {
+      timeoutTask.cancel(false);
     }
     onEnded(how);
     observer.ended(this, how, answer);
--- a/src/main/java/pumicekeel/upstream/UpstreamLink.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamLink.java
@@ -2,15 +2,15 @@
 
 import java.net.InetSocketAddress;
 
-/** All connections to one upstream. It belongs to the upstream and not to its address. */
+/** All connections to one upstream. They belong to the upstream and not to its address. */
 public interface UpstreamLink {
 
   InetSocketAddress address();
 
-  /** An attempt that has not started yet. */
+  /** Creates an attempt that has not started yet. */
   UpstreamAttempt attempt(
       int number, long upstream, long decidedAt, UpstreamAttempt.Observer ending);
 
-  /** The upstream is gone or has moved: what is idle goes now, the rest when its attempts have ended. */
+  /** Closes the link, since the upstream is removed or has moved: idle connections at once, the others when their attempts have ended. */
   void close();
 }
--- a/src/main/java/pumicekeel/upstream/UpstreamSockets.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamSockets.java
@@ -8,18 +8,18 @@
 import pumicekeel.pool.Shares;
 
 /**
- * The sockets to upstreams that a process may hold, shared by the pools' connections. An idle connection gives way to a
- * new one: first one of the pool's own, then one of a pool that borrows. One physical upstream is one address here,
- * whatever the pools call it, and connections to it are counted over all of them.
+ * The sockets to upstreams that a process may hold, shared by the pools' connections. An idle connection is closed in favour of a new
+ * one: first one of the pool's own, then one of a pool that borrows. A physical upstream is identified by its address here, whatever the
+ * pools call it, and connections to it are counted over all of them.
  */
 public final class UpstreamSockets {
 
   private final Shares shares;
   private final Set<SocketUser> pools = new LinkedHashSet<>();
-  private final Map<InetSocketAddress, Integer> open = new HashMap<>();
+  private final Map<InetSocketAddress, Integer> openByAddress = new HashMap<>();
 
-  public UpstreamSockets(int most) {
-    shares = new Shares(most);
+  public UpstreamSockets(int limit) {
+    shares = new Shares(limit);
   }
 
   public Shares shares() {
@@ -34,12 +34,12 @@
     pools.remove(pool);
   }
 
-  /** Connections to an address, of all pools. */
+  /** Returns the number of connections to an address, over all pools. */
   public int openConnections(InetSocketAddress address) {
-    return open.getOrDefault(address, 0);
+    return openByAddress.getOrDefault(address, 0);
   }
 
-  /** Takes a socket for a connection; false where there is no room for it and nothing idle gives way. */
+  /** Acquires a socket for a connection; returns false if there is no capacity and no idle connection can be closed for it. */
   public boolean acquire(SocketUser pool, InetSocketAddress address) {
     if (pool.maxPerAddress() > 0
         && openConnections(address) >= pool.maxPerAddress()
@@ -52,15 +52,15 @@
               .noneMatch(p -> p != pool && p.share().borrows() && p.closeLongestIdle())) {
         return false;
       }
-      // The one that gave way may be given back only after this.
+      // The share of the closed connection may be released only after this.
       pool.share().take(1);
     }
-    open.merge(address, 1, Integer::sum);
+    openByAddress.merge(address, 1, Integer::sum);
     return true;
   }
 
   public void release(SocketUser pool, InetSocketAddress address) {
     pool.share().release(1);
-    open.computeIfPresent(address, (k, n) -> n == 1 ? null : n - 1);
+    openByAddress.computeIfPresent(address, (k, n) -> n == 1 ? null : n - 1);
   }
 }
--- a/src/main/java/pumicekeel/upstream/UpstreamTable.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamTable.java
@@ -9,10 +9,10 @@
 import pumicekeel.Balancer.State;
 import pumicekeel.discovery.HostList;
 
-/** The upstreams that the list names, and those that it named as long as attempts are out to them. */
+/** The upstreams that the list names, and removed ones for as long as attempts to them are in flight. */
 public final class UpstreamTable {
 
-  /** An upstream as the list last told of it, with its connections. */
+  /** An upstream as last listed, with its connections. */
   public static final class Entry {
     private final long id;
     private UpstreamLink link;
@@ -25,7 +25,7 @@
       this.id = id;
     }
 
-    /** As the list last told of it. */
+    /** Returns the upstream as last listed. */
     public HostList.Host host() {
       return host;
     }
@@ -34,7 +34,7 @@
       return link;
     }
 
-    /** Whether the list says that it drains or is gone. */
+    /** Returns whether the list says that the upstream drains or is removed. */
     public boolean leaving() {
       return leaving;
     }
@@ -48,12 +48,12 @@
     this.links = links;
   }
 
-  /** The upstream of this id; null where the list never named it, or it is gone and nothing is out to it. */
+  /** Returns the upstream with this ID; null if the list never named it, or if it is removed and no attempts to it are in flight. */
   public Entry get(long id) {
     return entries.get(id);
   }
 
-  /** How many are ready, as the list tells. */
+  /** Returns how many upstreams are ready according to the list. */
   public int readyCount() {
     return readyCount;
   }
@@ -62,14 +62,14 @@
     return entries.size();
   }
 
-  /** Takes in changes, or the whole list: one that is absent from that is gone. */
-  public void applyList(boolean whole, List<HostList.Host> hosts) {
+  /** Applies changes, or a snapshot of the list: upstreams absent from a snapshot are removed. */
+  public void applyList(boolean snapshot, List<HostList.Host> hosts) {
     Set<Long> named = new HashSet<>();
     for (HostList.Host host : hosts) {
       named.add(host.listed().upstream());
       update(host);
     }
-    if (whole) {
+    if (snapshot) {
       List.copyOf(entries.values()).stream()
           .filter(e -> !named.contains(e.id))
           .forEach(e -> markLeaving(e, true));
@@ -113,7 +113,7 @@
     removeIfUnused(e);
   }
 
-  /** Guards the memory where upstreams are replaced all day under new ids. */
+  /** Bounds the memory where upstreams are continually replaced under new IDs. */
   private void removeIfUnused(Entry e) {
     if (e.removed && e.inFlight == 0) {
       entries.remove(e.id, e);
--- a/src/main/java/pumicekeel/upstream/http/AnswerDecoder.java
+++ b/src/main/java/pumicekeel/upstream/http/AnswerDecoder.java
@@ -11,14 +11,16 @@
 import java.util.function.Predicate;
 
 /**
- * Reads answers as strictly as requests are read, and watches the raw bytes: what comes where no answer is due is never
- * decoded. Guards against what Netty repairs quietly in answers: a line "no colon here" would be a header named "no".
+ * Decodes answers as strictly as requests, and filters the raw bytes: data that arrives when no answer is outstanding is never decoded.
+ * Guards against Netty's silent repair of malformed answers: a line "no colon here" would become a header named "no".
  */
 public final class AnswerDecoder extends HttpResponseDecoder {
 
   private Predicate<ByteBuf> rawFilter;
-  /** From an answer's first line to its end; the line itself may end in a blank where it gives no reason. */
-  private boolean behindFirstLine;
+  /**
+   * Set from an answer's status line until its headers are read; the status line itself may end in a space if it has no reason phrase.
+   */
+  private boolean readingHeaders;
 
   public AnswerDecoder() {
     super(new HttpDecoderConfig().setStrictLineParsing(true));
@@ -28,35 +30,37 @@
     rawFilter = next;
   }
 
-  /** Whether bytes are left over that belong to no message yet. */
+  /** Returns whether bytes remain that belong to no message yet. */
   public boolean hasUnreadBytes() {
     return actualReadableBytes() > 0;
   }
 
   @Override
   protected HttpMessage createMessage(String[] initialLine) {
-    behindFirstLine = true;
+    readingHeaders = true;
     return super.createMessage(initialLine);
   }
 
-  /** Asked once the headers are read: from here on it is an answer, whose body may last until the connection ends. */
+  /**
+   * Called once the headers are read: from here on the message is treated as an answer, whose body may last until the connection ends.
+   */
   @Override
   protected boolean isContentAlwaysEmpty(HttpMessage message) {
-    behindFirstLine = false;
+    readingHeaders = false;
     return super.isContentAlwaysEmpty(message);
   }
 
-  /** Decides how strictly headers are read, and whether a body may go without a length: not a request's. */
+  /** Determines how strictly headers are read, and whether a body may lack a length, which a request's may not. */
   @Override
   protected boolean isDecodingRequest() {
-    return behindFirstLine;
+    return readingHeaders;
   }
 
   @Override
   protected void decode(ChannelHandlerContext ctx, ByteBuf buffer, List<Object> out)
       throws Exception {
     super.decode(ctx, buffer, out);
-    behindFirstLine &= out.isEmpty() || !(out.get(out.size() - 1) instanceof LastHttpContent);
+    readingHeaders &= out.isEmpty() || !(out.get(out.size() - 1) instanceof LastHttpContent);
   }
 
   @Override
--- a/src/main/java/pumicekeel/upstream/http/AnswerHead.java
+++ b/src/main/java/pumicekeel/upstream/http/AnswerHead.java
@@ -11,18 +11,18 @@
 import pumicekeel.Balancer.Status;
 import pumicekeel.call.Answer;
 
-/** What the head of an upstream's answer is worth. */
+/** Checks and classifies the head of an upstream's answer. */
 public final class AnswerHead {
 
-  /** Interim answers that are skipped ahead of an answer; more come from an upstream that never answers. */
+  /** Maximum number of interim answers that are skipped before an answer; an upstream that sends more never answers. */
   public static final int MAX_INTERIM = 10;
 
   private AnswerHead() {}
 
   /**
-   * Whether the head tells in exactly one way where its body ends, and that within the protocol's limit. The codec
-   * refuses two lengths, and a length beside chunks, in HTTP/1.1 only: there is no other version here. Without either
-   * it ends with its connection, where it says so (RFC 9112, section 6.3); else it can't be told from one cut short.
+   * Returns whether the head defines in exactly one way where its body ends, and within the protocol's limit. The codec rejects two
+   * lengths, and a length together with chunks, only in HTTP/1.1: no other version is accepted here. Without either, the body ends with
+   * the connection if the head says so (RFC 9112, section 6.3); otherwise it could not be distinguished from a truncated one.
    */
   public static boolean hasValidFraming(HttpResponse head) {
     if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)
@@ -44,7 +44,9 @@
     return HttpUtil.getContentLength(head) <= Answer.MOST_BODY;
   }
 
-  /** Only X-Unprocessed proves that a request never ran; a bare 503 may stand for one that did. */
+  /**
+   * Returns the status of an answer. Only X-Unprocessed proves that a request never ran; a plain 503 may be the answer to one that did.
+   */
   public static Status statusOf(HttpResponse head) {
     int code = head.status().code();
     if (code == 200) {
--- a/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
+++ b/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
@@ -20,60 +20,62 @@
 import pumicekeel.upstream.UpstreamLinks;
 import pumicekeel.upstream.UpstreamSockets;
 
-/** Connections to all upstreams: opens them, keeps them few and closes those that have stood idle. */
+/** Connections to all upstreams: opens them, limits their number and closes those that have been idle too long. */
 public final class ConnectionPool implements UpstreamLinks, SocketUser {
 
-  /** Idle connections go at this part of the upstream's own limit: one written to after that would end as a reset. */
-  private static final double IDLE_PART = 0.7;
+  /**
+   * Idle connections are closed at this fraction of the upstream's own limit: a request written after that limit would end in a reset.
+   */
+  private static final double IDLE_FRACTION = 0.7;
 
-  private static final int SWEEPS = 20;
-  /** However short the limit on idle connections is: a look walks all upstreams. */
-  private static final long SHORTEST_SWEEP_NANOS = 1_000_000;
-  /** Large bodies pass in pieces, through hundreds of connections at once: what each may hold has to be little. */
-  private static final int UNSENT_LOW = 8 << 10;
+  private static final int SWEEPS_PER_IDLE_LIMIT = 20;
+  /** Lower bound of the sweep period, however short the idle limit is: a sweep visits all upstreams. */
+  private static final long MIN_SWEEP_PERIOD_NANOS = 1_000_000;
+  /** Large bodies are streamed in pieces, over hundreds of connections at once, so each may buffer only a little. */
+  private static final int WRITE_BUFFER_LOW_BYTES = 8 << 10;
 
-  private static final int UNSENT_HIGH = 16 << 10;
-  private static final int READ_LEAST = 512;
-  private static final int READ_FIRST = 2 << 10;
-  private static final int READ_MOST = 16 << 10;
-  private static final int READS_IN_A_ROW = 4;
+  private static final int WRITE_BUFFER_HIGH_BYTES = 16 << 10;
+  private static final int MIN_READ_BYTES = 512;
+  private static final int INITIAL_READ_BYTES = 2 << 10;
+  private static final int MAX_READ_BYTES = 16 << 10;
+  private static final int MAX_CONSECUTIVE_READS = 4;
 
-  private final Reactor on;
+  private final Reactor reactor;
   private final Bootstrap bootstrap;
   private final UpstreamSockets sockets;
   private final Shares.Owner share;
   private int maxPerAddress;
   private long idleNanos;
   private final Set<UpstreamPool> pools = new LinkedHashSet<>();
-  /** The next look for connections that have stood idle too long; null while none stands idle, so that a pool at rest costs nothing. */
+  /** The next sweep for connections that have been idle too long; null while none is idle, so that an unused pool costs nothing. */
   private Future<?> sweep;
 
-  /** Connections with a room of their own. */
-  public ConnectionPool(Reactor on, long connectTimeoutNanos, long idleNanos, int most) {
-    this(on, connectTimeoutNanos, idleNanos, new UpstreamSockets(most), 0, most);
+  /** Creates a pool with capacity of its own. */
+  public ConnectionPool(Reactor reactor, long connectTimeoutNanos, long idleNanos, int most) {
+    this(reactor, connectTimeoutNanos, idleNanos, new UpstreamSockets(most), 0, most);
   }
 
-  /** Connections that share a room; so many of it are guaranteed to them, and they get so many at most. */
+  /** Creates a pool that shares capacity; it is guaranteed {@code guaranteed} connections and gets at most {@code most}. */
   public ConnectionPool(
-      Reactor on,
+      Reactor reactor,
       long connectTimeoutNanos,
       long idleNanos,
       UpstreamSockets sockets,
       long guaranteed,
       long most) {
-    this.on = on;
+    this.reactor = reactor;
     this.sockets = sockets;
     share = sockets.shares().add(guaranteed, most);
     sockets.add(this);
     bootstrap = new Bootstrap()
-        .group(on.loop())
+        .group(reactor.loop())
         .option(
             ChannelOption.WRITE_BUFFER_WATER_MARK,
-            new WriteBufferWaterMark(UNSENT_LOW, UNSENT_HIGH))
+            new WriteBufferWaterMark(WRITE_BUFFER_LOW_BYTES, WRITE_BUFFER_HIGH_BYTES))
         .option(
             ChannelOption.RECVBUF_ALLOCATOR,
-            new AdaptiveRecvByteBufAllocator(READ_LEAST, READ_FIRST, READ_MOST)
-                .maxMessagesPerRead(READS_IN_A_ROW));
+            new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES)
+                .maxMessagesPerRead(MAX_CONSECUTIVE_READS));
     setTimeouts(connectTimeoutNanos, idleNanos);
   }
 
@@ -81,52 +83,52 @@
   public void setTimeouts(long connectTimeoutNanos, long idleNanos) {
     bootstrap.option(
         ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNanos / 1_000_000));
-    this.idleNanos = (long) (idleNanos * IDLE_PART);
+    this.idleNanos = (long) (idleNanos * IDLE_FRACTION);
     if (sweep != null) {
       sweep.cancel(false);
-      sweepLater();
+      scheduleSweep();
     }
   }
 
-  private void sweepLater() {
-    long period = Math.max(SHORTEST_SWEEP_NANOS, idleNanos / SWEEPS);
-    sweep = on.loop().schedule(this::closeOld, period, TimeUnit.NANOSECONDS);
+  private void scheduleSweep() {
+    long period = Math.max(MIN_SWEEP_PERIOD_NANOS, idleNanos / SWEEPS_PER_IDLE_LIMIT);
+    sweep = reactor.loop().schedule(this::closeExpired, period, TimeUnit.NANOSECONDS);
   }
 
-  /** A connection stands idle from now on. */
-  void becameIdle() {
+  /** Notes that a connection has become idle. */
+  void connectionBecameIdle() {
     if (sweep == null) {
-      sweepLater();
+      scheduleSweep();
     }
   }
 
   @Override
   public UpstreamPool of(InetSocketAddress address) {
-    UpstreamPool pool = new UpstreamPool(this, address, on);
+    UpstreamPool pool = new UpstreamPool(this, address, reactor);
     pools.add(pool);
     return pool;
   }
 
-  /** Opens a connection; null where the limit on sockets or the process's descriptors leave no room for one. */
+  /** Opens a connection; returns null if the limit on sockets or the process's file descriptors are exhausted. */
   public ChannelFuture connect(UpstreamPool pool) {
     if (!sockets.acquire(this, pool.address())) {
       return null;
     }
-    Channel made = on.connecting();
-    if (made == null) {
+    Channel channel = reactor.connecting();
+    if (channel == null) {
       sockets.release(this, pool.address());
-      // Its descriptor is free for the next attempt.
+      // Its descriptor is then available to the next attempt.
       closeLongestIdle();
       return null;
     }
     ChannelFuture connecting = bootstrap
         .clone()
-        .channelFactory(() -> made)
+        .channelFactory(() -> channel)
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
             AnswerDecoder decoder = new AnswerDecoder();
-            UpstreamConnection connection = new UpstreamConnection(pool, on, channel, decoder);
+            UpstreamConnection connection = new UpstreamConnection(pool, reactor, channel, decoder);
             decoder.setRawFilter(connection::accepts);
             channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
           }
@@ -178,12 +180,12 @@
     return false;
   }
 
-  private void closeOld() {
-    long before = on.clock().now() - idleNanos;
+  private void closeExpired() {
+    long before = reactor.clock().now() - idleNanos;
     pools.forEach(p -> p.closeOlderThan(before));
     sweep = null;
     if (pools.stream().anyMatch(p -> p.oldest() != null)) {
-      sweepLater();
+      scheduleSweep();
     }
   }
 
--- a/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
+++ b/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
@@ -17,20 +17,20 @@
 import pumicekeel.call.Payload;
 import pumicekeel.upstream.UpstreamAttempt;
 
-/** An attempt that has an HTTP connection for itself; one that ends otherwise than by an answer takes it along. */
+/** An attempt with exclusive use of an HTTP connection; if it ends without an answer, the connection is closed too. */
 final class HttpAttempt extends UpstreamAttempt {
 
-  /** A kept connection that breaks within so long of the request was broken before: no upstream answers as fast. */
-  private static final long STALE_NANOS = 50_000_000L;
+  /** A kept connection that breaks within this time of the request was broken before: no upstream answers as fast. */
+  private static final long STALE_RESET_NANOS = 50_000_000L;
 
   private final UpstreamPool pool;
   private UpstreamConnection connection;
   private ChannelFuture connecting;
   private boolean stale;
-  /** The kept connection that is waited for, and the end of that. */
-  private UpstreamConnection resting;
+  /** The kept connection whose reuse delay is awaited, and the timer for it. */
+  private UpstreamConnection awaitedConnection;
 
-  private ScheduledFuture<?> rested;
+  private ScheduledFuture<?> reuseTimer;
 
   HttpAttempt(int number, long upstream, long decidedAt, UpstreamPool pool, Observer ending) {
     super(number, upstream, decidedAt, ending);
@@ -41,7 +41,7 @@
   protected void begin(ClientRequest request, BooleanSupplier maySend) {
     UpstreamConnection idle = pool.takeIdle();
     if (idle != null) {
-      onceRested(idle, request, maySend);
+      writeWhenReusable(idle, request, maySend);
       return;
     }
     connecting = pool.connect();
@@ -60,24 +60,25 @@
     });
   }
 
-  private void onceRested(UpstreamConnection kept, ClientRequest request, BooleanSupplier maySend) {
-    long rest = kept.restLeft();
-    if (rest <= 0) {
+  private void writeWhenReusable(
+      UpstreamConnection kept, ClientRequest request, BooleanSupplier maySend) {
+    long delayNanos = kept.reuseDelayLeft();
+    if (delayNanos <= 0) {
       write(kept, request, maySend);
       return;
     }
-    resting = kept;
-    rested = pool.later(
+    awaitedConnection = kept;
+    reuseTimer = pool.schedule(
         () -> {
-          resting = null;
+          awaitedConnection = null;
           if (kept.usable()) {
-            onceRested(kept, request, maySend);
+            writeWhenReusable(kept, request, maySend);
           } else {
             kept.close();
             begin(request, maySend);
           }
         },
-        rest);
+        delayNanos);
   }
 
   private void write(UpstreamConnection to, ClientRequest request, BooleanSupplier maySend) {
@@ -106,7 +107,7 @@
           request.leftNanos());
     }
     if (hasWriteCallback()) {
-      to.whenWritten(this::notifyWritten);
+      to.onWritten(this::notifyWritten);
     }
   }
 
@@ -118,7 +119,7 @@
     return message;
   }
 
-  /** What goes on of a request's head; a length of -1 is told by chunks. */
+  /** Sets the headers that are forwarded; a length of -1 means chunked encoding. */
   private static HttpMessage headers(
       HttpMessage message, ClientRequest request, Payload.Http http, long length, long leftMillis) {
     message
@@ -146,31 +147,31 @@
   }
 
   @Override
-  protected void onEnded(Status how) {
-    if (resting != null) {
-      rested.cancel(false);
-      resting.returnToPool();
-      resting = null;
+  protected void onEnded(Status status) {
+    if (awaitedConnection != null) {
+      reuseTimer.cancel(false);
+      awaitedConnection.returnToPool();
+      awaitedConnection = null;
     }
-    stale = how == Status.RESET
+    stale = status == Status.RESET
         && connecting == null
         && connection.nothingReceived()
-        && nanosSinceSent() < STALE_NANOS;
+        && nanosSinceSent() < STALE_RESET_NANOS;
     if (stale) {
-      // What was kept for longer has most likely gone the same way, and would cost an attempt each.
+      // Connections kept for longer have most likely broken too, and would cost an attempt each.
       pool.closeOlderThan(connection.idleSince);
     }
-    if (how == Status.TIMEOUT || how == Status.CANCELLED) {
+    if (status == Status.TIMEOUT || status == Status.CANCELLED) {
       if (connection != null) {
         connection.close();
       } else if (connecting != null) {
         connecting.channel().close();
       }
     }
-    if (how == Status.TIMEOUT && !pool.receivedWithin(timeoutNanos())) {
-      // A machine that vanished keeps its connections open and silent: none of them is used again.
-      // One that still
-      // answers others was only slow, and closing all would cost it a storm of new connections.
+    if (status == Status.TIMEOUT && !pool.receivedWithin(timeoutNanos())) {
+      // A machine that vanished leaves its connections open and silent: none of them is used again.
+      // One that still answers other requests
+      // was only slow, and closing all its connections would cause a storm of new ones.
       pool.closeIdle();
     }
   }
--- a/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
@@ -32,30 +32,37 @@
 import pumicekeel.upstream.UpstreamAttempt;
 
 /**
- * A connection to an upstream: sends one attempt at a time and reads how it ended. Only once a read is over with
- * nothing left is the connection used again: whatever else comes on it belongs to no request.
+ * A connection to an upstream: sends one attempt at a time and determines its outcome. The connection is reused only once a read has
+ * completed with nothing left over: any other data on it belongs to no request.
  */
 public final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-  private static final byte[] START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
-  /** An answer that has begun and of which nothing more comes for so long is spoilt: nobody has had any of it yet. */
+  private static final byte[] STATUS_LINE_START = "HTTP/1.1 ".getBytes(StandardCharsets.US_ASCII);
+  /** An answer that has begun and then stalls for this long is discarded: none of it has been forwarded yet. */
   private static final long BUFFERED_STALL_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
-  /** One that is being passed on: its client waits for what the upstream still gives, unless it gives nothing. Once the client's time is
-   * up it waits for nothing that does not come, and is owed an end that it can see. */
+  /**
+   * Limit for an answer that is being streamed: its client waits for whatever the upstream still sends, unless it sends nothing. Once the
+   * client's time limit has passed, it no longer waits for missing data, and needs an end that it can detect.
+   */
   private static final long STREAM_STALL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
-  /** One that still comes after so long is passed on as it is: nothing may be held back for two seconds. */
+  /** An answer that is still arriving after this time is streamed: nothing may be held back for two seconds. */
   private static final long MAX_BUFFERING_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
-  /** One that takes nothing of a body for so long has vanished, or as good as: the client that sends it can't be kept waiting. */
+  /**
+   * An upstream that accepts nothing of a body for this long has vanished, or as good as: the client that sends it must not be kept
+   * waiting.
+   */
   private static final long UPLOAD_STALL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
-  /** Or for that part of the time which its client gives it: the client may have written its last byte long before. */
+  /** Or for this fraction of the time that its client allows: the client may have written its last byte long before. */
   private static final int UPLOAD_STALL_DIVISOR = 2;
-  /** From the first byte of a whole request to its last: well under the slack of the time that it tells. */
+  /** From the first byte of a complete request to its last: well below the slack of the time limit announced to the upstream. */
   private static final long WRITE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-  /** A second copy of an answer may come some milliseconds behind it, and would be taken for the answer to the next request: until
-   * then there is none on this connection. Short against any aim. */
+  /**
+   * A duplicate of an answer may arrive some milliseconds after it, and would be treated as the answer to the next request: the
+   * connection is not reused before this time. Short compared with any aim.
+   */
   private static final long REUSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
   /** A buffer that has grown beyond this is not kept for the next answer: there are hundreds of connections. */
-  private static final int SMALL = 8 << 10;
+  private static final int MAX_KEPT_BUFFER_BYTES = 8 << 10;
 
   private final UpstreamPool pool;
   private final Reactor reactor;
@@ -63,26 +70,26 @@
   private final AnswerDecoder decoder;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
   private UpstreamAttempt attempt;
-  private ChannelFuture written;
+  private ChannelFuture writeFuture;
   private HttpResponse response;
-  private ScheduledFuture<?> stalled;
-  private ScheduledFuture<?> untaken;
-  private long untakenBytes;
-  private long untakenNanos;
-  private long begunAt;
-  private long heardAt;
-  /** Where the pieces of this answer go, and those of this request come from; null where they are whole. */
+  private ScheduledFuture<?> stallTimer;
+  private ScheduledFuture<?> uploadStallTimer;
+  private long unsentAtLastCheck;
+  private long uploadStallNanos;
+  private long answerStartedAt;
+  private long lastReceivedAt;
+  /** Where the pieces of this answer go, and where those of this request come from; null if they are buffered as a whole. */
   private BodySink sink;
 
   private Upload upload;
-  private boolean held;
-  private long received;
-  private long heard;
-  private int interim;
-  private boolean whole;
-  private boolean surplus;
+  private boolean readPaused;
+  private long bodyBytesReceived;
+  private long rawBytesReceived;
+  private int interimCount;
+  private boolean answerComplete;
+  private boolean unexpectedData;
   public long idleSince;
-  /** When its last answer had come whole; 0 where nothing was asked on it. */
+  /** When its last answer was complete; 0 if no request was sent on it. */
   private long answeredAt;
 
   public UpstreamConnection(UpstreamPool pool, Reactor on, Channel channel, AnswerDecoder decoder) {
@@ -92,21 +99,21 @@
     this.decoder = decoder;
   }
 
-  /** False where the peer has closed, or has sent what nobody asked for. */
+  /** Returns false if the peer has closed the connection, or has sent data that no request called for. */
   public boolean usable() {
     return reactor.sockets().quiet(channel);
   }
 
-  /** How long it still has to be left alone before the next request; 0 or less for not at all. */
-  long restLeft() {
+  /** Returns how long to wait before the next request on it; 0 or less if it can be reused now. */
+  long reuseDelayLeft() {
     return answeredAt == 0
         ? 0
         : answeredAt + REUSE_DELAY_NANOS - reactor.clock().now();
   }
 
-  /** Nothing has come since the last request was written. */
+  /** Returns whether nothing has arrived since the last request was written. */
   public boolean nothingReceived() {
-    return heard == 0;
+    return rawBytesReceived == 0;
   }
 
   public void returnToPool() {
@@ -115,29 +122,32 @@
 
   public void send(UpstreamAttempt next, FullHttpRequest request) {
     begin(next);
-    written = channel.writeAndFlush(request);
-    if (!written.isDone()) {
-      ChannelFuture mine = written;
+    writeFuture = channel.writeAndFlush(request);
+    if (!writeFuture.isDone()) {
+      ChannelFuture pending = writeFuture;
       channel
           .eventLoop()
-          .schedule(() -> endUnwritten(mine), WRITE_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
+          .schedule(() -> failUnwritten(pending), WRITE_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
     }
   }
 
-  /** A request that can't be written has not begun, and the time that it tells its upstream runs on: it goes elsewhere. */
-  private void endUnwritten(ChannelFuture mine) {
-    if (written == mine && !mine.isDone()) {
+  /**
+   * Fails a request that cannot be written in time. It has not begun to run, while the time limit that it announces to its upstream keeps
+   * running, so it has to be sent elsewhere.
+   */
+  private void failUnwritten(ChannelFuture pending) {
+    if (writeFuture == pending && !pending.isDone()) {
       Log.caused("upstream " + pool.address() + ": a request could not be written in time");
-      broken();
+      fail();
     }
   }
 
-  /** Sends a request whose body still comes; its client gives it so long from its last byte on. */
+  /** Sends a request whose body is still arriving; its client allows {@code leftNanos} from its last byte on. */
   void send(UpstreamAttempt next, HttpRequest head, Upload from, long leftNanos) {
     begin(next);
-    untakenNanos = Math.min(UPLOAD_STALL_TIMEOUT_NANOS, leftNanos / UPLOAD_STALL_DIVISOR);
+    uploadStallNanos = Math.min(UPLOAD_STALL_TIMEOUT_NANOS, leftNanos / UPLOAD_STALL_DIVISOR);
     ChannelPromise all = channel.newPromise();
-    written = all;
+    writeFuture = all;
     upload = from;
     channel.write(head);
     from.attach(new BodySink() {
@@ -153,7 +163,7 @@
 
       @Override
       public void cut() {
-        broken();
+        fail();
       }
     });
     channel.flush();
@@ -165,14 +175,14 @@
   private void begin(UpstreamAttempt next) {
     attempt = next;
     response = null;
-    heard = 0;
-    interim = 0;
-    whole = false;
-    begunAt = 0;
-    received = 0;
+    rawBytesReceived = 0;
+    interimCount = 0;
+    answerComplete = false;
+    answerStartedAt = 0;
+    bodyBytesReceived = 0;
     sink = null;
     upload = null;
-    if (body.size() > SMALL) {
+    if (body.size() > MAX_KEPT_BUFFER_BYTES) {
       body = new ByteArrayOutputStream();
     }
     body.reset();
@@ -182,60 +192,65 @@
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     if (upload != null) {
       upload.flow(channel.isWritable());
-      if (!channel.isWritable() && untaken == null) {
-        untakenBytes = unsent();
-        untaken =
-            ctx.executor().schedule(() -> lookAtUntaken(ctx), untakenNanos, TimeUnit.NANOSECONDS);
+      if (!channel.isWritable() && uploadStallTimer == null) {
+        unsentAtLastCheck = unsentBytes();
+        uploadStallTimer = ctx.executor()
+            .schedule(() -> checkUploadStall(ctx), uploadStallNanos, TimeUnit.NANOSECONDS);
       }
     }
   }
 
-  private long unsent() {
+  private long unsentBytes() {
     var buffer = channel.unsafe().outboundBuffer();
     return buffer == null ? 0 : buffer.totalPendingWriteBytes();
   }
 
-  /** Ends an attempt whose upstream takes no more of the body; nothing else would, since its time counts from its last byte. */
-  private void lookAtUntaken(ChannelHandlerContext ctx) {
-    untaken = null;
+  /**
+   * Fails an attempt whose upstream accepts no more of the body; nothing else would end it, since its time limit starts at its last byte.
+   */
+  private void checkUploadStall(ChannelHandlerContext ctx) {
+    uploadStallTimer = null;
     if (upload == null || channel.isWritable()) {
       return;
     }
-    if (unsent() == untakenBytes) {
-      broken();
+    if (unsentBytes() == unsentAtLastCheck) {
+      fail();
       return;
     }
-    untakenBytes = unsent();
-    untaken = ctx.executor().schedule(() -> lookAtUntaken(ctx), untakenNanos, TimeUnit.NANOSECONDS);
+    unsentAtLastCheck = unsentBytes();
+    uploadStallTimer = ctx.executor()
+        .schedule(() -> checkUploadStall(ctx), uploadStallNanos, TimeUnit.NANOSECONDS);
   }
 
-  /** The client of an answer that is passed on takes more, or does not. */
+  /** Resumes or pauses reading, as the client of a streamed answer accepts more or does not. */
   private void flow(boolean on) {
-    held = !on;
-    heardAt = reactor.clock().now();
+    readPaused = !on;
+    lastReceivedAt = reactor.clock().now();
     channel.config().setAutoRead(on);
   }
 
-  /** Runs something once the last byte of what was sent has gone out. */
-  void whenWritten(Runnable then) {
-    written.addListener(done -> {
+  /** Runs a callback once the last byte of the request has been sent. */
+  void onWritten(Runnable then) {
+    writeFuture.addListener(done -> {
       if (done.isSuccess()) {
         then.run();
       }
     });
   }
 
-  /** Gives up what is on this connection, with no outcome. */
+  /** Closes the connection and abandons what is in flight on it, without an outcome. */
   public void close() {
     attempt = null;
-    stopWaiting();
-    letGo();
+    cancelTimers();
+    releaseStreams();
     channel.close();
     pool.remove(this);
   }
 
-  /** What is on this connection is over: an answer that was being passed on is cut, and a body goes elsewhere. */
-  private void letGo() {
+  /**
+   * Releases the streams of this connection: an answer that was being streamed is cut off, and the rest of a request body goes elsewhere.
+   */
+  private void releaseStreams() {
     BodySink open = sink;
     Upload coming = upload;
     sink = null;
@@ -248,56 +263,62 @@
     }
   }
 
-  /** An answer's first bytes already show noise: it is not waited for any longer. */
+  /** Filters raw bytes: an answer whose first bytes are already invalid is not waited for any longer. */
   boolean accepts(ByteBuf bytes) {
     pool.dataReceived();
-    if (attempt == null || whole || surplus) {
-      surplus = true;
+    if (attempt == null || answerComplete || unexpectedData) {
+      unexpectedData = true;
       return false;
     }
     boolean noise = false;
-    for (int i = 0; heard + i < START.length && i < bytes.readableBytes(); i++) {
-      noise |= bytes.getByte(bytes.readerIndex() + i) != START[(int) heard + i];
+    for (int i = 0;
+        rawBytesReceived + i < STATUS_LINE_START.length && i < bytes.readableBytes();
+        i++) {
+      noise |=
+          bytes.getByte(bytes.readerIndex() + i) != STATUS_LINE_START[(int) rawBytesReceived + i];
     }
-    heard += bytes.readableBytes();
-    heardAt = reactor.clock().now();
-    surplus = noise;
+    rawBytesReceived += bytes.readableBytes();
+    lastReceivedAt = reactor.clock().now();
+    unexpectedData = noise;
     return !noise;
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) throws IOException {
-    if (attempt == null || whole || message.decoderResult().isFailure()) {
-      surplus = true;
+    if (attempt == null || answerComplete || message.decoderResult().isFailure()) {
+      unexpectedData = true;
       return;
     }
     if (message instanceof HttpResponse head) {
       response = head;
-      surplus |=
-          !AnswerHead.hasValidFraming(head) || interim() && ++interim > AnswerHead.MAX_INTERIM;
+      unexpectedData |= !AnswerHead.hasValidFraming(head)
+          || isInterim() && ++interimCount > AnswerHead.MAX_INTERIM;
     }
-    if (message instanceof HttpContent part && response != null && !interim() && !surplus) {
-      received += part.content().readableBytes();
-      surplus = received > Answer.MOST_BODY || !take(part.content());
-      whole = !surplus && message instanceof LastHttpContent;
+    if (message instanceof HttpContent part
+        && response != null
+        && !isInterim()
+        && !unexpectedData) {
+      bodyBytesReceived += part.content().readableBytes();
+      unexpectedData = bodyBytesReceived > Answer.MOST_BODY || !consume(part.content());
+      answerComplete = !unexpectedData && message instanceof LastHttpContent;
     }
   }
 
-  /** Keeps a piece, or passes it on; false where it can be neither. */
-  private boolean take(ByteBuf piece) throws IOException {
+  /** Buffers a piece or streams it; returns false if neither is possible. */
+  private boolean consume(ByteBuf piece) throws IOException {
     if (sink == null
-        && received > Answer.MAX_BODY
+        && bodyBytesReceived > Answer.MAX_BODY
         && AnswerHead.statusOf(response) != Status.SERVED) {
-      // Nobody reads what a failed attempt has to say.
+      // The body of a failed attempt's answer is not used.
       return true;
     }
     if (sink == null
-        && (received > Answer.MAX_BODY
+        && (bodyBytesReceived > Answer.MAX_BODY
             || HttpUtil.getContentLength(response, -1L) > Answer.MAX_BODY)
-        && !passOn()) {
+        && !startStreaming()) {
       return false;
     }
-    if (sink != null && received > Answer.MAX_BODY) {
+    if (sink != null && bodyBytesReceived > Answer.MAX_BODY) {
       attempt.exemptFromTimeout();
     }
     if (sink == null) {
@@ -308,8 +329,8 @@
     return true;
   }
 
-  /** Begins to pass the answer on, with what has been kept of it; false where its client can't take it so. */
-  private boolean passOn() {
+  /** Starts to stream the answer, beginning with what has been buffered of it; returns false if its client cannot accept that. */
+  private boolean startStreaming() {
     if (AnswerHead.statusOf(response) != Status.SERVED) {
       return true;
     }
@@ -325,94 +346,99 @@
     return sink != null;
   }
 
-  private boolean interim() {
+  private boolean isInterim() {
     return response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
   }
 
-  /** The read is over: a whole answer counts, whatever came behind it, and anything else that is too much does not. */
+  /** Handles the end of a read: a complete answer counts, whatever followed it; anything else beyond the protocol does not. */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (whole && attempt != null) {
-      answered();
-    } else if (surplus) {
-      broken();
-    } else if (begun()) {
+    if (answerComplete && attempt != null) {
+      finishAnswer();
+    } else if (unexpectedData) {
+      fail();
+    } else if (answerStarted()) {
       long now = reactor.clock().now();
-      begunAt = begunAt == 0 ? now : begunAt;
-      if (sink == null && now - begunAt > MAX_BUFFERING_NANOS && response != null && !interim()) {
-        // Where its client takes whole answers only, it is kept on.
-        passOn();
+      answerStartedAt = answerStartedAt == 0 ? now : answerStartedAt;
+      if (sink == null
+          && now - answerStartedAt > MAX_BUFFERING_NANOS
+          && response != null
+          && !isInterim()) {
+        // If its client accepts only complete answers, buffering continues.
+        startStreaming();
       }
-      if (stalled == null) {
-        stalled = ctx.executor()
-            .schedule(() -> look(ctx), BUFFERED_STALL_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
+      if (stallTimer == null) {
+        stallTimer = ctx.executor()
+            .schedule(() -> checkStall(ctx), BUFFERED_STALL_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
       }
     }
   }
 
-  /** Ends an answer of which nothing comes any more; one whose client takes nothing is waited for by its front. */
-  private void look(ChannelHandlerContext ctx) {
-    long quiet = held ? 0 : reactor.clock().now() - heardAt;
+  /** Fails an answer of which no more data arrives; a client that does not read is timed out by its front. */
+  private void checkStall(ChannelHandlerContext ctx) {
+    long silentNanos = readPaused ? 0 : reactor.clock().now() - lastReceivedAt;
     long left = attempt.remainingNanos();
-    long most =
+    long limitNanos =
         sink == null || left <= 0 ? BUFFERED_STALL_TIMEOUT_NANOS : STREAM_STALL_TIMEOUT_NANOS;
-    if (quiet >= most) {
-      broken();
+    if (silentNanos >= limitNanos) {
+      fail();
     } else {
-      long next = sink == null || left <= 0 ? most - quiet : Math.min(most - quiet, left);
-      stalled = ctx.executor().schedule(() -> look(ctx), next, TimeUnit.NANOSECONDS);
+      long next = sink == null || left <= 0
+          ? limitNanos - silentNanos
+          : Math.min(limitNanos - silentNanos, left);
+      stallTimer = ctx.executor().schedule(() -> checkStall(ctx), next, TimeUnit.NANOSECONDS);
     }
   }
 
-  /** Part of the answer itself has come, not only of interim ones ahead of it. */
-  private boolean begun() {
-    return attempt != null && (decoder.hasUnreadBytes() || response != null && !interim());
+  /** Returns whether part of the answer itself has arrived, not only of interim ones before it. */
+  private boolean answerStarted() {
+    return attempt != null && (decoder.hasUnreadBytes() || response != null && !isInterim());
   }
 
-  private void answered() {
+  private void finishAnswer() {
     UpstreamAttempt ended = attempt;
     attempt = null;
-    stopWaiting();
-    BodySink passed = sink;
+    cancelTimers();
+    BodySink streamed = sink;
     sink = null;
-    letGo();
-    if (held) {
+    releaseStreams();
+    if (readPaused) {
       flow(true);
     }
-    if (!surplus
+    if (!unexpectedData
         && !decoder.hasUnreadBytes()
         && HttpUtil.isKeepAlive(response)
-        && written.isSuccess()
+        && writeFuture.isSuccess()
         && channel.isActive()) {
       answeredAt = reactor.clock().now();
       pool.returnIdle(this);
     } else {
       channel.close();
     }
-    if (passed != null) {
-      passed.whole();
+    if (streamed != null) {
+      streamed.whole();
     }
     ended.end(
         AnswerHead.statusOf(response),
-        passed != null
+        streamed != null
             ? null
             : new Answer(body.toByteArray(), response.headers().get(HttpHeaderNames.CONTENT_TYPE)));
   }
 
-  private void stopWaiting() {
-    if (stalled != null) {
-      stalled.cancel(false);
-      stalled = null;
+  private void cancelTimers() {
+    if (stallTimer != null) {
+      stallTimer.cancel(false);
+      stallTimer = null;
     }
-    if (untaken != null) {
-      untaken.cancel(false);
-      untaken = null;
+    if (uploadStallTimer != null) {
+      uploadStallTimer.cancel(false);
+      uploadStallTimer = null;
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    broken();
+    fail();
   }
 
   @Override
@@ -420,16 +446,19 @@
     if (!(cause instanceof IOException)) {
       Log.caused("upstream " + pool.address() + ": " + cause);
     }
-    broken();
+    fail();
   }
 
-  /** The connection is of no use any more: what was on it ran perhaps, if its last byte went out or an answer came. */
-  private void broken() {
+  /** Closes an unusable connection: its attempt may have run if its last byte was sent or any of an answer arrived. */
+  private void fail() {
     UpstreamAttempt ended = attempt;
     close();
-    // Told of the end after its client: what is cut is cut, whatever the module makes of it.
+    // The client's stream is cut before the attempt's observer is notified: it stays cut, whatever
+    // the module does next.
     if (ended != null) {
-      ended.end(written.isSuccess() || heard > 0 ? Status.RESET : Status.CONNECT_FAILED, null);
+      ended.end(
+          writeFuture.isSuccess() || rawBytesReceived > 0 ? Status.RESET : Status.CONNECT_FAILED,
+          null);
     }
   }
 }
--- a/src/main/java/pumicekeel/upstream/http/UpstreamPool.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamPool.java
@@ -13,12 +13,12 @@
 import pumicekeel.upstream.UpstreamLink;
 
 /**
- * The idle connections to one upstream, one request each at a time; the one that was used last is used first. It
- * belongs to the upstream and not to its address: a successor at the same address must not get its predecessor's.
+ * The idle connections to one upstream, each of which carries one request at a time; the most recently used one is reused first. They
+ * belong to the upstream and not to its address: a successor at the same address must not get its predecessor's connections.
  */
 public final class UpstreamPool implements UpstreamLink {
 
-  private final ConnectionPool all;
+  private final ConnectionPool connections;
   private final Clock clock;
   private final EventLoop loop;
   private final InetSocketAddress address;
@@ -26,8 +26,8 @@
   private boolean closed;
   private long lastReceivedAt;
 
-  public UpstreamPool(ConnectionPool all, InetSocketAddress address, Reactor on) {
-    this.all = all;
+  public UpstreamPool(ConnectionPool connections, InetSocketAddress address, Reactor on) {
+    this.connections = connections;
     clock = on.clock();
     loop = on.loop();
     lastReceivedAt = clock.now();
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Of the idle connections that have rested the one that was used last; of all, where each rests still; or null where there is none.
-   * One on which anything waits unread is of no use.
+   * Returns the most recently used idle connection whose reuse delay has passed; if there is none, the most recently used one; null if no
+   * connection is idle. A connection with unread data is closed.
    */
   public UpstreamConnection takeIdle() {
     UpstreamConnection found = null;
@@ -55,7 +55,7 @@
       if (!next.usable()) {
         idle.remove(next);
         next.close();
-      } else if (next.restLeft() <= 0) {
+      } else if (next.reuseDelayLeft() <= 0) {
         found = next;
         break;
       } else if (found == null) {
@@ -66,14 +66,14 @@
     return found;
   }
 
-  /** Does something on the loop after so long. */
-  ScheduledFuture<?> later(Runnable what, long nanos) {
-    return loop.schedule(what, nanos, TimeUnit.NANOSECONDS);
+  /** Runs a task on the event loop after a delay. */
+  ScheduledFuture<?> schedule(Runnable task, long nanos) {
+    return loop.schedule(task, nanos, TimeUnit.NANOSECONDS);
   }
 
-  /** Opens a connection; null where the limit on sockets leaves no room for one. */
+  /** Opens a connection; returns null if the limit on sockets leaves no capacity for one. */
   public ChannelFuture connect() {
-    return all.connect(this);
+    return connections.connect(this);
   }
 
   public void returnIdle(UpstreamConnection connection) {
@@ -83,20 +83,20 @@
     }
     connection.idleSince = clock.now();
     idle.addFirst(connection);
-    all.becameIdle();
+    connections.connectionBecameIdle();
   }
 
-  /** Forgets a connection that has ended. */
+  /** Removes a connection that has ended. */
   public void remove(UpstreamConnection connection) {
     idle.remove(connection);
   }
 
-  /** The upstream has sent something. */
+  /** Records that the upstream has sent data. */
   public void dataReceived() {
     lastReceivedAt = clock.now();
   }
 
-  /** Whether the upstream has sent anything, on any connection, in this time. */
+  /** Returns whether the upstream has sent anything, on any connection, within this time. */
   public boolean receivedWithin(long nanos) {
     return clock.now() - lastReceivedAt < nanos;
   }
@@ -111,7 +111,7 @@
   public void close() {
     closed = true;
     closeIdle();
-    all.removePool(this);
+    connections.removePool(this);
   }
 
   public void closeOlderThan(long before) {
@@ -120,7 +120,7 @@
     }
   }
 
-  /** The connection that has been idle longest, or null. */
+  /** Returns the connection that has been idle longest, or null. */
   public UpstreamConnection oldest() {
     return idle.peekLast();
   }
