--- a/src/main/java/pumicekeel/front/admin/AdminEndpoint.java
+++ b/src/main/java/pumicekeel/front/admin/AdminEndpoint.java
@@ -18,45 +18,45 @@
 import pumicekeel.runtime.Reactor;
 
 /**
- * The admin endpoint: a listener of its own that takes one call a connection. It opens before anything else of the process,
- * and its connections count for no share of sockets, since they are few and short.
+ * The admin endpoint: a separate listener that handles one call per connection. It opens before any other listener of the process, and
+ * its connections do not count against any share of sockets, since they are few and short.
  */
 public final class AdminEndpoint {
 
-  /** Callers that say nothing stay for some seconds; beyond so many the oldest gives way. */
+  /** Maximum number of open connections: a silent caller stays for some seconds, and beyond the limit the oldest is closed. */
   static final int MAX_CONNECTIONS = 32;
 
   private static final int BACKLOG = 128;
-  /** After a failed accept: long enough for descriptors to come back, short for an operator. */
-  private static final long ACCEPT_REST_NANOS = 50_000_000L;
+  /** Delay after a failed accept: long enough for descriptors to be released, short for an operator. */
+  private static final long ACCEPT_RETRY_DELAY_NANOS = 50_000_000L;
 
-  private final Reactor on;
+  private final Reactor reactor;
   private final EventLoop loop;
   private final UnaryOperator<String> calls;
-  private final Set<Channel> open = new LinkedHashSet<>();
+  private final Set<Channel> openChannels = new LinkedHashSet<>();
   private Channel listener;
 
-  /** {@code calls} answers a line with a line, on the loop. */
-  public AdminEndpoint(Reactor on, UnaryOperator<String> calls) {
-    this.on = on;
-    loop = on.loop();
+  /** Creates an endpoint; {@code calls} answers a line with a line, on the event loop. */
+  public AdminEndpoint(Reactor reactor, UnaryOperator<String> calls) {
+    this.reactor = reactor;
+    loop = reactor.loop();
     this.calls = calls;
   }
 
-  /** Listens at an address, or at a path of the file system; waits for the bind, so it is not for the loop. */
-  public SocketAddress listen(SocketAddress at) throws IOException, InterruptedException {
+  /** Listens at an address, or at a path of the file system. Waits for the bind, so it must not be called on the event loop. */
+  public SocketAddress listen(SocketAddress address) throws IOException, InterruptedException {
     ServerBootstrap bootstrap = new ServerBootstrap()
         .group(loop, loop)
         .handler(new AcceptFaults(
-            "admin", scope -> ACCEPT_REST_NANOS, () -> listener.config().setAutoRead(true)))
+            "admin", scope -> ACCEPT_RETRY_DELAY_NANOS, () -> listener.config().setAutoRead(true)))
         .option(ChannelOption.SO_BACKLOG, BACKLOG);
-    if (at instanceof UnixDomainSocketAddress path) {
-      // Left by a process that was killed.
+    if (address instanceof UnixDomainSocketAddress path) {
+      // Left over from a process that was killed.
       Files.deleteIfExists(path.getPath());
       bootstrap.channel(NioServerDomainSocketChannel.class);
     } else {
       bootstrap
-          .channelFactory(on.sockets()::listening)
+          .channelFactory(reactor.sockets()::listening)
           .option(ChannelOption.SO_REUSEADDR, true)
           .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
     }
@@ -68,24 +68,24 @@
           @Override
           protected void initChannel(Channel channel) {
             channel.pipeline().addLast(new AdminHandler(calls));
-            opened(channel);
+            track(channel);
           }
         })
-        .bind(at)
+        .bind(address)
         .sync()
         .channel();
     return listener.localAddress();
   }
 
-  private void opened(Channel channel) {
-    open.add(channel);
-    channel.closeFuture().addListener(closed -> open.remove(channel));
-    if (open.size() > MAX_CONNECTIONS) {
-      open.iterator().next().close();
+  private void track(Channel channel) {
+    openChannels.add(channel);
+    channel.closeFuture().addListener(closed -> openChannels.remove(channel));
+    if (openChannels.size() > MAX_CONNECTIONS) {
+      openChannels.iterator().next().close();
     }
   }
 
-  /** Ends the admin endpoint; by any thread. */
+  /** Closes the endpoint; may be called by any thread. */
   public void close() {
     listener.close();
   }
--- a/src/main/java/pumicekeel/front/admin/AdminHandler.java
+++ b/src/main/java/pumicekeel/front/admin/AdminHandler.java
@@ -11,18 +11,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 
-/** One caller: reads its line, answers and closes. A line that never ends, or ends too late, is answered NO. */
+/** Handles one connection: reads a line, answers it and closes. A line that is too long, or that does not end in time, is answered NO. */
 final class AdminHandler extends SimpleChannelInboundHandler<ByteBuf> {
 
-  /** Calls are words; more is none. */
+  /** Calls are short words; a longer line is not a call. */
   static final int MAX_LINE_BYTES = 256;
-  /** A caller that has not said all by then gets its NO. */
-  private static final long LINE_MILLIS = 5_000;
+  /** Time limit for a complete line. */
+  private static final long LINE_TIMEOUT_MILLIS = 5_000;
 
   private final UnaryOperator<String> calls;
   private final StringBuilder line = new StringBuilder();
-  private ScheduledFuture<?> late;
-  private boolean over;
+  private ScheduledFuture<?> timeoutTask;
+  private boolean answered;
 
   AdminHandler(UnaryOperator<String> calls) {
     this.calls = calls;
@@ -30,16 +30,18 @@
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
-    late = ctx.executor()
+    timeoutTask = ctx.executor()
         .schedule(
-            () -> answer(ctx, "NO the call took too long"), LINE_MILLIS, TimeUnit.MILLISECONDS);
+            () -> answer(ctx, "NO the call took too long"),
+            LINE_TIMEOUT_MILLIS,
+            TimeUnit.MILLISECONDS);
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
     int end = bytes.bytesBefore((byte) '\n');
     int length = end < 0 ? bytes.readableBytes() : end;
-    if (over) {
+    if (answered) {
       return;
     }
     if (line.length() + length > MAX_LINE_BYTES) {
@@ -52,7 +54,7 @@
     }
   }
 
-  /** The caller sends no more: what has come without a line's end is half a call, and half a call does nothing. */
+  /** Handles the end of the caller's input: a call without an end of line is incomplete and has no effect. */
   @Override
   public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
     if (event instanceof ChannelInputShutdownEvent) {
@@ -61,19 +63,19 @@
   }
 
   private void answer(ChannelHandlerContext ctx, String text) {
-    if (over) {
+    if (answered) {
       return;
     }
-    over = true;
-    late.cancel(false);
+    answered = true;
+    timeoutTask.cancel(false);
     ctx.writeAndFlush(Unpooled.copiedBuffer(text + "\n", StandardCharsets.US_ASCII))
         .addListener(ChannelFutureListener.CLOSE);
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    if (late != null) {
-      late.cancel(false);
+    if (timeoutTask != null) {
+      timeoutTask.cancel(false);
     }
   }
 
