--- a/src/main/java/pumicekeel/cli/CallCommand.java
+++ b/src/main/java/pumicekeel/cli/CallCommand.java
@@ -21,7 +21,7 @@
 import pumicekeel.jsonrpc.Limits;
 import pumicekeel.jsonrpc.Message;
 import pumicekeel.jsonrpc.MessageReader;
-import pumicekeel.jsonrpc.Writer;
+import pumicekeel.jsonrpc.MessageWriter;
 import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInRpcClient;
 
@@ -36,7 +36,7 @@
     })
 final class CallCommand implements Callable<Integer> {
 
-  private static final Limits LIMITS = new Limits(4 << 20, Limits.MOST_DEPTH, 10_000);
+  private static final Limits LIMITS = new Limits(4 << 20, Limits.MAX_DEPTH, 10_000);
   private static final long MOST_FILE = 4 << 20;
 
   @Parameters(index = "0", paramLabel = "ADDRESS", description = "HOST:PORT, by number.")
@@ -119,7 +119,7 @@
       return Files.readString(batch).replaceAll("[\r\n]+", " ").getBytes(StandardCharsets.UTF_8);
     }
     byte[] raw = params == null ? null : params.getBytes(StandardCharsets.UTF_8);
-    byte[] call = Writer.call(Id.of(1), method, raw);
+    byte[] call = MessageWriter.call(Id.of(1), method, raw);
     if (!notify) {
       return call;
     }
@@ -132,7 +132,7 @@
   private int owed(byte[] message) {
     Message read = new MessageReader(LIMITS).read(message);
     if (batch == null
-        && !(read instanceof Message.One one && one.entry() instanceof Message.Call)) {
+        && !(read instanceof Message.Single one && one.entry() instanceof Message.Call)) {
       throw usage("PARAMS: expected a JSON object or array");
     }
     if (read instanceof Message.Batch many) {
@@ -140,7 +140,7 @@
           .filter(e -> !(e instanceof Message.Call c && c.id() == null))
           .count();
     }
-    return read instanceof Message.One one
+    return read instanceof Message.Single one
             && one.entry() instanceof Message.Call c
             && c.id() == null
         ? 0
@@ -179,7 +179,7 @@
       Message message = reader.read(text.getBytes(StandardCharsets.UTF_8));
       java.util.List<Message.Entry> entries = message instanceof Message.Batch b
           ? b.entries()
-          : message instanceof Message.One one
+          : message instanceof Message.Single one
               ? java.util.List.of(one.entry())
               : java.util.List.of();
       got += Math.max(1, entries.size());
--- a/src/main/java/pumicekeel/config/RpcReader.java
+++ b/src/main/java/pumicekeel/config/RpcReader.java
@@ -14,8 +14,8 @@
 import pumicekeel.front.jsonrpc.MethodMapping;
 import pumicekeel.front.jsonrpc.MethodMapping.Part;
 import pumicekeel.jsonrpc.Framing;
+import pumicekeel.jsonrpc.JsonPointer;
 import pumicekeel.jsonrpc.Limits;
-import pumicekeel.jsonrpc.Pointer;
 import pumicekeel.route.HostName;
 import pumicekeel.upstream.jsonrpc.ServerSettings;
 
@@ -98,10 +98,10 @@
     } else if (speaking.isEmpty()) {
       s.fault("name", "expected a listener with protocol = \"json-rpc\" for it");
     }
-    if (name != null && (name.length() > Limits.MOST_METHOD || name.startsWith("rpc."))) {
+    if (name != null && (name.length() > Limits.MAX_METHOD_LENGTH || name.startsWith("rpc."))) {
       s.fault(
           "name",
-          "expected at most " + Limits.MOST_METHOD
+          "expected at most " + Limits.MAX_METHOD_LENGTH
               + " characters that don't begin with rpc., got \"" + name + "\"");
     }
     if (name == null || className == null) {
@@ -124,7 +124,7 @@
     }
     if (s.is(key, Map.class)) {
       Section at = s.table(key);
-      Pointer pointer = pointer(at, at.needed("pointer", "a JSON Pointer into the params"));
+      JsonPointer pointer = pointer(at, at.needed("pointer", "a JSON Pointer into the params"));
       Boolean optional = at.bool("optional");
       at.done();
       return pointer == null ? null : new MethodMapping.At(pointer, Boolean.TRUE.equals(optional));
@@ -137,9 +137,9 @@
     return text == null ? null : new MethodMapping.Constant(text);
   }
 
-  private static Pointer pointer(Section s, String text) {
+  private static JsonPointer pointer(Section s, String text) {
     try {
-      return text == null ? null : Pointer.of(text);
+      return text == null ? null : JsonPointer.of(text);
     } catch (IllegalArgumentException e) {
       s.fault("pointer", "expected " + e.getMessage() + ", got \"" + text + "\"");
       return null;
@@ -168,7 +168,7 @@
       }
       literal(s, text.substring(at, open), out);
       try {
-        out.add(new MethodMapping.Value(Pointer.of(text.substring(open + 1, close))));
+        out.add(new MethodMapping.Value(JsonPointer.of(text.substring(open + 1, close))));
       } catch (IllegalArgumentException e) {
         s.fault("path", "expected " + e.getMessage() + " in braces, got \"" + text + "\"");
       }
@@ -210,7 +210,7 @@
         batch == null ? BatchMode.IN_TIME : batch,
         new Limits(
             (int) or(r.integer("max-message-kib", 1, 4_096), 256) << 10,
-            (int) or(r.integer("max-depth", 3, Limits.MOST_DEPTH), 32),
+            (int) or(r.integer("max-depth", 3, Limits.MAX_DEPTH), 32),
             (int) or(r.integer("max-batch", 1, 1_000), 100)),
         (int) or(r.integer("max-open-calls", 1, 10_000), 64),
         or(r.integer("idle-ms", 100, 86_400_000), 300_000) * 1_000_000L,
--- a/src/main/java/pumicekeel/fleet/Daemon.java
+++ b/src/main/java/pumicekeel/fleet/Daemon.java
@@ -299,7 +299,7 @@
   }
 
   private static String quoted(String text) {
-    return pumicekeel.jsonrpc.Writer.quoted(text);
+    return pumicekeel.jsonrpc.MessageWriter.quoted(text);
   }
 
   private String status() {
--- a/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
@@ -28,13 +28,13 @@
 import pumicekeel.front.jsonrpc.MethodMapping.At;
 import pumicekeel.front.jsonrpc.MethodMapping.Constant;
 import pumicekeel.front.jsonrpc.MethodMapping.Part;
-import pumicekeel.jsonrpc.Codes;
+import pumicekeel.jsonrpc.ErrorCodes;
 import pumicekeel.jsonrpc.Frame;
 import pumicekeel.jsonrpc.FrameDecoder;
 import pumicekeel.jsonrpc.Framing;
+import pumicekeel.jsonrpc.JsonPointer;
 import pumicekeel.jsonrpc.Message;
 import pumicekeel.jsonrpc.MessageReader;
-import pumicekeel.jsonrpc.Pointer;
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.Reactor;
 
@@ -160,7 +160,7 @@
           "look",
           "look",
           "localhost",
-          Map.of(Part.TENANT, new At(Pointer.of("/account"), false)),
+          Map.of(Part.TENANT, new At(JsonPointer.of("/account"), false)),
           List.of()),
       "issue",
       new MethodMapping(
@@ -171,7 +171,7 @@
               Part.TENANT,
               new Constant("acme"),
               Part.IDEMPOTENCY_KEY,
-              new At(Pointer.of("/key"), true)),
+              new At(JsonPointer.of("/key"), true)),
           List.of()));
 
   /** One connection. */
@@ -317,19 +317,19 @@
       int wanted = 0;
       boolean over = false;
       for (Frame f = channel.readInbound(); f != null && !over; f = channel.readInbound()) {
-        Message message = f instanceof Frame.Whole whole ? reader.read(whole.bytes()) : null;
-        if (message instanceof Message.One one) {
+        Message message = f instanceof Frame.Complete whole ? reader.read(whole.bytes()) : null;
+        if (message instanceof Message.Single one) {
           wanted += owed(one.entry());
         } else if (message instanceof Message.Batch batch) {
           wanted += batch.entries().stream().mapToInt(One::owed).sum();
         } else {
           wanted++;
           over = message == null
-              || ((Message.Broken) message).code() == Codes.PARSE
+              || ((Message.Malformed) message).code() == ErrorCodes.PARSE
                   && decoder.framing() == Framing.VALUES;
         }
       }
-      wanted += !over && decoder.holdsBytes() ? 1 : 0;
+      wanted += !over && decoder.hasBufferedBytes() ? 1 : 0;
       channel.finishAndReleaseAll();
       return wanted;
     }
@@ -347,8 +347,8 @@
       MessageReader reader = new MessageReader(wide);
       int count = 0;
       for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
-        Message message = f instanceof Frame.Whole whole ? reader.read(whole.bytes()) : null;
-        List<Message.Entry> entries = message instanceof Message.One one
+        Message message = f instanceof Frame.Complete whole ? reader.read(whole.bytes()) : null;
+        List<Message.Entry> entries = message instanceof Message.Single one
             ? List.of(one.entry())
             : message instanceof Message.Batch batch ? batch.entries() : List.of();
         if (entries.isEmpty() || !entries.stream().allMatch(Message.Reply.class::isInstance)) {
--- a/src/main/java/pumicekeel/front/jsonrpc/MethodMapping.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/MethodMapping.java
@@ -5,10 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import pumicekeel.jsonrpc.Pointer;
-import pumicekeel.jsonrpc.Pointers;
-import pumicekeel.jsonrpc.Pointers.Found;
-import pumicekeel.jsonrpc.Pointers.Kind;
+import pumicekeel.jsonrpc.JsonPointer;
+import pumicekeel.jsonrpc.JsonPointerSet;
+import pumicekeel.jsonrpc.JsonPointerSet.Found;
+import pumicekeel.jsonrpc.JsonPointerSet.Kind;
 
 /** What a method of a listener stands for: a class, and where in the params the rest is said. */
 public final class MethodMapping {
@@ -30,7 +30,7 @@
   public record Constant(String value) implements Source {}
 
   /** Where a pointer into the params leads; {@code optional}: it may lead nowhere. */
-  public record At(Pointer pointer, boolean optional) implements Source {}
+  public record At(JsonPointer pointer, boolean optional) implements Source {}
 
   /** A part of the path of the HTTP request that a call becomes: text as it is, or a value by pointer. */
   public sealed interface Piece permits Text, Value {}
@@ -39,7 +39,7 @@
   public record Text(String text) implements Piece {}
 
   /** Percent-encoded. */
-  public record Value(Pointer pointer) implements Piece {}
+  public record Value(JsonPointer pointer) implements Piece {}
 
   /** Params that don't have what the settings ask for; the words name the pointer. */
   public static final class BadParams extends Exception {
@@ -70,8 +70,8 @@
   private final String host;
   private final Map<Part, Source> sources;
   private final List<Piece> path;
-  private final Pointers pointers;
-  private final List<Pointer> order;
+  private final JsonPointerSet pointers;
+  private final List<JsonPointer> order;
 
   /** {@code path} is empty for the class's own. */
   public MethodMapping(
@@ -92,7 +92,7 @@
         order.add(value.pointer());
       }
     });
-    pointers = new Pointers(order);
+    pointers = new JsonPointerSet(order);
   }
 
   public String method() {
@@ -121,7 +121,7 @@
 
   /** Reads the params of a call; null stands for none. */
   public Said read(byte[] params) throws BadParams {
-    Found[] found = pointers.in(params);
+    Found[] found = pointers.resolve(params);
     int[] next = {0};
     String tenant = text(Part.TENANT, found, next);
     String session = text(Part.SESSION_KEY, found, next);
--- a/src/main/java/pumicekeel/front/jsonrpc/Reply.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/Reply.java
@@ -1,8 +1,8 @@
 package pumicekeel.front.jsonrpc;
 
-import pumicekeel.jsonrpc.Codes;
+import pumicekeel.jsonrpc.ErrorCodes;
 import pumicekeel.jsonrpc.Id;
-import pumicekeel.jsonrpc.Writer;
+import pumicekeel.jsonrpc.MessageWriter;
 
 /** A response object, made when it goes out. */
 interface Reply {
@@ -10,17 +10,17 @@
   byte[] at(long now);
 
   static byte[] result(Id id, byte[] result) {
-    return Writer.result(id, result);
+    return MessageWriter.result(id, result);
   }
 
   /** An error object of a server's, as it came. */
   static byte[] error(Id id, byte[] error) {
-    return Writer.error(id, error);
+    return MessageWriter.error(id, error);
   }
 
   /** An error of the balancer's own, with raw JSON as its data, or null for none. */
   static byte[] error(Id id, int code, String message, String data) {
-    return Writer.error(id, Writer.errorObject(code, message, data));
+    return MessageWriter.error(id, MessageWriter.errorObject(code, message, data));
   }
 
   /** An error whose usual message says enough, or for which {@code reason} says more. */
@@ -28,8 +28,8 @@
     return error(
         id,
         code,
-        Codes.messageOf(code),
-        reason == null ? null : "{\"reason\":" + Writer.quoted(reason) + "}");
+        ErrorCodes.messageOf(code),
+        reason == null ? null : "{\"reason\":" + MessageWriter.quoted(reason) + "}");
   }
 
   /** An error with an advice when to come back; 0 for none. */
@@ -37,7 +37,7 @@
     return error(
         id,
         code,
-        Codes.messageOf(code),
+        ErrorCodes.messageOf(code),
         retryAfterNanos <= 0
             ? null
             : "{\"retryAfterMs\":" + (retryAfterNanos + 999_999) / 1_000_000 + "}");
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
@@ -15,10 +15,10 @@
 import pumicekeel.front.jsonrpc.MethodMapping.BadParams;
 import pumicekeel.front.jsonrpc.MethodMapping.Part;
 import pumicekeel.front.jsonrpc.MethodMapping.Said;
-import pumicekeel.jsonrpc.Codes;
+import pumicekeel.jsonrpc.ErrorCodes;
 import pumicekeel.jsonrpc.Id;
 import pumicekeel.jsonrpc.Message;
-import pumicekeel.jsonrpc.Writer;
+import pumicekeel.jsonrpc.MessageWriter;
 
 /** One call on its way from its connection to its end; a notification is one whose end nobody is told of. */
 final class RpcCall implements Client, Facts {
@@ -73,10 +73,10 @@
       handle = connection.side().router().route(this);
       request = request(settings());
       if (!handle.reserveBody(request.payload().size())) {
-        throw new TurnedAway(Codes.NO_ROOM, "no room for the params", 0);
+        throw new TurnedAway(ErrorCodes.NO_ROOM, "no room for the params", 0);
       }
     } catch (BadParams e) {
-      throw new TurnedAway(Codes.INVALID_PARAMS, e.getMessage(), 0);
+      throw new TurnedAway(ErrorCodes.INVALID_PARAMS, e.getMessage(), 0);
     } catch (Bad e) {
       throw new TurnedAway(codeOf(e.status), e.getMessage(), e.retryAfterNanos);
     }
@@ -93,10 +93,10 @@
   /** What a status of the platform's protocol is here. */
   private static int codeOf(int status) {
     return switch (status) {
-      case 404 -> Codes.NO_ROUTE;
-      case 502 -> Codes.FAILED;
-      case 503 -> Codes.NO_ROOM;
-      default -> Codes.INVALID_PARAMS;
+      case 404 -> ErrorCodes.NO_ROUTE;
+      case 502 -> ErrorCodes.FAILED;
+      case 503 -> ErrorCodes.NO_ROOM;
+      default -> ErrorCodes.INVALID_PARAMS;
     };
   }
 
@@ -106,19 +106,19 @@
       ClientRequest.checkTenant(said.tenant(), settings);
     } catch (Bad e) {
       throw new TurnedAway(
-          Codes.INVALID_PARAMS,
+          ErrorCodes.INVALID_PARAMS,
           mapping.placeOf(Part.TENANT) + ": expected a tenant that is known",
           0);
     }
     if (type.effect() == Effect.KEYED && said.idempotencyKey() == null) {
       throw new TurnedAway(
-          Codes.INVALID_PARAMS,
+          ErrorCodes.INVALID_PARAMS,
           mapping.placeOf(Part.IDEMPOTENCY_KEY) + ": expected an idempotency key",
           0);
     }
     if (call.params() != null && call.params().length > Answer.MAX_BODY) {
       throw new TurnedAway(
-          Codes.INVALID_PARAMS, "params of more than " + Answer.MAX_BODY + " bytes", 0);
+          ErrorCodes.INVALID_PARAMS, "params of more than " + Answer.MAX_BODY + " bytes", 0);
     }
     long left = said.leftMillis() < 0
         ? type.deadlineNanos()
@@ -150,7 +150,7 @@
     try {
       taken = true;
       if (!handle.submit(request, this)) {
-        throw new TurnedAway(Codes.NO_ROOM, "its request id is open", 0);
+        throw new TurnedAway(ErrorCodes.NO_ROOM, "its request id is open", 0);
       }
     } catch (Bad e) {
       taken = false;
@@ -162,13 +162,13 @@
   }
 
   void turnAway(TurnedAway why) {
-    boolean protocol = why.code == Codes.INVALID_PARAMS
-        || why.code == Codes.UNKNOWN_METHOD
-        || why.code == Codes.NO_ROUTE;
+    boolean protocol = why.code == ErrorCodes.INVALID_PARAMS
+        || why.code == ErrorCodes.UNKNOWN_METHOD
+        || why.code == ErrorCodes.NO_ROUTE;
     end(
-        now -> why.code == Codes.INVALID_PARAMS
+        now -> why.code == ErrorCodes.INVALID_PARAMS
             ? Reply.error(
-                call.id(), why.code, Codes.messageOf(why.code) + ": " + why.getMessage(), null)
+                call.id(), why.code, ErrorCodes.messageOf(why.code) + ": " + why.getMessage(), null)
             : Reply.refusal(call.id(), why.code, why.retryAfterNanos),
         protocol ? How.INVALID : How.GIVEN_UP);
   }
@@ -193,7 +193,7 @@
     end(
         now -> Reply.refusal(
             call.id(),
-            Codes.REFUSED,
+            ErrorCodes.REFUSED,
             retryAfterNanos <= 0 ? 0 : Math.max(1, retryAfterNanos - (now - at))),
         How.GIVEN_UP);
   }
@@ -203,9 +203,9 @@
     end(
         now -> Reply.error(
             call.id(),
-            Codes.FAILED,
-            Codes.messageOf(Codes.FAILED),
-            "{\"request\":" + Writer.quoted(request.id()) + "}"),
+            ErrorCodes.FAILED,
+            ErrorCodes.messageOf(ErrorCodes.FAILED),
+            "{\"request\":" + MessageWriter.quoted(request.id()) + "}"),
         How.GIVEN_UP);
   }
 
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcClient.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcClient.java
@@ -22,7 +22,7 @@
 import pumicekeel.front.jsonrpc.BatchAnswers.How;
 import pumicekeel.front.jsonrpc.RpcCall.TurnedAway;
 import pumicekeel.guard.CloseReason;
-import pumicekeel.jsonrpc.Codes;
+import pumicekeel.jsonrpc.ErrorCodes;
 import pumicekeel.jsonrpc.Frame;
 import pumicekeel.jsonrpc.FrameDecoder;
 import pumicekeel.jsonrpc.Framing;
@@ -30,7 +30,7 @@
 import pumicekeel.jsonrpc.Limits;
 import pumicekeel.jsonrpc.Message;
 import pumicekeel.jsonrpc.MessageReader;
-import pumicekeel.jsonrpc.Writer;
+import pumicekeel.jsonrpc.MessageWriter;
 import pumicekeel.runtime.Log;
 
 /** One client connection: reads messages, hands their calls over, and writes each answer once. */
@@ -104,7 +104,7 @@
   }
 
   boolean idle() {
-    return calls.isEmpty() && batches.isEmpty() && !decoder.holdsBytes() && !finishing;
+    return calls.isEmpty() && batches.isEmpty() && !decoder.hasBufferedBytes() && !finishing;
   }
 
   private boolean takesMore() {
@@ -117,7 +117,7 @@
 
   /** Reads while calls are taken, and a little further: a client that has gone is seen to have gone by a read alone. */
   private void readOrPause(boolean takes) {
-    boolean ahead = !readsNoMore && decoder.heldBytes() < READ_AHEAD;
+    boolean ahead = !readsNoMore && decoder.bufferedBytes() < READ_AHEAD;
     ctx.channel().config().setAutoRead(takes || finishing || ahead);
   }
 
@@ -136,17 +136,17 @@
       endWith(fault.code(), fault.why());
       return;
     }
-    Message message = reader.read(((Frame.Whole) frame).bytes());
-    if (message instanceof Message.Broken b) {
+    Message message = reader.read(((Frame.Complete) frame).bytes());
+    if (message instanceof Message.Malformed b) {
       // Behind JSON that is none, the next value's beginning is a guess, unless something else
       // tells it.
       if (++broken >= MOST_BROKEN
-          || b.code() == Codes.PARSE && decoder.framing() == Framing.VALUES) {
+          || b.code() == ErrorCodes.PARSE && decoder.framing() == Framing.VALUES) {
         endWith(b.code(), b.why());
       } else {
         refuseMessage(b.code(), b.why());
       }
-    } else if (message instanceof Message.One one) {
+    } else if (message instanceof Message.Single one) {
       one(one.entry());
     } else if (message instanceof Message.Batch batch) {
       batch(batch.entries());
@@ -186,22 +186,25 @@
   private RpcCall begin(Message.Entry entry, BatchAnswers<Reply> answers) {
     if (!(entry instanceof Message.Call call)) {
       Id id = entry instanceof Message.Invalid invalid ? invalid.id() : Id.NULL;
-      turnAway(id, Codes.INVALID_REQUEST, answers);
+      turnAway(id, ErrorCodes.INVALID_REQUEST, answers);
       return null;
     }
     MethodMapping mapping = side.settings().methods().get(call.method());
     if (side.draining() || mapping == null) {
-      turnAway(call.id(), side.draining() ? Codes.DRAINING : Codes.UNKNOWN_METHOD, answers);
+      turnAway(
+          call.id(), side.draining() ? ErrorCodes.DRAINING : ErrorCodes.UNKNOWN_METHOD, answers);
       return null;
     }
     if (call.id() != null && open.containsKey(call.id())) {
       // Under its own id the answer could be taken for that of the first.
       end(
           answers,
-          now -> Writer.error(
+          now -> MessageWriter.error(
               Id.NULL,
-              Writer.errorObject(
-                  Codes.INVALID_REQUEST, "this id is open already", "{\"id\":" + call.id() + "}")),
+              MessageWriter.errorObject(
+                  ErrorCodes.INVALID_REQUEST,
+                  "this id is open already",
+                  "{\"id\":" + call.id() + "}")),
           How.INVALID);
       return null;
     }
@@ -232,7 +235,7 @@
     end(
         answers,
         id == null ? null : now -> Reply.plain(id, code, null),
-        code == Codes.DRAINING ? How.GIVEN_UP : How.INVALID);
+        code == ErrorCodes.DRAINING ? How.GIVEN_UP : How.INVALID);
   }
 
   private void end(BatchAnswers<Reply> answers, Reply reply, How how) {
@@ -287,9 +290,9 @@
         messages.add(reply.at(now));
       }
       if (settings.batch() == BatchMode.APART) {
-        messages.forEach(m -> write(Writer.array(List.of(m))));
+        messages.forEach(m -> write(MessageWriter.array(List.of(m))));
       } else {
-        write(Writer.array(messages));
+        write(MessageWriter.array(messages));
       }
     }
     if (batch.over()) {
@@ -310,7 +313,7 @@
       return RESULTS.isValue(answer.body()) ? answer.body() : null;
     }
     try {
-      return Writer.quoted(StandardCharsets.UTF_8
+      return MessageWriter.quoted(StandardCharsets.UTF_8
               .newDecoder()
               .decode(ByteBuffer.wrap(answer.body()))
               .toString())
@@ -327,7 +330,7 @@
       return;
     }
     Framing framing = decoder.framing() == Framing.DETECT ? Framing.VALUES : decoder.framing();
-    ByteBuf frame = Writer.frame(framing, message);
+    ByteBuf frame = MessageWriter.frame(framing, message);
     ctx.write(frame);
     if (!flushDue) {
       flushDue = true;
@@ -355,7 +358,7 @@
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
     boolean takes = takesMore();
-    if (decoder.holdsBytes() && takes) {
+    if (decoder.hasBufferedBytes() && takes) {
       partSince = partSince == 0 ? now() : partSince;
     } else {
       partSince = 0;
@@ -387,8 +390,8 @@
         }
         readOrPause(takesMore());
       }
-      if (inputOver && decoder.holdsBytes() && takesMore()) {
-        endWith(Codes.PARSE, "cut short");
+      if (inputOver && decoder.hasBufferedBytes() && takesMore()) {
+        endWith(ErrorCodes.PARSE, "cut short");
       }
     } catch (Exception e) {
       exceptionCaught(ctx, e);
@@ -405,7 +408,7 @@
   }
 
   private void finishIfDone() {
-    boolean nothingMore = readsNoMore || inputOver && !decoder.holdsBytes();
+    boolean nothingMore = readsNoMore || inputOver && !decoder.hasBufferedBytes();
     if (nothingMore && calls.isEmpty() && batches.isEmpty()) {
       finish();
     }
@@ -456,7 +459,7 @@
         && !readsNoMore
         && !finishing) {
       partSince = 0;
-      endWith(Codes.INVALID_REQUEST, "the message took too long");
+      endWith(ErrorCodes.INVALID_REQUEST, "the message took too long");
     } else if (idle()
         && (now - busyAt > settings.idleNanos()
             || side.draining() && now - busyAt > TimeUnit.MILLISECONDS.toNanos(QUIET_MILLIS))) {
@@ -494,6 +497,6 @@
     }
     // A defect of one message's handling is no reason to leave the calls that are open unanswered.
     Log.caused("client " + context.channel().remoteAddress() + ": " + cause);
-    endWith(Codes.FAILED, "internal error");
+    endWith(ErrorCodes.FAILED, "internal error");
   }
 }
--- a/src/main/java/pumicekeel/jsonrpc/Codes.java
+++ b/src/main/java/pumicekeel/jsonrpc/ErrorCodes.java
@@ -1,7 +1,7 @@
 package pumicekeel.jsonrpc;
 
 /** The codes of error objects that the balancer itself answers with. Section 5.1 of the JSON-RPC 2.0 specification. */
-public final class Codes {
+public final class ErrorCodes {
 
   /** Not JSON, or JSON that readers would differ over. Nothing ran. */
   public static final int PARSE = -32700;
@@ -23,9 +23,9 @@
   public static final int NO_ROUTE = -32004;
 
   /** The range that the specification keeps for servers. */
-  public static final int SERVER_LEAST = -32099;
+  public static final int SERVER_MIN = -32099;
 
-  public static final int SERVER_MOST = -32000;
+  public static final int SERVER_MAX = -32000;
   public static final int INTERNAL = -32603;
 
   /** The message of a code, as section 5.1 has it for its own. */
@@ -44,5 +44,5 @@
     };
   }
 
-  private Codes() {}
+  private ErrorCodes() {}
 }
--- a/src/main/java/pumicekeel/jsonrpc/Frame.java
+++ b/src/main/java/pumicekeel/jsonrpc/Frame.java
@@ -1,10 +1,10 @@
 package pumicekeel.jsonrpc;
 
 /** What a decoder hands on. */
-public sealed interface Frame permits Frame.Whole, Frame.Fault {
+public sealed interface Frame permits Frame.Complete, Frame.Fault {
 
   /** The bytes of one message. */
-  record Whole(byte[] bytes) implements Frame {}
+  record Complete(byte[] bytes) implements Frame {}
 
   /** Something after which the next message can't be told from the rest of this one. */
   record Fault(int code, String why) implements Frame {}
--- a/src/main/java/pumicekeel/jsonrpc/FrameDecoder.java
+++ b/src/main/java/pumicekeel/jsonrpc/FrameDecoder.java
@@ -17,7 +17,7 @@
 public final class FrameDecoder extends ByteToMessageDecoder {
 
   /** A head of Content-Length and perhaps Content-Type. */
-  static final int MOST_HEAD = 512;
+  static final int MAX_HEADER_BYTES = 512;
 
   private final Limits limits;
   private final ValueScanner scanner;
@@ -42,19 +42,19 @@
   }
 
   /** Whether a message has come in part, or some wait in whole. */
-  public boolean holdsBytes() {
+  public boolean hasBufferedBytes() {
     return actualReadableBytes() > 0;
   }
 
   /** How many bytes are held: of a message that has come in part, and of those that wait in whole. */
-  public int heldBytes() {
+  public int bufferedBytes() {
     return actualReadableBytes();
   }
 
   /** Drops what is held and what still comes. */
   public void discard() {
     broken = true;
-    if (holdsBytes()) {
+    if (hasBufferedBytes()) {
       internalBuffer().skipBytes(actualReadableBytes());
     }
   }
@@ -83,7 +83,7 @@
 
   /** Goes on with what is held; false from within a read, which goes on by itself. On the loop. */
   public boolean resume() throws Exception {
-    if (!reading && holdsBytes() && ctx != null && !ctx.isRemoved()) {
+    if (!reading && hasBufferedBytes() && ctx != null && !ctx.isRemoved()) {
       channelRead(ctx, Unpooled.EMPTY_BUFFER);
       channelReadComplete(ctx);
     }
@@ -163,7 +163,7 @@
     byte[] bytes = take(in, size);
     in.skipBytes(1);
     if (!blank(bytes)) {
-      out.add(new Frame.Whole(bytes));
+      out.add(new Frame.Complete(bytes));
     }
   }
 
@@ -181,7 +181,7 @@
       scanner.reset();
       byte first = in.getByte(in.readerIndex());
       if (first != '{' && first != '[') {
-        fault(in, out, Codes.PARSE, "expected { or [ at the beginning of a message");
+        fault(in, out, ErrorCodes.PARSE, "expected { or [ at the beginning of a message");
         return;
       }
     }
@@ -191,7 +191,7 @@
       fault(in, out, scanner.code(), scanner.fault());
     } else if (end >= 0) {
       scanned = 0;
-      out.add(new Frame.Whole(take(in, end - in.readerIndex())));
+      out.add(new Frame.Complete(take(in, end - in.readerIndex())));
     } else if (in.readableBytes() > limits.bytes()) {
       tooLarge(in, out);
     } else {
@@ -207,18 +207,18 @@
       byte[] bytes = take(in, length);
       length = -1;
       scanned = 0;
-      out.add(new Frame.Whole(bytes));
+      out.add(new Frame.Complete(bytes));
     }
   }
 
   /** Whether the head is whole and sound, and how much follows. */
   private boolean head(ByteBuf in, List<Object> out) {
-    int most = Math.min(in.readableBytes(), MOST_HEAD);
+    int most = Math.min(in.readableBytes(), MAX_HEADER_BYTES);
     String text = in.toString(in.readerIndex(), most, StandardCharsets.ISO_8859_1);
     int end = text.indexOf("\r\n\r\n");
     if (end < 0) {
-      if (in.readableBytes() >= MOST_HEAD) {
-        fault(in, out, Codes.PARSE, "a head of more than " + MOST_HEAD + " bytes");
+      if (in.readableBytes() >= MAX_HEADER_BYTES) {
+        fault(in, out, ErrorCodes.PARSE, "a head of more than " + MAX_HEADER_BYTES + " bytes");
       } else {
         scanned = in.readableBytes();
       }
@@ -232,12 +232,12 @@
       if (name.equals("content-length") && size < 0 && value.matches("[0-9]{1,10}")) {
         size = Long.parseLong(value);
       } else if (!name.equals("content-type")) {
-        fault(in, out, Codes.PARSE, "expected one Content-Length and perhaps a Content-Type");
+        fault(in, out, ErrorCodes.PARSE, "expected one Content-Length and perhaps a Content-Type");
         return false;
       }
     }
     if (size < 0) {
-      fault(in, out, Codes.PARSE, "no Content-Length");
+      fault(in, out, ErrorCodes.PARSE, "no Content-Length");
       return false;
     }
     if (size > limits.bytes()) {
@@ -256,7 +256,8 @@
   }
 
   private void tooLarge(ByteBuf in, List<Object> out) {
-    fault(in, out, Codes.INVALID_REQUEST, "a message of more than " + limits.bytes() + " bytes");
+    fault(
+        in, out, ErrorCodes.INVALID_REQUEST, "a message of more than " + limits.bytes() + " bytes");
   }
 
   private void fault(ByteBuf in, List<Object> out, int code, String why) {
--- a/src/main/java/pumicekeel/jsonrpc/Pointer.java
+++ b/src/main/java/pumicekeel/jsonrpc/JsonPointer.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /** A JSON Pointer as RFC 6901 writes it; {@code ""} is the whole document. */
-public record Pointer(String text, List<String> tokens) {
+public record JsonPointer(String text, List<String> tokens) {
 
   /** Of a pointer that a person wrote; params are no deeper. */
-  public static final int MOST_TOKENS = Limits.MOST_DEPTH;
+  public static final int MAX_TOKENS = Limits.MAX_DEPTH;
 
   /** Reads a pointer; an IllegalArgumentException says what was expected. */
-  public static Pointer of(String text) {
+  public static JsonPointer of(String text) {
     if (!text.isEmpty() && text.charAt(0) != '/') {
       throw new IllegalArgumentException("a JSON Pointer, which is empty or begins with /");
     }
@@ -20,10 +20,10 @@
         tokens.add(unescaped(token));
       }
     }
-    if (tokens.size() > MOST_TOKENS) {
-      throw new IllegalArgumentException("a JSON Pointer of at most " + MOST_TOKENS + " parts");
+    if (tokens.size() > MAX_TOKENS) {
+      throw new IllegalArgumentException("a JSON Pointer of at most " + MAX_TOKENS + " parts");
     }
-    return new Pointer(text, List.copyOf(tokens));
+    return new JsonPointer(text, List.copyOf(tokens));
   }
 
   /** ~1 first: ~01 stands for ~1. Section 4 of the RFC. */
--- a/src/main/java/pumicekeel/jsonrpc/Pointers.java
+++ b/src/main/java/pumicekeel/jsonrpc/JsonPointerSet.java
@@ -11,7 +11,7 @@
  * Several pointers evaluated in one pass over a document. Section 4 of RFC 6901: a part names a member of an object, or
  * the index of an array without a leading zero; {@code -} names what is not there.
  */
-public final class Pointers {
+public final class JsonPointerSet {
 
   /** What kind of value a pointer leads to. */
   public enum Kind {
@@ -37,7 +37,7 @@
   private final Node root = new Node();
   private final int count;
 
-  public Pointers(List<Pointer> pointers) {
+  public JsonPointerSet(List<JsonPointer> pointers) {
     count = pointers.size();
     int distinct = 0;
     places = new int[count];
@@ -55,7 +55,7 @@
   private final int[] places;
 
   /** What each pointer leads to, in their order. The document is whole and well formed; null stands for none. */
-  public Found[] in(byte[] document) {
+  public Found[] resolve(byte[] document) {
     Found[] found = new Found[count];
     java.util.Arrays.fill(found, Found.ABSENT);
     if (document != null && count > 0) {
@@ -74,9 +74,9 @@
   }
 
   private void walk(JsonParser p, Found[] found) throws IOException {
-    Node[] nodes = new Node[Limits.MOST_DEPTH + 2];
-    int[] indexes = new int[Limits.MOST_DEPTH + 2];
-    boolean[] arrays = new boolean[Limits.MOST_DEPTH + 2];
+    Node[] nodes = new Node[Limits.MAX_DEPTH + 2];
+    int[] indexes = new int[Limits.MAX_DEPTH + 2];
+    boolean[] arrays = new boolean[Limits.MAX_DEPTH + 2];
     int depth = 0;
     Node here = root;
     for (JsonToken t = p.currentToken(); t != null; t = p.nextToken()) {
--- a/src/main/java/pumicekeel/jsonrpc/Limits.java
+++ b/src/main/java/pumicekeel/jsonrpc/Limits.java
@@ -10,16 +10,16 @@
 public record Limits(int bytes, int depth, int calls) {
 
   /** A scanner keeps the kind of each open bracket in one bit of a long. */
-  public static final int MOST_DEPTH = 64;
+  public static final int MAX_DEPTH = 64;
   /** No id that a client makes is as long, and each is kept and copied for every call. */
-  public static final int MOST_ID = 256;
+  public static final int MAX_ID_LENGTH = 256;
   /** Far beyond any quantity; reading a number is quadratic in its digits for some readers behind us. */
-  public static final int MOST_NUMBER = 1_000;
+  public static final int MAX_NUMBER_LENGTH = 1_000;
   /** A method's name; it is kept in logs and looked up. */
-  public static final int MOST_METHOD = 256;
+  public static final int MAX_METHOD_LENGTH = 256;
 
   public Limits {
-    if (bytes < 1 || depth < 1 || depth > MOST_DEPTH || calls < 1) {
+    if (bytes < 1 || depth < 1 || depth > MAX_DEPTH || calls < 1) {
       throw new IllegalArgumentException(
           "limits of a message: " + bytes + " bytes, depth " + depth + ", " + calls);
     }
--- a/src/main/java/pumicekeel/jsonrpc/Message.java
+++ b/src/main/java/pumicekeel/jsonrpc/Message.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /** What one frame held. */
-public sealed interface Message permits Message.One, Message.Batch, Message.Broken {
+public sealed interface Message permits Message.Single, Message.Batch, Message.Malformed {
 
   /** A single entry. */
-  record One(Entry entry) implements Message {}
+  record Single(Entry entry) implements Message {}
 
   /** A batch; never empty. */
   record Batch(List<Entry> entries) implements Message {}
 
   /** No message: the whole of it is answered with one error of this code and a null id; {@code why} says more, or is null. */
-  record Broken(int code, String why) implements Message {}
+  record Malformed(int code, String why) implements Message {}
 
   /** An entry of a message. */
   sealed interface Entry permits Call, Reply, Invalid {}
--- a/src/main/java/pumicekeel/jsonrpc/MessageReader.java
+++ b/src/main/java/pumicekeel/jsonrpc/MessageReader.java
@@ -25,7 +25,7 @@
       .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
       .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
       .streamReadConstraints(StreamReadConstraints.builder()
-          .maxNestingDepth(Limits.MOST_DEPTH + 1)
+          .maxNestingDepth(Limits.MAX_DEPTH + 1)
           .maxNumberLength(Integer.MAX_VALUE)
           .build())
       .build();
@@ -40,25 +40,25 @@
   public Message read(byte[] frame) {
     String fault = Text.fault(frame);
     if (fault != null) {
-      return new Message.Broken(Codes.PARSE, fault);
+      return new Message.Malformed(ErrorCodes.PARSE, fault);
     }
     try (JsonParser p = FACTORY.createParser(frame)) {
       JsonToken first = p.nextToken();
       Message message = first == JsonToken.START_ARRAY
           ? batch(p, frame)
           : first == JsonToken.START_OBJECT
-              ? new Message.One(entry(p, frame, 1))
-              : first == null ? new Message.Broken(Codes.PARSE, null) : scalar(p);
-      if (!(message instanceof Message.Broken) && p.nextToken() != null) {
-        return new Message.Broken(Codes.PARSE, null);
+              ? new Message.Single(entry(p, frame, 1))
+              : first == null ? new Message.Malformed(ErrorCodes.PARSE, null) : scalar(p);
+      if (!(message instanceof Message.Malformed) && p.nextToken() != null) {
+        return new Message.Malformed(ErrorCodes.PARSE, null);
       }
       return message;
     } catch (TooMuch e) {
-      return new Message.Broken(Codes.INVALID_REQUEST, e.getMessage());
+      return new Message.Malformed(ErrorCodes.INVALID_REQUEST, e.getMessage());
     } catch (IOException | RuntimeException e) {
       // A text of the library's own would carry bytes of the client's into the answer.
-      return new Message.Broken(
-          Codes.PARSE,
+      return new Message.Malformed(
+          ErrorCodes.PARSE,
           e.getMessage() != null && e.getMessage().startsWith("Duplicate")
               ? "a name twice in one object"
               : null);
@@ -91,7 +91,7 @@
 
   private Message scalar(JsonParser p) throws IOException {
     skip(p, 1);
-    return new Message.Broken(Codes.INVALID_REQUEST, null);
+    return new Message.Malformed(ErrorCodes.INVALID_REQUEST, null);
   }
 
   private Message batch(JsonParser p, byte[] frame) throws IOException {
@@ -111,7 +111,7 @@
       }
     }
     return entries.isEmpty()
-        ? new Message.Broken(Codes.INVALID_REQUEST, null)
+        ? new Message.Malformed(ErrorCodes.INVALID_REQUEST, null)
         : new Message.Batch(entries);
   }
 
@@ -150,7 +150,7 @@
         }
         case "method" -> {
           m.hasMethod = true;
-          m.method = t == JsonToken.VALUE_STRING && p.getTextLength() <= Limits.MOST_METHOD
+          m.method = t == JsonToken.VALUE_STRING && p.getTextLength() <= Limits.MAX_METHOD_LENGTH
               ? p.getText()
               : null;
         }
@@ -192,7 +192,7 @@
     }
     if (m.method == null) {
       return new Message.Invalid(
-          id, "expected a method that is a string of at most " + Limits.MOST_METHOD);
+          id, "expected a method that is a string of at most " + Limits.MAX_METHOD_LENGTH);
     }
     if (m.hasParams && m.params == null) {
       return new Message.Invalid(id, "expected params that are an object or an array");
@@ -206,12 +206,12 @@
         return Id.NULL;
       case VALUE_NUMBER_INT:
       case VALUE_NUMBER_FLOAT:
-        return p.getTextLength() > Limits.MOST_ID ? null : Id.number(p.getText());
+        return p.getTextLength() > Limits.MAX_ID_LENGTH ? null : Id.number(p.getText());
       case VALUE_STRING:
         int start = (int) p.currentTokenLocation().getByteOffset();
         String decoded = p.getText();
         int end = (int) p.currentLocation().getByteOffset();
-        return end - start > Limits.MOST_ID
+        return end - start > Limits.MAX_ID_LENGTH
             ? null
             : Id.text(decoded, Arrays.copyOfRange(frame, start, end));
       default:
@@ -263,8 +263,8 @@
       } else if (t.isStructEnd()) {
         open--;
       } else if (t.isNumeric()) {
-        if (p.getTextLength() > Limits.MOST_NUMBER) {
-          throw new TooMuch("a number of more than " + Limits.MOST_NUMBER + " characters");
+        if (p.getTextLength() > Limits.MAX_NUMBER_LENGTH) {
+          throw new TooMuch("a number of more than " + Limits.MAX_NUMBER_LENGTH + " characters");
         }
       } else if (t == JsonToken.VALUE_STRING) {
         p.finishToken();
--- a/src/main/java/pumicekeel/jsonrpc/Writer.java
+++ b/src/main/java/pumicekeel/jsonrpc/MessageWriter.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** Makes messages. Strings of the balancer's own are ASCII; what comes from others is passed on as it came. */
-public final class Writer {
+public final class MessageWriter {
 
   private static final byte[] CALL = ascii("{\"jsonrpc\":\"2.0\",\"method\":");
   private static final byte[] RESULT = ascii("{\"jsonrpc\":\"2.0\",\"result\":");
@@ -17,7 +17,7 @@
   /** Behind a message where a line ends it; a value of its own, as the message is over without it. */
   private static final byte[] LINE = {'\n'};
 
-  private Writer() {}
+  private MessageWriter() {}
 
   private static byte[] ascii(String text) {
     return text.getBytes(StandardCharsets.US_ASCII);
@@ -91,24 +91,24 @@
   }
 
   /** What goes in front of a message of so many bytes; null for nothing. */
-  public static ByteBuf before(Framing framing, int size) {
+  public static ByteBuf prefix(Framing framing, int size) {
     return framing == Framing.CONTENT_LENGTH
         ? Unpooled.wrappedBuffer(ascii("Content-Length: " + size + "\r\n\r\n"))
         : null;
   }
 
   /** What goes behind a message; null for nothing. */
-  public static ByteBuf behind(Framing framing) {
+  public static ByteBuf suffix(Framing framing) {
     return framing == Framing.CONTENT_LENGTH ? null : Unpooled.wrappedBuffer(LINE);
   }
 
   /** A whole frame. */
   public static ByteBuf frame(Framing framing, byte[] message) {
-    ByteBuf before = before(framing, message.length);
-    ByteBuf behind = behind(framing);
+    ByteBuf prefix = prefix(framing, message.length);
+    ByteBuf suffix = suffix(framing);
     ByteBuf body = Unpooled.wrappedBuffer(message);
-    return before != null
-        ? Unpooled.wrappedBuffer(before, body)
-        : Unpooled.wrappedBuffer(body, behind);
+    return prefix != null
+        ? Unpooled.wrappedBuffer(prefix, body)
+        : Unpooled.wrappedBuffer(body, suffix);
   }
 }
--- a/src/main/java/pumicekeel/jsonrpc/ValueScanner.java
+++ b/src/main/java/pumicekeel/jsonrpc/ValueScanner.java
@@ -64,7 +64,7 @@
   private boolean step(byte b) {
     if (string) {
       if (b >= 0 && b < 0x20) {
-        fail(Codes.PARSE, "a control character in a string");
+        fail(ErrorCodes.PARSE, "a control character in a string");
       } else if (escaped) {
         escaped = false;
       } else if (b == '\\') {
@@ -82,7 +82,7 @@
       }
       case ',' -> {
         if (depth == 1 && batch && ++commas >= limits.calls()) {
-          fail(Codes.INVALID_REQUEST, "more than " + limits.calls() + " calls in a batch");
+          fail(ErrorCodes.INVALID_REQUEST, "more than " + limits.calls() + " calls in a batch");
         }
       }
       default -> {}
@@ -93,7 +93,7 @@
   private void open(boolean object) {
     if (depth == limits.depth()) {
       fail(
-          Codes.INVALID_REQUEST,
+          ErrorCodes.INVALID_REQUEST,
           "more than " + limits.depth() + " arrays and objects in one another");
       return;
     }
@@ -106,7 +106,7 @@
 
   private boolean close(boolean object) {
     if (depth == 0 || (kinds & 1) == 1 != object) {
-      fail(Codes.PARSE, null);
+      fail(ErrorCodes.PARSE, null);
       return false;
     }
     kinds >>>= 1;
--- a/src/main/java/pumicekeel/load/RpcRequestTemplate.java
+++ b/src/main/java/pumicekeel/load/RpcRequestTemplate.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import pumicekeel.jsonrpc.Codes;
+import pumicekeel.jsonrpc.ErrorCodes;
 import pumicekeel.jsonrpc.Frame;
 import pumicekeel.jsonrpc.FrameDecoder;
 import pumicekeel.jsonrpc.Framing;
@@ -16,7 +16,7 @@
 import pumicekeel.jsonrpc.Limits;
 import pumicekeel.jsonrpc.Message;
 import pumicekeel.jsonrpc.MessageReader;
-import pumicekeel.jsonrpc.Writer;
+import pumicekeel.jsonrpc.MessageWriter;
 import pumicekeel.load.LoadResults.Outcome;
 
 /**
@@ -28,7 +28,7 @@
 public record RpcRequestTemplate(String method, String tenant, long deadlineMillis)
     implements RequestTemplate {
 
-  private static final Limits LIMITS = new Limits(4 << 20, Limits.MOST_DEPTH, 1_000);
+  private static final Limits LIMITS = new Limits(4 << 20, Limits.MAX_DEPTH, 1_000);
   private static final int SESSIONS = 500;
 
   @Override
@@ -62,15 +62,16 @@
         names.put(number, name);
         String params = "{\"n\":\"" + name + "\",\"account\":\"" + tenant + "\",\"session\":\"k"
             + random.nextInt(SESSIONS) + "\",\"left\":" + deadlineMillis + "}";
-        calls.add(Writer.call(id, method, params.getBytes(StandardCharsets.US_ASCII)));
+        calls.add(MessageWriter.call(id, method, params.getBytes(StandardCharsets.US_ASCII)));
       }
-      return Writer.frame(Framing.VALUES, calls.size() == 1 ? calls.get(0) : Writer.array(calls));
+      return MessageWriter.frame(
+          Framing.VALUES, calls.size() == 1 ? calls.get(0) : MessageWriter.array(calls));
     }
 
     @Override
     public List<Reply> decode(Object message) {
-      Message read = message instanceof Frame.Whole whole ? reader.read(whole.bytes()) : null;
-      if (read instanceof Message.One one) {
+      Message read = message instanceof Frame.Complete whole ? reader.read(whole.bytes()) : null;
+      if (read instanceof Message.Single one) {
         return List.of(reply(one.entry()));
       }
       return read instanceof Message.Batch batch
@@ -93,9 +94,11 @@
       int code = reply.code();
       return new Reply(
           number,
-          code == Codes.FAILED
+          code == ErrorCodes.FAILED
               ? Outcome.FAILED
-              : code <= Codes.REFUSED && code >= Codes.NO_ROOM ? Outcome.REFUSED : Outcome.WRONG,
+              : code <= ErrorCodes.REFUSED && code >= ErrorCodes.NO_ROOM
+                  ? Outcome.REFUSED
+                  : Outcome.WRONG,
           new String(reply.error(), StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/pumicekeel/measure/RpcMeasure.java
+++ b/src/main/java/pumicekeel/measure/RpcMeasure.java
@@ -18,7 +18,7 @@
 import pumicekeel.jsonrpc.FrameDecoder;
 import pumicekeel.jsonrpc.Framing;
 import pumicekeel.jsonrpc.Limits;
-import pumicekeel.jsonrpc.Writer;
+import pumicekeel.jsonrpc.MessageWriter;
 import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.load.Load;
 import pumicekeel.load.LoadProfile;
@@ -102,8 +102,8 @@
         relayLoop,
         () -> new FrameDecoder(Framing.VALUES, LIMITS, () -> true),
         () -> new FrameDecoder(Framing.NEWLINE, LIMITS, () -> true),
-        message -> message instanceof Frame.Whole whole
-            ? Writer.frame(Framing.NEWLINE, whole.bytes())
+        message -> message instanceof Frame.Complete whole
+            ? MessageWriter.frame(Framing.NEWLINE, whole.bytes())
             : null,
         servers.stream().map(StandInRpcServer::address).toArray(InetSocketAddress[]::new));
     List<Long> before = threads();
--- a/src/main/java/pumicekeel/standin/StandInRpcClient.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcClient.java
@@ -22,12 +22,12 @@
 import pumicekeel.jsonrpc.FrameDecoder;
 import pumicekeel.jsonrpc.Framing;
 import pumicekeel.jsonrpc.Limits;
-import pumicekeel.jsonrpc.Writer;
+import pumicekeel.jsonrpc.MessageWriter;
 
 /** One connection of a JSON-RPC client: says what it is told, in whole messages or in bytes, and keeps what comes. */
 public final class StandInRpcClient implements Closeable {
 
-  private static final Limits LIMITS = new Limits(64 << 20, Limits.MOST_DEPTH, 1_000_000);
+  private static final Limits LIMITS = new Limits(64 << 20, Limits.MAX_DEPTH, 1_000_000);
   private static final int MOST_KEPT = 1_000_000;
 
   private final Framing framing;
@@ -59,7 +59,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Frame frame) {
       messages.offer(
-          frame instanceof Frame.Whole whole
+          frame instanceof Frame.Complete whole
               ? new String(whole.bytes(), StandardCharsets.UTF_8)
               : "unreadable: " + ((Frame.Fault) frame).why());
     }
@@ -84,7 +84,7 @@
 
   /** Sends a message in this connection's framing. */
   public StandInRpcClient send(String message) {
-    channel.writeAndFlush(Writer.frame(framing, message.getBytes(StandardCharsets.UTF_8)));
+    channel.writeAndFlush(MessageWriter.frame(framing, message.getBytes(StandardCharsets.UTF_8)));
     return this;
   }
 
--- a/src/main/java/pumicekeel/standin/StandInRpcServer.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcServer.java
@@ -26,7 +26,7 @@
 import pumicekeel.jsonrpc.Limits;
 import pumicekeel.jsonrpc.Message;
 import pumicekeel.jsonrpc.MessageReader;
-import pumicekeel.jsonrpc.Writer;
+import pumicekeel.jsonrpc.MessageWriter;
 
 /** A JSON-RPC server on loopback that follows a script and keeps a log: the truth about which calls reached it, and when. */
 public final class StandInRpcServer implements Closeable {
@@ -43,7 +43,7 @@
   public static final Script ECHO =
       (call, c) -> c.result(call.id(), call.params() == null ? "null" : call.params());
 
-  private static final Limits LIMITS = new Limits(1 << 20, Limits.MOST_DEPTH, 1);
+  private static final Limits LIMITS = new Limits(1 << 20, Limits.MAX_DEPTH, 1);
   private static final int MOST_SEEN = 2_000_000;
 
   private final Framing framing;
@@ -156,8 +156,8 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, Frame frame) {
-      Message message = frame instanceof Frame.Whole whole ? reader.read(whole.bytes()) : null;
-      if (!(message instanceof Message.One one)
+      Message message = frame instanceof Frame.Complete whole ? reader.read(whole.bytes()) : null;
+      if (!(message instanceof Message.Single one)
           || !(one.entry() instanceof Message.Call call)
           || call.id() == null) {
         ctx.close();
@@ -183,16 +183,16 @@
 
     /** Answers; {@code result} is raw JSON. */
     public void result(long id, String result) {
-      message(Writer.result(Id.of(id), result.getBytes(StandardCharsets.UTF_8)));
+      message(MessageWriter.result(Id.of(id), result.getBytes(StandardCharsets.UTF_8)));
     }
 
     public void error(long id, int code, String text) {
-      message(Writer.error(Id.of(id), Writer.errorObject(code, text, null)));
+      message(MessageWriter.error(Id.of(id), MessageWriter.errorObject(code, text, null)));
     }
 
     /** A message in the connection's framing. */
     public void message(byte[] message) {
-      ctx.writeAndFlush(Writer.frame(framing, message));
+      ctx.writeAndFlush(MessageWriter.frame(framing, message));
     }
 
     /** Bytes as they are. */
--- a/src/main/java/pumicekeel/upstream/jsonrpc/HttpCalls.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/HttpCalls.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import pumicekeel.call.ClientRequest;
 import pumicekeel.call.Payload;
+import pumicekeel.jsonrpc.JsonPointer;
+import pumicekeel.jsonrpc.JsonPointerSet;
 import pumicekeel.jsonrpc.Limits;
 import pumicekeel.jsonrpc.Message;
 import pumicekeel.jsonrpc.MessageReader;
-import pumicekeel.jsonrpc.Pointer;
-import pumicekeel.jsonrpc.Pointers;
-import pumicekeel.jsonrpc.Writer;
+import pumicekeel.jsonrpc.MessageWriter;
 
 /**
  * Makes a call of an HTTP request. A GET's query becomes an object of strings, with what its path says behind the class as
@@ -77,9 +77,9 @@
     }
     StringBuilder out = new StringBuilder("{");
     members.forEach((name, value) -> out.append(out.length() > 1 ? "," : "")
-        .append(Writer.quoted(name))
+        .append(MessageWriter.quoted(name))
         .append(':')
-        .append(Writer.quoted(value)));
+        .append(MessageWriter.quoted(value)));
     return out.append('}').toString().getBytes(StandardCharsets.US_ASCII);
   }
 
@@ -87,9 +87,10 @@
     if (body.length == 0) {
       return null;
     }
-    Pointers.Kind kind =
-        VALUES.isValue(body) ? new Pointers(List.of(Pointer.of(""))).in(body)[0].kind() : null;
-    if (kind != Pointers.Kind.OBJECT && kind != Pointers.Kind.ARRAY) {
+    JsonPointerSet.Kind kind = VALUES.isValue(body)
+        ? new JsonPointerSet(List.of(JsonPointer.of(""))).resolve(body)[0].kind()
+        : null;
+    if (kind != JsonPointerSet.Kind.OBJECT && kind != JsonPointerSet.Kind.ARRAY) {
       throw new Untranslatable("expected a JSON object or array as the body");
     }
     return body;
@@ -97,19 +98,20 @@
 
   /** The key has to reach the server, or it could not drop a repeat. */
   private static byte[] withKey(byte[] params, String member, String key) throws Untranslatable {
-    String added = Writer.quoted(member) + ":" + Writer.quoted(key);
+    String added = MessageWriter.quoted(member) + ":" + MessageWriter.quoted(key);
     if (params == null) {
       return ("{" + added + "}").getBytes(StandardCharsets.US_ASCII);
     }
     String pointer = "/" + member.replace("~", "~0").replace("/", "~1");
-    Pointers.Found[] found = new Pointers(List.of(Pointer.of(""), Pointer.of(pointer))).in(params);
-    if (found[0].kind() != Pointers.Kind.OBJECT) {
+    JsonPointerSet.Found[] found =
+        new JsonPointerSet(List.of(JsonPointer.of(""), JsonPointer.of(pointer))).resolve(params);
+    if (found[0].kind() != JsonPointerSet.Kind.OBJECT) {
       throw new Untranslatable("expected a JSON object as the body of a keyed request");
     }
-    if (found[1].kind() == Pointers.Kind.STRING && found[1].text().equals(key)) {
+    if (found[1].kind() == JsonPointerSet.Kind.STRING && found[1].text().equals(key)) {
       return params;
     }
-    if (found[1].kind() != Pointers.Kind.ABSENT) {
+    if (found[1].kind() != JsonPointerSet.Kind.ABSENT) {
       throw new Untranslatable("the body has another " + member + " than the header");
     }
     int open = 0;
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
@@ -28,7 +28,7 @@
 import pumicekeel.jsonrpc.Limits;
 import pumicekeel.jsonrpc.Message;
 import pumicekeel.jsonrpc.MessageReader;
-import pumicekeel.jsonrpc.Writer;
+import pumicekeel.jsonrpc.MessageWriter;
 import pumicekeel.runtime.Log;
 import pumicekeel.runtime.Reactor;
 
@@ -41,7 +41,7 @@
   /** An answer of the protocol's limit and what stands around it. */
   private static final int MOST_FRAME = Answer.MAX_BODY + 1024;
 
-  private static final Limits LIMITS = new Limits(MOST_FRAME, Limits.MOST_DEPTH, 1);
+  private static final Limits LIMITS = new Limits(MOST_FRAME, Limits.MAX_DEPTH, 1);
   private static final MessageReader READER = new MessageReader(LIMITS);
   /** From an answer's first byte to its last, as with HTTP. */
   private static final long ANSWER_MILLIS = 300;
@@ -186,7 +186,7 @@
     byte[] message;
     try {
       Message.Call call = HttpCalls.of(request, settings);
-      message = Writer.call(Id.of(id), call.method(), call.params());
+      message = MessageWriter.call(Id.of(id), call.method(), call.params());
     } catch (HttpCalls.Untranslatable e) {
       attempt.end(Status.NOT_SENT, null);
       return;
@@ -202,14 +202,14 @@
 
   /** Told when the last byte of the message itself is out: with that the call may run, whatever follows. */
   private ChannelFuture writeOut(byte[] message) {
-    ByteBuf before = Writer.before(settings.framing(), message.length);
-    if (before != null) {
-      channel.write(before);
+    ByteBuf prefix = MessageWriter.prefix(settings.framing(), message.length);
+    if (prefix != null) {
+      channel.write(prefix);
     }
     ChannelFuture body = channel.write(Unpooled.wrappedBuffer(message));
-    ByteBuf behind = Writer.behind(settings.framing());
-    if (behind != null) {
-      channel.write(behind);
+    ByteBuf suffix = MessageWriter.suffix(settings.framing());
+    if (suffix != null) {
+      channel.write(suffix);
     }
     if (!flushDue) {
       flushDue = true;
@@ -293,14 +293,14 @@
       return;
     }
     frames++;
-    if (!(frame instanceof Frame.Whole whole)) {
+    if (!(frame instanceof Frame.Complete whole)) {
       broken("what it says is no message: " + ((Frame.Fault) frame).why());
       return;
     }
     Message message = READER.read(whole.bytes());
-    if (message instanceof Message.One one && one.entry() instanceof Message.Reply reply) {
+    if (message instanceof Message.Single one && one.entry() instanceof Message.Reply reply) {
       reply(reply);
-    } else if (!(message instanceof Message.One one
+    } else if (!(message instanceof Message.Single one
         && one.entry() instanceof Message.Call call
         && call.id() == null)) {
       // A notification asks for nothing and is passed over; nothing else is due here.
@@ -338,7 +338,7 @@
 
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (!closed && stalled == null && decoder.holdsBytes()) {
+    if (!closed && stalled == null && decoder.hasBufferedBytes()) {
       long then = frames;
       stalled =
           ctx.executor().schedule(() -> closeIfStalled(then), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
@@ -348,9 +348,9 @@
 
   private void closeIfStalled(long then) {
     stalled = null;
-    if (!closed && decoder.holdsBytes() && frames == then) {
+    if (!closed && decoder.hasBufferedBytes() && frames == then) {
       broken("half an answer, then silence");
-    } else if (!closed && decoder.holdsBytes()) {
+    } else if (!closed && decoder.hasBufferedBytes()) {
       long now = frames;
       stalled = channel
           .eventLoop()
--- a/src/main/java/pumicekeel/upstream/jsonrpc/ServerSettings.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/ServerSettings.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.Set;
 import pumicekeel.Balancer.Status;
-import pumicekeel.jsonrpc.Codes;
+import pumicekeel.jsonrpc.ErrorCodes;
 import pumicekeel.jsonrpc.Framing;
 
 /**
@@ -34,8 +34,8 @@
     if (answerCodes.contains(code)) {
       return Status.SERVED;
     }
-    boolean server =
-        code == Codes.INTERNAL || code >= Codes.SERVER_LEAST && code <= Codes.SERVER_MOST;
+    boolean server = code == ErrorCodes.INTERNAL
+        || code >= ErrorCodes.SERVER_MIN && code <= ErrorCodes.SERVER_MAX;
     return server || failureCodes.contains(code) ? Status.ERROR : Status.SERVED;
   }
 }
--- a/src/test/java/pumicekeel/front/jsonrpc/MethodMappingTest.java
+++ b/src/test/java/pumicekeel/front/jsonrpc/MethodMappingTest.java
@@ -17,13 +17,13 @@
 import pumicekeel.front.jsonrpc.MethodMapping.Said;
 import pumicekeel.front.jsonrpc.MethodMapping.Text;
 import pumicekeel.front.jsonrpc.MethodMapping.Value;
-import pumicekeel.jsonrpc.Pointer;
+import pumicekeel.jsonrpc.JsonPointer;
 
 /** What a call's params say of it. */
 class MethodMappingTest {
 
   private static At at(String pointer) {
-    return new At(Pointer.of(pointer), false);
+    return new At(JsonPointer.of(pointer), false);
   }
 
   private final MethodMapping mapping = new MethodMapping(
@@ -34,14 +34,14 @@
           Part.TENANT,
           at("/who/account"),
           Part.SESSION_KEY,
-          new At(Pointer.of("/session"), true),
+          new At(JsonPointer.of("/session"), true),
           Part.IDEMPOTENCY_KEY,
           at("/key"),
           Part.TIME_LEFT_MS,
-          new At(Pointer.of("/left"), true),
+          new At(JsonPointer.of("/left"), true),
           Part.WORK_HINT_US,
           new Constant("70")),
-      List.of(new Text("/quote-issue/"), new Value(Pointer.of("/id")), new Text("?v=1")));
+      List.of(new Text("/quote-issue/"), new Value(JsonPointer.of("/id")), new Text("?v=1")));
 
   private Said read(String params) throws BadParams {
     return mapping.read(params.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/pumicekeel/jsonrpc/FrameDecoderTest.java
+++ b/src/test/java/pumicekeel/jsonrpc/FrameDecoderTest.java
@@ -28,7 +28,7 @@
     List<String> out = new ArrayList<>();
     for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
       out.add(
-          f instanceof Frame.Whole whole
+          f instanceof Frame.Complete whole
               ? new String(whole.bytes(), StandardCharsets.UTF_8)
               : "fault " + ((Frame.Fault) f).code());
     }
@@ -87,7 +87,7 @@
   void valueThatCanNotEndIsToldAtOnceAndNothingBehindItIsRead() {
     for (String bad : new String[] {"{]", "{\"a\":\"\n", "}", "1", "x", "GET / HTTP/1.1\r\n"}) {
       EmbeddedChannel channel = channel(Framing.DETECT);
-      assertEquals(List.of("fault " + Codes.PARSE), all(channel, bad), bad);
+      assertEquals(List.of("fault " + ErrorCodes.PARSE), all(channel, bad), bad);
       assertEquals(List.of(), all(channel, "{\"jsonrpc\":\"2.0\"}"), bad);
     }
   }
@@ -95,22 +95,25 @@
   @Test
   void depthSizeAndCallsAreBoundedWhileTheyCome() {
     for (Framing framing : List.of(Framing.VALUES, Framing.DETECT)) {
-      assertEquals(List.of("fault " + Codes.INVALID_REQUEST), all(channel(framing), "[".repeat(9)));
+      assertEquals(
+          List.of("fault " + ErrorCodes.INVALID_REQUEST), all(channel(framing), "[".repeat(9)));
       assertEquals(List.of(), all(channel(framing), "[".repeat(8)));
-      assertEquals(List.of("fault " + Codes.INVALID_REQUEST), all(channel(framing), "[1,1,1,1,1,"));
+      assertEquals(
+          List.of("fault " + ErrorCodes.INVALID_REQUEST), all(channel(framing), "[1,1,1,1,1,"));
       assertEquals(List.of(), all(channel(framing), "[[1,1,1,1,1,1,1,1"));
       assertEquals(
-          List.of("fault " + Codes.INVALID_REQUEST),
+          List.of("fault " + ErrorCodes.INVALID_REQUEST),
           all(channel(framing), "[\"" + "x".repeat(999)));
     }
     assertEquals(
-        List.of("fault " + Codes.INVALID_REQUEST),
+        List.of("fault " + ErrorCodes.INVALID_REQUEST),
         all(channel(Framing.NEWLINE), "x".repeat(1_001)));
     assertEquals(
-        List.of("fault " + Codes.INVALID_REQUEST),
+        List.of("fault " + ErrorCodes.INVALID_REQUEST),
         all(channel(Framing.CONTENT_LENGTH), "Content-Length: 1001\r\n\r\n"));
     assertEquals(
-        List.of("fault " + Codes.PARSE), all(channel(Framing.CONTENT_LENGTH), "x".repeat(512)));
+        List.of("fault " + ErrorCodes.PARSE),
+        all(channel(Framing.CONTENT_LENGTH), "x".repeat(512)));
   }
 
   @Test
@@ -128,7 +131,7 @@
       "Content-Length: 2\nX: y"
     }) {
       assertEquals(
-          List.of("fault " + Codes.PARSE),
+          List.of("fault " + ErrorCodes.PARSE),
           all(channel(Framing.CONTENT_LENGTH), head + "\r\n\r\n{}"),
           head);
     }
@@ -145,14 +148,14 @@
     EmbeddedChannel channel = new EmbeddedChannel(decoder);
     open = false;
     assertEquals(List.of(), all(channel, "{}[]"));
-    assertTrue(decoder.holdsBytes());
+    assertTrue(decoder.hasBufferedBytes());
     open = true;
     decoder.resume();
     assertEquals(List.of("{}", "[]"), read(channel));
-    assertFalse(decoder.holdsBytes());
+    assertFalse(decoder.hasBufferedBytes());
     feed(channel, "{\"part\":");
     decoder.discard();
-    assertFalse(decoder.holdsBytes());
+    assertFalse(decoder.hasBufferedBytes());
     feed(channel, "{}");
     assertNull(channel.readInbound());
     assertInstanceOf(FrameDecoder.class, channel.pipeline().first());
--- a/src/test/java/pumicekeel/jsonrpc/PointersTest.java
+++ b/src/test/java/pumicekeel/jsonrpc/JsonPointerSetTest.java
@@ -9,18 +9,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pumicekeel.jsonrpc.Pointers.Found;
-import pumicekeel.jsonrpc.Pointers.Kind;
+import pumicekeel.jsonrpc.JsonPointerSet.Found;
+import pumicekeel.jsonrpc.JsonPointerSet.Kind;
 
 /** RFC 6901, with the example of its section 5. */
-class PointersTest {
+class JsonPointerSetTest {
 
   private static final String DOCUMENT = """
       {"foo": ["bar", "baz"], "": 0, "a/b": 1, "c%d": 2, "e^f": 3, "g|h": 4, "i\\\\j": 5, "k\\"l": 6, " ": 7, "m~n": 8}""";
 
   private static Found find(String document, String pointer) {
-    return new Pointers(List.of(Pointer.of(pointer)))
-        .in(document.getBytes(StandardCharsets.UTF_8))[0];
+    return new JsonPointerSet(List.of(JsonPointer.of(pointer)))
+        .resolve(document.getBytes(StandardCharsets.UTF_8))[0];
   }
 
   @ParameterizedTest
@@ -74,20 +74,21 @@
     assertEquals("x", find("{\"~1\":\"x\",\"/\":\"y\"}", "/~01").text());
     assertEquals("y", find("{\"~1\":\"x\",\"/\":\"y\"}", "/~1").text());
     for (String bad : new String[] {"foo", "/~", "/~2", "/a~"}) {
-      assertThrows(IllegalArgumentException.class, () -> Pointer.of(bad), bad);
+      assertThrows(IllegalArgumentException.class, () -> JsonPointer.of(bad), bad);
     }
   }
 
   @Test
   void severalAreFoundInOnePassEvenWhereOneLiesWithinAnother() {
-    Found[] found = new Pointers(List.of(
-            Pointer.of("/a/b"),
-            Pointer.of("/a"),
-            Pointer.of("/c/1/d"),
-            Pointer.of("/a/b"),
-            Pointer.of("/z")))
-        .in("{\"x\":{\"a\":{\"b\":0}},\"c\":[{\"d\":8},{\"d\":9}],\"a\":{\"q\":[1,{}],\"b\":\"t\"}}"
-            .getBytes(StandardCharsets.UTF_8));
+    Found[] found = new JsonPointerSet(List.of(
+            JsonPointer.of("/a/b"),
+            JsonPointer.of("/a"),
+            JsonPointer.of("/c/1/d"),
+            JsonPointer.of("/a/b"),
+            JsonPointer.of("/z")))
+        .resolve(
+            "{\"x\":{\"a\":{\"b\":0}},\"c\":[{\"d\":8},{\"d\":9}],\"a\":{\"q\":[1,{}],\"b\":\"t\"}}"
+                .getBytes(StandardCharsets.UTF_8));
     assertEquals(
         List.of(
             new Found(Kind.STRING, "t"),
@@ -96,7 +97,8 @@
             new Found(Kind.STRING, "t"),
             new Found(Kind.ABSENT, null)),
         List.of(found));
-    assertEquals(Kind.ABSENT, new Pointers(List.of(Pointer.of(""))).in(null)[0].kind());
+    assertEquals(
+        Kind.ABSENT, new JsonPointerSet(List.of(JsonPointer.of(""))).resolve(null)[0].kind());
   }
 
   @Test
--- a/src/test/java/pumicekeel/jsonrpc/MessageReaderTest.java
+++ b/src/test/java/pumicekeel/jsonrpc/MessageReaderTest.java
@@ -24,11 +24,12 @@
 
   private Message.Call call(String text) {
     return assertInstanceOf(
-        Message.Call.class, assertInstanceOf(Message.One.class, read(text)).entry());
+        Message.Call.class, assertInstanceOf(Message.Single.class, read(text)).entry());
   }
 
   private void broken(int code, String text) {
-    assertEquals(code, assertInstanceOf(Message.Broken.class, read(text), text).code(), text);
+    assertEquals(
+        code, assertInstanceOf(Message.Malformed.class, read(text), text).code(), text);
   }
 
   @ParameterizedTest
@@ -93,7 +94,8 @@
       })
   void whatIsNoRequestIsInvalidUnderItsId(String text) {
     Message.Invalid invalid = assertInstanceOf(
-        Message.Invalid.class, assertInstanceOf(Message.One.class, read(text)).entry());
+        Message.Invalid.class,
+        assertInstanceOf(Message.Single.class, read(text)).entry());
     assertEquals("1", invalid.id().toString());
   }
 
@@ -105,7 +107,7 @@
         assertInstanceOf(
                 Message.Invalid.class,
                 assertInstanceOf(
-                        Message.One.class,
+                        Message.Single.class,
                         read("{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"id\":" + id + "}"))
                     .entry())
             .id());
@@ -114,7 +116,7 @@
         assertInstanceOf(
                 Message.Invalid.class,
                 assertInstanceOf(
-                        Message.One.class,
+                        Message.Single.class,
                         read("{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"id\":\"" + "x".repeat(300)
                             + "\"}"))
                     .entry())
@@ -147,7 +149,7 @@
         "// x\n{}"
       })
   void whatReadersWouldDifferOverIsNoJson(String text) {
-    broken(Codes.PARSE, text);
+    broken(ErrorCodes.PARSE, text);
   }
 
   @Test
@@ -172,23 +174,23 @@
       {'{', '"', (byte) 0xed, (byte) 0xa0, (byte) 0x80, '"', ':', '1', '}'}
     }) {
       assertEquals(
-          Codes.PARSE,
-          assertInstanceOf(Message.Broken.class, reader.read(bytes)).code());
+          ErrorCodes.PARSE,
+          assertInstanceOf(Message.Malformed.class, reader.read(bytes)).code());
     }
   }
 
   @Test
   void boundsHoldWhereverTheyAreReached() {
-    broken(Codes.INVALID_REQUEST, "[" + "1,".repeat(5) + "1]");
-    broken(Codes.INVALID_REQUEST, "{\"a\":" + "[".repeat(8) + "]".repeat(8) + "}");
+    broken(ErrorCodes.INVALID_REQUEST, "[" + "1,".repeat(5) + "1]");
+    broken(ErrorCodes.INVALID_REQUEST, "{\"a\":" + "[".repeat(8) + "]".repeat(8) + "}");
     broken(
-        Codes.INVALID_REQUEST,
+        ErrorCodes.INVALID_REQUEST,
         "{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"params\":[" + "9".repeat(1_001) + "]}");
-    assertInstanceOf(Message.One.class, read("{\"a\":" + "[".repeat(7) + "]".repeat(7) + "}"));
+    assertInstanceOf(Message.Single.class, read("{\"a\":" + "[".repeat(7) + "]".repeat(7) + "}"));
     assertInstanceOf(Message.Batch.class, read("[" + "1,".repeat(4) + "1]"));
-    assertInstanceOf(Message.Broken.class, read("[".repeat(100_000)));
-    assertInstanceOf(Message.Broken.class, read("{\"a\":" + "[".repeat(100_000)));
-    assertInstanceOf(Message.Broken.class, read("{\"a\":" + "9".repeat(1 << 19) + "}"));
+    assertInstanceOf(Message.Malformed.class, read("[".repeat(100_000)));
+    assertInstanceOf(Message.Malformed.class, read("{\"a\":" + "[".repeat(100_000)));
+    assertInstanceOf(Message.Malformed.class, read("{\"a\":" + "9".repeat(1 << 19) + "}"));
   }
 
   @Test
@@ -196,14 +198,15 @@
     Message.Reply served = assertInstanceOf(
         Message.Reply.class,
         assertInstanceOf(
-                Message.One.class, read("{\"jsonrpc\":\"2.0\",\"result\": null ,\"id\":3}"))
+                Message.Single.class, read("{\"jsonrpc\":\"2.0\",\"result\": null ,\"id\":3}"))
             .entry());
     assertEquals("null", new String(served.result(), StandardCharsets.UTF_8));
     String error = "{\"message\":\"m\",\"code\":-5,\"data\":{\"x\":[1]}}";
     Message.Reply failed = assertInstanceOf(
         Message.Reply.class,
         assertInstanceOf(
-                Message.One.class, read("{\"jsonrpc\":\"2.0\",\"error\":" + error + ",\"id\":3}"))
+                Message.Single.class,
+                read("{\"jsonrpc\":\"2.0\",\"error\":" + error + ",\"id\":3}"))
             .entry());
     assertEquals(error, new String(failed.error(), StandardCharsets.UTF_8));
     assertEquals(-5, failed.code());
