--- a/src/main/java/pumicekeel/AdaptiveBalancer.java
+++ b/src/main/java/pumicekeel/AdaptiveBalancer.java
@@ -207,19 +207,19 @@
       // the sweeps.
       sweepAt = Long.MAX_VALUE;
       onSweep();
-    } else if (event instanceof ListNews e) {
+    } else if (event instanceof ListUpdate e) {
       onList(e);
-    } else if (event instanceof ClientGone e
+    } else if (event instanceof ClientDisconnected e
         && open.containsKey(e.id())
         && !open.get(e.id()).ended) {
       release(open.get(e.id()));
     } else if (event instanceof AnswerStarted e && open.get(e.id()) != null) {
       started(open.get(e.id()), e.attempt());
-    } else if (event instanceof RequestCame e && open.get(e.id()) != null) {
+    } else if (event instanceof RequestBodyReceived e && open.get(e.id()) != null) {
       came(open.get(e.id()), e.deadlineNanos());
-    } else if (event instanceof Retune e) {
+    } else if (event instanceof SettingsChanged e) {
       tune(e.settings());
-    } else if (event instanceof Quotas e) {
+    } else if (event instanceof QuotaAllocation e) {
       quotas.putAll(e.perSecond());
     }
   }
@@ -264,7 +264,8 @@
   }
 
   private void onRequest(Request request) {
-    RequestClass type = (request.former() ? formerClasses : classes).get(request.className());
+    RequestClass type =
+        (request.usesPreviousSettings() ? formerClasses : classes).get(request.className());
     if (type == null) {
       out.accept(new Log("refused a request of unknown class " + request.className()));
       out.accept(new Refuse(request.id(), retryAfter()));
@@ -659,7 +660,7 @@
   /** A second copy past a silent upstream; none with the fleet above minValue: they would be its overload. */
   private void hedge(PendingRequest r) {
     boolean mayCopy = r.out == 1
-        && !r.request.coming()
+        && !r.request.bodyPending()
         && settings.limits().secondCopies()
         && settings.limits().cancel()
         && r.attempts.size() < maxAttempts(r)
@@ -701,7 +702,7 @@
     Attempt a = r.attempts.get(o.attempt());
     a.out = false;
     a.mayHaveRun &= !o.status().provesNotRun();
-    r.spent |= o.spent();
+    r.spent |= o.bodyConsumed();
     r.out--;
     if (a.works) {
       a.upstream.inFlight--;
@@ -709,7 +710,8 @@
       a.upstream.heardAt = now;
       readyLoad -= a.upstream.listed.state() == State.READY ? r.load : 0;
     }
-    double least = o.status() == Status.SERVED || o.stale() ? 0 : FAILED_AIMS * r.type.aimNanos();
+    double least =
+        o.status() == Status.SERVED || o.staleConnection() ? 0 : FAILED_AIMS * r.type.aimNanos();
     double taken = Math.max(least, a.works ? o.latencyNanos() : 0) - a.charged;
     a.upstream.busy.add(now, Metric.SUM, taken);
     busy.add(now, Metric.SUM, taken);
@@ -743,7 +745,7 @@
       u.window.add(now, Metric.OURS, r.load * ours);
       sample(r, (double) (now - r.arrived - ours) / r.type.aimNanos());
       usualLatency += (o.latencyNanos() - usualLatency) * USUAL_STEP;
-    } else if (o.stale()) {
+    } else if (o.staleConnection()) {
       // No sign of the upstream: kept connections break in a row, and three would eject one that is
       // well.
       // A crash breaks them too, but then the next connects are refused, which counts.
@@ -831,7 +833,7 @@
 
   // Following the list
 
-  private void onList(ListNews news) {
+  private void onList(ListUpdate news) {
     if (news.kind() == ListKind.FAILED) {
       // Full jitter, or all balancers would come back to the list service at once.
       long backoff = Math.min(ASK_MOST, ASK_FIRST << Math.min(askFailures++, 10));
--- a/src/main/java/pumicekeel/Balancer.java
+++ b/src/main/java/pumicekeel/Balancer.java
@@ -210,43 +210,43 @@
 
   /** What happened. */
   sealed interface Event
-      permits ListNews,
+      permits ListUpdate,
           Request,
           AnswerStarted,
           Outcome,
-          ClientGone,
+          ClientDisconnected,
           TimerFired,
           ProbeResult,
           PeerMessage,
-          Retune,
-          RequestCame,
-          Quotas {}
+          SettingsChanged,
+          RequestBodyReceived,
+          QuotaAllocation {}
 
   /**
    * The last byte of a request has come that was told of as {@code coming}: upstreams begin it now, and its time counts
    * from now to {@code deadlineNanos}.
    */
-  record RequestCame(String id, long deadlineNanos) implements Event {}
+  record RequestBodyReceived(String id, long deadlineNanos) implements Event {}
 
   /**
    * Other settings from now on. What is open keeps its class, and no request may have more attempts than either allows.
    */
-  record Retune(Settings settings) implements Event {}
+  record SettingsChanged(Settings settings) implements Event {}
 
   /**
    * What this instance may admit of tenants' quotas from now on, in requests a second; it takes the place of its even part until
-   * the next {@link Retune}.
+   * the next {@link SettingsChanged}.
    */
-  record Quotas(Map<String, Double> perSecond) implements Event {}
+  record QuotaAllocation(Map<String, Double> perSecond) implements Event {}
 
   /** News of the list of upstreams. An instance's first news is of kind CACHED. */
-  record ListNews(ListKind kind, List<Listed> entries) implements Event {}
+  record ListUpdate(ListKind kind, List<Listed> entries) implements Event {}
 
   /**
    * A request came in and is owed one final answer by {@code deadlineNanos} (a clock reading). Tenant and key may be
    * null; {@code workHintNanos} is 0 where no hint came. {@code former}: its class is as the settings before the last
-   * {@link Retune} have it. {@code coming}: its body is too large to be kept and still comes; it may be sent at once, to
-   * one upstream at a time, and {@link RequestCame} follows.
+   * {@link SettingsChanged} have it. {@code coming}: its body is too large to be kept and still comes; it may be sent at once, to
+   * one upstream at a time, and {@link RequestBodyReceived} follows.
    */
   record Request(
       String id,
@@ -256,9 +256,9 @@
       long deadlineNanos,
       long workHintNanos,
       boolean retry,
-      List<Earlier> earlier,
-      boolean former,
-      boolean coming)
+      List<PriorAttempt> priorAttempts,
+      boolean usesPreviousSettings,
+      boolean bodyPending)
       implements Event {
 
     /** One that has come whole. */
@@ -270,9 +270,19 @@
         long deadlineNanos,
         long workHintNanos,
         boolean retry,
-        List<Earlier> earlier,
-        boolean former) {
-      this(id, className, tenant, key, deadlineNanos, workHintNanos, retry, earlier, former, false);
+        List<PriorAttempt> priorAttempts,
+        boolean usesPreviousSettings) {
+      this(
+          id,
+          className,
+          tenant,
+          key,
+          deadlineNanos,
+          workHintNanos,
+          retry,
+          priorAttempts,
+          usesPreviousSettings,
+          false);
     }
 
     /** One of which nothing may have run before. */
@@ -292,7 +302,7 @@
    * An attempt of another request of the same key that may have run, in this process or in the one before it: where its
    * upstream stands, and when it was sent by this balancer's clock.
    */
-  record Earlier(String zone, int cell, long sentAtNanos) {}
+  record PriorAttempt(String zone, int cell, long sentAtNanos) {}
 
   /** A streamed answer has started: the request is this attempt's, without a deadline, until its outcome. */
   record AnswerStarted(String id, int attempt, long upstream, long latencyNanos) implements Event {}
@@ -311,8 +321,8 @@
       long latencyNanos,
       boolean finished,
       Map<String, Double> load,
-      boolean stale,
-      boolean spent)
+      boolean staleConnection,
+      boolean bodyConsumed)
       implements Event {
 
     /** One of a request that can be sent again. */
@@ -324,8 +334,8 @@
         long latencyNanos,
         boolean finished,
         Map<String, Double> load,
-        boolean stale) {
-      this(id, attempt, upstream, status, latencyNanos, finished, load, stale, false);
+        boolean staleConnection) {
+      this(id, attempt, upstream, status, latencyNanos, finished, load, staleConnection, false);
     }
 
     /** One that says nothing of its connection. */
@@ -342,7 +352,7 @@
   }
 
   /** The client left; no answer is owed any more. */
-  record ClientGone(String id) implements Event {}
+  record ClientDisconnected(String id) implements Event {}
 
   /** A timer came due. */
   record TimerFired(String token) implements Event {}
@@ -365,7 +375,7 @@
           FetchList,
           Probe,
           CloseIdle,
-          TellPeer,
+          SendToPeer,
           Log {}
 
   /** Start an attempt; a request's attempts count 0, 1, 2 ... in sending order. Time-out 0: until the deadline. */
@@ -383,7 +393,7 @@
   /** Ask for {@link TimerFired} at a clock reading. */
   record SetTimer(String token, long atNanos) implements Action {}
 
-  /** Subscribe to changes of the list (or stop). One ListNews answers. */
+  /** Subscribe to changes of the list (or stop). One ListUpdate answers. */
   record Watch(boolean on) implements Action {}
 
   /** Ask once for the complete list. */
@@ -396,7 +406,7 @@
   record CloseIdle(long upstream) implements Action {}
 
   /** Send at most 256 bytes to one balancer of the group, or to all of them (-1). */
-  record TellPeer(int to, byte[] data) implements Action {}
+  record SendToPeer(int to, byte[] data) implements Action {}
 
   /** A line for the balancer's log. */
   record Log(String text) implements Action {}
--- a/src/main/java/pumicekeel/PendingRequest.java
+++ b/src/main/java/pumicekeel/PendingRequest.java
@@ -43,7 +43,7 @@
       int maxAttempts) {
     this.request = request;
     deadline = request.deadlineNanos();
-    coming = request.coming();
+    coming = request.bodyPending();
     this.type = type;
     this.arrived = arrived;
     this.excess = excess;
@@ -56,7 +56,7 @@
 
   /** Whether what may have run before this request came lets it go to an upstream: one of its group, in time. */
   boolean earlierAllows(Balancer.Listed upstream, long now) {
-    for (Balancer.Earlier e : request.earlier()) {
+    for (Balancer.PriorAttempt e : request.priorAttempts()) {
       if (!type.dedupScope().covers(e.zone(), e.cell(), upstream)
           || now - e.sentAtNanos() >= type.dedupWindowNanos()) {
         return false;
@@ -70,7 +70,7 @@
     if (type.effect() == Balancer.Effect.UNSAFE) {
       return mayHaveRun();
     }
-    for (Balancer.Earlier e : request.earlier()) {
+    for (Balancer.PriorAttempt e : request.priorAttempts()) {
       if (now - e.sentAtNanos() >= type.dedupWindowNanos()) {
         return true;
       }
@@ -79,7 +79,7 @@
   }
 
   boolean mayHaveRun() {
-    if (!request.earlier().isEmpty()) {
+    if (!request.priorAttempts().isEmpty()) {
       return true;
     }
     for (Attempt a : attempts) {
--- a/src/main/java/pumicekeel/adapter/Decoder.java
+++ b/src/main/java/pumicekeel/adapter/Decoder.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 import pumicekeel.Balancer.AnswerStarted;
-import pumicekeel.Balancer.ClientGone;
+import pumicekeel.Balancer.ClientDisconnected;
 import pumicekeel.Balancer.Contract;
 import pumicekeel.Balancer.DedupScope;
 import pumicekeel.Balancer.Effect;
 import pumicekeel.Balancer.Event;
 import pumicekeel.Balancer.Limits;
 import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
+import pumicekeel.Balancer.ListUpdate;
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.PeerMessage;
@@ -98,7 +98,7 @@
             f.integer("wait-time-ns"),
             f.bool("done-flag"),
             f.load("usage"));
-      case "Aborted" -> new ClientGone(f.text("rid"));
+      case "Aborted" -> new ClientDisconnected(f.text("rid"));
       case "Fired" -> new TimerFired(f.text("handle"));
       case "HealthResult" ->
         new ProbeResult(
@@ -126,7 +126,7 @@
     }
   }
 
-  private static ListNews topology(Fields f) {
+  private static ListUpdate topology(Fields f) {
     ListKind kind = f.word("kind", LIST_KIND);
     List<Listed> entries = new ArrayList<>();
     if (kind != ListKind.FAILED || f.has("entries")) {
@@ -140,7 +140,7 @@
             e.number("capacity-hint", 1)));
       }
     }
-    return new ListNews(kind, entries);
+    return new ListUpdate(kind, entries);
   }
 
   /** A time of which 0 says nothing, like its absence: as a limit it would end every connection at once. */
--- a/src/main/java/pumicekeel/adapter/Encoder.java
+++ b/src/main/java/pumicekeel/adapter/Encoder.java
@@ -12,8 +12,8 @@
 import pumicekeel.Balancer.Probe;
 import pumicekeel.Balancer.Refuse;
 import pumicekeel.Balancer.Send;
+import pumicekeel.Balancer.SendToPeer;
 import pumicekeel.Balancer.SetTimer;
-import pumicekeel.Balancer.TellPeer;
 import pumicekeel.Balancer.Watch;
 
 /** Writes the module's actions in the wire's words. */
@@ -54,7 +54,7 @@
     } else if (action instanceof CloseIdle a) {
       open(out, "Release");
       out.writeNumberField("upstream", a.upstream());
-    } else if (action instanceof TellPeer a) {
+    } else if (action instanceof SendToPeer a) {
       open(out, "BroadcastTo");
       out.writeNumberField("recipient", a.to());
       out.writeStringField("octets", Base64.getEncoder().encodeToString(a.data()));
--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -13,21 +13,21 @@
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.AnswerStarted;
 import pumicekeel.Balancer.Cancel;
-import pumicekeel.Balancer.ClientGone;
-import pumicekeel.Balancer.Earlier;
+import pumicekeel.Balancer.ClientDisconnected;
 import pumicekeel.Balancer.Event;
 import pumicekeel.Balancer.Fail;
 import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
+import pumicekeel.Balancer.ListUpdate;
 import pumicekeel.Balancer.Outcome;
-import pumicekeel.Balancer.Quotas;
+import pumicekeel.Balancer.PriorAttempt;
+import pumicekeel.Balancer.QuotaAllocation;
 import pumicekeel.Balancer.Refuse;
 import pumicekeel.Balancer.Request;
-import pumicekeel.Balancer.RequestCame;
-import pumicekeel.Balancer.Retune;
+import pumicekeel.Balancer.RequestBodyReceived;
 import pumicekeel.Balancer.Send;
 import pumicekeel.Balancer.SetTimer;
 import pumicekeel.Balancer.Settings;
+import pumicekeel.Balancer.SettingsChanged;
 import pumicekeel.Balancer.Status;
 import pumicekeel.Balancer.TimerFired;
 import pumicekeel.Balancer.Watch;
@@ -132,14 +132,14 @@
   /** Takes over other settings: what is open keeps its class, what comes from now on goes by the new ones. */
   public void retune(Settings next) {
     if (activeSettings.change(next, clock.now())) {
-      tell(new Retune(next));
+      tell(new SettingsChanged(next));
     }
   }
 
   /** From now on what this instance may admit of tenants' quotas is said by somebody else; null for its even part. */
   public void quotas(QuotaSource source) {
     if (quotas != null && source == null) {
-      tell(new Retune(settings()));
+      tell(new SettingsChanged(settings()));
     }
     quotas = source;
   }
@@ -148,7 +148,7 @@
   public void askQuotas(String tenant, long now) {
     Map<String, Double> rates = quotas == null || tenant == null ? null : quotas.asked(tenant, now);
     if (rates != null) {
-      tell(new Quotas(rates));
+      tell(new QuotaAllocation(rates));
     }
   }
 
@@ -160,7 +160,8 @@
   }
 
   /** Takes one of which something may have run before, and whose attempts somebody may put on record ({@code log}). */
-  public boolean take(ClientRequest request, Client client, List<Earlier> earlier, AttemptLog log) {
+  public boolean take(
+      ClientRequest request, Client client, List<PriorAttempt> earlier, AttemptLog log) {
     long now = clock.now();
     long left = Math.max(0, Math.min(timeFor(request), endsAt - now));
     OpenRequest r = new OpenRequest(
@@ -228,7 +229,7 @@
     r.clientUntil = now + r.request.leftNanos();
     r.guard = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
     r.attempts.stream().filter(UpstreamAttempt::out).forEach(a -> a.bodyCame(left, loop));
-    tell(new RequestCame(r.request.id(), r.deadline));
+    tell(new RequestBodyReceived(r.request.id(), r.deadline));
   }
 
   private boolean former(ClientRequest request) {
@@ -254,7 +255,7 @@
   public void clientGone(String id) {
     OpenRequest r = table.get(id);
     if (r != null && end(r)) {
-      tell(new ClientGone(id));
+      tell(new ClientDisconnected(id));
     } else if (r != null && r.streaming != null) {
       r.streaming.end(Status.CANCELLED, null);
     }
@@ -265,7 +266,7 @@
     if (end(r)) {
       Log.caused("answered for the module: " + r.request.id());
       giveUp(r, 0);
-      tell(new ClientGone(r.request.id()));
+      tell(new ClientDisconnected(r.request.id()));
     }
   }
 
@@ -307,7 +308,7 @@
 
   private void news(ListKind kind, HostList list) {
     upstreams.news(kind != ListKind.DELTA, list.hosts());
-    tell(new ListNews(kind, list.hosts().stream().map(HostList.Host::listed).toList()));
+    tell(new ListUpdate(kind, list.hosts().stream().map(HostList.Host::listed).toList()));
   }
 
   /** How many upstreams are ready, as the list tells. */
--- a/src/main/java/pumicekeel/core/OpenRequest.java
+++ b/src/main/java/pumicekeel/core/OpenRequest.java
@@ -4,8 +4,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import pumicekeel.Balancer.DedupScope;
-import pumicekeel.Balancer.Earlier;
 import pumicekeel.Balancer.Effect;
+import pumicekeel.Balancer.PriorAttempt;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
 import pumicekeel.upstream.UpstreamAttempt;
@@ -27,7 +27,7 @@
   /** The attempt whose answer is being passed on; null where none is. */
   UpstreamAttempt streaming;
   /** What may have run before this request came; and who keeps a record of it, null for nobody. */
-  final List<Earlier> earlier;
+  final List<PriorAttempt> earlier;
 
   final AttemptLog log;
 
@@ -38,7 +38,7 @@
       ClientRequest request,
       Client client,
       long deadline,
-      List<Earlier> earlier,
+      List<PriorAttempt> earlier,
       AttemptLog log,
       int maxAttempts) {
     this.maxAttempts = maxAttempts;
--- a/src/main/java/pumicekeel/journal/KeyMemory.java
+++ b/src/main/java/pumicekeel/journal/KeyMemory.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pumicekeel.Balancer.Earlier;
 import pumicekeel.Balancer.Effect;
+import pumicekeel.Balancer.PriorAttempt;
 
 /**
  * What is known of keyed and unsafe requests that may have run, from this process and from the tail of the journal of the
@@ -22,7 +22,7 @@
   /** What is remembered under a key, or under the id of an unsafe request. */
   private static final class Known {
     private final String home;
-    private final Map<String, Earlier> attempts = new LinkedHashMap<>(2);
+    private final Map<String, PriorAttempt> attempts = new LinkedHashMap<>(2);
     private long until;
 
     private Known(String home) {
@@ -51,7 +51,13 @@
 
   /** An attempt was made, or may have been: from now on it may run. */
   public void mayRun(
-      String name, String home, String id, int attempt, Earlier fact, long windowNanos, long now) {
+      String name,
+      String home,
+      String id,
+      int attempt,
+      PriorAttempt fact,
+      long windowNanos,
+      long now) {
     forget(now);
     Known known = byName.get(name);
     if (known == null) {
@@ -74,12 +80,12 @@
   }
 
   /** The attempts of other requests of this name that may have run. */
-  public List<Earlier> earlier(String name, String id, long now) {
+  public List<PriorAttempt> earlier(String name, String id, long now) {
     Known known = byName.get(name);
     if (known == null || known.until <= now) {
       return List.of();
     }
-    List<Earlier> out = new ArrayList<>(1);
+    List<PriorAttempt> out = new ArrayList<>(1);
     known.attempts.forEach((of, fact) -> {
       if (!of.startsWith(id + "#")) {
         out.add(fact);
--- a/src/main/java/pumicekeel/journal/Recovery.java
+++ b/src/main/java/pumicekeel/journal/Recovery.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import pumicekeel.Balancer.Earlier;
+import pumicekeel.Balancer.PriorAttempt;
 
 /**
  * What the tail of the journal of earlier processes means for this one: which keyed and unsafe requests may have run, and
@@ -63,7 +63,7 @@
           e.pool(),
           e.id(),
           e.attempt(),
-          new Earlier(e.zone(), e.cell(), now - past),
+          new PriorAttempt(e.zone(), e.cell(), now - past),
           e.windowNanos(),
           now);
       names.put(name, true);
--- a/src/main/java/pumicekeel/lab/fleet/Host.java
+++ b/src/main/java/pumicekeel/lab/fleet/Host.java
@@ -7,11 +7,11 @@
 import pumicekeel.Balancer;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.Cancel;
-import pumicekeel.Balancer.ClientGone;
+import pumicekeel.Balancer.ClientDisconnected;
 import pumicekeel.Balancer.Event;
 import pumicekeel.Balancer.Fail;
 import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
+import pumicekeel.Balancer.ListUpdate;
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.Refuse;
@@ -74,7 +74,7 @@
     policy = run.policyOf(this, random.next());
     toldAt.clear();
     startsKnown.clear();
-    tell(new ListNews(ListKind.CACHED, own(list)));
+    tell(new ListUpdate(ListKind.CACHED, own(list)));
   }
 
   /** What it held is lost; its clients find their connections closed. What runs at upstreams runs on. */
@@ -99,7 +99,7 @@
     int of = life;
     run.scheduler().in((long) (random.uniform() * 1_000 * MS), () -> {
       if (of == life) {
-        tell(new ListNews(ListKind.FULL, own(run.list().lines())));
+        tell(new ListUpdate(ListKind.FULL, own(run.list().lines())));
       }
     });
   }
@@ -118,12 +118,12 @@
 
   void news(Listed line) {
     if (up()) {
-      tell(new ListNews(ListKind.DELTA, own(List.of(line))));
+      tell(new ListUpdate(ListKind.DELTA, own(List.of(line))));
     }
   }
 
   private void tell(Event event) {
-    if (event instanceof ListNews news) {
+    if (event instanceof ListUpdate news) {
       hear(news);
     }
     List<Action> actions = new ArrayList<>(2);
@@ -131,7 +131,7 @@
     actions.forEach(this::perform);
   }
 
-  private void hear(ListNews news) {
+  private void hear(ListUpdate news) {
     for (Listed l : news.entries()) {
       startsKnown.put(l.upstream(), l.startedNanos() == 0 ? 0 : l.startedNanos() - origin);
       if (l.state() == State.READY) {
@@ -153,7 +153,7 @@
             .broken("lost", run.scheduler().now(), t.id + " had no answer from balancer " + number);
         t.answered = true;
         run.clients().failed(t);
-        tell(new ClientGone(t.id));
+        tell(new ClientDisconnected(t.id));
       }
     });
     tell(new Request(
--- a/src/main/java/pumicekeel/lab/policy/TextbookBalancer.java
+++ b/src/main/java/pumicekeel/lab/policy/TextbookBalancer.java
@@ -64,17 +64,17 @@
       request(r);
     } else if (event instanceof Outcome o) {
       outcome(o);
-    } else if (event instanceof ListNews news) {
+    } else if (event instanceof ListUpdate news) {
       list(news);
     } else if (event instanceof TimerFired t && open.containsKey(t.token())) {
       giveUp(open.get(t.token()));
-    } else if (event instanceof ClientGone gone && open.containsKey(gone.id())) {
+    } else if (event instanceof ClientDisconnected gone && open.containsKey(gone.id())) {
       open.get(gone.id()).answered = true;
       forget(open.get(gone.id()));
     }
   }
 
-  private void list(ListNews news) {
+  private void list(ListUpdate news) {
     if (news.kind() == ListKind.FULL) {
       peers.keySet().retainAll(news.entries().stream().map(Listed::upstream).toList());
     }
--- a/src/main/java/pumicekeel/node/JournalLog.java
+++ b/src/main/java/pumicekeel/node/JournalLog.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import pumicekeel.Balancer.Earlier;
+import pumicekeel.Balancer.PriorAttempt;
 import pumicekeel.Balancer.RequestClass;
 import pumicekeel.Balancer.Status;
 import pumicekeel.call.ClientRequest;
@@ -52,7 +52,7 @@
     return KeyMemory.nameOf(request.type().effect(), request.id(), request.idempotencyKey());
   }
 
-  List<Earlier> earlier(ClientRequest request) {
+  List<PriorAttempt> earlier(ClientRequest request) {
     return memory.earlier(nameOf(request), request.id(), clock.now());
   }
 
@@ -89,7 +89,7 @@
               home,
               request.id(),
               attempt,
-              new Earlier(upstream.listed().zone(), upstream.listed().cell(), now),
+              new PriorAttempt(upstream.listed().zone(), upstream.listed().cell(), now),
               type.dedupWindowNanos(),
               now);
           go.run();
--- a/src/main/java/pumicekeel/sim/ModuleSim.java
+++ b/src/main/java/pumicekeel/sim/ModuleSim.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
+import pumicekeel.Balancer.ListUpdate;
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.Settings;
 import pumicekeel.Balancer.State;
@@ -116,7 +116,7 @@
       queue.at(
           queue.now() + random.nextLong(random.nextInt(10) == 0 ? LATEST_NEWS : SECOND), () -> {
             if (i.isUp() && s.listed().equals(line)) {
-              i.tell(new ListNews(ListKind.DELTA, i.own(List.of(line))));
+              i.tell(new ListUpdate(ListKind.DELTA, i.own(List.of(line))));
             }
           });
     }
@@ -182,7 +182,7 @@
         int of = i.life();
         queue.at(queue.now() + random.nextLong(SECOND), () -> {
           if (of == i.life()) {
-            i.tell(new ListNews(ListKind.FULL, i.own(list())));
+            i.tell(new ListUpdate(ListKind.FULL, i.own(list())));
           }
         });
       }
--- a/src/main/java/pumicekeel/sim/SimulatedInstance.java
+++ b/src/main/java/pumicekeel/sim/SimulatedInstance.java
@@ -18,7 +18,7 @@
 import pumicekeel.Balancer.Event;
 import pumicekeel.Balancer.Fail;
 import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
+import pumicekeel.Balancer.ListUpdate;
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.Refuse;
@@ -83,7 +83,7 @@
     startsKnown.clear();
     pausedUntil = 0;
     module = new AdaptiveBalancer(settings, random.nextLong());
-    tell(new ListNews(ListKind.CACHED, own(known)));
+    tell(new ListUpdate(ListKind.CACHED, own(known)));
   }
 
   /** Stops without a word. What was open dies with it: its clients are owed nothing by the next life. */
@@ -131,7 +131,7 @@
       });
       return;
     }
-    if (event instanceof ListNews news) {
+    if (event instanceof ListUpdate news) {
       news.entries().forEach(e -> {
         startsKnown.put(e.upstream(), e.startedNanos() == 0 ? 0 : e.startedNanos() - origin);
         if (e.state() == State.READY) {
--- a/src/main/java/pumicekeel/subset/SubsetBalancer.java
+++ b/src/main/java/pumicekeel/subset/SubsetBalancer.java
@@ -59,14 +59,14 @@
 
   @Override
   public void handle(long now, Event event, Consumer<Action> out) {
-    if (event instanceof ListNews news && news.kind() != ListKind.FAILED) {
+    if (event instanceof ListUpdate news && news.kind() != ListKind.FAILED) {
       inside.handle(now, seen(news), out);
     } else {
       inside.handle(now, event, out);
     }
   }
 
-  private ListNews seen(ListNews news) {
+  private ListUpdate seen(ListUpdate news) {
     if (news.kind() != ListKind.DELTA) {
       known.clear();
     }
@@ -105,7 +105,7 @@
         told.put(l.upstream(), l);
       }
     }
-    return new ListNews(
+    return new ListUpdate(
         news.kind(),
         entries.stream()
             .filter(l -> news.kind() == ListKind.DELTA || l.state() != State.GONE)
--- a/src/test/java/pumicekeel/Driver.java
+++ b/src/test/java/pumicekeel/Driver.java
@@ -11,7 +11,7 @@
 import pumicekeel.Balancer.Event;
 import pumicekeel.Balancer.Limits;
 import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
+import pumicekeel.Balancer.ListUpdate;
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.Prices;
@@ -96,7 +96,7 @@
   }
 
   List<Action> list(ListKind kind, Listed... entries) {
-    return step(new ListNews(kind, List.of(entries)));
+    return step(new ListUpdate(kind, List.of(entries)));
   }
 
   Driver upstreams(int n) {
--- a/src/test/java/pumicekeel/EmbeddingExample.java
+++ b/src/test/java/pumicekeel/EmbeddingExample.java
@@ -8,7 +8,7 @@
 import pumicekeel.Balancer.Effect;
 import pumicekeel.Balancer.Limits;
 import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
+import pumicekeel.Balancer.ListUpdate;
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.Prices;
 import pumicekeel.Balancer.Request;
@@ -51,7 +51,7 @@
     long clock = 5_000 * MS;
     Listed one = new Listed(1, "zone-a", 0, State.READY, 0, 1);
     Listed two = new Listed(2, "zone-a", 0, State.READY, 0, 1);
-    balancer.handle(clock, new ListNews(ListKind.CACHED, List.of(one, two)), actions::add);
+    balancer.handle(clock, new ListUpdate(ListKind.CACHED, List.of(one, two)), actions::add);
     balancer.handle(
         clock, new Request("r1", "page", null, "user-7", clock + 800 * MS, 0, false), actions::add);
     return actions;
--- a/src/test/java/pumicekeel/FourRulesTest.java
+++ b/src/test/java/pumicekeel/FourRulesTest.java
@@ -226,7 +226,7 @@
     d.list(ListKind.CACHED);
     d.list(ListKind.FULL, new Listed(1, "a", 0, State.DRAINING, 0, 1));
     assertEquals(-1, Driver.sentTo(d.request("r0", "c", null)));
-    d.step(new Balancer.ClientGone("never"));
+    d.step(new Balancer.ClientDisconnected("never"));
     d.step(new Balancer.TimerFired("never"));
     d.step(new Balancer.AnswerStarted("never", 0, 9, 1));
     d.step(new Balancer.Outcome("never", 3, 9, Status.SERVED, 1, true, java.util.Map.of()));
--- a/src/test/java/pumicekeel/LargeRequestTest.java
+++ b/src/test/java/pumicekeel/LargeRequestTest.java
@@ -16,7 +16,7 @@
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.Refuse;
 import pumicekeel.Balancer.Request;
-import pumicekeel.Balancer.RequestCame;
+import pumicekeel.Balancer.RequestBodyReceived;
 import pumicekeel.Balancer.Send;
 import pumicekeel.Balancer.Status;
 
@@ -56,7 +56,7 @@
         d.pass(60_000 * MS).stream()
             .anyMatch(a -> a instanceof Send || a instanceof Refuse || a instanceof Fail),
         "no copy, no end, however long it comes");
-    d.step(new RequestCame("r", d.now + 2_000 * MS));
+    d.step(new RequestBodyReceived("r", d.now + 2_000 * MS));
     List<Action> late = d.pass(2_100 * MS);
     assertTrue(Driver.has(late, Refuse.class), "its own deadline: " + late);
   }
@@ -69,7 +69,7 @@
           first, Driver.sentTo(coming("r" + i, "c")), "the key's own upstream has room as before");
     }
     for (int i = 0; i < 30; i++) {
-      d.step(new RequestCame("r" + i, d.now + 2_000 * MS));
+      d.step(new RequestBodyReceived("r" + i, d.now + 2_000 * MS));
     }
     assertTrue(Driver.sentTo(d.request("next", "c", "k")) != first, "now it is full");
   }
@@ -83,7 +83,7 @@
         Driver.has(end("spent", 0, upstream, Status.CONNECT_FAILED, true), Refuse.class),
         "it never ran");
     upstream = Driver.sentTo(coming("ran", "u"));
-    d.step(new RequestCame("ran", d.now + 2_000 * MS));
+    d.step(new RequestBodyReceived("ran", d.now + 2_000 * MS));
     assertTrue(
         Driver.has(end("ran", 0, upstream, Status.RESET, true), Fail.class), "it may have run");
   }
@@ -93,7 +93,7 @@
     for (int i = 0; i < 40; i++) {
       long upstream = Driver.sentTo(coming("r" + i, "c"));
       d.pass(30_000 * MS);
-      d.step(new RequestCame("r" + i, d.now + 2_000 * MS));
+      d.step(new RequestBodyReceived("r" + i, d.now + 2_000 * MS));
       d.pass(20 * MS);
       d.outstanding.removeIf(s -> s.id().startsWith("r"));
       d.step(new Outcome("r" + i, 0, upstream, Status.SERVED, 20 * MS, true, Map.of()));
--- a/src/test/java/pumicekeel/RetuneTest.java
+++ b/src/test/java/pumicekeel/SettingsChangedTest.java
@@ -12,13 +12,13 @@
 import pumicekeel.Balancer.Refuse;
 import pumicekeel.Balancer.Request;
 import pumicekeel.Balancer.RequestClass;
-import pumicekeel.Balancer.Retune;
 import pumicekeel.Balancer.Send;
 import pumicekeel.Balancer.Settings;
+import pumicekeel.Balancer.SettingsChanged;
 import pumicekeel.Balancer.Status;
 
 /** Other settings while requests are open: these keep their class, and nothing that was learnt is lost. */
-class RetuneTest {
+class SettingsChangedTest {
 
   private static Settings with(int maxAttempts, RequestClass... classes) {
     Settings s = Driver.settings(false, List.of(), classes);
@@ -57,7 +57,7 @@
   void openRequestKeepsItsClassAndTheNextHasTheNewOne() {
     Driver d = new Driver(with(4, SAFE)).upstreams(4);
     long first = Driver.sentTo(d.request("old", "c", "k"));
-    d.step(new Retune(with(4, UNSAFE)));
+    d.step(new SettingsChanged(with(4, UNSAFE)));
     long second = Driver.sentTo(d.request("new", "c", "k"));
     assertTrue(
         Driver.has(d.end("old", first, Status.ERROR, Driver.MS), Send.class),
@@ -73,11 +73,11 @@
     for (int i = 0; i < 20; i++) {
       d.serve("warm" + i, Driver.MS);
     }
-    d.step(new Retune(with(4, SAFE)));
+    d.step(new SettingsChanged(with(4, SAFE)));
     List<Balancer.Action> sent = d.step(
         new Request("old", "c", null, "k", d.now + 2000 * Driver.MS, 0, false, List.of(), true));
     assertTrue(Driver.has(d.end("old", Driver.sentTo(sent), Status.ERROR, Driver.MS), Fail.class));
-    d.step(new Retune(with(4, Driver.type("d", Effect.SAFE, DedupScope.ALL))));
+    d.step(new SettingsChanged(with(4, Driver.type("d", Effect.SAFE, DedupScope.ALL))));
     sent = d.step(new Request(
         "dropped", "c", null, "k", d.now + 2000 * Driver.MS, 0, false, List.of(), true));
     assertTrue(Driver.has(sent, Send.class), "a class that was dropped just now: " + sent);
@@ -93,7 +93,7 @@
         d.serve("warm", Driver.MS);
       }
       d.request("r", "c", "k");
-      d.step(new Retune(with(change[1], SAFE)));
+      d.step(new SettingsChanged(with(change[1], SAFE)));
       while (!d.outstanding.isEmpty()) {
         d.end(d.outstanding.get(0), Status.ERROR, Driver.MS);
       }
--- a/src/test/java/pumicekeel/StormTest.java
+++ b/src/test/java/pumicekeel/StormTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.Cancel;
-import pumicekeel.Balancer.ClientGone;
+import pumicekeel.Balancer.ClientDisconnected;
 import pumicekeel.Balancer.Contract;
 import pumicekeel.Balancer.DedupScope;
 import pumicekeel.Balancer.Effect;
@@ -22,7 +22,7 @@
 import pumicekeel.Balancer.Fail;
 import pumicekeel.Balancer.Limits;
 import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
+import pumicekeel.Balancer.ListUpdate;
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.Prices;
@@ -82,7 +82,7 @@
     for (int i = 0; i < 8; i++) {
       change(i);
     }
-    step(new ListNews(ListKind.CACHED, List.copyOf(fleet.values())));
+    step(new ListUpdate(ListKind.CACHED, List.copyOf(fleet.values())));
     int id = 0;
     for (int round = 0; round < 3000; round++) {
       now += random.nextLong(6) * MS;
@@ -91,10 +91,10 @@
         Listed changed = change(random.nextInt(12));
         step(
             random.nextBoolean()
-                ? new ListNews(ListKind.DELTA, List.of(changed))
-                : new ListNews(ListKind.FULL, List.copyOf(fleet.values())));
+                ? new ListUpdate(ListKind.DELTA, List.of(changed))
+                : new ListUpdate(ListKind.FULL, List.copyOf(fleet.values())));
       } else if (random.nextInt(100) < 1) {
-        step(new ListNews(ListKind.FAILED, List.of()));
+        step(new ListUpdate(ListKind.FAILED, List.of()));
       }
       for (int n = random.nextInt(4); n > 0; n--) {
         RequestClass type =
@@ -234,7 +234,7 @@
       }
       if (!e.answered && random.nextInt(2000) == 0) {
         e.answered = true;
-        step(new ClientGone(entry.getKey()));
+        step(new ClientDisconnected(entry.getKey()));
       }
       assertTrue(
           e.answered || now <= e.deadline + settings.contract().answerSlackNanos(),
--- a/src/test/java/pumicekeel/adapter/LinkTest.java
+++ b/src/test/java/pumicekeel/adapter/LinkTest.java
@@ -101,7 +101,7 @@
       Encoder.write(g, new Balancer.FetchList());
       Encoder.write(g, new Balancer.Probe(7));
       Encoder.write(g, new Balancer.CloseIdle(7));
-      Encoder.write(g, new Balancer.TellPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8)));
+      Encoder.write(g, new Balancer.SendToPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8)));
       Encoder.write(g, new Balancer.Log("x"));
       g.writeEndArray();
     }
--- a/src/test/java/pumicekeel/journal/RecoveryTest.java
+++ b/src/test/java/pumicekeel/journal/RecoveryTest.java
@@ -102,7 +102,7 @@
   void memoryIsBoundedAndARequestsOwnAttemptsAreNotEarlierOnes() {
     for (int i = 0; i < 30; i++) {
       memory.mayRun(
-          "k" + i, "p", "r" + i, 0, new pumicekeel.Balancer.Earlier("a", 1, NOW), SECOND, NOW);
+          "k" + i, "p", "r" + i, 0, new pumicekeel.Balancer.PriorAttempt("a", 1, NOW), SECOND, NOW);
     }
     assertEquals(10, memory.size());
     assertEquals(20, memory.dropped());
--- a/src/test/java/pumicekeel/lab/fleet/FleetRunTest.java
+++ b/src/test/java/pumicekeel/lab/fleet/FleetRunTest.java
@@ -109,8 +109,8 @@
   }
 
   private static Event drainless(Event event) {
-    return event instanceof Balancer.ListNews n
-        ? new Balancer.ListNews(
+    return event instanceof Balancer.ListUpdate n
+        ? new Balancer.ListUpdate(
             n.kind(),
             n.entries().stream()
                 .map(l -> new Balancer.Listed(
@@ -169,7 +169,7 @@
 
       @Override
       public void handle(long now, Event event, Consumer<Action> out) {
-        if (event instanceof ListNews n) {
+        if (event instanceof ListUpdate n) {
           n.entries().forEach(l -> ready.put(l.upstream(), l));
           ready.values().removeIf(l -> l.state() != State.READY);
         } else if (event instanceof Request r && ready.isEmpty()) {
--- a/src/test/java/pumicekeel/node/BalancerCoreTest.java
+++ b/src/test/java/pumicekeel/node/BalancerCoreTest.java
@@ -20,7 +20,7 @@
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.Event;
 import pumicekeel.Balancer.FetchList;
-import pumicekeel.Balancer.ListNews;
+import pumicekeel.Balancer.ListUpdate;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.Request;
 import pumicekeel.Balancer.Send;
@@ -272,14 +272,14 @@
     })) {
       start(BalancerCoreTest::sendOnRequest, upstream);
       take("1", "look", 15_000);
-      assertFalse(outcome().stale());
+      assertFalse(outcome().staleConnection());
       broken.set(true);
       take("2", "look", 15_000);
-      assertTrue(outcome().stale(), "kept");
+      assertTrue(outcome().staleConnection(), "kept");
       take("3", "look", 15_000);
       Outcome onNew = outcome();
       assertEquals(Status.RESET, onNew.status());
-      assertFalse(onNew.stale(), "new");
+      assertFalse(onNew.staleConnection(), "new");
     }
   }
 
@@ -323,7 +323,7 @@
       assertEquals(Status.NOT_SENT, outcome().status());
       assertEquals(1, upstream.requests.size());
       assertFalse(nested);
-      assertTrue(events.stream().noneMatch(e -> e instanceof ListNews));
+      assertTrue(events.stream().noneMatch(e -> e instanceof ListUpdate));
     }
   }
 
--- a/src/test/java/pumicekeel/subset/SubsetsTest.java
+++ b/src/test/java/pumicekeel/subset/SubsetsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import pumicekeel.Balancer;
 import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.ListNews;
+import pumicekeel.Balancer.ListUpdate;
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.State;
 
@@ -64,20 +64,20 @@
   /** What reaches the module is a subset, kept up as upstreams come and go; who leaves it is drained first. */
   @Test
   void aModuleIsToldOfItsSubsetAlone() {
-    List<ListNews> heard = new ArrayList<>();
-    Balancer module = (now, event, out) -> heard.add((ListNews) event);
+    List<ListUpdate> heard = new ArrayList<>();
+    Balancer module = (now, event, out) -> heard.add((ListUpdate) event);
     Balancer own = new SubsetBalancer(settings(), Subsets.RENDEZVOUS, 5, 50, s -> module);
     List<Listed> lines =
         IDS.subList(0, 50).stream().map(id -> line(id, State.READY)).toList();
-    own.handle(0, new ListNews(ListKind.FULL, lines), a -> {});
+    own.handle(0, new ListUpdate(ListKind.FULL, lines), a -> {});
     assertEquals(5, heard.get(0).entries().size());
     Listed mine = heard.get(0).entries().get(0);
     own.handle(
-        1, new ListNews(ListKind.DELTA, List.of(line(mine.upstream(), State.DRAINING))), a -> {});
+        1, new ListUpdate(ListKind.DELTA, List.of(line(mine.upstream(), State.DRAINING))), a -> {});
     List<Listed> then = heard.get(1).entries();
     assertEquals(2, then.size(), "the one that drains, and another in its place: " + then);
     own.handle(
-        2, new ListNews(ListKind.DELTA, List.of(line(mine.upstream(), State.READY))), a -> {});
+        2, new ListUpdate(ListKind.DELTA, List.of(line(mine.upstream(), State.READY))), a -> {});
     assertTrue(heard.get(2).entries().stream()
         .anyMatch(l -> l.upstream() == mine.upstream() && l.state() == State.READY));
     assertEquals(
