--- a/src/main/java/pumicekeel/node/Admission.java
+++ b/src/main/java/pumicekeel/node/Admission.java
@@ -21,35 +21,35 @@
 import pumicekeel.pool.RequestCounters.End;
 import pumicekeel.route.Route;
 
-/** One request on its way through the pools: from its head to its final answer, under the generation that took it. */
+/** One request from its head to its final answer, under the generation of pools that admitted it. */
 final class Admission implements RequestHandle, Client, AttemptLog {
 
   private final Services services;
   private final Route route;
-  /** Whether an earlier request of the same idempotency key holds this one to its pool. */
-  private final boolean bound;
+  /** Whether an earlier request with the same idempotency key ties this one to its pool. */
+  private final boolean pinned;
 
-  private final long enteredAt;
+  private final long startedAt;
   private ServicePool pool;
   private long bytes;
   private ClientRequest request;
   private Client client;
-  private long takenAt;
-  private boolean waits;
-  /** Its key is noted as one that the pool may run. */
-  private boolean noted;
+  private long acceptedAt;
+  private boolean queued;
+  /** Its idempotency key is recorded as one that the pool may have run. */
+  private boolean keyRecorded;
 
-  private boolean over;
-  /** Something of it is in the journal. */
+  private boolean finished;
+  /** The journal has entries of this request. */
   private boolean recorded;
 
-  /** A request whose place among the pool's open ones is taken already. */
-  Admission(Services services, Route route, ServicePool pool, boolean bound, long now) {
+  /** Creates a request that is already counted among the pool's open requests. */
+  Admission(Services services, Route route, ServicePool pool, boolean pinned, long now) {
     this.services = services;
     this.route = route;
     this.pool = pool;
-    this.bound = bound;
-    enteredAt = now;
+    this.pinned = pinned;
+    startedAt = now;
   }
 
   @Override
@@ -73,49 +73,50 @@
   }
 
   @Override
-  public boolean submit(ClientRequest taken, Client to) throws Bad {
-    String why = pool.objection(taken);
-    if (why != null) {
-      throw new Bad(400, why);
+  public boolean submit(ClientRequest accepted, Client to) throws Bad {
+    String reason = pool.objection(accepted);
+    if (reason != null) {
+      throw new Bad(400, reason);
     }
-    if (!services.open(taken.id())) {
+    if (!services.open(accepted.id())) {
       return false;
     }
-    request = taken;
+    request = accepted;
     client = to;
-    takenAt = services.now();
-    waits = true;
+    acceptedAt = services.now();
+    queued = true;
     if (!services.offer(pool, this::begin)) {
       refused(services.retryAfter(pool));
     }
     return true;
   }
 
-  /** Its turn has come. */
+  /** Called when the fair queue reaches this request. */
   private void begin() {
-    if (over) {
+    if (finished) {
       return;
     }
-    waits = false;
-    send(request.withLeft(request.leftNanos() - (services.now() - takenAt)));
+    queued = false;
+    send(request.withLeft(request.leftNanos() - (services.now() - acceptedAt)));
   }
 
   private void send(ClientRequest now) {
     if (now.type().effect() == Effect.KEYED && now.idempotencyKey() != null) {
-      services.noteHome(now, pool);
-      noted = true;
+      services.recordHome(now, pool);
+      keyRecorded = true;
     }
-    if (!services.records(now, pool) ? !pool.core().take(now, this) : !record(now)) {
-      // The id ended here a moment ago and an attempt of it is still out: nothing of this one ran.
+    if (!services.isJournaled(now, pool) ? !pool.core().take(now, this) : !record(now)) {
+      // A request with this id ended just before and one of its attempts is still in flight: this
+      // one has not run.
       refused(services.retryAfter(pool));
     }
   }
 
-  /** Takes a request whose attempts go on record: not at all while they can't, and only where earlier ones let it. */
+  /** Admits a journalled request: refused while the journal cannot be written, and subject to earlier attempts of its key. */
   private boolean record(ClientRequest now) {
-    long wait = services.journal().refusesFor();
+    long wait = services.journal().retryAfterNanos();
     if (wait > 0) {
-      refused(services.longest(pool, wait));
+      refused(services.cappedRetryAfter(pool, wait));
       return true;
     }
     return pool.core().take(now, this, services.journal().earlier(now), this);
@@ -123,9 +124,9 @@
 
   @Override
   public void before(
-      ClientRequest of, int attempt, HostList.Host upstream, Runnable go, Runnable never) {
+      ClientRequest of, int attempt, HostList.Host upstream, Runnable proceed, Runnable cancel) {
     recorded = true;
-    services.journal().before(of, pool.home(), attempt, upstream, go, never);
+    services.journal().before(of, pool.home(), attempt, upstream, proceed, cancel);
   }
 
   @Override
@@ -138,17 +139,17 @@
     services.journal().ended(of, attempt, status);
   }
 
-  private void note(Told told) {
+  private void recordOutcome(Told outcome) {
     if (recorded) {
-      services.journal().answered(request, told);
+      services.journal().answered(request, outcome);
     }
   }
 
-  /** Goes to the route's second pool where the first has no upstream that is ready, and nothing may have run. */
+  /** Moves to the route's fallback pool if the first has no ready upstream and no attempt may have run. */
   @Override
   public boolean handOver(long leftNanos) {
-    ServicePool next = bound || pool.core().ready() > 0 ? null : services.fallbackOf(route, pool);
-    RequestClass type = next == null ? null : next.classLike(request.type());
+    ServicePool next = pinned || pool.core().ready() > 0 ? null : services.fallbackOf(route, pool);
+    RequestClass type = next == null ? null : next.equivalentClass(request.type());
     if (type == null || next.objection(request.withType(type)) != null || !next.open.tryTake(1)) {
       return false;
     }
@@ -157,7 +158,7 @@
       return false;
     }
     forgetHome();
-    giveBack();
+    releaseCapacity();
     pool = next;
     request = request.withType(type);
     send(request.withLeft(leftNanos + BalancerCore.ANSWER_MARGIN_NANOS));
@@ -165,9 +166,9 @@
   }
 
   private void forgetHome() {
-    if (noted) {
+    if (keyRecorded) {
       services.forgetHome(request);
-      noted = false;
+      keyRecorded = false;
     }
   }
 
@@ -178,12 +179,12 @@
 
   @Override
   public void served(Answer answer) {
-    end(End.SERVED);
+    finish(End.SERVED);
     client.served(answer);
-    note(Told.SERVED);
+    recordOutcome(Told.SERVED);
   }
 
-  /** An answer that is passed on has ended when its last piece is out, or is cut. */
+  /** A streamed answer ends when its last piece is written or when it is cut off. */
   @Override
   public BodySink begin(AnswerStart start, Flow source) {
     BodySink to = client.begin(start, source);
@@ -197,64 +198,64 @@
 
           @Override
           public void whole() {
-            end(End.SERVED);
+            finish(End.SERVED);
             to.whole();
-            note(Told.SERVED);
+            recordOutcome(Told.SERVED);
           }
 
           @Override
           public void cut() {
-            end(End.FAILED);
+            finish(End.FAILED);
             to.cut();
-            note(Told.FAILED);
+            recordOutcome(Told.FAILED);
           }
         };
   }
 
   @Override
   public void refused(long retryAfterNanos) {
-    end(End.REFUSED);
-    if (request.type().dedupScope() != DedupScope.ALL || waits) {
-      // A refusal proves here that nothing ran: the key is free to go anywhere.
+    finish(End.REFUSED);
+    if (request.type().dedupScope() != DedupScope.ALL || queued) {
+      // Here a refusal proves that nothing ran, so the key may go to any pool.
       forgetHome();
     }
     client.refused(retryAfterNanos);
-    note(Told.REFUSED);
+    recordOutcome(Told.REFUSED);
   }
 
   @Override
   public void failed() {
-    end(End.FAILED);
+    finish(End.FAILED);
     client.failed();
-    note(Told.FAILED);
+    recordOutcome(Told.FAILED);
   }
 
   @Override
   public void clientGone(String id) {
-    boolean waited = waits;
-    end(End.LEFT);
-    note(Told.LEFT);
-    if (!waited) {
+    boolean wasQueued = queued;
+    finish(End.LEFT);
+    recordOutcome(Told.LEFT);
+    if (!wasQueued) {
       pool.core().clientGone(id);
     }
   }
 
-  private void end(End how) {
-    if (!over) {
-      over = true;
+  private void finish(End how) {
+    if (!finished) {
+      finished = true;
       services.close(request.id());
       services.counters().ended(pool.name(), request.type().name(), how);
-      pool.residenceTime().ended(services.now() - enteredAt);
+      pool.residenceTime().ended(services.now() - startedAt);
     }
   }
 
   @Override
   public void release() {
-    over = true;
-    giveBack();
+    finished = true;
+    releaseCapacity();
   }
 
-  private void giveBack() {
+  private void releaseCapacity() {
     pool.open.release(1);
     pool.body.release(bytes);
   }
--- a/src/main/java/pumicekeel/node/JournalLog.java
+++ b/src/main/java/pumicekeel/node/AttemptJournal.java
@@ -16,20 +16,20 @@
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.Log;
 
-/** Puts the attempts of keyed and unsafe requests on record, and knows which of them may have run. Only on the loop. */
-final class JournalLog {
+/** Journals the attempts of keyed and unsafe requests and tracks which of them may have run. Event loop only. */
+final class AttemptJournal {
 
-  /** No advice longer than this for a disk that fails: it is tried again sooner. */
-  private static final long LEAST_RETRY_NANOS = 10_000_000L;
+  /** Shortest retry-after advice while the disk fails. */
+  private static final long MIN_RETRY_NANOS = 10_000_000L;
 
   private final EventLoop loop;
   private final Clock clock;
   private final JournalWriter writer;
   private final KeyMemory memory;
   private final long maxWaitNanos;
-  private final ArrayDeque<Once> waiting = new ArrayDeque<>();
+  private final ArrayDeque<PendingIntent> waiting = new ArrayDeque<>();
 
-  JournalLog(
+  AttemptJournal(
       EventLoop loop, Clock clock, JournalWriter writer, KeyMemory memory, long maxWaitNanos) {
     this.loop = loop;
     this.clock = clock;
@@ -42,10 +42,10 @@
     return memory;
   }
 
-  /** How long a request is to stay away while the disk fails; 0 where it may be taken. */
-  long refusesFor() {
+  /** Returns the retry-after advice while the disk fails; 0 if requests may be admitted. */
+  long retryAfterNanos() {
     long trouble = writer.refusesInTrouble() ? writer.troubleFor() : 0;
-    return trouble == 0 ? 0 : Math.max(LEAST_RETRY_NANOS, trouble);
+    return trouble == 0 ? 0 : Math.max(MIN_RETRY_NANOS, trouble);
   }
 
   private static String nameOf(ClientRequest request) {
@@ -56,14 +56,14 @@
     return memory.earlier(nameOf(request), request.id(), clock.now());
   }
 
-  /** Either runs {@code go} with the intent on record, or {@code never} after a bounded while. */
+  /** Runs {@code proceed} once the intent is on disk, or {@code cancel} if that takes longer than the maximum wait. */
   void before(
       ClientRequest request,
       String home,
       int attempt,
       HostList.Host upstream,
-      Runnable go,
-      Runnable never) {
+      Runnable proceed,
+      Runnable cancel) {
     RequestClass type = request.type();
     Entry.Intent intent = new Entry.Intent(
         request.id(),
@@ -81,7 +81,7 @@
         upstream.listed().cell(),
         System.currentTimeMillis(),
         System.nanoTime());
-    Once once = new Once(
+    PendingIntent pending = new PendingIntent(
         () -> {
           long now = clock.now();
           memory.mayRun(
@@ -92,57 +92,60 @@
               new Earlier(upstream.listed().zone(), upstream.listed().cell(), now),
               type.dedupWindowNanos(),
               now);
-          go.run();
+          proceed.run();
         },
-        never);
-    if (!writer.intent(intent, once::told)) {
-      once.told(false);
+        cancel);
+    if (!writer.intent(intent, pending::complete)) {
+      pending.complete(false);
       return;
     }
-    waiting.add(once);
+    waiting.add(pending);
     if (waiting.size() == 1) {
-      loop.schedule(this::look, maxWaitNanos, TimeUnit.NANOSECONDS);
+      loop.schedule(this::expireWaiting, maxWaitNanos, TimeUnit.NANOSECONDS);
     }
   }
 
-  /** All wait equally long, so the first that is in line is the first that is late: one timer does for all. */
-  private void look() {
+  /** All intents have the same maximum wait, so the head of the queue expires first and one timer is enough. */
+  private void expireWaiting() {
     long now = System.nanoTime();
     while (!waiting.isEmpty()
-        && (waiting.peek().done || now - waiting.peek().since >= maxWaitNanos)) {
-      waiting.poll().late();
+        && (waiting.peek().done || now - waiting.peek().startedAt >= maxWaitNanos)) {
+      waiting.poll().expire();
     }
     if (!waiting.isEmpty()) {
       loop.schedule(
-          this::look, Math.max(1, waiting.peek().since + maxWaitNanos - now), TimeUnit.NANOSECONDS);
+          this::expireWaiting,
+          Math.max(1, waiting.peek().startedAt + maxWaitNanos - now),
+          TimeUnit.NANOSECONDS);
     }
   }
 
-  /** Exactly one of two, once: the disk's word, or the end of the wait for it. */
-  private final class Once {
-    private final Runnable go;
-    private final Runnable never;
-    private final long since = System.nanoTime();
+  /** An intent that is being written: completed exactly once, by the disk's result or by the time-out. */
+  private final class PendingIntent {
+    private final Runnable proceed;
+    private final Runnable cancel;
+    private final long startedAt = System.nanoTime();
     private boolean done;
 
-    private Once(Runnable go, Runnable never) {
-      this.go = go;
-      this.never = never;
+    private PendingIntent(Runnable proceed, Runnable cancel) {
+      this.proceed = proceed;
+      this.cancel = cancel;
     }
 
-    private void told(boolean onRecord) {
+    private void complete(boolean recorded) {
       if (!done) {
         done = true;
-        // Without a record it is sent only where the operator wants that; the writer tells of the
-        // gap.
-        (onRecord || !writer.refusesInTrouble() ? go : never).run();
+        // Without a record the attempt is sent only if the operator file allows it; the writer
+        // reports
+        // the gap.
+        (recorded || !writer.refusesInTrouble() ? proceed : cancel).run();
       }
     }
 
-    private void late() {
+    private void expire() {
       if (!done) {
-        Log.caused("journal: no word of the disk in time: " + writer.trouble());
-        told(false);
+        Log.caused("journal: the disk did not confirm a write in time: " + writer.trouble());
+        complete(false);
       }
     }
   }
@@ -158,7 +161,7 @@
     writer.note(new Entry.Ended(request.id(), attempt, status, System.currentTimeMillis()));
   }
 
-  void answered(ClientRequest request, Entry.Told told) {
-    writer.note(new Entry.Answered(request.id(), told, System.currentTimeMillis()));
+  void answered(ClientRequest request, Entry.Told outcome) {
+    writer.note(new Entry.Answered(request.id(), outcome, System.currentTimeMillis()));
   }
 }
--- a/src/main/java/pumicekeel/node/DeliveredConfiguration.java
+++ b/src/main/java/pumicekeel/node/DeliveredConfiguration.java
@@ -19,29 +19,29 @@
 import pumicekeel.runtime.Reactor;
 
 /**
- * Follows the control machines and puts what they deliver in force, whole or not at all. The last version is kept on disk and counts at the
- * next start, whether or not a control machine answers; the operator file counts until the first one was delivered. Texts are checked on
- * the thread {@code reload}, like the operator file.
+ * Subscribes to the control machines and applies each delivered configuration as a whole or not at all. The last applied version is stored
+ * on disk and used at the next start, whether or not a control machine answers; until the first delivery the operator file is in force.
+ * Texts are checked on the thread {@code reload}, like the operator file.
  */
 final class DeliveredConfiguration implements VersionTaker {
 
-  /** Faults that are told to the control machines and in the log; {@code check} shows all. */
-  private static final int MOST_FAULTS = 3;
+  /** Limit on the faults reported to the control machines and in the log; {@code check} shows all. */
+  private static final int MAX_SHOWN_FAULTS = 3;
 
-  /** Between two tries to keep the version in force on a disk that fails. */
-  private static final long KEEP_AGAIN_MILLIS = 500;
+  /** Interval between attempts to store the version in force on a failing disk. */
+  private static final long STORE_RETRY_MILLIS = 500;
 
   private final Operator local;
   private final ConfigurationStore store;
   private final Configuration platform;
   private Node node;
   private Executor worker;
-  /** Tries that failed since a version was kept last; only on the worker. */
-  private int keepTries;
+  /** Failed attempts since a version was last stored; worker thread only. */
+  private int failedStores;
 
   private Operator first;
   private String text = "";
-  /** Written by the thread that takes versions; read by any. */
+  /** Written by the thread that applies versions; read by any thread. */
   private volatile ConfigurationVersion inForce = ConfigurationVersion.NONE;
 
   private DeliveredConfiguration(Configuration platform, Operator local, ConfigurationStore store) {
@@ -51,7 +51,7 @@
     first = local;
   }
 
-  /** Reads what was kept; an IOException where the directory is no good. Blocks. */
+  /** Reads the stored versions; throws IOException if the directory is not usable. Blocks. */
   static DeliveredConfiguration open(Configuration platform, Operator local) throws IOException {
     DeliveredConfiguration delivered = new DeliveredConfiguration(
         platform, local, FileConfigurationStore.shared(local.control().directory(), Log::line));
@@ -68,13 +68,13 @@
         Duration age =
             Duration.ofMillis(Math.max(0, System.currentTimeMillis() - stored.takenAtMillis()));
         Log.line("configuration: version " + inForce + ", taken " + age.toSeconds()
-            + " s ago, is in force until the control machines tell a newer one");
+            + " s ago, is in force until the control machines deliver a newer one");
         return;
       }
-      Log.line("configuration: the kept version " + stored.version() + " is no good here: "
-          + firstOf(faults));
+      Log.line("configuration: stored version " + stored.version()
+          + " is not valid for this process: " + summarize(faults));
     }
-    Log.line("configuration: no delivered version is kept, the operator file is in force");
+    Log.line("configuration: no delivered version is stored, the operator file is in force");
   }
 
   private List<String> startFaults(StoredConfiguration stored) {
@@ -91,25 +91,26 @@
     }
   }
 
-  private static String firstOf(List<String> faults) {
-    String shown = String.join("; ", faults.subList(0, Math.min(MOST_FAULTS, faults.size())));
-    int more = faults.size() - MOST_FAULTS;
-    return more > 0 ? shown + "; and " + more + " more" : shown;
+  private static String summarize(List<String> faults) {
+    String summary =
+        String.join("; ", faults.subList(0, Math.min(MAX_SHOWN_FAULTS, faults.size())));
+    int more = faults.size() - MAX_SHOWN_FAULTS;
+    return more > 0 ? summary + "; and " + more + " more" : summary;
   }
 
-  /** What a start begins with: the newest version that was kept, or else the operator file. */
+  /** Returns the operator to start with: the newest valid stored version, or else the operator file. */
   Operator first() {
     return first;
   }
 
-  /** The version in force; NONE while the operator file is. */
+  /** Returns the version in force; NONE while the operator file is in force. */
   ConfigurationVersion inForce() {
     return inForce;
   }
 
-  /** Follows the control machines from now on; the worker checks texts and reloads. */
-  ConfigurationSubscriber follow(Node started, Executor worker) {
-    node = started;
+  /** Subscribes to the control machines; the worker checks texts and reloads the node. */
+  ConfigurationSubscriber follow(Node startedNode, Executor worker) {
+    node = startedNode;
     this.worker = worker;
     ConfigurationSubscriber subscriber = new ConfigurationSubscriber(
         Reactor.of(node.loop()),
@@ -133,14 +134,15 @@
     }
     DeliveredOperator.Result result = DeliveredOperator.read(next, local);
     if (result.operator() == null) {
-      return refuse(candidate, firstOf(result.faults()));
+      return refuse(candidate, summarize(result.faults()));
     }
     try {
       node.reload(result.operator());
     } catch (IllegalArgumentException e) {
       return refuse(candidate, String.valueOf(e.getMessage()));
     } catch (IOException e) {
-      Log.line("configuration: version " + candidate.version() + " has to wait: " + e.getMessage());
+      Log.line(
+          "configuration: version " + candidate.version() + " is postponed: " + e.getMessage());
       return new Postponed(String.valueOf(e.getMessage()));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -149,31 +151,32 @@
     text = next;
     inForce = candidate.version();
     Log.line("configuration: version " + inForce + " is in force");
-    keep();
+    storeInForce();
     return new InForce();
   }
 
-  private Outcome refuse(Candidate candidate, String why) {
+  private Outcome refuse(Candidate candidate, String reason) {
     Log.line("configuration: version " + candidate.version() + " is refused, "
         + (inForce.equals(ConfigurationVersion.NONE) ? "the operator file" : "version " + inForce)
-        + " stays in force: " + why);
-    return new Refused(why);
+        + " stays in force: " + reason);
+    return new Refused(reason);
   }
 
-  /** A version that is in force serves also where the disk does not take it: then the one before counts at the next start. */
-  private void keep() {
+  /** Stores the version in force. It stays in force if the disk fails; the next start then uses the version stored before. */
+  private void storeInForce() {
     try {
       store.save(new StoredConfiguration(inForce, System.currentTimeMillis(), text));
-      if (keepTries > 0) {
-        Log.line("configuration: version " + inForce + " is kept now");
+      if (failedStores > 0) {
+        Log.line("configuration: version " + inForce + " is now stored");
       }
-      keepTries = 0;
+      failedStores = 0;
     } catch (IOException e) {
-      keepTries++;
+      failedStores++;
       Log.caused("configuration: version " + inForce
-          + " could not be kept for the next start, tried again: " + e);
+          + " could not be stored for the next start, retrying: " + e);
       node.loop()
-          .schedule(() -> worker.execute(this::keep), KEEP_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+          .schedule(
+              () -> worker.execute(this::storeInForce), STORE_RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/src/main/java/pumicekeel/node/DeliveredOperator.java
+++ b/src/main/java/pumicekeel/node/DeliveredOperator.java
@@ -7,21 +7,21 @@
 import pumicekeel.config.OperatorReader;
 
 /**
- * Reads a delivered configuration: an operator file without what belongs to one process. {@code [process]}, {@code [journal]}, {@code
- * [peers]} and {@code [control]} count at a start only and differ between processes, so a delivered text may not have them: a setting that
- * looks published must be in force.
+ * Reads a delivered configuration: an operator file without the tables that belong to one process. {@code [process]}, {@code [journal]},
+ * {@code [peers]} and {@code [control]} are read at the start only and differ between processes. A delivered text that has them is refused:
+ * otherwise a setting could appear published without being in force.
  */
 public final class DeliveredOperator {
 
-  /** What a text that has no file is called in its faults. */
+  /** Name used in place of a file name in the faults of a delivered text. */
   public static final String DELIVERED = "configuration";
 
   private DeliveredOperator() {}
 
-  /** What a text came to: an operator, or faults, a line each. */
+  /** The outcome of reading a text: an operator, or faults of one line each. */
   record Result(Operator operator, List<String> faults) {}
 
-  /** Every fault of a text that is to be published, as {@code FILE:LINE: KEY: what was expected}. */
+  /** Returns every fault of a text to be published, as {@code FILE:LINE: KEY: what was expected}. */
   public static List<String> faults(String file, String text) {
     return read(file, text).faults();
   }
@@ -41,8 +41,8 @@
     return new Result(faults.isEmpty() ? operator : null, faults);
   }
 
-  private static void refuse(List<String> faults, String file, String table, boolean isThere) {
-    if (isThere) {
+  private static void refuse(List<String> faults, String file, String table, boolean present) {
+    if (present) {
       faults.add(new Fault(
               1,
               table,
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Reads a text for a process whose own file says the rest. */
+  /** Reads a delivered text and adds the process's own tables from its local operator file. */
   static Result read(String text, Operator local) {
     Result delivered = read(DELIVERED, text);
     if (delivered.operator() == null) {
--- a/src/main/java/pumicekeel/node/DepartureSharing.java
+++ b/src/main/java/pumicekeel/node/DepartureSharing.java
@@ -14,12 +14,12 @@
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.Reactor;
 
-/** Ties the exchange of departures to the list of the platform's discovery and to the datagrams of the tier. Only on the loop. */
+/** Connects the departure exchange to the platform's discovery list and to the datagrams between balancers. Event loop only. */
 final class DepartureSharing implements Closeable {
 
-  private static final long SHORTEST_TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
-  /** What the list itself has told is looked at so often. */
-  private static final long LONGEST_TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long MIN_TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+  /** Departures reported by the list itself are picked up at this interval. */
+  private static final long MAX_TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
   private final EventLoop loop;
   private final Clock clock;
@@ -37,10 +37,10 @@
     clock = on.clock();
     seed = configuration.seed() ^ configuration.name().hashCode();
     size = addresses.each().size();
-    peers = new PeerBroadcast(loop, addresses, configuration.settings().me(), this::received);
+    peers = new PeerBroadcast(loop, addresses, configuration.settings().me(), this::onDatagram);
   }
 
-  /** Of a balancer whose settings allow datagrams to others and whose lists are asked for; else null. */
+  /** Returns an instance if the settings allow datagrams between peers and lists are fetched on request; else null. */
   static DepartureSharing of(Reactor on, Configuration configuration) {
     Settings settings = configuration.settings();
     PeerAddresses addresses = PeerAddresses.of(configuration.read());
@@ -49,7 +49,7 @@
         : new DepartureSharing(on, configuration, addresses);
   }
 
-  /** Shares the departures of this list from now on. */
+  /** Starts sharing the departures of this list. */
   void share(UpstreamSource of) {
     if (of == null || of.currency() == null) {
       return;
@@ -58,25 +58,25 @@
     exchange = new DepartureExchange(of.currency(), size, seed);
     source.exchange(exchange);
     peers.open();
-    next();
+    scheduleTick();
   }
 
-  private void received(int from, byte[] bytes) {
+  private void onDatagram(int from, byte[] bytes) {
     if (exchange == null) {
       return;
     }
-    Set<Long> left = exchange.receive(from, bytes, clock.now());
-    if (!left.isEmpty()) {
-      source.othersSay(left);
+    Set<Long> departed = exchange.receive(from, bytes, clock.now());
+    if (!departed.isEmpty()) {
+      source.othersSay(departed);
     }
-    next();
+    scheduleTick();
   }
 
-  /** One timer, for whatever is due next; a flood of datagrams does not put it off. */
-  private void next() {
+  /** Schedules the single timer for the next due event; a flood of datagrams cannot postpone it. */
+  private void scheduleTick() {
     long now = clock.now();
-    long due = Math.max(SHORTEST_TICK_NANOS, exchange.nextAt() - now);
-    long at = now + Math.min(LONGEST_TICK_NANOS, due);
+    long due = Math.max(MIN_TICK_NANOS, exchange.nextAt() - now);
+    long at = now + Math.min(MAX_TICK_NANOS, due);
     if (timer != null && !timer.isDone()) {
       if (tickAt <= at) {
         return;
@@ -96,10 +96,10 @@
       peers.send(exchange.tick(clock.now()));
       source.othersSayBack(exchange.back(clock.now()));
     }
-    next();
+    scheduleTick();
   }
 
-  /** For operators. */
+  /** Returns the state of the exchange for the operators' call {@code list}. */
   String line() {
     return exchange == null ? "" : "; " + exchange.line();
   }
--- a/src/main/java/pumicekeel/node/LentQuotas.java
+++ b/src/main/java/pumicekeel/node/LentQuotas.java
@@ -12,12 +12,12 @@
 import pumicekeel.quota.QuotaExchange;
 import pumicekeel.quota.QuotaSettings;
 
-/** The pools' tenants in the fleet's exchange of quotas, and its datagrams on the members' socket. Only on the loop. */
+/** Enters the pools' tenants in the fleet's quota exchange and carries its datagrams on the members' socket. Event loop only. */
 final class LentQuotas implements PeerService {
 
   private final QuotaExchange exchange;
   private final Map<String, List<String>> tenants = new HashMap<>();
-  /** Rises with each change of rates; a pool that has seen it asks no more. */
+  /** Incremented with each change of rates; a pool that has seen the current version gets no update. */
   private long version;
 
   LentQuotas(int self, int size, long epochMillis, long seed) {
@@ -25,7 +25,7 @@
         new QuotaExchange(QuotaSettings.USUAL, self, size, epochMillis, seed, System.nanoTime());
   }
 
-  /** The pools from now on. */
+  /** Replaces the pools whose tenants take part. */
   void pools(Collection<ServicePool> pools) {
     Map<String, Double> quotas = new HashMap<>();
     tenants.clear();
@@ -43,7 +43,7 @@
     return pool + '\n' + tenant;
   }
 
-  /** What one pool's module is told. */
+  /** Returns the source of one pool's rates. */
   QuotaSource of(String pool) {
     return new QuotaSource() {
       private long seen;
@@ -60,16 +60,16 @@
         Map<String, Double> rates = new HashMap<>();
         tenants
             .getOrDefault(pool, List.of())
-            .forEach(t -> rates.put(t, Math.max(LEAST, exchange.rate(key(pool, t), at))));
+            .forEach(t -> rates.put(t, Math.max(MIN_RATE, exchange.rate(key(pool, t), at))));
         return rates;
       }
     };
   }
 
-  /** To a module 0 is no quota at all. */
-  private static final double LEAST = 1e-6;
+  /** Lowest rate passed to a module, which treats 0 as no quota at all. */
+  private static final double MIN_RATE = 1e-6;
 
-  /** Requests a second that this instance may admit of a tenant's quota now. */
+  /** Returns the requests per second of a tenant's quota that this instance may admit now. */
   double rate(String pool, String tenant) {
     return exchange.rate(key(pool, tenant), System.nanoTime());
   }
--- a/src/main/java/pumicekeel/node/Listeners.java
+++ b/src/main/java/pumicekeel/node/Listeners.java
@@ -18,71 +18,76 @@
 import pumicekeel.runtime.LoopLag;
 import pumicekeel.runtime.Reactor;
 
-/** The listening sides of a node: the platform's, which stays, and those that generations bring and take away. */
+/** The listeners of a node: the platform's, which is permanent, and those that generations add and remove. */
 final class Listeners {
 
-  /** A listener that is removed accepts for this long, as at a planned stop, and then serves what it has. */
+  /** Interval at which the connections of a removed listener are checked. */
   private static final long POLL_MILLIS = 20;
-  /** What a removed listener's clients still begin is answered within this; then the connections are closed. */
-  private static final long LEAVING_MILLIS = 2_000;
+  /** Requests that clients of a removed listener still begin are answered within this time; then the connections are closed. */
+  private static final long CLOSE_GRACE_MILLIS = 2_000;
 
   private record Side(Operator.Listener spec, Front side) {}
 
-  private final Reactor on;
+  private final Reactor reactor;
   private final LoopLag lag;
   private final EventLoop loop;
   private final RequestRouter router;
   private final ClientSide platform;
-  private final int total;
+  private final int maxTotal;
   private final RequestIds ids;
   private final Map<String, Side> sides = new LinkedHashMap<>();
-  private final List<Front> leaving = new ArrayList<>();
+  private final List<Front> retired = new ArrayList<>();
 
   Listeners(
-      Reactor on, LoopLag lag, RequestRouter router, int total, String warmUpPath, RequestIds ids) {
+      Reactor reactor,
+      LoopLag lag,
+      RequestRouter router,
+      int maxTotal,
+      String warmUpPath,
+      RequestIds ids) {
     this.ids = ids;
-    this.on = on;
+    this.reactor = reactor;
     this.lag = lag;
-    loop = on.loop();
+    loop = reactor.loop();
     this.router = router;
-    this.total = total;
-    platform = new ClientSide(on, lag, Operator.PLATFORM, router, total, warmUpPath);
+    this.maxTotal = maxTotal;
+    platform = new ClientSide(reactor, lag, Operator.PLATFORM, router, maxTotal, warmUpPath);
   }
 
   ClientSide platform() {
     return platform;
   }
 
-  /** Connections of each listener, the platform's first; an IllegalArgumentException where they don't fit. */
-  static List<Integer> plan(int total, Operator next) {
-    long stated = 0;
-    long silent = 1;
+  /** Returns the connection limit of each listener, the platform's first; throws IllegalArgumentException if they don't fit. */
+  static List<Integer> plan(int maxTotal, Operator next) {
+    long specified = 0;
+    long unspecified = 1;
     for (Operator.Listener l : next.listeners().values()) {
-      stated += l.maxConnections() == null ? 0 : l.maxConnections();
-      silent += l.maxConnections() == null ? 1 : 0;
+      specified += l.maxConnections() == null ? 0 : l.maxConnections();
+      unspecified += l.maxConnections() == null ? 1 : 0;
     }
-    int even = (int) ((total - stated) / silent);
-    if (even < 1) {
-      throw new IllegalArgumentException(
-          "listeners: expected max-connections of less than " + total + " in all, got " + stated);
+    int share = (int) ((maxTotal - specified) / unspecified);
+    if (share < 1) {
+      throw new IllegalArgumentException("listeners: expected max-connections of less than "
+          + maxTotal + " in all, got " + specified);
     }
-    List<Integer> out = new ArrayList<>(List.of(even));
+    List<Integer> out = new ArrayList<>(List.of(share));
     next.listeners()
         .values()
         .forEach(
-            l -> out.add(l.maxConnections() == null ? even : l.maxConnections().intValue()));
+            l -> out.add(l.maxConnections() == null ? share : l.maxConnections().intValue()));
     return out;
   }
 
-  /** Binds what a generation brings, without accepting yet; all of it or none. Waits, so not for the loop. */
+  /** Binds a generation's new listeners without accepting yet, all or none. Blocks, so it must not run on the event loop. */
   Map<String, Front> bind(Operator next) throws IOException, InterruptedException {
     Map<String, Front> bound = new LinkedHashMap<>();
-    List<Integer> plan = plan(total, next);
+    List<Integer> plan = plan(maxTotal, next);
     Map<String, Side> present =
         loop.submit(() -> Map.copyOf(sides)).syncUninterruptibly().getNow();
     int i = 1;
     for (Operator.Listener l : next.listeners().values()) {
-      int most = plan.get(i++);
+      int maxConnections = plan.get(i++);
       Side now = present.get(l.name());
       if (now != null
           && now.spec().address().equals(l.address())
@@ -90,8 +95,8 @@
         continue;
       }
       Front side = l.rpc() == null
-          ? new ClientSide(on, lag, l.name(), router, most, null)
-          : new RpcSide(on, l.name(), router, most, l.rpc(), ids);
+          ? new ClientSide(reactor, lag, l.name(), router, maxConnections, null)
+          : new RpcSide(reactor, l.name(), router, maxConnections, l.rpc(), ids);
       try {
         side.listen(l.address(), false);
       } catch (Exception e) {
@@ -107,21 +112,21 @@
     return bound;
   }
 
-  /** Takes a generation's listeners over. On the loop. */
+  /** Puts a generation's listeners in force. Event loop only. */
   void apply(Operator next, Map<String, Front> bound, boolean ready) {
-    List<Integer> plan = plan(total, next);
+    List<Integer> plan = plan(maxTotal, next);
     platform.resize(plan.get(0));
     List.copyOf(sides.keySet()).stream()
         .filter(name -> !next.listeners().containsKey(name) || bound.containsKey(name))
-        .forEach(name -> leave(sides.remove(name).side()));
+        .forEach(name -> retire(sides.remove(name).side()));
     int i = 1;
     for (Operator.Listener l : next.listeners().values()) {
-      int most = plan.get(i++);
+      int maxConnections = plan.get(i++);
       Front side = bound.containsKey(l.name())
           ? bound.get(l.name())
           : sides.get(l.name()).side();
       sides.put(l.name(), new Side(l, side));
-      side.resize(most);
+      side.resize(maxConnections);
       if (side instanceof RpcSide calls) {
         calls.settings(l.rpc());
       }
@@ -135,29 +140,29 @@
     }
   }
 
-  /** Where a listener of the file is bound. */
+  /** Returns the address at which a listener of the operator file is bound; null if there is none of that name. */
   InetSocketAddress address(String name) {
     return sides.containsKey(name) ? sides.get(name).side().address() : null;
   }
 
-  private void leave(Front side) {
+  private void retire(Front side) {
     side.drain();
     side.stopListening();
-    leaving.add(side);
-    long end = on.clock().now() + TimeUnit.MILLISECONDS.toNanos(LEAVING_MILLIS);
-    close(side, end);
+    retired.add(side);
+    long end = reactor.clock().now() + TimeUnit.MILLISECONDS.toNanos(CLOSE_GRACE_MILLIS);
+    closeRetired(side, end);
   }
 
-  /** Each answer is its connection's last; what is idle goes at once, what has begun to come in a little later. */
-  private void close(Front side, long end) {
+  /** Closes each connection after its next answer, idle ones at once and those with a partly received request after a grace. */
+  private void closeRetired(Front side, long end) {
     side.closeIdle();
-    if (on.clock().now() - end >= 0) {
+    if (reactor.clock().now() - end >= 0) {
       side.closeUntaken();
     }
     if (side.ended()) {
-      leaving.remove(side);
+      retired.remove(side);
     } else {
-      loop.schedule(() -> close(side, end), POLL_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> closeRetired(side, end), POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -193,7 +198,7 @@
     return all().stream().mapToInt(Front::open).sum();
   }
 
-  /** Whether no connection is open at any, and none can come any more. */
+  /** Whether no listener has an open connection or can get another. */
   boolean ended() {
     return all().stream().allMatch(Front::ended);
   }
@@ -202,7 +207,7 @@
     List<Front> all = new ArrayList<>();
     all.add(platform);
     sides.values().forEach(s -> all.add(s.side()));
-    all.addAll(leaving);
+    all.addAll(retired);
     return all;
   }
 }
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -34,37 +34,37 @@
 import pumicekeel.runtime.Reactor;
 import sun.misc.Signal;
 
-/** One real balancer: the module on sockets, all of it on one event-loop thread. */
+/** A balancer that serves on sockets, all of it on one event-loop thread. */
 public final class Node {
 
-  /** After SIGTERM new clients still come for 0.4 s, and SIGKILL comes the longest deadline, 3 s at most, and 0.7 s later. What was
-   * taken before SIGTERM is over by that deadline, and nobody is owed more: all is answered by then, and the 0.7 s are for a process that
-   * stands still at the worst moment. Clients use the connections that they have as long as these stay open, and another balancer may
-   * be away: until a second before the end they are served as ever. */
+  /** New clients still arrive for 0.4 s after SIGTERM, and SIGKILL follows after the longest deadline (at most 3 s) plus 0.7 s. Requests
+   * accepted before SIGTERM expire by that deadline, so all are answered by then; the 0.7 s cover a process that is stalled at the worst
+   * moment. Clients reuse their connections while these are open, and another balancer may be down: until one second before the end they
+   * are served as usual. */
   private static final long ACCEPT_MILLIS = 500;
 
-  private static final long LONGEST_DEADLINE_MILLIS = 3_000;
-  private static final long LAST_MILLIS = 1_000;
+  private static final long MAX_DEADLINE_MILLIS = 3_000;
+  private static final long FINAL_CLOSE_MILLIS = 1_000;
   private static final long POLL_MILLIS = 10;
-  /** For so long what fails for a moment is tried again at the start; a platform waits 30 s for a process. */
-  private static final long START_MILLIS = 15_000;
-  /** The log's last lines are waited for so long. */
-  private static final long LAST_LINES_MILLIS = 100;
-  /** Connections of the warm-up to the balancer itself, where it can't use the clients' socket. */
+  /** How long temporary failures are retried at the start; a platform waits 30 s for a process. */
+  private static final long START_RETRY_MILLIS = 15_000;
+  /** How long the process waits for the last log lines to be written. */
+  private static final long LOG_FLUSH_MILLIS = 100;
+  /** Connections of the warm-up to the balancer itself, if it can't use the clients' socket. */
   private static final int WARM_UP_SOCKETS = 64;
-  /** The period of the looks at clients that are sent away. */
-  private static final long AWAY_MILLIS = 20;
+  /** Interval at which the step of an evacuation is checked. */
+  private static final long EVACUATION_POLL_MILLIS = 20;
 
-  private final Reactor on;
+  private final Reactor reactor;
   private final EventLoop loop;
   private final LoopLag lag;
-  /** Whether made-up requests run through it before it says that it is up. */
+  /** Whether a warm-up runs before the node reports ready. */
   private final boolean warmsUp;
-  /** Replaced on the loop; read by the thread that reloads as well. */
+  /** Replaced on the event loop; also read by the reload thread. */
   private volatile Configuration configuration;
 
   private final Runnable crash;
-  private final Serving serving;
+  private final NodePools pools;
   private final Services services;
   private final Listeners listeners;
   private final String warmUpPath = WarmUp.newPath();
@@ -72,80 +72,89 @@
   private Journal journal;
   private PeerLink peers;
   private DepartureSharing departures;
-  /** Only on the loop. */
-  private boolean serves;
+  /** Event loop only. */
+  private boolean acceptsRequests;
 
   private boolean draining;
   private final Rotation rotation = new Rotation();
   private final AdminEndpoint admin;
   private SocketAddress adminAddress;
-  private boolean rotating;
+  private boolean evacuating;
   private final CountDownLatch ready = new CountDownLatch(1);
   private final CountDownLatch drained = new CountDownLatch(1);
 
-  /** Makes a balancer; {@code crash} ends the process after a defect of the module. */
+  /** Creates a balancer; {@code crash} ends the process after a defect of the module. */
   Node(Configuration configuration, Runnable crash) {
     this(configuration, null, crash);
   }
 
-  /** Makes a balancer with the pools of an operator file; without one where {@code operator} is null. */
+  /** Creates a balancer with the pools of an operator file, or with a single pool if {@code operator} is null. */
   public Node(Configuration configuration, Operator operator, Runnable crash) {
     this(Reactor.start(), configuration, operator, crash, true);
   }
 
-  /** Makes a balancer on a loop, a clock and channels from outside. */
+  /** Creates a balancer on a given event loop, clock and channels. */
   public Node(
-      Reactor on, Configuration configuration, Operator operator, Runnable crash, boolean warmsUp) {
-    this.on = on;
-    loop = on.loop();
-    lag = new LoopLag(on);
+      Reactor reactor,
+      Configuration configuration,
+      Operator operator,
+      Runnable crash,
+      boolean warmsUp) {
+    this.reactor = reactor;
+    loop = reactor.loop();
+    lag = new LoopLag(reactor);
     this.warmsUp = warmsUp;
     this.configuration = configuration;
     this.crash = crash;
     services =
-        operator == null ? null : new Services(configuration, operator, on, lag, this::defect);
-    serving = services == null ? new OnePool(configuration, on, lag, this::defect) : services;
+        operator == null ? null : new Services(configuration, operator, reactor, lag, this::defect);
+    pools = services == null ? new SinglePool(configuration, reactor, lag, this::defect) : services;
     firstGeneration = operator;
     OperatorCalls calls = new OperatorCalls(
         rotation,
-        this::rotate,
+        this::onRotationChange,
         () -> peers == null ? null : peers.view(),
-        on.guard()::line,
+        reactor.guard()::line,
         this::listLine);
-    admin = new AdminEndpoint(on, line -> calls.answer(line, on.clock().now()));
+    admin =
+        new AdminEndpoint(reactor, line -> calls.answer(line, reactor.clock().now()));
     listeners = new Listeners(
-        on,
+        reactor,
         lag,
-        serving.router(),
-        services == null ? Rooms.clientSockets(configuration) : services.rooms().clientSockets(),
+        pools.router(),
+        services == null
+            ? ProcessCapacity.clientSockets(configuration)
+            : services.capacity().clientSockets(),
         warmUpPath,
-        new RequestIds(configuration.name(), on.clock().millis()));
+        new RequestIds(configuration.name(), reactor.clock().millis()));
   }
 
   /**
-   * Runs a balancer until SIGTERM; the exit status, 2 for a configuration, an operator file or an address that is no
-   * good. The operator file is null where there is none. What fails for a moment while it starts is tried again for a while.
+   * Runs a balancer until SIGTERM and returns the exit status: 2 for an invalid configuration, operator file or address.
+   * The operator file may be null. Temporary failures during the start are retried for a while.
    */
   public static int serve(Map<String, String> environment, Path operatorFile, PrintStream err)
       throws InterruptedException {
-    Reload.noteEarlyHangup();
+    Reload.recordEarlyHangup();
     Node node;
     try {
-      Configuration configuration =
-          Persistent.call("configuration", START_MILLIS, () -> Configuration.read(environment));
+      Configuration configuration = Persistent.call(
+          "configuration", START_RETRY_MILLIS, () -> Configuration.read(environment));
       Operator operator = operatorFile == null
           ? null
-          : Persistent.call("operator file", START_MILLIS, () -> OperatorLoader.load(operatorFile));
+          : Persistent.call(
+              "operator file", START_RETRY_MILLIS, () -> OperatorLoader.load(operatorFile));
       DeliveredConfiguration delivered = operator == null || operator.control() == null
           ? null
           : Persistent.call(
               "delivered configuration",
-              START_MILLIS,
+              START_RETRY_MILLIS,
               () -> DeliveredConfiguration.open(configuration, operator));
       Operator first = delivered == null ? operator : delivered.first();
       node = Persistent.call(
-          "event loop", START_MILLIS, () -> new Node(configuration, first, () -> halt(1)));
-      ExecutorService worker = Persistent.call("reload thread", START_MILLIS, Reload::newWorker);
+          "event loop", START_RETRY_MILLIS, () -> new Node(configuration, first, () -> halt(1)));
+      ExecutorService worker =
+          Persistent.call("reload thread", START_RETRY_MILLIS, Reload::newWorker);
       Runnable operatorReading =
           operatorFile == null ? null : Reload.operatorReading(operatorFile, node, delivered);
       node.start();
@@ -169,14 +178,14 @@
   }
 
   /**
-   * Drains at SIGTERM and SIGINT. By handlers of its own: Java's answer is a hook on a thread that has to be started then, and where the
-   * system has none to give the process would end at once, with all that is open.
+   * Drains at SIGTERM and SIGINT. Uses its own signal handlers: Java's shutdown hooks need a new thread, and if the system is out of
+   * threads the process would end at once with all its open requests.
    */
   private void endAtSignals() {
     for (String name : List.of("TERM", "INT")) {
       Signal.handle(new Signal(name), signal -> drain());
     }
-    // A loop that has ended serves nobody any more; the platform starts another process.
+    // Without its event loop the process can serve nobody; the platform starts another one.
     loop.terminationFuture().addListener(ended -> {
       Log.line("the event loop has ended");
       halt(1);
@@ -184,11 +193,11 @@
   }
 
   private static void halt(int status) {
-    Log.flush(LAST_LINES_MILLIS);
+    Log.flush(LOG_FLUSH_MILLIS);
     Runtime.getRuntime().halt(status);
   }
 
-  /** Starts as {@code serve} does and ends once ready: what the class-data archive is made from. */
+  /** Starts as {@code serve} does and ends once ready: the training run for the class-data archive. */
   public static int rehearse(Map<String, String> environment)
       throws IOException, InterruptedException {
     Node node =
@@ -198,45 +207,47 @@
     return 0;
   }
 
-  /** Listens and follows the list; the address that clients connect to. */
+  /** Listens and follows the upstream list; returns the address that clients connect to. */
   public InetSocketAddress start() throws IOException, InterruptedException {
     if (configuration.admin() != null) {
       adminAddress = Persistent.call(
-          "admin listener", START_MILLIS, () -> admin.listen(configuration.admin()));
+          "admin listener", START_RETRY_MILLIS, () -> admin.listen(configuration.admin()));
     }
-    Persistent.call("journal", START_MILLIS, this::openJournal);
-    Persistent.call("peers", START_MILLIS, this::openPeers);
-    departures = DepartureSharing.of(on, configuration);
+    Persistent.call("journal", START_RETRY_MILLIS, this::openJournal);
+    Persistent.call("peers", START_RETRY_MILLIS, this::openPeers);
+    departures = DepartureSharing.of(reactor, configuration);
     Map<String, Front> bound = firstGeneration == null
         ? Map.of()
-        : Persistent.call("listeners", START_MILLIS, () -> listeners.bind(firstGeneration));
-    ClientSide own = configuration.inherited()
-        ? new ClientSide(on, lag, "warm-up", serving.router(), WARM_UP_SOCKETS, warmUpPath)
+        : Persistent.call("listeners", START_RETRY_MILLIS, () -> listeners.bind(firstGeneration));
+    ClientSide warmUpSide = configuration.inherited()
+        ? new ClientSide(reactor, lag, "warm-up", pools.router(), WARM_UP_SOCKETS, warmUpPath)
         : null;
-    InetSocketAddress address = own == null
+    InetSocketAddress address = warmUpSide == null
         ? Persistent.call(
-            "listener", START_MILLIS, () -> listeners.platform().listen(configuration.listen()))
+            "listener",
+            START_RETRY_MILLIS,
+            () -> listeners.platform().listen(configuration.listen()))
         : Persistent.call(
-            "listener", START_MILLIS, () -> listeners.platform().adopt(inheritedSocket()));
-    // What is asked of a socket that others hold too may be answered by them.
-    InetSocketAddress self = own == null
+            "listener", START_RETRY_MILLIS, () -> listeners.platform().adopt(inheritedSocket()));
+    // Other processes that share an inherited socket may accept the connections of the warm-up.
+    InetSocketAddress self = warmUpSide == null
         ? address
         : Persistent.call(
             "warm-up listener",
-            START_MILLIS,
-            () -> own.listen(new InetSocketAddress(address.getAddress(), 0)));
+            START_RETRY_MILLIS,
+            () -> warmUpSide.listen(new InetSocketAddress(address.getAddress(), 0)));
     loop.execute(() -> {
-      serving.start();
+      pools.start();
       if (departures != null) {
-        departures.share(serving.platformSource());
+        departures.share(pools.platformSource());
       }
       if (services != null) {
         listeners.apply(firstGeneration, bound, false);
         Log.line("serves the pools " + services.summary());
       }
-      Runnable then = () -> serve(own, address);
+      Runnable then = () -> serve(warmUpSide, address);
       if (warmsUp) {
-        WarmUp.run(on, lag, self, warmUpPath, configuration.settings(), then);
+        WarmUp.run(reactor, lag, self, warmUpPath, configuration.settings(), then);
       } else {
         then.run();
       }
@@ -244,13 +255,13 @@
     return address;
   }
 
-  private void serve(ClientSide own, InetSocketAddress address) {
-    if (own != null) {
-      own.stopListening();
-      own.closeIdle();
+  private void serve(ClientSide warmUpSide, InetSocketAddress address) {
+    if (warmUpSide != null) {
+      warmUpSide.stopListening();
+      warmUpSide.closeIdle();
     }
     listeners.setReady();
-    serves = true;
+    acceptsRequests = true;
     rotation.started();
     Log.line(configuration.name() + " serves at " + address);
     ready.countDown();
@@ -263,7 +274,7 @@
     throw new IOException("PROXY_SOCKET_FD: expected a listening socket as descriptor 0");
   }
 
-  /** Before anything is served: what may have run under the process before this one has to be known. */
+  /** Recovers the journal before anything is served: what may have run under the previous process has to be known. */
   private Void openJournal() throws IOException, InterruptedException {
     Operator.Journal spec = firstGeneration == null ? null : firstGeneration.journal();
     if (spec == null) {
@@ -286,7 +297,8 @@
     Log.line(
         "journal in " + spec.directory() + ": " + keys + " keys may have run before this start");
     journal.unreadable().forEach(what -> Log.line("journal: could not be read: " + what));
-    JournalLog log = new JournalLog(loop, clock, journal.writer(), memory, spec.maxWaitNanos());
+    AttemptJournal log =
+        new AttemptJournal(loop, clock, journal.writer(), memory, spec.maxWaitNanos());
     loop.submit(() -> services.journal(log)).syncUninterruptibly();
     return null;
   }
@@ -311,16 +323,16 @@
     return null;
   }
 
-  /** How current the platform's list is, and what others say of it; null where no list is followed. */
+  /** Returns how current the platform's list is and what other balancers report of it; null if no list is followed. */
   private String listLine() {
-    UpstreamSource source = serving.platformSource();
+    UpstreamSource source = pools.platformSource();
     return source == null || source.currency() == null
         ? null
-        : source.currency().line(on.clock().now()) + ", calls failed " + source.failures()
+        : source.currency().line(reactor.clock().now()) + ", calls failed " + source.failures()
             + (departures == null ? "" : departures.line());
   }
 
-  /** Writes what waits for the journal; the process may end after it. */
+  /** Writes the pending journal entries; the process may end afterwards. */
   private void closeJournal() {
     try {
       if (journal != null) {
@@ -334,28 +346,28 @@
   }
 
   /**
-   * Takes over from a new configuration what may change while the balancer runs: the address of discovery, and the
-   * settings. An IllegalArgumentException says why nothing of it was taken. Waits for the loop, so it is not for it.
+   * Applies what a new configuration may change at run time: the address of discovery, and the settings. Throws
+   * IllegalArgumentException with the reason if nothing was applied. Waits for the event loop, so must not run on it.
    */
   public void reload(Configuration next) {
-    serving.check(next);
+    pools.check(next);
     loop.submit(() -> {
           Log.line(next.name() + " reloads: discovery at " + next.discovery() + ", "
               + next.settings().classes().size() + " classes");
           configuration = next;
-          serving.reload(next);
+          pools.reload(next);
         })
         .syncUninterruptibly();
   }
 
-  /** As last taken over; for the thread that reads the next one. */
+  /** Returns the configuration in force, for the thread that reads the next one. */
   Configuration configuration() {
     return configuration;
   }
 
   /**
-   * Takes over a generation of the operator file as a whole, or nothing of it: then an exception says why. Waits for the
-   * loop, so it is not for the loop itself.
+   * Applies a generation of the operator file as a whole, or not at all: then it throws an exception with the reason.
+   * Waits for the event loop, so must not run on it.
    */
   public void reload(Operator next) throws IOException, InterruptedException {
     services.check(next);
@@ -363,16 +375,16 @@
     String objection;
     try {
       objection = loop.submit(() -> {
-            String why = draining ? "the balancer drains" : services.objection(next);
-            if (why == null) {
+            String reason = draining ? "the balancer drains" : services.objection(next);
+            if (reason == null) {
               services.apply(next);
-              listeners.apply(next, bound, serves);
+              listeners.apply(next, bound, acceptsRequests);
               Log.line(configuration.name() + " reloads: the pools " + services.summary());
               services
                   .needRestart(next)
                   .forEach(key -> Log.line("reload: " + key + " needs a restart"));
             }
-            return why;
+            return reason;
           })
           .get();
     } catch (ExecutionException e) {
@@ -384,27 +396,27 @@
     }
   }
 
-  /** Waits until the balancer says that it is up. */
+  /** Waits until the balancer is ready. */
   public void awaitReady() throws InterruptedException {
     ready.await();
   }
 
-  /** What became of the requests so far, a line; only with an operator file. */
+  /** Returns the outcomes of the requests so far, on one line; only with an operator file. */
   public String counters() {
     return loop.submit(() -> services.counters().line()).syncUninterruptibly().getNow();
   }
 
-  /** Whether a generation fits the platform's figures; an IllegalArgumentException says what does not. */
+  /** Checks whether a generation fits the platform's limits; throws IllegalArgumentException if not. */
   public static void check(Configuration configuration, Operator operator) {
     Services.check(configuration, operator);
   }
 
-  /** Where a listener of the operator file listens; null where there is none of the name. */
+  /** Returns the address of a listener of the operator file; null if there is none of that name. */
   public InetSocketAddress addressOf(String listener) {
     return loop.submit(() -> listeners.address(listener)).syncUninterruptibly().getNow();
   }
 
-  /** Ends the loop; for a node inside another program. */
+  /** Ends the event loop; for a node inside another program. */
   public void close() {
     closeJournal();
     if (peers != null) {
@@ -416,7 +428,7 @@
     loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
-  /** Who of the fleet is there; null without peers. Only on the loop. */
+  /** Returns the link to the members of the fleet; null without peers. Event loop only. */
   PeerLink peers() {
     return peers;
   }
@@ -433,90 +445,92 @@
     return loop;
   }
 
-  /** Where operators call; null where nobody does. */
+  /** Returns the address of the admin endpoint; null if there is none. */
   InetSocketAddress adminAddress() {
     return (InetSocketAddress) adminAddress;
   }
 
-  /** An operator has called: begins to send clients away, or takes them again. */
-  private void rotate() {
+  /** Starts or cancels an evacuation after an operator's call. */
+  private void onRotationChange() {
     if (draining) {
       return;
     }
-    if (rotation.step(on.clock().now()) == Rotation.Step.TAKING) {
+    if (rotation.step(reactor.clock().now()) == Rotation.Step.IN_ROTATION) {
       listeners.resume();
       Log.line(configuration.name() + " takes clients");
       return;
     }
     Log.line(configuration.name() + " sends clients away");
     listeners.drain();
-    if (!rotating) {
-      sendAway();
+    if (!evacuating) {
+      advanceEvacuation();
     }
   }
 
-  private void sendAway() {
-    Rotation.Step step = rotation.step(on.clock().now());
-    rotating = step != Rotation.Step.TAKING && !draining;
-    if (!rotating) {
+  private void advanceEvacuation() {
+    Rotation.Step step = rotation.step(reactor.clock().now());
+    evacuating = step != Rotation.Step.IN_ROTATION && !draining;
+    if (!evacuating) {
       return;
     }
     switch (step) {
-      case LAST_ANSWERS -> listeners.lastAnswers();
-      case CLOSING -> listeners.closeIdle();
-      case AWAY -> listeners.closeUntaken();
+      case FINAL_RESPONSES -> listeners.lastAnswers();
+      case CLOSING_IDLE -> listeners.closeIdle();
+      case CLOSING_ALL -> listeners.closeUntaken();
       default -> {}
     }
-    loop.schedule(this::sendAway, AWAY_MILLIS, TimeUnit.MILLISECONDS);
+    loop.schedule(this::advanceEvacuation, EVACUATION_POLL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Begins a planned stop: answers what was taken, takes nothing new after a while. */
+  /** Begins a planned stop: answers accepted requests, and after a while accepts no new ones. */
   public void drain() {
-    // Counted from when it may have come: a process that stood still hears of it later, and SIGKILL
-    // does not wait for that.
-    long askedAt = lag.unheardSince();
+    // Counted from the earliest time at which the signal may have been sent: a stalled process
+    // handles
+    // it late, but SIGKILL is not delayed.
+    long signalledAt = lag.unheardSince();
     loop.execute(() -> {
       Log.line(configuration.name() + " drains");
       draining = true;
       rotation.stopping();
       listeners.drain();
       long end = Math.min(
-          LONGEST_DEADLINE_MILLIS,
+          MAX_DEADLINE_MILLIS,
           configuration.settings().classes().stream()
               .mapToLong(c -> TimeUnit.NANOSECONDS.toMillis(c.deadlineNanos()))
               .max()
               .orElse(0));
-      long late = on.clock().now() - askedAt;
-      serving.endBy(Math.max(0, TimeUnit.MILLISECONDS.toNanos(end) - late));
-      // On a socket that others hold too, the next process accepts already, or the kernel keeps
+      long delay = reactor.clock().now() - signalledAt;
+      pools.endBy(Math.max(0, TimeUnit.MILLISECONDS.toNanos(end) - delay));
+      // On a socket shared with other processes the next process accepts already, or the kernel
+      // queues
       // clients until it does.
       long accept = configuration.inherited() ? 0 : ACCEPT_MILLIS;
       loop.schedule(listeners::stopListening, accept, TimeUnit.MILLISECONDS);
       if (configuration.supervised() || configuration.inherited()) {
-        // Others are there for them, so clients are told while they still ask: a close may meet a
-        // request on its way.
+        // Other instances can serve the clients, so they are told with a response: a bare close may
+        // cross a request in transit.
         loop.schedule(listeners::lastAnswers, accept, TimeUnit.MILLISECONDS);
       }
       loop.schedule(
-          this::takeNoMore,
+          this::finishDrain,
           Math.max(
               TimeUnit.MILLISECONDS.toNanos(ACCEPT_MILLIS),
-              TimeUnit.MILLISECONDS.toNanos(end - LAST_MILLIS) - late),
+              TimeUnit.MILLISECONDS.toNanos(end - FINAL_CLOSE_MILLIS) - delay),
           TimeUnit.NANOSECONDS);
     });
   }
 
-  private void takeNoMore() {
+  private void finishDrain() {
     listeners.closeUntaken();
     if (listeners.ended()) {
       Log.line(configuration.name() + " has drained");
       drained.countDown();
     } else {
-      loop.schedule(this::takeNoMore, POLL_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::finishDrain, POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Whether a planned stop has come to its end. */
+  /** Whether a planned stop has completed. */
   public boolean hasDrained() {
     return drained.getCount() == 0;
   }
@@ -529,11 +543,11 @@
     }
   }
 
-  /** A defect of the module: its word is worth nothing any more, so all that is open is answered without it. */
+  /** Handles a defect of the module, which cannot be trusted any more: all open requests are answered without it. */
   private void defect(RuntimeException e) {
     Log.line("defect of the module: " + e + " at "
         + (e.getStackTrace().length == 0 ? "?" : e.getStackTrace()[0]));
-    serving.answerAll();
+    pools.answerAll();
     crash.run();
   }
 }
--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/pumicekeel/node/Reload.java
@@ -16,42 +16,42 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** SIGHUP: reads the configuration again. Without it Java's answer to that signal is to end, as at SIGTERM. */
+/** Reloads the configuration at SIGHUP. Without a handler Java ends the process at that signal, as at SIGTERM. */
 final class Reload {
 
-  /** Faults of an operator file that the log shows; {@code check} shows all. */
-  private static final int MOST_LINES = 10;
-  /** A file that can't be read for a moment is tried again for so long: nobody sends the signal twice. */
+  /** Limit on the faults of an operator file shown in the log; {@code check} shows all. */
+  private static final int MAX_SHOWN_FAULTS = 10;
+  /** How long a file that cannot be read is retried: nobody sends the signal a second time. */
   private static final long RETRY_MILLIS = 60_000;
 
-  /** A signal came before there was a node to reload. */
-  private static final AtomicBoolean CAME_EARLY = new AtomicBoolean();
+  /** Whether a signal arrived before there was a node to reload. */
+  private static final AtomicBoolean RECEIVED_EARLY = new AtomicBoolean();
 
   private Reload() {}
 
-  /** From now on SIGHUP is no end of the process, also where it comes while that starts: it is noted until there is a node. */
-  static void noteEarlyHangup() {
-    Signal.handle(new Signal("HUP"), signal -> CAME_EARLY.set(true));
+  /** Keeps SIGHUP from ending the process while it starts: the signal is recorded until there is a node to reload. */
+  static void recordEarlyHangup() {
+    Signal.handle(new Signal("HUP"), signal -> RECEIVED_EARLY.set(true));
   }
 
-  /** The one thread that reads and checks files and delivered configurations. */
+  /** Creates the single thread that reads and checks files and delivered configurations. */
   static ExecutorService newWorker() {
     ThreadPoolExecutor worker =
-        new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), work -> {
-          Thread thread = new Thread(work, "reload");
+        new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), task -> {
+          Thread thread = new Thread(task, "reload");
           thread.setDaemon(true);
           return thread;
         });
-    // Now, while it can be tried again: at a signal the system may have no thread to give.
+    // Started now, while a failure can be retried: at the signal the system may be out of threads.
     worker.prestartCoreThread();
     return worker;
   }
 
   /**
-   * Reads the configuration and, where there is one, the operator file at each SIGHUP; one that is no good costs lines
-   * of the log and changes nothing, and the other counts all the same. A thread of its own reads the files, since the
-   * event loop must not wait for them, and one alone, or an older reading could overtake a newer one. Signals that come
-   * while one waits to be carried out are one with it.
+   * Reads the configuration and, if there is one, the operator file at each SIGHUP. An invalid file is logged and changes
+   * nothing, and the other file is applied all the same. A separate thread reads the files because the event loop must
+   * not block on them, and only one, so that an older reading cannot overtake a newer one. Signals that arrive while a
+   * reload is queued are merged with it.
    *
    * @param operatorReading reads the operator file; null where there is none
    */
@@ -60,30 +60,32 @@
       Runnable operatorReading,
       Node node,
       ExecutorService reader) {
-    AtomicBoolean waits = new AtomicBoolean();
+    AtomicBoolean queued = new AtomicBoolean();
     Runnable reload = () -> {
-      if (!waits.getAndSet(true)) {
+      if (!queued.getAndSet(true)) {
         reader.execute(() -> {
-          waits.set(false);
+          queued.set(false);
           try {
             read(environment, node);
             if (operatorReading != null) {
               operatorReading.run();
             }
           } catch (RuntimeException e) {
-            // The thread has to outlive a defect of one reading.
+            // The thread has to survive a defect in one reload.
             Log.line("reload: " + e);
           }
         });
       }
     };
     SignalHandler before = Signal.handle(new Signal("HUP"), signal -> reload.run());
-    if (CAME_EARLY.getAndSet(false)) {
+    if (RECEIVED_EARLY.getAndSet(false)) {
       reload.run();
     }
     if (before == SignalHandler.SIG_IGN) {
-      // Java keeps to it: what nohup and its like start can't hear the signal.
-      Log.line("reload: SIGHUP is ignored since before this process started; it will not be heard");
+      // Java respects an ignored signal: a process started by nohup, for example, never receives
+      // it.
+      Log.line(
+          "reload: SIGHUP was set to be ignored before this process started; it will not be received");
     }
   }
 
@@ -98,17 +100,17 @@
     }
   }
 
-  /** What SIGHUP does with the operator file; {@code delivered} is null where no control machines deliver. */
+  /** Returns the task that SIGHUP runs for the operator file; {@code delivered} is null without control machines. */
   static Runnable operatorReading(Path file, Node node, DeliveredConfiguration delivered) {
     return () -> readOperator(file, node, delivered);
   }
 
-  /** The operator file counts until the control machines have delivered a version. */
+  /** Reads the operator file unless a version delivered by the control machines is in force. */
   static void readOperator(Path file, Node node, DeliveredConfiguration delivered) {
     if (delivered != null && !delivered.inForce().equals(ConfigurationVersion.NONE)) {
       Log.line("reload: the operator file is not read, version " + delivered.inForce()
-          + " of the control machines is in force; what it says of process, journal, peers and"
-          + " control needs a restart");
+          + " of the control machines is in force; changes to its tables process, journal, peers and"
+          + " control need a restart");
       return;
     }
     readOperator(file, node);
@@ -122,7 +124,7 @@
         return next;
       });
     } catch (OperatorLoader.Faulty e) {
-      e.lines().stream().limit(MOST_LINES).forEach(l -> Log.line("reload: " + l));
+      e.lines().stream().limit(MAX_SHOWN_FAULTS).forEach(l -> Log.line("reload: " + l));
       Log.line("reload: the operator file stays as it was: " + e.lines().size() + " faults");
     } catch (IOException | RuntimeException e) {
       Log.line("reload: the operator file stays as it was: " + e.getMessage());
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -32,15 +32,15 @@
 import pumicekeel.upstream.jsonrpc.RpcLinks;
 
 /**
- * One pool of an operator file at work: a module instance of its own with its list, its connections and its part of the
- * room. Its name, its source and what it selects there say whose memory of keyed requests its upstreams are.
+ * A running pool of an operator file: its own module instance, upstream list, connections and part of the capacity. Its
+ * name, its source and its selection identify the upstreams that remember its keyed requests.
  */
 final class ServicePool implements UpstreamSource.Follower {
 
-  /** Requests that wait for their turn, each an open one of some connection: the room for those is the bound. */
-  private static final int MOST_WAITING = 1 << 16;
+  /** Limit of the queue; each queued request is an open one, so the limit on open requests is the effective bound. */
+  private static final int MAX_QUEUED = 1 << 16;
 
-  /** What all pools of a process share. */
+  /** The objects shared by all pools of a process. */
   record Shared(
       Reactor on,
       LoopLag lag,
@@ -52,7 +52,7 @@
       Consumer<RuntimeException> defect) {}
 
   private Operator.Pool spec;
-  /** Made once: a keyed repeat compares it with that of each pool. What it is made of needs a new pool to change. */
+  /** Built once, since a repeat of a key compares it with that of each pool. A change of its parts creates a new pool. */
   private final String home;
 
   private final Shared shared;
@@ -62,11 +62,11 @@
   private final ResidenceTime residenceTime = new ResidenceTime();
   final Shares.Owner open;
   final Shares.Owner body;
-  final FairQueue.PoolQueue turn;
-  /** The upstreams of the list that are this pool's, as the list names them. */
+  final FairQueue.PoolQueue queue;
+  /** The upstreams that this pool selects from the list, as the list has them. */
   private final Map<Long, HostList.Host> hosts = new LinkedHashMap<>();
-  /** Told whose lines changed for other pools. */
-  private final Consumer<Map<ServicePool, Set<InetSocketAddress>>> changed;
+  /** Receives the other pools whose view of an upstream has changed, with its addresses. */
+  private final Consumer<Map<ServicePool, Set<InetSocketAddress>>> onSharedChange;
 
   ServicePool(
       Operator.Pool spec,
@@ -74,15 +74,15 @@
       long seed,
       Shared shared,
       UpstreamSource source,
-      Consumer<Map<ServicePool, Set<InetSocketAddress>>> changed) {
+      Consumer<Map<ServicePool, Set<InetSocketAddress>>> onSharedChange) {
     this.spec = spec;
     home = spec.name() + '|' + spec.source() + '|' + spec.select();
     this.shared = shared;
     this.source = source;
-    this.changed = changed;
+    this.onSharedChange = onSharedChange;
     open = shared.open().add(0, 0);
     body = shared.body().add(0, 0);
-    turn = shared.fairQueue().queue(MOST_WAITING);
+    queue = shared.fairQueue().queue(MAX_QUEUED);
     connections = links(spec, settings, shared);
     core = new BalancerCore(
         settings,
@@ -112,7 +112,7 @@
             spec.rpc());
   }
 
-  /** Why a request can't be put into the protocol of this pool's upstreams; null where it can. */
+  /** Returns why a request can't be sent in the protocol of this pool's upstreams; null if it can. */
   String objection(ClientRequest request) {
     if (connections instanceof RpcLinks rpc) {
       return rpc.objection(request);
@@ -131,7 +131,7 @@
     return spec;
   }
 
-  /** What a generation says of it that needs no new module. */
+  /** Replaces the part of the specification that does not need a new module. */
   void spec(Operator.Pool next) {
     spec = next;
   }
@@ -140,13 +140,13 @@
     return core.settings();
   }
 
-  /** Takes over what the platform's settings have otherwise from now on. */
+  /** Applies changed settings. */
   void retune(Settings next) {
     connections.tune(next.limits().connectTimeoutNanos(), next.limits().connectionIdleNanos());
     core.retune(next);
   }
 
-  /** Has its tenants' quotas lent and borrowed; null for even parts. */
+  /** Sets the exchange that lends and borrows tenants' quotas; null for even shares. */
   void lend(LentQuotas quotas) {
     core.quotas(quotas == null ? null : quotas.of(name()));
   }
@@ -159,20 +159,20 @@
     return residenceTime;
   }
 
-  /** Two pools with the same home have the same upstreams: one's memory of a keyed request is the other's. */
+  /** Returns the identity of this pool's upstreams: pools with the same home share the upstreams' memory of keyed requests. */
   String home() {
     return home;
   }
 
-  /** The class of the same name, if it may run again as the other may; else null. */
-  RequestClass classLike(RequestClass other) {
+  /** Returns the class of the same name if it has the same effect; else null. */
+  RequestClass equivalentClass(RequestClass other) {
     return settings().classes().stream()
         .filter(c -> c.name().equals(other.name()) && c.effect() == other.effect())
         .findFirst()
         .orElse(null);
   }
 
-  /** New figures; what they don't name stays as the pool was made. */
+  /** Sets new limits; all else stays as the pool was created. */
   void resize(
       RoomPlan.Part openPart, RoomPlan.Part socketPart, RoomPlan.Part bodyPart, int perUpstream) {
     open.resize(openPart.guaranteed(), openPart.most());
@@ -180,100 +180,101 @@
     connections.resize(socketPart.guaranteed(), socketPart.most(), perUpstream);
   }
 
-  /** Gives up its guarantees; what it has out it keeps until that has ended. */
+  /** Gives up the guarantees; capacity in use is kept until its requests have ended. */
   void retire(RoomPlan.Part sockets) {
     open.resize(0, Long.MAX_VALUE);
     body.resize(0, Long.MAX_VALUE);
     connections.resize(0, sockets.most(), spec.connectionsPerUpstream());
   }
 
-  boolean over() {
+  boolean finished() {
     return core.empty() && open.used() == 0;
   }
 
-  // The list
+  // Upstream list
 
   void start() {
-    HostList known = take(source.follow(this));
-    core.start(known, on -> source.watch(this, on));
+    HostList initial = select(source.follow(this));
+    core.start(initial, active -> source.watch(this, active));
   }
 
   @Override
   public void news(HostList list) {
-    core.news(take(list));
+    core.news(select(list));
   }
 
-  /** Ends the pool: nothing is open any more. */
+  /** Closes a pool that has no open requests. */
   void close() {
     source.unfollow(this);
     connections.close();
     open.leave();
     body.leave();
-    Map<ServicePool, Set<InetSocketAddress>> others = new LinkedHashMap<>();
+    Map<ServicePool, Set<InetSocketAddress>> affected = new LinkedHashMap<>();
     for (InetSocketAddress address : shared.upstreams().leave(this)) {
-      note(others, address, shared.upstreams().poolsAt(address));
+      addAffected(affected, address, shared.upstreams().poolsAt(address));
     }
-    changed.accept(others);
+    onSharedChange.accept(affected);
   }
 
-  /** What of the list is this pool's, as its module is to see it. */
-  private HostList take(HostList list) {
-    Map<ServicePool, Set<InetSocketAddress>> others = new LinkedHashMap<>();
+  /** Returns the part of the list that this pool selects, as its module is to see it. */
+  private HostList select(HostList list) {
+    Map<ServicePool, Set<InetSocketAddress>> affected = new LinkedHashMap<>();
     List<HostList.Host> mine = new ArrayList<>();
     for (HostList.Host host : list.hosts()) {
       HostList.Host before = hosts.get(host.listed().upstream());
       if (spec.select().takes(host)) {
         mine.add(host);
       } else if (before != null && !list.whole()) {
-        mine.add(gone(before));
+        mine.add(departed(before));
       }
     }
     if (list.whole()) {
-      List<Long> named = mine.stream().map(h -> h.listed().upstream()).toList();
+      List<Long> listed = mine.stream().map(h -> h.listed().upstream()).toList();
       Set<Long> absent = new LinkedHashSet<>(hosts.keySet());
-      absent.removeAll(Set.copyOf(named));
-      absent.forEach(id -> enter(gone(hosts.get(id)), others));
+      absent.removeAll(Set.copyOf(listed));
+      absent.forEach(id -> update(departed(hosts.get(id)), affected));
     }
-    mine.forEach(h -> enter(h, others));
-    HostList seen =
-        new HostList(list.index(), list.whole(), mine.stream().map(this::seen).toList());
-    changed.accept(others);
-    return seen;
+    mine.forEach(h -> update(h, affected));
+    HostList selected =
+        new HostList(list.index(), list.whole(), mine.stream().map(this::viewOf).toList());
+    onSharedChange.accept(affected);
+    return selected;
   }
 
-  private static HostList.Host gone(HostList.Host host) {
+  private static HostList.Host departed(HostList.Host host) {
     Listed l = host.listed();
     return host.as(
         new Listed(l.upstream(), l.zone(), l.cell(), State.GONE, l.startedNanos(), l.weight()));
   }
 
-  private void enter(HostList.Host host, Map<ServicePool, Set<InetSocketAddress>> others) {
+  private void update(HostList.Host host, Map<ServicePool, Set<InetSocketAddress>> affected) {
     if (host.listed().state() == State.GONE) {
       hosts.remove(host.listed().upstream());
     } else {
       hosts.put(host.listed().upstream(), host);
     }
-    note(others, host.address(), shared.upstreams().update(this, host.address(), host.listed()));
+    addAffected(
+        affected, host.address(), shared.upstreams().update(this, host.address(), host.listed()));
   }
 
-  private void note(
-      Map<ServicePool, Set<InetSocketAddress>> others,
+  private void addAffected(
+      Map<ServicePool, Set<InetSocketAddress>> affected,
       InetSocketAddress address,
       Set<Object> pools) {
     for (Object pool : pools) {
-      others.computeIfAbsent((ServicePool) pool, k -> new LinkedHashSet<>()).add(address);
+      affected.computeIfAbsent((ServicePool) pool, k -> new LinkedHashSet<>()).add(address);
     }
   }
 
-  private HostList.Host seen(HostList.Host host) {
+  private HostList.Host viewOf(HostList.Host host) {
     return host.as(shared.upstreams().seenBy(this, host.address(), host.listed()));
   }
 
-  /** Tells the module again of what listens at these addresses, after another pool's news of them. */
-  void retell(Set<InetSocketAddress> addresses) {
+  /** Reports the upstreams at these addresses to the module again after another pool has received an update of them. */
+  void reannounce(Set<InetSocketAddress> addresses) {
     List<HostList.Host> again = hosts.values().stream()
         .filter(h -> addresses.contains(h.address()))
-        .map(this::seen)
+        .map(this::viewOf)
         .toList();
     if (!again.isEmpty()) {
       core.news(new HostList(0, false, again));
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -45,23 +45,23 @@
 import pumicekeel.upstream.UpstreamSockets;
 
 /**
- * The pools of an operator file, one generation at a time. A reload swaps routes and pools at once, between two events
- * of the loop; a request goes on in the pool that took it, and a pool that is not wanted any more ends with its last one.
+ * The pools of an operator file, one generation at a time. A reload swaps routes and pools atomically, between two events
+ * of the loop. A request stays in the pool that admitted it, and a removed pool is closed after its last request.
  */
-final class Services implements Serving, RequestRouter {
+final class Services implements NodePools, RequestRouter {
 
-  /** A run of waiting work; short against any aim, long against the cost of going round the loop. */
+  /** Time slice for queued work; short compared with any aim, long compared with the cost of an event-loop iteration. */
   private static final long QUANTUM_NANOS = 1_000_000L;
-  /** Pools of earlier generations with something open: each holds a module instance, so a reload waits for some to end. */
-  static final int MOST_RETIRED = 64;
+  /** Limit on pools of earlier generations with open requests: each holds a module instance, so a reload is refused beyond it. */
+  static final int MAX_RETIRED = 64;
 
-  private static final long RETIRED_MILLIS = 20;
+  private static final long RETIRED_POLL_MILLIS = 20;
 
   private volatile Configuration configuration;
-  private final Reactor on;
+  private final Reactor reactor;
   private final EventLoop loop;
   private final Clock clock;
-  private final Rooms rooms;
+  private final ProcessCapacity capacity;
   private final Operator.Process process;
   private final ServicePool.Shared shared;
   private final FairQueue fairQueue = new FairQueue();
@@ -71,39 +71,39 @@
   private final Map<String, UpstreamSource> sources = new LinkedHashMap<>();
   private final Map<String, ServicePool> pools = new LinkedHashMap<>();
   private final List<ServicePool> retired = new ArrayList<>();
-  /** Replaced on the loop; read by the thread that reloads as well, and so is the configuration. */
+  /** Replaced on the event loop and also read by the reload thread, like the configuration. */
   private volatile Operator operator;
 
   private final Operator first;
   private RouteTable table;
   private InetSocketAddress platformDiscovery;
-  private JournalLog journal;
+  private AttemptJournal journal;
   private LentQuotas lending;
-  private boolean turning;
-  private boolean sweeping;
+  private boolean queueScheduled;
+  private boolean sweepScheduled;
   private boolean started;
-  private long made;
+  private long poolsCreated;
 
-  /** Checks the first generation against the platform's figures; an IllegalArgumentException says what does not fit. */
+  /** Checks the first generation against the platform's limits; throws IllegalArgumentException if it doesn't fit. */
   Services(
       Configuration configuration,
       Operator operator,
-      Reactor on,
+      Reactor reactor,
       LoopLag lag,
       Consumer<RuntimeException> defect) {
     this.configuration = configuration;
-    this.on = on;
-    loop = on.loop();
-    clock = on.clock();
+    this.reactor = reactor;
+    loop = reactor.loop();
+    clock = reactor.clock();
     process = operator.process();
     platformDiscovery = configuration.discovery();
-    rooms = Rooms.of(configuration, process);
+    capacity = ProcessCapacity.of(configuration, process);
     shared = new ServicePool.Shared(
-        on,
+        reactor,
         lag,
-        new UpstreamSockets(rooms.upstreamSockets()),
-        new Shares(rooms.openRequests()),
-        new Shares(rooms.bodyBytes()),
+        new UpstreamSockets(capacity.upstreamSockets()),
+        new Shares(capacity.openRequests()),
+        new Shares(capacity.bodyBytes()),
         fairQueue,
         new SharedUpstreams<>(),
         defect);
@@ -112,8 +112,8 @@
     first = operator;
   }
 
-  Rooms rooms() {
-    return rooms;
+  ProcessCapacity capacity() {
+    return capacity;
   }
 
   RequestCounters counters() {
@@ -130,41 +130,41 @@
 
   // Generations
 
-  /** Keeps a record from now on; null for none. */
-  void journal(JournalLog log) {
+  /** Sets the journal; null for none. */
+  void journal(AttemptJournal log) {
     journal = log;
   }
 
-  JournalLog journal() {
+  AttemptJournal journal() {
     return journal;
   }
 
-  /** Whether a request's attempts go on record. */
-  boolean records(ClientRequest request, ServicePool pool) {
+  /** Whether a request's attempts are journalled. */
+  boolean isJournaled(ClientRequest request, ServicePool pool) {
     return journal != null && pool.spec().journal().covers(request.type());
   }
 
-  /** An advice that a pool's clients honour. */
-  long longest(ServicePool pool, long nanos) {
+  /** Returns a retry-after advice within the pool's limits; 0 if its clients are given none. */
+  long cappedRetryAfter(ServicePool pool, long nanos) {
     var limits = pool.settings().limits();
     return limits.retryAfter() ? Math.min(nanos, limits.maxRetryAfterNanos()) : 0;
   }
 
-  /** What the file may not say on this platform, for a command that starts nothing. */
+  /** Checks a file against this platform's limits, for a command that starts nothing. */
   static void check(Configuration configuration, Operator next) {
-    check(configuration, Rooms.of(configuration, next.process()), next);
+    check(configuration, ProcessCapacity.of(configuration, next.process()), next);
   }
 
-  /** What the file may not say on this platform; made by any thread. */
+  /** Checks a file against this platform's limits. Any thread. */
   void check(Operator next) {
-    check(configuration, rooms, next);
+    check(configuration, capacity, next);
   }
 
-  private static void check(Configuration configuration, Rooms rooms, Operator next) {
-    plan("open-requests", rooms.openRequests(), next, Operator.Pool::open);
-    plan("sockets", rooms.upstreamSockets(), next, Operator.Pool::sockets);
-    plan("body-memory-kib", rooms.bodyBytes(), next, Operator.Pool::body);
-    Listeners.plan(rooms.clientSockets(), next);
+  private static void check(Configuration configuration, ProcessCapacity capacity, Operator next) {
+    plan("open-requests", capacity.openRequests(), next, Operator.Pool::open);
+    plan("sockets", capacity.upstreamSockets(), next, Operator.Pool::sockets);
+    plan("body-memory-kib", capacity.bodyBytes(), next, Operator.Pool::body);
+    Listeners.plan(capacity.clientSockets(), next);
     Map<String, Set<Effect>> effects = new HashMap<>();
     for (Operator.Pool pool : next.pools().values()) {
       for (RequestClass type : settingsOf(configuration, pool).classes()) {
@@ -186,7 +186,7 @@
     }
   }
 
-  /** A method's class has to be some pool's, and a keyed one needs its key: no call of it could ever be taken. */
+  /** Checks that each method's class exists in a pool and that a keyed one has its key; else no call could be admitted. */
   private static void checkMethods(Map<String, Set<Effect>> effects, Operator next) {
     for (Operator.Listener listener : next.listeners().values()) {
       if (listener.rpc() != null) {
@@ -247,7 +247,7 @@
 
   @Override
   public void check(Configuration next) {
-    check(next, rooms, operator);
+    check(next, capacity, operator);
   }
 
   @Override
@@ -266,22 +266,22 @@
     }
   }
 
-  /** Whether another generation may be taken over now; otherwise why not. */
+  /** Returns why another generation can't be applied now; null if it can. */
   String objection(Operator next) {
-    return retired.size() >= MOST_RETIRED && !next.pools().equals(operator.pools())
+    return retired.size() >= MAX_RETIRED && !next.pools().equals(operator.pools())
         ? retired.size() + " pools of earlier generations still have requests open"
         : null;
   }
 
-  /** Settings of the file that count at a start only, and that the next one has otherwise. */
+  /** Returns the keys that are read at the start only and differ in the next generation. */
   List<String> needRestart(Operator next) {
     List<String> out = new ArrayList<>();
     Operator.Process now = process;
     Operator.Process then = next.process();
-    note(out, "process.client-sockets", now.clientSockets(), then.clientSockets());
-    note(out, "process.upstream-sockets", now.upstreamSockets(), then.upstreamSockets());
-    note(out, "process.open-requests", now.openRequests(), then.openRequests());
-    note(out, "process.body-memory-kib", now.bodyBytes(), then.bodyBytes());
+    addIfChanged(out, "process.client-sockets", now.clientSockets(), then.clientSockets());
+    addIfChanged(out, "process.upstream-sockets", now.upstreamSockets(), then.upstreamSockets());
+    addIfChanged(out, "process.open-requests", now.openRequests(), then.openRequests());
+    addIfChanged(out, "process.body-memory-kib", now.bodyBytes(), then.bodyBytes());
     if (!Objects.equals(first.journal(), next.journal())) {
       out.add("journal");
     }
@@ -291,31 +291,31 @@
     return out;
   }
 
-  private static void note(List<String> out, String key, Long now, Long then) {
+  private static void addIfChanged(List<String> out, String key, Long now, Long then) {
     if (!Objects.equals(now, then)) {
       out.add(key);
     }
   }
 
-  /** Takes a generation over that has passed {@link #check}. */
+  /** Applies a generation that has passed {@link #check}. */
   void apply(Operator next) {
     Map<String, UpstreamSource> before = new LinkedHashMap<>(sources);
     applySources(next);
-    List<ServicePool> fresh = new ArrayList<>();
+    List<ServicePool> added = new ArrayList<>();
     Map<String, ServicePool> after = new LinkedHashMap<>();
     for (Operator.Pool spec : next.pools().values()) {
       Settings settings = settingsOf(spec);
       ServicePool pool = pools.get(spec.name());
       if (pool == null || !sameUpstreams(pool, spec, before) || !retuned(pool, settings)) {
         pool = newPool(spec, settings);
-        fresh.add(pool);
+        added.add(pool);
       }
       pool.spec(spec);
       pool.lend(lending);
       after.put(spec.name(), pool);
     }
     List<RoomPlan.Part> socketParts =
-        plan("sockets", rooms.upstreamSockets(), next, Operator.Pool::sockets);
+        plan("sockets", capacity.upstreamSockets(), next, Operator.Pool::sockets);
     pools.values().stream().filter(p -> after.get(p.name()) != p).forEach(this::retire);
     pools.clear();
     pools.putAll(after);
@@ -323,7 +323,7 @@
     operator = next;
     table = new RouteTable(next.routes());
     quotasChanged();
-    fresh.forEach(ServicePool::start);
+    added.forEach(ServicePool::start);
     sources.keySet().removeIf(name -> !next.sources().containsKey(name));
   }
 
@@ -336,7 +336,7 @@
         && Objects.equals(was.rpc(), spec.rpc());
   }
 
-  /** Has a pool work by other settings where its module can go on with them; false where it needs a new one. */
+  /** Applies other settings to a pool if its module supports the change; false if it needs a new module. */
   private static boolean retuned(ServicePool pool, Settings next) {
     Settings now = pool.settings();
     if (now.equals(next)) {
@@ -370,13 +370,13 @@
     return new ServicePool(
         spec,
         settings,
-        configuration.seed() + made++,
+        configuration.seed() + poolsCreated++,
         shared,
         sources.get(spec.source()),
-        others -> others.forEach(ServicePool::retell));
+        affected -> affected.forEach(ServicePool::reannounce));
   }
 
-  /** Has tenants' quotas lent and borrowed between the members of the fleet from now on; null for even parts. */
+  /** Sets the exchange that lends and borrows tenants' quotas between the members of the fleet; null for even shares. */
   void lend(LentQuotas quotas) {
     lending = quotas;
     pools.values().forEach(p -> p.lend(quotas));
@@ -395,9 +395,9 @@
 
   private void resize(Operator next, List<RoomPlan.Part> sockets) {
     List<RoomPlan.Part> open =
-        plan("open-requests", rooms.openRequests(), next, Operator.Pool::open);
+        plan("open-requests", capacity.openRequests(), next, Operator.Pool::open);
     List<RoomPlan.Part> body =
-        plan("body-memory-kib", rooms.bodyBytes(), next, Operator.Pool::body);
+        plan("body-memory-kib", capacity.bodyBytes(), next, Operator.Pool::body);
     int i = 0;
     for (Operator.Pool spec : next.pools().values()) {
       pools
@@ -436,7 +436,7 @@
 
   private UpstreamSource watched(InetSocketAddress address, HostList known, WatchTerms terms) {
     return UpstreamSource.watched(
-        on,
+        reactor,
         address,
         known,
         terms,
@@ -450,25 +450,25 @@
   }
 
   private void retire(ServicePool pool) {
-    pool.retire(new RoomPlan.Part(0, rooms.upstreamSockets()));
+    pool.retire(new RoomPlan.Part(0, capacity.upstreamSockets()));
     retired.add(pool);
-    if (!sweeping) {
-      sweeping = true;
-      loop.schedule(this::sweepRetired, RETIRED_MILLIS, TimeUnit.MILLISECONDS);
+    if (!sweepScheduled) {
+      sweepScheduled = true;
+      loop.schedule(this::sweepRetired, RETIRED_POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   private void sweepRetired() {
-    List<ServicePool> over = retired.stream().filter(ServicePool::over).toList();
-    retired.removeAll(over);
-    over.forEach(ServicePool::close);
-    sweeping = !retired.isEmpty();
-    if (sweeping) {
-      loop.schedule(this::sweepRetired, RETIRED_MILLIS, TimeUnit.MILLISECONDS);
+    List<ServicePool> finished = retired.stream().filter(ServicePool::finished).toList();
+    retired.removeAll(finished);
+    finished.forEach(ServicePool::close);
+    sweepScheduled = !retired.isEmpty();
+    if (sweepScheduled) {
+      loop.schedule(this::sweepRetired, RETIRED_POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  // The router
+  // Routing
 
   @Override
   public RequestHandle route(Facts head) throws Bad {
@@ -493,11 +493,11 @@
     return new Admission(this, taken.route(), pool, home != null, clock.now());
   }
 
-  /** The pool that may have run a request of the same idempotency key, or null. */
+  /** Returns the pool that may have run a request with the same idempotency key, or null. */
   private ServicePool home(Facts head) throws Bad {
-    boolean none =
+    boolean noKeys =
         keyAffinity.size() == 0 && (journal == null || journal.memory().size() == 0);
-    String key = none ? null : head.header(ClientRequest.IDEMPOTENCY_KEY);
+    String key = noKeys ? null : head.header(ClientRequest.IDEMPOTENCY_KEY);
     String home = key == null ? null : keyAffinity.poolOf(key, clock.now());
     if (home == null && key != null && journal != null) {
       home = journal.memory().homeOf(KeyMemory.nameOf(Effect.KEYED, "", key), clock.now());
@@ -515,7 +515,7 @@
         return pool;
       }
     }
-    // Failed, not refused: it may have run where nothing is asked any more.
+    // Failed, not refused: the request may have run in a pool that no longer exists.
     throw new Bad(502, "the pool that may have run this key is gone");
   }
 
@@ -525,7 +525,7 @@
     return second == null ? first : second;
   }
 
-  /** What a request is about, so that it finds the same pool again: its session, else what makes a repeat of it. */
+  /** Returns the key that keeps related requests in one pool: the session key, else the idempotency key, else the id. */
   private static String splitKey(Route route, Facts head) {
     if (route.split().parts().size() == 1) {
       return "";
@@ -536,13 +536,13 @@
     return key == null ? "" : key;
   }
 
-  /** The route's second pool, if it has an upstream that is ready; else null. */
+  /** Returns the route's fallback pool if it has a ready upstream; else null. */
   ServicePool fallbackOf(Route route, ServicePool first) {
     ServicePool second = route.fallback() == null ? null : pools.get(route.fallback());
     return second == null || second == first || second.core().ready() == 0 ? null : second;
   }
 
-  // What admissions ask for
+  // Used by Admission
 
   Clock clock() {
     return clock;
@@ -552,7 +552,7 @@
     return clock.now();
   }
 
-  /** An id is open once in the whole process; false where it is already. */
+  /** Marks an id as open, which must be unique in the process; false if it is open already. */
   boolean open(String id) {
     return ids.add(id);
   }
@@ -566,8 +566,8 @@
     return pool.residenceTime().retryAfter(limits.retryAfter(), limits.maxRetryAfterNanos());
   }
 
-  /** Notes where a keyed request may run from now on. */
-  void noteHome(ClientRequest request, ServicePool pool) {
+  /** Records the pool where a keyed request may run. */
+  void recordHome(ClientRequest request, ServicePool pool) {
     keyAffinity.taken(
         request.idempotencyKey(),
         pool.home(),
@@ -579,28 +579,28 @@
     keyAffinity.neverRan(request.idempotencyKey());
   }
 
-  /** Lines work up for a pool's turn; false where too much waits. */
+  /** Queues work for a pool; false if its queue is full. */
   boolean offer(ServicePool pool, Runnable work) {
-    if (!pool.turn.offer(work)) {
+    if (!pool.queue.offer(work)) {
       return false;
     }
-    if (!turning) {
-      turning = true;
-      loop.execute(this::turn);
+    if (!queueScheduled) {
+      queueScheduled = true;
+      loop.execute(this::runQueue);
     }
     return true;
   }
 
-  /** By a timer, not a task: tasks are run one after the other, and the sockets would not be read between them. */
-  private void turn() {
+  /** Runs queued work. Rescheduled by a timer, not as a task: tasks run back to back, without reading sockets in between. */
+  private void runQueue() {
     fairQueue.run(QUANTUM_NANOS, clock::now);
-    turning = !fairQueue.idle();
-    if (turning) {
-      loop.schedule(this::turn, 1, TimeUnit.NANOSECONDS);
+    queueScheduled = !fairQueue.idle();
+    if (queueScheduled) {
+      loop.schedule(this::runQueue, 1, TimeUnit.NANOSECONDS);
     }
   }
 
-  // The end
+  // Stop
 
   @Override
   public void endBy(long nanos) {
@@ -619,7 +619,7 @@
     return all;
   }
 
-  /** The names in use, for the log. */
+  /** Returns the names of the pools and the number of routes, for the log. */
   String summary() {
     return new TreeSet<>(pools.keySet()) + " by " + table.routes().size() + " routes";
   }
--- a/src/main/java/pumicekeel/node/OnePool.java
+++ b/src/main/java/pumicekeel/node/SinglePool.java
@@ -13,30 +13,34 @@
 import pumicekeel.runtime.Reactor;
 import pumicekeel.upstream.http.ConnectionPool;
 
-/** A node without an operator file: one module, one list, one pool of connections. */
-final class OnePool implements Serving, UpstreamSource.Follower {
+/** The pool of a node without an operator file: one module, one list, one connection pool. */
+final class SinglePool implements NodePools, UpstreamSource.Follower {
 
   private final ConnectionPool connections;
   private final BalancerCore core;
   private final UpstreamSource source;
   private final RequestRouter router;
 
-  OnePool(Configuration configuration, Reactor on, LoopLag lag, Consumer<RuntimeException> defect) {
+  SinglePool(
+      Configuration configuration,
+      Reactor reactor,
+      LoopLag lag,
+      Consumer<RuntimeException> defect) {
     var settings = configuration.settings();
     connections = new ConnectionPool(
-        on,
+        reactor,
         settings.limits().connectTimeoutNanos(),
         settings.limits().connectionIdleNanos(),
-        Rooms.upstreamSockets(configuration));
+        ProcessCapacity.upstreamSockets(configuration));
     core = new BalancerCore(
         settings,
         new AdaptiveBalancer(settings, configuration.seed()),
-        on,
+        reactor,
         lag,
         connections,
         defect);
     source = UpstreamSource.watched(
-        on,
+        reactor,
         configuration.discovery(),
         configuration.known(),
         WatchTerms.of(settings),
@@ -53,7 +57,7 @@
 
   @Override
   public void start() {
-    core.start(source.follow(this), on -> source.watch(this, on));
+    core.start(source.follow(this), active -> source.watch(this, active));
   }
 
   @Override
@@ -66,7 +70,7 @@
     return source;
   }
 
-  /** One pool takes whatever settings are good in themselves. */
+  /** A single pool accepts any settings that are valid in themselves. */
   @Override
   public void check(Configuration next) {
     // Nothing to add.
--- a/src/main/java/pumicekeel/node/WarmUp.java
+++ b/src/main/java/pumicekeel/node/WarmUp.java
@@ -32,19 +32,19 @@
 import pumicekeel.upstream.http.ConnectionPool;
 
 /**
- * Guards the first clients from a cold JVM: before the balancer says that it is up, made-up requests run through all
- * of its code, with a module and a pool of their own, to a path of the balancer's own that nobody else knows.
+ * Protects the first clients from a cold JVM: before the balancer reports ready, synthetic requests run through its whole
+ * request path, with their own module and connection pool, to a path on the balancer itself that nobody else knows.
  */
 public final class WarmUp {
 
   private static final int REQUESTS = 300;
-  private static final int AT_ONCE = 8;
+  private static final int CONCURRENCY = 8;
   private static final int UPSTREAMS = 3;
-  private static final int KEYS = 50;
-  /** A restarted balancer is missed while it warms up, and half a core is all that it may have. */
-  private static final long LONGEST_NANOS = 1_200_000_000L;
+  private static final int SESSION_KEYS = 50;
+  /** Bounds the warm-up: a restarted balancer is out of service meanwhile, and may have only half a core. */
+  private static final long MAX_DURATION_NANOS = 1_200_000_000L;
 
-  private static final long SECOND = 1_000_000_000L;
+  private static final long SECOND_NANOS = 1_000_000_000L;
 
   private final EventLoop loop;
   private final String path;
@@ -58,54 +58,63 @@
   private final List<EmbeddedChannel> clients = new ArrayList<>();
   private int sent;
 
-  /** Runs on the loop and calls {@code done} there, after so many requests or so long. */
+  /** Runs on the event loop and calls {@code done} there, after a fixed number of requests or the maximum duration. */
   public static void run(
-      Reactor on,
+      Reactor reactor,
       LoopLag lag,
       InetSocketAddress self,
       String path,
       Settings settings,
       Runnable done) {
-    new WarmUp(on, lag, path, settings, done).start(self);
+    new WarmUp(reactor, lag, path, settings, done).start(self);
   }
 
-  /** A path that no client can guess: only this process's warm-up is answered without having asked for a class. */
+  /** Returns a path that no client can guess: only the warm-up's requests are answered without a class. */
   public static String newPath() {
     return "/" + UUID.randomUUID();
   }
 
-  private WarmUp(Reactor on, LoopLag lag, String path, Settings real, Runnable done) {
-    loop = on.loop();
-    clock = on.clock();
-    endAt = clock.now() + LONGEST_NANOS;
+  private WarmUp(Reactor reactor, LoopLag lag, String path, Settings served, Runnable done) {
+    loop = reactor.loop();
+    clock = reactor.clock();
+    endAt = clock.now() + MAX_DURATION_NANOS;
     this.path = path;
     this.done = done;
     RequestClass type = new RequestClass(
-        path.substring(1), Effect.SAFE, DedupScope.ALL, SECOND, SECOND, 0, 2 * SECOND, 1, 0, false);
+        path.substring(1),
+        Effect.SAFE,
+        DedupScope.ALL,
+        SECOND_NANOS,
+        SECOND_NANOS,
+        0,
+        2 * SECOND_NANOS,
+        1,
+        0,
+        false);
     Settings settings = new Settings(
         0,
         1,
-        real.zone(),
+        served.zone(),
         List.of(type),
-        real.tenants(),
-        real.limits(),
-        real.contract(),
-        real.prices(),
+        served.tenants(),
+        served.limits(),
+        served.contract(),
+        served.prices(),
         false,
-        real.weightKind(),
-        real.overShareWorth(),
-        real.warmKeys(),
-        real.tickNanos());
-    pool = new ConnectionPool(on, SECOND, SECOND, AT_ONCE);
+        served.weightKind(),
+        served.overShareWorth(),
+        served.warmKeys(),
+        served.tickNanos());
+    pool = new ConnectionPool(reactor, SECOND_NANOS, SECOND_NANOS, CONCURRENCY);
     core = new BalancerCore(
         settings,
         new AdaptiveBalancer(settings, 0),
-        on,
+        reactor,
         lag,
         pool,
         e -> Log.line("defect of the module while warming up: " + e));
-    side = new ClientSide(on, lag, "warm-up", new SinglePoolRouter(core), AT_ONCE, null);
-    tenants = real.tenants();
+    side = new ClientSide(reactor, lag, "warm-up", new SinglePoolRouter(core), CONCURRENCY, null);
+    tenants = served.tenants();
   }
 
   private void start(InetSocketAddress self) {
@@ -113,8 +122,8 @@
     for (int i = 0; i < UPSTREAMS; i++) {
       hosts.add(new HostList.Host(self, new Listed(i, "", 0, State.READY, 0, 1)));
     }
-    core.start(new HostList(0, true, hosts), on -> {});
-    for (int i = 0; i < AT_ONCE; i++) {
+    core.start(new HostList(0, true, hosts), active -> {});
+    for (int i = 0; i < CONCURRENCY; i++) {
       ClientHandler handler = new ClientHandler(side);
       clients.add(new EmbeddedChannel(
           new RequestDecoder(handler::accepts), new HttpResponseEncoder(), handler));
@@ -142,7 +151,8 @@
   private String request(int number) {
     return "GET " + path + " HTTP/1.1\r\nHost: warm-up\r\n" + ClientRequest.ID + ": warm-up-"
         + number
-        + "\r\nX-Service-Class: " + path.substring(1) + "\r\nX-Session-Key: " + number % KEYS
+        + "\r\nX-Service-Class: " + path.substring(1) + "\r\nX-Session-Key: "
+        + number % SESSION_KEYS
         + (tenants.isEmpty()
             ? ""
             : "\r\nX-Account: " + tenants.get(number % tenants.size()).name())
--- a/src/main/java/pumicekeel/operation/Rotation.java
+++ b/src/main/java/pumicekeel/operation/Rotation.java
@@ -3,81 +3,83 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether a balancer takes clients, as its operators and its own life decide, and how far it is with sending them away.
- * No I/O: the time is given, in nanoseconds of any monotonic clock. Its steps follow the front: it sees a no within 0.1 s
- * and brings new connections for 0.2 s more; 2 s after the call every request that comes is one too late, and at 4 s no
- * connection may be idle or hold such a one.
+ * Whether a balancer accepts clients, as decided by its operators and by its start and stop, and how far an evacuation has progressed.
+ * No I/O: the time is a parameter, in nanoseconds of any monotonic clock. The steps of an evacuation follow the front: it notices within
+ * 0.1 s that the instance is out of rotation and forwards new connections for another 0.2 s. From 2 s after the call any further request
+ * is a violation, and at 4 s no connection may be idle or serve such a request.
  */
 public final class Rotation {
 
-  /** What is done with clients that are here. */
+  /** How the connected clients are treated. */
   public enum Step {
-    /** All are served. */
-    TAKING,
-    /** The front is told no; all that come are served as ever. */
-    TOLD,
-    /** Each answer is its connection's last. */
-    LAST_ANSWERS,
-    /** Connections that ask nothing are closed, too. */
-    CLOSING,
-    /** Nothing is taken: what has not come whole is ended, and what comes anew is closed. */
-    AWAY
+    /** In rotation: all clients are served. */
+    IN_ROTATION,
+    /** The front is told NO; all requests that arrive are still served. */
+    NOTIFYING_FRONT,
+    /** Each connection is closed after its next response. */
+    FINAL_RESPONSES,
+    /** Connections without a request are closed as well. */
+    CLOSING_IDLE,
+    /** Nothing is accepted: partly received requests are ended and new connections are closed. */
+    CLOSING_ALL
   }
 
-  /** The front's look, its 0.2 s and a loop that is behind: before that a client could lose its only connection. */
-  static final long LAST_ANSWERS_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
-  /** Most connections have had an answer, and so their end, by then. */
-  static final long CLOSING_NANOS = TimeUnit.MILLISECONDS.toNanos(1_400);
-  /** Before 2 s, with room for a loop that is behind. */
-  static final long AWAY_NANOS = TimeUnit.MILLISECONDS.toNanos(1_800);
+  /** The front's poll, its 0.2 s and a delayed loop: any earlier, a client could lose its only connection. */
+  static final long FINAL_RESPONSES_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
+  /** By then most connections have had a response and were closed with it. */
+  static final long CLOSING_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_400);
+  /** Before the limit of 2 s, with a margin for a delayed loop. */
+  static final long CLOSING_ALL_NANOS = TimeUnit.MILLISECONDS.toNanos(1_800);
 
-  private boolean serving;
+  private boolean started;
   private boolean stopping;
-  private boolean away;
-  private long awaySince;
+  private boolean evacuated;
+  private long evacuatedAt;
 
-  /** The process takes clients from now on. */
+  /** The process accepts clients from now on. */
   public void started() {
-    serving = true;
+    started = true;
   }
 
-  /** The process is told to end; there is no way back. */
+  /** The process was told to stop; this cannot be undone. */
   public void stopping() {
     stopping = true;
   }
 
-  /** Sends clients away; the first call counts, further ones change nothing. */
+  /** Takes the instance out of rotation; the first call sets the time, further calls change nothing. */
   public void evacuate(long now) {
-    if (!away) {
-      away = true;
-      awaySince = now;
+    if (!evacuated) {
+      evacuated = true;
+      evacuatedAt = now;
     }
   }
 
-  /** Takes clients again; false in a process that ends. */
+  /** Puts the instance back into rotation; false in a process that is stopping. */
   public boolean activate() {
-    away = away && stopping;
+    evacuated = evacuated && stopping;
     return !stopping;
   }
 
   /** Whether the front may send clients here. */
-  public boolean takes() {
-    return serving && !away && !stopping;
+  public boolean acceptsClients() {
+    return started && !evacuated && !stopping;
   }
 
-  /** Why it takes none, in a word; only where it does not. */
+  /** Why no clients are accepted, in one word; valid only while they are not. */
   public String reason() {
-    return stopping ? "stopping" : away ? "evacuated" : "starting";
+    return stopping ? "stopping" : evacuated ? "evacuated" : "starting";
   }
 
-  /** What is due with the clients that are here. */
+  /** The step that is due for the connected clients. */
   public Step step(long now) {
-    long past = now - awaySince;
-    if (!away) {
-      return Step.TAKING;
+    long elapsed = now - evacuatedAt;
+    if (!evacuated) {
+      return Step.IN_ROTATION;
     }
-    return past < LAST_ANSWERS_NANOS
-        ? Step.TOLD
-        : past < CLOSING_NANOS ? Step.LAST_ANSWERS : past < AWAY_NANOS ? Step.CLOSING : Step.AWAY;
+    return elapsed < FINAL_RESPONSES_NANOS
+        ? Step.NOTIFYING_FRONT
+        : elapsed < CLOSING_IDLE_NANOS
+            ? Step.FINAL_RESPONSES
+            : elapsed < CLOSING_ALL_NANOS ? Step.CLOSING_IDLE : Step.CLOSING_ALL;
   }
 }
--- a/src/main/java/pumicekeel/operation/package-info.java
+++ b/src/main/java/pumicekeel/operation/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Operators' calls and the state that they change: whether the instance is in rotation, and the
- * progress of a drain.
+ * progress of an evacuation.
  *
  * <p>Threads: Event loop only; no I/O, the time is a parameter.
  *
--- a/src/test/java/pumicekeel/node/GenerationsTest.java
+++ b/src/test/java/pumicekeel/node/GenerationsTest.java
@@ -170,7 +170,7 @@
     java.util.List<TestClient> open = new java.util.ArrayList<>();
     try {
       IOException refused = null;
-      for (int i = 0; i <= Services.MOST_RETIRED && refused == null; i++) {
+      for (int i = 0; i <= Services.MAX_RETIRED && refused == null; i++) {
         TestClient client = new TestClient(t.address);
         open.add(client);
         int seen =
@@ -187,7 +187,7 @@
       assertTrue(
           refused != null && refused.getMessage().contains("still have requests open"),
           "" + refused);
-      assertTrue(retired() <= Services.MOST_RETIRED);
+      assertTrue(retired() <= Services.MAX_RETIRED);
       try (TestClient client = new TestClient(t.address)) {
         assertEquals(
             "ok",
--- a/src/test/java/pumicekeel/node/JournalTroubleTest.java
+++ b/src/test/java/pumicekeel/node/JournalTroubleTest.java
@@ -23,7 +23,7 @@
     t.start("[sources.s]\nstatic = " + t.list("q")
         + "\n[pools.p]\nsource = \"s\"\n[[routes]]\npool = \"p\"\n");
     journal = new FaultyJournal(t.node.loop(), refuses);
-    JournalLog log = new JournalLog(
+    AttemptJournal log = new AttemptJournal(
         t.node.loop(),
         t.node.services().clock(),
         journal.writer,
@@ -116,7 +116,7 @@
     t.start("[sources.s]\nstatic = " + t.list("q0", "q1")
         + "\n[pools.p]\nsource = \"s\"\n[[routes]]\npool = \"p\"\n");
     journal = new FaultyJournal(t.node.loop(), true);
-    JournalLog log = new JournalLog(
+    AttemptJournal log = new AttemptJournal(
         t.node.loop(),
         t.node.services().clock(),
         journal.writer,
--- a/src/test/java/pumicekeel/operation/RotationTest.java
+++ b/src/test/java/pumicekeel/operation/RotationTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import pumicekeel.operation.Rotation.Step;
 
-/** When clients are taken and how they are sent away, in virtual time. */
+/** When an instance accepts clients and the steps of an evacuation, in virtual time. */
 class RotationTest {
 
   private static final long START = Long.MAX_VALUE - 1_000_000_000L;
@@ -16,55 +16,56 @@
   private final Rotation rotation = new Rotation();
 
   @Test
-  void stepsFollowTheFrontAndAreOverBeforeTwoSecondsWhateverTheClockReads() {
+  void evacuationStepsFollowTheFrontAndEndWithinTwoSecondsAcrossClockOverflow() {
     rotation.started();
-    assertEquals(Step.TAKING, rotation.step(START));
+    assertEquals(Step.IN_ROTATION, rotation.step(START));
     rotation.evacuate(START);
-    assertFalse(rotation.takes());
-    assertEquals(Step.TOLD, rotation.step(START + 399 * MS));
-    assertEquals(Step.LAST_ANSWERS, rotation.step(START + 400 * MS));
-    assertEquals(Step.CLOSING, rotation.step(START + 1_400 * MS), "past the clock's own end");
-    assertEquals(Step.AWAY, rotation.step(START + 1_800 * MS));
-    assertEquals(Step.AWAY, rotation.step(START + 3_600_000 * MS));
+    assertFalse(rotation.acceptsClients());
+    assertEquals(Step.NOTIFYING_FRONT, rotation.step(START + 399 * MS));
+    assertEquals(Step.FINAL_RESPONSES, rotation.step(START + 400 * MS));
+    assertEquals(
+        Step.CLOSING_IDLE, rotation.step(START + 1_400 * MS), "after the clock has overflowed");
+    assertEquals(Step.CLOSING_ALL, rotation.step(START + 1_800 * MS));
+    assertEquals(Step.CLOSING_ALL, rotation.step(START + 3_600_000 * MS));
   }
 
   @Test
-  void secondCallChangesNothingAndActivateBeginsAnew() {
+  void repeatedEvacuateChangesNothingAndActivateResetsIt() {
     rotation.started();
     rotation.evacuate(START);
     rotation.evacuate(START + 1_700 * MS);
-    assertEquals(Step.AWAY, rotation.step(START + 1_800 * MS));
+    assertEquals(Step.CLOSING_ALL, rotation.step(START + 1_800 * MS));
     assertTrue(rotation.activate());
-    assertTrue(rotation.takes());
-    assertEquals(Step.TAKING, rotation.step(START + 1_801 * MS));
+    assertTrue(rotation.acceptsClients());
+    assertEquals(Step.IN_ROTATION, rotation.step(START + 1_801 * MS));
     rotation.evacuate(START + 2_000 * MS);
-    assertEquals(Step.TOLD, rotation.step(START + 2_001 * MS));
+    assertEquals(Step.NOTIFYING_FRONT, rotation.step(START + 2_001 * MS));
   }
 
   @Test
-  void onesThatStartOrStopTakeNobodyAndAStopHasNoWayBack() {
-    assertFalse(rotation.takes());
+  void noClientsAreAcceptedWhileStartingOrStoppingAndAStopIsFinal() {
+    assertFalse(rotation.acceptsClients());
     assertEquals("starting", rotation.reason());
     rotation.evacuate(START);
     rotation.started();
-    assertFalse(rotation.takes(), "sent away before it was ready");
+    assertFalse(rotation.acceptsClients(), "evacuated before it was ready");
     rotation.stopping();
     assertFalse(rotation.activate());
-    assertFalse(rotation.takes());
+    assertFalse(rotation.acceptsClients());
     assertEquals("stopping", rotation.reason());
   }
 
   @Test
-  void callsAreWordsAndAnythingElseIsNoAndChangesNothing() {
+  void anyLineOtherThanACallIsAnsweredNoAndChangesNothing() {
     AtomicInteger changes = new AtomicInteger();
     OperatorCalls calls =
         new OperatorCalls(rotation, changes::incrementAndGet, () -> null, () -> "", () -> null);
     assertTrue(calls.answer("readyz", START).startsWith("NO"));
     rotation.started();
     assertTrue(calls.answer(" readyz\r", START).startsWith("YES"));
-    for (String noCall :
+    for (String unknown :
         new String[] {"", "ready", "READYZ", "evacuate now", "\u0000", "readyzevacuate"}) {
-      assertTrue(calls.answer(noCall, START).startsWith("NO"), noCall);
+      assertTrue(calls.answer(unknown, START).startsWith("NO"), unknown);
     }
     assertEquals(0, changes.get());
     assertTrue(calls.answer("evacuate", START).startsWith("YES"));
