--- a/src/main/java/pumicekeel/cli/CheckCommand.java
+++ b/src/main/java/pumicekeel/cli/CheckCommand.java
@@ -41,7 +41,7 @@
     Operator operator;
     try {
       operator = OperatorLoader.load(file);
-    } catch (OperatorLoader.Faulty e) {
+    } catch (OperatorLoader.InvalidFileException e) {
       e.lines().forEach(err::println);
       return 2;
     }
--- a/src/main/java/pumicekeel/cli/ConfigFile.java
+++ b/src/main/java/pumicekeel/cli/ConfigFile.java
@@ -16,7 +16,7 @@
     String text;
     try {
       text = OperatorFile.read(file);
-    } catch (OperatorFile.Unreadable e) {
+    } catch (OperatorFile.UnreadableFileException e) {
       err.println(file + ":1: file: " + e.getMessage());
       return null;
     }
--- a/src/main/java/pumicekeel/cli/FleetCommand.java
+++ b/src/main/java/pumicekeel/cli/FleetCommand.java
@@ -142,7 +142,7 @@
       }
       daemon = new Daemon(settings, Log::line);
       daemon.start();
-    } catch (OperatorLoader.Faulty e) {
+    } catch (OperatorLoader.InvalidFileException e) {
       e.lines().forEach(l -> spec.commandLine().getErr().println(l));
       return 2;
     } catch (IOException e) {
--- a/src/main/java/pumicekeel/cli/RoutesCommand.java
+++ b/src/main/java/pumicekeel/cli/RoutesCommand.java
@@ -86,7 +86,7 @@
     Operator operator;
     try {
       operator = OperatorLoader.load(file);
-    } catch (OperatorLoader.Faulty e) {
+    } catch (OperatorLoader.InvalidFileException e) {
       e.lines().forEach(spec.commandLine().getErr()::println);
       return 2;
     }
--- a/src/main/java/pumicekeel/config/Configuration.java
+++ b/src/main/java/pumicekeel/config/Configuration.java
@@ -35,7 +35,7 @@
     Map<?, ?> read) {
 
   /** An operators' door at a path of the file system, which only those reach who may enter there. */
-  public static final String PATH = "unix:";
+  public static final String UNIX_PREFIX = "unix:";
 
   /** One of which nothing is known of others. */
   public Configuration(
@@ -58,13 +58,14 @@
     Fields f = Fields.parse("configuration", Files.readString(Path.of(file)));
     Fields known = f.nested("known");
     return new Configuration(
-        variable(environment, "PROXY_NAME", f, "name"),
-        Addresses.parse("listen", variable(environment, "PROXY_LISTEN", f, "listen")),
-        Addresses.parse("discovery", variable(environment, "PROXY_DISCOVERY", f, "discovery")),
+        variableOrField(environment, "PROXY_NAME", f, "name"),
+        Addresses.parse("listen", variableOrField(environment, "PROXY_LISTEN", f, "listen")),
+        Addresses.parse(
+            "discovery", variableOrField(environment, "PROXY_DISCOVERY", f, "discovery")),
         seed(f.text("seed")),
         (int) f.nested("limits").integer("sockets", 1024),
         known.has("endpoints") ? HostList.of(known) : new HostList(0, true, java.util.List.of()),
-        member(environment.get("PROXY_GROUP"), Decoder.settings(f.nested("settings"))),
+        withGroup(environment.get("PROXY_GROUP"), Decoder.settings(f.nested("settings"))),
         !environment.getOrDefault("PROXY_GROUP", "").isEmpty(),
         admin(environment, f),
         inherited(environment.getOrDefault("PROXY_SOCKET_FD", "")),
@@ -74,8 +75,8 @@
   private static SocketAddress admin(Map<String, String> environment, Fields f) {
     String variable = environment.getOrDefault("PROXY_ADMIN", "");
     String value = variable.isEmpty() ? f.text("admin", "") : variable;
-    if (value.startsWith(PATH)) {
-      return UnixDomainSocketAddress.of(value.substring(PATH.length()));
+    if (value.startsWith(UNIX_PREFIX)) {
+      return UnixDomainSocketAddress.of(value.substring(UNIX_PREFIX.length()));
     }
     return value.isEmpty() ? null : Addresses.parse("admin", value);
   }
@@ -89,7 +90,7 @@
   }
 
   /** What a fleet's daemon says, as {@code NUMBER/SIZE}: one configuration serves all its instances. */
-  private static Settings member(String group, Settings s) {
+  private static Settings withGroup(String group, Settings s) {
     if (group == null || group.isEmpty()) {
       return s;
     }
@@ -125,14 +126,14 @@
         environment.getOrDefault("PROXY_CONFIG", ""),
         "PROXY_GROUP",
         environment.getOrDefault("PROXY_GROUP", "")));
-    String missing = Shape.missing(read, next.read);
+    String missing = RequiredKeys.firstMissing(read, next.read);
     if (missing != null) {
       throw new IllegalArgumentException(missing + ": expected a value, as before, got none");
     }
     return next;
   }
 
-  private static String variable(
+  private static String variableOrField(
       Map<String, String> environment, String variable, Fields f, String name) {
     String value = environment.get(variable);
     return value == null || value.isEmpty() ? f.text(name) : value;
--- a/src/main/java/pumicekeel/config/ControlSettings.java
+++ b/src/main/java/pumicekeel/config/ControlSettings.java
@@ -15,7 +15,7 @@
  */
 public record ControlSettings(List<InetSocketAddress> addresses, Path directory) {
 
-  private static final int MOST_ADDRESSES = 16;
+  private static final int MAX_ADDRESSES = 16;
 
   /** Reads the table, or gives null where there is none. */
   static ControlSettings read(Section s) {
@@ -23,21 +23,21 @@
       return null;
     }
     List<InetSocketAddress> addresses = new ArrayList<>();
-    List<String> texts = s.texts("addresses");
+    List<String> texts = s.textList("addresses");
     for (String text : texts == null ? List.<String>of() : texts) {
       try {
         addresses.add(Addresses.parse("addresses", text));
       } catch (IllegalArgumentException e) {
-        s.fault(
+        s.addFault(
             "addresses", "expected ADDRESS:PORT, without a name to look up, got \"" + text + "\"");
       }
     }
     String directory =
-        s.needed("directory", "the directory in which the last delivered versions are kept");
-    s.done();
+        s.requiredText("directory", "the directory in which the last delivered versions are kept");
+    s.reportUnknownKeys();
     int count = addresses.size();
-    if (count < 1 || count > MOST_ADDRESSES || Set.copyOf(addresses).size() != count) {
-      s.fault("addresses", "expected 1 to " + MOST_ADDRESSES + " control machines, each once");
+    if (count < 1 || count > MAX_ADDRESSES || Set.copyOf(addresses).size() != count) {
+      s.addFault("addresses", "expected 1 to " + MAX_ADDRESSES + " control machines, each once");
     }
     return new ControlSettings(addresses, directory == null ? null : Path.of(directory));
   }
--- a/src/main/java/pumicekeel/config/KeyLines.java
+++ b/src/main/java/pumicekeel/config/KeyLines.java
@@ -13,7 +13,7 @@
 final class KeyLines {
 
   /** A key that comes a second time: its path, its line and that of the first one. */
-  record Repeated(String path, int line, int firstLine) {}
+  record DuplicateKey(String path, int line, int firstLine) {}
 
   /** A value, with what it holds where it is a table or an array. */
   private static final class Entry {
@@ -30,15 +30,15 @@
     }
   }
 
-  private static final char END = '\0';
+  private static final char END_OF_TEXT = '\0';
 
   private final String text;
   private final Entry root = new Entry(1, 0);
   private int at;
   private int line = 1;
-  private boolean broken;
-  private int deepLine;
-  private Repeated repeated;
+  private boolean malformed;
+  private int tooDeepLine;
+  private DuplicateKey duplicate;
 
   private KeyLines(String text) {
     this.text = text;
@@ -63,13 +63,13 @@
   }
 
   /** The first line on which something is nested too deep; 1 where nothing is. */
-  int deepLine() {
-    return Math.max(1, deepLine);
+  int tooDeepLine() {
+    return Math.max(1, tooDeepLine);
   }
 
   /** The first key that comes a second time; null for none. */
-  Repeated repeated() {
-    return repeated;
+  DuplicateKey duplicateKey() {
+    return duplicate;
   }
 
   private Entry find(KeyPath path) {
@@ -91,7 +91,7 @@
   private void document() {
     Entry table = root;
     skipBlank();
-    while (!broken && at < text.length()) {
+    while (!malformed && at < text.length()) {
       if (peek() == '[') {
         table = header();
       } else {
@@ -104,9 +104,9 @@
   private Entry header() {
     int start = line;
     advance();
-    boolean array = taken('[');
+    boolean array = consume('[');
     List<String> parts = keyParts();
-    broken |= !taken(']') || array && !taken(']');
+    malformed |= !consume(']') || array && !consume(']');
     Entry outer = outerOf(root, parts);
     Entry entry = child(outer, parts.get(parts.size() - 1), start);
     if (array) {
@@ -119,8 +119,8 @@
   private void keyAndValue(Entry table) {
     int start = line;
     List<String> parts = keyParts();
-    broken |= !taken('=');
-    if (broken) {
+    malformed |= !consume('=');
+    if (malformed) {
       return;
     }
     Entry entry = child(outerOf(table, parts), parts.get(parts.size() - 1), start);
@@ -129,8 +129,8 @@
   }
 
   private void define(Entry entry, List<String> parts, int start) {
-    if (entry.defined && repeated == null) {
-      repeated = new Repeated(String.join(".", parts), start, entry.line);
+    if (entry.defined && duplicate == null) {
+      duplicate = new DuplicateKey(String.join(".", parts), start, entry.line);
     }
     entry.defined = true;
   }
@@ -158,10 +158,10 @@
   }
 
   private Entry entry(int start, int depth) {
-    if (depth > TomlDocument.MOST_NESTING && deepLine == 0) {
-      deepLine = start;
+    if (depth > TomlDocument.MAX_NESTING && tooDeepLine == 0) {
+      tooDeepLine = start;
       // Far enough: nothing that is nested deeper is ever asked for, and the stack is bounded.
-      broken = true;
+      malformed = true;
     }
     return new Entry(start, depth);
   }
@@ -172,7 +172,7 @@
       skipSpaces();
       parts.add(keyPart());
       skipSpaces();
-    } while (!broken && taken('.'));
+    } while (!malformed && consume('.'));
     return parts;
   }
 
@@ -185,7 +185,7 @@
     while (isBare(peek())) {
       at++;
     }
-    broken |= at == start;
+    malformed |= at == start;
     return text.substring(start, at);
   }
 
@@ -212,10 +212,10 @@
   private void array(Entry array) {
     advance();
     skipBlank();
-    while (!broken && !taken(']')) {
+    while (!malformed && !consume(']')) {
       value(element(array, line));
       skipBlank();
-      broken |= !taken(',') && peek() != ']';
+      malformed |= !consume(',') && peek() != ']';
       skipBlank();
     }
   }
@@ -223,10 +223,10 @@
   private void inlineTable(Entry table) {
     advance();
     skipBlank();
-    while (!broken && !taken('}')) {
+    while (!malformed && !consume('}')) {
       keyAndValue(table);
       skipBlank();
-      broken |= !taken(',') && peek() != '}';
+      malformed |= !consume(',') && peek() != '}';
       skipBlank();
     }
   }
@@ -243,12 +243,12 @@
     boolean multiLine = text.startsWith(String.valueOf(quote).repeat(3), at);
     int quotes = multiLine ? 3 : 1;
     at += quotes;
-    while (at < text.length() && !closes(quote, quotes)) {
+    while (at < text.length() && !closesText(quote, quotes)) {
       if (peek() == '\\' && quote == '"') {
         advance();
       }
       if (!multiLine && peek() == '\n') {
-        broken = true;
+        malformed = true;
         return;
       }
       advance();
@@ -260,7 +260,7 @@
     }
   }
 
-  private boolean closes(char quote, int quotes) {
+  private boolean closesText(char quote, int quotes) {
     for (int i = 0; i < quotes; i++) {
       if (at + i >= text.length() || text.charAt(at + i) != quote) {
         return false;
@@ -272,10 +272,10 @@
   // Characters
 
   private char peek() {
-    return at < text.length() ? text.charAt(at) : END;
+    return at < text.length() ? text.charAt(at) : END_OF_TEXT;
   }
 
-  private boolean taken(char c) {
+  private boolean consume(char c) {
     if (at < text.length() && text.charAt(at) == c) {
       at++;
       return true;
--- a/src/main/java/pumicekeel/config/Operator.java
+++ b/src/main/java/pumicekeel/config/Operator.java
@@ -63,16 +63,16 @@
       String name, InetSocketAddress address, Long maxConnections, CallSettings rpc) {}
 
   /** Where lists of upstreams come from. */
-  public sealed interface Source permits Platform, Watched, Fixed {}
+  public sealed interface Source permits PlatformSource, DiscoverySource, StaticSource {}
 
   /** The platform's discovery. */
-  public record Platform() implements Source {}
+  public record PlatformSource() implements Source {}
 
   /** Another discovery, of the same protocol. */
-  public record Watched(InetSocketAddress address) implements Source {}
+  public record DiscoverySource(InetSocketAddress address) implements Source {}
 
   /** The list that the file itself holds. */
-  public record Fixed(List<HostList.Host> hosts) implements Source {}
+  public record StaticSource(List<HostList.Host> hosts) implements Source {}
 
   /** Which upstreams of the source are the pool's; an empty list asks nothing. A name may end in {@code *}. */
   public record Select(
@@ -80,7 +80,7 @@
 
     public static final Select ALL = new Select(List.of(), List.of(), List.of(), List.of());
 
-    public boolean takes(HostList.Host host) {
+    public boolean matches(HostList.Host host) {
       return (names.isEmpty()
               || names.stream()
                   .anyMatch(n -> n.endsWith("*")
@@ -93,21 +93,21 @@
   }
 
   /** What is kept for a pool whatever the others do, and the most that it may have; null for the default. */
-  public record Room(Long guaranteed, Long most) {}
+  public record Capacity(Long guaranteed, Long max) {}
 
   /** What a pool's module is told otherwise than the platform says; null where the platform's word holds. */
   public record Overrides(
       List<RequestClass> classes, List<Tenant> tenants, LimitsPart limits, ContractPart contract) {
 
-    public Settings over(Settings base) {
+    public Settings applyTo(Settings base) {
       return new Settings(
           base.me(),
           base.groupSize(),
           base.zone(),
           classes == null ? base.classes() : classes,
           tenants == null ? base.tenants() : tenants,
-          limits.over(base.limits()),
-          contract.over(base.contract()),
+          limits.applyTo(base.limits()),
+          contract.applyTo(base.contract()),
           base.prices(),
           base.listOnRequest(),
           base.weightKind(),
@@ -127,7 +127,7 @@
       Long connectTimeoutNanos,
       Long connectionIdleNanos) {
 
-    Limits over(Limits base) {
+    Limits applyTo(Limits base) {
       return new Limits(
           base.cancel(),
           base.probes(),
@@ -151,7 +151,7 @@
       Double fallMultiple,
       Long fallWindowNanos) {
 
-    Contract over(Contract base) {
+    Contract applyTo(Contract base) {
       return new Contract(
           base.answerSlackNanos(),
           base.askWithinNanos(),
@@ -179,18 +179,18 @@
       String name,
       String source,
       Select select,
-      Room open,
-      Room sockets,
-      Room body,
+      Capacity open,
+      Capacity sockets,
+      Capacity body,
       int connectionsPerUpstream,
-      Recorded journal,
+      JournalSelection journal,
       Overrides overrides,
       ServerSettings rpc) {}
 
   /** Which keyed and unsafe classes of a pool go on record: all but those that are off, or only those named. */
-  public record Recorded(boolean on, List<String> only) {
+  public record JournalSelection(boolean on, List<String> only) {
 
-    public static final Recorded ALL = new Recorded(true, List.of());
+    public static final JournalSelection ALL = new JournalSelection(true, List.of());
 
     public boolean covers(RequestClass type) {
       return on && type.effect() != Effect.SAFE && (only.isEmpty() || only.contains(type.name()));
--- a/src/main/java/pumicekeel/config/OperatorFile.java
+++ b/src/main/java/pumicekeel/config/OperatorFile.java
@@ -20,17 +20,17 @@
 public final class OperatorFile {
 
   /** The largest known configuration takes 3.5 MB; reading a file takes some ten times its size of heap for a moment. */
-  public static final int MOST_BYTES = 16 << 20;
+  public static final int MAX_BYTES = 16 << 20;
   /** Heap at the height of a reading, by the byte of the file: its bytes, its text, the library's tree and the plain one. */
-  private static final int HEAP_PER_BYTE = 14;
+  private static final int HEAP_BYTES_PER_FILE_BYTE = 14;
   /** Readings of a file that goes on changing. */
-  private static final int TRIES = 3;
+  private static final int MAX_READS = 3;
 
   /** A file that can't be read; the message says why, in words for the operator. */
-  public static final class Unreadable extends IOException {
+  public static final class UnreadableFileException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    Unreadable(String why) {
+    UnreadableFileException(String why) {
       super(why);
     }
   }
@@ -38,38 +38,40 @@
   private OperatorFile() {}
 
   /** The file's text; blocks, so it is not for the loop. */
-  public static String read(Path file) throws Unreadable {
+  public static String read(Path file) throws UnreadableFileException {
     try {
-      for (int i = 0; i < TRIES; i++) {
+      for (int i = 0; i < MAX_READS; i++) {
         String text = readOnce(file);
         if (text != null) {
           return text;
         }
       }
-    } catch (Unreadable e) {
+    } catch (UnreadableFileException e) {
       throw e;
     } catch (NoSuchFileException e) {
-      throw new Unreadable("expected a file, found none");
+      throw new UnreadableFileException("expected a file, found none");
     } catch (AccessDeniedException e) {
-      throw new Unreadable("expected a file that may be read, permission denied");
+      throw new UnreadableFileException("expected a file that may be read, permission denied");
     } catch (CharacterCodingException e) {
-      throw new Unreadable("expected UTF-8");
+      throw new UnreadableFileException("expected UTF-8");
     } catch (IOException e) {
-      throw new Unreadable("expected a file that can be read: " + e.getMessage());
+      throw new UnreadableFileException("expected a file that can be read: " + e.getMessage());
     }
-    throw new Unreadable("expected a file that stays as it is, it changed while it was read");
+    throw new UnreadableFileException(
+        "expected a file that stays as it is, it changed while it was read");
   }
 
   private static String readOnce(Path file) throws IOException {
     BasicFileAttributes before = Files.readAttributes(file, BasicFileAttributes.class);
     if (!before.isRegularFile()) {
-      throw new Unreadable(
+      throw new UnreadableFileException(
           "expected a regular file, found " + (before.isDirectory() ? "a directory" : "none"));
     }
-    ByteBuffer bytes = ByteBuffer.allocate((int) Math.min(MOST_BYTES, before.size()) + 1);
+    ByteBuffer bytes = ByteBuffer.allocate((int) Math.min(MAX_BYTES, before.size()) + 1);
     try (SeekableByteChannel channel = Files.newByteChannel(file)) {
-      if (channel.size() > MOST_BYTES) {
-        throw new Unreadable("expected at most " + MOST_BYTES + " bytes, got " + channel.size());
+      if (channel.size() > MAX_BYTES) {
+        throw new UnreadableFileException(
+            "expected at most " + MAX_BYTES + " bytes, got " + channel.size());
       }
       checkHeap(channel.size(), Runtime.getRuntime().maxMemory());
       while (bytes.hasRemaining() && channel.read(bytes) >= 0) {
@@ -85,11 +87,11 @@
   }
 
   /** Refuses a file that would end the process for want of memory while it is read. */
-  static void checkHeap(long fileBytes, long heapBytes) throws Unreadable {
-    long needed = fileBytes * HEAP_PER_BYTE;
+  static void checkHeap(long fileBytes, long heapBytes) throws UnreadableFileException {
+    long needed = fileBytes * HEAP_BYTES_PER_FILE_BYTE;
     if (needed > heapBytes) {
       // Rounded apart, so that the two never read as the same.
-      throw new Unreadable("expected a heap (-Xmx) of at least " + ((needed >> 20) + 1)
+      throw new UnreadableFileException("expected a heap (-Xmx) of at least " + ((needed >> 20) + 1)
           + " MiB to read a file of this size, got " + (heapBytes >> 20));
     }
   }
@@ -102,11 +104,11 @@
         .decode(bytes)
         .toString();
     if (!text.isBlank() && !text.endsWith("\n")) {
-      throw new Unreadable(
+      throw new UnreadableFileException(
           "expected an end of line behind the last line, the file may be cut short");
     }
     if (text.isBlank()) {
-      throw new Unreadable("expected settings, the file is empty");
+      throw new UnreadableFileException("expected settings, the file is empty");
     }
     return text;
   }
--- a/src/main/java/pumicekeel/config/OperatorLoader.java
+++ b/src/main/java/pumicekeel/config/OperatorLoader.java
@@ -8,11 +8,11 @@
 public final class OperatorLoader {
 
   /** A file that is no good; nothing of it counts. */
-  public static final class Faulty extends IOException {
+  public static final class InvalidFileException extends IOException {
     private static final long serialVersionUID = 1L;
     private final transient List<String> lines;
 
-    Faulty(List<String> lines) {
+    InvalidFileException(List<String> lines) {
       super(lines.get(0) + (lines.size() > 1 ? " (and " + (lines.size() - 1) + " more)" : ""));
       this.lines = lines;
     }
@@ -25,15 +25,17 @@
 
   private OperatorLoader() {}
 
-  public static Operator load(Path file) throws Faulty {
+  public static Operator load(Path file) throws InvalidFileException {
     OperatorReader.Result result;
     try {
       result = OperatorReader.read(OperatorFile.read(file));
-    } catch (OperatorFile.Unreadable e) {
-      throw new Faulty(List.of(new Fault(1, "file", e.getMessage()).in(file.toString())));
+    } catch (OperatorFile.UnreadableFileException e) {
+      throw new InvalidFileException(
+          List.of(new Fault(1, "file", e.getMessage()).in(file.toString())));
     }
     if (!result.faults().isEmpty()) {
-      throw new Faulty(result.faults().stream().map(f -> f.in(file.toString())).toList());
+      throw new InvalidFileException(
+          result.faults().stream().map(f -> f.in(file.toString())).toList());
     }
     return result.operator();
   }
--- a/src/main/java/pumicekeel/config/OperatorReader.java
+++ b/src/main/java/pumicekeel/config/OperatorReader.java
@@ -14,17 +14,17 @@
 import pumicekeel.Balancer.RequestClass;
 import pumicekeel.Balancer.State;
 import pumicekeel.Balancer.Tenant;
+import pumicekeel.config.Operator.Capacity;
 import pumicekeel.config.Operator.ContractPart;
-import pumicekeel.config.Operator.Fixed;
+import pumicekeel.config.Operator.DiscoverySource;
 import pumicekeel.config.Operator.LimitsPart;
 import pumicekeel.config.Operator.Listener;
 import pumicekeel.config.Operator.Overrides;
-import pumicekeel.config.Operator.Platform;
+import pumicekeel.config.Operator.PlatformSource;
 import pumicekeel.config.Operator.Pool;
-import pumicekeel.config.Operator.Room;
 import pumicekeel.config.Operator.Select;
 import pumicekeel.config.Operator.Source;
-import pumicekeel.config.Operator.Watched;
+import pumicekeel.config.Operator.StaticSource;
 import pumicekeel.discovery.HostList;
 import pumicekeel.front.jsonrpc.CallSettings;
 import pumicekeel.journal.Durability;
@@ -36,30 +36,30 @@
 public final class OperatorReader {
 
   /** Each pool has a module instance with its list and connections; twice the largest known configuration's 220. */
-  public static final int MOST_POOLS = 512;
+  public static final int MAX_POOLS = 512;
   /** Each is a socket of its own, and a part of the clients' room. */
-  public static final int MOST_LISTENERS = 32;
+  public static final int MAX_LISTENERS = 32;
   /** Each may be a watch on a discovery with a connection of its own; as many as pools, which have one each at most. */
-  public static final int MOST_SOURCES = MOST_POOLS;
+  public static final int MAX_SOURCES = MAX_POOLS;
   /** Twice the largest known configuration's 9,800; the index and the check of what they cover grow with their number. */
-  public static final int MOST_ROUTES = 20_000;
+  public static final int MAX_ROUTES = 20_000;
   /** Static upstreams of a source and, twice the largest known configuration's 5,500 and more, of all sources. */
-  private static final int MOST_FIXED = 10_000;
+  private static final int MAX_STATIC_UPSTREAMS = 10_000;
 
-  private static final int MOST_FIXED_IN_ALL = 20_000;
+  private static final int MAX_STATIC_UPSTREAMS_TOTAL = 20_000;
   /** Tenants of a pool, each with an entry in its module, and of all pools: twice the largest known 35,000. */
-  private static final int MOST_TENANTS = 10_000;
+  private static final int MAX_TENANTS = 10_000;
 
-  private static final int MOST_TENANTS_IN_ALL = 70_000;
+  private static final int MAX_TENANTS_TOTAL = 70_000;
   /** Names, zones, types or groups that a pool selects by: each upstream is held against each. */
-  private static final int MOST_SELECTED = 1_000;
+  private static final int MAX_SELECTOR_VALUES = 1_000;
   /** Names that a fault lists when none of them was meant. */
-  private static final int MOST_LISTED = 8;
+  private static final int MAX_LISTED_NAMES = 8;
 
-  private static final int MOST_CLASSES = 100;
-  private static final long MS = 1_000_000L;
-  private static final long MOST_MS = 3_600_000;
-  private static final long MOST_ROOM = 1_000_000;
+  private static final int MAX_CLASSES = 100;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final long MAX_MILLIS = 3_600_000;
+  private static final long MAX_CAPACITY = 1_000_000;
 
   private static final Map<String, Effect> EFFECTS =
       Map.of("safe", Effect.SAFE, "keyed", Effect.KEYED, "unsafe", Effect.UNSAFE);
@@ -93,19 +93,19 @@
     Map<String, Listener> listeners = listeners(root, new RpcReader(faults));
     Map<String, Pool> pools = pools(root, sources);
     if (pools.isEmpty()) {
-      root.fault("pools", "expected at least one pool, as [pools.NAME]");
+      root.addFault("pools", "expected at least one pool, as [pools.NAME]");
     }
     String defaultPool = root.text("default-pool", null);
     if (defaultPool != null && !pools.containsKey(defaultPool)) {
-      root.fault("default-pool", "expected a pool of this file, got \"" + defaultPool + "\"");
+      root.addFault("default-pool", "expected a pool of this file, got \"" + defaultPool + "\"");
     }
     List<Route> routes =
         new RouteReader(pools, listeners.keySet(), faults).routes(root, defaultPool);
     Operator.Journal journal = journal(root.table("journal"));
     Operator.Peers peers = peers(root.table("peers"));
     ControlSettings control = ControlSettings.read(root.table("control"));
-    root.done();
-    checkRoom(root, process, pools);
+    root.reportUnknownKeys();
+    checkGuarantees(root, process, pools);
     return new Operator(process, listeners, sources, pools, routes, journal, peers, control);
   }
 
@@ -117,11 +117,11 @@
     }
     Long kib = s.integer("body-memory-kib", 64, 16 << 20);
     Operator.Process process = new Operator.Process(
-        s.integer("client-sockets", 1, MOST_ROOM),
-        s.integer("upstream-sockets", 1, MOST_ROOM),
-        s.integer("open-requests", 1, MOST_ROOM),
+        s.integer("client-sockets", 1, MAX_CAPACITY),
+        s.integer("upstream-sockets", 1, MAX_CAPACITY),
+        s.integer("open-requests", 1, MAX_CAPACITY),
         kib == null ? null : kib << 10);
-    s.done();
+    s.reportUnknownKeys();
     return process;
   }
 
@@ -131,19 +131,19 @@
     }
     boolean lend = Boolean.TRUE.equals(s.bool("lend-quotas"));
     List<InetSocketAddress> out = new ArrayList<>();
-    for (String text : or(s.texts("addresses"), List.<String>of())) {
+    for (String text : or(s.textList("addresses"), List.<String>of())) {
       try {
         out.add(Addresses.parse("addresses", text));
       } catch (IllegalArgumentException e) {
-        s.fault(
+        s.addFault(
             "addresses", "expected ADDRESS:PORT, without a name to look up, got \"" + text + "\"");
       }
     }
-    s.done();
+    s.reportUnknownKeys();
     if (out.size() < 2
         || out.size() > Datagram.MAX_MEMBERS
         || Set.copyOf(out).size() != out.size()) {
-      s.fault(
+      s.addFault(
           "addresses",
           "expected 2 to " + Datagram.MAX_MEMBERS
               + " addresses, each once, in the order of the instances");
@@ -155,25 +155,26 @@
     if (s == null) {
       return null;
     }
-    String directory = s.needed("directory", "the folder that holds the journal");
+    String directory = s.requiredText("directory", "the folder that holds the journal");
     Durability durability =
-        s.word("durability", Map.of("process", Durability.PROCESS, "host", Durability.HOST));
-    Boolean refuse = s.word("in-trouble", Map.of("refuse", true, "send", false));
+        s.choice("durability", Map.of("process", Durability.PROCESS, "host", Durability.HOST));
+    Boolean refuse = s.choice("in-trouble", Map.of("refuse", true, "send", false));
     Long wait = s.integer("max-wait-ms", 1, 10_000);
     Long segment = s.integer("segment-mib", 1, 512);
     Long keep = s.integer("keep-mib", 2, 1 << 20);
     Long hours = s.integer("keep-hours", 1, 24 * 3_660);
-    s.done();
+    s.reportUnknownKeys();
     long segmentMib = segment == null ? 64 : segment;
     long keepMib = keep == null ? 1_024 : keep;
     if (keepMib < 2 * segmentMib) {
-      s.fault("keep-mib", "expected room for two segments, " + 2 * segmentMib + ", got " + keepMib);
+      s.addFault(
+          "keep-mib", "expected room for two segments, " + 2 * segmentMib + ", got " + keepMib);
     }
     return new Operator.Journal(
         directory == null ? null : Path.of(directory),
         durability == null ? Durability.HOST : durability,
         !Boolean.FALSE.equals(refuse),
-        (wait == null ? 100 : wait) * MS,
+        (wait == null ? 100 : wait) * NANOS_PER_MILLI,
         segmentMib << 20,
         keepMib << 20,
         (hours == null ? 24 * 30 : hours) * 3_600_000L);
@@ -182,21 +183,21 @@
   private Map<String, Listener> listeners(Section root, RpcReader rpc) {
     Map<String, Listener> out = new LinkedHashMap<>();
     Map<InetSocketAddress, String> taken = new LinkedHashMap<>();
-    Map<String, Section> named = root.named("listeners");
-    bounded(root, "listeners", named.size(), MOST_LISTENERS);
+    Map<String, Section> named = root.tablesByName("listeners");
+    checkCount(root, "listeners", named.size(), MAX_LISTENERS);
     rpc.methods(root, named);
     named.forEach((name, s) -> {
       InetSocketAddress address = address(s, "address");
-      Long most = s.integer("max-connections", 1, MOST_ROOM);
+      Long most = s.integer("max-connections", 1, MAX_CAPACITY);
       CallSettings calls = rpc.listener(name, s);
-      s.done();
+      s.reportUnknownKeys();
       if (name.equals(Operator.PLATFORM)) {
-        root.fault(
+        root.addFault(
             "listeners",
             "expected another name: \"platform\" is the listener that PROXY_LISTEN names");
       }
       if (address != null && address.getPort() != 0 && taken.putIfAbsent(address, name) != null) {
-        s.fault(
+        s.addFault(
             "address",
             "expected an address of its own, listener " + taken.get(address) + " has this one");
       }
@@ -206,24 +207,24 @@
   }
 
   private static InetSocketAddress address(Section s, String key) {
-    String text = s.needed(key, "ADDRESS:PORT");
+    String text = s.requiredText(key, "ADDRESS:PORT");
     try {
       return text == null ? null : Addresses.parse(key, text);
     } catch (IllegalArgumentException e) {
-      s.fault(key, "expected ADDRESS:PORT, without a name to look up, got \"" + text + "\"");
+      s.addFault(key, "expected ADDRESS:PORT, without a name to look up, got \"" + text + "\"");
       return null;
     }
   }
 
-  private static void bounded(Section s, String key, int size, int most) {
-    if (size > most) {
-      s.fault(key, "expected at most " + most + ", got " + size);
+  private static void checkCount(Section s, String key, int size, int max) {
+    if (size > max) {
+      s.addFault(key, "expected at most " + max + ", got " + size);
     }
   }
 
-  private static void boundedInAll(Section root, String key, String what, int size, int most) {
-    if (size > most) {
-      root.fault(key, "expected at most " + most + " " + what + " in all, got " + size);
+  private static void checkTotal(Section root, String key, String what, int size, int max) {
+    if (size > max) {
+      root.addFault(key, "expected at most " + max + " " + what + " in all, got " + size);
     }
   }
 
@@ -231,27 +232,29 @@
 
   private Map<String, Source> sources(Section root) {
     Map<String, Source> out = new LinkedHashMap<>();
-    out.put(Operator.PLATFORM, new Platform());
-    Map<String, Section> named = root.named("sources");
-    bounded(root, "sources", named.size(), MOST_SOURCES);
+    out.put(Operator.PLATFORM, new PlatformSource());
+    Map<String, Section> named = root.tablesByName("sources");
+    checkCount(root, "sources", named.size(), MAX_SOURCES);
     named.forEach((name, s) -> {
       if (name.equals(Operator.PLATFORM)) {
-        root.fault("sources", "expected another name: \"platform\" is the platform's discovery");
+        root.addFault("sources", "expected another name: \"platform\" is the platform's discovery");
       }
       boolean watched = s.has("discovery");
       boolean fixed = s.has("static");
       if (watched == fixed) {
-        s.fault(
+        s.addFault(
             watched ? "static" : "discovery",
             "expected either discovery = \"ADDRESS:PORT\" or static = [...]");
       }
-      out.put(name, watched ? new Watched(address(s, "discovery")) : new Fixed(fixed(s)));
-      s.done();
+      out.put(
+          name,
+          watched ? new DiscoverySource(address(s, "discovery")) : new StaticSource(fixed(s)));
+      s.reportUnknownKeys();
     });
     int hosts = out.values().stream()
-        .mapToInt(source -> source instanceof Fixed fixed ? fixed.hosts().size() : 0)
+        .mapToInt(source -> source instanceof StaticSource fixed ? fixed.hosts().size() : 0)
         .sum();
-    boundedInAll(root, "sources", "static upstreams", hosts, MOST_FIXED_IN_ALL);
+    checkTotal(root, "sources", "static upstreams", hosts, MAX_STATIC_UPSTREAMS_TOTAL);
     return out;
   }
 
@@ -259,19 +262,19 @@
     List<HostList.Host> hosts = new ArrayList<>();
     Set<String> names = new HashSet<>();
     List<Section> entries = source.tables("static");
-    bounded(source, "static", entries.size(), MOST_FIXED);
+    checkCount(source, "static", entries.size(), MAX_STATIC_UPSTREAMS);
     for (Section s : entries) {
-      String name = s.needed("name", "the upstream's name");
+      String name = s.requiredText("name", "the upstream's name");
       InetSocketAddress address = address(s, "address");
-      State state = s.word("status", STATES);
+      State state = s.choice("status", STATES);
       Long group = s.integer("group", 0, Integer.MAX_VALUE);
-      Long since = s.integer("since-ms", 0, Long.MAX_VALUE / MS);
+      Long since = s.integer("since-ms", 0, Long.MAX_VALUE / NANOS_PER_MILLI);
       Double weight = s.number("weight", 0, 1_000_000);
       String zone = s.text("zone", "");
       String type = s.text("type", "");
-      s.done();
+      s.reportUnknownKeys();
       if (name != null && !names.add(name)) {
-        s.fault("name", "expected a name of its own, \"" + name + "\" is taken");
+        s.addFault("name", "expected a name of its own, \"" + name + "\" is taken");
       }
       if (name != null && address != null) {
         hosts.add(new HostList.Host(
@@ -283,7 +286,7 @@
                 zone,
                 group == null ? 0 : group.intValue(),
                 state == null ? State.READY : state,
-                since == null ? 0 : since * MS,
+                since == null ? 0 : since * NANOS_PER_MILLI,
                 weight == null ? 1 : weight)));
       }
     }
@@ -294,69 +297,71 @@
 
   private Map<String, Pool> pools(Section root, Map<String, Source> sources) {
     Map<String, Pool> out = new LinkedHashMap<>();
-    Map<String, Section> named = root.named("pools");
-    bounded(root, "pools", named.size(), MOST_POOLS);
+    Map<String, Section> named = root.tablesByName("pools");
+    checkCount(root, "pools", named.size(), MAX_POOLS);
     named.forEach((name, s) -> out.put(name, pool(name, s, sources)));
     int tenants = out.values().stream()
         .map(pool -> pool.overrides().tenants())
         .mapToInt(list -> list == null ? 0 : list.size())
         .sum();
-    boundedInAll(root, "pools", "tenants", tenants, MOST_TENANTS_IN_ALL);
+    checkTotal(root, "pools", "tenants", tenants, MAX_TENANTS_TOTAL);
     return out;
   }
 
   private Pool pool(String name, Section s, Map<String, Source> sources) {
     String source = s.text("source", Operator.PLATFORM);
     if (!sources.containsKey(source)) {
-      s.fault("source", "expected one of " + listed(sources.keySet()) + ", got \"" + source + "\"");
+      s.addFault(
+          "source", "expected one of " + listed(sources.keySet()) + ", got \"" + source + "\"");
     }
     Long perUpstream = s.integer("connections-per-upstream", 0, 100_000);
     Pool pool = new Pool(
         name,
         source,
         select(s.table("select")),
-        room(s, "open-requests", 1),
-        room(s, "sockets", 1),
-        room(s, "body-memory-kib", 1 << 10),
+        capacity(s, "open-requests", 1),
+        capacity(s, "sockets", 1),
+        capacity(s, "body-memory-kib", 1 << 10),
         perUpstream == null ? 0 : perUpstream.intValue(),
-        recorded(s),
+        journalSelection(s),
         new Overrides(
             s.has("classes") ? classes(s) : null,
             s.has("tenants") ? tenants(s) : null,
             limits(s.table("limits")),
             contract(s.table("contract"))),
         RpcReader.pool(s));
-    s.done();
-    checkRecorded(s, pool);
+    s.reportUnknownKeys();
+    checkJournalSelection(s, pool);
     return pool;
   }
 
   private static String listed(Set<String> names) {
-    String first = String.join(", ", names.stream().limit(MOST_LISTED).toList());
-    return names.size() > MOST_LISTED
-        ? first + " and " + (names.size() - MOST_LISTED) + " more"
+    String first = String.join(", ", names.stream().limit(MAX_LISTED_NAMES).toList());
+    return names.size() > MAX_LISTED_NAMES
+        ? first + " and " + (names.size() - MAX_LISTED_NAMES) + " more"
         : first;
   }
 
   /** A class that never goes on record, or is none of the pool's, was meant otherwise. */
-  private static void checkRecorded(Section s, Pool pool) {
+  private static void checkJournalSelection(Section s, Pool pool) {
     List<RequestClass> classes = pool.overrides().classes();
     for (String name : classes == null ? List.<String>of() : pool.journal().only()) {
       if (classes.stream().noneMatch(c -> c.name().equals(name) && c.effect() != Effect.SAFE)) {
-        s.fault("journal", "expected keyed or unsafe classes of this pool, got \"" + name + "\"");
+        s.addFault(
+            "journal", "expected keyed or unsafe classes of this pool, got \"" + name + "\"");
       }
     }
   }
 
   /** {@code journal = false}, or the names of the classes that go on record. */
-  private static Operator.Recorded recorded(Section s) {
-    if (s.is("journal", Boolean.class)) {
+  private static Operator.JournalSelection journalSelection(Section s) {
+    if (s.holds("journal", Boolean.class)) {
       return Boolean.TRUE.equals(s.bool("journal"))
-          ? Operator.Recorded.ALL
-          : new Operator.Recorded(false, List.of());
+          ? Operator.JournalSelection.ALL
+          : new Operator.JournalSelection(false, List.of());
     }
-    List<String> only = s.texts("journal");
-    return only == null ? Operator.Recorded.ALL : new Operator.Recorded(true, only);
+    List<String> only = s.textList("journal");
+    return only == null ? Operator.JournalSelection.ALL : new Operator.JournalSelection(true, only);
   }
 
   private static Select select(Section s) {
@@ -364,23 +369,23 @@
       return Select.ALL;
     }
     List<Long> groups = new ArrayList<>();
-    for (String text : or(s.texts("groups"), List.<String>of())) {
+    for (String text : or(s.textList("groups"), List.<String>of())) {
       try {
         groups.add(Long.parseLong(text));
       } catch (NumberFormatException e) {
-        s.fault("groups", "expected groups as texts of digits, got \"" + text + "\"");
+        s.addFault("groups", "expected groups as texts of digits, got \"" + text + "\"");
       }
     }
     Select select = new Select(
-        or(s.texts("names"), List.of()),
-        or(s.texts("zones"), List.of()),
-        or(s.texts("types"), List.of()),
+        or(s.textList("names"), List.of()),
+        or(s.textList("zones"), List.of()),
+        or(s.textList("types"), List.of()),
         groups);
-    s.done();
-    bounded(s, "names", select.names().size(), MOST_SELECTED);
-    bounded(s, "zones", select.zones().size(), MOST_SELECTED);
-    bounded(s, "types", select.types().size(), MOST_SELECTED);
-    bounded(s, "groups", groups.size(), MOST_SELECTED);
+    s.reportUnknownKeys();
+    checkCount(s, "names", select.names().size(), MAX_SELECTOR_VALUES);
+    checkCount(s, "zones", select.zones().size(), MAX_SELECTOR_VALUES);
+    checkCount(s, "types", select.types().size(), MAX_SELECTOR_VALUES);
+    checkCount(s, "groups", groups.size(), MAX_SELECTOR_VALUES);
     return select;
   }
 
@@ -388,18 +393,19 @@
     return value == null ? absent : value;
   }
 
-  private static Room room(Section pool, String key, int unit) {
+  private static Capacity capacity(Section pool, String key, int unit) {
     Section s = pool.table(key);
     if (s == null) {
-      return new Room(null, null);
+      return new Capacity(null, null);
     }
-    Long guaranteed = s.integer("guaranteed", 0, MOST_ROOM);
-    Long most = s.integer("most", 1, MOST_ROOM);
-    s.done();
+    Long guaranteed = s.integer("guaranteed", 0, MAX_CAPACITY);
+    Long most = s.integer("most", 1, MAX_CAPACITY);
+    s.reportUnknownKeys();
     if (guaranteed != null && most != null && most < guaranteed) {
-      s.fault("most", "expected no less than what is guaranteed, " + guaranteed + ", got " + most);
+      s.addFault(
+          "most", "expected no less than what is guaranteed, " + guaranteed + ", got " + most);
     }
-    return new Room(
+    return new Capacity(
         guaranteed == null ? null : guaranteed * unit, most == null ? null : most * unit);
   }
 
@@ -407,14 +413,14 @@
     List<RequestClass> out = new ArrayList<>();
     Set<String> names = new HashSet<>();
     List<Section> entries = pool.tables("classes");
-    bounded(pool, "classes", entries.size(), MOST_CLASSES);
+    checkCount(pool, "classes", entries.size(), MAX_CLASSES);
     if (entries.isEmpty()) {
-      pool.fault("classes", "expected at least one class, or no such key for the platform's");
+      pool.addFault("classes", "expected at least one class, or no such key for the platform's");
     }
     for (Section s : entries) {
       RequestClass type = requestClass(s);
       if (type != null && !names.add(type.name())) {
-        s.fault("name", "expected a name of its own, \"" + type.name() + "\" is taken");
+        s.addFault("name", "expected a name of its own, \"" + type.name() + "\" is taken");
       }
       if (type != null) {
         out.add(type);
@@ -424,33 +430,34 @@
   }
 
   private RequestClass requestClass(Section s) {
-    String name = s.needed("name", "the class's name, the first part of its paths");
-    Effect effect = s.word("effect", EFFECTS);
-    DedupScope scope = s.word("dedup-scope", SCOPES);
-    Long window = s.integer("dedup-window-ms", 0, MOST_MS);
-    Long aim = s.integer("aim-ms", 1, MOST_MS);
-    Long deadline = s.integer("deadline-ms", 1, MOST_MS);
+    String name = s.requiredText("name", "the class's name, the first part of its paths");
+    Effect effect = s.choice("effect", EFFECTS);
+    DedupScope scope = s.choice("dedup-scope", SCOPES);
+    Long window = s.integer("dedup-window-ms", 0, MAX_MILLIS);
+    Long aim = s.integer("aim-ms", 1, MAX_MILLIS);
+    Long deadline = s.integer("deadline-ms", 1, MAX_MILLIS);
     Double worth = s.number("worth", 0, 1_000_000);
     Double late = s.number("late-worth", 0, 1);
     Double stretch = s.number("aim-stretch", 0, 1_000);
-    s.done();
+    s.reportUnknownKeys();
     if (name != null && !name.matches("[A-Za-z0-9._~-]+")) {
-      s.fault("name", "expected letters, digits and . _ ~ -, got \"" + name + "\"");
+      s.addFault("name", "expected letters, digits and . _ ~ -, got \"" + name + "\"");
     }
     if (!s.has("aim-ms")) {
-      s.fault("aim-ms", "expected how soon an answer is wanted, in ms, got nothing");
+      s.addFault("aim-ms", "expected how soon an answer is wanted, in ms, got nothing");
     }
     if (aim != null && deadline != null && deadline < aim) {
-      s.fault("deadline-ms", "expected no less than aim-ms, " + aim + ", got " + deadline);
+      s.addFault("deadline-ms", "expected no less than aim-ms, " + aim + ", got " + deadline);
     }
     boolean keyed = effect == Effect.KEYED;
     if (!keyed && (scope != null || window != null)) {
-      s.fault(
+      s.addFault(
           scope != null ? "dedup-scope" : "dedup-window-ms",
           "expected only with effect = \"keyed\"");
     }
     if (keyed && window == null) {
-      s.fault("dedup-window-ms", "expected for how long repeats are dropped, in ms, got nothing");
+      s.addFault(
+          "dedup-window-ms", "expected for how long repeats are dropped, in ms, got nothing");
     }
     if (name == null || aim == null) {
       return null;
@@ -460,10 +467,10 @@
         name,
         effect == null ? Effect.UNSAFE : effect,
         scope == null ? DedupScope.CELL : scope,
-        window == null ? 0 : window * MS,
-        aim * MS,
+        window == null ? 0 : window * NANOS_PER_MILLI,
+        aim * NANOS_PER_MILLI,
         stretch == null ? 0 : stretch,
-        (deadline == null ? aim : deadline) * MS,
+        (deadline == null ? aim : deadline) * NANOS_PER_MILLI,
         worth == null ? 1 : worth,
         late == null ? 0 : late,
         false);
@@ -473,14 +480,14 @@
     List<Tenant> out = new ArrayList<>();
     Set<String> names = new HashSet<>();
     List<Section> entries = pool.tables("tenants");
-    bounded(pool, "tenants", entries.size(), MOST_TENANTS);
+    checkCount(pool, "tenants", entries.size(), MAX_TENANTS);
     for (Section s : entries) {
-      String name = s.needed("name", "the tenant's name");
+      String name = s.requiredText("name", "the tenant's name");
       Double share = s.number("share", 0, 1);
       Double quota = s.number("quota-per-s", 0, 10_000_000);
-      s.done();
+      s.reportUnknownKeys();
       if (name != null && !names.add(name)) {
-        s.fault("name", "expected a name of its own, \"" + name + "\" is taken");
+        s.addFault("name", "expected a name of its own, \"" + name + "\" is taken");
       } else if (name != null) {
         out.add(new Tenant(name, share == null ? 0 : share, quota == null ? 0 : quota));
       }
@@ -497,16 +504,16 @@
         s.bool("retry-after"),
         ms(s, "max-retry-after-ms", 0),
         s.integer("max-attempts", 1, 100),
-        s.integer("max-open", 1, MOST_ROOM),
+        s.integer("max-open", 1, MAX_CAPACITY),
         ms(s, "connect-timeout-ms", 1),
         ms(s, "connection-idle-ms", 10));
-    s.done();
+    s.reportUnknownKeys();
     return part;
   }
 
   private static Long ms(Section s, String key, long least) {
-    Long value = s.integer(key, least, MOST_MS);
-    return value == null ? null : Long.valueOf(value * MS);
+    Long value = s.integer(key, least, MAX_MILLIS);
+    return value == null ? null : Long.valueOf(value * NANOS_PER_MILLI);
   }
 
   private static ContractPart contract(Section s) {
@@ -519,12 +526,13 @@
         ms(s, "warm-within-ms", 0),
         s.number("fall-multiple", 1, 1_000),
         ms(s, "overload-for-ms", 1));
-    s.done();
+    s.reportUnknownKeys();
     return part;
   }
 
   /** Guarantees of all pools together must fit where the file says how much there is. */
-  private static void checkRoom(Section root, Operator.Process process, Map<String, Pool> pools) {
+  private static void checkGuarantees(
+      Section root, Operator.Process process, Map<String, Pool> pools) {
     checkSum(
         root,
         "process.open-requests",
@@ -542,12 +550,12 @@
         pools.values().stream().map(Pool::body).toList());
   }
 
-  private static void checkSum(Section root, String key, Long total, List<Room> rooms) {
+  private static void checkSum(Section root, String key, Long total, List<Capacity> rooms) {
     long sum = rooms.stream()
         .mapToLong(r -> r.guaranteed() == null ? 0 : r.guaranteed())
         .sum();
     if (total != null && sum > total) {
-      root.fault(
+      root.addFault(
           "pools", "expected guarantees of " + total + " in all, as " + key + " says, got " + sum);
     }
   }
--- a/src/main/java/pumicekeel/config/Shape.java
+++ b/src/main/java/pumicekeel/config/RequiredKeys.java
@@ -11,25 +11,25 @@
  * What a configuration that is read anew has to have: every key that the one before had. Absent keys have defaults at a
  * start, but a file in which a key is missing that was there is one that was cut or written wrongly.
  */
-final class Shape {
+final class RequiredKeys {
 
   /** Lists of the moment, which may be short or absent. */
-  private static final Set<String> FREE = Set.of("known", "peers", "peers_all", "peer_listen");
+  private static final Set<String> OPTIONAL = Set.of("known", "peers", "peers_all", "peer_listen");
 
-  private static final String KIND = "effect";
+  private static final String KIND_KEY = "effect";
 
-  private Shape() {}
+  private RequiredKeys() {}
 
   /** The first key that {@code next} lacks, as a path; null where it has all. */
-  static String missing(Map<?, ?> before, Map<?, ?> next) {
-    return missing("", before, next);
+  static String firstMissing(Map<?, ?> before, Map<?, ?> next) {
+    return firstMissing("", before, next);
   }
 
-  private static String missing(String path, Map<?, ?> before, Map<?, ?> next) {
+  private static String firstMissing(String path, Map<?, ?> before, Map<?, ?> next) {
     for (Map.Entry<?, ?> entry : before.entrySet()) {
       Object now = next.get(entry.getKey());
       String name = path + entry.getKey();
-      if (entry.getValue() == null || FREE.contains(name)) {
+      if (entry.getValue() == null || OPTIONAL.contains(name)) {
         continue;
       }
       if (now == null) {
@@ -37,9 +37,9 @@
       }
       String within = null;
       if (entry.getValue() instanceof Map<?, ?> was && now instanceof Map<?, ?> is) {
-        within = missing(name + ".", was, is);
+        within = firstMissing(name + ".", was, is);
       } else if (entry.getValue() instanceof List<?> was && now instanceof List<?> is) {
-        within = missing(name, was, is);
+        within = firstMissing(name, was, is);
       }
       if (within != null) {
         return within;
@@ -49,20 +49,20 @@
   }
 
   /** An element has what all elements of its kind had before, or where none is of its kind, what all had. */
-  private static String missing(String path, List<?> before, List<?> next) {
+  private static String firstMissing(String path, List<?> before, List<?> next) {
     for (int i = 0; i < next.size(); i++) {
       if (next.get(i) instanceof Map<?, ?> element) {
-        List<Map<?, ?>> alike = new ArrayList<>();
+        List<Map<?, ?>> sameKind = new ArrayList<>();
         List<Map<?, ?>> all = new ArrayList<>();
         for (Object o : before) {
           if (o instanceof Map<?, ?> was) {
             all.add(was);
-            if (Objects.equals(was.get(KIND), element.get(KIND))) {
-              alike.add(was);
+            if (Objects.equals(was.get(KIND_KEY), element.get(KIND_KEY))) {
+              sameKind.add(was);
             }
           }
         }
-        for (Object key : common(alike.isEmpty() ? all : alike)) {
+        for (Object key : commonKeys(sameKind.isEmpty() ? all : sameKind)) {
           if (element.get(key) == null) {
             return path + "[" + i + "]." + key;
           }
@@ -72,7 +72,7 @@
     return null;
   }
 
-  private static Set<Object> common(List<Map<?, ?>> elements) {
+  private static Set<Object> commonKeys(List<Map<?, ?>> elements) {
     Set<Object> keys = new HashSet<>();
     for (int i = 0; i < elements.size(); i++) {
       Map<?, ?> element = elements.get(i);
--- a/src/main/java/pumicekeel/config/RouteReader.java
+++ b/src/main/java/pumicekeel/config/RouteReader.java
@@ -19,11 +19,11 @@
 /** Reads the routes of an operator file, and finds those that can never match. */
 final class RouteReader {
 
-  private static final int MOST_HOSTS = 100;
-  private static final int MOST_HEADERS = 16;
-  private static final int MOST_PARTS = 64;
+  private static final int MAX_HOSTS = 100;
+  private static final int MAX_HEADERS = 16;
+  private static final int MAX_PARTS = 64;
   /** The name of the route that default-pool makes. */
-  static final String DEFAULT = "default";
+  static final String DEFAULT_ROUTE_NAME = "default";
 
   private final Map<String, Pool> pools;
   private final Set<String> listeners;
@@ -38,13 +38,13 @@
 
   List<Route> routes(Section root, String defaultPool) {
     List<Section> entries = root.tables("routes");
-    if (entries.size() > OperatorReader.MOST_ROUTES) {
-      root.fault(
-          "routes", "expected at most " + OperatorReader.MOST_ROUTES + ", got " + entries.size());
+    if (entries.size() > OperatorReader.MAX_ROUTES) {
+      root.addFault(
+          "routes", "expected at most " + OperatorReader.MAX_ROUTES + ", got " + entries.size());
       return List.of();
     }
     if (entries.isEmpty() && defaultPool == null) {
-      root.fault("routes", "expected at least one route, or a default-pool");
+      root.addFault("routes", "expected at least one route, or a default-pool");
     }
     List<Route> routes = new ArrayList<>();
     Set<String> names = new HashSet<>();
@@ -52,17 +52,17 @@
     for (Section s : entries) {
       Route route = route(s, routes.size());
       if (!names.add(route.name())) {
-        s.fault("name", "expected a name of its own, \"" + route.name() + "\" is taken");
+        s.addFault("name", "expected a name of its own, \"" + route.name() + "\" is taken");
       }
       routes.add(route);
     }
     if (faults.size() == before) {
-      checkReach(routes, entries);
+      checkReachability(routes, entries);
     }
     if (defaultPool != null) {
       routes.add(new Route(
           routes.size(),
-          DEFAULT,
+          DEFAULT_ROUTE_NAME,
           null,
           List.of(),
           PathPattern.ANY,
@@ -75,11 +75,11 @@
     return routes;
   }
 
-  private void checkReach(List<Route> routes, List<Section> entries) {
+  private void checkReachability(List<Route> routes, List<Section> entries) {
     for (RouteTable.Covered c : new RouteTable(routes).covered()) {
       entries
           .get(c.route().order())
-          .fault(
+          .addFault(
               "name",
               "expected a route that can match, \"" + c.route().name()
                   + "\" never does: \"" + c.by().name() + "\" on line "
@@ -92,39 +92,40 @@
     String name = s.text("name", "route-" + (order + 1));
     String listener = s.text("listener", null);
     if (listener != null && !listeners.contains(listener)) {
-      s.fault(
+      s.addFault(
           "listener", "expected a listener of this file or \"platform\", got \"" + listener + "\"");
     }
     List<String> hosts = hosts(s);
     PathPattern path = path(s);
     String className = s.text("class", null);
-    String method = s.word("method", Map.of("GET", "GET", "POST", "POST"));
+    String method = s.choice("method", Map.of("GET", "GET", "POST", "POST"));
     Map<String, String> headers = headers(s);
     Split split = split(s);
     String fallback = s.text("fallback", null);
-    s.done();
+    s.reportUnknownKeys();
     if (fallback != null && !pools.containsKey(fallback)) {
-      s.fault("fallback", "expected a pool of this file, got \"" + fallback + "\"");
+      s.addFault("fallback", "expected a pool of this file, got \"" + fallback + "\"");
     } else if (fallback != null
         && split.parts().stream().anyMatch(p -> p.pool().equals(fallback))) {
-      s.fault("fallback", "expected another pool than the route's own");
+      s.addFault("fallback", "expected another pool than the route's own");
     }
-    checkSense(s, path, className, method, split);
+    checkConsistency(s, path, className, method, split);
     return new Route(
         order, name, listener, hosts, path, className, method, headers, split, fallback);
   }
 
   private static List<String> hosts(Section s) {
     List<String> out = new ArrayList<>();
-    List<String> texts = s.texts("host");
-    if (texts != null && texts.size() > MOST_HOSTS) {
-      s.fault("host", "expected at most " + MOST_HOSTS + ", got " + texts.size());
+    List<String> texts = s.textList("host");
+    if (texts != null && texts.size() > MAX_HOSTS) {
+      s.addFault("host", "expected at most " + MAX_HOSTS + ", got " + texts.size());
     }
     for (String text : texts == null ? List.<String>of() : texts) {
       boolean suffix = text.startsWith("*.");
       String host = HostName.of(suffix ? text.substring(2) : text);
       if (host == null || text.matches(".*:\\d*") && !text.startsWith("[")) {
-        s.fault("host", "expected a host without a port, or *. and a suffix, got \"" + text + "\"");
+        s.addFault(
+            "host", "expected a host without a port, or *. and a suffix, got \"" + text + "\"");
       } else {
         out.add(suffix ? "*." + host : host);
       }
@@ -141,12 +142,12 @@
     for (Map.Entry<String, PathPattern.Kind> kind : kinds.entrySet()) {
       String text = s.text(kind.getKey(), null);
       if (text != null && found != null) {
-        s.fault(kind.getKey(), "expected one of path, path-prefix and path-template, got more");
+        s.addFault(kind.getKey(), "expected one of path, path-prefix and path-template, got more");
       } else if (text != null) {
         try {
           found = PathPattern.of(kind.getValue(), text);
         } catch (IllegalArgumentException e) {
-          s.fault(kind.getKey(), "expected " + e.getMessage() + ", got \"" + text + "\"");
+          s.addFault(kind.getKey(), "expected " + e.getMessage() + ", got \"" + text + "\"");
         }
       }
     }
@@ -157,12 +158,12 @@
     Map<String, String> out = new LinkedHashMap<>();
     s.textTable("headers").forEach((name, value) -> {
       if (!name.matches("[A-Za-z0-9-]+")) {
-        s.fault("headers", "expected names of letters, digits and -, got \"" + name + "\"");
+        s.addFault("headers", "expected names of letters, digits and -, got \"" + name + "\"");
       }
       out.put(name.toLowerCase(Locale.ROOT), value);
     });
-    if (out.size() > MOST_HEADERS) {
-      s.fault("headers", "expected at most " + MOST_HEADERS + ", got " + out.size());
+    if (out.size() > MAX_HEADERS) {
+      s.addFault("headers", "expected at most " + MAX_HEADERS + ", got " + out.size());
     }
     return out;
   }
@@ -171,7 +172,7 @@
     String pool = s.text("pool", null);
     List<Section> entries = s.tables("split");
     if ((pool == null) == entries.isEmpty()) {
-      s.fault(
+      s.addFault(
           pool == null ? "pool" : "split",
           "expected either pool = \"NAME\" or split = [{pool, weight}, ...]");
     }
@@ -179,46 +180,46 @@
       checkPool(s, pool);
       return Split.to(pool);
     }
-    if (entries.size() > MOST_PARTS) {
-      s.fault("split", "expected at most " + MOST_PARTS + ", got " + entries.size());
+    if (entries.size() > MAX_PARTS) {
+      s.addFault("split", "expected at most " + MAX_PARTS + ", got " + entries.size());
     }
     List<Split.Part> parts = new ArrayList<>();
     Set<String> names = new HashSet<>();
     double sum = 0;
     for (Section e : entries) {
-      String name = e.needed("pool", "a pool of this file");
+      String name = e.requiredText("pool", "a pool of this file");
       Double weight = e.number("weight", 0, 1_000_000);
-      e.done();
+      e.reportUnknownKeys();
       if (!e.has("weight")) {
-        e.fault("weight", "expected a number from 0 on, got nothing");
+        e.addFault("weight", "expected a number from 0 on, got nothing");
       }
       if (name != null) {
         checkPool(e, name);
         if (!names.add(name)) {
-          e.fault("pool", "expected each pool once, \"" + name + "\" came before");
+          e.addFault("pool", "expected each pool once, \"" + name + "\" came before");
         }
         parts.add(new Split.Part(name, weight == null ? 0 : weight));
         sum += weight == null ? 0 : weight;
       }
     }
     if (!entries.isEmpty() && sum <= 0) {
-      s.fault("split", "expected a weight above 0");
+      s.addFault("split", "expected a weight above 0");
     }
     return new Split(parts);
   }
 
   private void checkPool(Section s, String pool) {
     if (!pools.containsKey(pool)) {
-      s.fault("pool", "expected a pool of this file, got \"" + pool + "\"");
+      s.addFault("pool", "expected a pool of this file, got \"" + pool + "\"");
     }
   }
 
   /** A class is the first part of its paths, and its effect says its method: a route against that takes nothing. */
-  private void checkSense(
+  private void checkConsistency(
       Section s, PathPattern path, String className, String method, Split split) {
     String first = path.segments().isEmpty() ? null : path.segments().get(0);
     if (className != null && first != null && !first.startsWith("{") && !first.equals(className)) {
-      s.fault(
+      s.addFault(
           "class",
           "expected a route that can match: the class \"" + className
               + "\" is the first part of its paths, the path's is \"" + first + "\"");
@@ -232,9 +233,10 @@
       RequestClass type =
           classes.stream().filter(c -> c.name().equals(className)).findFirst().orElse(null);
       if (type == null) {
-        s.fault("class", "expected a class of pool " + pool.name() + ", got \"" + className + "\"");
+        s.addFault(
+            "class", "expected a class of pool " + pool.name() + ", got \"" + className + "\"");
       } else if (method != null && !method.equals(type.effect() == Effect.SAFE ? "GET" : "POST")) {
-        s.fault(
+        s.addFault(
             "method",
             "expected a route that can match: class \"" + className + "\" comes by "
                 + (type.effect() == Effect.SAFE ? "GET" : "POST") + ", got " + method);
--- a/src/main/java/pumicekeel/config/RpcReader.java
+++ b/src/main/java/pumicekeel/config/RpcReader.java
@@ -23,7 +23,7 @@
 final class RpcReader {
 
   /** Looked up by name for each call; far above any known interface. */
-  private static final int MOST_METHODS = 1_000;
+  private static final int MAX_METHODS = 1_000;
   /** What a call's host is where no setting says one: routes by host and HTTP upstreams want to see something. */
   private static final String DEFAULT_HOST = "localhost";
 
@@ -64,8 +64,8 @@
         .toList();
     speaking.forEach(name -> methods.put(name, new LinkedHashMap<>()));
     List<Section> entries = root.tables("methods");
-    if (entries.size() > MOST_METHODS) {
-      root.fault("methods", "expected at most " + MOST_METHODS + ", got " + entries.size());
+    if (entries.size() > MAX_METHODS) {
+      root.addFault("methods", "expected at most " + MAX_METHODS + ", got " + entries.size());
       return;
     }
     for (Section s : entries) {
@@ -75,8 +75,8 @@
 
   private void method(Section s, List<String> speaking) {
     String listener = s.text("listener", null);
-    String name = s.needed("name", "the method's name as clients call it");
-    String className = s.needed("class", "the class that the method's calls are of");
+    String name = s.requiredText("name", "the method's name as clients call it");
+    String className = s.requiredText("class", "the class that the method's calls are of");
     Map<Part, MethodMapping.Source> sources = new EnumMap<>(Part.class);
     KEYS.forEach((part, key) -> {
       MethodMapping.Source source = source(s, key, part);
@@ -87,19 +87,19 @@
     List<MethodMapping.Piece> path = path(s, className);
     String host = HostName.of(s.text("host", DEFAULT_HOST));
     if (host == null) {
-      s.fault("host", "expected a host name");
+      s.addFault("host", "expected a host name");
     }
-    s.done();
+    s.reportUnknownKeys();
     if (listener != null && !speaking.contains(listener)) {
-      s.fault(
+      s.addFault(
           "listener",
           "expected a listener of this file with protocol = \"json-rpc\", got \"" + listener
               + "\"");
     } else if (speaking.isEmpty()) {
-      s.fault("name", "expected a listener with protocol = \"json-rpc\" for it");
+      s.addFault("name", "expected a listener with protocol = \"json-rpc\" for it");
     }
     if (name != null && (name.length() > Limits.MAX_METHOD_LENGTH || name.startsWith("rpc."))) {
-      s.fault(
+      s.addFault(
           "name",
           "expected at most " + Limits.MAX_METHOD_LENGTH
               + " characters that don't begin with rpc., got \"" + name + "\"");
@@ -110,7 +110,7 @@
     MethodMapping mapping = new MethodMapping(name, className, host, sources, path);
     for (String at : listener == null ? speaking : List.of(listener)) {
       if (methods.containsKey(at) && methods.get(at).putIfAbsent(name, mapping) != null) {
-        s.fault(
+        s.addFault(
             "name", "expected a name of its own at listener " + at + ", \"" + name + "\" is taken");
       }
     }
@@ -122,11 +122,12 @@
     if (!s.has(key)) {
       return null;
     }
-    if (s.is(key, Map.class)) {
+    if (s.holds(key, Map.class)) {
       Section at = s.table(key);
-      JsonPointer pointer = pointer(at, at.needed("pointer", "a JSON Pointer into the params"));
+      JsonPointer pointer =
+          pointer(at, at.requiredText("pointer", "a JSON Pointer into the params"));
       Boolean optional = at.bool("optional");
-      at.done();
+      at.reportUnknownKeys();
       return pointer == null ? null : new MethodMapping.At(pointer, Boolean.TRUE.equals(optional));
     }
     if (number) {
@@ -141,7 +142,7 @@
     try {
       return text == null ? null : JsonPointer.of(text);
     } catch (IllegalArgumentException e) {
-      s.fault("pointer", "expected " + e.getMessage() + ", got \"" + text + "\"");
+      s.addFault("pointer", "expected " + e.getMessage() + ", got \"" + text + "\"");
       return null;
     }
   }
@@ -155,7 +156,7 @@
     }
     String first = "/" + className;
     if (!text.equals(first) && !text.startsWith(first + "/") && !text.startsWith(first + "?")) {
-      s.fault(
+      s.addFault(
           "path",
           "expected a path that begins with its class, " + first + ", got \"" + text + "\"");
     }
@@ -163,14 +164,14 @@
     for (int open = text.indexOf('{'); open >= 0; open = text.indexOf('{', at)) {
       int close = text.indexOf('}', open);
       if (close < 0 || text.substring(open + 1, close).indexOf('{') >= 0) {
-        s.fault("path", "expected } behind each {, got \"" + text + "\"");
+        s.addFault("path", "expected } behind each {, got \"" + text + "\"");
         return out;
       }
       literal(s, text.substring(at, open), out);
       try {
         out.add(new MethodMapping.Value(JsonPointer.of(text.substring(open + 1, close))));
       } catch (IllegalArgumentException e) {
-        s.fault("path", "expected " + e.getMessage() + " in braces, got \"" + text + "\"");
+        s.addFault("path", "expected " + e.getMessage() + " in braces, got \"" + text + "\"");
       }
       at = close + 1;
     }
@@ -180,7 +181,7 @@
 
   private static void literal(Section s, String text, List<MethodMapping.Piece> out) {
     if (!text.matches("[A-Za-z0-9._~!$&'()*+,;=:@/?%-]*")) {
-      s.fault("path", "expected characters that a URL may have, got \"" + text + "\"");
+      s.addFault("path", "expected characters that a URL may have, got \"" + text + "\"");
     } else if (!text.isEmpty()) {
       out.add(new MethodMapping.Text(text));
     }
@@ -190,21 +191,21 @@
 
   /** What a listener says of its protocol; null where it is HTTP. */
   CallSettings listener(String name, Section s) {
-    Boolean speaks = s.word("protocol", PROTOCOLS);
+    Boolean speaks = s.choice("protocol", PROTOCOLS);
     Section own = s.table("json-rpc");
     if (!Boolean.TRUE.equals(speaks)) {
       if (own != null) {
-        s.fault("json-rpc", "expected only with protocol = \"json-rpc\"");
+        s.addFault("json-rpc", "expected only with protocol = \"json-rpc\"");
       }
       return null;
     }
     Map<String, MethodMapping> known = methods.getOrDefault(name, Map.of());
     if (known.isEmpty()) {
-      s.fault("protocol", "expected at least one method for it, as [[methods]]");
+      s.addFault("protocol", "expected at least one method for it, as [[methods]]");
     }
     Section r = s.tableOrEmpty("json-rpc");
-    Framing framing = r.word("framing", Framing.NAMES);
-    BatchMode batch = r.word("batch-answers", BatchMode.NAMES);
+    Framing framing = r.choice("framing", Framing.NAMES);
+    BatchMode batch = r.choice("batch-answers", BatchMode.NAMES);
     CallSettings settings = new CallSettings(
         framing == null ? Framing.DETECT : framing,
         batch == null ? BatchMode.IN_TIME : batch,
@@ -215,7 +216,7 @@
         (int) or(r.integer("max-open-calls", 1, 10_000), 64),
         or(r.integer("idle-ms", 100, 86_400_000), 300_000) * 1_000_000L,
         Map.copyOf(known));
-    r.done();
+    r.reportUnknownKeys();
     return settings;
   }
 
@@ -227,11 +228,11 @@
 
   /** How a pool's upstreams speak JSON-RPC; null where they speak HTTP. */
   static ServerSettings pool(Section s) {
-    Boolean speaks = s.word("protocol", PROTOCOLS);
+    Boolean speaks = s.choice("protocol", PROTOCOLS);
     Section r = s.table("json-rpc");
     if (!Boolean.TRUE.equals(speaks)) {
       if (r != null) {
-        s.fault("json-rpc", "expected only with protocol = \"json-rpc\"");
+        s.addFault("json-rpc", "expected only with protocol = \"json-rpc\"");
       }
       return null;
     }
@@ -239,7 +240,7 @@
       return new ServerSettings(
           Framing.NEWLINE, 32, Set.of(), Set.of(), Set.of(), Map.of(), "idempotencyKey");
     }
-    Framing framing = r.word("framing", SERVER_FRAMINGS);
+    Framing framing = r.choice("framing", SERVER_FRAMINGS);
     ServerSettings settings = new ServerSettings(
         framing == null ? Framing.NEWLINE : framing,
         (int) or(r.integer("calls-per-connection", 1, 10_000), 32),
@@ -248,13 +249,14 @@
         codes(r, "answer-codes"),
         Map.copyOf(new TreeMap<>(r.textTable("methods"))),
         r.text("key-member", "idempotencyKey"));
-    r.done();
+    r.reportUnknownKeys();
     Set<Integer> seen = new HashSet<>();
     for (Set<Integer> codes :
         List.of(settings.notRunCodes(), settings.failureCodes(), settings.answerCodes())) {
       for (int code : codes) {
         if (!seen.add(code)) {
-          s.fault("json-rpc", "expected each code under one heading, got " + code + " under two");
+          s.addFault(
+              "json-rpc", "expected each code under one heading, got " + code + " under two");
         }
       }
     }
--- a/src/main/java/pumicekeel/config/Section.java
+++ b/src/main/java/pumicekeel/config/Section.java
@@ -10,7 +10,7 @@
 
 /**
  * A table of a TOML file with checked access to its keys. Every fault is noted and reading goes on with the default, so
- * that one reading finds all of them; {@link #done} notes the keys that nobody asked for.
+ * that one reading finds all of them; {@link #reportUnknownKeys} notes the keys that nobody asked for.
  */
 public final class Section {
 
@@ -44,7 +44,7 @@
     return document.lineOf(path);
   }
 
-  public void fault(String key, String expected) {
+  public void addFault(String key, String expected) {
     KeyPath at = path.key(key);
     faults.add(new Fault(document.lineOf(at), at.toString(), expected));
   }
@@ -55,7 +55,7 @@
   }
 
   /** Whether a key holds a value of this kind. */
-  boolean is(String key, Class<?> kind) {
+  boolean holds(String key, Class<?> kind) {
     return kind.isInstance(value(key));
   }
 
@@ -73,53 +73,53 @@
   }
 
   private void mismatch(String key, String expected, Object got) {
-    fault(key, "expected " + expected + ", got " + shown(got));
+    addFault(key, "expected " + expected + ", got " + shown(got));
   }
 
-  public String text(String key, String absent) {
+  public String text(String key, String defaultValue) {
     Object value = value(key);
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
     if (value instanceof String text && !text.isBlank()) {
       return text;
     }
     mismatch(key, "a text", value);
-    return absent;
+    return defaultValue;
   }
 
   /** A text that has to be there. */
-  public String needed(String key, String what) {
+  public String requiredText(String key, String what) {
     if (!has(key)) {
-      fault(key, "expected " + what + ", got nothing");
+      addFault(key, "expected " + what + ", got nothing");
       return null;
     }
     return text(key, null);
   }
 
-  public Long integer(String key, long least, long most) {
+  public Long integer(String key, long min, long max) {
     Object value = value(key);
     if (value == null) {
       return null;
     }
-    if (value instanceof Long number && number >= least && number <= most) {
+    if (value instanceof Long number && number >= min && number <= max) {
       return number;
     }
-    mismatch(key, "a whole number from " + least + " to " + most, value);
+    mismatch(key, "a whole number from " + min + " to " + max, value);
     return null;
   }
 
-  public Double number(String key, double least, double most) {
+  public Double number(String key, double min, double max) {
     Object value = value(key);
     if (value == null) {
       return null;
     }
     if (value instanceof Number number
-        && number.doubleValue() >= least
-        && number.doubleValue() <= most) {
+        && number.doubleValue() >= min
+        && number.doubleValue() <= max) {
       return number.doubleValue();
     }
-    mismatch(key, "a number from " + plain(least) + " to " + plain(most), value);
+    mismatch(key, "a number from " + plain(min) + " to " + plain(max), value);
     return null;
   }
 
@@ -136,17 +136,17 @@
     return null;
   }
 
-  <T> T word(String key, Map<String, T> words) {
+  <T> T choice(String key, Map<String, T> choices) {
     Object value = value(key);
-    T word = value instanceof String text ? words.get(text) : null;
-    if (value != null && word == null) {
-      mismatch(key, "one of " + String.join(", ", new TreeSet<>(words.keySet())), value);
+    T choice = value instanceof String text ? choices.get(text) : null;
+    if (value != null && choice == null) {
+      mismatch(key, "one of " + String.join(", ", new TreeSet<>(choices.keySet())), value);
     }
-    return word;
+    return choice;
   }
 
   /** One text or an array of them; null where it is absent. */
-  public List<String> texts(String key) {
+  public List<String> textList(String key) {
     Object value = value(key);
     if (value == null) {
       return null;
@@ -186,7 +186,7 @@
   }
 
   /** An array of whole numbers; null where it is absent. */
-  public List<Integer> integers(String key, int least, int most) {
+  public List<Integer> integers(String key, int min, int max) {
     Object value = value(key);
     if (value == null) {
       return null;
@@ -197,10 +197,10 @@
       return out;
     }
     for (int i = 0; i < array.size(); i++) {
-      if (array.get(i) instanceof Long number && number >= least && number <= most) {
+      if (array.get(i) instanceof Long number && number >= min && number <= max) {
         out.add(number.intValue());
       } else {
-        mismatch(key, "whole numbers from " + least + " to " + most, array.get(i));
+        mismatch(key, "whole numbers from " + min + " to " + max, array.get(i));
       }
     }
     return out;
@@ -231,7 +231,7 @@
   }
 
   /** A table of tables, by their names in the order of the file. */
-  Map<String, Section> named(String key) {
+  Map<String, Section> tablesByName(String key) {
     Map<String, Section> out = new LinkedHashMap<>();
     Section outer = table(key);
     if (outer != null) {
@@ -279,10 +279,10 @@
   }
 
   /** Notes each key that was never asked for, with the nearest one that is known. */
-  public void done() {
+  public void reportUnknownKeys() {
     for (String key : table.keySet()) {
       if (!known.contains(key)) {
-        fault(
+        addFault(
             key,
             "unknown key" + (known.isEmpty() ? "" : ", the nearest known one is " + nearest(key)));
       }
@@ -291,11 +291,11 @@
 
   private String nearest(String key) {
     String best = "";
-    int least = Integer.MAX_VALUE;
+    int min = Integer.MAX_VALUE;
     for (String candidate : known) {
       int distance = distance(key, candidate);
-      if (distance < least) {
-        least = distance;
+      if (distance < min) {
+        min = distance;
         best = candidate;
       }
     }
--- a/src/main/java/pumicekeel/config/TomlDiagnosis.java
+++ b/src/main/java/pumicekeel/config/TomlDiagnosis.java
@@ -18,10 +18,10 @@
 final class TomlDiagnosis {
 
   /** The first ones are mended first; what comes behind so many is mostly their consequence. */
-  private static final int MOST_FAULTS = 20;
+  private static final int MAX_FAULTS = 20;
 
   /** The library's messages repeat what they are about, whatever its length. */
-  private static final int MOST_CHARS = 160;
+  private static final int MAX_MESSAGE_CHARS = 160;
   /** Of a date and time; what stands between the two may have been rewritten. */
   private static final int DATE_CHARS = 10;
 
@@ -30,10 +30,11 @@
   private static final Pattern HEADER =
       Pattern.compile("^\\[\\[?[ \\t]*[A-Za-z_\"'-]", Pattern.MULTILINE);
   /** Messages of faults that the library notices only after it has read the token behind them. */
-  private static final List<String> NOTICED_LATE =
+  private static final List<String> REPORTED_AFTER_NEXT_TOKEN =
       List.of("Unexpected token", "Duplicate key", "Invalid number representation");
   /** Messages of faults that are about a key which came before. */
-  private static final List<String> REPEATED = List.of("Duplicate key", "Table redefined");
+  private static final List<String> DUPLICATE_KEY_MESSAGES =
+      List.of("Duplicate key", "Table redefined");
 
   private TomlDiagnosis() {}
 
@@ -42,13 +43,13 @@
     List<Fault> faults = new ArrayList<>();
     int linesBefore = 0;
     String rest = text;
-    while (rest != null && faults.size() < MOST_FAULTS) {
-      Fault fault = firstOf(rest);
+    while (rest != null && faults.size() < MAX_FAULTS) {
+      Fault fault = firstFault(rest);
       if (fault == null) {
         break;
       }
       faults.add(new Fault(linesBefore + fault.line(), fault.key(), fault.expected()));
-      int next = headerBehind(rest, fault.line());
+      int next = headerAfter(rest, fault.line());
       linesBefore += next < 0 ? 0 : linesBefore(rest, next);
       rest = next < 0 ? null : rest.substring(next);
     }
@@ -56,17 +57,17 @@
   }
 
   /** The first fault of a text; null where it has none. */
-  private static Fault firstOf(String text) {
+  private static Fault firstFault(String text) {
     LineReader reader = new LineReader(text);
     try {
       TomlDocument.parse(reader);
       return null;
     } catch (TomlDocument.NestingException e) {
-      return lessNesting(KeyLines.of(text).deepLine());
+      return nestingFault(KeyLines.of(text).tooDeepLine());
     } catch (StreamConstraintsException e) {
-      return lessNesting(reader.line());
+      return nestingFault(reader.line());
     } catch (JsonProcessingException e) {
-      return located(text, e, reader.line());
+      return fromParserException(text, e, reader.line());
     } catch (DateTimeParseException e) {
       return fault(lineOfDate(text, reader.line(), e.getParsedString()), "a date that there is");
     } catch (IOException | RuntimeException | AssertionError e) {
@@ -74,31 +75,34 @@
     }
   }
 
-  private static Fault located(String text, JsonProcessingException e, int lineRead) {
+  private static Fault fromParserException(String text, JsonProcessingException e, int lineRead) {
     String message = e.getOriginalMessage();
-    KeyLines.Repeated repeated =
-        REPEATED.stream().anyMatch(message::startsWith) ? KeyLines.of(text).repeated() : null;
-    if (repeated != null) {
+    KeyLines.DuplicateKey duplicate = DUPLICATE_KEY_MESSAGES.stream().anyMatch(message::startsWith)
+        ? KeyLines.of(text).duplicateKey()
+        : null;
+    if (duplicate != null) {
       return new Fault(
-          repeated.line(),
-          repeated.path(),
-          "expected each key once, this one stands on line " + repeated.firstLine() + " already");
+          duplicate.line(),
+          duplicate.path(),
+          "expected each key once, this one stands on line " + duplicate.firstLine() + " already");
     }
     JsonLocation at = e.getLocation();
     if (at == null) {
       return fault(lineRead, message);
     }
-    boolean late = NOTICED_LATE.stream().anyMatch(message::startsWith);
+    boolean reportedLate = REPORTED_AFTER_NEXT_TOKEN.stream().anyMatch(message::startsWith);
     return fault(
-        late ? lineOfTokenBefore(text, at.getLineNr(), at.getColumnNr()) : at.getLineNr(), message);
+        reportedLate ? lineOfTokenBefore(text, at.getLineNr(), at.getColumnNr()) : at.getLineNr(),
+        message);
   }
 
-  private static Fault lessNesting(int line) {
-    return fault(line, "less nesting, at most " + TomlDocument.MOST_NESTING + " deep");
+  private static Fault nestingFault(int line) {
+    return fault(line, "less nesting, at most " + TomlDocument.MAX_NESTING + " deep");
   }
 
   private static Fault fault(int line, String why) {
-    String cut = why.length() > MOST_CHARS ? why.substring(0, MOST_CHARS) + "..." : why;
+    String cut =
+        why.length() > MAX_MESSAGE_CHARS ? why.substring(0, MAX_MESSAGE_CHARS) + "..." : why;
     return new Fault(line, KEY, "expected TOML 1.0: " + cut);
   }
 
@@ -126,7 +130,7 @@
   }
 
   /** Where the first header behind a line begins; -1 for none. */
-  private static int headerBehind(String text, int line) {
+  private static int headerAfter(String text, int line) {
     int at = 0;
     for (int i = 0; i < line && at >= 0; i++) {
       at = text.indexOf('\n', at) + 1;
--- a/src/main/java/pumicekeel/config/TomlDocument.java
+++ b/src/main/java/pumicekeel/config/TomlDocument.java
@@ -25,7 +25,7 @@
 final class TomlDocument {
 
   /** Tables within tables and arrays; an operator file's own go six deep. Bounds the stack of every walk. */
-  static final int MOST_NESTING = 64;
+  static final int MAX_NESTING = 64;
 
   private static final TomlFactory FACTORY = factory();
 
@@ -43,7 +43,7 @@
     TomlFactory factory =
         TomlFactory.builder().enable(TomlReadFeature.PARSE_JAVA_TIME).build();
     factory.setStreamReadConstraints(
-        StreamReadConstraints.builder().maxNestingDepth(MOST_NESTING).build());
+        StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING).build());
     return factory;
   }
 
@@ -100,7 +100,7 @@
 
   private static Object value(JsonParser parser, Map<String, String> names, int depth)
       throws IOException {
-    if (depth > MOST_NESTING) {
+    if (depth > MAX_NESTING) {
       // The library counts brackets but not the parts of dotted keys.
       throw new NestingException();
     }
@@ -127,7 +127,7 @@
     private static final long serialVersionUID = 1L;
 
     private NestingException() {
-      super("nesting deeper than " + MOST_NESTING);
+      super("nesting deeper than " + MAX_NESTING);
     }
   }
 }
--- a/src/main/java/pumicekeel/fleet/Daemon.java
+++ b/src/main/java/pumicekeel/fleet/Daemon.java
@@ -289,7 +289,7 @@
         OperatorLoader.load(settings.operator());
       }
       return null;
-    } catch (OperatorLoader.Faulty e) {
+    } catch (OperatorLoader.InvalidFileException e) {
       return e.getMessage();
     }
   }
--- a/src/main/java/pumicekeel/fleet/Processes.java
+++ b/src/main/java/pumicekeel/fleet/Processes.java
@@ -65,7 +65,7 @@
       builder.environment().put("PROXY_LISTEN", address);
       builder
           .environment()
-          .put("PROXY_ADMIN", Configuration.PATH + RunDirectory.door(run.path(), instance));
+          .put("PROXY_ADMIN", Configuration.UNIX_PREFIX + RunDirectory.door(run.path(), instance));
     }
     builder.environment().put("PROXY_GROUP", instance + "/" + settings.instances());
     return builder.start();
--- a/src/main/java/pumicekeel/lab/experiment/Experiment.java
+++ b/src/main/java/pumicekeel/lab/experiment/Experiment.java
@@ -55,7 +55,7 @@
   public static Experiment read(Path file) throws Faulty {
     try {
       return read(OperatorFile.read(file), file.toString());
-    } catch (OperatorFile.Unreadable e) {
+    } catch (OperatorFile.UnreadableFileException e) {
       throw new Faulty(List.of(new Fault(1, "file", e.getMessage()).in(file.toString())));
     }
   }
@@ -73,7 +73,7 @@
   }
 
   private static Experiment read(Section s) {
-    String name = s.needed("name", "the experiment's name");
+    String name = s.requiredText("name", "the experiment's name");
     List<String> worlds = chosen(s, "worlds", Worlds.names(), Worlds.names()::contains);
     List<String> policies = chosen(s, "policies", Policies.names(), p -> Policies.of(p) != null);
     List<Integer> balancers = s.integers("balancers", 1, WorldSpec.MOST_BALANCERS);
@@ -88,17 +88,17 @@
     if (sweep != null) {
       Set<String> keys = new TreeSet<>(sweep.keys());
       if (keys.size() != 1 || !WorldSpec.SWEPT.containsAll(keys)) {
-        s.fault(
+        s.addFault(
             "sweep", "expected one of " + WorldSpec.SWEPT + " with a list of values, got " + keys);
       } else {
         swept = keys.iterator().next();
         values = values(sweep, swept);
       }
-      sweep.done();
+      sweep.reportUnknownKeys();
     }
-    s.done();
+    s.reportUnknownKeys();
     if (balancers == null || balancers.isEmpty()) {
-      s.fault("balancers", "expected numbers of balancers, as [2, 20], got nothing");
+      s.addFault("balancers", "expected numbers of balancers, as [2, 20], got nothing");
       balancers = List.of(1);
     }
     Experiment e = new Experiment(
@@ -115,7 +115,7 @@
         limit == null ? 300 : limit.intValue());
     if ((long) e.worlds.size() * e.policies.size() * e.balancers.size() * e.seeds * e.values.size()
         > MOST_RUNS) {
-      s.fault("seeds", "expected at most " + MOST_RUNS + " runs in all");
+      s.addFault("seeds", "expected at most " + MOST_RUNS + " runs in all");
     }
     return e;
   }
@@ -123,13 +123,13 @@
   private static List<Double> values(Section sweep, String key) {
     List<Double> values = sweep.numbers(key);
     if (values.isEmpty()) {
-      sweep.fault(key, "expected values to sweep, got nothing");
+      sweep.addFault(key, "expected values to sweep, got nothing");
     }
     for (double value : values) {
       try {
         Worlds.of(Worlds.names().get(0), 1, 1).with(key, value);
       } catch (IllegalArgumentException e) {
-        sweep.fault(key, e.getMessage().substring(e.getMessage().indexOf("expected")));
+        sweep.addFault(key, e.getMessage().substring(e.getMessage().indexOf("expected")));
       }
     }
     return values.isEmpty() ? List.of(0.0) : values;
@@ -137,14 +137,14 @@
 
   private static List<String> chosen(
       Section s, String key, List<String> known, Predicate<String> good) {
-    List<String> chosen = s.texts(key);
+    List<String> chosen = s.textList(key);
     if (chosen == null || chosen.isEmpty()) {
-      s.fault(key, "expected some of " + known + ", got nothing");
+      s.addFault(key, "expected some of " + known + ", got nothing");
       return known;
     }
     for (String one : chosen) {
       if (!good.test(one)) {
-        s.fault(key, "expected one of " + known + ", got \"" + one + "\"");
+        s.addFault(key, "expected one of " + known + ", got \"" + one + "\"");
       }
     }
     return chosen.stream().distinct().toList();
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -153,7 +153,7 @@
       if (delivered != null) {
         delivered.follow(node, worker);
       }
-    } catch (OperatorLoader.Faulty e) {
+    } catch (OperatorLoader.InvalidFileException e) {
       e.lines().forEach(err::println);
       return 2;
     } catch (IOException | RuntimeException e) {
--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/pumicekeel/node/Reload.java
@@ -121,7 +121,7 @@
         node.reload(next);
         return next;
       });
-    } catch (OperatorLoader.Faulty e) {
+    } catch (OperatorLoader.InvalidFileException e) {
       e.lines().stream().limit(MOST_LINES).forEach(l -> Log.line("reload: " + l));
       Log.line("reload: the operator file stays as it was: " + e.lines().size() + " faults");
     } catch (IOException | RuntimeException e) {
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -222,7 +222,7 @@
     List<HostList.Host> mine = new ArrayList<>();
     for (HostList.Host host : list.hosts()) {
       HostList.Host before = hosts.get(host.listed().upstream());
-      if (spec.select().takes(host)) {
+      if (spec.select().matches(host)) {
         mine.add(host);
       } else if (before != null && !list.whole()) {
         mine.add(gone(before));
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -214,7 +214,7 @@
 
   private static Settings settingsOf(Configuration configuration, Operator.Pool pool) {
     try {
-      return pool.overrides().over(configuration.settings());
+      return pool.overrides().applyTo(configuration.settings());
     } catch (IllegalArgumentException e) {
       throw new IllegalArgumentException("pools." + pool.name() + ": " + e.getMessage());
     }
@@ -224,13 +224,13 @@
       String what,
       long total,
       Operator next,
-      java.util.function.Function<Operator.Pool, Operator.Room> room) {
+      java.util.function.Function<Operator.Pool, Operator.Capacity> room) {
     return RoomPlan.of(
         what,
         total,
         next.pools().values().stream()
             .map(p -> new RoomPlan.Ask(
-                p.name(), room.apply(p).guaranteed(), room.apply(p).most()))
+                p.name(), room.apply(p).guaranteed(), room.apply(p).max()))
             .toList());
   }
 
@@ -414,9 +414,9 @@
       if (now != null && spec.equals(was)) {
         return;
       }
-      if (spec instanceof Operator.Fixed fixed && now != null && now.fixed()) {
+      if (spec instanceof Operator.StaticSource fixed && now != null && now.fixed()) {
         now.replace(fixed.hosts());
-      } else if (spec instanceof Operator.Watched watched && now != null && !now.fixed()) {
+      } else if (spec instanceof Operator.DiscoverySource watched && now != null && !now.fixed()) {
         now.moveTo(watched.address());
       } else {
         sources.put(name, source(spec));
@@ -425,11 +425,11 @@
   }
 
   private UpstreamSource source(Operator.Source spec) {
-    if (spec instanceof Operator.Fixed fixed) {
+    if (spec instanceof Operator.StaticSource fixed) {
       return UpstreamSource.fixed(fixed.hosts());
     }
     WatchTerms terms = WatchTerms.of(configuration.settings());
-    return spec instanceof Operator.Watched watched
+    return spec instanceof Operator.DiscoverySource watched
         ? watched(watched.address(), new HostList(0, true, List.of()), terms)
         : watched(platformDiscovery, configuration.known(), terms);
   }
--- a/src/test/java/pumicekeel/config/OperatorFileTest.java
+++ b/src/test/java/pumicekeel/config/OperatorFileTest.java
@@ -19,8 +19,8 @@
   private Path folder;
 
   private void refused(Path file, String part) {
-    OperatorFile.Unreadable e =
-        assertThrows(OperatorFile.Unreadable.class, () -> OperatorFile.read(file));
+    OperatorFile.UnreadableFileException e =
+        assertThrows(OperatorFile.UnreadableFileException.class, () -> OperatorFile.read(file));
     assertTrue(e.getMessage().contains(part), e.getMessage());
   }
 
@@ -36,7 +36,7 @@
     refused(file, "cut short");
     Files.write(file, new byte[] {'a', (byte) 0xff, '\n'});
     refused(file, "UTF-8");
-    Files.write(file, new byte[OperatorFile.MOST_BYTES + 1]);
+    Files.write(file, new byte[OperatorFile.MAX_BYTES + 1]);
     refused(file, "at most 16777216 bytes");
     Files.delete(file);
     Files.createSymbolicLink(file, file);
@@ -46,8 +46,9 @@
   @Test
   void fileThatTheHeapCannotReadIsRefusedInOneLine() throws IOException {
     OperatorFile.checkHeap(4 << 20, 56L << 20);
-    OperatorFile.Unreadable e = assertThrows(
-        OperatorFile.Unreadable.class, () -> OperatorFile.checkHeap((4 << 20) + 1, 56L << 20));
+    OperatorFile.UnreadableFileException e = assertThrows(
+        OperatorFile.UnreadableFileException.class,
+        () -> OperatorFile.checkHeap((4 << 20) + 1, 56L << 20));
     assertTrue(e.getMessage().contains("at least 57 MiB"), e.getMessage());
     assertTrue(e.getMessage().endsWith("got 56"), e.getMessage());
   }
@@ -83,7 +84,7 @@
           String text = OperatorFile.read(link);
           assertTrue(text.equals(one) || text.equals(two), "a mixture of " + text.length());
           read++;
-        } catch (OperatorFile.Unreadable e) {
+        } catch (OperatorFile.UnreadableFileException e) {
           assertTrue(e.getMessage().contains("changed while it was read"), e.getMessage());
         }
       }
@@ -107,7 +108,7 @@
       Files.writeString(file, whole.substring(0, cut));
       boolean atLineEnd = cut > 0 && whole.charAt(cut - 1) == '\n';
       if (!atLineEnd) {
-        assertThrows(OperatorFile.Unreadable.class, () -> OperatorFile.read(file));
+        assertThrows(OperatorFile.UnreadableFileException.class, () -> OperatorFile.read(file));
       } else {
         assertEquals(cut, OperatorFile.read(file).length());
       }
--- a/src/test/java/pumicekeel/config/OperatorReaderTest.java
+++ b/src/test/java/pumicekeel/config/OperatorReaderTest.java
@@ -91,12 +91,12 @@
             "settings",
             "{\"categories\":[{\"name\":\"c\",\"aim-ns\":1000000}],"
                 + "\"limits\":{\"max-attempts\":6},\"contract\":{\"drain-grace-ns\":2000000000,\"fall-multiple\":3.0}}"));
-    Settings quotes = operator.pools().get("quotes").overrides().over(base);
+    Settings quotes = operator.pools().get("quotes").overrides().applyTo(base);
     assertEquals(2, quotes.limits().maxAttempts());
     assertEquals(1_000_000_000L, quotes.contract().drainGraceNanos());
     assertEquals(3.0, quotes.contract().fallMultiple());
     assertEquals(Effect.KEYED, quotes.classes().get(0).effect());
-    assertEquals(base, operator.pools().get("rates").overrides().over(base));
+    assertEquals(base, operator.pools().get("rates").overrides().applyTo(base));
   }
 
   @Test
--- a/src/test/java/pumicekeel/config/ShapeTest.java
+++ b/src/test/java/pumicekeel/config/RequiredKeysTest.java
@@ -7,7 +7,7 @@
 import pumicekeel.adapter.Fields;
 
 /** A configuration that lacks what the one before had. */
-class ShapeTest {
+class RequiredKeysTest {
 
   private static final String BEFORE = """
       {"name":"n","known":{"index":1,"endpoints":[{"name":"s"}]},"settings":{"limits":{"max-attempts":3,"none":null},
@@ -16,7 +16,7 @@
         {"name":"c","effect":"idempotent","aim-ns":1,"deadline-ns":2}]}}""";
 
   private static String missing(String from, String to) throws Exception {
-    return Shape.missing(
+    return RequiredKeys.firstMissing(
         Fields.parse("c", BEFORE).values(),
         Fields.parse("c", BEFORE.replace(from, to)).values());
   }
--- a/src/test/java/pumicekeel/rig/scale/ConfigurationGeneratorTest.java
+++ b/src/test/java/pumicekeel/rig/scale/ConfigurationGeneratorTest.java
@@ -36,7 +36,7 @@
     assertEquals(
         60,
         operator.sources().values().stream()
-            .mapToInt(s -> s instanceof Operator.Fixed f ? f.hosts().size() : 0)
+            .mapToInt(s -> s instanceof Operator.StaticSource f ? f.hosts().size() : 0)
             .sum());
   }
 
@@ -48,7 +48,7 @@
     Operator watched = read(new ConfigurationGenerator(SMALL, 7)
         .withDiscoveries(p -> "127.0.0.1:" + (2_000 + p))
         .text());
-    assertTrue(watched.sources().get("service-003") instanceof Operator.Watched);
+    assertTrue(watched.sources().get("service-003") instanceof Operator.DiscoverySource);
   }
 
   @Test
