--- a/src/main/java/pumicekeel/adapter/Decoder.java
+++ b/src/main/java/pumicekeel/adapter/Decoder.java
@@ -31,11 +31,11 @@
 public final class Decoder {
 
   /** Where the settings say nothing: as the protocol's sites have them. */
-  private static final long CONNECT_TIMEOUT = 250_000_000L;
+  private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = 250_000_000L;
 
-  private static final long IDLE = 15_000_000_000L;
+  private static final long DEFAULT_CONNECTION_IDLE_NANOS = 15_000_000_000L;
 
-  private static final Map<String, Status> STATUS = Map.of(
+  private static final Map<String, Status> STATUSES = Map.of(
       "served",
       Status.SERVED,
       "server_error",
@@ -52,15 +52,15 @@
       Status.CANCELLED,
       "not_sent",
       Status.NOT_SENT);
-  private static final Map<String, State> STATE =
+  private static final Map<String, State> STATES =
       Map.of("up", State.READY, "draining", State.DRAINING, "removed", State.GONE);
-  private static final Map<String, ListKind> LIST_KIND =
+  private static final Map<String, ListKind> LIST_KINDS =
       Map.of("D", ListKind.DELTA, "F", ListKind.FULL, "C", ListKind.CACHED, "X", ListKind.FAILED);
-  private static final Map<String, Effect> EFFECT = Map.of(
+  private static final Map<String, Effect> EFFECTS = Map.of(
       "idempotent", Effect.SAFE, "deduplicated", Effect.KEYED, "at_most_once", Effect.UNSAFE);
-  private static final Map<String, DedupScope> SCOPE =
+  private static final Map<String, DedupScope> DEDUP_SCOPES =
       Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL);
-  private static final Map<String, WeightKind> WEIGHTS = Map.of(
+  private static final Map<String, WeightKind> WEIGHT_KINDS = Map.of(
       "none",
       WeightKind.NONE,
       "nominal",
@@ -69,7 +69,8 @@
       WeightKind.ROUGH,
       "live",
       WeightKind.LIVE);
-  private static final Map<String, Boolean> LIST_MODE = Map.of("pushed", false, "on_request", true);
+  private static final Map<String, Boolean> LIST_ON_REQUEST =
+      Map.of("pushed", false, "on_request", true);
 
   private Decoder() {}
 
@@ -94,7 +95,7 @@
             f.text("rid"),
             (int) f.integer("go"),
             f.integer("upstream"),
-            f.word("rc", STATUS),
+            f.choice("rc", STATUSES),
             f.integer("wait-time-ns"),
             f.bool("done-flag"),
             f.load("usage"));
@@ -103,7 +104,7 @@
       case "HealthResult" ->
         new ProbeResult(
             f.integer("upstream"),
-            f.word("rc", STATUS),
+            f.choice("rc", STATUSES),
             f.integer("wait-time-ns"),
             f.load("usage"));
       case "Datagram" -> new PeerMessage((int) f.integer("neighbour"), bytes(f));
@@ -127,7 +128,7 @@
   }
 
   private static ListNews topology(Fields f) {
-    ListKind kind = f.word("kind", LIST_KIND);
+    ListKind kind = f.choice("kind", LIST_KINDS);
     List<Listed> entries = new ArrayList<>();
     if (kind != ListKind.FAILED || f.has("entries")) {
       for (Fields e : f.objects("entries")) {
@@ -135,7 +136,7 @@
             e.integer("upstream"),
             e.text("region-part", ""),
             (int) e.integer("pack", 0),
-            e.word("stage-state", STATE),
+            e.choice("stage-state", STATES),
             e.integer("launched-ns", 0),
             e.number("capacity-hint", 1)));
       }
@@ -144,9 +145,9 @@
   }
 
   /** A time of which 0 says nothing, like its absence: as a limit it would end every connection at once. */
-  private static long orDefault(Fields f, String name, long otherwise) {
-    long value = f.integer(name, otherwise);
-    return value == 0 ? otherwise : value;
+  private static long orDefault(Fields f, String name, long defaultValue) {
+    long value = f.integer(name, defaultValue);
+    return value == 0 ? defaultValue : value;
   }
 
   /** The settings; unknown keys are skipped, absent ones get the defaults written here. */
@@ -156,8 +157,8 @@
       long aim = c.integer("aim-ns");
       classes.add(new RequestClass(
           c.text("name"),
-          c.word("effect", EFFECT, Effect.UNSAFE),
-          c.word("dedup-scope", SCOPE, DedupScope.CELL),
+          c.choice("effect", EFFECTS, Effect.UNSAFE),
+          c.choice("dedup-scope", DEDUP_SCOPES, DedupScope.CELL),
           c.integer("window-ns", 0),
           aim,
           c.number("aim-stretch", 0),
@@ -183,9 +184,9 @@
         (int) l.integer("max-attempts", 1),
         (int) l.integer("most-held", Integer.MAX_VALUE),
         (int) l.integer("multiplex", 1),
-        orDefault(l, "connect-timeout-ns", CONNECT_TIMEOUT),
-        orDefault(l, "conn-idle-ns", IDLE));
-    boolean onRequest = f.word("registry-mode", LIST_MODE, false);
+        orDefault(l, "connect-timeout-ns", DEFAULT_CONNECT_TIMEOUT_NANOS),
+        orDefault(l, "conn-idle-ns", DEFAULT_CONNECTION_IDLE_NANOS));
+    boolean onRequest = f.choice("registry-mode", LIST_ON_REQUEST, false);
     Fields c = f.nested("contract");
     Contract contract = new Contract(
         c.integer("answer-slack-ns", 0),
@@ -208,7 +209,7 @@
         contract,
         prices,
         onRequest,
-        f.word("weight-kind", WEIGHTS, WeightKind.NONE),
+        f.choice("weight-kind", WEIGHT_KINDS, WeightKind.NONE),
         f.number("over-share-worth", 1),
         f.nested("domain").bool("warm-keys", false),
         f.integer("resolution-ns", 1_000_000L));
--- a/src/main/java/pumicekeel/adapter/Fields.java
+++ b/src/main/java/pumicekeel/adapter/Fields.java
@@ -82,18 +82,18 @@
     if (value instanceof Map<?, ?> map) {
       return new Fields(path, map);
     }
-    throw bad(path, "an object", value);
+    throw mismatch(path, "an object", value);
   }
 
-  private static WireException bad(String path, String expected, Object value) {
+  private static WireException mismatch(String path, String expected, Object value) {
     return new WireException("field " + path + ": expected " + expected + ", got "
         + (value == null
             ? "nothing"
             : value instanceof String ? "\"" + value + "\"" : value.toString()));
   }
 
-  private WireException bad(String name, String expected) {
-    return bad(path + "." + name, expected, values.get(name));
+  private WireException mismatch(String name, String expected) {
+    return mismatch(path + "." + name, expected, values.get(name));
   }
 
   /** As it was read: objects are maps, arrays are lists. */
@@ -114,43 +114,43 @@
     if (values.get(name) instanceof Long number) {
       return number;
     }
-    throw bad(name, "a whole number");
+    throw mismatch(name, "a whole number");
   }
 
-  public long integer(String name, long absent) {
-    return has(name) ? integer(name) : absent;
+  public long integer(String name, long defaultValue) {
+    return has(name) ? integer(name) : defaultValue;
   }
 
-  public double number(String name, double absent) {
+  public double number(String name, double defaultValue) {
     if (!has(name)) {
-      return absent;
+      return defaultValue;
     }
     if (values.get(name) instanceof Number number) {
       return number.doubleValue();
     }
-    throw bad(name, "a number");
+    throw mismatch(name, "a number");
   }
 
   boolean bool(String name) {
     if (values.get(name) instanceof Boolean flag) {
       return flag;
     }
-    throw bad(name, "true or false");
+    throw mismatch(name, "true or false");
   }
 
-  public boolean bool(String name, boolean absent) {
-    return has(name) ? bool(name) : absent;
+  public boolean bool(String name, boolean defaultValue) {
+    return has(name) ? bool(name) : defaultValue;
   }
 
   public String text(String name) {
     if (values.get(name) instanceof String text) {
       return text;
     }
-    throw bad(name, "a text");
+    throw mismatch(name, "a text");
   }
 
-  public String text(String name, String absent) {
-    return has(name) ? text(name) : absent;
+  public String text(String name, String defaultValue) {
+    return has(name) ? text(name) : defaultValue;
   }
 
   /** A nested object; an empty one where it is absent. */
@@ -163,7 +163,7 @@
   /** An array of objects that has to be there. */
   public List<Fields> objects(String name) {
     if (!(values.get(name) instanceof List<?> list)) {
-      throw bad(name, "an array");
+      throw mismatch(name, "an array");
     }
     List<Fields> out = new ArrayList<>(list.size());
     for (int i = 0; i < list.size(); i++) {
@@ -173,16 +173,16 @@
   }
 
   /** One of the words; the table maps the wire's words to the module's. */
-  public <T> T word(String name, Map<String, T> words) {
-    T word = words.get(text(name));
-    if (word == null) {
-      throw bad(name, "one of " + new java.util.TreeSet<>(words.keySet()));
+  public <T> T choice(String name, Map<String, T> choices) {
+    T choice = choices.get(text(name));
+    if (choice == null) {
+      throw mismatch(name, "one of " + new java.util.TreeSet<>(choices.keySet()));
     }
-    return word;
+    return choice;
   }
 
-  <T> T word(String name, Map<String, T> words, T absent) {
-    return has(name) ? word(name, words) : absent;
+  <T> T choice(String name, Map<String, T> choices, T defaultValue) {
+    return has(name) ? choice(name, choices) : defaultValue;
   }
 
   /** A load report: its numbers by name, anything else skipped; empty where none came. */
--- a/src/main/java/pumicekeel/adapter/Link.java
+++ b/src/main/java/pumicekeel/adapter/SimulatorSession.java
@@ -16,14 +16,14 @@
 import pumicekeel.Balancer;
 
 /** The conversation: a batch of events a line in, a line of actions out; one module instance for each balancer. */
-public final class Link {
+public final class SimulatorSession {
 
   private final JsonFactory json = new JsonFactory();
   private final BufferedReader in;
   private final OutputStream out;
   private final Map<Long, Balancer> instances = new HashMap<>();
 
-  public Link(InputStream in, OutputStream out) {
+  public SimulatorSession(InputStream in, OutputStream out) {
     this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
     this.out = out;
   }
--- a/src/main/java/pumicekeel/cli/FuzzCommand.java
+++ b/src/main/java/pumicekeel/cli/FuzzCommand.java
@@ -69,7 +69,7 @@
     out.println(
         held
             ? inputs + " inputs of seed " + seed + ": every call ended once, nothing was kept"
-            : fuzz.failed() + "; again: fuzz --seed " + seed + " --inputs 1 --first N");
+            : fuzz.failure() + "; again: fuzz --seed " + seed + " --inputs 1 --first N");
     return held ? 0 : 1;
   }
 }
--- a/src/main/java/pumicekeel/cli/Main.java
+++ b/src/main/java/pumicekeel/cli/Main.java
@@ -5,7 +5,7 @@
 import java.io.PrintStream;
 import java.io.PrintWriter;
 import picocli.CommandLine;
-import pumicekeel.adapter.Link;
+import pumicekeel.adapter.SimulatorSession;
 import pumicekeel.adapter.WireException;
 import pumicekeel.node.Node;
 
@@ -45,7 +45,7 @@
 
   private static int adapter(InputStream in, PrintStream out, PrintStream err) throws IOException {
     try {
-      new Link(in, out).run();
+      new SimulatorSession(in, out).run();
       return 0;
     } catch (WireException e) {
       err.println(e.getMessage());
--- a/src/main/java/pumicekeel/config/RpcReader.java
+++ b/src/main/java/pumicekeel/config/RpcReader.java
@@ -84,7 +84,7 @@
         sources.put(part, source);
       }
     });
-    List<MethodMapping.Piece> path = path(s, className);
+    List<MethodMapping.PathPart> path = path(s, className);
     String host = HostName.of(s.text("host", DEFAULT_HOST));
     if (host == null) {
       s.addFault("host", "expected a host name");
@@ -148,9 +148,9 @@
   }
 
   /** {@code /class/{/pointer}}: where a call goes as an HTTP request. */
-  private static List<MethodMapping.Piece> path(Section s, String className) {
+  private static List<MethodMapping.PathPart> path(Section s, String className) {
     String text = s.text("path", null);
-    List<MethodMapping.Piece> out = new ArrayList<>();
+    List<MethodMapping.PathPart> out = new ArrayList<>();
     if (text == null) {
       return out;
     }
@@ -179,7 +179,7 @@
     return out;
   }
 
-  private static void literal(Section s, String text, List<MethodMapping.Piece> out) {
+  private static void literal(Section s, String text, List<MethodMapping.PathPart> out) {
     if (!text.matches("[A-Za-z0-9._~!$&'()*+,;=:@/?%-]*")) {
       s.addFault("path", "expected characters that a URL may have, got \"" + text + "\"");
     } else if (!text.isEmpty()) {
--- a/src/main/java/pumicekeel/discovery/HostList.java
+++ b/src/main/java/pumicekeel/discovery/HostList.java
@@ -40,7 +40,7 @@
         idOf(f.text("name")),
         f.text("zone", ""),
         (int) f.integer("group", 0),
-        f.word("status", STATUS),
+        f.choice("status", STATUS),
         f.integer("since_ms", 0) * 1_000_000L,
         f.number("weight", 1));
     return new Host(
--- a/src/main/java/pumicekeel/front/jsonrpc/BatchAnswers.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/BatchAnswers.java
@@ -11,12 +11,12 @@
  */
 final class BatchAnswers<T> {
 
-  /** How an entry of the batch ended. */
-  enum How {
+  /** EntryOutcome an entry of the batch ended. */
+  enum EntryOutcome {
     /** Served, or an error of the application: it may wait for the others. */
     ANSWERED,
     /** Refused or failed: the client may want to do something about it. */
-    GIVEN_UP,
+    REFUSED_OR_FAILED,
     /** Turned away before anything was tried: it goes with the first that go. */
     INVALID
   }
@@ -26,9 +26,9 @@
 
   private final BatchMode mode;
   private int pending;
-  private List<T> held = new ArrayList<>();
-  private boolean due;
-  private long dueAt = NEVER;
+  private List<T> ready = new ArrayList<>();
+  private boolean flushDue;
+  private long flushAt = NEVER;
 
   /** A batch with so many entries that will end, notifications among them. */
   BatchAnswers(BatchMode mode, int entries) {
@@ -36,37 +36,38 @@
     pending = entries;
   }
 
-  /** An entry ended; {@code answer} is null for a notification; {@code waitUntil}: no longer than that is it held. */
-  void ended(T answer, How how, long waitUntil) {
+  /** An entry ended; {@code answer} is null for a notification; {@code waitUntil}: no longer than that is it ready. */
+  void ended(T answer, EntryOutcome outcome, long waitUntil) {
     pending--;
     if (answer != null) {
-      held.add(answer);
-      boolean now = mode == BatchMode.APART || mode == BatchMode.IN_TIME && how == How.GIVEN_UP;
-      due |= now;
-      if (mode == BatchMode.IN_TIME && how == How.ANSWERED) {
-        dueAt = Math.min(dueAt, waitUntil);
+      ready.add(answer);
+      boolean immediate = mode == BatchMode.APART
+          || mode == BatchMode.IN_TIME && outcome == EntryOutcome.REFUSED_OR_FAILED;
+      flushDue |= immediate;
+      if (mode == BatchMode.IN_TIME && outcome == EntryOutcome.ANSWERED) {
+        flushAt = Math.min(flushAt, waitUntil);
       }
     }
   }
 
   /** What goes out now as one array; empty for nothing. */
-  List<T> take(long now) {
-    if (held.isEmpty() || !due && pending > 0 && now < dueAt) {
+  List<T> takeReady(long now) {
+    if (ready.isEmpty() || !flushDue && pending > 0 && now < flushAt) {
       return List.of();
     }
-    List<T> out = held;
-    held = new ArrayList<>();
-    due = false;
-    dueAt = NEVER;
+    List<T> out = ready;
+    ready = new ArrayList<>();
+    flushDue = false;
+    flushAt = NEVER;
     return out;
   }
 
-  /** When {@link #take} is to be called at the latest, or {@link #NEVER}. */
-  long dueAt() {
-    return held.isEmpty() ? NEVER : dueAt;
+  /** When {@link #takeReady} is to be called at the latest, or {@link #NEVER}. */
+  long flushAt() {
+    return ready.isEmpty() ? NEVER : flushAt;
   }
 
-  boolean over() {
-    return pending == 0 && held.isEmpty();
+  boolean isComplete() {
+    return pending == 0 && ready.isEmpty();
   }
 }
--- a/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
@@ -39,16 +39,16 @@
 import pumicekeel.runtime.Reactor;
 
 /**
- * Mutated input for the front, without sockets: a seed gives the same inputs, cuts and ends of calls again. Each input has
- * a connection of its own, whose client half-closes or leaves behind it. What is held against it: every call that was taken
- * ends once and gives its room back once; every request object that asks for an answer gets exactly one; nothing throws, and
- * nothing is left open.
+ * Fuzzes the JSON-RPC front without sockets; the same seed repeats the same inputs, read boundaries and call outcomes. Each
+ * input gets a connection of its own, whose client half-closes it or disconnects at the end. Checks that every submitted call
+ * ends exactly once and releases its reservations exactly once, that every request object with an id gets exactly one answer,
+ * that nothing is thrown and that nothing stays open.
  */
 public final class CallFuzz {
 
   private static final pumicekeel.jsonrpc.Limits LIMITS =
       new pumicekeel.jsonrpc.Limits(4_096, 8, 6);
-  /** What an input is made from. */
+  /** Valid and invalid messages that inputs are built from. */
   private static final List<String> SEEDS = List.of(
       "{\"jsonrpc\":\"2.0\",\"method\":\"look\",\"params\":{\"account\":\"acme\",\"n\":1},\"id\":1}",
       "{\"jsonrpc\":\"2.0\",\"method\":\"issue\",\"params\":{\"key\":\"k\\u00e9y\"},\"id\":\"\\ud83d\\ude00\"}",
@@ -87,29 +87,30 @@
   };
 
   private final long seed;
-  private String failed;
+  private String failure;
 
-  /** A run that the seed repeats. */
+  /** Creates a run that the seed makes repeatable. */
   public CallFuzz(long seed) {
     this.seed = seed;
   }
 
-  /** What went wrong and how to see it again; null where nothing did. */
-  public String failed() {
-    return failed;
+  /** Returns the first failure with the input and seed that reproduce it, or null if there was none. */
+  public String failure() {
+    return failure;
   }
 
-  /** Plays so many inputs from the given one on, and stops at the first that fails; {@code progress} gets each number. */
+  /** Runs {@code count} inputs from number {@code first} and stops at the first failure; {@code progress} receives each number. */
   public boolean run(long first, long count, LongConsumer progress) {
     for (long i = first; i < first + count; i++) {
       progress.accept(i);
       try {
-        String why = new One(new SplittableRandom(seed * 0x9E3779B97F4A7C15L + i)).play();
-        failed = why == null ? null : "input " + i + " of seed " + seed + ": " + why;
+        String why =
+            new FuzzedConnection(new SplittableRandom(seed * 0x9E3779B97F4A7C15L + i)).play();
+        failure = why == null ? null : "input " + i + " of seed " + seed + ": " + why;
       } catch (Exception | AssertionError | StackOverflowError e) {
-        failed = "input " + i + " of seed " + seed + ": " + e;
+        failure = "input " + i + " of seed " + seed + ": " + e;
       }
-      if (failed != null) {
+      if (failure != null) {
         return false;
       }
     }
@@ -174,17 +175,17 @@
               new At(JsonPointer.of("/key"), true)),
           List.of()));
 
-  /** One connection. */
-  private static final class One {
+  /** A connection with its input, its handles and their counts. */
+  private static final class FuzzedConnection {
     private final SplittableRandom random;
-    private final List<Way> open = new ArrayList<>();
-    private int entered;
-    private int left;
-    private int taken;
-    private int ended;
-    private String wrong;
+    private final List<FuzzHandle> open = new ArrayList<>();
+    private int handlesCreated;
+    private int handlesReleased;
+    private int callsSubmitted;
+    private int callsEnded;
+    private String violation;
 
-    One(SplittableRandom random) {
+    FuzzedConnection(SplittableRandom random) {
       this.random = random;
     }
 
@@ -197,26 +198,26 @@
         if (draw == 0) {
           throw new Bad(new int[] {400, 404, 502, 503}[random.nextInt(4)], "no", draw);
         }
-        return new Way();
+        return new FuzzHandle();
       };
-      RpcSide side = new RpcSide(
+      RpcFront front = new RpcFront(
           new Reactor(null, new Clock(), null),
           "fuzz",
           router,
           10,
           new CallSettings(framing, mode, LIMITS, 1 + random.nextInt(4), 1_000_000_000L, METHODS),
           new RequestIds("fuzz", 0));
-      RpcClient client = new RpcClient(side, side.settings());
+      RpcClientConnection client = new RpcClientConnection(front, front.settings());
       EmbeddedChannel channel = new EmbeddedChannel(client.decoder(), client);
-      boolean leaves = random.nextInt(8) == 0;
-      int stop = leaves ? random.nextInt(input.length + 1) : input.length;
+      boolean closesEarly = random.nextInt(8) == 0;
+      int stop = closesEarly ? random.nextInt(input.length + 1) : input.length;
       for (int at = 0; at < stop && channel.isActive(); ) {
         int end = Math.min(stop, at + 1 + random.nextInt(random.nextBoolean() ? 8 : 2_000));
         channel.writeInbound(Unpooled.copiedBuffer(input, at, end - at));
         at = end;
-        someEnds(channel);
+        endSomeCalls(channel);
       }
-      if (leaves) {
+      if (closesEarly) {
         channel.close();
       } else {
         channel.pipeline().fireUserEventTriggered(ChannelInputShutdownEvent.INSTANCE);
@@ -228,10 +229,10 @@
         }
         channel.runPendingTasks();
       }
-      return leaves ? verdict(channel) : verdict(channel, framing, input);
+      return closesEarly ? check(channel) : check(channel, framing, input);
     }
 
-    private void someEnds(EmbeddedChannel channel) {
+    private void endSomeCalls(EmbeddedChannel channel) {
       channel.runPendingTasks();
       while (!open.isEmpty() && random.nextInt(3) == 0) {
         open.remove(random.nextInt(open.size())).end(random);
@@ -277,73 +278,77 @@
       }
     }
 
-    // What is held against it
+    // Checks
 
-    private String verdict(EmbeddedChannel channel) {
+    private String check(EmbeddedChannel channel) {
       channel.releaseOutbound();
       channel.releaseInbound();
-      if (wrong != null) {
-        return wrong;
+      if (violation != null) {
+        return violation;
       }
       if (channel.isActive()) {
-        return "the connection does not end";
+        return "the connection was not closed";
       }
-      return entered != left
-          ? entered + " handles made, " + left + " left"
-          : taken != ended ? taken + " calls taken, " + ended + " ended" : null;
+      return handlesCreated != handlesReleased
+          ? handlesCreated + " handles created, " + handlesReleased + " released"
+          : callsSubmitted != callsEnded
+              ? callsSubmitted + " calls submitted, " + callsEnded + " ended"
+              : null;
     }
 
-    private String verdict(EmbeddedChannel channel, Framing framing, byte[] input) {
-      StringBuilder said = new StringBuilder();
+    private String check(EmbeddedChannel channel, Framing framing, byte[] input) {
+      StringBuilder output = new StringBuilder();
       for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
-        said.append(b.toString(StandardCharsets.UTF_8));
+        output.append(b.toString(StandardCharsets.UTF_8));
         b.release();
       }
-      int wanted = wanted(framing, input);
-      int got = answers(said.toString().getBytes(StandardCharsets.UTF_8));
-      String why = verdict(channel);
-      return why != null || got == wanted
+      int expected = expected(framing, input);
+      int got = answers(output.toString().getBytes(StandardCharsets.UTF_8));
+      String why = check(channel);
+      return why != null || got == expected
           ? why
-          : got + " answers to " + wanted + " that were owed; asked \""
-              + new String(input, StandardCharsets.UTF_8) + "\", answered \"" + said + "\"";
+          : got + " answers where " + expected + " were expected; input \""
+              + new String(input, StandardCharsets.UTF_8) + "\", output \"" + output + "\"";
     }
 
-    /** Answers that the input is owed, read in one piece. */
-    private static int wanted(Framing framing, byte[] input) {
+    /** Returns how many answers the input requires, found by reading it in one piece. */
+    private static int expected(Framing framing, byte[] input) {
       FrameDecoder decoder = new FrameDecoder(framing, LIMITS, () -> true);
       EmbeddedChannel channel = new EmbeddedChannel(decoder);
       channel.writeInbound(Unpooled.copiedBuffer(input));
       MessageReader reader = new MessageReader(LIMITS);
-      int wanted = 0;
+      int expected = 0;
       boolean over = false;
       for (Frame f = channel.readInbound(); f != null && !over; f = channel.readInbound()) {
         Message message = f instanceof Frame.Complete whole ? reader.read(whole.bytes()) : null;
         if (message instanceof Message.Single one) {
-          wanted += owed(one.entry());
+          expected += expectedAnswers(one.entry());
         } else if (message instanceof Message.Batch batch) {
-          wanted += batch.entries().stream().mapToInt(One::owed).sum();
+          expected += batch.entries().stream()
+              .mapToInt(FuzzedConnection::expectedAnswers)
+              .sum();
         } else {
-          wanted++;
+          expected++;
           over = message == null
               || ((Message.Malformed) message).code() == ErrorCodes.PARSE
                   && decoder.framing() == Framing.VALUES;
         }
       }
-      wanted += !over && decoder.hasBufferedBytes() ? 1 : 0;
+      expected += !over && decoder.hasBufferedBytes() ? 1 : 0;
       channel.finishAndReleaseAll();
-      return wanted;
+      return expected;
     }
 
-    private static int owed(Message.Entry entry) {
+    private static int expectedAnswers(Message.Entry entry) {
       return entry instanceof Message.Call call && call.id() == null ? 0 : 1;
     }
 
-    /** Response objects in what was said; -1 where it is no JSON-RPC. */
-    private static int answers(byte[] said) {
+    /** Counts the response objects in the output; -1 if it is not valid JSON-RPC. */
+    private static int answers(byte[] output) {
       pumicekeel.jsonrpc.Limits wide = new pumicekeel.jsonrpc.Limits(1 << 20, 64, 1_000);
       EmbeddedChannel channel =
           new EmbeddedChannel(new FrameDecoder(Framing.DETECT, wide, () -> true));
-      channel.writeInbound(Unpooled.wrappedBuffer(said));
+      channel.writeInbound(Unpooled.wrappedBuffer(output));
       MessageReader reader = new MessageReader(wide);
       int count = 0;
       for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
@@ -360,14 +365,14 @@
       return count;
     }
 
-    /** A handle that ends its call when the run says so. */
-    private final class Way implements RequestHandle {
+    /** A request handle whose call ends when the fuzzer decides. */
+    private final class FuzzHandle implements RequestHandle {
       private Client client;
       private boolean over;
-      private boolean wasLeft;
+      private boolean released;
 
-      Way() {
-        entered++;
+      FuzzHandle() {
+        handlesCreated++;
       }
 
       @Override
@@ -389,7 +394,7 @@
         if (draw == 1) {
           return false;
         }
-        taken++;
+        callsSubmitted++;
         client = to;
         if (random.nextInt(4) == 0) {
           end(random);
@@ -401,7 +406,7 @@
 
       void end(SplittableRandom how) {
         over = true;
-        ended++;
+        callsEnded++;
         switch (how.nextInt(5)) {
           case 0 -> client.refused(how.nextInt(2) * 1_000_000L);
           case 1 -> client.failed();
@@ -421,19 +426,19 @@
       @Override
       public void clientGone(String id) {
         if (over || !open.remove(this)) {
-          wrong = "told of a client's leaving after the end";
+          violation = "client disconnect reported after the call ended";
         }
         over = true;
-        ended++;
+        callsEnded++;
       }
 
       @Override
       public void release() {
-        if (wasLeft) {
-          wrong = "left twice";
+        if (released) {
+          violation = "handle released twice";
         }
-        wasLeft = true;
-        left++;
+        released = true;
+        handlesReleased++;
       }
     }
   }
--- a/src/main/java/pumicekeel/front/jsonrpc/MethodMapping.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/MethodMapping.java
@@ -33,13 +33,13 @@
   public record At(JsonPointer pointer, boolean optional) implements Source {}
 
   /** A part of the path of the HTTP request that a call becomes: text as it is, or a value by pointer. */
-  public sealed interface Piece permits Text, Value {}
+  public sealed interface PathPart permits Text, Value {}
 
   /** As it is. */
-  public record Text(String text) implements Piece {}
+  public record Text(String text) implements PathPart {}
 
   /** Percent-encoded. */
-  public record Value(JsonPointer pointer) implements Piece {}
+  public record Value(JsonPointer pointer) implements PathPart {}
 
   /** Params that don't have what the settings ask for; the words name the pointer. */
   public static final class BadParams extends Exception {
@@ -52,30 +52,34 @@
   }
 
   /** What the params of one call said; {@code leftMillis} and {@code hintMicros} are -1 where nothing did. */
-  public record Said(
+  public record CallFields(
       String tenant,
       String sessionKey,
       String idempotencyKey,
-      long leftMillis,
-      long hintMicros,
+      long timeLeftMillis,
+      long workHintMicros,
       String uri) {}
 
   /** Far from overflow in nanoseconds. */
-  static final long MOST_NUMBER = 1_000_000_000L;
+  static final long MAX_NUMBER = 1_000_000_000L;
   /** Keys and names are kept while a request is open, and longer for keyed ones. */
-  static final int MOST_TEXT = 256;
+  static final int MAX_TEXT_LENGTH = 256;
 
   private final String method;
   private final String className;
   private final String host;
   private final Map<Part, Source> sources;
-  private final List<Piece> path;
+  private final List<PathPart> path;
   private final JsonPointerSet pointers;
   private final List<JsonPointer> order;
 
   /** {@code path} is empty for the class's own. */
   public MethodMapping(
-      String method, String className, String host, Map<Part, Source> sources, List<Piece> path) {
+      String method,
+      String className,
+      String host,
+      Map<Part, Source> sources,
+      List<PathPart> path) {
     this.method = method;
     this.className = className;
     this.host = host;
@@ -113,14 +117,14 @@
   }
 
   /** Where a part comes from, for a message to a person. */
-  public String placeOf(Part part) {
+  public String describeSource(Part part) {
     return sources.get(part) instanceof At at
         ? at.pointer().toString()
         : "no pointer for it in the settings";
   }
 
   /** Reads the params of a call; null stands for none. */
-  public Said read(byte[] params) throws BadParams {
+  public CallFields read(byte[] params) throws BadParams {
     Found[] found = pointers.resolve(params);
     int[] next = {0};
     String tenant = text(Part.TENANT, found, next);
@@ -128,7 +132,7 @@
     String key = text(Part.IDEMPOTENCY_KEY, found, next);
     long left = number(Part.TIME_LEFT_MS, found, next);
     long hint = number(Part.WORK_HINT_US, found, next);
-    return new Said(tenant, session, key, left, hint, uri(found, next));
+    return new CallFields(tenant, session, key, left, hint, uri(found, next));
   }
 
   private String text(Part part, Found[] found, int[] next) throws BadParams {
@@ -150,9 +154,9 @@
     }
     if (f.kind() != Kind.STRING
         || f.text().isEmpty()
-        || f.text().length() > MOST_TEXT
+        || f.text().length() > MAX_TEXT_LENGTH
         || !printable(f.text())) {
-      throw new BadParams(at.pointer() + ": expected a string of 1 to " + MOST_TEXT
+      throw new BadParams(at.pointer() + ": expected a string of 1 to " + MAX_TEXT_LENGTH
           + " printable characters or a whole number, got " + name(f));
     }
     return f.text();
@@ -179,7 +183,7 @@
     if (f.kind() != Kind.NUMBER || !f.text().matches("[0-9]{1,12}")) {
       throw new BadParams(at.pointer() + ": expected a whole number from 0 on, got " + name(f));
     }
-    return Math.min(MOST_NUMBER, Long.parseLong(f.text()));
+    return Math.min(MAX_NUMBER, Long.parseLong(f.text()));
   }
 
   private String uri(Found[] found, int[] next) throws BadParams {
@@ -187,7 +191,7 @@
       return null;
     }
     StringBuilder out = new StringBuilder();
-    for (Piece piece : path) {
+    for (PathPart piece : path) {
       if (piece instanceof Text text) {
         out.append(text.text());
         continue;
@@ -198,16 +202,16 @@
               && !f.text().equals(".")
               && !f.text().equals("..")
           || f.kind() == Kind.NUMBER;
-      if (!usable || f.text().length() > MOST_TEXT) {
+      if (!usable || f.text().length() > MAX_TEXT_LENGTH) {
         throw new BadParams(((Value) piece).pointer()
             + ": expected a string or a number for the path, got " + name(f));
       }
-      out.append(encoded(f.text()));
+      out.append(percentEncoded(f.text()));
     }
     return out.toString();
   }
 
-  static String encoded(String text) {
+  static String percentEncoded(String text) {
     return URLEncoder.encode(text, StandardCharsets.UTF_8).replace("+", "%20");
   }
 
--- a/src/main/java/pumicekeel/front/jsonrpc/Reply.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/Reply.java
@@ -24,7 +24,7 @@
   }
 
   /** An error whose usual message says enough, or for which {@code reason} says more. */
-  static byte[] plain(Id id, int code, String reason) {
+  static byte[] errorWithReason(Id id, int code, String reason) {
     return error(
         id,
         code,
@@ -33,7 +33,7 @@
   }
 
   /** An error with an advice when to come back; 0 for none. */
-  static byte[] refusal(Id id, int code, long retryAfterNanos) {
+  static byte[] errorWithRetryAfter(Id id, int code, long retryAfterNanos) {
     return error(
         id,
         code,
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
@@ -11,10 +11,10 @@
 import pumicekeel.call.Facts;
 import pumicekeel.call.Payload;
 import pumicekeel.core.RequestHandle;
-import pumicekeel.front.jsonrpc.BatchAnswers.How;
+import pumicekeel.front.jsonrpc.BatchAnswers.EntryOutcome;
 import pumicekeel.front.jsonrpc.MethodMapping.BadParams;
+import pumicekeel.front.jsonrpc.MethodMapping.CallFields;
 import pumicekeel.front.jsonrpc.MethodMapping.Part;
-import pumicekeel.front.jsonrpc.MethodMapping.Said;
 import pumicekeel.jsonrpc.ErrorCodes;
 import pumicekeel.jsonrpc.Id;
 import pumicekeel.jsonrpc.Message;
@@ -23,12 +23,12 @@
 /** One call on its way from its connection to its end; a notification is one whose end nobody is told of. */
 final class RpcCall implements Client, Facts {
 
-  private static final long MILLI = 1_000_000L;
-  private final RpcClient connection;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private final RpcClientConnection connection;
   private final BatchAnswers<Reply> batch;
   private final Message.Call call;
   private final MethodMapping mapping;
-  private Said said;
+  private CallFields fields;
   private RequestHandle handle;
   private ClientRequest request;
   private boolean taken;
@@ -36,7 +36,10 @@
   private long arrivedAt;
 
   RpcCall(
-      RpcClient connection, Message.Call call, MethodMapping mapping, BatchAnswers<Reply> batch) {
+      RpcClientConnection connection,
+      Message.Call call,
+      MethodMapping mapping,
+      BatchAnswers<Reply> batch) {
     this.connection = connection;
     this.call = call;
     this.mapping = mapping;
@@ -53,12 +56,12 @@
   }
 
   /** Why a call is turned away before anything was tried. */
-  static final class TurnedAway extends Exception {
+  static final class RejectedException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int code;
     private final long retryAfterNanos;
 
-    TurnedAway(int code, String why, long retryAfterNanos) {
+    RejectedException(int code, String why, long retryAfterNanos) {
       super(why, null, false, false);
       this.code = code;
       this.retryAfterNanos = retryAfterNanos;
@@ -66,19 +69,19 @@
   }
 
   /** Reads the params and finds the handle. */
-  void prepare(long now) throws TurnedAway {
+  void prepare(long now) throws RejectedException {
     arrivedAt = now;
     try {
-      said = mapping.read(call.params());
-      handle = connection.side().router().route(this);
+      fields = mapping.read(call.params());
+      handle = connection.front().router().route(this);
       request = request(settings());
       if (!handle.reserveBody(request.payload().size())) {
-        throw new TurnedAway(ErrorCodes.NO_ROOM, "no room for the params", 0);
+        throw new RejectedException(ErrorCodes.NO_ROOM, "no room for the params", 0);
       }
     } catch (BadParams e) {
-      throw new TurnedAway(ErrorCodes.INVALID_PARAMS, e.getMessage(), 0);
+      throw new RejectedException(ErrorCodes.INVALID_PARAMS, e.getMessage(), 0);
     } catch (Bad e) {
-      throw new TurnedAway(codeOf(e.status), e.getMessage(), e.retryAfterNanos);
+      throw new RejectedException(codeOf(e.status), e.getMessage(), e.retryAfterNanos);
     }
   }
 
@@ -100,40 +103,40 @@
     };
   }
 
-  private ClientRequest request(Settings settings) throws Bad, TurnedAway {
+  private ClientRequest request(Settings settings) throws Bad, RejectedException {
     RequestClass type = ClientRequest.classOf(mapping.className(), settings);
     try {
-      ClientRequest.checkTenant(said.tenant(), settings);
+      ClientRequest.checkTenant(fields.tenant(), settings);
     } catch (Bad e) {
-      throw new TurnedAway(
+      throw new RejectedException(
           ErrorCodes.INVALID_PARAMS,
-          mapping.placeOf(Part.TENANT) + ": expected a tenant that is known",
+          mapping.describeSource(Part.TENANT) + ": expected a tenant that is known",
           0);
     }
-    if (type.effect() == Effect.KEYED && said.idempotencyKey() == null) {
-      throw new TurnedAway(
+    if (type.effect() == Effect.KEYED && fields.idempotencyKey() == null) {
+      throw new RejectedException(
           ErrorCodes.INVALID_PARAMS,
-          mapping.placeOf(Part.IDEMPOTENCY_KEY) + ": expected an idempotency key",
+          mapping.describeSource(Part.IDEMPOTENCY_KEY) + ": expected an idempotency key",
           0);
     }
     if (call.params() != null && call.params().length > Answer.MAX_BODY) {
-      throw new TurnedAway(
+      throw new RejectedException(
           ErrorCodes.INVALID_PARAMS, "params of more than " + Answer.MAX_BODY + " bytes", 0);
     }
-    long left = said.leftMillis() < 0
+    long left = fields.timeLeftMillis() < 0
         ? type.deadlineNanos()
-        : Math.min(type.deadlineNanos(), said.leftMillis() * MILLI);
+        : Math.min(type.deadlineNanos(), fields.timeLeftMillis() * NANOS_PER_MILLI);
     return new ClientRequest(
-        connection.side().newRequestId(),
+        connection.front().newRequestId(),
         type,
-        said.tenant(),
-        said.sessionKey(),
+        fields.tenant(),
+        fields.sessionKey(),
         left,
-        Math.max(0, said.hintMicros()) * 1_000L,
+        Math.max(0, fields.workHintMicros()) * 1_000L,
         false,
         new Payload.Call(
-            call.method(), call.params(), mapping.className(), said.uri(), mapping.host()),
-        said.idempotencyKey());
+            call.method(), call.params(), mapping.className(), fields.uri(), mapping.host()),
+        fields.idempotencyKey());
   }
 
   long leftNanos() {
@@ -141,27 +144,27 @@
   }
 
   /** Gives it no more time than this. */
-  void cutTo(long nanos) {
+  void limitTime(long nanos) {
     request = request.withLeft(Math.min(nanos, request.leftNanos()));
   }
 
   /** Hands it over; from now on it is owed its end. */
-  void take() throws TurnedAway {
+  void take() throws RejectedException {
     try {
       taken = true;
       if (!handle.submit(request, this)) {
-        throw new TurnedAway(ErrorCodes.NO_ROOM, "its request id is open", 0);
+        throw new RejectedException(ErrorCodes.NO_ROOM, "its request id is open", 0);
       }
     } catch (Bad e) {
       taken = false;
-      throw new TurnedAway(codeOf(e.status), e.getMessage(), e.retryAfterNanos);
-    } catch (TurnedAway e) {
+      throw new RejectedException(codeOf(e.status), e.getMessage(), e.retryAfterNanos);
+    } catch (RejectedException e) {
       taken = false;
       throw e;
     }
   }
 
-  void turnAway(TurnedAway why) {
+  void reject(RejectedException why) {
     boolean protocol = why.code == ErrorCodes.INVALID_PARAMS
         || why.code == ErrorCodes.UNKNOWN_METHOD
         || why.code == ErrorCodes.NO_ROUTE;
@@ -169,8 +172,8 @@
         now -> why.code == ErrorCodes.INVALID_PARAMS
             ? Reply.error(
                 call.id(), why.code, ErrorCodes.messageOf(why.code) + ": " + why.getMessage(), null)
-            : Reply.refusal(call.id(), why.code, why.retryAfterNanos),
-        protocol ? How.INVALID : How.GIVEN_UP);
+            : Reply.errorWithRetryAfter(call.id(), why.code, why.retryAfterNanos),
+        protocol ? EntryOutcome.INVALID : EntryOutcome.REFUSED_OR_FAILED);
   }
 
   @Override
@@ -180,9 +183,9 @@
       // It ran, and what came of it can't be said: the client must not take that for a refusal.
       failed();
     } else if (answer.error()) {
-      end(now -> Reply.error(call.id(), result), How.ANSWERED);
+      end(now -> Reply.error(call.id(), result), EntryOutcome.ANSWERED);
     } else {
-      end(now -> Reply.result(call.id(), result), How.ANSWERED);
+      end(now -> Reply.result(call.id(), result), EntryOutcome.ANSWERED);
     }
   }
 
@@ -191,11 +194,11 @@
     long at = System.nanoTime();
     // What a batch holds back is told with what is left of the advice.
     end(
-        now -> Reply.refusal(
+        now -> Reply.errorWithRetryAfter(
             call.id(),
             ErrorCodes.REFUSED,
             retryAfterNanos <= 0 ? 0 : Math.max(1, retryAfterNanos - (now - at))),
-        How.GIVEN_UP);
+        EntryOutcome.REFUSED_OR_FAILED);
   }
 
   @Override
@@ -206,10 +209,10 @@
             ErrorCodes.FAILED,
             ErrorCodes.messageOf(ErrorCodes.FAILED),
             "{\"request\":" + MessageWriter.quoted(request.id()) + "}"),
-        How.GIVEN_UP);
+        EntryOutcome.REFUSED_OR_FAILED);
   }
 
-  private void end(Reply reply, How how) {
+  private void end(Reply reply, EntryOutcome how) {
     if (over) {
       return;
     }
@@ -229,7 +232,7 @@
   }
 
   /** The client is gone: nobody is owed anything. */
-  void gone() {
+  void clientClosed() {
     if (over) {
       return;
     }
@@ -244,7 +247,7 @@
 
   @Override
   public String listener() {
-    return connection.side().name();
+    return connection.front().name();
   }
 
   @Override
@@ -254,7 +257,7 @@
 
   @Override
   public String path() {
-    String uri = said.uri() == null ? "/" + mapping.className() : said.uri();
+    String uri = fields.uri() == null ? "/" + mapping.className() : fields.uri();
     int query = uri.indexOf('?');
     return query < 0 ? uri : uri.substring(0, query);
   }
@@ -273,9 +276,9 @@
   @Override
   public String header(String name) {
     return switch (name.toLowerCase(Locale.ROOT)) {
-      case "x-account" -> said.tenant();
-      case "x-session-key" -> said.sessionKey();
-      case "idempotency-key" -> said.idempotencyKey();
+      case "x-account" -> fields.tenant();
+      case "x-session-key" -> fields.sessionKey();
+      case "idempotency-key" -> fields.idempotencyKey();
       case "x-service-class" -> mapping.className();
       default -> null;
     };
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcClient.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcClientConnection.java
@@ -19,8 +19,8 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.call.Answer;
-import pumicekeel.front.jsonrpc.BatchAnswers.How;
-import pumicekeel.front.jsonrpc.RpcCall.TurnedAway;
+import pumicekeel.front.jsonrpc.BatchAnswers.EntryOutcome;
+import pumicekeel.front.jsonrpc.RpcCall.RejectedException;
 import pumicekeel.guard.CloseReason;
 import pumicekeel.jsonrpc.ErrorCodes;
 import pumicekeel.jsonrpc.Frame;
@@ -34,25 +34,25 @@
 import pumicekeel.runtime.Log;
 
 /** One client connection: reads messages, hands their calls over, and writes each answer once. */
-final class RpcClient extends SimpleChannelInboundHandler<Frame> {
+final class RpcClientConnection extends SimpleChannelInboundHandler<Frame> {
 
   /** Answers that a client does not read; more is given up at once, the rest after a time. */
-  private static final int MOST_UNREAD = 1 << 20;
+  private static final int MAX_UNREAD_BYTES = 1 << 20;
   /** What is read of calls that can't be taken yet. Behind more than that a client's reset is not seen before it is read. */
-  private static final int READ_AHEAD = 16 << 10;
+  private static final int READ_AHEAD_BYTES = 16 << 10;
   /** Messages that could not be read; a client that sends more does not speak JSON-RPC. */
-  private static final int MOST_BROKEN = 100;
+  private static final int MAX_MALFORMED_MESSAGES = 100;
   /** Between our last byte and the close: what the client sends meanwhile must not turn its answers into a reset. */
   private static final long LINGER_MILLIS = 500;
   /** At a drain, after the last answer: a call that was under way is still told to go elsewhere. */
   private static final long QUIET_MILLIS = 200;
   /** Longer than a call takes on its way here: what meets a close on the way has no answer. */
-  private static final long GIVE_WAY_NANOS = 250_000_000L;
+  private static final long EVICTABLE_AFTER_NANOS = 250_000_000L;
   /** What an HTTP server's text becomes a string of. */
   private static final MessageReader RESULTS =
       new MessageReader(new Limits(Answer.MAX_BODY, 62, 1));
 
-  private final RpcSide side;
+  private final RpcFront front;
   private final CallSettings settings;
   private final MessageReader reader;
   private final FrameDecoder decoder;
@@ -62,24 +62,24 @@
 
   private final Set<BatchAnswers<Reply>> batches = new LinkedHashSet<>();
   private ChannelHandlerContext ctx;
-  private boolean inputOver;
-  private boolean readsNoMore;
+  private boolean inputClosed;
+  private boolean readingStopped;
   private boolean finishing;
   private boolean flushDue;
-  private boolean goesOn;
+  private boolean resumeScheduled;
   private int broken;
   private long busyAt;
   /** When the first byte came of the message that has come in part; 0 where none has. */
-  private long partSince;
+  private long partialSince;
 
-  private long stuckSince;
+  private long unwritableSince;
 
-  RpcClient(RpcSide side, CallSettings settings) {
-    this.side = side;
+  RpcClientConnection(RpcFront front, CallSettings settings) {
+    this.front = front;
     busyAt = now();
     this.settings = settings;
     reader = new MessageReader(settings.limits());
-    decoder = new FrameDecoder(settings.framing(), settings.limits(), this::takesMore);
+    decoder = new FrameDecoder(settings.framing(), settings.limits(), this::acceptsCalls);
   }
 
   FrameDecoder decoder() {
@@ -87,11 +87,11 @@
   }
 
   private long now() {
-    return side.clock().now();
+    return front.clock().now();
   }
 
-  RpcSide side() {
-    return side;
+  RpcFront front() {
+    return front;
   }
 
   int open() {
@@ -99,17 +99,17 @@
   }
 
   /** Whether it may be closed to make room: one that was busy just now is likely to ask again this moment. */
-  boolean mayGiveWay(long now) {
-    return idle() && now - busyAt > GIVE_WAY_NANOS;
+  boolean isEvictable(long now) {
+    return idle() && now - busyAt > EVICTABLE_AFTER_NANOS;
   }
 
   boolean idle() {
     return calls.isEmpty() && batches.isEmpty() && !decoder.hasBufferedBytes() && !finishing;
   }
 
-  private boolean takesMore() {
+  private boolean acceptsCalls() {
     return calls.size() < settings.maxOpen()
-        && !readsNoMore
+        && !readingStopped
         && !finishing
         && ctx.channel().isActive()
         && ctx.channel().isWritable();
@@ -117,7 +117,7 @@
 
   /** Reads while calls are taken, and a little further: a client that has gone is seen to have gone by a read alone. */
   private void readOrPause(boolean takes) {
-    boolean ahead = !readsNoMore && decoder.bufferedBytes() < READ_AHEAD;
+    boolean ahead = !readingStopped && decoder.bufferedBytes() < READ_AHEAD_BYTES;
     ctx.channel().config().setAutoRead(takes || finishing || ahead);
   }
 
@@ -130,19 +130,19 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, Frame frame) {
-    partSince = 0;
+    partialSince = 0;
     busyAt = now();
     if (frame instanceof Frame.Fault fault) {
-      endWith(fault.code(), fault.why());
+      rejectAndStopReading(fault.code(), fault.why());
       return;
     }
     Message message = reader.read(((Frame.Complete) frame).bytes());
     if (message instanceof Message.Malformed b) {
       // Behind JSON that is none, the next value's beginning is a guess, unless something else
       // tells it.
-      if (++broken >= MOST_BROKEN
+      if (++broken >= MAX_MALFORMED_MESSAGES
           || b.code() == ErrorCodes.PARSE && decoder.framing() == Framing.VALUES) {
-        endWith(b.code(), b.why());
+        rejectAndStopReading(b.code(), b.why());
       } else {
         refuseMessage(b.code(), b.why());
       }
@@ -154,7 +154,7 @@
   }
 
   private void refuseMessage(int code, String why) {
-    write(Reply.plain(Id.NULL, code, why));
+    write(Reply.errorWithReason(Id.NULL, code, why));
   }
 
   private void one(Message.Entry entry) {
@@ -167,18 +167,18 @@
   private void batch(List<Message.Entry> entries) {
     BatchAnswers<Reply> answers = new BatchAnswers<>(settings.batch(), entries.size());
     batches.add(answers);
-    List<RpcCall> begun = new ArrayList<>();
+    List<RpcCall> started = new ArrayList<>();
     for (Message.Entry entry : entries) {
       RpcCall call = begin(entry, answers);
       if (call != null) {
-        begun.add(call);
+        started.add(call);
       }
     }
     if (settings.batch() == BatchMode.TOGETHER) {
-      long shortest = begun.stream().mapToLong(RpcCall::leftNanos).min().orElse(0);
-      begun.forEach(c -> c.cutTo(shortest));
+      long shortest = started.stream().mapToLong(RpcCall::leftNanos).min().orElse(0);
+      started.forEach(c -> c.limitTime(shortest));
     }
-    begun.forEach(RpcClient::take);
+    started.forEach(RpcClientConnection::take);
     flush(answers);
   }
 
@@ -186,13 +186,13 @@
   private RpcCall begin(Message.Entry entry, BatchAnswers<Reply> answers) {
     if (!(entry instanceof Message.Call call)) {
       Id id = entry instanceof Message.Invalid invalid ? invalid.id() : Id.NULL;
-      turnAway(id, ErrorCodes.INVALID_REQUEST, answers);
+      reject(id, ErrorCodes.INVALID_REQUEST, answers);
       return null;
     }
-    MethodMapping mapping = side.settings().methods().get(call.method());
-    if (side.draining() || mapping == null) {
-      turnAway(
-          call.id(), side.draining() ? ErrorCodes.DRAINING : ErrorCodes.UNKNOWN_METHOD, answers);
+    MethodMapping mapping = front.settings().methods().get(call.method());
+    if (front.draining() || mapping == null) {
+      reject(
+          call.id(), front.draining() ? ErrorCodes.DRAINING : ErrorCodes.UNKNOWN_METHOD, answers);
       return null;
     }
     if (call.id() != null && open.containsKey(call.id())) {
@@ -205,7 +205,7 @@
                   ErrorCodes.INVALID_REQUEST,
                   "this id is open already",
                   "{\"id\":" + call.id() + "}")),
-          How.INVALID);
+          EntryOutcome.INVALID);
       return null;
     }
     RpcCall next = new RpcCall(this, call, mapping, answers);
@@ -216,8 +216,8 @@
     try {
       next.prepare(now());
       return next;
-    } catch (TurnedAway e) {
-      next.turnAway(e);
+    } catch (RejectedException e) {
+      next.reject(e);
       return null;
     }
   }
@@ -225,20 +225,20 @@
   private static void take(RpcCall call) {
     try {
       call.take();
-    } catch (TurnedAway e) {
-      call.turnAway(e);
+    } catch (RejectedException e) {
+      call.reject(e);
     }
   }
 
   /** Answers an entry that never became a call; {@code id} is null for a notification. */
-  private void turnAway(Id id, int code, BatchAnswers<Reply> answers) {
+  private void reject(Id id, int code, BatchAnswers<Reply> answers) {
     end(
         answers,
-        id == null ? null : now -> Reply.plain(id, code, null),
-        code == ErrorCodes.DRAINING ? How.GIVEN_UP : How.INVALID);
+        id == null ? null : now -> Reply.errorWithReason(id, code, null),
+        code == ErrorCodes.DRAINING ? EntryOutcome.REFUSED_OR_FAILED : EntryOutcome.INVALID);
   }
 
-  private void end(BatchAnswers<Reply> answers, Reply reply, How how) {
+  private void end(BatchAnswers<Reply> answers, Reply reply, EntryOutcome how) {
     if (answers != null) {
       answers.ended(reply, how, 0);
       // Sent with the rest once the whole batch has been looked at.
@@ -250,7 +250,7 @@
   // Ends
 
   /** A call has ended; {@code reply} is null for a notification. */
-  void ended(RpcCall call, Reply reply, How how, long waitUntil) {
+  void ended(RpcCall call, Reply reply, EntryOutcome how, long waitUntil) {
     calls.remove(call);
     busyAt = now();
     if (call.batch() == null) {
@@ -259,11 +259,11 @@
         write(reply.at(busyAt));
       }
     } else {
-      call.batch().ended(reply == null ? null : new Held(call.id(), reply), how, waitUntil);
+      call.batch().ended(reply == null ? null : new PendingReply(call.id(), reply), how, waitUntil);
       flush(call.batch());
     }
-    side.wasBusy(this);
-    goOnLater();
+    front.markBusy(this);
+    scheduleResume();
   }
 
   private void forget(Id id) {
@@ -271,7 +271,7 @@
   }
 
   /** An answer that waits in a batch: its id is open until it goes out. */
-  private record Held(Id id, Reply reply) implements Reply {
+  private record PendingReply(Id id, Reply reply) implements Reply {
     @Override
     public byte[] at(long now) {
       return reply.at(now);
@@ -280,12 +280,12 @@
 
   private void flush(BatchAnswers<Reply> batch) {
     long now = now();
-    List<Reply> out = batch.take(now);
+    List<Reply> out = batch.takeReady(now);
     if (!out.isEmpty()) {
       List<byte[]> messages = new ArrayList<>(out.size());
       for (Reply reply : out) {
-        if (reply instanceof Held held) {
-          forget(held.id());
+        if (reply instanceof PendingReply pending) {
+          forget(pending.id());
         }
         messages.add(reply.at(now));
       }
@@ -295,12 +295,12 @@
         write(MessageWriter.array(messages));
       }
     }
-    if (batch.over()) {
+    if (batch.isComplete()) {
       batches.remove(batch);
-      goOnLater();
-    } else if (batch.dueAt() != BatchAnswers.NEVER) {
+      scheduleResume();
+    } else if (batch.flushAt() != BatchAnswers.NEVER) {
       ctx.executor()
-          .schedule(() -> flush(batch), Math.max(1, batch.dueAt() - now), TimeUnit.NANOSECONDS);
+          .schedule(() -> flush(batch), Math.max(1, batch.flushAt() - now), TimeUnit.NANOSECONDS);
     }
   }
 
@@ -337,7 +337,7 @@
       ctx.executor().execute(this::flush);
     }
     var outbound = ctx.channel().unsafe().outboundBuffer();
-    if (outbound != null && outbound.totalPendingWriteBytes() > MOST_UNREAD) {
+    if (outbound != null && outbound.totalPendingWriteBytes() > MAX_UNREAD_BYTES) {
       ctx.close();
     }
   }
@@ -349,49 +349,49 @@
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
-    stuckSince = context.channel().isWritable() ? 0 : now();
-    goOnLater();
+    unwritableSince = context.channel().isWritable() ? 0 : now();
+    scheduleResume();
   }
 
   // Going on, and the end
 
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    boolean takes = takesMore();
+    boolean takes = acceptsCalls();
     if (decoder.hasBufferedBytes() && takes) {
-      partSince = partSince == 0 ? now() : partSince;
+      partialSince = partialSince == 0 ? now() : partialSince;
     } else {
-      partSince = 0;
+      partialSince = 0;
     }
     readOrPause(takes);
-    if (inputOver) {
-      goOnLater();
+    if (inputClosed) {
+      scheduleResume();
     }
     finishIfDone();
   }
 
   /** Not at once: an answer may come from within the reading of the call. */
-  private void goOnLater() {
-    if (!goesOn) {
-      goesOn = true;
-      ctx.executor().execute(this::goOn);
+  private void scheduleResume() {
+    if (!resumeScheduled) {
+      resumeScheduled = true;
+      ctx.executor().execute(this::resumeReading);
     }
   }
 
-  private void goOn() {
-    goesOn = false;
+  private void resumeReading() {
+    resumeScheduled = false;
     if (!ctx.channel().isActive() || ctx.isRemoved()) {
       return;
     }
     try {
-      if (takesMore()) {
+      if (acceptsCalls()) {
         if (!decoder.resume()) {
           return;
         }
-        readOrPause(takesMore());
+        readOrPause(acceptsCalls());
       }
-      if (inputOver && decoder.hasBufferedBytes() && takesMore()) {
-        endWith(ErrorCodes.PARSE, "cut short");
+      if (inputClosed && decoder.hasBufferedBytes() && acceptsCalls()) {
+        rejectAndStopReading(ErrorCodes.PARSE, "cut short");
       }
     } catch (Exception e) {
       exceptionCaught(ctx, e);
@@ -400,15 +400,15 @@
   }
 
   /** Answers what can't be read, and reads no more; what is open is still answered. */
-  private void endWith(int code, String why) {
-    readsNoMore = true;
+  private void rejectAndStopReading(int code, String why) {
+    readingStopped = true;
     decoder.discard();
     refuseMessage(code, why);
     finishIfDone();
   }
 
   private void finishIfDone() {
-    boolean nothingMore = readsNoMore || inputOver && !decoder.hasBufferedBytes();
+    boolean nothingMore = readingStopped || inputClosed && !decoder.hasBufferedBytes();
     if (nothingMore && calls.isEmpty() && batches.isEmpty()) {
       finish();
     }
@@ -417,11 +417,11 @@
   /** Takes no more; what is open is answered, then the connection is closed. */
   void drain() {
     if (idle()) {
-      closeWhenQuiet();
+      closeIfQuiet();
     }
   }
 
-  private void closeWhenQuiet() {
+  private void closeIfQuiet() {
     long quiet = now() - busyAt;
     long wait = TimeUnit.MILLISECONDS.toNanos(QUIET_MILLIS) - quiet;
     if (wait <= 0) {
@@ -432,14 +432,14 @@
   /** Ends our side, and the connection once the other has ended its own, or a little later. */
   void finish() {
     if (finishing
-        || !side.guard().mayClose(CloseReason.LAST_ANSWER, calls.isEmpty() ? null : "a call")) {
+        || !front.guard().mayClose(CloseReason.LAST_ANSWER, calls.isEmpty() ? null : "a call")) {
       return;
     }
     finishing = true;
     decoder.discard();
     ctx.channel().config().setAutoRead(true);
     ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> {
-      if (inputOver || !(ctx.channel() instanceof DuplexChannel duplex)) {
+      if (inputClosed || !(ctx.channel() instanceof DuplexChannel duplex)) {
         ctx.close();
         return;
       }
@@ -451,18 +451,18 @@
   }
 
   /** Time limits. */
-  void look(long now) {
-    if (stuckSince != 0 && now - stuckSince > RpcSide.STUCK_NANOS) {
+  void checkTimeLimits(long now) {
+    if (unwritableSince != 0 && now - unwritableSince > RpcFront.UNWRITABLE_TIMEOUT_NANOS) {
       ctx.close();
-    } else if (partSince != 0
-        && now - partSince > RpcSide.MESSAGE_NANOS
-        && !readsNoMore
+    } else if (partialSince != 0
+        && now - partialSince > RpcFront.MESSAGE_TIMEOUT_NANOS
+        && !readingStopped
         && !finishing) {
-      partSince = 0;
-      endWith(ErrorCodes.INVALID_REQUEST, "the message took too long");
+      partialSince = 0;
+      rejectAndStopReading(ErrorCodes.INVALID_REQUEST, "the message took too long");
     } else if (idle()
         && (now - busyAt > settings.idleNanos()
-            || side.draining() && now - busyAt > TimeUnit.MILLISECONDS.toNanos(QUIET_MILLIS))) {
+            || front.draining() && now - busyAt > TimeUnit.MILLISECONDS.toNanos(QUIET_MILLIS))) {
       finish();
     }
   }
@@ -470,20 +470,20 @@
   @Override
   public void userEventTriggered(ChannelHandlerContext context, Object event) {
     if (event instanceof ChannelInputShutdownEvent) {
-      inputOver = true;
+      inputClosed = true;
       if (finishing) {
         ctx.close();
       } else {
-        goOnLater();
+        scheduleResume();
       }
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    side.closed(this);
-    readsNoMore = true;
-    List.copyOf(calls).forEach(RpcCall::gone);
+    front.closed(this);
+    readingStopped = true;
+    List.copyOf(calls).forEach(RpcCall::clientClosed);
     calls.clear();
     open.clear();
     batches.clear();
@@ -491,12 +491,12 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    if (cause instanceof IOException || readsNoMore) {
+    if (cause instanceof IOException || readingStopped) {
       context.close();
       return;
     }
     // A defect of one message's handling is no reason to leave the calls that are open unanswered.
     Log.caused("client " + context.channel().remoteAddress() + ": " + cause);
-    endWith(ErrorCodes.FAILED, "internal error");
+    rejectAndStopReading(ErrorCodes.FAILED, "internal error");
   }
 }
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcSide.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcFront.java
@@ -24,23 +24,23 @@
 import pumicekeel.runtime.Repeated;
 
 /** A listener for JSON-RPC over TCP: its connections, their time limits, and its end. */
-public final class RpcSide implements Front {
+public final class RpcFront implements Front {
 
   private static final int BACKLOG = 1024;
   /** As with HTTP: one client that floods must not keep all others waiting. */
   private static final int READ_BYTES = 4096;
 
-  private static final int READS_IN_A_ROW = 2;
+  private static final int MAX_READS_PER_TURN = 2;
   /** Answers of this many bytes that wait for a slow reader stop the reading of its calls. */
-  private static final int UNREAD_LOW = 16 << 10;
+  private static final int WRITE_BUFFER_LOW_BYTES = 16 << 10;
 
-  private static final int UNREAD_HIGH = 64 << 10;
-  private static final long LOOK_MILLIS = 50;
-  private static final long MILLI = 1_000_000L;
+  private static final int WRITE_BUFFER_HIGH_BYTES = 64 << 10;
+  private static final long CHECK_INTERVAL_MILLIS = 50;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
   /** From a message's first byte to its last. */
-  static final long MESSAGE_NANOS = 2_300 * MILLI;
+  static final long MESSAGE_TIMEOUT_NANOS = 2_300 * NANOS_PER_MILLI;
   /** A client that does not take its answers for so long does not want them. */
-  static final long STUCK_NANOS = 5_000 * MILLI;
+  static final long UNWRITABLE_TIMEOUT_NANOS = 5_000 * NANOS_PER_MILLI;
 
   private final Reactor on;
   private final EventLoop loop;
@@ -49,15 +49,15 @@
   private final RequestIds ids;
   private CallSettings settings;
   private final AcceptControl accepts;
-  private final Set<RpcClient> connections = new LinkedHashSet<>();
+  private final Set<RpcClientConnection> connections = new LinkedHashSet<>();
   private Channel listener;
   private InetSocketAddress address;
-  private Future<?> looks;
+  private Future<?> checkTimer;
   private boolean accepting;
   private boolean draining;
 
   /** The listener of this name, with at most so many connections. */
-  public RpcSide(
+  public RpcFront(
       Reactor on,
       String name,
       RequestRouter router,
@@ -86,14 +86,14 @@
         .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
         .childOption(
             ChannelOption.WRITE_BUFFER_WATER_MARK,
-            new WriteBufferWaterMark(UNREAD_LOW, UNREAD_HIGH))
+            new WriteBufferWaterMark(WRITE_BUFFER_LOW_BYTES, WRITE_BUFFER_HIGH_BYTES))
         .childOption(
             ChannelOption.RECVBUF_ALLOCATOR,
-            new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_IN_A_ROW))
+            new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(MAX_READS_PER_TURN))
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            RpcClient client = new RpcClient(RpcSide.this, settings);
+            RpcClientConnection client = new RpcClientConnection(RpcFront.this, settings);
             channel.pipeline().addLast(client.decoder(), client);
             opened(client);
           }
@@ -103,7 +103,8 @@
         .channel();
     address = (InetSocketAddress) listener.localAddress();
     this.accepting = accepting;
-    loop.execute(() -> looks = Repeated.every(LOOK_MILLIS, loop, this::look));
+    loop.execute(
+        () -> checkTimer = Repeated.every(CHECK_INTERVAL_MILLIS, loop, this::checkTimeLimits));
     return address;
   }
 
@@ -162,15 +163,15 @@
     accepts.configure(connectionsAtMost);
   }
 
-  private void opened(RpcClient client) {
+  private void opened(RpcClientConnection client) {
     connections.add(client);
     accepts.accepted();
     if (connections.size() >= accepts.limit()) {
       long now = clock().now();
       connections.stream()
-          .filter(c -> c != client && c.mayGiveWay(now))
+          .filter(c -> c != client && c.isEvictable(now))
           .findFirst()
-          .ifPresentOrElse(RpcClient::finish, this::pause);
+          .ifPresentOrElse(RpcClientConnection::finish, this::pause);
     }
   }
 
@@ -184,12 +185,15 @@
     long now = clock().now();
     long rest = accepts.failed(scope, connections.size(), now);
     if (scope == FailureScope.PROCESS) {
-      connections.stream().filter(c -> c.mayGiveWay(now)).findFirst().ifPresent(RpcClient::finish);
+      connections.stream()
+          .filter(c -> c.isEvictable(now))
+          .findFirst()
+          .ifPresent(RpcClientConnection::finish);
     }
     return rest;
   }
 
-  void closed(RpcClient client) {
+  void closed(RpcClientConnection client) {
     connections.remove(client);
     acceptAgain();
   }
@@ -206,15 +210,15 @@
   }
 
   /** The one that was busy last comes last: at the limit the first one that is idle gives way. */
-  void wasBusy(RpcClient client) {
+  void markBusy(RpcClientConnection client) {
     if (connections.remove(client)) {
       connections.add(client);
     }
   }
 
-  private void look() {
+  private void checkTimeLimits() {
     if (ended()) {
-      looks.cancel(false);
+      checkTimer.cancel(false);
       return;
     }
     long now = clock().now();
@@ -222,16 +226,19 @@
       Log.line(name + ": takes " + accepts.limit() + " connections again");
     }
     acceptAgain();
-    List.copyOf(connections).forEach(c -> c.look(now));
+    List.copyOf(connections).forEach(c -> c.checkTimeLimits(now));
     if (connections.size() >= accepts.limit()) {
-      connections.stream().filter(c -> c.mayGiveWay(now)).findFirst().ifPresent(RpcClient::finish);
+      connections.stream()
+          .filter(c -> c.isEvictable(now))
+          .findFirst()
+          .ifPresent(RpcClientConnection::finish);
     }
   }
 
   @Override
   public void drain() {
     draining = true;
-    List.copyOf(connections).forEach(RpcClient::drain);
+    List.copyOf(connections).forEach(RpcClientConnection::drain);
   }
 
   @Override
@@ -247,7 +254,9 @@
 
   @Override
   public void closeIdle() {
-    List.copyOf(connections).stream().filter(RpcClient::idle).forEach(RpcClient::finish);
+    List.copyOf(connections).stream()
+        .filter(RpcClientConnection::idle)
+        .forEach(RpcClientConnection::finish);
   }
 
   @Override
@@ -258,7 +267,9 @@
 
   @Override
   public void closeUntaken() {
-    List.copyOf(connections).stream().filter(c -> c.open() == 0).forEach(RpcClient::finish);
+    List.copyOf(connections).stream()
+        .filter(c -> c.open() == 0)
+        .forEach(RpcClientConnection::finish);
   }
 
   @Override
--- a/src/main/java/pumicekeel/jsonrpc/FrameDecoder.java
+++ b/src/main/java/pumicekeel/jsonrpc/FrameDecoder.java
@@ -21,18 +21,18 @@
 
   private final Limits limits;
   private final ValueScanner scanner;
-  private final BooleanSupplier open;
+  private final BooleanSupplier accepting;
   private Framing framing;
   private int scanned;
   private int length = -1;
-  private boolean broken;
+  private boolean failed;
   private boolean reading;
   private ChannelHandlerContext ctx;
 
-  public FrameDecoder(Framing framing, Limits limits, BooleanSupplier open) {
+  public FrameDecoder(Framing framing, Limits limits, BooleanSupplier accepting) {
     this.framing = framing;
     this.limits = limits;
-    this.open = open;
+    this.accepting = accepting;
     scanner = new ValueScanner(limits);
   }
 
@@ -53,7 +53,7 @@
 
   /** Drops what is held and what still comes. */
   public void discard() {
-    broken = true;
+    failed = true;
     if (hasBufferedBytes()) {
       internalBuffer().skipBytes(actualReadableBytes());
     }
@@ -62,7 +62,7 @@
   /** Reads no further by itself while nothing is taken: the library would ask for more where nothing came of a read. */
   @Override
   public void channelReadComplete(ChannelHandlerContext context) throws Exception {
-    if (open.getAsBoolean()) {
+    if (accepting.getAsBoolean()) {
       super.channelReadComplete(context);
     } else {
       context.fireChannelReadComplete();
@@ -72,12 +72,12 @@
   /** One read is gone through before another: its messages are in order. */
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-    boolean within = reading;
+    boolean nested = reading;
     reading = true;
     try {
       super.channelRead(context, message);
     } finally {
-      reading = within;
+      reading = nested;
     }
   }
 
@@ -114,11 +114,11 @@
 
   @Override
   protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
-    if (broken) {
+    if (failed) {
       in.skipBytes(in.readableBytes());
       return;
     }
-    if (!open.getAsBoolean()) {
+    if (!accepting.getAsBoolean()) {
       return;
     }
     if (length < 0 && scanned == 0 && framing != Framing.NEWLINE) {
@@ -132,9 +132,9 @@
       framing = first == 'C' || first == 'c' ? Framing.CONTENT_LENGTH : Framing.VALUES;
     }
     switch (framing) {
-      case NEWLINE -> line(in, out);
-      case CONTENT_LENGTH -> counted(in, out);
-      default -> value(in, out);
+      case NEWLINE -> decodeLine(in, out);
+      case CONTENT_LENGTH -> decodeContentLength(in, out);
+      default -> decodeValue(in, out);
     }
   }
 
@@ -148,7 +148,7 @@
     }
   }
 
-  private void line(ByteBuf in, List<Object> out) {
+  private void decodeLine(ByteBuf in, List<Object> out) {
     int end = in.indexOf(in.readerIndex() + scanned, in.writerIndex(), (byte) '\n');
     int size = (end < 0 ? in.writerIndex() : end) - in.readerIndex();
     if (size > limits.bytes()) {
@@ -176,7 +176,7 @@
     return true;
   }
 
-  private void value(ByteBuf in, List<Object> out) {
+  private void decodeValue(ByteBuf in, List<Object> out) {
     if (scanned == 0) {
       scanner.reset();
       byte first = in.getByte(in.readerIndex());
@@ -185,8 +185,8 @@
         return;
       }
     }
-    int most = Math.min(in.readableBytes(), limits.bytes());
-    int end = scanner.scan(in, in.readerIndex() + scanned, in.readerIndex() + most);
+    int max = Math.min(in.readableBytes(), limits.bytes());
+    int end = scanner.scan(in, in.readerIndex() + scanned, in.readerIndex() + max);
     if (scanner.failed()) {
       fault(in, out, scanner.code(), scanner.fault());
     } else if (end >= 0) {
@@ -199,8 +199,8 @@
     }
   }
 
-  private void counted(ByteBuf in, List<Object> out) {
-    if (length < 0 && !head(in, out)) {
+  private void decodeContentLength(ByteBuf in, List<Object> out) {
+    if (length < 0 && !decodeHeader(in, out)) {
       return;
     }
     if (in.readableBytes() >= length) {
@@ -212,9 +212,9 @@
   }
 
   /** Whether the head is whole and sound, and how much follows. */
-  private boolean head(ByteBuf in, List<Object> out) {
-    int most = Math.min(in.readableBytes(), MAX_HEADER_BYTES);
-    String text = in.toString(in.readerIndex(), most, StandardCharsets.ISO_8859_1);
+  private boolean decodeHeader(ByteBuf in, List<Object> out) {
+    int max = Math.min(in.readableBytes(), MAX_HEADER_BYTES);
+    String text = in.toString(in.readerIndex(), max, StandardCharsets.ISO_8859_1);
     int end = text.indexOf("\r\n\r\n");
     if (end < 0) {
       if (in.readableBytes() >= MAX_HEADER_BYTES) {
@@ -261,7 +261,7 @@
   }
 
   private void fault(ByteBuf in, List<Object> out, int code, String why) {
-    broken = true;
+    failed = true;
     in.skipBytes(in.readableBytes());
     out.add(new Frame.Fault(code, why));
   }
--- a/src/main/java/pumicekeel/jsonrpc/JsonPointerSet.java
+++ b/src/main/java/pumicekeel/jsonrpc/JsonPointerSet.java
@@ -40,19 +40,19 @@
   public JsonPointerSet(List<JsonPointer> pointers) {
     count = pointers.size();
     int distinct = 0;
-    places = new int[count];
+    nodeIndexes = new int[count];
     for (int i = 0; i < count; i++) {
       Node node = root;
       for (String token : pointers.get(i).tokens()) {
         node = node.children.computeIfAbsent(token, k -> new Node());
       }
       node.index = node.index < 0 ? distinct++ : node.index;
-      places[i] = node.index;
+      nodeIndexes[i] = node.index;
     }
   }
 
   /** Pointers that are the same share what was found. */
-  private final int[] places;
+  private final int[] nodeIndexes;
 
   /** What each pointer leads to, in their order. The document is whole and well formed; null stands for none. */
   public Found[] resolve(byte[] document) {
@@ -68,7 +68,7 @@
     }
     Found[] out = new Found[count];
     for (int i = 0; i < count; i++) {
-      out[i] = found[places[i]];
+      out[i] = found[nodeIndexes[i]];
     }
     return out;
   }
@@ -78,10 +78,10 @@
     int[] indexes = new int[Limits.MAX_DEPTH + 2];
     boolean[] arrays = new boolean[Limits.MAX_DEPTH + 2];
     int depth = 0;
-    Node here = root;
+    Node current = root;
     for (JsonToken t = p.currentToken(); t != null; t = p.nextToken()) {
       if (t == JsonToken.FIELD_NAME) {
-        here = nodes[depth] == null ? null : nodes[depth].children.get(p.currentName());
+        current = nodes[depth] == null ? null : nodes[depth].children.get(p.currentName());
         continue;
       }
       if (t == JsonToken.END_OBJECT || t == JsonToken.END_ARRAY) {
@@ -91,16 +91,16 @@
       if (depth > 0 && arrays[depth]) {
         Node parent = nodes[depth];
         int at = indexes[depth]++;
-        here = parent == null || parent.children.isEmpty()
+        current = parent == null || parent.children.isEmpty()
             ? null
             : parent.children.get(Integer.toString(at));
       }
-      if (here != null && here.index >= 0) {
-        found[here.index] = found(p, t);
+      if (current != null && current.index >= 0) {
+        found[current.index] = found(p, t);
       }
       if (t.isStructStart()) {
         depth++;
-        nodes[depth] = here;
+        nodes[depth] = current;
         indexes[depth] = 0;
         arrays[depth] = t == JsonToken.START_ARRAY;
       }
--- a/src/main/java/pumicekeel/jsonrpc/MessageReader.java
+++ b/src/main/java/pumicekeel/jsonrpc/MessageReader.java
@@ -38,7 +38,7 @@
 
   /** Reads a frame; never fails. */
   public Message read(byte[] frame) {
-    String fault = Text.fault(frame);
+    String fault = TextCheck.fault(frame);
     if (fault != null) {
       return new Message.Malformed(ErrorCodes.PARSE, fault);
     }
@@ -48,12 +48,12 @@
           ? batch(p, frame)
           : first == JsonToken.START_OBJECT
               ? new Message.Single(entry(p, frame, 1))
-              : first == null ? new Message.Malformed(ErrorCodes.PARSE, null) : scalar(p);
+              : first == null ? new Message.Malformed(ErrorCodes.PARSE, null) : scalarMessage(p);
       if (!(message instanceof Message.Malformed) && p.nextToken() != null) {
         return new Message.Malformed(ErrorCodes.PARSE, null);
       }
       return message;
-    } catch (TooMuch e) {
+    } catch (LimitExceededException e) {
       return new Message.Malformed(ErrorCodes.INVALID_REQUEST, e.getMessage());
     } catch (IOException | RuntimeException e) {
       // A text of the library's own would carry bytes of the client's into the answer.
@@ -67,30 +67,30 @@
 
   /** Whether these bytes are one JSON value within the bounds, such as can stand in a message as they are. */
   public boolean isValue(byte[] bytes) {
-    if (bytes.length == 0 || bytes.length > limits.bytes() || Text.fault(bytes) != null) {
+    if (bytes.length == 0 || bytes.length > limits.bytes() || TextCheck.fault(bytes) != null) {
       return false;
     }
     try (JsonParser p = FACTORY.createParser(bytes)) {
       if (p.nextToken() == null) {
         return false;
       }
-      skip(p, 1);
+      skipValue(p, 1);
       return p.nextToken() == null;
     } catch (IOException | RuntimeException e) {
       return false;
     }
   }
 
-  private static final class TooMuch extends IOException {
+  private static final class LimitExceededException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    TooMuch(String why) {
+    LimitExceededException(String why) {
       super(why);
     }
   }
 
-  private Message scalar(JsonParser p) throws IOException {
-    skip(p, 1);
+  private Message scalarMessage(JsonParser p) throws IOException {
+    skipValue(p, 1);
     return new Message.Malformed(ErrorCodes.INVALID_REQUEST, null);
   }
 
@@ -101,12 +101,12 @@
         throw new IOException("cut");
       }
       if (entries.size() == limits.calls()) {
-        throw new TooMuch("more than " + limits.calls() + " calls in a batch");
+        throw new LimitExceededException("more than " + limits.calls() + " calls in a batch");
       }
       if (t == JsonToken.START_OBJECT) {
         entries.add(entry(p, frame, 2));
       } else {
-        skip(p, 2);
+        skipValue(p, 2);
         entries.add(new Message.Invalid(Id.NULL, "expected an object"));
       }
     }
@@ -157,10 +157,10 @@
         case "params" -> {
           m.hasParams = true;
           m.params = t == JsonToken.START_OBJECT || t == JsonToken.START_ARRAY
-              ? slice(p, frame, depth)
+              ? rawValue(p, frame, depth)
               : null;
         }
-        case "result" -> m.result = slice(p, frame, depth);
+        case "result" -> m.result = rawValue(p, frame, depth);
         case "error" -> {
           m.hasError = true;
           m.error = t == JsonToken.START_OBJECT ? error(p, frame, depth, m) : null;
@@ -169,7 +169,7 @@
       }
       // What was taken above has been passed; a value that was not is passed here.
       if (p.currentToken().isStructStart() || p.currentToken().isScalarValue()) {
-        skip(p, depth + 1);
+        skipValue(p, depth + 1);
       }
     }
     return entry(m);
@@ -234,21 +234,21 @@
         m.hasCode = true;
       }
       message |= name.equals("message") && t == JsonToken.VALUE_STRING;
-      skip(p, depth + 2);
+      skipValue(p, depth + 2);
     }
     m.hasCode &= message;
     return Arrays.copyOfRange(frame, start, (int) p.currentLocation().getByteOffset());
   }
 
   /** The raw bytes of the value that the parser stands at the beginning of; behind it afterwards. */
-  private byte[] slice(JsonParser p, byte[] frame, int depth) throws IOException {
+  private byte[] rawValue(JsonParser p, byte[] frame, int depth) throws IOException {
     int start = (int) p.currentTokenLocation().getByteOffset();
-    skip(p, depth + 1);
+    skipValue(p, depth + 1);
     return Arrays.copyOfRange(frame, start, (int) p.currentLocation().getByteOffset());
   }
 
   /** Passes a value, {@code depth} being the one it would have as an array or object. */
-  private void skip(JsonParser p, int depth) throws IOException {
+  private void skipValue(JsonParser p, int depth) throws IOException {
     int open = 0;
     do {
       JsonToken t = p.currentToken();
@@ -258,13 +258,15 @@
       if (t.isStructStart()) {
         open++;
         if (depth + open - 1 > limits.depth()) {
-          throw new TooMuch("more than " + limits.depth() + " arrays and objects in one another");
+          throw new LimitExceededException(
+              "more than " + limits.depth() + " arrays and objects in one another");
         }
       } else if (t.isStructEnd()) {
         open--;
       } else if (t.isNumeric()) {
         if (p.getTextLength() > Limits.MAX_NUMBER_LENGTH) {
-          throw new TooMuch("a number of more than " + Limits.MAX_NUMBER_LENGTH + " characters");
+          throw new LimitExceededException(
+              "a number of more than " + Limits.MAX_NUMBER_LENGTH + " characters");
         }
       } else if (t == JsonToken.VALUE_STRING) {
         p.finishToken();
@@ -276,7 +278,7 @@
   }
 
   /** What has to be looked at before the library reads: it takes several encodings, and half a pair for a character. */
-  private static final class Text {
+  private static final class TextCheck {
 
     static String fault(byte[] b) {
       int from = 0;
--- a/src/main/java/pumicekeel/node/Listeners.java
+++ b/src/main/java/pumicekeel/node/Listeners.java
@@ -13,7 +13,7 @@
 import pumicekeel.front.Front;
 import pumicekeel.front.http.ClientSide;
 import pumicekeel.front.jsonrpc.RequestIds;
-import pumicekeel.front.jsonrpc.RpcSide;
+import pumicekeel.front.jsonrpc.RpcFront;
 import pumicekeel.runtime.Log;
 import pumicekeel.runtime.LoopLag;
 import pumicekeel.runtime.Reactor;
@@ -91,7 +91,7 @@
       }
       Front side = l.rpc() == null
           ? new ClientSide(on, lag, l.name(), router, most, null)
-          : new RpcSide(on, l.name(), router, most, l.rpc(), ids);
+          : new RpcFront(on, l.name(), router, most, l.rpc(), ids);
       try {
         side.listen(l.address(), false);
       } catch (Exception e) {
@@ -122,7 +122,7 @@
           : sides.get(l.name()).side();
       sides.put(l.name(), new Side(l, side));
       side.resize(most);
-      if (side instanceof RpcSide calls) {
+      if (side instanceof RpcFront calls) {
         calls.settings(l.rpc());
       }
       if (bound.containsKey(l.name())) {
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -115,7 +115,7 @@
   /** Why a request can't be put into the protocol of this pool's upstreams; null where it can. */
   String objection(ClientRequest request) {
     if (connections instanceof RpcLinks rpc) {
-      return rpc.objection(request);
+      return rpc.unsupportedReason(request);
     }
     return request.payload() instanceof Payload.Call call
             && !call.fitsHttp(request.type().effect())
--- a/src/main/java/pumicekeel/upstream/jsonrpc/HttpCalls.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/HttpCallTranslator.java
@@ -19,13 +19,13 @@
  * Makes a call of an HTTP request. A GET's query becomes an object of strings, with what its path says behind the class as
  * the member {@code path}; a POST's body has to be an object or an array, or empty.
  */
-final class HttpCalls {
+final class HttpCallTranslator {
 
   /** What such a request can't say in a call. */
-  static final class Untranslatable extends Exception {
+  static final class UntranslatableException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Untranslatable(String why) {
+    UntranslatableException(String why) {
       super(why, null, false, false);
     }
   }
@@ -34,16 +34,18 @@
       new MessageReader(new Limits(pumicekeel.call.Answer.MAX_BODY, 32, 1));
   private static final String PATH = "path";
 
-  private HttpCalls() {}
+  private HttpCallTranslator() {}
 
   /** The call of a request, which may be one already. */
-  static Message.Call of(ClientRequest request, ServerSettings settings) throws Untranslatable {
+  static Message.Call toCall(ClientRequest request, ServerSettings settings)
+      throws UntranslatableException {
     if (request.payload() instanceof Payload.Call call) {
       return new Message.Call(null, call.method(), call.params());
     }
     Payload.Http http = (Payload.Http) request.payload();
     if (http.upload() != null) {
-      throw new Untranslatable("a body of more than " + pumicekeel.call.Answer.MAX_BODY + " bytes");
+      throw new UntranslatableException(
+          "a body of more than " + pumicekeel.call.Answer.MAX_BODY + " bytes");
     }
     String type = request.type().name();
     String key = request.idempotencyKey();
@@ -55,7 +57,7 @@
         key == null ? params : withKey(params, settings.keyMember(), key));
   }
 
-  private static byte[] query(String uri, String type) throws Untranslatable {
+  private static byte[] query(String uri, String type) throws UntranslatableException {
     QueryStringDecoder decoded = new QueryStringDecoder(uri, StandardCharsets.UTF_8);
     Map<String, String> members = new LinkedHashMap<>();
     try {
@@ -66,11 +68,11 @@
       for (Map.Entry<String, List<String>> e : decoded.parameters().entrySet()) {
         if (e.getValue().size() > 1
             || members.putIfAbsent(e.getKey(), e.getValue().get(0)) != null) {
-          throw new Untranslatable("the query names something twice");
+          throw new UntranslatableException("the query names something twice");
         }
       }
     } catch (IllegalArgumentException e) {
-      throw new Untranslatable("malformed query");
+      throw new UntranslatableException("malformed query");
     }
     if (members.isEmpty()) {
       return null;
@@ -83,7 +85,7 @@
     return out.append('}').toString().getBytes(StandardCharsets.US_ASCII);
   }
 
-  private static byte[] body(byte[] body) throws Untranslatable {
+  private static byte[] body(byte[] body) throws UntranslatableException {
     if (body.length == 0) {
       return null;
     }
@@ -91,13 +93,14 @@
         ? new JsonPointerSet(List.of(JsonPointer.of(""))).resolve(body)[0].kind()
         : null;
     if (kind != JsonPointerSet.Kind.OBJECT && kind != JsonPointerSet.Kind.ARRAY) {
-      throw new Untranslatable("expected a JSON object or array as the body");
+      throw new UntranslatableException("expected a JSON object or array as the body");
     }
     return body;
   }
 
   /** The key has to reach the server, or it could not drop a repeat. */
-  private static byte[] withKey(byte[] params, String member, String key) throws Untranslatable {
+  private static byte[] withKey(byte[] params, String member, String key)
+      throws UntranslatableException {
     String added = MessageWriter.quoted(member) + ":" + MessageWriter.quoted(key);
     if (params == null) {
       return ("{" + added + "}").getBytes(StandardCharsets.US_ASCII);
@@ -106,13 +109,13 @@
     JsonPointerSet.Found[] found =
         new JsonPointerSet(List.of(JsonPointer.of(""), JsonPointer.of(pointer))).resolve(params);
     if (found[0].kind() != JsonPointerSet.Kind.OBJECT) {
-      throw new Untranslatable("expected a JSON object as the body of a keyed request");
+      throw new UntranslatableException("expected a JSON object as the body of a keyed request");
     }
     if (found[1].kind() == JsonPointerSet.Kind.STRING && found[1].text().equals(key)) {
       return params;
     }
     if (found[1].kind() != JsonPointerSet.Kind.ABSENT) {
-      throw new Untranslatable("the body has another " + member + " than the header");
+      throw new UntranslatableException("the body has another " + member + " than the header");
     }
     int open = 0;
     while (params[open] != '{') {
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
@@ -16,7 +16,7 @@
   /** Its id there; 0 while it has none. */
   private long id;
 
-  private long framesThen;
+  private long framesAtSend;
   private boolean stale;
 
   RpcAttempt(int number, long upstream, long decidedAt, RpcLink link, Ending ending) {
@@ -26,19 +26,19 @@
 
   @Override
   protected void begin(ClientRequest request, BooleanSupplier maySend) {
-    RpcConnection place = link.place();
-    if (place == null) {
+    RpcConnection assigned = link.acquire();
+    if (assigned == null) {
       end(Status.CONNECT_FAILED, null);
       return;
     }
-    connection = place;
-    place.send(this, request, maySend);
+    connection = assigned;
+    assigned.send(this, request, maySend);
   }
 
   /** It goes out now under this id. */
-  void goesOut(long as) {
+  void sendStarted(long as) {
     id = as;
-    framesThen = connection.frames();
+    framesAtSend = connection.frames();
     sending();
   }
 
@@ -46,11 +46,11 @@
     return id;
   }
 
-  long sinceGoingOut() {
+  long nanosSinceSend() {
     return sinceSent();
   }
 
-  void wholeOut() {
+  void sendCompleted() {
     written();
   }
 
@@ -65,12 +65,12 @@
       return;
     }
     stale = how == Status.RESET
-        && connection.keptAndSilent(id, framesThen)
+        && connection.wasReusedAndSilent(id, framesAtSend)
         && sinceSent() < STALE_NANOS;
     if (how == Status.TIMEOUT || how == Status.CANCELLED) {
       // By what came since it was sent, not by a clock: its time-out began before its connection
       // did.
-      connection.giveUp(this, how == Status.TIMEOUT && connection.frames() == framesThen);
+      connection.abandon(this, how == Status.TIMEOUT && connection.frames() == framesAtSend);
     }
   }
 }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
@@ -39,15 +39,15 @@
 final class RpcConnection extends SimpleChannelInboundHandler<Frame> {
 
   /** An answer of the protocol's limit and what stands around it. */
-  private static final int MOST_FRAME = Answer.MAX_BODY + 1024;
+  private static final int MAX_FRAME_BYTES = Answer.MAX_BODY + 1024;
 
-  private static final Limits LIMITS = new Limits(MOST_FRAME, Limits.MAX_DEPTH, 1);
+  private static final Limits LIMITS = new Limits(MAX_FRAME_BYTES, Limits.MAX_DEPTH, 1);
   private static final MessageReader READER = new MessageReader(LIMITS);
   /** From an answer's first byte to its last, as with HTTP. */
-  private static final long ANSWER_MILLIS = 300;
+  private static final long ANSWER_TIMEOUT_MILLIS = 300;
   /** What has not left for so long is with a server that does not read. It may not leave once the drain's grace is over:
    * the core sends until 200 ms before that. */
-  private static final long STUCK_MILLIS = 150;
+  private static final long WRITE_TIMEOUT_MILLIS = 150;
 
   private record Waiting(RpcAttempt attempt, ClientRequest request, BooleanSupplier maySend) {}
 
@@ -57,21 +57,21 @@
   private final FrameDecoder decoder;
   private final Map<Long, RpcAttempt> open = new HashMap<>();
   /** Ids whose calls were given up and may still be answered. */
-  private final Set<Long> lapsed = new HashSet<>();
+  private final Set<Long> abandoned = new HashSet<>();
 
   private final List<Waiting> waiting = new ArrayList<>(1);
   /** Calls whose last byte has not gone out, the oldest first. */
-  private final ArrayDeque<Long> leaving = new ArrayDeque<>();
+  private final ArrayDeque<Long> unwritten = new ArrayDeque<>();
 
   private ChannelFuture connecting;
   private Channel channel;
   private long lastId;
   private long frames;
   private long idleSince;
-  private ScheduledFuture<?> stalled;
-  private ScheduledFuture<?> stuck;
-  private boolean flushDue;
-  private int brokenWith;
+  private ScheduledFuture<?> answerTimer;
+  private ScheduledFuture<?> writeTimer;
+  private boolean flushScheduled;
+  private int openCallsAtFailure;
   private boolean retired;
   private boolean closed;
 
@@ -98,7 +98,7 @@
       if (done.isSuccess()) {
         opened(future.channel());
       } else {
-        broken("not connected");
+        fail("not connected");
       }
     });
   }
@@ -126,14 +126,14 @@
   }
 
   /** Whether another call may go out on it: given-up ones count, for the server may still work on them. */
-  boolean takesMore() {
-    if (closed || retired || out() + lapsed.size() >= settings.callsPerConnection()) {
+  boolean acceptsCalls() {
+    if (closed || retired || out() + abandoned.size() >= settings.callsPerConnection()) {
       return false;
     }
     if (channel == null) {
       return true;
     }
-    if (open.isEmpty() && lapsed.isEmpty() && !on.sockets().quiet(channel)) {
+    if (open.isEmpty() && abandoned.isEmpty() && !on.sockets().quiet(channel)) {
       // Closed by the server, or it says something unasked: not seen yet by the loop.
       close();
       return false;
@@ -154,8 +154,8 @@
   }
 
   /** Whether it was there before this call, broke with no other out, and had said nothing since. */
-  boolean keptAndSilent(long id, long framesThen) {
-    return id > 1 && brokenWith == 1 && frames == framesThen;
+  boolean wasReusedAndSilent(long id, long framesAtSend) {
+    return id > 1 && openCallsAtFailure == 1 && frames == framesAtSend;
   }
 
   // Calls out
@@ -185,18 +185,20 @@
     long id = ++lastId;
     byte[] message;
     try {
-      Message.Call call = HttpCalls.of(request, settings);
+      Message.Call call = HttpCallTranslator.toCall(request, settings);
       message = MessageWriter.call(Id.of(id), call.method(), call.params());
-    } catch (HttpCalls.Untranslatable e) {
+    } catch (HttpCallTranslator.UntranslatableException e) {
       attempt.end(Status.NOT_SENT, null);
       return;
     }
     open.put(id, attempt);
-    leaving.add(id);
-    attempt.goesOut(id);
-    writeOut(message).addListener(done -> left(id, attempt, done.isSuccess()));
-    if (stuck == null && !closed) {
-      stuck = channel.eventLoop().schedule(this::closeIfStuck, STUCK_MILLIS, TimeUnit.MILLISECONDS);
+    unwritten.add(id);
+    attempt.sendStarted(id);
+    writeOut(message).addListener(done -> writeCompleted(id, attempt, done.isSuccess()));
+    if (writeTimer == null && !closed) {
+      writeTimer = channel
+          .eventLoop()
+          .schedule(this::closeIfStuck, WRITE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -211,8 +213,8 @@
     if (suffix != null) {
       channel.write(suffix);
     }
-    if (!flushDue) {
-      flushDue = true;
+    if (!flushScheduled) {
+      flushScheduled = true;
       channel.eventLoop().execute(this::flush);
     }
     return body;
@@ -221,38 +223,41 @@
   /** Once for all calls of a turn of the loop. Netty's own handler for this flushes at a close, which would send calls
    * that have just been told to have never gone out. */
   private void flush() {
-    flushDue = false;
+    flushScheduled = false;
     if (!closed) {
       channel.flush();
     }
   }
 
-  private void left(long id, RpcAttempt attempt, boolean whole) {
+  private void writeCompleted(long id, RpcAttempt attempt, boolean whole) {
     if (!whole) {
       return;
     }
     // In the order of their writing.
-    leaving.removeFirstOccurrence(id);
+    unwritten.removeFirstOccurrence(id);
     if (open.get(id) == attempt) {
-      attempt.wholeOut();
+      attempt.sendCompleted();
     }
   }
 
   private void closeIfStuck() {
-    stuck = null;
-    if (closed || leaving.isEmpty()) {
+    writeTimer = null;
+    if (closed || unwritten.isEmpty()) {
       return;
     }
-    RpcAttempt oldest = open.get(leaving.peekFirst());
-    if (oldest == null || oldest.sinceGoingOut() >= TimeUnit.MILLISECONDS.toNanos(STUCK_MILLIS)) {
-      broken("it does not read");
+    RpcAttempt oldest = open.get(unwritten.peekFirst());
+    if (oldest == null
+        || oldest.nanosSinceSend() >= TimeUnit.MILLISECONDS.toNanos(WRITE_TIMEOUT_MILLIS)) {
+      fail("it does not read");
     } else {
-      stuck = channel.eventLoop().schedule(this::closeIfStuck, STUCK_MILLIS, TimeUnit.MILLISECONDS);
+      writeTimer = channel
+          .eventLoop()
+          .schedule(this::closeIfStuck, WRITE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   /** A call is not waited for any more; where nothing came in all its time ({@code silent}), no new one goes out here. */
-  void giveUp(RpcAttempt attempt, boolean silent) {
+  void abandon(RpcAttempt attempt, boolean silent) {
     if (closed) {
       return;
     }
@@ -266,12 +271,12 @@
     if (!open.remove(id, attempt)) {
       return;
     }
-    if (leaving.contains(id)) {
+    if (unwritten.contains(id)) {
       // It must not leave after its end.
-      broken("a call was given up before it was out");
+      fail("a call was given up before it was out");
       return;
     }
-    lapsed.add(id);
+    abandoned.add(id);
     becameIdle();
     if (silent) {
       retire();
@@ -294,7 +299,7 @@
     }
     frames++;
     if (!(frame instanceof Frame.Complete whole)) {
-      broken("what it says is no message: " + ((Frame.Fault) frame).why());
+      fail("what it says is no message: " + ((Frame.Fault) frame).why());
       return;
     }
     Message message = READER.read(whole.bytes());
@@ -304,7 +309,7 @@
         && one.entry() instanceof Message.Call call
         && call.id() == null)) {
       // A notification asks for nothing and is passed over; nothing else is due here.
-      broken("what it says is no answer");
+      fail("what it says is no answer");
     }
   }
 
@@ -312,16 +317,16 @@
     long id = reply.id().asNumber();
     RpcAttempt attempt = open.remove(id);
     if (attempt == null) {
-      if (!lapsed.remove(id)) {
-        broken("an answer to a call that was never made, or a second one");
+      if (!abandoned.remove(id)) {
+        fail("an answer to a call that was never made, or a second one");
       }
       closeIfRetired();
       return;
     }
     becameIdle();
-    if (leaving.contains(id)) {
+    if (unwritten.contains(id)) {
       open.put(id, attempt);
-      broken("an answer to a call that is not out yet");
+      fail("an answer to a call that is not out yet");
       return;
     }
     byte[] body = reply.result() == null ? reply.error() : reply.result();
@@ -338,23 +343,23 @@
 
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (!closed && stalled == null && decoder.hasBufferedBytes()) {
+    if (!closed && answerTimer == null && decoder.hasBufferedBytes()) {
       long then = frames;
-      stalled =
-          ctx.executor().schedule(() -> closeIfStalled(then), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+      answerTimer = ctx.executor()
+          .schedule(() -> closeIfStalled(then), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
     ctx.fireChannelReadComplete();
   }
 
   private void closeIfStalled(long then) {
-    stalled = null;
+    answerTimer = null;
     if (!closed && decoder.hasBufferedBytes() && frames == then) {
-      broken("half an answer, then silence");
+      fail("half an answer, then silence");
     } else if (!closed && decoder.hasBufferedBytes()) {
       long now = frames;
-      stalled = channel
+      answerTimer = channel
           .eventLoop()
-          .schedule(() -> closeIfStalled(now), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+          .schedule(() -> closeIfStalled(now), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -373,12 +378,12 @@
   }
 
   void close() {
-    broken(null);
+    fail(null);
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    broken(null);
+    fail(null);
   }
 
   @Override
@@ -386,11 +391,11 @@
     if (!(cause instanceof IOException)) {
       Log.caused("upstream " + link.address() + ": " + cause);
     }
-    broken(null);
+    fail(null);
   }
 
   /** Of no use any more: a call whose last byte went out may have run, any other never did. */
-  private void broken(String why) {
+  private void fail(String why) {
     if (closed) {
       return;
     }
@@ -399,23 +404,23 @@
       Log.caused("upstream " + link.address() + ": " + why);
     }
     link.ended(this);
-    Set<Long> neverOut = Set.copyOf(leaving);
+    Set<Long> notWritten = Set.copyOf(unwritten);
     List<Map.Entry<Long, RpcAttempt>> ended = new ArrayList<>(open.entrySet());
-    brokenWith = ended.size();
+    openCallsAtFailure = ended.size();
     List<Waiting> never = List.copyOf(waiting);
     open.clear();
     waiting.clear();
-    if (stalled != null) {
-      stalled.cancel(false);
+    if (answerTimer != null) {
+      answerTimer.cancel(false);
     }
-    if (stuck != null) {
-      stuck.cancel(false);
+    if (writeTimer != null) {
+      writeTimer.cancel(false);
     }
     (channel != null ? channel : connecting.channel()).close();
     never.forEach(w -> w.attempt().end(Status.CONNECT_FAILED, null));
     ended.stream()
         .sorted(Map.Entry.comparingByKey())
         .forEach(e -> e.getValue()
-            .end(neverOut.contains(e.getKey()) ? Status.CONNECT_FAILED : Status.RESET, null));
+            .end(notWritten.contains(e.getKey()) ? Status.CONNECT_FAILED : Status.RESET, null));
   }
 }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLink.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLink.java
@@ -35,10 +35,10 @@
   }
 
   /** A connection that takes one more call, perhaps one that is still connecting; null where there is no room. */
-  RpcConnection place() {
+  RpcConnection acquire() {
     RpcConnection best = null;
     for (RpcConnection c : List.copyOf(connections)) {
-      if (c.takesMore() && (best == null || c.out() < best.out())) {
+      if (c.acceptsCalls() && (best == null || c.out() < best.out())) {
         best = c;
       }
     }
@@ -65,7 +65,7 @@
     return oldest;
   }
 
-  void closeOlderThan(long before) {
+  void closeIdleSince(long before) {
     List.copyOf(connections).stream()
         .filter(c -> c.idle() && c.idleSince() - before <= 0)
         .forEach(RpcConnection::close);
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
@@ -22,9 +22,9 @@
 public final class RpcLinks implements UpstreamLinks, SocketUser {
 
   /** As with HTTP: an idle connection goes before the server would close it. */
-  private static final double IDLE_PART = 0.7;
+  private static final double IDLE_FRACTION = 0.7;
 
-  private static final int SWEEPS = 20;
+  private static final int SWEEPS_PER_IDLE_TIME = 20;
 
   private final Reactor on;
   private final Bootstrap bootstrap;
@@ -56,20 +56,21 @@
   public void tune(long connectTimeoutNanos, long idleNanos) {
     bootstrap.option(
         ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNanos / 1_000_000));
-    this.idleNanos = (long) (idleNanos * IDLE_PART);
+    this.idleNanos = (long) (idleNanos * IDLE_FRACTION);
     if (sweep != null) {
       sweep.cancel(false);
     }
-    long periodMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(this.idleNanos / SWEEPS));
-    sweep = Repeated.every(periodMillis, on.loop(), this::closeOld);
+    long periodMillis =
+        Math.max(1, TimeUnit.NANOSECONDS.toMillis(this.idleNanos / SWEEPS_PER_IDLE_TIME));
+    sweep = Repeated.every(periodMillis, on.loop(), this::closeExpired);
   }
 
   /** Why a request can't be sent to these servers; null where it can. */
-  public String objection(ClientRequest request) {
+  public String unsupportedReason(ClientRequest request) {
     try {
-      HttpCalls.of(request, settings);
+      HttpCallTranslator.toCall(request, settings);
       return null;
-    } catch (HttpCalls.Untranslatable e) {
+    } catch (HttpCallTranslator.UntranslatableException e) {
       return e.getMessage();
     }
   }
@@ -163,8 +164,8 @@
     return oldest;
   }
 
-  private void closeOld() {
+  private void closeExpired() {
     long before = on.clock().now() - idleNanos;
-    links.forEach(l -> l.closeOlderThan(before));
+    links.forEach(l -> l.closeIdleSince(before));
   }
 }
--- a/src/test/java/pumicekeel/adapter/LinkTest.java
+++ b/src/test/java/pumicekeel/adapter/SimulatorSessionTest.java
@@ -17,7 +17,7 @@
 import pumicekeel.Balancer;
 
 /** The wire: conversations byte for byte, every action, and each kind of malformed input. */
-class LinkTest {
+class SimulatorSessionTest {
 
   private static final String CLASS =
       "{\"name\":\"c\",\"aim-ns\":400000000,\"deadline-ns\":2000000000,"
@@ -33,7 +33,8 @@
   private static String talk(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String text = String.join("\n", lines) + "\n";
-    new Link(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out).run();
+    new SimulatorSession(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out)
+        .run();
     return out.toString(StandardCharsets.UTF_8);
   }
 
@@ -135,7 +136,7 @@
     assertTrue(
         text.toString()
             .startsWith(
-                "{\"Fault\":{\"note-text\":\"java.lang.IllegalStateException: odd at pumicekeel.adapter.LinkTest."),
+                "{\"Fault\":{\"note-text\":\"java.lang.IllegalStateException: odd at pumicekeel.adapter.SimulatorSessionTest."),
         text.toString());
   }
 
--- a/src/test/java/pumicekeel/front/jsonrpc/BatchAnswersTest.java
+++ b/src/test/java/pumicekeel/front/jsonrpc/BatchAnswersTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import pumicekeel.front.jsonrpc.BatchAnswers.How;
+import pumicekeel.front.jsonrpc.BatchAnswers.EntryOutcome;
 
 /** When a batch's answers go out, in virtual time. */
 class BatchAnswersTest {
@@ -20,76 +20,76 @@
   @Test
   void oneArrayWhereAllEndBeforeAnyHasToGo() {
     BatchAnswers<String> b = batch(BatchMode.IN_TIME, 3);
-    b.ended("a", How.ANSWERED, 100);
-    assertEquals(List.of(), b.take(10));
-    assertEquals(100, b.dueAt());
-    b.ended(null, How.ANSWERED, 5);
-    assertEquals(List.of(), b.take(20));
-    b.ended("c", How.ANSWERED, 300);
-    assertEquals(List.of("a", "c"), b.take(30));
-    assertTrue(b.over());
+    b.ended("a", EntryOutcome.ANSWERED, 100);
+    assertEquals(List.of(), b.takeReady(10));
+    assertEquals(100, b.flushAt());
+    b.ended(null, EntryOutcome.ANSWERED, 5);
+    assertEquals(List.of(), b.takeReady(20));
+    b.ended("c", EntryOutcome.ANSWERED, 300);
+    assertEquals(List.of("a", "c"), b.takeReady(30));
+    assertTrue(b.isComplete());
   }
 
   @Test
   void lookupIsNotHeldForThePack() {
     // A rate-lookup that is wanted within 400 and a contract-pack that takes until 5,000.
     BatchAnswers<String> b = batch(BatchMode.IN_TIME, 2);
-    b.ended("rate", How.ANSWERED, 400);
-    assertEquals(List.of(), b.take(399));
-    assertEquals(List.of("rate"), b.take(400));
-    assertFalse(b.over());
-    assertEquals(BatchAnswers.NEVER, b.dueAt());
-    b.ended("pack", How.ANSWERED, 2_000);
-    assertEquals(List.of("pack"), b.take(5_000));
-    assertTrue(b.over());
+    b.ended("rate", EntryOutcome.ANSWERED, 400);
+    assertEquals(List.of(), b.takeReady(399));
+    assertEquals(List.of("rate"), b.takeReady(400));
+    assertFalse(b.isComplete());
+    assertEquals(BatchAnswers.NEVER, b.flushAt());
+    b.ended("pack", EntryOutcome.ANSWERED, 2_000);
+    assertEquals(List.of("pack"), b.takeReady(5_000));
+    assertTrue(b.isComplete());
   }
 
   @Test
   void whatEndsLateGoesAtOnceAndTakesAlongWhatWaits() {
     BatchAnswers<String> b = batch(BatchMode.IN_TIME, 3);
-    b.ended("soon", How.ANSWERED, 900);
-    b.ended("late", How.ANSWERED, 400);
-    assertEquals(List.of("soon", "late"), b.take(500));
+    b.ended("soon", EntryOutcome.ANSWERED, 900);
+    b.ended("late", EntryOutcome.ANSWERED, 400);
+    assertEquals(List.of("soon", "late"), b.takeReady(500));
   }
 
   @Test
   void refusalAndFailureAreNotHeldButWhatIsNoCallIs() {
     BatchAnswers<String> b = batch(BatchMode.IN_TIME, 4);
-    b.ended("invalid", How.INVALID, 0);
-    assertEquals(List.of(), b.take(1));
-    assertEquals(BatchAnswers.NEVER, b.dueAt());
-    b.ended("refused", How.GIVEN_UP, 900);
-    assertEquals(List.of("invalid", "refused"), b.take(2));
-    b.ended("served", How.ANSWERED, 900);
-    b.ended("failed", How.GIVEN_UP, 900);
-    assertEquals(List.of("served", "failed"), b.take(3));
-    assertTrue(b.over());
+    b.ended("invalid", EntryOutcome.INVALID, 0);
+    assertEquals(List.of(), b.takeReady(1));
+    assertEquals(BatchAnswers.NEVER, b.flushAt());
+    b.ended("refused", EntryOutcome.REFUSED_OR_FAILED, 900);
+    assertEquals(List.of("invalid", "refused"), b.takeReady(2));
+    b.ended("served", EntryOutcome.ANSWERED, 900);
+    b.ended("failed", EntryOutcome.REFUSED_OR_FAILED, 900);
+    assertEquals(List.of("served", "failed"), b.takeReady(3));
+    assertTrue(b.isComplete());
   }
 
   @Test
   void togetherIsOneArrayAndApartAreAsManyAsAnswers() {
     BatchAnswers<String> together = batch(BatchMode.TOGETHER, 2);
-    together.ended("refused", How.GIVEN_UP, 0);
-    assertEquals(List.of(), together.take(1_000_000));
-    assertEquals(BatchAnswers.NEVER, together.dueAt());
-    together.ended("served", How.ANSWERED, 5);
-    assertEquals(List.of("refused", "served"), together.take(1_000_001));
+    together.ended("refused", EntryOutcome.REFUSED_OR_FAILED, 0);
+    assertEquals(List.of(), together.takeReady(1_000_000));
+    assertEquals(BatchAnswers.NEVER, together.flushAt());
+    together.ended("served", EntryOutcome.ANSWERED, 5);
+    assertEquals(List.of("refused", "served"), together.takeReady(1_000_001));
     BatchAnswers<String> apart = batch(BatchMode.APART, 2);
-    apart.ended("a", How.ANSWERED, 100);
-    assertEquals(List.of("a"), apart.take(0));
-    apart.ended("b", How.INVALID, 100);
-    assertEquals(List.of("b"), apart.take(0));
-    assertTrue(apart.over());
+    apart.ended("a", EntryOutcome.ANSWERED, 100);
+    assertEquals(List.of("a"), apart.takeReady(0));
+    apart.ended("b", EntryOutcome.INVALID, 100);
+    assertEquals(List.of("b"), apart.takeReady(0));
+    assertTrue(apart.isComplete());
   }
 
   @Test
   void notificationsAloneAreAnsweredWithNothing() {
     for (BatchMode mode : BatchMode.values()) {
       BatchAnswers<String> b = batch(mode, 2);
-      b.ended(null, How.GIVEN_UP, 0);
-      b.ended(null, How.ANSWERED, 0);
-      assertEquals(List.of(), b.take(1_000_000));
-      assertTrue(b.over(), mode.name());
+      b.ended(null, EntryOutcome.REFUSED_OR_FAILED, 0);
+      b.ended(null, EntryOutcome.ANSWERED, 0);
+      assertEquals(List.of(), b.takeReady(1_000_000));
+      assertTrue(b.isComplete(), mode.name());
     }
   }
 
@@ -102,29 +102,32 @@
       int entries = random.nextInt(1, 12);
       BatchAnswers<Integer> b = new BatchAnswers<>(mode, entries);
       long[] latest = new long[entries];
-      List<Integer> gone = new ArrayList<>();
+      List<Integer> sent = new ArrayList<>();
       long now = 0;
       int wanted = 0;
       for (int i = 0; i < entries; i++) {
         long next = now + random.nextLong(100);
-        while (b.dueAt() <= next) {
-          now = b.dueAt();
-          gone.addAll(check(b.take(now), latest, now, "seed " + seed));
+        while (b.flushAt() <= next) {
+          now = b.flushAt();
+          sent.addAll(check(b.takeReady(now), latest, now, "seed " + seed));
         }
         now = next;
-        How how = How.values()[random.nextInt(3)];
+        EntryOutcome outcome = EntryOutcome.values()[random.nextInt(3)];
         boolean notification = random.nextInt(5) == 0;
         long until = now + random.nextLong(-50, 150);
-        latest[i] = mode == BatchMode.TOGETHER || how == How.INVALID && mode == BatchMode.IN_TIME
+        latest[i] = mode == BatchMode.TOGETHER
+                || outcome == EntryOutcome.INVALID && mode == BatchMode.IN_TIME
             ? Long.MAX_VALUE
-            : mode == BatchMode.APART || how == How.GIVEN_UP ? now : Math.max(now, until);
-        b.ended(notification ? null : i, how, until);
+            : mode == BatchMode.APART || outcome == EntryOutcome.REFUSED_OR_FAILED
+                ? now
+                : Math.max(now, until);
+        b.ended(notification ? null : i, outcome, until);
         wanted += notification ? 0 : 1;
-        gone.addAll(check(b.take(now), latest, now, "seed " + seed));
+        sent.addAll(check(b.takeReady(now), latest, now, "seed " + seed));
       }
-      assertTrue(b.over(), "seed " + seed);
-      assertEquals(wanted, gone.stream().distinct().count(), "seed " + seed);
-      assertEquals(wanted, gone.size(), "seed " + seed);
+      assertTrue(b.isComplete(), "seed " + seed);
+      assertEquals(wanted, sent.stream().distinct().count(), "seed " + seed);
+      assertEquals(wanted, sent.size(), "seed " + seed);
     }
   }
 
--- a/src/test/java/pumicekeel/front/jsonrpc/CallFuzzTest.java
+++ b/src/test/java/pumicekeel/front/jsonrpc/CallFuzzTest.java
@@ -12,6 +12,6 @@
   @ValueSource(longs = {1, 2, 3})
   void everyCallEndsOnceWhateverComesAndHoweverItIsCut(long seed) {
     CallFuzz fuzz = new CallFuzz(seed);
-    assertTrue(fuzz.run(0, 3_000, i -> {}), () -> fuzz.failed());
+    assertTrue(fuzz.run(0, 3_000, i -> {}), () -> fuzz.failure());
   }
 }
--- a/src/test/java/pumicekeel/front/jsonrpc/MethodMappingTest.java
+++ b/src/test/java/pumicekeel/front/jsonrpc/MethodMappingTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import pumicekeel.front.jsonrpc.MethodMapping.At;
 import pumicekeel.front.jsonrpc.MethodMapping.BadParams;
+import pumicekeel.front.jsonrpc.MethodMapping.CallFields;
 import pumicekeel.front.jsonrpc.MethodMapping.Constant;
 import pumicekeel.front.jsonrpc.MethodMapping.Part;
-import pumicekeel.front.jsonrpc.MethodMapping.Said;
 import pumicekeel.front.jsonrpc.MethodMapping.Text;
 import pumicekeel.front.jsonrpc.MethodMapping.Value;
 import pumicekeel.jsonrpc.JsonPointer;
@@ -43,18 +43,18 @@
           new Constant("70")),
       List.of(new Text("/quote-issue/"), new Value(JsonPointer.of("/id")), new Text("?v=1")));
 
-  private Said read(String params) throws BadParams {
+  private CallFields read(String params) throws BadParams {
     return mapping.read(params.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
   void partsComeByPointerOrAsConstants() throws BadParams {
     assertEquals(
-        new Said("a", "s", "k", 1_500, 70, "/quote-issue/7%2F%20%C3%A9?v=1"),
+        new CallFields("a", "s", "k", 1_500, 70, "/quote-issue/7%2F%20%C3%A9?v=1"),
         read(
             "{\"left\":1500,\"who\":{\"account\":\"a\"},\"session\":\"s\",\"key\":\"k\",\"id\":\"7/ \u00e9\"}"));
     assertEquals(
-        new Said("a", null, "12", -1, 70, "/quote-issue/9?v=1"),
+        new CallFields("a", null, "12", -1, 70, "/quote-issue/9?v=1"),
         read("{\"who\":{\"account\":\"a\"},\"key\":12,\"id\":9}"));
   }
 
@@ -90,8 +90,8 @@
   @Test
   void hugeTimesAreNoOverflow() throws BadParams {
     assertEquals(
-        MethodMapping.MOST_NUMBER,
+        MethodMapping.MAX_NUMBER,
         read("{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"id\":1,\"left\":999999999999}")
-            .leftMillis());
+            .timeLeftMillis());
   }
 }
--- a/src/test/java/pumicekeel/upstream/jsonrpc/HttpCallsTest.java
+++ b/src/test/java/pumicekeel/upstream/jsonrpc/HttpCallTranslatorTest.java
@@ -20,7 +20,7 @@
 import pumicekeel.jsonrpc.Message;
 
 /** HTTP requests as calls, and what error objects are worth. */
-class HttpCallsTest {
+class HttpCallTranslatorTest {
 
   private final ServerSettings settings = new ServerSettings(
       Framing.NEWLINE,
@@ -32,7 +32,7 @@
       "key");
 
   private Message.Call call(String method, String uri, String body, String key)
-      throws HttpCalls.Untranslatable {
+      throws HttpCallTranslator.UntranslatableException {
     boolean get = method.equals("GET");
     RequestClass type = new RequestClass(
         get ? "rate-lookup" : "quote-issue",
@@ -45,7 +45,7 @@
         1,
         0,
         false);
-    return HttpCalls.of(
+    return HttpCallTranslator.toCall(
         new ClientRequest(
             "1",
             type,
@@ -116,11 +116,14 @@
       "x=1&y=2"
     }) {
       assertThrows(
-          HttpCalls.Untranslatable.class, () -> call("POST", "/quote-issue", body, "k1"), body);
+          HttpCallTranslator.UntranslatableException.class,
+          () -> call("POST", "/quote-issue", body, "k1"),
+          body);
     }
     for (String uri :
         new String[] {"/rate-lookup?a=1&a=2", "/rate-lookup/7?path=8", "/rate-lookup?a=%zz"}) {
-      assertThrows(HttpCalls.Untranslatable.class, () -> call("GET", uri, "", null), uri);
+      assertThrows(
+          HttpCallTranslator.UntranslatableException.class, () -> call("GET", uri, "", null), uri);
     }
   }
 
