--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/pumicekeel/node/Reload.java
@@ -123,7 +123,7 @@
         node.reload(next);
         return next;
       });
-    } catch (OperatorLoader.Faulty e) {
+    } catch (OperatorLoader.InvalidFileException e) {
       e.lines().stream().limit(MAX_SHOWN_FAULTS).forEach(l -> Log.line("reload: " + l));
       Log.line("reload: the operator file stays as it was: " + e.lines().size() + " faults");
     } catch (IOException | RuntimeException e) {
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -115,7 +115,7 @@
   /** Returns why a request can't be sent in the protocol of this pool's upstreams; null if it can. */
   String objection(ClientRequest request) {
     if (connections instanceof RpcLinks rpc) {
-      return rpc.objection(request);
+      return rpc.unsupportedReason(request);
     }
     return request.payload() instanceof Payload.Call call
             && !call.fitsHttp(request.type().effect())
@@ -222,7 +222,7 @@
     List<HostList.Host> mine = new ArrayList<>();
     for (HostList.Host host : list.hosts()) {
       HostList.Host before = hosts.get(host.listed().upstream());
-      if (spec.select().takes(host)) {
+      if (spec.select().matches(host)) {
         mine.add(host);
       } else if (before != null && !list.whole()) {
         mine.add(departed(before));
