--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -114,7 +114,7 @@
         rotation,
         this::onRotationChange,
         () -> peers == null ? null : peers.view(),
-        reactor.guard()::line,
+        reactor.guard()::summary,
         this::listLine);
     admin =
         new AdminEndpoint(reactor, line -> calls.answer(line, reactor.clock().now()));
@@ -328,7 +328,7 @@
     UpstreamSource source = pools.platformSource();
     return source == null || source.currency() == null
         ? null
-        : source.currency().line(reactor.clock().now()) + ", calls failed " + source.failures()
+        : source.currency().statusLine(reactor.clock().now()) + ", calls failed " + source.failureCount()
             + (departures == null ? "" : departures.line());
   }
 
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -35,7 +35,7 @@
  * A running pool of an operator file: its own module instance, upstream list, connections and part of the capacity. Its
  * name, its source and its selection identify the upstreams that remember its keyed requests.
  */
-final class ServicePool implements UpstreamSource.Follower {
+final class ServicePool implements UpstreamSource.Observer {
 
   /** Limit of the queue; each queued request is an open one, so the limit on open requests is the effective bound. */
   private static final int MAX_QUEUED = 1 << 16;
@@ -142,7 +142,8 @@
 
   /** Applies changed settings. */
   void retune(Settings next) {
-    connections.tune(next.limits().connectTimeoutNanos(), next.limits().connectionIdleNanos());
+    connections.setTimeouts(
+        next.limits().connectTimeoutNanos(), next.limits().connectionIdleNanos());
     core.retune(next);
   }
 
@@ -194,18 +195,18 @@
   // Upstream list
 
   void start() {
-    HostList initial = select(source.follow(this));
+    HostList initial = select(source.addObserver(this));
     core.start(initial, active -> source.watch(this, active));
   }
 
   @Override
-  public void news(HostList list) {
+  public void listChanged(HostList list) {
     core.news(select(list));
   }
 
   /** Closes a pool that has no open requests. */
   void close() {
-    source.unfollow(this);
+    source.removeObserver(this);
     connections.close();
     open.leave();
     body.leave();
@@ -224,26 +225,26 @@
       HostList.Host before = hosts.get(host.listed().upstream());
       if (spec.select().matches(host)) {
         mine.add(host);
-      } else if (before != null && !list.whole()) {
+      } else if (before != null && !list.snapshot()) {
         mine.add(departed(before));
       }
     }
-    if (list.whole()) {
+    if (list.snapshot()) {
       List<Long> listed = mine.stream().map(h -> h.listed().upstream()).toList();
       Set<Long> absent = new LinkedHashSet<>(hosts.keySet());
       absent.removeAll(Set.copyOf(listed));
       absent.forEach(id -> update(departed(hosts.get(id)), affected));
     }
     mine.forEach(h -> update(h, affected));
-    HostList selected =
-        new HostList(list.index(), list.whole(), mine.stream().map(this::viewOf).toList());
+    HostList selected = new HostList(
+        list.index(), list.snapshot(), mine.stream().map(this::viewOf).toList());
     onSharedChange.accept(affected);
     return selected;
   }
 
   private static HostList.Host departed(HostList.Host host) {
     Listed l = host.listed();
-    return host.as(
+    return host.withListed(
         new Listed(l.upstream(), l.zone(), l.cell(), State.GONE, l.startedNanos(), l.weight()));
   }
 
@@ -267,7 +268,7 @@
   }
 
   private HostList.Host viewOf(HostList.Host host) {
-    return host.as(shared.upstreams().seenBy(this, host.address(), host.listed()));
+    return host.withListed(shared.upstreams().seenBy(this, host.address(), host.listed()));
   }
 
   /** Reports the upstreams at these addresses to the module again after another pool has received an update of them. */
--- a/src/main/java/pumicekeel/node/SinglePool.java
+++ b/src/main/java/pumicekeel/node/SinglePool.java
@@ -14,7 +14,7 @@
 import pumicekeel.upstream.http.ConnectionPool;
 
 /** The pool of a node without an operator file: one module, one list, one connection pool. */
-final class SinglePool implements NodePools, UpstreamSource.Follower {
+final class SinglePool implements NodePools, UpstreamSource.Observer {
 
   private final ConnectionPool connections;
   private final BalancerCore core;
@@ -57,11 +57,11 @@
 
   @Override
   public void start() {
-    core.start(source.follow(this), active -> source.watch(this, active));
+    core.start(source.addObserver(this), active -> source.watch(this, active));
   }
 
   @Override
-  public void news(HostList list) {
+  public void listChanged(HostList list) {
     core.news(list);
   }
 
@@ -79,8 +79,9 @@
   @Override
   public void reload(Configuration next) {
     source.moveTo(next.discovery());
-    source.retune(WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos());
-    connections.tune(
+    source.reconfigure(
+        WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos());
+    connections.setTimeouts(
         next.settings().limits().connectTimeoutNanos(),
         next.settings().limits().connectionIdleNanos());
     core.retune(next.settings());
