--- a/src/main/java/pumicekeel/core/ActiveSettings.java
+++ b/src/main/java/pumicekeel/core/ActiveSettings.java
@@ -13,7 +13,7 @@
   public static final long OVERLAP_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private Settings current;
-  private Settings former;
+  private Settings previous;
   private long changedAt;
 
   public ActiveSettings(Settings first) {
@@ -25,19 +25,19 @@
   }
 
   /** The settings before the last change, as long as clients may not have heard of it; else null. */
-  public Settings former(long now) {
-    if (former != null && now - changedAt >= OVERLAP_NANOS) {
-      former = null;
+  public Settings previous(long now) {
+    if (previous != null && now - changedAt >= OVERLAP_NANOS) {
+      previous = null;
     }
-    return former;
+    return previous;
   }
 
   /** Takes other settings over; false where they are the same. */
-  public boolean change(Settings next, long now) {
+  public boolean replace(Settings next, long now) {
     if (next.equals(current)) {
       return false;
     }
-    former = current;
+    previous = current;
     current = next;
     changedAt = now;
     return true;
--- a/src/main/java/pumicekeel/core/AttemptLog.java
+++ b/src/main/java/pumicekeel/core/AttemptLog.java
@@ -8,12 +8,12 @@
 public interface AttemptLog {
 
   /** An attempt is about to be made: exactly one of the two is run, at once or later, and nothing is sent before. */
-  void before(
+  void beforeAttempt(
       ClientRequest request, int attempt, HostList.Host upstream, Runnable go, Runnable never);
 
   /** The attempt's last byte was written. */
-  void written(ClientRequest request, int attempt);
+  void requestWritten(ClientRequest request, int attempt);
 
   /** The attempt ended; NOT_SENT where its first byte never left, whatever ended it. */
-  void ended(ClientRequest request, int attempt, Status status);
+  void attemptEnded(ClientRequest request, int attempt, Status status);
 }
--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -82,9 +82,9 @@
   private final List<OpenRequest> over = new ArrayList<>();
   private Consumer<Boolean> watch = on -> {};
   private boolean handling;
-  private QuotaSource quotas;
+  private QuotaSource setQuotaSource;
   /** How current the list is; null where it can't be outdated. */
-  private ListCurrency currency;
+  private ListCurrency setListCurrency;
 
   private long endsAt = Long.MAX_VALUE;
 
@@ -106,18 +106,18 @@
   }
 
   /** From now on nothing is sent while the list by which it would be is outdated. */
-  public void currency(ListCurrency of) {
-    currency = of;
+  public void setListCurrency(ListCurrency of) {
+    setListCurrency = of;
   }
 
   private boolean listOutdated(long now) {
-    return currency != null && !currency.sendable(now);
+    return setListCurrency != null && !setListCurrency.sendable(now);
   }
 
   /** Starts with the list as last held; {@code watch} carries out the module's wish to follow it. */
   public void start(HostList known, Consumer<Boolean> watch) {
     this.watch = watch;
-    news(ListKind.CACHED, known);
+    updateList(ListKind.CACHED, known);
   }
 
   public Settings settings() {
@@ -125,28 +125,28 @@
   }
 
   /** The settings until a moment ago, which clients may still go by; null where there are none. */
-  public Settings formerSettings() {
-    return activeSettings.former(clock.now());
+  public Settings previousSettings() {
+    return activeSettings.previous(clock.now());
   }
 
   /** Takes over other settings: what is open keeps its class, what comes from now on goes by the new ones. */
-  public void retune(Settings next) {
-    if (activeSettings.change(next, clock.now())) {
+  public void applySettings(Settings next) {
+    if (activeSettings.replace(next, clock.now())) {
       tell(new Retune(next));
     }
   }
 
   /** From now on what this instance may admit of tenants' quotas is said by somebody else; null for its even part. */
-  public void quotas(QuotaSource source) {
-    if (quotas != null && source == null) {
+  public void setQuotaSource(QuotaSource source) {
+    if (setQuotaSource != null && source == null) {
       tell(new Retune(settings()));
     }
-    quotas = source;
+    setQuotaSource = source;
   }
 
   /** Has the rates in force told to the module, before a request of this tenant is judged by them. */
-  public void askQuotas(String tenant, long now) {
-    Map<String, Double> rates = quotas == null || tenant == null ? null : quotas.asked(tenant, now);
+  public void refreshQuotas(String tenant, long now) {
+    Map<String, Double> rates = setQuotaSource == null || tenant == null ? null : setQuotaSource.requestArrived(tenant, now);
     if (rates != null) {
       tell(new Quotas(rates));
     }
@@ -155,14 +155,14 @@
   // Clients
 
   /** Takes a request; false where its id is open already, which must not replace the first one. */
-  public boolean take(ClientRequest request, Client client) {
-    return take(request, client, List.of(), null);
+  public boolean submit(ClientRequest request, Client client) {
+    return submit(request, client, List.of(), null);
   }
 
   /** Takes one of which something may have run before, and whose attempts somebody may put on record ({@code log}). */
-  public boolean take(ClientRequest request, Client client, List<Earlier> earlier, AttemptLog log) {
+  public boolean submit(ClientRequest request, Client client, List<Earlier> earlier, AttemptLog log) {
     long now = clock.now();
-    long left = Math.max(0, Math.min(timeFor(request), endsAt - now));
+    long left = Math.max(0, Math.min(serviceTimeNanos(request), endsAt - now));
     OpenRequest r = new OpenRequest(
         request, client, now + left, earlier, log, settings().limits().maxAttempts());
     if (table.putIfAbsent(request.id(), r) != null) {
@@ -176,16 +176,16 @@
       }
       return true;
     }
-    r.clientUntil = now + request.leftNanos();
-    boolean coming = r.coming();
+    r.clientDeadline = now + request.leftNanos();
+    boolean coming = r.bodyIncomplete();
     if (coming) {
       // Its time counts from its last byte; until then the front ends what does not come.
       r.deadline = Math.min(now + LONGEST_UPLOAD_NANOS, endsAt);
       request.upload().onWhole(() -> came(r));
     } else {
-      r.guard = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
+      r.deadlineTimer = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
     }
-    askQuotas(request.tenant(), now);
+    refreshQuotas(request.tenant(), now);
     tell(new Request(
         request.id(),
         request.type().name(),
@@ -207,7 +207,7 @@
   }
 
   /** Of a client's time, what the module has, in nanoseconds; 0 or less for none. */
-  public static long timeFor(ClientRequest request) {
+  public static long serviceTimeNanos(ClientRequest request) {
     long left = request.leftNanos();
     // How long a class's aim is for a request is not known where it goes by its work.
     double earnsNothing =
@@ -223,20 +223,20 @@
       return;
     }
     long now = clock.now();
-    long left = Math.max(0, Math.min(timeFor(r.request), endsAt - now));
+    long left = Math.max(0, Math.min(serviceTimeNanos(r.request), endsAt - now));
     r.deadline = now + left;
-    r.clientUntil = now + r.request.leftNanos();
-    r.guard = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
+    r.clientDeadline = now + r.request.leftNanos();
+    r.deadlineTimer = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
     r.attempts.stream().filter(UpstreamAttempt::out).forEach(a -> a.bodyCame(left, loop));
     tell(new RequestCame(r.request.id(), r.deadline));
   }
 
   private boolean former(ClientRequest request) {
-    return formerSettings() != null && !settings().classes().contains(request.type());
+    return previousSettings() != null && !settings().classes().contains(request.type());
   }
 
   /** The process ends after so long: no request that is open or taken from now on may last longer. */
-  public void endBy(long nanos) {
+  public void limitDeadlines(long nanos) {
     endsAt = clock.now() + nanos;
     table.values().stream()
         .filter(r -> !r.ended && r.deadline > endsAt)
@@ -247,16 +247,16 @@
   /** Answers that are still being passed on have no time limit of the request's; the process can't wait for them longer. */
   private void cutStreams() {
     List.copyOf(table.values()).stream()
-        .filter(r -> r.streaming != null)
-        .forEach(r -> r.streaming.end(Status.CANCELLED, null));
+        .filter(r -> r.streamingAttempt != null)
+        .forEach(r -> r.streamingAttempt.end(Status.CANCELLED, null));
   }
 
-  public void clientGone(String id) {
+  public void clientDisconnected(String id) {
     OpenRequest r = table.get(id);
     if (r != null && end(r)) {
       tell(new ClientGone(id));
-    } else if (r != null && r.streaming != null) {
-      r.streaming.end(Status.CANCELLED, null);
+    } else if (r != null && r.streamingAttempt != null) {
+      r.streamingAttempt.end(Status.CANCELLED, null);
     }
   }
 
@@ -292,8 +292,8 @@
       return false;
     }
     r.ended = true;
-    if (r.guard != null) {
-      r.guard.cancel(false);
+    if (r.deadlineTimer != null) {
+      r.deadlineTimer.cancel(false);
     }
     over.add(r);
     return true;
@@ -301,22 +301,22 @@
 
   // The list of upstreams
 
-  public void news(HostList list) {
-    news(list.whole() ? ListKind.FULL : ListKind.DELTA, list);
+  public void updateList(HostList list) {
+    updateList(list.whole() ? ListKind.FULL : ListKind.DELTA, list);
   }
 
-  private void news(ListKind kind, HostList list) {
+  private void updateList(ListKind kind, HostList list) {
     upstreams.news(kind != ListKind.DELTA, list.hosts());
     tell(new ListNews(kind, list.hosts().stream().map(HostList.Host::listed).toList()));
   }
 
   /** How many upstreams are ready, as the list tells. */
-  public int ready() {
+  public int readyUpstreams() {
     return upstreams.ready();
   }
 
   /** Whether no request is open and no attempt is out. */
-  public boolean empty() {
+  public boolean isEmpty() {
     return table.isEmpty();
   }
 
@@ -333,7 +333,7 @@
       for (Event next = events.poll(); next != null; next = events.poll()) {
         module.handle(clock.now(), next, this::perform);
       }
-      over.stream().filter(OpenRequest::over).forEach(r -> table.remove(r.request.id(), r));
+      over.stream().filter(OpenRequest::isComplete).forEach(r -> table.remove(r.request.id(), r));
       over.clear();
     } catch (RuntimeException e) {
       defect.accept(e);
@@ -420,12 +420,12 @@
     boolean counts =
         r.attempts.size() < Math.min(r.maxAttempts, settings().limits().maxAttempts());
     r.attempts.add(attempt);
-    if (r.log == null) {
+    if (r.attemptLog == null) {
       start(a, r, attempt, upstream, counts);
       return;
     }
-    attempt.whenWritten(() -> r.log.written(r.request, attempt.number));
-    r.log.before(
+    attempt.whenWritten(() -> r.attemptLog.requestWritten(r.request, attempt.number));
+    r.attemptLog.beforeAttempt(
         r.request,
         attempt.number,
         upstream.host(),
@@ -463,9 +463,9 @@
         r.ended || r.client.here(),
         upstream.leaves(),
         listOutdated(now),
-        r.repeatIsHarmless(now),
+        r.retryIsSafe(now),
         counts,
-        r.coming() ? Long.MAX_VALUE : r.clientUntil - now,
+        r.bodyIncomplete() ? Long.MAX_VALUE : r.clientDeadline - now,
         attempt.leftNanos()));
     if (denial != null) {
       Log.caused("request " + r.request.id() + ": attempt " + attempt.number + " not sent, "
@@ -475,9 +475,9 @@
   }
 
   private String listAge(long now) {
-    return currency == null
+    return setListCurrency == null
         ? ""
-        : ", list " + TimeUnit.NANOSECONDS.toMillis(currency.age(now)) + " ms old";
+        : ", list " + TimeUnit.NANOSECONDS.toMillis(setListCurrency.age(now)) + " ms old";
   }
 
   private void cancel(Cancel a) {
@@ -492,7 +492,7 @@
     BodySink sink = r.ended ? null : r.client.begin(start, source);
     if (sink != null) {
       end(r);
-      r.streaming = attempt;
+      r.streamingAttempt = attempt;
       tell(new AnswerStarted(
           r.request.id(),
           attempt.number,
@@ -506,9 +506,9 @@
     if (status == Status.SERVED && end(r)) {
       r.client.served(answer);
     }
-    if (r.log != null) {
+    if (r.attemptLog != null) {
       boolean left = attempt.mayHaveRun() || status.provesNotRun();
-      r.log.ended(r.request, attempt.number, left ? status : Status.NOT_SENT);
+      r.attemptLog.attemptEnded(r.request, attempt.number, left ? status : Status.NOT_SENT);
     }
     over.add(r);
     tell(new Outcome(
@@ -517,7 +517,7 @@
         attempt.upstream,
         status,
         attempt.latencyNanos(clock.now() - lag.waitNanos()),
-        r.ended && (r.streaming == null || r.streaming == attempt),
+        r.ended && (r.streamingAttempt == null || r.streamingAttempt == attempt),
         Map.of(),
         attempt.stale(),
         r.request.upload() != null && r.request.upload().spent()));
--- a/src/main/java/pumicekeel/core/OpenRequest.java
+++ b/src/main/java/pumicekeel/core/OpenRequest.java
@@ -19,17 +19,17 @@
   public long deadline;
 
   /** When its client's own time is up; of one whose body still comes, as if that had come by now. */
-  public long clientUntil;
+  public long clientDeadline;
 
   public final List<UpstreamAttempt> attempts = new ArrayList<>(1);
-  public ScheduledFuture<?> guard;
+  public ScheduledFuture<?> deadlineTimer;
   public boolean ended;
   /** The attempt whose answer is being passed on; null where none is. */
-  UpstreamAttempt streaming;
+  UpstreamAttempt streamingAttempt;
   /** What may have run before this request came; and who keeps a record of it, null for nobody. */
-  final List<Earlier> earlier;
+  final List<Earlier> earlierAttempts;
 
-  final AttemptLog log;
+  final AttemptLog attemptLog;
 
   /** As the settings had it when it came. */
   final int maxAttempts;
@@ -42,24 +42,24 @@
       AttemptLog log,
       int maxAttempts) {
     this.maxAttempts = maxAttempts;
-    this.earlier = earlier;
-    this.log = log;
+    this.earlierAttempts = earlier;
+    this.attemptLog = log;
     this.request = request;
     this.client = client;
     this.deadline = deadline;
   }
 
-  public boolean over() {
+  public boolean isComplete() {
     return ended && attempts.stream().noneMatch(UpstreamAttempt::out);
   }
 
   /** Its body still comes: its time has not begun. */
-  public boolean coming() {
+  public boolean bodyIncomplete() {
     return request.upload() != null && !request.upload().isWhole();
   }
 
   public boolean mayHaveRun() {
-    return !earlier.isEmpty() || attempts.stream().anyMatch(UpstreamAttempt::mayHaveRun);
+    return !earlierAttempts.isEmpty() || attempts.stream().anyMatch(UpstreamAttempt::mayHaveRun);
   }
 
   /** Whether a refusal's promise, that trying again is harmless, would be true. */
@@ -70,9 +70,9 @@
   }
 
   /** Whether what an earlier attempt may have done is still remembered by its upstream's group. */
-  public boolean repeatIsHarmless(long now) {
+  public boolean retryIsSafe(long now) {
     return request.type().effect() == Effect.SAFE
-        || earlier.stream()
+        || earlierAttempts.stream()
                 .allMatch(e -> request.type().effect() == Effect.KEYED
                     && now - e.sentAtNanos() < request.type().dedupWindowNanos())
             && attempts.stream()
--- a/src/main/java/pumicekeel/core/QuotaSource.java
+++ b/src/main/java/pumicekeel/core/QuotaSource.java
@@ -6,5 +6,5 @@
 public interface QuotaSource {
 
   /** A request of this tenant has come; rates a second by tenant where they may have changed, else null. */
-  Map<String, Double> asked(String tenant, long now);
+  Map<String, Double> requestArrived(String tenant, long now);
 }
--- a/src/main/java/pumicekeel/core/RequestHandle.java
+++ b/src/main/java/pumicekeel/core/RequestHandle.java
@@ -12,7 +12,7 @@
   Settings settings();
 
   /** What it may be checked against where it does not fit those: the settings until a moment ago; null for none. */
-  default Settings formerSettings() {
+  default Settings previousSettings() {
     return null;
   }
 
@@ -26,7 +26,7 @@
   boolean submit(ClientRequest request, Client client) throws Bad;
 
   /** The client left a request that was taken. */
-  void clientGone(String id);
+  void clientDisconnected(String id);
 
   /** The request is over, answered or not, taken or not: gives back what was kept for it. Called once. */
   void release();
--- a/src/main/java/pumicekeel/core/SinglePoolRouter.java
+++ b/src/main/java/pumicekeel/core/SinglePoolRouter.java
@@ -25,8 +25,8 @@
   }
 
   @Override
-  public Settings formerSettings() {
-    return core.formerSettings();
+  public Settings previousSettings() {
+    return core.previousSettings();
   }
 
   @Override
@@ -36,12 +36,12 @@
 
   @Override
   public boolean submit(ClientRequest request, Client client) {
-    return core.take(request, client);
+    return core.submit(request, client);
   }
 
   @Override
-  public void clientGone(String id) {
-    core.clientGone(id);
+  public void clientDisconnected(String id) {
+    core.clientDisconnected(id);
   }
 
   @Override
--- a/src/main/java/pumicekeel/front/http/ClientHandler.java
+++ b/src/main/java/pumicekeel/front/http/ClientHandler.java
@@ -422,7 +422,7 @@
   /** Hands a request to the core, which may answer at once. */
   private void take(HttpRequest request, byte[] kept, Phase as) throws ClientRequest.Bad {
     ClientRequest next =
-        inTime(ClientRequest.of(request, kept, upload, handle.settings(), handle.formerSettings()));
+        inTime(ClientRequest.of(request, kept, upload, handle.settings(), handle.previousSettings()));
     head = null;
     taken = next.id();
     become(as);
@@ -494,7 +494,7 @@
     taken = null;
     dropBody();
     upload = null;
-    handle.clientGone(id);
+    handle.clientDisconnected(id);
   }
 
   private void dropBody() {
@@ -761,7 +761,7 @@
     if (taken != null) {
       String id = taken;
       taken = null;
-      handle.clientGone(id);
+      handle.clientDisconnected(id);
     }
     become(Phase.ENDING);
     leaveLane();
--- a/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
@@ -419,7 +419,7 @@
       }
 
       @Override
-      public void clientGone(String id) {
+      public void clientDisconnected(String id) {
         if (over || !open.remove(this)) {
           wrong = "told of a client's leaving after the end";
         }
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
@@ -84,10 +84,10 @@
 
   /** Those before a change for a class that it dropped just now. */
   private Settings settings() {
-    boolean dropped = handle.formerSettings() != null
+    boolean dropped = handle.previousSettings() != null
         && handle.settings().classes().stream()
             .noneMatch(c -> c.name().equals(mapping.className()));
-    return dropped ? handle.formerSettings() : handle.settings();
+    return dropped ? handle.previousSettings() : handle.settings();
   }
 
   /** What a status of the platform's protocol is here. */
@@ -235,7 +235,7 @@
     }
     over = true;
     if (taken) {
-      handle.clientGone(request.id());
+      handle.clientDisconnected(request.id());
     }
     leave();
   }
--- a/src/main/java/pumicekeel/node/Admission.java
+++ b/src/main/java/pumicekeel/node/Admission.java
@@ -58,8 +58,8 @@
   }
 
   @Override
-  public Settings formerSettings() {
-    return pool.core().formerSettings();
+  public Settings previousSettings() {
+    return pool.core().previousSettings();
   }
 
   @Override
@@ -105,7 +105,7 @@
       services.noteHome(now, pool);
       noted = true;
     }
-    if (!services.records(now, pool) ? !pool.core().take(now, this) : !record(now)) {
+    if (!services.records(now, pool) ? !pool.core().submit(now, this) : !record(now)) {
       // The id ended here a moment ago and an attempt of it is still out: nothing of this one ran.
       refused(services.retryAfter(pool));
     }
@@ -118,23 +118,23 @@
       refused(services.longest(pool, wait));
       return true;
     }
-    return pool.core().take(now, this, services.journal().earlier(now), this);
+    return pool.core().submit(now, this, services.journal().earlier(now), this);
   }
 
   @Override
-  public void before(
+  public void beforeAttempt(
       ClientRequest of, int attempt, HostList.Host upstream, Runnable go, Runnable never) {
     recorded = true;
     services.journal().before(of, pool.home(), attempt, upstream, go, never);
   }
 
   @Override
-  public void written(ClientRequest of, int attempt) {
+  public void requestWritten(ClientRequest of, int attempt) {
     services.journal().written(of, attempt);
   }
 
   @Override
-  public void ended(ClientRequest of, int attempt, Status status) {
+  public void attemptEnded(ClientRequest of, int attempt, Status status) {
     services.journal().ended(of, attempt, status);
   }
 
@@ -147,7 +147,7 @@
   /** Goes to the route's second pool where the first has no upstream that is ready, and nothing may have run. */
   @Override
   public boolean handOver(long leftNanos) {
-    ServicePool next = bound || pool.core().ready() > 0 ? null : services.fallbackOf(route, pool);
+    ServicePool next = bound || pool.core().readyUpstreams() > 0 ? null : services.fallbackOf(route, pool);
     RequestClass type = next == null ? null : next.classLike(request.type());
     if (type == null || next.objection(request.withType(type)) != null || !next.open.tryTake(1)) {
       return false;
@@ -230,12 +230,12 @@
   }
 
   @Override
-  public void clientGone(String id) {
+  public void clientDisconnected(String id) {
     boolean waited = waits;
     end(End.LEFT);
     note(Told.LEFT);
     if (!waited) {
-      pool.core().clientGone(id);
+      pool.core().clientDisconnected(id);
     }
   }
 
--- a/src/main/java/pumicekeel/node/LentQuotas.java
+++ b/src/main/java/pumicekeel/node/LentQuotas.java
@@ -49,7 +49,7 @@
       private long seen;
 
       @Override
-      public Map<String, Double> asked(String tenant, long now) {
+      public Map<String, Double> requestArrived(String tenant, long now) {
         long at = System.nanoTime();
         exchange.asked(key(pool, tenant), 1, at);
         version += exchange.changed(at) ? 1 : 0;
--- a/src/main/java/pumicekeel/node/OnePool.java
+++ b/src/main/java/pumicekeel/node/OnePool.java
@@ -42,7 +42,7 @@
         WatchTerms.of(settings),
         settings.contract().drainGraceNanos(),
         configuration.seed() ^ configuration.name().hashCode());
-    core.currency(source.currency());
+    core.setListCurrency(source.currency());
     router = new SinglePoolRouter(core);
   }
 
@@ -58,7 +58,7 @@
 
   @Override
   public void news(HostList list) {
-    core.news(list);
+    core.updateList(list);
   }
 
   @Override
@@ -79,12 +79,12 @@
     connections.tune(
         next.settings().limits().connectTimeoutNanos(),
         next.settings().limits().connectionIdleNanos());
-    core.retune(next.settings());
+    core.applySettings(next.settings());
   }
 
   @Override
   public void endBy(long nanos) {
-    core.endBy(nanos);
+    core.limitDeadlines(nanos);
   }
 
   @Override
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -91,7 +91,7 @@
         shared.lag(),
         connections,
         shared.defect());
-    core.currency(source.currency());
+    core.setListCurrency(source.currency());
   }
 
   private static UpstreamLinks links(Operator.Pool spec, Settings settings, Shared shared) {
@@ -143,12 +143,12 @@
   /** Takes over what the platform's settings have otherwise from now on. */
   void retune(Settings next) {
     connections.tune(next.limits().connectTimeoutNanos(), next.limits().connectionIdleNanos());
-    core.retune(next);
+    core.applySettings(next);
   }
 
   /** Has its tenants' quotas lent and borrowed; null for even parts. */
   void lend(LentQuotas quotas) {
-    core.quotas(quotas == null ? null : quotas.of(name()));
+    core.setQuotaSource(quotas == null ? null : quotas.of(name()));
   }
 
   BalancerCore core() {
@@ -188,7 +188,7 @@
   }
 
   boolean over() {
-    return core.empty() && open.used() == 0;
+    return core.isEmpty() && open.used() == 0;
   }
 
   // The list
@@ -200,7 +200,7 @@
 
   @Override
   public void news(HostList list) {
-    core.news(take(list));
+    core.updateList(take(list));
   }
 
   /** Ends the pool: nothing is open any more. */
@@ -276,7 +276,7 @@
         .map(this::seen)
         .toList();
     if (!again.isEmpty()) {
-      core.news(new HostList(0, false, again));
+      core.updateList(new HostList(0, false, again));
     }
   }
 }
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -521,7 +521,7 @@
 
   private ServicePool poolFor(Route route, Facts head) {
     ServicePool first = pools.get(route.split().poolOf(splitKey(route, head)));
-    ServicePool second = first.core().ready() > 0 ? null : fallbackOf(route, first);
+    ServicePool second = first.core().readyUpstreams() > 0 ? null : fallbackOf(route, first);
     return second == null ? first : second;
   }
 
@@ -539,7 +539,7 @@
   /** The route's second pool, if it has an upstream that is ready; else null. */
   ServicePool fallbackOf(Route route, ServicePool first) {
     ServicePool second = route.fallback() == null ? null : pools.get(route.fallback());
-    return second == null || second == first || second.core().ready() == 0 ? null : second;
+    return second == null || second == first || second.core().readyUpstreams() == 0 ? null : second;
   }
 
   // What admissions ask for
@@ -605,7 +605,7 @@
   @Override
   public void endBy(long nanos) {
     Log.line("requests: " + counters.line());
-    all().forEach(p -> p.core().endBy(nanos));
+    all().forEach(p -> p.core().limitDeadlines(nanos));
   }
 
   @Override
--- a/src/test/java/pumicekeel/core/ActiveSettingsTest.java
+++ b/src/test/java/pumicekeel/core/ActiveSettingsTest.java
@@ -25,14 +25,14 @@
     Settings one = settings("one");
     Settings two = settings("two");
     ActiveSettings activeSettings = new ActiveSettings(one);
-    assertNull(activeSettings.former(0));
-    assertFalse(activeSettings.change(settings("one"), 5), "the same again changes nothing");
-    assertNull(activeSettings.former(5));
-    assertTrue(activeSettings.change(two, 10));
+    assertNull(activeSettings.previous(0));
+    assertFalse(activeSettings.replace(settings("one"), 5), "the same again changes nothing");
+    assertNull(activeSettings.previous(5));
+    assertTrue(activeSettings.replace(two, 10));
     assertSame(two, activeSettings.current());
-    assertSame(one, activeSettings.former(10 + ActiveSettings.OVERLAP_NANOS - 1));
-    assertNull(activeSettings.former(10 + ActiveSettings.OVERLAP_NANOS));
-    assertNull(activeSettings.former(11), "once over, it is over");
+    assertSame(one, activeSettings.previous(10 + ActiveSettings.OVERLAP_NANOS - 1));
+    assertNull(activeSettings.previous(10 + ActiveSettings.OVERLAP_NANOS));
+    assertNull(activeSettings.previous(11), "once over, it is over");
     assertEquals(
         List.of("two"),
         activeSettings.current().classes().stream().map(c -> c.name()).toList());
--- a/src/test/java/pumicekeel/node/BalancerCoreTest.java
+++ b/src/test/java/pumicekeel/node/BalancerCoreTest.java
@@ -125,7 +125,7 @@
   private void take(String id, String type, long leftMillis, Runnable then) throws Exception {
     ClientRequest request = request(id, type, leftMillis);
     assertTrue(loop.submit(() -> {
-          boolean taken = core.take(request, client);
+          boolean taken = core.submit(request, client);
           then.run();
           return taken;
         })
@@ -162,10 +162,10 @@
   @Test
   void whatEarnsNothingIsKeptForAStallOfTheProcess() throws Exception {
     start((event, out) -> {});
-    assertEquals(19_000, BalancerCore.timeFor(request("1", "look", 20_000)) / 1_000_000);
-    assertEquals(2_600, BalancerCore.timeFor(request("2", "look", 2_700)) / 1_000_000);
-    assertEquals(2_440, BalancerCore.timeFor(request("3", "look", 2_500)) / 1_000_000);
-    assertEquals(840, BalancerCore.timeFor(request("4", "look", 900)) / 1_000_000);
+    assertEquals(19_000, BalancerCore.serviceTimeNanos(request("1", "look", 20_000)) / 1_000_000);
+    assertEquals(2_600, BalancerCore.serviceTimeNanos(request("2", "look", 2_700)) / 1_000_000);
+    assertEquals(2_440, BalancerCore.serviceTimeNanos(request("3", "look", 2_500)) / 1_000_000);
+    assertEquals(840, BalancerCore.serviceTimeNanos(request("4", "look", 900)) / 1_000_000);
     // A class of 0.4 and 2 s keeps 0.75 s of it, one whose late answers earn a half 0.375 s, one
     // that earns as much late 60 ms.
     assertEquals(1_250, timeLeft(0, 0));
@@ -186,7 +186,7 @@
         1,
         lateWorth,
         false);
-    return BalancerCore.timeFor(request("5", "look", 2_000).withType(type)) / 1_000_000;
+    return BalancerCore.serviceTimeNanos(request("5", "look", 2_000).withType(type)) / 1_000_000;
   }
 
   @Test
@@ -255,7 +255,7 @@
   void plannedStopAnswersWhatIsOpenBeforeItsEnd() throws Exception {
     start((event, out) -> {});
     take("1", "look", 600_000);
-    loop.submit(() -> core.endBy(100_000_000L)).get();
+    loop.submit(() -> core.limitDeadlines(100_000_000L)).get();
     assertEquals("refused", answer());
   }
 
@@ -316,7 +316,7 @@
       take("1", "look", 15_000);
       assertEquals(
           Status.SERVED, outcome().status(), "an idle connection makes the next send end at once");
-      loop.submit(() -> core.news(
+      loop.submit(() -> core.updateList(
               new HostList(8, false, List.of(new HostList.Host(upstream.address(), leaving)))))
           .get();
       take("2", "look", 15_000);
--- a/src/test/java/pumicekeel/node/PeersTest.java
+++ b/src/test/java/pumicekeel/node/PeersTest.java
@@ -106,7 +106,7 @@
     TestNode.until(() -> {
       first
           .loop()
-          .submit(() -> first.services().pool("p").core().askQuotas("t", 0))
+          .submit(() -> first.services().pool("p").core().refreshQuotas("t", 0))
           .syncUninterruptibly();
       return rate(first) > 60;
     });
