--- a/src/main/java/pumicekeel/call/Answer.java
+++ b/src/main/java/pumicekeel/call/Answer.java
@@ -7,9 +7,9 @@
 public record Answer(byte[] body, String contentType, boolean error) {
 
   /** What is kept of a body, so that it can be sent again or judged whole; a larger one goes on while it comes. */
-  public static final int MAX_BODY = 64 << 10;
+  public static final int MAX_BUFFERED_BYTES = 64 << 10;
   /** The largest body, of requests and answers; beyond it one is malformed. */
-  public static final int MOST_BODY = 32 << 20;
+  public static final int MAX_BODY_BYTES = 32 << 20;
   /** The type of an answer that is JSON. */
   public static final String JSON = "application/json";
 
--- a/src/main/java/pumicekeel/call/BodySink.java
+++ b/src/main/java/pumicekeel/call/BodySink.java
@@ -6,11 +6,11 @@
 public interface BodySink {
 
   /** One more piece, which the sink owns from now on. */
-  void piece(ByteBuf bytes);
+  void onChunk(ByteBuf bytes);
 
   /** The body has come whole. */
-  void whole();
+  void onComplete();
 
   /** It will not come whole, and whoever gets it has to be able to tell. */
-  void cut();
+  void onTruncated();
 }
--- a/src/main/java/pumicekeel/call/Client.java
+++ b/src/main/java/pumicekeel/call/Client.java
@@ -9,7 +9,7 @@
    * Asked when an answer begins that is too large or too slow to be kept: where its pieces go, or null where only whole
    * answers are of use. After that none of the others is called: the sink is told of the end.
    */
-  default BodySink begin(AnswerStart start, Flow source) {
+  default BodySink beginStream(AnswerStart start, FlowControl source) {
     return null;
   }
 
@@ -17,7 +17,7 @@
    * Asked right before a request's first byte goes out: whether its client is surely there. One that has left is gone by the
    * return, as if it had been seen to leave; one that has sent so much that its end can't be seen is not, and is owed an answer.
    */
-  default boolean here() {
+  default boolean isConnected() {
     return true;
   }
 
--- a/src/main/java/pumicekeel/call/ClientRequest.java
+++ b/src/main/java/pumicekeel/call/ClientRequest.java
@@ -26,19 +26,19 @@
   public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
   /** A request that breaks the protocol; carries the 4xx status and what is wrong. */
-  public static final class Bad extends Exception {
+  public static final class InvalidRequest extends Exception {
     private static final long serialVersionUID = 1L;
     public final int status;
     /** When trying again is worth it; 0 for no advice. */
     public final long retryAfterNanos;
 
     /** Without a stack trace: clients that break the protocol do so at full speed. */
-    public Bad(int status, String what) {
+    public InvalidRequest(int status, String what) {
       this(status, what, 0);
     }
 
     /** One that says when to come back. */
-    public Bad(int status, String what, long retryAfterNanos) {
+    public InvalidRequest(int status, String what, long retryAfterNanos) {
       super(what, null, false, false);
       this.status = status;
       this.retryAfterNanos = retryAfterNanos;
@@ -46,7 +46,7 @@
   }
 
   /** The headers that say what a request is: each once, or readers would differ over which one counts. */
-  private static final List<String> ONCE = List.of(
+  private static final List<String> SINGLE_VALUE_HEADERS = List.of(
       ID,
       "X-Service-Class",
       "X-Account",
@@ -60,10 +60,11 @@
   /** One that does not fit the settings but those before them, where there are such, was asked by a client that has
    * not heard of the change yet, and keeps its class of then. */
   public static ClientRequest of(
-      HttpRequest head, byte[] body, Upload upload, Settings settings, Settings former) throws Bad {
+      HttpRequest head, byte[] body, Upload upload, Settings settings, Settings former)
+      throws InvalidRequest {
     try {
       return of(head, body, upload, settings);
-    } catch (Bad e) {
+    } catch (InvalidRequest e) {
       if (former == null) {
         throw e;
       }
@@ -72,45 +73,46 @@
   }
 
   /** A name that is kept while its request is open, and a key for its window: some times what the platform's clients send. */
-  public static final int MOST_NAME = 256;
+  public static final int MAX_NAME_LENGTH = 256;
 
   /** The headers whose values are kept. */
-  private static final List<String> KEPT = List.of(ID, "X-Session-Key", IDEMPOTENCY_KEY);
+  private static final List<String> RETAINED_HEADERS =
+      List.of(ID, "X-Session-Key", IDEMPOTENCY_KEY);
 
   private static ClientRequest of(HttpRequest head, byte[] body, Upload upload, Settings settings)
-      throws Bad {
+      throws InvalidRequest {
     HttpHeaders h = head.headers();
     if (h.get(HttpHeaderNames.HOST) == null) {
       // RFC 9112, section 3.2.
-      throw new Bad(400, "no Host");
+      throw new InvalidRequest(400, "no Host");
     }
-    for (String name : KEPT) {
+    for (String name : RETAINED_HEADERS) {
       checkName(name, h.get(name));
     }
-    for (String name : ONCE) {
+    for (String name : SINGLE_VALUE_HEADERS) {
       if (h.getAll(name).size() > 1) {
-        throw new Bad(400, "repeated " + name);
+        throw new InvalidRequest(400, "repeated " + name);
       }
     }
-    String name = needed(h, "X-Service-Class");
+    String name = required(h, "X-Service-Class");
     RequestClass type = classOf(name, settings);
     String path = head.uri().split("\\?", 2)[0];
     if (!path.equals("/" + name) && !path.startsWith("/" + name + "/")) {
-      throw new Bad(400, "the path does not begin with the class");
+      throw new InvalidRequest(400, "the path does not begin with the class");
     }
     String tenant = h.get("X-Account");
     checkTenant(tenant, settings);
     if (!head.method().equals(type.effect() == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST)) {
-      throw new Bad(405, "wrong method for the class");
+      throw new InvalidRequest(405, "wrong method for the class");
     }
     String idempotencyKey = h.get(IDEMPOTENCY_KEY);
     if (type.effect() == Effect.KEYED && idempotencyKey == null) {
-      throw new Bad(400, "no " + IDEMPOTENCY_KEY);
+      throw new InvalidRequest(400, "no " + IDEMPOTENCY_KEY);
     }
-    long left = number(TIME_LEFT, needed(h, TIME_LEFT)) * 1_000_000L;
-    long hint = number("X-Weight-Hint", h.get("X-Weight-Hint", "0")) * 1_000L;
+    long left = parseCount(TIME_LEFT, required(h, TIME_LEFT)) * 1_000_000L;
+    long hint = parseCount("X-Weight-Hint", h.get("X-Weight-Hint", "0")) * 1_000L;
     return new ClientRequest(
-        needed(h, ID),
+        required(h, ID),
         type,
         tenant,
         h.get("X-Session-Key"),
@@ -128,27 +130,27 @@
   }
 
   /** The class of this name. */
-  public static RequestClass classOf(String name, Settings settings) throws Bad {
+  public static RequestClass classOf(String name, Settings settings) throws InvalidRequest {
     for (RequestClass c : settings.classes()) {
       if (c.name().equals(name)) {
         return c;
       }
     }
-    throw new Bad(400, "unknown class");
+    throw new InvalidRequest(400, "unknown class");
   }
 
   /** Turns a name away that is too long to be kept; null is none. */
-  public static void checkName(String what, String name) throws Bad {
-    if (name != null && name.length() > MOST_NAME) {
-      throw new Bad(400, what + " over " + MOST_NAME + " characters");
+  public static void checkName(String what, String name) throws InvalidRequest {
+    if (name != null && name.length() > MAX_NAME_LENGTH) {
+      throw new InvalidRequest(400, what + " over " + MAX_NAME_LENGTH + " characters");
     }
   }
 
   /** Turns a tenant away that the settings don't know, where they know any. */
-  public static void checkTenant(String tenant, Settings settings) throws Bad {
+  public static void checkTenant(String tenant, Settings settings) throws InvalidRequest {
     if (!settings.tenants().isEmpty()
         && settings.tenants().stream().noneMatch(t -> t.name().equals(tenant))) {
-      throw new Bad(400, "unknown tenant");
+      throw new InvalidRequest(400, "unknown tenant");
     }
   }
 
@@ -158,7 +160,7 @@
   }
 
   /** The same request with less of its time left, at least none. */
-  public ClientRequest withLeft(long nanos) {
+  public ClientRequest withTimeLeft(long nanos) {
     return new ClientRequest(
         id, type, tenant, key, Math.max(0, nanos), hintNanos, retry, payload, idempotencyKey);
   }
@@ -169,16 +171,16 @@
         id, other, tenant, key, leftNanos, hintNanos, retry, payload, idempotencyKey);
   }
 
-  private static String needed(HttpHeaders headers, String name) throws Bad {
+  private static String required(HttpHeaders headers, String name) throws InvalidRequest {
     String value = headers.get(name);
     if (value == null || value.isEmpty()) {
-      throw new Bad(400, "no " + name);
+      throw new InvalidRequest(400, "no " + name);
     }
     return value;
   }
 
   /** A count that stays far from overflow when it is turned into nanoseconds. */
-  private static long number(String name, String text) throws Bad {
+  private static long parseCount(String name, String text) throws InvalidRequest {
     try {
       long value = Long.parseLong(text);
       if (value >= 0 && value <= 1_000_000_000_000L) {
@@ -187,6 +189,6 @@
     } catch (NumberFormatException e) {
       // Said below.
     }
-    throw new Bad(400, "bad " + name);
+    throw new InvalidRequest(400, "bad " + name);
   }
 }
--- a/src/main/java/pumicekeel/call/Payload.java
+++ b/src/main/java/pumicekeel/call/Payload.java
@@ -12,7 +12,7 @@
   int size();
 
   /** As a request of the platform's protocol, for a class with this effect. */
-  Http http(Effect effect);
+  Http toHttp(Effect effect);
 
   /** An HTTP request; where {@code upload} is not null, its body is that, and still comes. */
   record Http(
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public Http http(Effect effect) {
+    public Http toHttp(Effect effect) {
       return this;
     }
   }
@@ -44,9 +44,9 @@
   record Call(String method, byte[] params, String className, String uri, String host)
       implements Payload {
     /** Servers take lines of 4 KiB to 8 KiB; method and version are on it too. */
-    public static final int MOST_TARGET = 4_000;
+    public static final int MAX_TARGET_LENGTH = 4_000;
 
-    private static final byte[] NONE = {};
+    private static final byte[] EMPTY = {};
 
     @Override
     public int size() {
@@ -55,14 +55,14 @@
 
     /** A safe one says all in its target; any other carries its params as the body. */
     @Override
-    public Http http(Effect effect) {
+    public Http toHttp(Effect effect) {
       boolean safe = effect == Effect.SAFE;
       return new Http(
           safe ? HttpMethod.GET : HttpMethod.POST,
           target(safe),
           host,
           safe || params == null ? null : "application/json",
-          safe || params == null ? NONE : params);
+          safe || params == null ? EMPTY : params);
     }
 
     private String target(boolean safe) {
@@ -78,7 +78,7 @@
 
     /** Whether it fits the line that HTTP upstreams take. */
     public boolean fitsHttp(Effect effect) {
-      return target(effect == Effect.SAFE).length() <= MOST_TARGET;
+      return target(effect == Effect.SAFE).length() <= MAX_TARGET_LENGTH;
     }
   }
 }
--- a/src/main/java/pumicekeel/call/Facts.java
+++ b/src/main/java/pumicekeel/call/RequestAttributes.java
@@ -4,7 +4,7 @@
  * What a front knows of a request once its head has come, before its body: all that a route can ask for. Values are as
  * the client sent them; an absent one is null.
  */
-public interface Facts {
+public interface RequestAttributes {
 
   /** The name of the listener that the request came in at. */
   String listener();
--- a/src/main/java/pumicekeel/call/Upload.java
+++ b/src/main/java/pumicekeel/call/Upload.java
@@ -13,101 +13,101 @@
 public final class Upload {
 
   private final long length;
-  private final byte[] kept;
-  private final Flow client;
-  private final Queue<ByteBuf> pieces = new ArrayDeque<>(2);
+  private final byte[] prefix;
+  private final FlowControl clientFlow;
+  private final Queue<ByteBuf> chunks = new ArrayDeque<>(2);
   private BodySink sink;
-  private boolean spent;
-  private boolean whole;
-  private boolean dropped;
-  private Runnable onWhole = () -> {};
+  private boolean isConsumed;
+  private boolean complete;
+  private boolean discarded;
+  private Runnable onComplete = () -> {};
 
   /** {@code length} is -1 where the client did not say; {@code kept} is what has come; {@code client} sends the rest. */
-  public Upload(long length, byte[] kept, Flow client) {
+  public Upload(long length, byte[] kept, FlowControl client) {
     this.length = length;
-    this.kept = kept;
-    this.client = client;
+    this.prefix = kept;
+    this.clientFlow = client;
   }
 
   public long length() {
     return length;
   }
 
-  public boolean isWhole() {
-    return whole;
+  public boolean isComplete() {
+    return complete;
   }
 
   /** Whether a part of it is gone that no further attempt could send. */
-  public boolean spent() {
-    return spent;
+  public boolean isConsumed() {
+    return isConsumed;
   }
 
   /** Run once its last byte has come. */
-  public void onWhole(Runnable then) {
-    onWhole = then;
+  public void onComplete(Runnable action) {
+    onComplete = action;
   }
 
   /** The client's side: one more piece, which this owns from now on. */
-  public void piece(ByteBuf bytes) {
-    if (dropped) {
+  public void addChunk(ByteBuf bytes) {
+    if (discarded) {
       bytes.release();
     } else if (sink == null) {
-      pieces.add(bytes);
+      chunks.add(bytes);
     } else {
-      spent = true;
-      sink.piece(bytes);
+      isConsumed = true;
+      sink.onChunk(bytes);
     }
   }
 
   /** The client's side: the last byte has come. */
-  public void end() {
-    whole = true;
+  public void finish() {
+    complete = true;
     if (sink != null) {
-      sink.whole();
+      sink.onComplete();
     }
-    onWhole.run();
+    onComplete.run();
   }
 
   /** An attempt begins: gets all that there is, and what comes. */
-  public void attach(BodySink to) {
-    sink = to;
-    if (kept.length > 0) {
-      to.piece(Unpooled.wrappedBuffer(kept));
+  public void attach(BodySink newSink) {
+    sink = newSink;
+    if (prefix.length > 0) {
+      newSink.onChunk(Unpooled.wrappedBuffer(prefix));
     }
-    for (ByteBuf next = pieces.poll(); next != null; next = pieces.poll()) {
-      spent = true;
-      to.piece(next);
+    for (ByteBuf next = chunks.poll(); next != null; next = chunks.poll()) {
+      isConsumed = true;
+      newSink.onChunk(next);
     }
-    if (whole) {
-      to.whole();
+    if (complete) {
+      newSink.onComplete();
     }
   }
 
   /** The attempt has ended. Until another begins the client waits; a body that is spent is read on, for its end. */
   public void detach() {
     sink = null;
-    if (dropped) {
+    if (discarded) {
       return;
     }
-    if (spent) {
-      drop();
+    if (isConsumed) {
+      discard();
     } else {
-      client.flow(false);
+      clientFlow.flow(false);
     }
   }
 
   /** The sink's side: whether it can take more. */
   public void flow(boolean on) {
-    client.flow(on);
+    clientFlow.flow(on);
   }
 
   /** The request has its answer: what still comes of it is of no use. */
-  public void drop() {
-    dropped = true;
+  public void discard() {
+    discarded = true;
     sink = null;
-    for (ByteBuf next = pieces.poll(); next != null; next = pieces.poll()) {
+    for (ByteBuf next = chunks.poll(); next != null; next = chunks.poll()) {
       next.release();
     }
-    client.flow(true);
+    clientFlow.flow(true);
   }
 }
--- a/src/main/java/pumicekeel/cli/RoutesCommand.java
+++ b/src/main/java/pumicekeel/cli/RoutesCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import pumicekeel.call.Facts;
+import pumicekeel.call.RequestAttributes;
 import pumicekeel.config.Operator;
 import pumicekeel.config.OperatorLoader;
 import pumicekeel.route.Route;
@@ -64,7 +64,7 @@
   /** A request as the command line gives it. */
   private record Asked(
       String listener, String method, String host, String path, Map<String, String> headers)
-      implements Facts {
+      implements RequestAttributes {
     @Override
     public String className() {
       String named = headers.get("x-service-class");
--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -36,7 +36,7 @@
 import pumicekeel.call.BodySink;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.Flow;
+import pumicekeel.call.FlowControl;
 import pumicekeel.discovery.HostList;
 import pumicekeel.discovery.ListCurrency;
 import pumicekeel.guard.Denial;
@@ -146,7 +146,9 @@
 
   /** Has the rates in force told to the module, before a request of this tenant is judged by them. */
   public void refreshQuotas(String tenant, long now) {
-    Map<String, Double> rates = setQuotaSource == null || tenant == null ? null : setQuotaSource.requestArrived(tenant, now);
+    Map<String, Double> rates = setQuotaSource == null || tenant == null
+        ? null
+        : setQuotaSource.requestArrived(tenant, now);
     if (rates != null) {
       tell(new Quotas(rates));
     }
@@ -160,7 +162,8 @@
   }
 
   /** Takes one of which something may have run before, and whose attempts somebody may put on record ({@code log}). */
-  public boolean submit(ClientRequest request, Client client, List<Earlier> earlier, AttemptLog log) {
+  public boolean submit(
+      ClientRequest request, Client client, List<Earlier> earlier, AttemptLog log) {
     long now = clock.now();
     long left = Math.max(0, Math.min(serviceTimeNanos(request), endsAt - now));
     OpenRequest r = new OpenRequest(
@@ -181,9 +184,10 @@
     if (coming) {
       // Its time counts from its last byte; until then the front ends what does not come.
       r.deadline = Math.min(now + LONGEST_UPLOAD_NANOS, endsAt);
-      request.upload().onWhole(() -> came(r));
+      request.upload().onComplete(() -> came(r));
     } else {
-      r.deadlineTimer = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
+      r.deadlineTimer =
+          loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
     }
     refreshQuotas(request.tenant(), now);
     tell(new Request(
@@ -226,7 +230,8 @@
     long left = Math.max(0, Math.min(serviceTimeNanos(r.request), endsAt - now));
     r.deadline = now + left;
     r.clientDeadline = now + r.request.leftNanos();
-    r.deadlineTimer = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
+    r.deadlineTimer =
+        loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
     r.attempts.stream().filter(UpstreamAttempt::out).forEach(a -> a.bodyCame(left, loop));
     tell(new RequestCame(r.request.id(), r.deadline));
   }
@@ -377,7 +382,7 @@
     }
     // Out of the table first: what takes it over may come back here with the same id.
     boolean untouched = !r.mayHaveRun()
-        && (r.request.upload() == null || !r.request.upload().spent())
+        && (r.request.upload() == null || !r.request.upload().isConsumed())
         && r.attempts.stream().noneMatch(UpstreamAttempt::out);
     end(r);
     if (untouched) {
@@ -410,7 +415,7 @@
           }
 
           @Override
-          public BodySink begins(UpstreamAttempt begun, AnswerStart start, Flow source) {
+          public BodySink begins(UpstreamAttempt begun, AnswerStart start, FlowControl source) {
             return BalancerCore.this.begins(r, begun, start, source);
           }
         });
@@ -460,7 +465,7 @@
     Denial denial = guard.denies(new SendQuestion(
         r.request.id(),
         r.ended,
-        r.ended || r.client.here(),
+        r.ended || r.client.isConnected(),
         upstream.leaves(),
         listOutdated(now),
         r.retryIsSafe(now),
@@ -488,8 +493,9 @@
   }
 
   /** An answer begins that is passed on while it comes: from now on it is the request's only one. */
-  private BodySink begins(OpenRequest r, UpstreamAttempt attempt, AnswerStart start, Flow source) {
-    BodySink sink = r.ended ? null : r.client.begin(start, source);
+  private BodySink begins(
+      OpenRequest r, UpstreamAttempt attempt, AnswerStart start, FlowControl source) {
+    BodySink sink = r.ended ? null : r.client.beginStream(start, source);
     if (sink != null) {
       end(r);
       r.streamingAttempt = attempt;
@@ -497,7 +503,7 @@
           r.request.id(),
           attempt.number,
           attempt.upstream,
-          attempt.latencyNanos(clock.now() - lag.waitNanos())));
+          attempt.latencyNanos(clock.now() - lag.averageReadDelayNanos())));
     }
     return sink;
   }
@@ -516,10 +522,10 @@
         attempt.number,
         attempt.upstream,
         status,
-        attempt.latencyNanos(clock.now() - lag.waitNanos()),
+        attempt.latencyNanos(clock.now() - lag.averageReadDelayNanos()),
         r.ended && (r.streamingAttempt == null || r.streamingAttempt == attempt),
         Map.of(),
         attempt.stale(),
-        r.request.upload() != null && r.request.upload().spent()));
+        r.request.upload() != null && r.request.upload().isConsumed()));
   }
 }
--- a/src/main/java/pumicekeel/core/OpenRequest.java
+++ b/src/main/java/pumicekeel/core/OpenRequest.java
@@ -55,7 +55,7 @@
 
   /** Its body still comes: its time has not begun. */
   public boolean bodyIncomplete() {
-    return request.upload() != null && !request.upload().isWhole();
+    return request.upload() != null && !request.upload().isComplete();
   }
 
   public boolean mayHaveRun() {
--- a/src/main/java/pumicekeel/core/RequestHandle.java
+++ b/src/main/java/pumicekeel/core/RequestHandle.java
@@ -3,7 +3,7 @@
 import pumicekeel.Balancer.Settings;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.ClientRequest.Bad;
+import pumicekeel.call.ClientRequest.InvalidRequest;
 
 /** One request of a front, from its head to its final answer: body memory, submission and release. Used on the loop only. */
 public interface RequestHandle {
@@ -23,7 +23,7 @@
    * Takes the whole request, which is owed one final answer from now on; false where its id is open already. One that
    * can't be put into the protocol of the pool's upstreams is turned away with the words of the exception.
    */
-  boolean submit(ClientRequest request, Client client) throws Bad;
+  boolean submit(ClientRequest request, Client client) throws InvalidRequest;
 
   /** The client left a request that was taken. */
   void clientDisconnected(String id);
--- a/src/main/java/pumicekeel/core/RequestRouter.java
+++ b/src/main/java/pumicekeel/core/RequestRouter.java
@@ -1,7 +1,7 @@
 package pumicekeel.core;
 
-import pumicekeel.call.ClientRequest.Bad;
-import pumicekeel.call.Facts;
+import pumicekeel.call.ClientRequest.InvalidRequest;
+import pumicekeel.call.RequestAttributes;
 
 /** Routes the requests of all fronts: picks the pool by a request's head and returns its handle. Used on the loop only. */
 public interface RequestRouter {
@@ -12,5 +12,5 @@
    * @return the handle that carries the request to its final answer
    * @throws Bad where no pool takes it; holds the status and the message of the answer
    */
-  RequestHandle route(Facts head) throws Bad;
+  RequestHandle route(RequestAttributes head) throws InvalidRequest;
 }
--- a/src/main/java/pumicekeel/core/SinglePoolRouter.java
+++ b/src/main/java/pumicekeel/core/SinglePoolRouter.java
@@ -3,7 +3,7 @@
 import pumicekeel.Balancer.Settings;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.Facts;
+import pumicekeel.call.RequestAttributes;
 
 /** The router of a balancer with one pool and no operator file: every request goes to that pool, and no room is reserved. */
 public final class SinglePoolRouter implements RequestRouter, RequestHandle {
@@ -15,7 +15,7 @@
   }
 
   @Override
-  public RequestHandle route(Facts head) {
+  public RequestHandle route(RequestAttributes head) {
     return this;
   }
 
--- a/src/main/java/pumicekeel/delivery/client/ControlCall.java
+++ b/src/main/java/pumicekeel/delivery/client/ControlCall.java
@@ -53,7 +53,7 @@
             TimeUnit.MILLISECONDS);
     channel = new Bootstrap()
         .group(on.loop())
-        .channelFactory(on.sockets()::connecting)
+        .channelFactory(on.sockets()::newConnectingChannel)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
         .handler(new ChannelInitializer<Channel>() {
           @Override
--- a/src/main/java/pumicekeel/delivery/control/ControlServer.java
+++ b/src/main/java/pumicekeel/delivery/control/ControlServer.java
@@ -35,8 +35,8 @@
 import pumicekeel.delivery.wire.ReplyFormat;
 import pumicekeel.runtime.Addresses;
 import pumicekeel.runtime.Log;
-import pumicekeel.runtime.Persistent;
 import pumicekeel.runtime.Reactor;
+import pumicekeel.runtime.Retry;
 
 /**
  * A control machine on HTTP/1.1: {@code GET} and {@code POST /v1/configuration}, {@code GET /v1/configuration/parts/...}, {@code GET
@@ -88,7 +88,7 @@
   /** Reads the store, listens and follows the peers; an IOException says in words why it can't. */
   public static ControlServer start(Settings settings, TextCheck check)
       throws IOException, InterruptedException {
-    FileConfigurationStore store = Persistent.call(
+    FileConfigurationStore store = Retry.call(
         "configuration store",
         START_MILLIS,
         () -> FileConfigurationStore.exclusive(settings.directory(), Log::line));
@@ -103,13 +103,13 @@
   }
 
   private void start() throws IOException, InterruptedException {
-    Persistent.call("configuration store", START_MILLIS, () -> {
+    Retry.call("configuration store", START_MILLIS, () -> {
       keeper.load();
       return keeper;
     });
     ChannelFuture bound = new ServerBootstrap()
         .group(on.loop())
-        .channelFactory(on.sockets()::listening)
+        .channelFactory(on.sockets()::newListeningChannel)
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
--- a/src/main/java/pumicekeel/discovery/Discovery.java
+++ b/src/main/java/pumicekeel/discovery/Discovery.java
@@ -166,7 +166,7 @@
 
   private void call() {
     cancelNext();
-    Channel channel = on.connecting();
+    Channel channel = on.newConnectingChannel();
     if (channel == null) {
       failed("no descriptor", CallFailure.UNREACHABLE, 0);
       return;
--- a/src/main/java/pumicekeel/front/AcceptControl.java
+++ b/src/main/java/pumicekeel/front/AcceptControl.java
@@ -70,18 +70,18 @@
   }
 
   /** The limit rises beyond what is configured, for the last ones before a stop. */
-  public void spare(int more) {
+  public void addSpareConnections(int more) {
     configured += more;
     limit = Math.max(limit, configured);
   }
 
   /** Whether the limit is below what is configured. */
-  public boolean lowered() {
+  public boolean isLowered() {
     return limit < configured;
   }
 
   /** An accept has failed; for how long nothing is accepted now, 0 for not at all. */
-  public long failed(FailureScope scope, int open, long now) {
+  public long acceptFailed(FailureScope scope, int open, long now) {
     failuresOnEnd++;
     if (scope == FailureScope.CONNECTION && failuresOnEnd <= CONNECTIONS_ON_END) {
       return 0;
@@ -122,13 +122,13 @@
   }
 
   /** The limit is reached: nothing is accepted for now. */
-  public void reached(long now) {
+  public void limitReached(long now) {
     held(now);
     full = true;
   }
 
   /** Accepting goes on now, or goes on still. */
-  public void accepts(long now) {
+  public void accepting(long now) {
     rests = false;
     full = false;
     if (acceptsSince == 0) {
@@ -142,13 +142,13 @@
   }
 
   /** Raises a limit that fell, when it is time to; to be called now and then. Whether it is as configured again by that. */
-  public boolean rise(int open, long now) {
-    if (!lowered() || now - nextRise < 0) {
+  public boolean raiseLimit(int open, long now) {
+    if (!isLowered() || now - nextRise < 0) {
       return false;
     }
     nextRise = now + riseNanos;
     limit = Math.min(configured, Math.max(2 * limit, open + KEPT_ASIDE));
-    return !lowered();
+    return !isLowered();
   }
 
   private boolean through(long now) {
@@ -161,17 +161,17 @@
   }
 
   /** Whether connections may have stood in line lately: then a look at the line is of use. */
-  public boolean lineInQuestion() {
+  public boolean mayHaveBacklog() {
     return heldSince != 0;
   }
 
   /** Connections stand in line, behind those that are accepted, since this time at the earliest. */
-  public void lineStandsSince(long since) {
+  public void backlogSince(long since) {
     heldSince = heldSince == 0 ? since : heldSince;
   }
 
   /** No connection stands in line now. */
-  public void lineIsEmpty(long now) {
+  public void backlogEmpty(long now) {
     heldSince = acceptsSince == 0 ? now : 0;
   }
 
@@ -179,7 +179,7 @@
    * How long one that is accepted now may have stood in line unseen, at most; its client's time ran meanwhile. Where nobody can look at
    * the line ({@code known} is false) it is taken that room is made within what was given at the construction.
    */
-  public long waitedNanos(long now, boolean known) {
+  public long maxBacklogWaitNanos(long now, boolean known) {
     lineKnown = known;
     if (through(now)) {
       heldSince = 0;
@@ -190,7 +190,7 @@
   }
 
   /** Whether connections may stand in line, held back by the limit. */
-  public boolean lineStands() {
+  public boolean backlogAtLimit() {
     return full;
   }
 }
--- a/src/main/java/pumicekeel/front/AcceptFaults.java
+++ b/src/main/java/pumicekeel/front/AcceptErrorHandler.java
@@ -12,7 +12,7 @@
  * answer is a pause of a second and a record in the log, whose first use opens a file: without a descriptor for that the error ends
  * the event loop, and with it the process's service. One for each listener; on its loop.
  */
-public final class AcceptFaults extends ChannelInboundHandlerAdapter {
+public final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
 
   private final String name;
   private final ToLongFunction<FailureScope> failed;
@@ -22,7 +22,8 @@
    * {@code failed} is told of each failure and says for how many nanoseconds nothing is accepted; {@code acceptAgain} runs after
    * that, and says itself whether it is still wanted.
    */
-  public AcceptFaults(String name, ToLongFunction<FailureScope> failed, Runnable acceptAgain) {
+  public AcceptErrorHandler(
+      String name, ToLongFunction<FailureScope> failed, Runnable acceptAgain) {
     this.name = name;
     this.failed = failed;
     this.acceptAgain = acceptAgain;
--- a/src/main/java/pumicekeel/front/Front.java
+++ b/src/main/java/pumicekeel/front/Front.java
@@ -9,7 +9,7 @@
   InetSocketAddress listen(InetSocketAddress at, boolean accepting) throws InterruptedException;
 
   /** Begins to accept, where listening began without. */
-  void accept();
+  void startAccepting();
 
   /** Where it listens. */
   InetSocketAddress address();
@@ -18,7 +18,7 @@
   void setReady();
 
   /** Another limit on connections, for what is accepted from now on. */
-  void resize(int connections);
+  void setMaxConnections(int connections);
 
   /** Begins a planned stop, or to send clients away: the front is told to bring no more. */
   void drain();
@@ -30,17 +30,17 @@
   void stopListening();
 
   /** Each answer is its connection's last from now on; nothing is closed for it. */
-  void lastAnswers();
+  void closeAfterAnswers();
 
   /** Ends what asks nothing; what is answered from now on is its connection's last. */
   void closeIdle();
 
   /** Takes no more, also of what has come in part. */
-  void closeUntaken();
+  void closeIncomplete();
 
   /** Whether no connection is open and none can come any more. */
-  boolean ended();
+  boolean isClosed();
 
   /** Connections that are open. */
-  int open();
+  int openConnections();
 }
--- a/src/main/java/pumicekeel/front/admin/AdminEndpoint.java
+++ b/src/main/java/pumicekeel/front/admin/AdminEndpoint.java
@@ -14,7 +14,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.UnaryOperator;
-import pumicekeel.front.AcceptFaults;
+import pumicekeel.front.AcceptErrorHandler;
 import pumicekeel.runtime.Reactor;
 
 /**
@@ -47,7 +47,7 @@
   public SocketAddress listen(SocketAddress at) throws IOException, InterruptedException {
     ServerBootstrap bootstrap = new ServerBootstrap()
         .group(loop, loop)
-        .handler(new AcceptFaults(
+        .handler(new AcceptErrorHandler(
             "admin", scope -> ACCEPT_REST_NANOS, () -> listener.config().setAutoRead(true)))
         .option(ChannelOption.SO_BACKLOG, BACKLOG);
     if (at instanceof UnixDomainSocketAddress path) {
@@ -56,7 +56,7 @@
       bootstrap.channel(NioServerDomainSocketChannel.class);
     } else {
       bootstrap
-          .channelFactory(on.sockets()::listening)
+          .channelFactory(on.sockets()::newListeningChannel)
           .option(ChannelOption.SO_REUSEADDR, true)
           .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
     }
--- a/src/main/java/pumicekeel/front/http/ClientHandler.java
+++ b/src/main/java/pumicekeel/front/http/ClientHandler.java
@@ -23,7 +23,7 @@
 import pumicekeel.call.BodySink;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.Flow;
+import pumicekeel.call.FlowControl;
 import pumicekeel.call.Upload;
 import pumicekeel.core.RequestHandle;
 import pumicekeel.guard.CloseReason;
@@ -52,7 +52,7 @@
   /** One that has its last answer and still sends has so long to read it and go. */
   private static final long PARTING_MILLIS = 300;
 
-  private final ClientSide side;
+  private final HttpFront side;
   private final ClientTimes times;
   private ChannelHandlerContext ctx;
   private AnswerWriter out;
@@ -72,7 +72,7 @@
   /** The same until the request is over, also once it has come whole: pieces that nobody took are given back then. */
   private Upload sent;
   /** Where the answer comes from that is being passed on; null where none is. */
-  private Flow answer;
+  private FlowControl answer;
 
   private boolean keepAlive;
   private boolean lastAnswer;
@@ -99,7 +99,7 @@
   private long restSince;
   private long restedAt;
 
-  public ClientHandler(ClientSide side) {
+  public ClientHandler(HttpFront side) {
     this.side = side;
     times = new ClientTimes(now());
   }
@@ -336,7 +336,7 @@
     become(Phase.COMING);
     try {
       RequestHead.check(next);
-    } catch (ClientRequest.Bad e) {
+    } catch (ClientRequest.InvalidRequest e) {
       reject(e.status, e.getMessage());
       return;
     }
@@ -345,8 +345,8 @@
     body = new ByteArrayOutputStream();
     if (!isOwn(next.uri())) {
       try {
-        handle = side.router().route(new RequestFacts(side.name(), next));
-      } catch (ClientRequest.Bad e) {
+        handle = side.router().route(new HttpRequestAttributes(side.name(), next));
+      } catch (ClientRequest.InvalidRequest e) {
         turnAway(e);
         return;
       }
@@ -355,7 +355,7 @@
       out.goOn();
     }
     long length = HttpUtil.getContentLength(next, -1L);
-    if (length > Answer.MAX_BODY) {
+    if (length > Answer.MAX_BUFFERED_BYTES) {
       takeUpload(length);
     }
   }
@@ -363,13 +363,13 @@
   /** Keeps a piece of a body, and takes the request once that has come whole or grown too large. */
   private void keep(HttpContent part) throws IOException {
     if (handle != null && !handle.reserveBody(part.content().readableBytes())) {
-      turnAway(new ClientRequest.Bad(503, "no room for the body"));
+      turnAway(new ClientRequest.InvalidRequest(503, "no room for the body"));
       skip(part);
       return;
     }
     part.content().readBytes(body, part.content().readableBytes());
     times.received(body.size());
-    if (body.size() > Answer.MAX_BODY) {
+    if (body.size() > Answer.MAX_BUFFERED_BYTES) {
       takeUpload(-1);
       if (phase == Phase.SKIPPING) {
         skip(part);
@@ -392,7 +392,7 @@
     }
     try {
       take(request, body.toByteArray(), Phase.TAKEN);
-    } catch (ClientRequest.Bad e) {
+    } catch (ClientRequest.InvalidRequest e) {
       taken = null;
       write(e.status, reason(request, e), "text/plain", 0);
       pause();
@@ -409,10 +409,10 @@
     sent = upload;
     try {
       if (isOwn(request.uri())) {
-        throw new ClientRequest.Bad(413, "no body is wanted here");
+        throw new ClientRequest.InvalidRequest(413, "no body is wanted here");
       }
       take(request, new byte[0], Phase.UPLOADING);
-    } catch (ClientRequest.Bad e) {
+    } catch (ClientRequest.InvalidRequest e) {
       taken = null;
       head = request;
       turnAway(e);
@@ -420,9 +420,10 @@
   }
 
   /** Hands a request to the core, which may answer at once. */
-  private void take(HttpRequest request, byte[] kept, Phase as) throws ClientRequest.Bad {
-    ClientRequest next =
-        inTime(ClientRequest.of(request, kept, upload, handle.settings(), handle.previousSettings()));
+  private void take(HttpRequest request, byte[] kept, Phase as)
+      throws ClientRequest.InvalidRequest {
+    ClientRequest next = inTime(
+        ClientRequest.of(request, kept, upload, handle.settings(), handle.previousSettings()));
     head = null;
     taken = next.id();
     become(as);
@@ -433,14 +434,14 @@
       hold(false);
     }
     if (!handle.submit(next, this)) {
-      throw new ClientRequest.Bad(409, "this id is open already");
+      throw new ClientRequest.InvalidRequest(409, "this id is open already");
     }
   }
 
   /** A request with what is left of its time, of which its client may have spent some in line or while the loop was behind. */
   private ClientRequest inTime(ClientRequest request) {
     long spent = waitedNanos();
-    return spent > 0 ? request.withLeft(request.leftNanos() - spent) : request;
+    return spent > 0 ? request.withTimeLeft(request.leftNanos() - spent) : request;
   }
 
   /** Whether a path is the balancer's own. */
@@ -460,7 +461,7 @@
 
   private void passOn(HttpContent part) {
     times.received(times.received() + part.content().readableBytes());
-    if (times.received() > Answer.MOST_BODY) {
+    if (times.received() > Answer.MAX_BODY_BYTES) {
       leave();
       reject(413, "body over 32 MiB");
       return;
@@ -470,7 +471,7 @@
       return;
     }
     if (part.content().isReadable()) {
-      upload.piece(part.content().retain());
+      upload.addChunk(part.content().retain());
     }
     pieceOver(part);
   }
@@ -483,7 +484,7 @@
       if (phase == Phase.UPLOADING) {
         become(Phase.TAKEN);
       }
-      whole.end();
+      whole.finish();
       read();
     }
   }
@@ -499,7 +500,7 @@
 
   private void dropBody() {
     if (sent != null) {
-      sent.drop();
+      sent.discard();
       sent = null;
     }
   }
@@ -507,7 +508,7 @@
   // A request that is not taken
 
   /** Answers a request at once, by its head; the connection goes on once the rest of its body was dropped. */
-  private void turnAway(ClientRequest.Bad why) {
+  private void turnAway(ClientRequest.InvalidRequest why) {
     keepAlive = HttpUtil.isKeepAlive(head);
     byte[] text = reason(head, why);
     head = null;
@@ -518,7 +519,7 @@
   }
 
   /** No body to an answer to HEAD: it would be taken for the next answer. */
-  private static byte[] reason(HttpRequest request, ClientRequest.Bad why) {
+  private static byte[] reason(HttpRequest request, ClientRequest.InvalidRequest why) {
     return request.method().equals(HttpMethod.HEAD)
         ? new byte[0]
         : why.getMessage().getBytes(StandardCharsets.UTF_8);
@@ -538,7 +539,8 @@
         // Only now: what is not read could not be dropped.
         pause();
       }
-    } else if (times.skipped() > (upload == null ? Answer.MAX_BODY : Answer.MOST_BODY)) {
+    } else if (times.skipped()
+        > (upload == null ? Answer.MAX_BUFFERED_BYTES : Answer.MAX_BODY_BYTES)) {
       close(CloseReason.SKIPPED_TOO_MUCH);
     }
   }
@@ -583,7 +585,7 @@
   }
 
   @Override
-  public boolean here() {
+  public boolean isConnected() {
     // While a body comes or an answer passes, what waits unread may be part of a message.
     return phase != Phase.TAKEN || dropUnread(MOST_DROPPED_BEFORE_ATTEMPT) == Unread.NONE;
   }
@@ -613,7 +615,7 @@
     if (read > 0) {
       dropped(read);
     }
-    if (read != Sockets.LEFT) {
+    if (read != Sockets.CLOSED_BY_PEER) {
       return read < most ? Unread.NONE : Unread.MORE;
     }
     leave();
@@ -667,7 +669,7 @@
 
   /** An answer that is too large to be kept begins: passes it on as it comes, and no faster than the client reads. */
   @Override
-  public BodySink begin(AnswerStart start, Flow source) {
+  public BodySink beginStream(AnswerStart start, FlowControl source) {
     lastAnswer = !keepAlive || side.closing();
     answer = source;
     become(Phase.PASSING);
@@ -678,12 +680,12 @@
   /** What comes of an answer that is passed on. */
   private final class Pieces implements BodySink {
     @Override
-    public void piece(ByteBuf bytes) {
+    public void onChunk(ByteBuf bytes) {
       out.piece(bytes);
     }
 
     @Override
-    public void whole() {
+    public void onComplete() {
       answer = null;
       lastAnswer |= !keepAlive;
       over(out.end());
@@ -691,7 +693,7 @@
 
     /** Ended without its last piece, so that the client can tell. */
     @Override
-    public void cut() {
+    public void onTruncated() {
       answer = null;
       taken = null;
       become(Phase.ENDING);
--- a/src/main/java/pumicekeel/front/http/ClientLimits.java
+++ b/src/main/java/pumicekeel/front/http/ClientLimits.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.concurrent.Future;
 import pumicekeel.guard.CloseReason;
-import pumicekeel.runtime.Repeated;
+import pumicekeel.runtime.PeriodicTask;
 
 /**
  * Time limits on client connections: without them those that say nothing, or never come to a request's end, stay for
@@ -42,20 +42,20 @@
   static final long STUCK_NANOS = 5_000 * MILLI;
 
   private final EventLoop loop;
-  private final ClientSide side;
+  private final HttpFront side;
   private Future<?> looks;
 
-  public ClientLimits(EventLoop loop, ClientSide side) {
+  public ClientLimits(EventLoop loop, HttpFront side) {
     this.loop = loop;
     this.side = side;
   }
 
   public void start() {
-    looks = Repeated.every(LOOK_MILLIS, loop, this::look);
+    looks = PeriodicTask.every(LOOK_MILLIS, loop, this::look);
   }
 
   private void look() {
-    if (side.ended()) {
+    if (side.isClosed()) {
       looks.cancel(false);
       return;
     }
@@ -85,10 +85,10 @@
     if (c.neverAsked()) {
       return full() ? SILENT_NANOS : HEAD_NANOS;
     }
-    return side.open() > side.most() * MANY_PART ? IDLE_NANOS : IDLE_LONG_NANOS;
+    return side.openConnections() > side.most() * MANY_PART ? IDLE_NANOS : IDLE_LONG_NANOS;
   }
 
   private boolean full() {
-    return side.open() >= side.most();
+    return side.openConnections() >= side.most();
   }
 }
--- a/src/main/java/pumicekeel/front/http/ClientSide.java
+++ b/src/main/java/pumicekeel/front/http/HttpFront.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import pumicekeel.core.RequestRouter;
 import pumicekeel.front.AcceptControl;
-import pumicekeel.front.AcceptFaults;
+import pumicekeel.front.AcceptErrorHandler;
 import pumicekeel.front.Front;
 import pumicekeel.guard.CloseReason;
 import pumicekeel.guard.ServingGuard;
@@ -29,7 +29,7 @@
 import pumicekeel.runtime.Sockets;
 
 /** The listening side: client connections, readiness, and the end of both at a planned stop. */
-public final class ClientSide implements Front {
+public final class HttpFront implements Front {
 
   private static final int BACKLOG = 1024;
   /** Read a piece at a time and few pieces in a row, or one client that floods would keep all others waiting. */
@@ -75,7 +75,7 @@
   private final String warmUpPath;
   private final LoopLag lag;
   /** The listener of this name, with at most so many connections; {@code warmUpPath} is answered with 200. */
-  public ClientSide(
+  public HttpFront(
       Reactor on, LoopLag lag, String name, RequestRouter router, int most, String warmUpPath) {
     this.on = on;
     this.lag = lag;
@@ -96,7 +96,7 @@
       throws InterruptedException {
     this.accepting = accepting;
     return listens(bootstrap()
-        .channelFactory(on.sockets()::listening)
+        .channelFactory(on.sockets()::newListeningChannel)
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .bind(at)
@@ -127,7 +127,7 @@
   private ServerBootstrap bootstrap() {
     return new ServerBootstrap()
         .group(loop, loop)
-        .handler(new AcceptFaults(name, this::acceptFailed, this::acceptAgain))
+        .handler(new AcceptErrorHandler(name, this::acceptFailed, this::acceptAgain))
         .option(ChannelOption.AUTO_READ, accepting)
         .childOption(
             ChannelOption.WRITE_BUFFER_WATER_MARK,
@@ -138,7 +138,7 @@
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            ClientHandler handler = new ClientHandler(ClientSide.this);
+            ClientHandler handler = new ClientHandler(HttpFront.this);
             channel
                 .pipeline()
                 .addLast(new RequestDecoder(handler::accepts), new HttpResponseEncoder(), handler);
@@ -151,7 +151,7 @@
   public void setReady() {
     ready = true;
     if (adopted) {
-      accept();
+      startAccepting();
     }
   }
 
@@ -178,7 +178,7 @@
 
   /** Takes what waits unread on a client's connection and drops it; {@link Sockets#LEFT} where its client has ended it. */
   int drop(Channel channel, int most) {
-    return on.sockets().drop(channel, most);
+    return on.sockets().discardUnread(channel, most);
   }
 
   /** Whether something of a client waits unread: its next request may cross its connection's end. */
@@ -201,13 +201,13 @@
 
   /** Another limit on connections, for what is accepted from now on. */
   @Override
-  public void resize(int connections) {
+  public void setMaxConnections(int connections) {
     accepts.configure(connections);
   }
 
   /** Begins to accept, where listening began without. */
   @Override
-  public void accept() {
+  public void startAccepting() {
     accepting = true;
     acceptAgain();
   }
@@ -225,12 +225,12 @@
 
   /** Accepts no more and has nothing open. */
   @Override
-  public boolean ended() {
+  public boolean isClosed() {
     return connections.isEmpty() && (!listener.isOpen() || adopted && ready && !accepting);
   }
 
   @Override
-  public int open() {
+  public int openConnections() {
     return connections.size();
   }
 
@@ -241,11 +241,11 @@
    */
   private void opened(ClientHandler handler, Channel channel) {
     long now = clock().now();
-    long waitedNanos = on.sockets().waitedNanos(channel);
+    long waitedNanos = on.sockets().sinceAcceptNanos(channel);
     connections.add(handler);
     accepts.accepted();
     handler.opened(
-        Math.max(waitedInLine(now), lag.behindNanos()) + waitedNanos,
+        Math.max(waitedInLine(now), lag.maxReadDelayNanos()) + waitedNanos,
         pending(channel) == Sockets.Pending.SOME);
     if (connections.size() >= accepts.limit()) {
       connections.stream()
@@ -261,12 +261,12 @@
       return 0;
     }
     Sockets.Backlog line = on.sockets().backlog(listener);
-    long waited = accepts.waitedNanos(now, line != Sockets.Backlog.UNKNOWN);
+    long waited = accepts.maxBacklogWaitNanos(now, line != Sockets.Backlog.UNKNOWN);
     if (line == Sockets.Backlog.EMPTY) {
-      accepts.lineIsEmpty(now);
-    } else if (line == Sockets.Backlog.STANDS) {
+      accepts.backlogEmpty(now);
+    } else if (line == Sockets.Backlog.WAITING) {
       // More have come than one turn takes: the line was empty when the loop last asked.
-      accepts.lineStandsSince(now - lag.turnNanos());
+      accepts.backlogSince(now - lag.sincePreviousPollNanos());
     }
     return waited;
   }
@@ -276,9 +276,9 @@
    * so that lists, upstreams and operators have room again.
    */
   private long acceptFailed(FailureScope scope) {
-    boolean lowered = accepts.lowered();
-    long rest = accepts.failed(scope, connections.size(), clock().now());
-    if (accepts.lowered() && !lowered) {
+    boolean lowered = accepts.isLowered();
+    long rest = accepts.acceptFailed(scope, connections.size(), clock().now());
+    if (accepts.isLowered() && !lowered) {
       Log.line(name + ": takes " + accepts.limit() + " connections for now, out of descriptors");
     }
     if (scope == FailureScope.PROCESS) {
@@ -292,12 +292,12 @@
 
   /** The regular look: what rests or was lowered comes back by this, whatever else happens or does not. */
   void look(long now) {
-    if (accepts.lineInQuestion()
+    if (accepts.mayHaveBacklog()
         && listener.isOpen()
         && on.sockets().backlog(listener) == Sockets.Backlog.EMPTY) {
-      accepts.lineIsEmpty(now);
+      accepts.backlogEmpty(now);
     }
-    if (accepts.rise(connections.size(), now)) {
+    if (accepts.raiseLimit(connections.size(), now)) {
       Log.line(name + ": takes " + accepts.limit() + " connections again");
     }
     acceptAgain();
@@ -314,19 +314,19 @@
         && listener.isOpen()
         && (accepting || lastCall)
         && accepts.mayAccept(connections.size(), now)) {
-      accepts.accepts(now);
+      accepts.accepting(now);
       listener.config().setAutoRead(true);
     }
   }
 
   private void pause() {
-    accepts.reached(clock().now());
+    accepts.limitReached(clock().now());
     listener.config().setAutoRead(false);
   }
 
   /** How long what is read now may have waited for the loop, at most. */
   long behindNanos() {
-    return lag.behindNanos();
+    return lag.maxReadDelayNanos();
   }
 
   public void becameIdle(ClientHandler handler) {
@@ -354,7 +354,7 @@
   }
 
   @Override
-  public void lastAnswers() {
+  public void closeAfterAnswers() {
     closing = true;
   }
 
@@ -374,7 +374,7 @@
     accepting = false;
     if (adopted) {
       listener.config().setAutoRead(false);
-    } else if (accepts.lineStands()) {
+    } else if (accepts.backlogAtLimit()) {
       // At the limit: those that stand in the kernel's line would be reset with it, and their
       // machine has them for accepted.
       lastCall();
@@ -386,13 +386,13 @@
   private void closeBehindLine() {
     int most = accepts.limit();
     on.sockets()
-        .closeBehindLine(listener, Math.max(0, most + most / SPARE_PART - connections.size()));
+        .drainBacklogAndClose(listener, Math.max(0, most + most / SPARE_PART - connections.size()));
   }
 
   /** Lets in those that stand in line, in the room that is spare and that of those which have asked nothing for a while. */
   private void lastCall() {
     lastCall = true;
-    accepts.spare(Math.max(1, accepts.limit() / SPARE_PART));
+    accepts.addSpareConnections(Math.max(1, accepts.limit() / SPARE_PART));
     long now = clock().now();
     List.copyOf(connections).stream()
         .filter(c -> c.neverAsked() && c.idleFor(now) > SAID_NOTHING_NANOS)
@@ -409,7 +409,7 @@
 
   /** Takes no more, also of what has come in part: a slow sender must not keep the process from its end. */
   @Override
-  public void closeUntaken() {
+  public void closeIncomplete() {
     closing = true;
     long now = clock().now();
     List.copyOf(connections).stream()
--- a/src/main/java/pumicekeel/front/http/RequestFacts.java
+++ b/src/main/java/pumicekeel/front/http/HttpRequestAttributes.java
@@ -2,10 +2,10 @@
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpRequest;
-import pumicekeel.call.Facts;
+import pumicekeel.call.RequestAttributes;
 
 /** What a route may ask of a request whose head has come at this listener. */
-record RequestFacts(String listener, HttpRequest head) implements Facts {
+record HttpRequestAttributes(String listener, HttpRequest head) implements RequestAttributes {
 
   @Override
   public String host() {
--- a/src/main/java/pumicekeel/front/http/RequestHead.java
+++ b/src/main/java/pumicekeel/front/http/RequestHead.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
 import pumicekeel.call.Answer;
-import pumicekeel.call.ClientRequest.Bad;
+import pumicekeel.call.ClientRequest.InvalidRequest;
 
 /**
  * Checks of a request's framing, at its head: guards against a request that hides another in its body, and against
@@ -17,19 +17,19 @@
 
   private RequestHead() {}
 
-  public static void check(HttpRequest head) throws Bad {
+  public static void check(HttpRequest head) throws InvalidRequest {
     if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
-      throw new Bad(505, "HTTP/1.1 only");
+      throw new InvalidRequest(505, "HTTP/1.1 only");
     }
     List<String> lengths = head.headers().getAll(HttpHeaderNames.CONTENT_LENGTH);
     List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
     if (lengths.size() + codings.size() > 1
         || !codings.isEmpty()
             && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
-      throw new Bad(400, "more than one way to tell where the body ends");
+      throw new InvalidRequest(400, "more than one way to tell where the body ends");
     }
-    if (HttpUtil.getContentLength(head, 0L) > Answer.MOST_BODY) {
-      throw new Bad(413, "body over 32 MiB");
+    if (HttpUtil.getContentLength(head, 0L) > Answer.MAX_BODY_BYTES) {
+      throw new InvalidRequest(413, "body over 32 MiB");
     }
   }
 }
--- a/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
@@ -22,7 +22,7 @@
 import pumicekeel.call.Answer;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.ClientRequest.Bad;
+import pumicekeel.call.ClientRequest.InvalidRequest;
 import pumicekeel.core.RequestHandle;
 import pumicekeel.core.RequestRouter;
 import pumicekeel.front.jsonrpc.MethodMapping.At;
@@ -195,7 +195,7 @@
       RequestRouter router = head -> {
         int draw = random.nextInt(20);
         if (draw == 0) {
-          throw new Bad(new int[] {400, 404, 502, 503}[random.nextInt(4)], "no", draw);
+          throw new InvalidRequest(new int[] {400, 404, 502, 503}[random.nextInt(4)], "no", draw);
         }
         return new Way();
       };
@@ -381,10 +381,10 @@
       }
 
       @Override
-      public boolean submit(ClientRequest request, Client to) throws Bad {
+      public boolean submit(ClientRequest request, Client to) throws InvalidRequest {
         int draw = random.nextInt(50);
         if (draw == 0) {
-          throw new Bad(400, "not for this pool");
+          throw new InvalidRequest(400, "not for this pool");
         }
         if (draw == 1) {
           return false;
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
@@ -7,9 +7,9 @@
 import pumicekeel.call.Answer;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.ClientRequest.Bad;
-import pumicekeel.call.Facts;
+import pumicekeel.call.ClientRequest.InvalidRequest;
 import pumicekeel.call.Payload;
+import pumicekeel.call.RequestAttributes;
 import pumicekeel.core.RequestHandle;
 import pumicekeel.front.jsonrpc.BatchAnswers.How;
 import pumicekeel.front.jsonrpc.MethodMapping.BadParams;
@@ -21,7 +21,7 @@
 import pumicekeel.jsonrpc.Writer;
 
 /** One call on its way from its connection to its end; a notification is one whose end nobody is told of. */
-final class RpcCall implements Client, Facts {
+final class RpcCall implements Client, RequestAttributes {
 
   private static final long MILLI = 1_000_000L;
   private final RpcClient connection;
@@ -77,7 +77,7 @@
       }
     } catch (BadParams e) {
       throw new TurnedAway(Codes.INVALID_PARAMS, e.getMessage(), 0);
-    } catch (Bad e) {
+    } catch (InvalidRequest e) {
       throw new TurnedAway(codeOf(e.status), e.getMessage(), e.retryAfterNanos);
     }
   }
@@ -100,11 +100,11 @@
     };
   }
 
-  private ClientRequest request(Settings settings) throws Bad, TurnedAway {
+  private ClientRequest request(Settings settings) throws InvalidRequest, TurnedAway {
     RequestClass type = ClientRequest.classOf(mapping.className(), settings);
     try {
       ClientRequest.checkTenant(said.tenant(), settings);
-    } catch (Bad e) {
+    } catch (InvalidRequest e) {
       throw new TurnedAway(
           Codes.INVALID_PARAMS,
           mapping.placeOf(Part.TENANT) + ": expected a tenant that is known",
@@ -116,9 +116,9 @@
           mapping.placeOf(Part.IDEMPOTENCY_KEY) + ": expected an idempotency key",
           0);
     }
-    if (call.params() != null && call.params().length > Answer.MAX_BODY) {
+    if (call.params() != null && call.params().length > Answer.MAX_BUFFERED_BYTES) {
       throw new TurnedAway(
-          Codes.INVALID_PARAMS, "params of more than " + Answer.MAX_BODY + " bytes", 0);
+          Codes.INVALID_PARAMS, "params of more than " + Answer.MAX_BUFFERED_BYTES + " bytes", 0);
     }
     long left = said.leftMillis() < 0
         ? type.deadlineNanos()
@@ -142,7 +142,7 @@
 
   /** Gives it no more time than this. */
   void cutTo(long nanos) {
-    request = request.withLeft(Math.min(nanos, request.leftNanos()));
+    request = request.withTimeLeft(Math.min(nanos, request.leftNanos()));
   }
 
   /** Hands it over; from now on it is owed its end. */
@@ -152,7 +152,7 @@
       if (!handle.submit(request, this)) {
         throw new TurnedAway(Codes.NO_ROOM, "its request id is open", 0);
       }
-    } catch (Bad e) {
+    } catch (InvalidRequest e) {
       taken = false;
       throw new TurnedAway(codeOf(e.status), e.getMessage(), e.retryAfterNanos);
     } catch (TurnedAway e) {
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcClient.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcClient.java
@@ -50,7 +50,7 @@
   private static final long GIVE_WAY_NANOS = 250_000_000L;
   /** What an HTTP server's text becomes a string of. */
   private static final MessageReader RESULTS =
-      new MessageReader(new Limits(Answer.MAX_BODY, 62, 1));
+      new MessageReader(new Limits(Answer.MAX_BUFFERED_BYTES, 62, 1));
 
   private final RpcSide side;
   private final CallSettings settings;
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcSide.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcSide.java
@@ -14,14 +14,14 @@
 import java.util.concurrent.Future;
 import pumicekeel.core.RequestRouter;
 import pumicekeel.front.AcceptControl;
-import pumicekeel.front.AcceptFaults;
+import pumicekeel.front.AcceptErrorHandler;
 import pumicekeel.front.Front;
 import pumicekeel.guard.ServingGuard;
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.FailureScope;
 import pumicekeel.runtime.Log;
+import pumicekeel.runtime.PeriodicTask;
 import pumicekeel.runtime.Reactor;
-import pumicekeel.runtime.Repeated;
 
 /** A listener for JSON-RPC over TCP: its connections, their time limits, and its end. */
 public final class RpcSide implements Front {
@@ -78,8 +78,8 @@
       throws InterruptedException {
     listener = new ServerBootstrap()
         .group(loop, loop)
-        .channelFactory(on.sockets()::listening)
-        .handler(new AcceptFaults(name, this::acceptFailed, this::acceptAgain))
+        .channelFactory(on.sockets()::newListeningChannel)
+        .handler(new AcceptErrorHandler(name, this::acceptFailed, this::acceptAgain))
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .option(ChannelOption.AUTO_READ, accepting)
@@ -103,12 +103,12 @@
         .channel();
     address = (InetSocketAddress) listener.localAddress();
     this.accepting = accepting;
-    loop.execute(() -> looks = Repeated.every(LOOK_MILLIS, loop, this::look));
+    loop.execute(() -> looks = PeriodicTask.every(LOOK_MILLIS, loop, this::look));
     return address;
   }
 
   @Override
-  public void accept() {
+  public void startAccepting() {
     accepting = true;
     acceptAgain();
   }
@@ -158,7 +158,7 @@
   }
 
   @Override
-  public void resize(int connectionsAtMost) {
+  public void setMaxConnections(int connectionsAtMost) {
     accepts.configure(connectionsAtMost);
   }
 
@@ -175,14 +175,14 @@
   }
 
   private void pause() {
-    accepts.reached(clock().now());
+    accepts.limitReached(clock().now());
     listener.config().setAutoRead(false);
   }
 
   /** Where the process has no descriptor left the longest idle connection gives way, as at the limit. */
   private long acceptFailed(FailureScope scope) {
     long now = clock().now();
-    long rest = accepts.failed(scope, connections.size(), now);
+    long rest = accepts.acceptFailed(scope, connections.size(), now);
     if (scope == FailureScope.PROCESS) {
       connections.stream().filter(c -> c.mayGiveWay(now)).findFirst().ifPresent(RpcClient::finish);
     }
@@ -200,7 +200,7 @@
         && listener != null
         && listener.isOpen()
         && accepts.mayAccept(connections.size(), now)) {
-      accepts.accepts(now);
+      accepts.accepting(now);
       listener.config().setAutoRead(true);
     }
   }
@@ -213,12 +213,12 @@
   }
 
   private void look() {
-    if (ended()) {
+    if (isClosed()) {
       looks.cancel(false);
       return;
     }
     long now = clock().now();
-    if (accepts.rise(connections.size(), now)) {
+    if (accepts.raiseLimit(connections.size(), now)) {
       Log.line(name + ": takes " + accepts.limit() + " connections again");
     }
     acceptAgain();
@@ -241,7 +241,7 @@
 
   /** A drain turns calls away already. */
   @Override
-  public void lastAnswers() {
+  public void closeAfterAnswers() {
     // Nothing to add.
   }
 
@@ -253,21 +253,21 @@
   @Override
   public void stopListening() {
     accepting = false;
-    on.sockets().closeBehindLine(listener, Math.max(0, accepts.limit() - connections.size()));
+    on.sockets().drainBacklogAndClose(listener, Math.max(0, accepts.limit() - connections.size()));
   }
 
   @Override
-  public void closeUntaken() {
+  public void closeIncomplete() {
     List.copyOf(connections).stream().filter(c -> c.open() == 0).forEach(RpcClient::finish);
   }
 
   @Override
-  public boolean ended() {
+  public boolean isClosed() {
     return connections.isEmpty() && !listener.isOpen();
   }
 
   @Override
-  public int open() {
+  public int openConnections() {
     return connections.size();
   }
 }
--- a/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
@@ -74,27 +74,27 @@
   // What the program opens
 
   @Override
-  public ServerChannel listening() {
+  public ServerChannel newListeningChannel() {
     return new VirtualListener(this);
   }
 
   @Override
-  public Channel connecting() {
+  public Channel newConnectingChannel() {
     return new VirtualSocket(this, null, null);
   }
 
   @Override
-  public void closeBehindLine(Channel listener, int most) {
+  public void drainBacklogAndClose(Channel listener, int most) {
     ((VirtualListener) listener).closeBehindLine(most);
   }
 
   @Override
-  public int drop(Channel channel, int most) {
+  public int discardUnread(Channel channel, int most) {
     return channel instanceof VirtualSocket socket ? socket.drop(most) : 0;
   }
 
   @Override
-  public boolean quiet(Channel channel) {
+  public boolean isQuiet(Channel channel) {
     return ((VirtualSocket) channel).quiet();
   }
 
--- a/src/main/java/pumicekeel/lab/program/VirtualSocket.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualSocket.java
@@ -57,11 +57,11 @@
 
   int drop(int most) {
     if (!isActive()) {
-      return Sockets.LEFT;
+      return Sockets.CLOSED_BY_PEER;
     }
     int dropped = Math.min(most, end.unread());
     end.read(new byte[dropped], 0, dropped);
-    return end.reset() || end.over() ? Sockets.LEFT : dropped;
+    return end.reset() || end.over() ? Sockets.CLOSED_BY_PEER : dropped;
   }
 
   // Reading
--- a/src/main/java/pumicekeel/node/Admission.java
+++ b/src/main/java/pumicekeel/node/Admission.java
@@ -11,8 +11,8 @@
 import pumicekeel.call.BodySink;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.ClientRequest.Bad;
-import pumicekeel.call.Flow;
+import pumicekeel.call.ClientRequest.InvalidRequest;
+import pumicekeel.call.FlowControl;
 import pumicekeel.core.AttemptLog;
 import pumicekeel.core.BalancerCore;
 import pumicekeel.core.RequestHandle;
@@ -73,10 +73,10 @@
   }
 
   @Override
-  public boolean submit(ClientRequest taken, Client to) throws Bad {
+  public boolean submit(ClientRequest taken, Client to) throws InvalidRequest {
     String why = pool.objection(taken);
     if (why != null) {
-      throw new Bad(400, why);
+      throw new InvalidRequest(400, why);
     }
     if (!services.open(taken.id())) {
       return false;
@@ -97,7 +97,7 @@
       return;
     }
     waits = false;
-    send(request.withLeft(request.leftNanos() - (services.now() - takenAt)));
+    send(request.withTimeLeft(request.leftNanos() - (services.now() - takenAt)));
   }
 
   private void send(ClientRequest now) {
@@ -147,7 +147,8 @@
   /** Goes to the route's second pool where the first has no upstream that is ready, and nothing may have run. */
   @Override
   public boolean handOver(long leftNanos) {
-    ServicePool next = bound || pool.core().readyUpstreams() > 0 ? null : services.fallbackOf(route, pool);
+    ServicePool next =
+        bound || pool.core().readyUpstreams() > 0 ? null : services.fallbackOf(route, pool);
     RequestClass type = next == null ? null : next.classLike(request.type());
     if (type == null || next.objection(request.withType(type)) != null || !next.open.tryTake(1)) {
       return false;
@@ -160,7 +161,7 @@
     giveBack();
     pool = next;
     request = request.withType(type);
-    send(request.withLeft(leftNanos + BalancerCore.ANSWER_MARGIN_NANOS));
+    send(request.withTimeLeft(leftNanos + BalancerCore.ANSWER_MARGIN_NANOS));
     return true;
   }
 
@@ -172,8 +173,8 @@
   }
 
   @Override
-  public boolean here() {
-    return client.here();
+  public boolean isConnected() {
+    return client.isConnected();
   }
 
   @Override
@@ -185,27 +186,27 @@
 
   /** An answer that is passed on has ended when its last piece is out, or is cut. */
   @Override
-  public BodySink begin(AnswerStart start, Flow source) {
-    BodySink to = client.begin(start, source);
+  public BodySink beginStream(AnswerStart start, FlowControl source) {
+    BodySink to = client.beginStream(start, source);
     return to == null
         ? null
         : new BodySink() {
           @Override
-          public void piece(ByteBuf bytes) {
-            to.piece(bytes);
+          public void onChunk(ByteBuf bytes) {
+            to.onChunk(bytes);
           }
 
           @Override
-          public void whole() {
+          public void onComplete() {
             end(End.SERVED);
-            to.whole();
+            to.onComplete();
             note(Told.SERVED);
           }
 
           @Override
-          public void cut() {
+          public void onTruncated() {
             end(End.FAILED);
-            to.cut();
+            to.onTruncated();
             note(Told.FAILED);
           }
         };
--- a/src/main/java/pumicekeel/node/Listeners.java
+++ b/src/main/java/pumicekeel/node/Listeners.java
@@ -11,7 +11,7 @@
 import pumicekeel.config.Operator;
 import pumicekeel.core.RequestRouter;
 import pumicekeel.front.Front;
-import pumicekeel.front.http.ClientSide;
+import pumicekeel.front.http.HttpFront;
 import pumicekeel.front.jsonrpc.RequestIds;
 import pumicekeel.front.jsonrpc.RpcSide;
 import pumicekeel.runtime.Log;
@@ -32,7 +32,7 @@
   private final LoopLag lag;
   private final EventLoop loop;
   private final RequestRouter router;
-  private final ClientSide platform;
+  private final HttpFront platform;
   private final int total;
   private final RequestIds ids;
   private final Map<String, Side> sides = new LinkedHashMap<>();
@@ -46,10 +46,10 @@
     loop = on.loop();
     this.router = router;
     this.total = total;
-    platform = new ClientSide(on, lag, Operator.PLATFORM, router, total, warmUpPath);
+    platform = new HttpFront(on, lag, Operator.PLATFORM, router, total, warmUpPath);
   }
 
-  ClientSide platform() {
+  HttpFront platform() {
     return platform;
   }
 
@@ -90,7 +90,7 @@
         continue;
       }
       Front side = l.rpc() == null
-          ? new ClientSide(on, lag, l.name(), router, most, null)
+          ? new HttpFront(on, lag, l.name(), router, most, null)
           : new RpcSide(on, l.name(), router, most, l.rpc(), ids);
       try {
         side.listen(l.address(), false);
@@ -110,7 +110,7 @@
   /** Takes a generation's listeners over. On the loop. */
   void apply(Operator next, Map<String, Front> bound, boolean ready) {
     List<Integer> plan = plan(total, next);
-    platform.resize(plan.get(0));
+    platform.setMaxConnections(plan.get(0));
     List.copyOf(sides.keySet()).stream()
         .filter(name -> !next.listeners().containsKey(name) || bound.containsKey(name))
         .forEach(name -> leave(sides.remove(name).side()));
@@ -121,7 +121,7 @@
           ? bound.get(l.name())
           : sides.get(l.name()).side();
       sides.put(l.name(), new Side(l, side));
-      side.resize(most);
+      side.setMaxConnections(most);
       if (side instanceof RpcSide calls) {
         calls.settings(l.rpc());
       }
@@ -129,7 +129,7 @@
         if (ready) {
           side.setReady();
         }
-        side.accept();
+        side.startAccepting();
         Log.line("listens as " + l.name() + " at " + side.address());
       }
     }
@@ -152,9 +152,9 @@
   private void close(Front side, long end) {
     side.closeIdle();
     if (on.clock().now() - end >= 0) {
-      side.closeUntaken();
+      side.closeIncomplete();
     }
-    if (side.ended()) {
+    if (side.isClosed()) {
       leaving.remove(side);
     } else {
       loop.schedule(() -> close(side, end), POLL_MILLIS, TimeUnit.MILLISECONDS);
@@ -182,20 +182,20 @@
   }
 
   void lastAnswers() {
-    all().forEach(Front::lastAnswers);
+    all().forEach(Front::closeAfterAnswers);
   }
 
   void closeUntaken() {
-    all().forEach(Front::closeUntaken);
+    all().forEach(Front::closeIncomplete);
   }
 
   int open() {
-    return all().stream().mapToInt(Front::open).sum();
+    return all().stream().mapToInt(Front::openConnections).sum();
   }
 
   /** Whether no connection is open at any, and none can come any more. */
   boolean ended() {
-    return all().stream().allMatch(Front::ended);
+    return all().stream().allMatch(Front::isClosed);
   }
 
   private List<Front> all() {
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -19,7 +19,7 @@
 import pumicekeel.discovery.UpstreamSource;
 import pumicekeel.front.Front;
 import pumicekeel.front.admin.AdminEndpoint;
-import pumicekeel.front.http.ClientSide;
+import pumicekeel.front.http.HttpFront;
 import pumicekeel.front.jsonrpc.RequestIds;
 import pumicekeel.journal.Journal;
 import pumicekeel.journal.JournalWriter;
@@ -30,8 +30,8 @@
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.Log;
 import pumicekeel.runtime.LoopLag;
-import pumicekeel.runtime.Persistent;
 import pumicekeel.runtime.Reactor;
+import pumicekeel.runtime.Retry;
 import sun.misc.Signal;
 
 /** One real balancer: the module on sockets, all of it on one event-loop thread. */
@@ -132,20 +132,20 @@
     Node node;
     try {
       Configuration configuration =
-          Persistent.call("configuration", START_MILLIS, () -> Configuration.read(environment));
+          Retry.call("configuration", START_MILLIS, () -> Configuration.read(environment));
       Operator operator = operatorFile == null
           ? null
-          : Persistent.call("operator file", START_MILLIS, () -> OperatorLoader.load(operatorFile));
+          : Retry.call("operator file", START_MILLIS, () -> OperatorLoader.load(operatorFile));
       DeliveredConfiguration delivered = operator == null || operator.control() == null
           ? null
-          : Persistent.call(
+          : Retry.call(
               "delivered configuration",
               START_MILLIS,
               () -> DeliveredConfiguration.open(configuration, operator));
       Operator first = delivered == null ? operator : delivered.first();
-      node = Persistent.call(
+      node = Retry.call(
           "event loop", START_MILLIS, () -> new Node(configuration, first, () -> halt(1)));
-      ExecutorService worker = Persistent.call("reload thread", START_MILLIS, Reload::newWorker);
+      ExecutorService worker = Retry.call("reload thread", START_MILLIS, Reload::newWorker);
       Runnable operatorReading =
           operatorFile == null ? null : Reload.operatorReading(operatorFile, node, delivered);
       node.start();
@@ -201,27 +201,26 @@
   /** Listens and follows the list; the address that clients connect to. */
   public InetSocketAddress start() throws IOException, InterruptedException {
     if (configuration.admin() != null) {
-      adminAddress = Persistent.call(
-          "admin listener", START_MILLIS, () -> admin.listen(configuration.admin()));
+      adminAddress =
+          Retry.call("admin listener", START_MILLIS, () -> admin.listen(configuration.admin()));
     }
-    Persistent.call("journal", START_MILLIS, this::openJournal);
-    Persistent.call("peers", START_MILLIS, this::openPeers);
+    Retry.call("journal", START_MILLIS, this::openJournal);
+    Retry.call("peers", START_MILLIS, this::openPeers);
     departures = DepartureSharing.of(on, configuration);
     Map<String, Front> bound = firstGeneration == null
         ? Map.of()
-        : Persistent.call("listeners", START_MILLIS, () -> listeners.bind(firstGeneration));
-    ClientSide own = configuration.inherited()
-        ? new ClientSide(on, lag, "warm-up", serving.router(), WARM_UP_SOCKETS, warmUpPath)
+        : Retry.call("listeners", START_MILLIS, () -> listeners.bind(firstGeneration));
+    HttpFront own = configuration.inherited()
+        ? new HttpFront(on, lag, "warm-up", serving.router(), WARM_UP_SOCKETS, warmUpPath)
         : null;
     InetSocketAddress address = own == null
-        ? Persistent.call(
+        ? Retry.call(
             "listener", START_MILLIS, () -> listeners.platform().listen(configuration.listen()))
-        : Persistent.call(
-            "listener", START_MILLIS, () -> listeners.platform().adopt(inheritedSocket()));
+        : Retry.call("listener", START_MILLIS, () -> listeners.platform().adopt(inheritedSocket()));
     // What is asked of a socket that others hold too may be answered by them.
     InetSocketAddress self = own == null
         ? address
-        : Persistent.call(
+        : Retry.call(
             "warm-up listener",
             START_MILLIS,
             () -> own.listen(new InetSocketAddress(address.getAddress(), 0)));
@@ -244,7 +243,7 @@
     return address;
   }
 
-  private void serve(ClientSide own, InetSocketAddress address) {
+  private void serve(HttpFront own, InetSocketAddress address) {
     if (own != null) {
       own.stopListening();
       own.closeIdle();
@@ -474,7 +473,7 @@
   public void drain() {
     // Counted from when it may have come: a process that stood still hears of it later, and SIGKILL
     // does not wait for that.
-    long askedAt = lag.unheardSince();
+    long askedAt = lag.undeliveredSince();
     loop.execute(() -> {
       Log.line(configuration.name() + " drains");
       draining = true;
--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/pumicekeel/node/Reload.java
@@ -12,7 +12,7 @@
 import pumicekeel.config.OperatorLoader;
 import pumicekeel.delivery.ConfigurationVersion;
 import pumicekeel.runtime.Log;
-import pumicekeel.runtime.Persistent;
+import pumicekeel.runtime.Retry;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -90,7 +90,7 @@
   private static void read(Map<String, String> environment, Node node) {
     try {
       node.reload(
-          Persistent.call("reload", RETRY_MILLIS, () -> node.configuration().reread(environment)));
+          Retry.call("reload", RETRY_MILLIS, () -> node.configuration().reread(environment)));
     } catch (IOException | RuntimeException e) {
       Log.line("reload: the configuration stays as it was: " + e);
     } catch (InterruptedException e) {
@@ -116,8 +116,8 @@
 
   static void readOperator(Path file, Node node) {
     try {
-      Operator next = Persistent.call("reload", RETRY_MILLIS, () -> OperatorLoader.load(file));
-      Persistent.call("reload", RETRY_MILLIS, () -> {
+      Operator next = Retry.call("reload", RETRY_MILLIS, () -> OperatorLoader.load(file));
+      Retry.call("reload", RETRY_MILLIS, () -> {
         node.reload(next);
         return next;
       });
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -19,8 +19,8 @@
 import pumicekeel.Balancer.Settings;
 import pumicekeel.Balancer.Tenant;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.ClientRequest.Bad;
-import pumicekeel.call.Facts;
+import pumicekeel.call.ClientRequest.InvalidRequest;
+import pumicekeel.call.RequestAttributes;
 import pumicekeel.config.Configuration;
 import pumicekeel.config.Operator;
 import pumicekeel.core.RequestHandle;
@@ -471,30 +471,30 @@
   // The router
 
   @Override
-  public RequestHandle route(Facts head) throws Bad {
+  public RequestHandle route(RequestAttributes head) throws InvalidRequest {
     if (!started) {
-      throw new Bad(503, "not started");
+      throw new InvalidRequest(503, "not started");
     }
     RouteTable.Found found = table.match(head);
     if (found instanceof RouteTable.Malformed malformed) {
       counters.malformed();
-      throw new Bad(400, malformed.why());
+      throw new InvalidRequest(400, malformed.why());
     }
     if (!(found instanceof RouteTable.Taken taken)) {
       counters.noRoute();
-      throw new Bad(404, "no route");
+      throw new InvalidRequest(404, "no route");
     }
     ServicePool home = home(head);
     ServicePool pool = home == null ? poolFor(taken.route(), head) : home;
     if (!pool.open.tryTake(1)) {
       counters.noRoom();
-      throw new Bad(503, "this pool is full", retryAfter(pool));
+      throw new InvalidRequest(503, "this pool is full", retryAfter(pool));
     }
     return new Admission(this, taken.route(), pool, home != null, clock.now());
   }
 
   /** The pool that may have run a request of the same idempotency key, or null. */
-  private ServicePool home(Facts head) throws Bad {
+  private ServicePool home(RequestAttributes head) throws InvalidRequest {
     boolean none =
         keyAffinity.size() == 0 && (journal == null || journal.memory().size() == 0);
     String key = none ? null : head.header(ClientRequest.IDEMPOTENCY_KEY);
@@ -516,17 +516,17 @@
       }
     }
     // Failed, not refused: it may have run where nothing is asked any more.
-    throw new Bad(502, "the pool that may have run this key is gone");
+    throw new InvalidRequest(502, "the pool that may have run this key is gone");
   }
 
-  private ServicePool poolFor(Route route, Facts head) {
+  private ServicePool poolFor(Route route, RequestAttributes head) {
     ServicePool first = pools.get(route.split().poolOf(splitKey(route, head)));
     ServicePool second = first.core().readyUpstreams() > 0 ? null : fallbackOf(route, first);
     return second == null ? first : second;
   }
 
   /** What a request is about, so that it finds the same pool again: its session, else what makes a repeat of it. */
-  private static String splitKey(Route route, Facts head) {
+  private static String splitKey(Route route, RequestAttributes head) {
     if (route.split().parts().size() == 1) {
       return "";
     }
--- a/src/main/java/pumicekeel/node/WarmUp.java
+++ b/src/main/java/pumicekeel/node/WarmUp.java
@@ -23,7 +23,7 @@
 import pumicekeel.core.SinglePoolRouter;
 import pumicekeel.discovery.HostList;
 import pumicekeel.front.http.ClientHandler;
-import pumicekeel.front.http.ClientSide;
+import pumicekeel.front.http.HttpFront;
 import pumicekeel.front.http.RequestDecoder;
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.Log;
@@ -51,7 +51,7 @@
   private final Clock clock;
   private final ConnectionPool pool;
   private final BalancerCore core;
-  private final ClientSide side;
+  private final HttpFront side;
   private final Runnable done;
   private final long endAt;
   private final List<Tenant> tenants;
@@ -104,7 +104,7 @@
         lag,
         pool,
         e -> Log.line("defect of the module while warming up: " + e));
-    side = new ClientSide(on, lag, "warm-up", new SinglePoolRouter(core), AT_ONCE, null);
+    side = new HttpFront(on, lag, "warm-up", new SinglePoolRouter(core), AT_ONCE, null);
     tenants = real.tenants();
   }
 
--- a/src/main/java/pumicekeel/rig/scale/CountingSockets.java
+++ b/src/main/java/pumicekeel/rig/scale/CountingSockets.java
@@ -27,9 +27,9 @@
   }
 
   @Override
-  public Channel connecting() {
+  public Channel newConnectingChannel() {
     connections.increment();
-    Channel channel = system.connecting();
+    Channel channel = system.newConnectingChannel();
     channel.pipeline().addFirst(new ChannelInboundHandlerAdapter() {
       @Override
       public void channelRead(ChannelHandlerContext context, Object message) {
@@ -43,22 +43,22 @@
   }
 
   @Override
-  public ServerChannel listening() {
-    return system.listening();
+  public ServerChannel newListeningChannel() {
+    return system.newListeningChannel();
   }
 
   @Override
-  public void closeBehindLine(Channel listener, int most) {
-    system.closeBehindLine(listener, most);
+  public void drainBacklogAndClose(Channel listener, int most) {
+    system.drainBacklogAndClose(listener, most);
   }
 
   @Override
-  public boolean quiet(Channel channel) {
-    return system.quiet(channel);
+  public boolean isQuiet(Channel channel) {
+    return system.isQuiet(channel);
   }
 
   @Override
-  public int drop(Channel channel, int most) {
-    return system.drop(channel, most);
+  public int discardUnread(Channel channel, int most) {
+    return system.discardUnread(channel, most);
   }
 }
--- a/src/main/java/pumicekeel/route/PathIndex.java
+++ b/src/main/java/pumicekeel/route/PathIndex.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pumicekeel.call.Facts;
+import pumicekeel.call.RequestAttributes;
 
 /** Routes of one host by the segments of their paths. Walked without making a string of any segment. */
 final class PathIndex {
@@ -38,7 +38,7 @@
       values.computeIfAbsent(route.headers().get(name), k -> new ArrayList<>(1)).add(route);
     }
 
-    private Route best(Facts f, Route best) {
+    private Route best(RequestAttributes f, Route best) {
       Route found = first(plain, f, best);
       for (int i = 0; i < byHeader.size(); i++) {
         String sent = f.header(byHeader.get(i).getKey());
@@ -48,7 +48,7 @@
       return found;
     }
 
-    private static Route first(List<Route> routes, Facts f, Route best) {
+    private static Route first(List<Route> routes, RequestAttributes f, Route best) {
       for (int i = 0; i < routes.size(); i++) {
         Route r = routes.get(i);
         if (best != null && best.order() < r.order()) {
@@ -165,12 +165,12 @@
   }
 
   /** The earliest route that takes the request, of these and the one found so far; null where neither is. */
-  Route best(String path, Facts f, Route best) {
+  Route best(String path, RequestAttributes f, Route best) {
     return walk(root, path, 0, f, best);
   }
 
   /** {@code slash} is where the rest of the path begins, or the path's end. Depth is bounded by the patterns'. */
-  private static Route walk(Node node, String path, int slash, Facts f, Route best) {
+  private static Route walk(Node node, String path, int slash, RequestAttributes f, Route best) {
     Route found = node.prefix == null ? best : node.prefix.best(f, best);
     if (slash >= path.length()) {
       return node.whole == null ? found : node.whole.best(f, found);
--- a/src/main/java/pumicekeel/route/Route.java
+++ b/src/main/java/pumicekeel/route/Route.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import pumicekeel.call.Facts;
+import pumicekeel.call.RequestAttributes;
 
 /**
  * One route of the operator file: what it asks of a request, and where it sends what it takes. An empty list, a null or
@@ -29,14 +29,14 @@
   public static final String PRESENT = "*";
 
   /** Whether all but host and path fit, which the index has seen to. */
-  boolean takesRest(Facts f) {
+  boolean takesRest(RequestAttributes f) {
     return (listener == null || listener.equals(f.listener()))
         && (className == null || className.equals(f.className()))
         && (method == null || method.equals(f.method()))
         && takesHeaders(f);
   }
 
-  private boolean takesHeaders(Facts f) {
+  private boolean takesHeaders(RequestAttributes f) {
     if (headers.isEmpty()) {
       return true;
     }
@@ -53,7 +53,7 @@
   }
 
   /** Why this route does not take a request whose host and path are canonical; null where it does. */
-  String objection(Facts f, String host, String path) {
+  String objection(RequestAttributes f, String host, String path) {
     if (listener != null && !listener.equals(f.listener())) {
       return "listener: wanted " + listener + ", got " + f.listener();
     }
--- a/src/main/java/pumicekeel/route/RouteTable.java
+++ b/src/main/java/pumicekeel/route/RouteTable.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pumicekeel.call.Facts;
+import pumicekeel.call.RequestAttributes;
 
 /**
  * The routes of one generation, compiled once and never changed. The first route of the file that takes a request has
@@ -67,7 +67,7 @@
   }
 
   /** Finds the route of a request; makes no garbage unless its host or path has to be rewritten to be compared. */
-  public Found match(Facts f) {
+  public Found match(RequestAttributes f) {
     String host = HostName.of(f.host());
     if (host == null) {
       return BAD_HOST;
@@ -89,7 +89,7 @@
   }
 
   /** What each route says, up to and with the one that takes the request: by trying all, apart from the index. */
-  public List<Verdict> explain(Facts f) {
+  public List<Verdict> explain(RequestAttributes f) {
     List<Verdict> verdicts = new ArrayList<>();
     String host = HostName.of(f.host());
     String path = RequestPath.of(f.path());
--- a/src/main/java/pumicekeel/runtime/FailureScope.java
+++ b/src/main/java/pumicekeel/runtime/FailureScope.java
@@ -12,7 +12,7 @@
  */
 public enum FailureScope {
   /** The call can't be carried out at this moment; nothing was done, and nothing is wrong with what it was for. To be tried again. */
-  NOT_NOW,
+  TEMPORARY,
   /** The process has no descriptor left: others of its own have to be closed before the call can work. To be tried again. */
   PROCESS,
   /** The connection is at its end, or never came to be; others are not concerned. */
@@ -24,16 +24,16 @@
 
   /** By the error's text, as the Linux manual pages name the errors. */
   private static final Map<String, FailureScope> BY_TEXT = Map.ofEntries(
-      Map.entry("Interrupted system call", NOT_NOW),
-      Map.entry("Resource temporarily unavailable", NOT_NOW),
-      Map.entry("Cannot allocate memory", NOT_NOW),
-      Map.entry("No buffer space available", NOT_NOW),
-      Map.entry("Too many open files in system", NOT_NOW),
-      Map.entry("Operation not permitted", NOT_NOW),
-      Map.entry("No space left on device", NOT_NOW),
-      Map.entry("Disk quota exceeded", NOT_NOW),
-      Map.entry("Input/output error", NOT_NOW),
-      Map.entry("Read-only file system", NOT_NOW),
+      Map.entry("Interrupted system call", TEMPORARY),
+      Map.entry("Resource temporarily unavailable", TEMPORARY),
+      Map.entry("Cannot allocate memory", TEMPORARY),
+      Map.entry("No buffer space available", TEMPORARY),
+      Map.entry("Too many open files in system", TEMPORARY),
+      Map.entry("Operation not permitted", TEMPORARY),
+      Map.entry("No space left on device", TEMPORARY),
+      Map.entry("Disk quota exceeded", TEMPORARY),
+      Map.entry("Input/output error", TEMPORARY),
+      Map.entry("Read-only file system", TEMPORARY),
       Map.entry(OUT_OF_DESCRIPTORS, PROCESS),
       Map.entry("Software caused connection abort", CONNECTION),
       Map.entry("Protocol error", CONNECTION),
@@ -95,7 +95,7 @@
   }
 
   /** Whether the same call may work a moment later. */
-  public boolean passes() {
-    return this == NOT_NOW || this == PROCESS;
+  public boolean isRetryable() {
+    return this == TEMPORARY || this == PROCESS;
   }
 }
--- a/src/main/java/pumicekeel/runtime/ListeningChannel.java
+++ b/src/main/java/pumicekeel/runtime/ListeningChannel.java
@@ -117,12 +117,12 @@
     try {
       for (int i = 0; i < LOOKS; i++) {
         if (jdk.waits(javaChannel())) {
-          return Sockets.Backlog.STANDS;
+          return Sockets.Backlog.WAITING;
         }
       }
-      return unmade.isEmpty() ? Sockets.Backlog.EMPTY : Sockets.Backlog.STANDS;
+      return unmade.isEmpty() ? Sockets.Backlog.EMPTY : Sockets.Backlog.WAITING;
     } catch (IOException e) {
-      return Sockets.Backlog.STANDS;
+      return Sockets.Backlog.WAITING;
     }
   }
 
--- a/src/main/java/pumicekeel/runtime/LoopLag.java
+++ b/src/main/java/pumicekeel/runtime/LoopLag.java
@@ -67,7 +67,7 @@
   }
 
   /** How long ago the loop asked for what had come in the turn before this one, at the most. Only for the loop's own thread. */
-  public long turnNanos() {
+  public long sincePreviousPollNanos() {
     return clock.now() - earlierTickAt;
   }
 
@@ -76,8 +76,8 @@
    * ran meanwhile: whoever takes that for new promises an answer that comes too late. It came after the loop last asked for what had
    * come, which was in the turn before this one, and so after the last look but one. Only for the loop's own thread.
    */
-  public long behindNanos() {
-    long behind = turnNanos();
+  public long maxReadDelayNanos() {
+    long behind = sincePreviousPollNanos();
     return behind > BEHIND_NANOS ? behind : 0;
   }
 
@@ -85,7 +85,7 @@
    * Since when something may have been waiting of which the process hears now, a signal for one: the loop's last look, or where it
    * stood still until a moment ago, and with it the process, the last one before that. For any thread.
    */
-  public long unheardSince() {
+  public long undeliveredSince() {
     long now = clock.now();
     Still last = still;
     long looked = Math.min(now, due - PERIOD_NANOS);
@@ -95,7 +95,7 @@
   }
 
   /** How long what is read now has waited in its socket, on average; only for the loop's own thread. */
-  public long waitNanos() {
+  public long averageReadDelayNanos() {
     return Math.max(late, clock.now() - due) / WAIT_PART;
   }
 }
--- a/src/main/java/pumicekeel/runtime/NioSockets.java
+++ b/src/main/java/pumicekeel/runtime/NioSockets.java
@@ -14,32 +14,32 @@
   private static final int DROP_BYTES = 1 << 10;
 
   @Override
-  public ServerChannel listening() {
+  public ServerChannel newListeningChannel() {
     return new ListeningChannel();
   }
 
   @Override
-  public Channel connecting() {
+  public Channel newConnectingChannel() {
     return new Connecting();
   }
 
   @Override
-  public boolean quiet(Channel channel) {
+  public boolean isQuiet(Channel channel) {
     return ((Connecting) channel).quiet();
   }
 
   @Override
-  public int drop(Channel channel, int most) {
+  public int discardUnread(Channel channel, int most) {
     return channel instanceof Accepted accepted ? accepted.drop(most) : 0;
   }
 
   @Override
-  public void closeBehindLine(Channel listener, int most) {
+  public void drainBacklogAndClose(Channel listener, int most) {
     ((ListeningChannel) listener).closeBehindLine(most);
   }
 
   @Override
-  public long waitedNanos(Channel channel) {
+  public long sinceAcceptNanos(Channel channel) {
     return channel instanceof Accepted accepted ? System.nanoTime() - accepted.acceptedAt : 0;
   }
 
@@ -77,17 +77,17 @@
       ByteBuffer bytes = ByteBuffer.allocate(DROP_BYTES);
       int dropped = 0;
       try {
-        int read = isActive() ? readNow(bytes) : LEFT;
+        int read = isActive() ? readNow(bytes) : CLOSED_BY_PEER;
         while (read > 0 && dropped + read < most) {
           dropped += read;
           bytes.clear();
           read = readNow(bytes);
         }
-        return read < 0 ? LEFT : dropped + read;
+        return read < 0 ? CLOSED_BY_PEER : dropped + read;
       } catch (NotKnownException e) {
         return most;
       } catch (IOException e) {
-        return LEFT;
+        return CLOSED_BY_PEER;
       }
     }
   }
--- a/src/main/java/pumicekeel/runtime/Repeated.java
+++ b/src/main/java/pumicekeel/runtime/PeriodicTask.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.TimeUnit;
 
 /** Work that a loop repeats for as long as the process runs: a defect of one round is no end of it. */
-public final class Repeated {
+public final class PeriodicTask {
 
-  private Repeated() {}
+  private PeriodicTask() {}
 
   /** Repeats something, so many milliseconds after the end of each round, until the future is cancelled. */
   public static Future<?> every(long millis, EventLoop loop, Runnable round) {
--- a/src/main/java/pumicekeel/runtime/Reactor.java
+++ b/src/main/java/pumicekeel/runtime/Reactor.java
@@ -31,9 +31,9 @@
    * A channel to connect with; null where the process has no descriptor left for one. Left to Netty, such a connect fails on
    * another thread, with a channel that can't be closed.
    */
-  public Channel connecting() {
+  public Channel newConnectingChannel() {
     try {
-      return sockets.connecting();
+      return sockets.newConnectingChannel();
     } catch (ChannelException e) {
       Log.caused("no descriptor for a connection: " + e.getCause());
       return null;
--- a/src/main/java/pumicekeel/runtime/Persistent.java
+++ b/src/main/java/pumicekeel/runtime/Retry.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Tries again what failed for a moment, on a thread that may wait; not for a loop. */
-public final class Persistent {
+public final class Retry {
 
   private static final long FIRST_PAUSE_MILLIS = 10;
   private static final long LONGEST_PAUSE_MILLIS = 200;
@@ -14,7 +14,7 @@
     T call() throws IOException, InterruptedException;
   }
 
-  private Persistent() {}
+  private Retry() {}
 
   /**
    * The result of a call, which is repeated while it fails for a moment or for one descriptor only, for so long at most; then, and
--- a/src/main/java/pumicekeel/runtime/Sockets.java
+++ b/src/main/java/pumicekeel/runtime/Sockets.java
@@ -7,30 +7,30 @@
 public interface Sockets {
 
   /** One that listens, not bound yet. */
-  ServerChannel listening();
+  ServerChannel newListeningChannel();
 
   /** One that connects, not connected yet. */
-  Channel connecting();
+  Channel newConnectingChannel();
 
   /**
    * Lets in those that stand in line for one that {@link #listening} made, so many at most, and closes it: in one go, so that none
    * comes between.
    */
-  void closeBehindLine(Channel listener, int most);
+  void drainBacklogAndClose(Channel listener, int most);
 
   /**
    * Whether neither bytes nor an end wait unread on one that {@link #connecting} made. Guards a reuse against what the loop
    * has still to read: a second copy of the last answer would be taken for the answer to the next request. May take a
    * byte, so a channel that is not quiet is to be closed.
    */
-  boolean quiet(Channel channel);
+  boolean isQuiet(Channel channel);
 
   /**
    * Takes what waits unread on one that {@link #listening} accepted, so many bytes at most, and drops it: how many that
    * were, or {@link #LEFT} where the peer has ended the connection, behind those or at once. Guards against a client that
    * left: the loop reads it no further while it has bytes of no use, or is late.
    */
-  int drop(Channel channel, int most);
+  int discardUnread(Channel channel, int most);
 
   /** What is known of bytes, or an end, that wait unread. */
   enum Pending {
@@ -52,7 +52,7 @@
   /** What is known of the connections that wait to be accepted. */
   enum Backlog {
     EMPTY,
-    STANDS,
+    WAITING,
     UNKNOWN
   }
 
@@ -62,10 +62,10 @@
   }
 
   /** How long one that {@link #listening} accepted has waited between its accept and its first use, in nanoseconds. */
-  default long waitedNanos(Channel accepted) {
+  default long sinceAcceptNanos(Channel accepted) {
     return 0;
   }
 
   /** The peer has ended the connection. */
-  int LEFT = -1;
+  int CLOSED_BY_PEER = -1;
 }
--- a/src/main/java/pumicekeel/runtime/TolerantSocketChannel.java
+++ b/src/main/java/pumicekeel/runtime/TolerantSocketChannel.java
@@ -52,7 +52,7 @@
         return read;
       }
     } catch (IOException e) {
-      if (!FailureScope.of(e).passes()) {
+      if (!FailureScope.of(e).isRetryable()) {
         throw e;
       }
     }
@@ -70,7 +70,7 @@
     try {
       super.doWrite(from);
     } catch (IOException e) {
-      if (!FailureScope.of(e).passes()) {
+      if (!FailureScope.of(e).isRetryable()) {
         throw e;
       }
       writeAgainLater();
@@ -151,7 +151,7 @@
           return read;
         }
       } catch (IOException e) {
-        if (!FailureScope.of(e).passes()) {
+        if (!FailureScope.of(e).isRetryable()) {
           throw e;
         }
       }
--- a/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
@@ -9,7 +9,7 @@
 import pumicekeel.call.AnswerStart;
 import pumicekeel.call.BodySink;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.Flow;
+import pumicekeel.call.FlowControl;
 import pumicekeel.runtime.Clock;
 
 /** One Send of the module: from the decision to exactly one outcome, over whatever protocol its upstream speaks. */
@@ -20,7 +20,7 @@
     void ended(UpstreamAttempt attempt, Status status, Answer answer);
 
     /** Asked when an answer begins that is not kept: where its pieces go, null for nowhere. The end is told as ever. */
-    default BodySink begins(UpstreamAttempt attempt, AnswerStart start, Flow source) {
+    default BodySink begins(UpstreamAttempt attempt, AnswerStart start, FlowControl source) {
       return null;
     }
   }
@@ -106,7 +106,7 @@
   }
 
   /** An answer begins that is passed on while it comes; its client's time limits it still, unless it is {@link #untimed}. */
-  public final BodySink begin(AnswerStart start, Flow source) {
+  public final BodySink begin(AnswerStart start, FlowControl source) {
     BodySink sink = status != null ? null : ending.begins(this, start, source);
     if (sink != null) {
       begunAt = clock.now();
--- a/src/main/java/pumicekeel/upstream/http/AnswerHead.java
+++ b/src/main/java/pumicekeel/upstream/http/AnswerHead.java
@@ -41,7 +41,7 @@
     if (!HttpUtil.isContentLengthSet(head)) {
       return !HttpUtil.isKeepAlive(head);
     }
-    return HttpUtil.getContentLength(head) <= Answer.MOST_BODY;
+    return HttpUtil.getContentLength(head) <= Answer.MAX_BODY_BYTES;
   }
 
   /** Only X-Unprocessed proves that a request never ran; a bare 503 may stand for one that did. */
--- a/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
+++ b/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
@@ -112,7 +112,7 @@
     if (!sockets.take(this, pool.address())) {
       return null;
     }
-    Channel made = on.connecting();
+    Channel made = on.newConnectingChannel();
     if (made == null) {
       sockets.release(this, pool.address());
       // Its descriptor is free for the next attempt.
--- a/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
+++ b/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
@@ -87,11 +87,11 @@
       return;
     }
     connection = to;
-    Payload.Http http = request.payload().http(request.type().effect());
+    Payload.Http http = request.payload().toHttp(request.type().effect());
     if (http.upload() == null) {
       to.send(this, message(request, http, sending()));
     } else {
-      if (!http.upload().isWhole()) {
+      if (!http.upload().isComplete()) {
         bodyPending();
       }
       to.send(
--- a/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
@@ -94,7 +94,7 @@
 
   /** False where the peer has closed, or has sent what nobody asked for. */
   public boolean usable() {
-    return reactor.sockets().quiet(channel);
+    return reactor.sockets().isQuiet(channel);
   }
 
   /** How long it still has to be left alone before the next request; 0 or less for not at all. */
@@ -142,17 +142,17 @@
     channel.write(head);
     from.attach(new BodySink() {
       @Override
-      public void piece(ByteBuf bytes) {
+      public void onChunk(ByteBuf bytes) {
         channel.writeAndFlush(new DefaultHttpContent(bytes));
       }
 
       @Override
-      public void whole() {
+      public void onComplete() {
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, all);
       }
 
       @Override
-      public void cut() {
+      public void onTruncated() {
         broken();
       }
     });
@@ -244,7 +244,7 @@
       coming.detach();
     }
     if (open != null) {
-      open.cut();
+      open.onTruncated();
     }
   }
 
@@ -277,7 +277,7 @@
     }
     if (message instanceof HttpContent part && response != null && !interim() && !surplus) {
       received += part.content().readableBytes();
-      surplus = received > Answer.MOST_BODY || !take(part.content());
+      surplus = received > Answer.MAX_BODY_BYTES || !take(part.content());
       whole = !surplus && message instanceof LastHttpContent;
     }
   }
@@ -285,24 +285,24 @@
   /** Keeps a piece, or passes it on; false where it can be neither. */
   private boolean take(ByteBuf piece) throws IOException {
     if (sink == null
-        && received > Answer.MAX_BODY
+        && received > Answer.MAX_BUFFERED_BYTES
         && AnswerHead.statusOf(response) != Status.SERVED) {
       // Nobody reads what a failed attempt has to say.
       return true;
     }
     if (sink == null
-        && (received > Answer.MAX_BODY
-            || HttpUtil.getContentLength(response, -1L) > Answer.MAX_BODY)
+        && (received > Answer.MAX_BUFFERED_BYTES
+            || HttpUtil.getContentLength(response, -1L) > Answer.MAX_BUFFERED_BYTES)
         && !passOn()) {
       return false;
     }
-    if (sink != null && received > Answer.MAX_BODY) {
+    if (sink != null && received > Answer.MAX_BUFFERED_BYTES) {
       attempt.untimed();
     }
     if (sink == null) {
       piece.readBytes(body, piece.readableBytes());
     } else if (piece.isReadable()) {
-      sink.piece(piece.retain());
+      sink.onChunk(piece.retain());
     }
     return true;
   }
@@ -315,11 +315,11 @@
     long length = HttpUtil.getContentLength(response, -1L);
     sink = attempt.begin(
         new AnswerStart(response.headers().get(HttpHeaderNames.CONTENT_TYPE), length), this::flow);
-    if (sink != null && length > Answer.MAX_BODY) {
+    if (sink != null && length > Answer.MAX_BUFFERED_BYTES) {
       attempt.untimed();
     }
     if (sink != null && body.size() > 0) {
-      sink.piece(Unpooled.wrappedBuffer(body.toByteArray()));
+      sink.onChunk(Unpooled.wrappedBuffer(body.toByteArray()));
     }
     return sink != null;
   }
@@ -389,7 +389,7 @@
       channel.close();
     }
     if (passed != null) {
-      passed.whole();
+      passed.onComplete();
     }
     ended.end(
         AnswerHead.statusOf(response),
--- a/src/main/java/pumicekeel/upstream/jsonrpc/HttpCalls.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/HttpCalls.java
@@ -31,7 +31,7 @@
   }
 
   private static final MessageReader VALUES =
-      new MessageReader(new Limits(pumicekeel.call.Answer.MAX_BODY, 32, 1));
+      new MessageReader(new Limits(pumicekeel.call.Answer.MAX_BUFFERED_BYTES, 32, 1));
   private static final String PATH = "path";
 
   private HttpCalls() {}
@@ -43,7 +43,8 @@
     }
     Payload.Http http = (Payload.Http) request.payload();
     if (http.upload() != null) {
-      throw new Untranslatable("a body of more than " + pumicekeel.call.Answer.MAX_BODY + " bytes");
+      throw new Untranslatable(
+          "a body of more than " + pumicekeel.call.Answer.MAX_BUFFERED_BYTES + " bytes");
     }
     String type = request.type().name();
     String key = request.idempotencyKey();
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
@@ -39,7 +39,7 @@
 final class RpcConnection extends SimpleChannelInboundHandler<Frame> {
 
   /** An answer of the protocol's limit and what stands around it. */
-  private static final int MOST_FRAME = Answer.MAX_BODY + 1024;
+  private static final int MOST_FRAME = Answer.MAX_BUFFERED_BYTES + 1024;
 
   private static final Limits LIMITS = new Limits(MOST_FRAME, Limits.MOST_DEPTH, 1);
   private static final MessageReader READER = new MessageReader(LIMITS);
@@ -133,7 +133,7 @@
     if (channel == null) {
       return true;
     }
-    if (open.isEmpty() && lapsed.isEmpty() && !on.sockets().quiet(channel)) {
+    if (open.isEmpty() && lapsed.isEmpty() && !on.sockets().isQuiet(channel)) {
       // Closed by the server, or it says something unasked: not seen yet by the loop.
       close();
       return false;
@@ -325,7 +325,7 @@
       return;
     }
     byte[] body = reply.result() == null ? reply.error() : reply.result();
-    if (body.length > Answer.MAX_BODY) {
+    if (body.length > Answer.MAX_BUFFERED_BYTES) {
       attempt.end(Status.RESET, null);
     } else if (reply.result() != null) {
       attempt.end(Status.SERVED, new Answer(body, Answer.JSON));
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import pumicekeel.call.ClientRequest;
 import pumicekeel.pool.Shares;
+import pumicekeel.runtime.PeriodicTask;
 import pumicekeel.runtime.Reactor;
-import pumicekeel.runtime.Repeated;
 import pumicekeel.upstream.SocketUser;
 import pumicekeel.upstream.UpstreamLink;
 import pumicekeel.upstream.UpstreamLinks;
@@ -61,7 +61,7 @@
       sweep.cancel(false);
     }
     long periodMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(this.idleNanos / SWEEPS));
-    sweep = Repeated.every(periodMillis, on.loop(), this::closeOld);
+    sweep = PeriodicTask.every(periodMillis, on.loop(), this::closeOld);
   }
 
   /** Why a request can't be sent to these servers; null where it can. */
@@ -90,7 +90,7 @@
     if (!sockets.take(this, link.address())) {
       return null;
     }
-    Channel made = on.connecting();
+    Channel made = on.newConnectingChannel();
     if (made == null) {
       sockets.release(this, link.address());
       return null;
--- a/src/test/java/pumicekeel/bench/RouteMatch.java
+++ b/src/test/java/pumicekeel/bench/RouteMatch.java
@@ -15,7 +15,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import pumicekeel.call.Facts;
+import pumicekeel.call.RequestAttributes;
 import pumicekeel.route.PathPattern;
 import pumicekeel.route.Route;
 import pumicekeel.route.RouteTable;
@@ -37,10 +37,11 @@
   public String by;
 
   private RouteTable table;
-  private List<Facts> asked;
+  private List<RequestAttributes> asked;
   private int next;
 
-  private record Asked(String host, String path, Map<String, String> headers) implements Facts {
+  private record Asked(String host, String path, Map<String, String> headers)
+      implements RequestAttributes {
     @Override
     public String listener() {
       return "platform";
--- a/src/test/java/pumicekeel/front/AcceptControlTest.java
+++ b/src/test/java/pumicekeel/front/AcceptControlTest.java
@@ -19,7 +19,7 @@
   @Test
   void whatFailsForAMomentOrForOneConnectionLowersNoLimit() {
     for (int i = 0; i < 1_000; i++) {
-      control.failed(i % 2 == 0 ? FailureScope.NOT_NOW : FailureScope.CONNECTION, 100, now);
+      control.acceptFailed(i % 2 == 0 ? FailureScope.TEMPORARY : FailureScope.CONNECTION, 100, now);
       now += MS;
     }
     assertEquals(LIMIT, control.limit());
@@ -27,24 +27,24 @@
 
   @Test
   void oneConnectionsFailureIsNoPauseAndAMomentsIsAShortOneThatGrows() {
-    assertEquals(0, control.failed(FailureScope.CONNECTION, 10, now));
+    assertEquals(0, control.acceptFailed(FailureScope.CONNECTION, 10, now));
     control.accepted();
-    long first = control.failed(FailureScope.NOT_NOW, 10, now);
+    long first = control.acceptFailed(FailureScope.TEMPORARY, 10, now);
     assertTrue(first > 0 && first <= 5 * MS, "rests " + first);
     assertFalse(control.mayAccept(10, now));
     assertTrue(control.mayAccept(10, now + first));
     long longest = first;
     for (int i = 0; i < 60; i++) {
-      longest = control.failed(FailureScope.NOT_NOW, 10, now);
+      longest = control.acceptFailed(FailureScope.TEMPORARY, 10, now);
     }
     assertEquals(50 * MS, longest);
     control.accepted();
-    assertEquals(first, control.failed(FailureScope.NOT_NOW, 10, now));
+    assertEquals(first, control.acceptFailed(FailureScope.TEMPORARY, 10, now));
   }
 
   private void shortage(int open) {
-    for (int i = 0; i < 40 && !control.lowered(); i++) {
-      control.failed(FailureScope.PROCESS, open, now);
+    for (int i = 0; i < 40 && !control.isLowered(); i++) {
+      control.acceptFailed(FailureScope.PROCESS, open, now);
       now += 10 * MS;
     }
   }
@@ -53,11 +53,11 @@
   void aLimitThatAShortageLoweredRisesByItself() {
     shortage(100);
     assertEquals(84, control.limit(), "16 are left to others");
-    assertFalse(control.rise(84, now), "not at once");
+    assertFalse(control.raiseLimit(84, now), "not at once");
     long lowered = now;
-    while (control.lowered()) {
+    while (control.isLowered()) {
       now += 10 * MS;
-      control.rise(84, now);
+      control.raiseLimit(84, now);
     }
     assertEquals(LIMIT, control.limit());
     assertTrue(now - lowered < 2_000 * MS, "after " + (now - lowered) / MS + " ms");
@@ -65,11 +65,11 @@
 
   @Test
   void aSingleFailureOutOfDescriptorsIsNoShortage() {
-    control.failed(FailureScope.PROCESS, 100, now);
-    control.failed(FailureScope.PROCESS, 100, now);
+    control.acceptFailed(FailureScope.PROCESS, 100, now);
+    control.acceptFailed(FailureScope.PROCESS, 100, now);
     control.accepted();
-    control.failed(FailureScope.PROCESS, 100, now + 100 * MS);
-    assertFalse(control.lowered());
+    control.acceptFailed(FailureScope.PROCESS, 100, now + 100 * MS);
+    assertFalse(control.isLowered());
   }
 
   @Test
@@ -78,9 +78,9 @@
     for (int i = 0; i < 12; i++) {
       shortage(100);
       long from = now;
-      while (control.lowered()) {
+      while (control.isLowered()) {
         now += 10 * MS;
-        control.rise(100, now);
+        control.raiseLimit(100, now);
       }
       rises = now - from;
     }
@@ -89,36 +89,36 @@
 
   @Test
   void whatStoodInLineIsChargedFromWhenTheLineWasLastSeenEmpty() {
-    control.reached(now);
+    control.limitReached(now);
     now += 700 * MS;
-    control.accepts(now);
-    assertEquals(700 * MS, control.waitedNanos(now, true));
+    control.accepting(now);
+    assertEquals(700 * MS, control.maxBacklogWaitNanos(now, true));
     now += 20 * MS;
-    assertEquals(720 * MS, control.waitedNanos(now, true), "it stands still");
-    control.lineIsEmpty(now);
-    assertEquals(0, control.waitedNanos(now + MS, true));
-    assertFalse(control.lineInQuestion());
+    assertEquals(720 * MS, control.maxBacklogWaitNanos(now, true), "it stands still");
+    control.backlogEmpty(now);
+    assertEquals(0, control.maxBacklogWaitNanos(now + MS, true));
+    assertFalse(control.mayHaveBacklog());
   }
 
   @Test
   void whoStandsBehindMoreThanATurnTakesIsChargedThoughNothingHeldThemBack() {
-    control.accepts(now);
-    assertEquals(0, control.waitedNanos(now, true), "the first ones");
-    control.lineStandsSince(now - 15 * MS);
+    control.accepting(now);
+    assertEquals(0, control.maxBacklogWaitNanos(now, true), "the first ones");
+    control.backlogSince(now - 15 * MS);
     now += 200 * MS;
-    assertEquals(215 * MS, control.waitedNanos(now, true));
-    control.lineStandsSince(now - 15 * MS);
-    assertEquals(215 * MS, control.waitedNanos(now, true), "the same line still");
-    control.lineIsEmpty(now);
-    assertEquals(0, control.waitedNanos(now, true));
+    assertEquals(215 * MS, control.maxBacklogWaitNanos(now, true));
+    control.backlogSince(now - 15 * MS);
+    assertEquals(215 * MS, control.maxBacklogWaitNanos(now, true), "the same line still");
+    control.backlogEmpty(now);
+    assertEquals(0, control.maxBacklogWaitNanos(now, true));
   }
 
   @Test
   void aLineThatNobodyCanLookAtIsThroughAWhileAfterAcceptingGoesOn() {
-    control.reached(now);
+    control.limitReached(now);
     now += 700 * MS;
-    control.accepts(now);
-    assertEquals(300 * MS, control.waitedNanos(now, false), "room is made within that");
-    assertEquals(0, control.waitedNanos(now + 6 * MS, false));
+    control.accepting(now);
+    assertEquals(300 * MS, control.maxBacklogWaitNanos(now, false), "room is made within that");
+    assertEquals(0, control.maxBacklogWaitNanos(now + 6 * MS, false));
   }
 }
--- a/src/test/java/pumicekeel/node/DescriptorsTest.java
+++ b/src/test/java/pumicekeel/node/DescriptorsTest.java
@@ -201,32 +201,32 @@
     }
 
     @Override
-    public Channel connecting() {
+    public Channel newConnectingChannel() {
       if (none) {
         refused.incrementAndGet();
         throw new ChannelException("no socket", new IOException("Too many open files"));
       }
-      return system.connecting();
+      return system.newConnectingChannel();
     }
 
     @Override
-    public ServerChannel listening() {
-      return system.listening();
+    public ServerChannel newListeningChannel() {
+      return system.newListeningChannel();
     }
 
     @Override
-    public void closeBehindLine(Channel listener, int most) {
-      system.closeBehindLine(listener, most);
+    public void drainBacklogAndClose(Channel listener, int most) {
+      system.drainBacklogAndClose(listener, most);
     }
 
     @Override
-    public boolean quiet(Channel channel) {
-      return system.quiet(channel);
+    public boolean isQuiet(Channel channel) {
+      return system.isQuiet(channel);
     }
 
     @Override
-    public int drop(Channel channel, int most) {
-      return system.drop(channel, most);
+    public int discardUnread(Channel channel, int most) {
+      return system.discardUnread(channel, most);
     }
   }
 
--- a/src/test/java/pumicekeel/node/LeavingBetweenAttemptsTest.java
+++ b/src/test/java/pumicekeel/node/LeavingBetweenAttemptsTest.java
@@ -94,7 +94,7 @@
         leaves.send(TestClient.look("leaves", LEFT_MILLIS, ""));
         TestNode.until(() -> attemptsOf(upstream, "leaves") == 1);
         how.leave(leaves);
-        TestNode.until(() -> node.node.listeners().platform().open() == 0);
+        TestNode.until(() -> node.node.listeners().platform().openConnections() == 0);
         breaking.breaks.countDown();
         laterClientIsServed(node, upstream);
       }
@@ -182,7 +182,7 @@
         leaves.send(TestClient.look("leaves", LEFT_MILLIS, ""));
         node.pass();
         how.leave(leaves);
-        TestNode.until(() -> node.node.listeners().platform().open() == 1);
+        TestNode.until(() -> node.node.listeners().platform().openConnections() == 1);
         clock.stand(false);
         // Each of these waits for the rest of the connection before it, or for the one that was
         // kept.
--- a/src/test/java/pumicekeel/node/LeavingClientTest.java
+++ b/src/test/java/pumicekeel/node/LeavingClientTest.java
@@ -73,8 +73,8 @@
       }
       long left = System.nanoTime();
       node.pass();
-      TestNode.until(() ->
-          node.node.listeners().platform().open() == 0 || System.nanoTime() - left > SEEN_NANOS);
+      TestNode.until(() -> node.node.listeners().platform().openConnections() == 0
+          || System.nanoTime() - left > SEEN_NANOS);
       tell.countDown();
       onlyOneThatStays(node, upstream);
     }
@@ -110,7 +110,7 @@
             waits.call(TestClient.look("waits", LEFT_MILLIS, "")).status(),
             "rests as long, from later on");
       }
-      TestNode.until(() -> node.node.listeners().platform().open() == 0);
+      TestNode.until(() -> node.node.listeners().platform().openConnections() == 0);
       assertEquals(1, upstream.requests.size(), () -> "sent on: " + upstream.requests);
     }
   }
@@ -133,7 +133,7 @@
         client.close();
       }
       goesOn.countDown();
-      TestNode.until(() -> node.node.listeners().platform().open() == 0);
+      TestNode.until(() -> node.node.listeners().platform().openConnections() == 0);
       onlyOneThatStays(node, upstream);
     }
   }
@@ -190,8 +190,8 @@
       }
       node.pass();
       tell.countDown();
-      TestNode.until(
-          () -> node.node.listeners().platform().open() == 0 && upstream.closedByPeer.get() == 1);
+      TestNode.until(() -> node.node.listeners().platform().openConnections() == 0
+          && upstream.closedByPeer.get() == 1);
       onlyOneThatStays(node, upstream);
     }
   }
--- a/src/test/java/pumicekeel/route/RouteTableTest.java
+++ b/src/test/java/pumicekeel/route/RouteTableTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import pumicekeel.call.Facts;
+import pumicekeel.call.RequestAttributes;
 import pumicekeel.route.PathPattern.Kind;
 
 /** The first route of the file that takes a request has it, whatever the index does to find it. */
@@ -23,7 +23,7 @@
       String method,
       String className,
       Map<String, String> headers)
-      implements Facts {
+      implements RequestAttributes {
     @Override
     public String header(String name) {
       return headers.get(name);
@@ -48,7 +48,7 @@
         null);
   }
 
-  private static Integer match(RouteTable table, Facts f) {
+  private static Integer match(RouteTable table, RequestAttributes f) {
     return table.match(f) instanceof RouteTable.Taken t ? t.route().order() : null;
   }
 
--- a/src/test/java/pumicekeel/runtime/FailureScopeTest.java
+++ b/src/test/java/pumicekeel/runtime/FailureScopeTest.java
@@ -18,12 +18,12 @@
 
   @ParameterizedTest
   @CsvSource({
-    "Interrupted system call,NOT_NOW",
-    "Resource temporarily unavailable,NOT_NOW",
-    "Cannot allocate memory,NOT_NOW",
-    "No buffer space available,NOT_NOW",
-    "Too many open files in system,NOT_NOW",
-    "Operation not permitted,NOT_NOW",
+    "Interrupted system call,TEMPORARY",
+    "Resource temporarily unavailable,TEMPORARY",
+    "Cannot allocate memory,TEMPORARY",
+    "No buffer space available,TEMPORARY",
+    "Too many open files in system,TEMPORARY",
+    "Operation not permitted,TEMPORARY",
     "Too many open files,PROCESS",
     "Software caused connection abort,CONNECTION",
     "Protocol error,CONNECTION",
@@ -50,7 +50,7 @@
         FailureScope.of(new ChannelException(
             "Failed to open a socket.", new SocketException("Too many open files"))));
     assertEquals(
-        FailureScope.NOT_NOW,
+        FailureScope.TEMPORARY,
         FailureScope.of(
             new FileSystemException("/x/config.json", null, "Too many open files in system")));
   }
--- a/src/test/java/pumicekeel/runtime/PersistentTest.java
+++ b/src/test/java/pumicekeel/runtime/PersistentTest.java
@@ -26,7 +26,7 @@
 
   private int tryIt(int times, Throwable how, long mostMillis)
       throws IOException, InterruptedException {
-    return Persistent.call("a test", mostMillis, () -> failing(times, how));
+    return Retry.call("a test", mostMillis, () -> failing(times, how));
   }
 
   @Test
