--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -36,7 +36,7 @@
 import pumicekeel.call.BodySink;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.Flow;
+import pumicekeel.call.FlowControl;
 import pumicekeel.discovery.HostList;
 import pumicekeel.discovery.ListCurrency;
 import pumicekeel.guard.Denial;
@@ -82,9 +82,9 @@
   private final List<OpenRequest> over = new ArrayList<>();
   private Consumer<Boolean> watch = on -> {};
   private boolean handling;
-  private QuotaSource quotas;
+  private QuotaSource setQuotaSource;
   /** How current the list is; null where it can't be outdated. */
-  private ListCurrency currency;
+  private ListCurrency setListCurrency;
 
   private long endsAt = Long.MAX_VALUE;
 
@@ -106,18 +106,18 @@
   }
 
   /** From now on nothing is sent while the list by which it would be is outdated. */
-  public void currency(ListCurrency of) {
-    currency = of;
+  public void setListCurrency(ListCurrency of) {
+    setListCurrency = of;
   }
 
   private boolean listOutdated(long now) {
-    return currency != null && !currency.sendable(now);
+    return setListCurrency != null && !setListCurrency.sendable(now);
   }
 
   /** Starts with the list as last held; {@code watch} carries out the module's wish to follow it. */
   public void start(HostList known, Consumer<Boolean> watch) {
     this.watch = watch;
-    news(ListKind.CACHED, known);
+    updateList(ListKind.CACHED, known);
   }
 
   public Settings settings() {
@@ -125,28 +125,30 @@
   }
 
   /** The settings until a moment ago, which clients may still go by; null where there are none. */
-  public Settings formerSettings() {
-    return activeSettings.former(clock.now());
+  public Settings previousSettings() {
+    return activeSettings.previous(clock.now());
   }
 
   /** Takes over other settings: what is open keeps its class, what comes from now on goes by the new ones. */
-  public void retune(Settings next) {
-    if (activeSettings.change(next, clock.now())) {
+  public void applySettings(Settings next) {
+    if (activeSettings.replace(next, clock.now())) {
       tell(new SettingsChanged(next));
     }
   }
 
   /** From now on what this instance may admit of tenants' quotas is said by somebody else; null for its even part. */
-  public void quotas(QuotaSource source) {
-    if (quotas != null && source == null) {
+  public void setQuotaSource(QuotaSource source) {
+    if (setQuotaSource != null && source == null) {
       tell(new SettingsChanged(settings()));
     }
-    quotas = source;
+    setQuotaSource = source;
   }
 
   /** Has the rates in force told to the module, before a request of this tenant is judged by them. */
-  public void askQuotas(String tenant, long now) {
-    Map<String, Double> rates = quotas == null || tenant == null ? null : quotas.asked(tenant, now);
+  public void refreshQuotas(String tenant, long now) {
+    Map<String, Double> rates = setQuotaSource == null || tenant == null
+        ? null
+        : setQuotaSource.requestArrived(tenant, now);
     if (rates != null) {
       tell(new QuotaAllocation(rates));
     }
@@ -155,15 +157,15 @@
   // Clients
 
   /** Takes a request; false where its id is open already, which must not replace the first one. */
-  public boolean take(ClientRequest request, Client client) {
-    return take(request, client, List.of(), null);
+  public boolean submit(ClientRequest request, Client client) {
+    return submit(request, client, List.of(), null);
   }
 
   /** Takes one of which something may have run before, and whose attempts somebody may put on record ({@code log}). */
-  public boolean take(
+  public boolean submit(
       ClientRequest request, Client client, List<PriorAttempt> earlier, AttemptLog log) {
     long now = clock.now();
-    long left = Math.max(0, Math.min(timeFor(request), endsAt - now));
+    long left = Math.max(0, Math.min(serviceTimeNanos(request), endsAt - now));
     OpenRequest r = new OpenRequest(
         request, client, now + left, earlier, log, settings().limits().maxAttempts());
     if (table.putIfAbsent(request.id(), r) != null) {
@@ -177,16 +179,17 @@
       }
       return true;
     }
-    r.clientUntil = now + request.leftNanos();
-    boolean coming = r.coming();
+    r.clientDeadline = now + request.leftNanos();
+    boolean coming = r.bodyIncomplete();
     if (coming) {
       // Its time counts from its last byte; until then the front ends what does not come.
       r.deadline = Math.min(now + LONGEST_UPLOAD_NANOS, endsAt);
-      request.upload().onWhole(() -> came(r));
+      request.upload().onComplete(() -> came(r));
     } else {
-      r.guard = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
+      r.deadlineTimer =
+          loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
     }
-    askQuotas(request.tenant(), now);
+    refreshQuotas(request.tenant(), now);
     tell(new Request(
         request.id(),
         request.type().name(),
@@ -208,7 +211,7 @@
   }
 
   /** Of a client's time, what the module has, in nanoseconds; 0 or less for none. */
-  public static long timeFor(ClientRequest request) {
+  public static long serviceTimeNanos(ClientRequest request) {
     long left = request.leftNanos();
     // How long a class's aim is for a request is not known where it goes by its work.
     double earnsNothing =
@@ -224,20 +227,21 @@
       return;
     }
     long now = clock.now();
-    long left = Math.max(0, Math.min(timeFor(r.request), endsAt - now));
+    long left = Math.max(0, Math.min(serviceTimeNanos(r.request), endsAt - now));
     r.deadline = now + left;
-    r.clientUntil = now + r.request.leftNanos();
-    r.guard = loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
+    r.clientDeadline = now + r.request.leftNanos();
+    r.deadlineTimer =
+        loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
     r.attempts.stream().filter(UpstreamAttempt::inFlight).forEach(a -> a.bodyReceived(left, loop));
     tell(new RequestBodyReceived(r.request.id(), r.deadline));
   }
 
   private boolean former(ClientRequest request) {
-    return formerSettings() != null && !settings().classes().contains(request.type());
+    return previousSettings() != null && !settings().classes().contains(request.type());
   }
 
   /** The process ends after so long: no request that is open or taken from now on may last longer. */
-  public void endBy(long nanos) {
+  public void limitDeadlines(long nanos) {
     endsAt = clock.now() + nanos;
     table.values().stream()
         .filter(r -> !r.ended && r.deadline > endsAt)
@@ -248,16 +252,16 @@
   /** Answers that are still being passed on have no time limit of the request's; the process can't wait for them longer. */
   private void cutStreams() {
     List.copyOf(table.values()).stream()
-        .filter(r -> r.streaming != null)
-        .forEach(r -> r.streaming.end(Status.CANCELLED, null));
+        .filter(r -> r.streamingAttempt != null)
+        .forEach(r -> r.streamingAttempt.end(Status.CANCELLED, null));
   }
 
-  public void clientGone(String id) {
+  public void clientDisconnected(String id) {
     OpenRequest r = table.get(id);
     if (r != null && end(r)) {
       tell(new ClientDisconnected(id));
-    } else if (r != null && r.streaming != null) {
-      r.streaming.end(Status.CANCELLED, null);
+    } else if (r != null && r.streamingAttempt != null) {
+      r.streamingAttempt.end(Status.CANCELLED, null);
     }
   }
 
@@ -293,8 +297,8 @@
       return false;
     }
     r.ended = true;
-    if (r.guard != null) {
-      r.guard.cancel(false);
+    if (r.deadlineTimer != null) {
+      r.deadlineTimer.cancel(false);
     }
     over.add(r);
     return true;
@@ -302,22 +306,22 @@
 
   // The list of upstreams
 
-  public void news(HostList list) {
-    news(list.snapshot() ? ListKind.FULL : ListKind.DELTA, list);
+  public void updateList(HostList list) {
+    updateList(list.snapshot() ? ListKind.FULL : ListKind.DELTA, list);
   }
 
-  private void news(ListKind kind, HostList list) {
+  private void updateList(ListKind kind, HostList list) {
     upstreams.applyList(kind != ListKind.DELTA, list.hosts());
     tell(new ListUpdate(kind, list.hosts().stream().map(HostList.Host::listed).toList()));
   }
 
   /** How many upstreams are ready, as the list tells. */
-  public int ready() {
+  public int readyUpstreams() {
     return upstreams.readyCount();
   }
 
   /** Whether no request is open and no attempt is out. */
-  public boolean empty() {
+  public boolean isEmpty() {
     return table.isEmpty();
   }
 
@@ -334,7 +338,7 @@
       for (Event next = events.poll(); next != null; next = events.poll()) {
         module.handle(clock.now(), next, this::perform);
       }
-      over.stream().filter(OpenRequest::over).forEach(r -> table.remove(r.request.id(), r));
+      over.stream().filter(OpenRequest::isComplete).forEach(r -> table.remove(r.request.id(), r));
       over.clear();
     } catch (RuntimeException e) {
       defect.accept(e);
@@ -378,7 +382,7 @@
     }
     // Out of the table first: what takes it over may come back here with the same id.
     boolean untouched = !r.mayHaveRun()
-        && (r.request.upload() == null || !r.request.upload().spent())
+        && (r.request.upload() == null || !r.request.upload().isConsumed())
         && r.attempts.stream().noneMatch(UpstreamAttempt::inFlight);
     end(r);
     if (untouched) {
@@ -411,7 +415,7 @@
           }
 
           @Override
-          public BodySink answerStarted(UpstreamAttempt begun, AnswerStart start, Flow source) {
+          public BodySink answerStarted(UpstreamAttempt begun, AnswerStart start, FlowControl source) {
             return BalancerCore.this.begins(r, begun, start, source);
           }
         });
@@ -421,12 +425,12 @@
     boolean counts =
         r.attempts.size() < Math.min(r.maxAttempts, settings().limits().maxAttempts());
     r.attempts.add(attempt);
-    if (r.log == null) {
+    if (r.attemptLog == null) {
       start(a, r, attempt, upstream, counts);
       return;
     }
-    attempt.onWritten(() -> r.log.written(r.request, attempt.number));
-    r.log.before(
+    attempt.onWritten(() -> r.attemptLog.requestWritten(r.request, attempt.number));
+    r.attemptLog.beforeAttempt(
         r.request,
         attempt.number,
         upstream.host(),
@@ -461,12 +465,12 @@
     Denial denial = guard.checkSend(new SendContext(
         r.request.id(),
         r.ended,
-        r.ended || r.client.here(),
+        r.ended || r.client.isConnected(),
         upstream.leaving(),
         listOutdated(now),
-        r.repeatIsHarmless(now),
+        r.retryIsSafe(now),
         counts,
-        r.coming() ? Long.MAX_VALUE : r.clientUntil - now,
+        r.bodyIncomplete() ? Long.MAX_VALUE : r.clientDeadline - now,
         attempt.remainingNanos()));
     if (denial != null) {
       Log.caused("request " + r.request.id() + ": attempt " + attempt.number + " not sent, "
@@ -476,9 +480,9 @@
   }
 
   private String listAge(long now) {
-    return currency == null
+    return setListCurrency == null
         ? ""
-        : ", list " + TimeUnit.NANOSECONDS.toMillis(currency.age(now)) + " ms old";
+        : ", list " + TimeUnit.NANOSECONDS.toMillis(setListCurrency.age(now)) + " ms old";
   }
 
   private void cancel(Cancel a) {
@@ -489,16 +493,17 @@
   }
 
   /** An answer begins that is passed on while it comes: from now on it is the request's only one. */
-  private BodySink begins(OpenRequest r, UpstreamAttempt attempt, AnswerStart start, Flow source) {
-    BodySink sink = r.ended ? null : r.client.begin(start, source);
+  private BodySink begins(
+      OpenRequest r, UpstreamAttempt attempt, AnswerStart start, FlowControl source) {
+    BodySink sink = r.ended ? null : r.client.beginStream(start, source);
     if (sink != null) {
       end(r);
-      r.streaming = attempt;
+      r.streamingAttempt = attempt;
       tell(new AnswerStarted(
           r.request.id(),
           attempt.number,
           attempt.upstream,
-          attempt.latencyNanos(clock.now() - lag.waitNanos())));
+          attempt.latencyNanos(clock.now() - lag.averageReadDelayNanos())));
     }
     return sink;
   }
@@ -507,9 +512,9 @@
     if (status == Status.SERVED && end(r)) {
       r.client.served(answer);
     }
-    if (r.log != null) {
+    if (r.attemptLog != null) {
       boolean left = attempt.mayHaveRun() || status.provesNotRun();
-      r.log.ended(r.request, attempt.number, left ? status : Status.NOT_SENT);
+      r.attemptLog.attemptEnded(r.request, attempt.number, left ? status : Status.NOT_SENT);
     }
     over.add(r);
     tell(new Outcome(
@@ -517,10 +522,10 @@
         attempt.number,
         attempt.upstream,
         status,
-        attempt.latencyNanos(clock.now() - lag.waitNanos()),
-        r.ended && (r.streaming == null || r.streaming == attempt),
+        attempt.latencyNanos(clock.now() - lag.averageReadDelayNanos()),
+        r.ended && (r.streamingAttempt == null || r.streamingAttempt == attempt),
         Map.of(),
         attempt.stale(),
-        r.request.upload() != null && r.request.upload().spent()));
+        r.request.upload() != null && r.request.upload().isConsumed()));
   }
 }
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
@@ -7,9 +7,9 @@
 import pumicekeel.call.Answer;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.ClientRequest.Bad;
-import pumicekeel.call.Facts;
+import pumicekeel.call.ClientRequest.InvalidRequest;
 import pumicekeel.call.Payload;
+import pumicekeel.call.RequestAttributes;
 import pumicekeel.core.RequestHandle;
 import pumicekeel.front.jsonrpc.BatchAnswers.EntryOutcome;
 import pumicekeel.front.jsonrpc.MethodMapping.BadParams;
@@ -21,7 +21,7 @@
 import pumicekeel.jsonrpc.MessageWriter;
 
 /** One call on its way from its connection to its end; a notification is one whose end nobody is told of. */
-final class RpcCall implements Client, Facts {
+final class RpcCall implements Client, RequestAttributes {
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private final RpcClientConnection connection;
@@ -80,17 +80,17 @@
       }
     } catch (BadParams e) {
       throw new RejectedException(ErrorCodes.INVALID_PARAMS, e.getMessage(), 0);
-    } catch (Bad e) {
+    } catch (InvalidRequest e) {
       throw new RejectedException(codeOf(e.status), e.getMessage(), e.retryAfterNanos);
     }
   }
 
   /** Those before a change for a class that it dropped just now. */
   private Settings settings() {
-    boolean dropped = handle.formerSettings() != null
+    boolean dropped = handle.previousSettings() != null
         && handle.settings().classes().stream()
             .noneMatch(c -> c.name().equals(mapping.className()));
-    return dropped ? handle.formerSettings() : handle.settings();
+    return dropped ? handle.previousSettings() : handle.settings();
   }
 
   /** What a status of the platform's protocol is here. */
@@ -103,11 +103,11 @@
     };
   }
 
-  private ClientRequest request(Settings settings) throws Bad, RejectedException {
+  private ClientRequest request(Settings settings) throws InvalidRequest, RejectedException {
     RequestClass type = ClientRequest.classOf(mapping.className(), settings);
     try {
       ClientRequest.checkTenant(fields.tenant(), settings);
-    } catch (Bad e) {
+    } catch (InvalidRequest e) {
       throw new RejectedException(
           ErrorCodes.INVALID_PARAMS,
           mapping.describeSource(Part.TENANT) + ": expected a tenant that is known",
@@ -119,9 +119,9 @@
           mapping.describeSource(Part.IDEMPOTENCY_KEY) + ": expected an idempotency key",
           0);
     }
-    if (call.params() != null && call.params().length > Answer.MAX_BODY) {
+    if (call.params() != null && call.params().length > Answer.MAX_BUFFERED_BYTES) {
       throw new RejectedException(
-          ErrorCodes.INVALID_PARAMS, "params of more than " + Answer.MAX_BODY + " bytes", 0);
+          ErrorCodes.INVALID_PARAMS, "params of more than " + Answer.MAX_BUFFERED_BYTES + " bytes", 0);
     }
     long left = fields.timeLeftMillis() < 0
         ? type.deadlineNanos()
@@ -145,7 +145,7 @@
 
   /** Gives it no more time than this. */
   void limitTime(long nanos) {
-    request = request.withLeft(Math.min(nanos, request.leftNanos()));
+    request = request.withTimeLeft(Math.min(nanos, request.leftNanos()));
   }
 
   /** Hands it over; from now on it is owed its end. */
@@ -155,7 +155,7 @@
       if (!handle.submit(request, this)) {
         throw new RejectedException(ErrorCodes.NO_ROOM, "its request id is open", 0);
       }
-    } catch (Bad e) {
+    } catch (InvalidRequest e) {
       taken = false;
       throw new RejectedException(codeOf(e.status), e.getMessage(), e.retryAfterNanos);
     } catch (RejectedException e) {
@@ -238,7 +238,7 @@
     }
     over = true;
     if (taken) {
-      handle.clientGone(request.id());
+      handle.clientDisconnected(request.id());
     }
     leave();
   }
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcClientConnection.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcClientConnection.java
@@ -50,7 +50,7 @@
   private static final long EVICTABLE_AFTER_NANOS = 250_000_000L;
   /** What an HTTP server's text becomes a string of. */
   private static final MessageReader RESULTS =
-      new MessageReader(new Limits(Answer.MAX_BODY, 62, 1));
+      new MessageReader(new Limits(Answer.MAX_BUFFERED_BYTES, 62, 1));
 
   private final RpcFront front;
   private final CallSettings settings;
--- a/src/main/java/pumicekeel/node/Admission.java
+++ b/src/main/java/pumicekeel/node/Admission.java
@@ -11,8 +11,8 @@
 import pumicekeel.call.BodySink;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.ClientRequest.Bad;
-import pumicekeel.call.Flow;
+import pumicekeel.call.ClientRequest.InvalidRequest;
+import pumicekeel.call.FlowControl;
 import pumicekeel.core.AttemptLog;
 import pumicekeel.core.BalancerCore;
 import pumicekeel.core.RequestHandle;
@@ -58,8 +58,8 @@
   }
 
   @Override
-  public Settings formerSettings() {
-    return pool.core().formerSettings();
+  public Settings previousSettings() {
+    return pool.core().previousSettings();
   }
 
   @Override
@@ -73,10 +73,10 @@
   }
 
   @Override
-  public boolean submit(ClientRequest accepted, Client to) throws Bad {
+  public boolean submit(ClientRequest accepted, Client to) throws InvalidRequest {
     String reason = pool.objection(accepted);
     if (reason != null) {
-      throw new Bad(400, reason);
+      throw new InvalidRequest(400, reason);
     }
     if (!services.open(accepted.id())) {
       return false;
@@ -97,7 +97,7 @@
       return;
     }
     queued = false;
-    send(request.withLeft(request.leftNanos() - (services.now() - acceptedAt)));
+    send(request.withTimeLeft(request.leftNanos() - (services.now() - acceptedAt)));
   }
 
   private void send(ClientRequest now) {
@@ -105,7 +105,7 @@
       services.recordHome(now, pool);
       keyRecorded = true;
     }
-    if (!services.isJournaled(now, pool) ? !pool.core().take(now, this) : !record(now)) {
+    if (!services.isJournaled(now, pool) ? !pool.core().submit(now, this) : !record(now)) {
       // A request with this id ended just before and one of its attempts is still in flight: this
       // one has not run.
       refused(services.retryAfter(pool));
@@ -119,23 +119,23 @@
       refused(services.cappedRetryAfter(pool, wait));
       return true;
     }
-    return pool.core().take(now, this, services.journal().earlier(now), this);
+    return pool.core().submit(now, this, services.journal().earlier(now), this);
   }
 
   @Override
-  public void before(
+  public void beforeAttempt(
       ClientRequest of, int attempt, HostList.Host upstream, Runnable proceed, Runnable cancel) {
     recorded = true;
     services.journal().before(of, pool.home(), attempt, upstream, proceed, cancel);
   }
 
   @Override
-  public void written(ClientRequest of, int attempt) {
+  public void requestWritten(ClientRequest of, int attempt) {
     services.journal().written(of, attempt);
   }
 
   @Override
-  public void ended(ClientRequest of, int attempt, Status status) {
+  public void attemptEnded(ClientRequest of, int attempt, Status status) {
     services.journal().ended(of, attempt, status);
   }
 
@@ -148,7 +148,7 @@
   /** Moves to the route's fallback pool if the first has no ready upstream and no attempt may have run. */
   @Override
   public boolean handOver(long leftNanos) {
-    ServicePool next = pinned || pool.core().ready() > 0 ? null : services.fallbackOf(route, pool);
+    ServicePool next = pinned || pool.core().readyUpstreams() > 0 ? null : services.fallbackOf(route, pool);
     RequestClass type = next == null ? null : next.equivalentClass(request.type());
     if (type == null || next.objection(request.withType(type)) != null || !next.open.tryTake(1)) {
       return false;
@@ -161,7 +161,7 @@
     releaseCapacity();
     pool = next;
     request = request.withType(type);
-    send(request.withLeft(leftNanos + BalancerCore.ANSWER_MARGIN_NANOS));
+    send(request.withTimeLeft(leftNanos + BalancerCore.ANSWER_MARGIN_NANOS));
     return true;
   }
 
@@ -173,8 +173,8 @@
   }
 
   @Override
-  public boolean here() {
-    return client.here();
+  public boolean isConnected() {
+    return client.isConnected();
   }
 
   @Override
@@ -186,27 +186,27 @@
 
   /** A streamed answer ends when its last piece is written or when it is cut off. */
   @Override
-  public BodySink begin(AnswerStart start, Flow source) {
-    BodySink to = client.begin(start, source);
+  public BodySink beginStream(AnswerStart start, FlowControl source) {
+    BodySink to = client.beginStream(start, source);
     return to == null
         ? null
         : new BodySink() {
           @Override
-          public void piece(ByteBuf bytes) {
-            to.piece(bytes);
+          public void onChunk(ByteBuf bytes) {
+            to.onChunk(bytes);
           }
 
           @Override
-          public void whole() {
+          public void onComplete() {
             finish(End.SERVED);
-            to.whole();
+            to.onComplete();
             recordOutcome(Told.SERVED);
           }
 
           @Override
-          public void cut() {
+          public void onTruncated() {
             finish(End.FAILED);
-            to.cut();
+            to.onTruncated();
             recordOutcome(Told.FAILED);
           }
         };
@@ -231,12 +231,12 @@
   }
 
   @Override
-  public void clientGone(String id) {
+  public void clientDisconnected(String id) {
     boolean wasQueued = queued;
     finish(End.LEFT);
     recordOutcome(Told.LEFT);
     if (!wasQueued) {
-      pool.core().clientGone(id);
+      pool.core().clientDisconnected(id);
     }
   }
 
--- a/src/main/java/pumicekeel/node/Listeners.java
+++ b/src/main/java/pumicekeel/node/Listeners.java
@@ -11,7 +11,7 @@
 import pumicekeel.config.Operator;
 import pumicekeel.core.RequestRouter;
 import pumicekeel.front.Front;
-import pumicekeel.front.http.ClientSide;
+import pumicekeel.front.http.HttpFront;
 import pumicekeel.front.jsonrpc.RequestIds;
 import pumicekeel.front.jsonrpc.RpcFront;
 import pumicekeel.runtime.Log;
@@ -32,7 +32,7 @@
   private final LoopLag lag;
   private final EventLoop loop;
   private final RequestRouter router;
-  private final ClientSide platform;
+  private final HttpFront platform;
   private final int maxTotal;
   private final RequestIds ids;
   private final Map<String, Side> sides = new LinkedHashMap<>();
@@ -51,10 +51,10 @@
     loop = reactor.loop();
     this.router = router;
     this.maxTotal = maxTotal;
-    platform = new ClientSide(reactor, lag, Operator.PLATFORM, router, maxTotal, warmUpPath);
+    platform = new HttpFront(reactor, lag, Operator.PLATFORM, router, maxTotal, warmUpPath);
   }
 
-  ClientSide platform() {
+  HttpFront platform() {
     return platform;
   }
 
@@ -95,7 +95,7 @@
         continue;
       }
       Front side = l.rpc() == null
-          ? new ClientSide(reactor, lag, l.name(), router, maxConnections, null)
+          ? new HttpFront(reactor, lag, l.name(), router, maxConnections, null)
           : new RpcFront(reactor, l.name(), router, maxConnections, l.rpc(), ids);
       try {
         side.listen(l.address(), false);
@@ -115,7 +115,7 @@
   /** Puts a generation's listeners in force. Event loop only. */
   void apply(Operator next, Map<String, Front> bound, boolean ready) {
     List<Integer> plan = plan(maxTotal, next);
-    platform.resize(plan.get(0));
+    platform.setMaxConnections(plan.get(0));
     List.copyOf(sides.keySet()).stream()
         .filter(name -> !next.listeners().containsKey(name) || bound.containsKey(name))
         .forEach(name -> retire(sides.remove(name).side()));
@@ -126,7 +126,7 @@
           ? bound.get(l.name())
           : sides.get(l.name()).side();
       sides.put(l.name(), new Side(l, side));
-      side.resize(maxConnections);
+      side.setMaxConnections(maxConnections);
       if (side instanceof RpcFront calls) {
         calls.settings(l.rpc());
       }
@@ -134,7 +134,7 @@
         if (ready) {
           side.setReady();
         }
-        side.accept();
+        side.startAccepting();
         Log.line("listens as " + l.name() + " at " + side.address());
       }
     }
@@ -157,9 +157,9 @@
   private void closeRetired(Front side, long end) {
     side.closeIdle();
     if (reactor.clock().now() - end >= 0) {
-      side.closeUntaken();
+      side.closeIncomplete();
     }
-    if (side.ended()) {
+    if (side.isClosed()) {
       retired.remove(side);
     } else {
       loop.schedule(() -> closeRetired(side, end), POLL_MILLIS, TimeUnit.MILLISECONDS);
@@ -187,20 +187,20 @@
   }
 
   void lastAnswers() {
-    all().forEach(Front::lastAnswers);
+    all().forEach(Front::closeAfterAnswers);
   }
 
   void closeUntaken() {
-    all().forEach(Front::closeUntaken);
+    all().forEach(Front::closeIncomplete);
   }
 
   int open() {
-    return all().stream().mapToInt(Front::open).sum();
+    return all().stream().mapToInt(Front::openConnections).sum();
   }
 
   /** Whether no listener has an open connection or can get another. */
   boolean ended() {
-    return all().stream().allMatch(Front::ended);
+    return all().stream().allMatch(Front::isClosed);
   }
 
   private List<Front> all() {
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -91,7 +91,7 @@
         shared.lag(),
         connections,
         shared.defect());
-    core.currency(source.currency());
+    core.setListCurrency(source.currency());
   }
 
   private static UpstreamLinks links(Operator.Pool spec, Settings settings, Shared shared) {
@@ -144,12 +144,12 @@
   void retune(Settings next) {
     connections.setTimeouts(
         next.limits().connectTimeoutNanos(), next.limits().connectionIdleNanos());
-    core.retune(next);
+    core.applySettings(next);
   }
 
   /** Sets the exchange that lends and borrows tenants' quotas; null for even shares. */
   void lend(LentQuotas quotas) {
-    core.quotas(quotas == null ? null : quotas.of(name()));
+    core.setQuotaSource(quotas == null ? null : quotas.of(name()));
   }
 
   BalancerCore core() {
@@ -189,7 +189,7 @@
   }
 
   boolean finished() {
-    return core.empty() && open.used() == 0;
+    return core.isEmpty() && open.used() == 0;
   }
 
   // Upstream list
@@ -201,7 +201,7 @@
 
   @Override
   public void listChanged(HostList list) {
-    core.news(select(list));
+    core.updateList(select(list));
   }
 
   /** Closes a pool that has no open requests. */
@@ -278,7 +278,7 @@
         .map(this::viewOf)
         .toList();
     if (!again.isEmpty()) {
-      core.news(new HostList(0, false, again));
+      core.updateList(new HostList(0, false, again));
     }
   }
 }
--- a/src/main/java/pumicekeel/node/SinglePool.java
+++ b/src/main/java/pumicekeel/node/SinglePool.java
@@ -46,7 +46,7 @@
         WatchTerms.of(settings),
         settings.contract().drainGraceNanos(),
         configuration.seed() ^ configuration.name().hashCode());
-    core.currency(source.currency());
+    core.setListCurrency(source.currency());
     router = new SinglePoolRouter(core);
   }
 
@@ -62,7 +62,7 @@
 
   @Override
   public void listChanged(HostList list) {
-    core.news(list);
+    core.updateList(list);
   }
 
   @Override
@@ -84,12 +84,12 @@
     connections.setTimeouts(
         next.settings().limits().connectTimeoutNanos(),
         next.settings().limits().connectionIdleNanos());
-    core.retune(next.settings());
+    core.applySettings(next.settings());
   }
 
   @Override
   public void endBy(long nanos) {
-    core.endBy(nanos);
+    core.limitDeadlines(nanos);
   }
 
   @Override
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import pumicekeel.call.ClientRequest;
 import pumicekeel.pool.Shares;
+import pumicekeel.runtime.PeriodicTask;
 import pumicekeel.runtime.Reactor;
-import pumicekeel.runtime.Repeated;
 import pumicekeel.upstream.SocketUser;
 import pumicekeel.upstream.UpstreamLink;
 import pumicekeel.upstream.UpstreamLinks;
@@ -62,7 +62,7 @@
     }
     long periodMillis =
         Math.max(1, TimeUnit.NANOSECONDS.toMillis(this.idleNanos / SWEEPS_PER_IDLE_TIME));
-    sweep = Repeated.every(periodMillis, on.loop(), this::closeExpired);
+    sweep = PeriodicTask.every(periodMillis, on.loop(), this::closeExpired);
   }
 
   /** Why a request can't be sent to these servers; null where it can. */
@@ -91,7 +91,7 @@
     if (!sockets.acquire(this, link.address())) {
       return null;
     }
-    Channel made = on.connecting();
+    Channel made = on.newConnectingChannel();
     if (made == null) {
       sockets.release(this, link.address());
       return null;
