--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -415,7 +415,8 @@
           }
 
           @Override
-          public BodySink answerStarted(UpstreamAttempt begun, AnswerStart start, FlowControl source) {
+          public BodySink answerStarted(
+              UpstreamAttempt begun, AnswerStart start, FlowControl source) {
             return BalancerCore.this.begins(r, begun, start, source);
           }
         });
