--- a/src/main/java/pumicekeel/core/SinglePoolRouter.java
+++ b/src/main/java/pumicekeel/core/SinglePoolRouter.java
@@ -3,7 +3,7 @@
 import pumicekeel.Balancer.Settings;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.Facts;
+import pumicekeel.call.RequestAttributes;
 
 /** The router of a balancer with one pool and no operator file: every request goes to that pool, and no room is reserved. */
 public final class SinglePoolRouter implements RequestRouter, RequestHandle {
@@ -15,7 +15,7 @@
   }
 
   @Override
-  public RequestHandle route(Facts head) {
+  public RequestHandle route(RequestAttributes head) {
     return this;
   }
 
@@ -25,8 +25,8 @@
   }
 
   @Override
-  public Settings formerSettings() {
-    return core.formerSettings();
+  public Settings previousSettings() {
+    return core.previousSettings();
   }
 
   @Override
@@ -36,12 +36,12 @@
 
   @Override
   public boolean submit(ClientRequest request, Client client) {
-    return core.take(request, client);
+    return core.submit(request, client);
   }
 
   @Override
-  public void clientGone(String id) {
-    core.clientGone(id);
+  public void clientDisconnected(String id) {
+    core.clientDisconnected(id);
   }
 
   @Override
--- a/src/main/java/pumicekeel/discovery/Discovery.java
+++ b/src/main/java/pumicekeel/discovery/Discovery.java
@@ -168,7 +168,7 @@
 
   private void openCall() {
     cancelNextCall();
-    Channel channel = reactor.connecting();
+    Channel channel = reactor.newConnectingChannel();
     if (channel == null) {
       callFailed("no file descriptor available", CallFailure.UNREACHABLE, 0);
       return;
--- a/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
@@ -9,7 +9,7 @@
 import pumicekeel.call.AnswerStart;
 import pumicekeel.call.BodySink;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.Flow;
+import pumicekeel.call.FlowControl;
 import pumicekeel.runtime.Clock;
 
 /** One Send action of the module, from the decision to exactly one outcome, independent of the upstream's protocol. */
@@ -23,7 +23,7 @@
      * Called when an answer starts that is not buffered; returns where its pieces go, or null to decline it. The outcome is reported as
      * usual.
      */
-    default BodySink answerStarted(UpstreamAttempt attempt, AnswerStart start, Flow source) {
+    default BodySink answerStarted(UpstreamAttempt attempt, AnswerStart start, FlowControl source) {
       return null;
     }
   }
@@ -116,7 +116,7 @@
    * Starts an answer that is streamed to the client; the client's time limit still applies unless the answer is
    * {@link #exemptFromTimeout}.
    */
-  public final BodySink begin(AnswerStart start, Flow source) {
+  public final BodySink begin(AnswerStart start, FlowControl source) {
     BodySink sink = status != null ? null : observer.answerStarted(this, start, source);
     if (sink != null) {
       answerStartedAt = clock.now();
--- a/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
+++ b/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
@@ -114,7 +114,7 @@
     if (!sockets.acquire(this, pool.address())) {
       return null;
     }
-    Channel channel = reactor.connecting();
+    Channel channel = reactor.newConnectingChannel();
     if (channel == null) {
       sockets.release(this, pool.address());
       // Its descriptor is then available to the next attempt.
--- a/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
@@ -101,7 +101,7 @@
 
   /** Returns false if the peer has closed the connection, or has sent data that no request called for. */
   public boolean usable() {
-    return reactor.sockets().quiet(channel);
+    return reactor.sockets().isQuiet(channel);
   }
 
   /** Returns how long to wait before the next request on it; 0 or less if it can be reused now. */
@@ -152,17 +152,17 @@
     channel.write(head);
     from.attach(new BodySink() {
       @Override
-      public void piece(ByteBuf bytes) {
+      public void onChunk(ByteBuf bytes) {
         channel.writeAndFlush(new DefaultHttpContent(bytes));
       }
 
       @Override
-      public void whole() {
+      public void onComplete() {
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, all);
       }
 
       @Override
-      public void cut() {
+      public void onTruncated() {
         fail();
       }
     });
@@ -259,7 +259,7 @@
       coming.detach();
     }
     if (open != null) {
-      open.cut();
+      open.onTruncated();
     }
   }
 
@@ -299,7 +299,7 @@
         && !isInterim()
         && !unexpectedData) {
       bodyBytesReceived += part.content().readableBytes();
-      unexpectedData = bodyBytesReceived > Answer.MOST_BODY || !consume(part.content());
+      unexpectedData = bodyBytesReceived > Answer.MAX_BODY_BYTES || !consume(part.content());
       answerComplete = !unexpectedData && message instanceof LastHttpContent;
     }
   }
@@ -307,24 +307,24 @@
   /** Buffers a piece or streams it; returns false if neither is possible. */
   private boolean consume(ByteBuf piece) throws IOException {
     if (sink == null
-        && bodyBytesReceived > Answer.MAX_BODY
+        && bodyBytesReceived > Answer.MAX_BUFFERED_BYTES
         && AnswerHead.statusOf(response) != Status.SERVED) {
       // The body of a failed attempt's answer is not used.
       return true;
     }
     if (sink == null
-        && (bodyBytesReceived > Answer.MAX_BODY
-            || HttpUtil.getContentLength(response, -1L) > Answer.MAX_BODY)
+        && (bodyBytesReceived > Answer.MAX_BUFFERED_BYTES
+            || HttpUtil.getContentLength(response, -1L) > Answer.MAX_BUFFERED_BYTES)
         && !startStreaming()) {
       return false;
     }
-    if (sink != null && bodyBytesReceived > Answer.MAX_BODY) {
+    if (sink != null && bodyBytesReceived > Answer.MAX_BUFFERED_BYTES) {
       attempt.exemptFromTimeout();
     }
     if (sink == null) {
       piece.readBytes(body, piece.readableBytes());
     } else if (piece.isReadable()) {
-      sink.piece(piece.retain());
+      sink.onChunk(piece.retain());
     }
     return true;
   }
@@ -337,11 +337,11 @@
     long length = HttpUtil.getContentLength(response, -1L);
     sink = attempt.begin(
         new AnswerStart(response.headers().get(HttpHeaderNames.CONTENT_TYPE), length), this::flow);
-    if (sink != null && length > Answer.MAX_BODY) {
+    if (sink != null && length > Answer.MAX_BUFFERED_BYTES) {
       attempt.exemptFromTimeout();
     }
     if (sink != null && body.size() > 0) {
-      sink.piece(Unpooled.wrappedBuffer(body.toByteArray()));
+      sink.onChunk(Unpooled.wrappedBuffer(body.toByteArray()));
     }
     return sink != null;
   }
@@ -416,7 +416,7 @@
       channel.close();
     }
     if (streamed != null) {
-      streamed.whole();
+      streamed.onComplete();
     }
     ended.end(
         AnswerHead.statusOf(response),
