--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/pumicekeel/node/Reload.java
@@ -85,7 +85,7 @@
       // Java respects an ignored signal: a process started by nohup, for example, never receives
       // it.
       Log.line(
-          "reload: SIGHUP was set to be ignored before this process started; it will not be received");
+          "reload: SIGHUP is ignored since before this process started; it will not be received");
     }
   }
 
