--- a/src/test/java/pumicekeel/node/AdminCallsTest.java
+++ b/src/test/java/pumicekeel/node/AdminCallsTest.java
@@ -15,48 +15,49 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** The operators' door on sockets, and clients that are sent away by it. */
-class OperatorDoorTest {
+/** The admin endpoint on sockets, and the evacuation of clients by it. */
+class AdminCallsTest {
 
   private static final String UP = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
 
-  private static String call(InetSocketAddress door, String text) throws IOException {
-    try (Socket socket = new Socket(door.getAddress(), door.getPort())) {
+  private static String call(InetSocketAddress admin, String text) throws IOException {
+    try (Socket socket = new Socket(admin.getAddress(), admin.getPort())) {
       socket.setSoTimeout(30_000);
       socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
       socket.shutdownOutput();
       BufferedReader in = new BufferedReader(
           new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
       String answer = in.readLine();
-      assertEquals(null, in.readLine(), "one line, then the end");
+      assertEquals(null, in.readLine(), "one line, then the connection is closed");
       return answer;
     }
   }
 
   private static TestNode node(FakeServer... upstreams) throws Exception {
-    return new TestNode(TestNode.json(TestNode.nowhere(), 1, upstreams)
+    return new TestNode(TestNode.json(TestNode.unusedAddress(), 1, upstreams)
         .replace("\"seed\"", "\"admin\":\"127.0.0.1:0\",\"seed\""));
   }
 
   @Test
-  void answersWhateverCallersDoBeforeItAndBesideIt() throws Exception {
+  void callsAreAnsweredDespiteOtherCallers() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = node(upstream);
-      InetSocketAddress door = node.node.adminAddress();
+      InetSocketAddress admin = node.node.adminAddress();
       List<Socket> silent = new ArrayList<>();
       for (int i = 0; i < 100; i++) {
-        Socket socket = new Socket(door.getAddress(), door.getPort());
+        Socket socket = new Socket(admin.getAddress(), admin.getPort());
         if (i % 2 == 0) {
           socket.getOutputStream().write("evacu".getBytes(StandardCharsets.US_ASCII));
         }
         silent.add(socket);
         if (i % 20 == 0) {
-          assertTrue(call(door, "readyz\n").startsWith("YES"), "beside " + i + " that say nothing");
+          assertTrue(
+              call(admin, "readyz\n").startsWith("YES"), "beside " + i + " silent connections");
         }
       }
-      assertTrue(call(door, "evacuate").startsWith("NO"), "half a call does nothing");
-      assertTrue(call(door, "x".repeat(10_000) + "\n").startsWith("NO"));
-      assertTrue(call(door, "readyz\r\n").startsWith("YES"));
+      assertTrue(call(admin, "evacuate").startsWith("NO"), "an incomplete call does nothing");
+      assertTrue(call(admin, "x".repeat(10_000) + "\n").startsWith("NO"));
+      assertTrue(call(admin, "readyz\r\n").startsWith("YES"));
       for (Socket socket : silent) {
         socket.close();
       }
@@ -64,67 +65,68 @@
   }
 
   @Test
-  void clientsAreSentAwayWithTheirAnswersAndTakenAgain() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
+  void evacuationClosesClientsAfterTheirAnswersAndActivateAcceptsThemAgain() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       if (request.contains("long")) {
-        held.await();
+        release.await();
       }
       FakeServer.write(out, FakeServer.ok("fine"));
     })) {
       TestNode node = node(upstream);
-      InetSocketAddress door = node.node.adminAddress();
+      InetSocketAddress admin = node.node.adminAddress();
       try (TestClient busy = new TestClient(node.address);
           TestClient idle = new TestClient(node.address);
           TestClient open = new TestClient(node.address)) {
         idle.call(TestClient.look("first", 15_000, ""));
         open.send(TestClient.look("long", 15_000, ""));
         TestNode.until(() -> upstream.requests.stream().anyMatch(r -> r.contains("long")));
-        long told = System.nanoTime();
-        assertTrue(call(door, "evacuate\n").startsWith("YES"));
-        assertTrue(call(door, "readyz\n").startsWith("NO"));
+        long calledAt = System.nanoTime();
+        assertTrue(call(admin, "evacuate\n").startsWith("YES"));
+        assertTrue(call(admin, "readyz\n").startsWith("NO"));
         assertEquals(503, busy.call(UP).status(), "the front is told at once");
         int served = 0;
         boolean last = false;
         while (!last) {
           TestClient.Reply reply = busy.call(TestClient.look("b" + served++, 15_000, ""));
-          assertEquals("fine", reply.body(), "served as ever until the connection's last answer");
+          assertEquals("fine", reply.body(), "served as usual until the connection's last answer");
           last = reply.head().contains("connection: close");
         }
         assertTrue(busy.ended());
-        assertTrue(idle.ended(), "one that asks nothing is closed");
+        assertTrue(idle.ended(), "a connection without a request is closed");
         assertTrue(
-            System.nanoTime() - told < 9_000_000_000L,
-            "for that, and not since it was idle for 10 s");
+            System.nanoTime() - calledAt < 9_000_000_000L,
+            "because of the evacuation, not of the idle time-out of 10 s");
         try (TestClient late = new TestClient(node.address)) {
-          assertEquals(503, late.call(UP).status(), "it listens on, for the front's question");
+          assertEquals(
+              503, late.call(UP).status(), "it still listens, for the front's health check");
           assertTrue(late.ended());
         }
-        held.countDown();
+        release.countDown();
         TestClient.Reply reply = open.read();
-        assertEquals("fine", reply.body(), "what was taken before is answered");
+        assertEquals("fine", reply.body(), "a request accepted before is answered");
         assertTrue(reply.head().contains("connection: close"));
         TestNode.until(() -> node.node.listeners().open() == 0);
-        assertTrue(call(door, "activate\n").startsWith("YES"));
-        assertTrue(call(door, "readyz\n").startsWith("YES"));
+        assertTrue(call(admin, "activate\n").startsWith("YES"));
+        assertTrue(call(admin, "readyz\n").startsWith("YES"));
         try (TestClient again = new TestClient(node.address)) {
           assertEquals(200, again.call(UP).status());
-          TestClient.Reply served2 = again.call(TestClient.look("again", 15_000, ""));
-          assertEquals("fine", served2.body());
-          assertFalse(served2.head().contains("connection: close"));
+          TestClient.Reply reactivated = again.call(TestClient.look("again", 15_000, ""));
+          assertEquals("fine", reactivated.body());
+          assertFalse(reactivated.head().contains("connection: close"));
         }
       }
     }
   }
 
   @Test
-  void evacuatedOneThatIsStoppedEndsAndTakesNobodyAgain() throws Exception {
+  void evacuatedInstanceThatStopsCannotBeActivated() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = node(upstream);
-      InetSocketAddress door = node.node.adminAddress();
-      call(door, "evacuate\n");
+      InetSocketAddress admin = node.node.adminAddress();
+      call(admin, "evacuate\n");
       node.node.drain();
-      assertTrue(call(door, "activate\n").startsWith("NO"));
+      assertTrue(call(admin, "activate\n").startsWith("NO"));
       node.node.awaitDrained();
     }
   }
--- a/src/test/java/pumicekeel/node/BadInputTest.java
+++ b/src/test/java/pumicekeel/node/BadInputTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Clients that break the protocol get a 4xx or a clean end, and nobody else notices. */
+/** Clients that violate the protocol get a 4xx answer or an orderly close, and other clients are not affected. */
 class BadInputTest {
 
   static Stream<Arguments> requests() {
@@ -37,22 +37,22 @@
 
   @ParameterizedTest
   @MethodSource("requests")
-  void getsItsStatusAndTheNextClientIsServed(int status, String request) throws Exception {
+  void badRequestIsAnsweredAndTheNextClientIsServed(int status, String request) throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address);
           TestClient next = new TestClient(node.address)) {
         assertEquals(status, client.call(request).status());
         assertEquals(200, next.call(TestClient.look("1", 15_000, "")).status());
-        assertEquals(1, upstream.requests.size(), "none of it went on");
+        assertEquals(1, upstream.requests.size(), "nothing of the bad request was forwarded");
       }
     }
   }
 
   @Test
-  void pipeliningGetsTheFirstAnswerAndAnEnd() throws Exception {
+  void pipelinedRequestsGetTheFirstAnswerAndAClose() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         client.send(TestClient.look("1", 15_000, "") + TestClient.look("2", 15_000, ""));
         assertEquals("fine", client.read().body());
@@ -63,19 +63,19 @@
   }
 
   @Test
-  void idThatIsOpenIsAConflictAndTheFirstKeepsItsAnswer() throws Exception {
-    var held = new java.util.concurrent.CountDownLatch(1);
+  void duplicateOpenIdIsAConflictAndTheFirstRequestIsAnswered() throws Exception {
+    var release = new java.util.concurrent.CountDownLatch(1);
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      held.await();
+      release.await();
       FakeServer.write(out, FakeServer.ok("fine"));
     })) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient first = new TestClient(node.address);
           TestClient second = new TestClient(node.address)) {
         first.send(TestClient.look("1", 15_000, ""));
         TestNode.until(() -> upstream.requests.size() == 1);
         assertEquals(409, second.call(TestClient.look("1", 15_000, "")).status());
-        held.countDown();
+        release.countDown();
         assertEquals("fine", first.read().body());
       }
     }
--- a/src/test/java/pumicekeel/node/BalancerCoreTest.java
+++ b/src/test/java/pumicekeel/node/BalancerCoreTest.java
@@ -37,7 +37,7 @@
 import pumicekeel.runtime.Reactor;
 import pumicekeel.upstream.http.ConnectionPool;
 
-/** The request table under modules that do what the real one never should. */
+/** The request table with modules that misbehave in ways that the real one never should. */
 class BalancerCoreTest {
 
   private static final long UPSTREAM = HostList.idOf("s-0");
@@ -52,7 +52,7 @@
   private BalancerCore core;
   private Balancer.Settings settings;
 
-  /** What a test's module does on a request or an outcome. */
+  /** The reaction of a test's module to a request or an outcome. */
   interface Module {
     void handle(Event event, Consumer<Action> out);
   }
@@ -75,7 +75,7 @@
   };
 
   private void start(Module module, FakeServer... upstreams) throws Exception {
-    Fields f = Fields.parse("configuration", TestNode.json(TestNode.nowhere(), 3, upstreams));
+    Fields f = Fields.parse("configuration", TestNode.json(TestNode.unusedAddress(), 3, upstreams));
     settings = Decoder.settings(f.nested("settings"));
     ConnectionPool pool =
         new ConnectionPool(Reactor.of(loop), 5_000_000_000L, 60_000_000_000L, 100);
@@ -96,7 +96,7 @@
           defects.add(defect);
         });
     HostList known = HostList.of(f.nested("known"));
-    loop.submit(() -> core.start(known, on -> {})).get();
+    loop.submit(() -> core.start(known, active -> {})).get();
   }
 
   private ClientRequest request(String id, String type, long leftMillis) {
@@ -121,7 +121,7 @@
     take(id, type, leftMillis, () -> {});
   }
 
-  /** Takes a request and does something else on the loop before anything more is read. */
+  /** Admits a request and runs a task on the loop before anything more is read. */
   private void take(String id, String type, long leftMillis, Runnable then) throws Exception {
     ClientRequest request = request(id, type, leftMillis);
     assertTrue(loop.submit(() -> {
@@ -158,16 +158,17 @@
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
-  /** Past a quarter more than the aim of 2 s up to 0.3 s are kept for the answer; before that 60 ms. */
+  /** Beyond 1.25 times the aim of 2 s up to 1 s is reserved for a stall before the answer, below that 60 ms. */
   @Test
-  void whatEarnsNothingIsKeptForAStallOfTheProcess() throws Exception {
+  void timeOfNoWorthIsReservedForAStallOfTheProcess() throws Exception {
     start((event, out) -> {});
     assertEquals(19_000, BalancerCore.timeFor(request("1", "look", 20_000)) / 1_000_000);
     assertEquals(2_600, BalancerCore.timeFor(request("2", "look", 2_700)) / 1_000_000);
     assertEquals(2_440, BalancerCore.timeFor(request("3", "look", 2_500)) / 1_000_000);
     assertEquals(840, BalancerCore.timeFor(request("4", "look", 900)) / 1_000_000);
-    // A class of 0.4 and 2 s keeps 0.75 s of it, one whose late answers earn a half 0.375 s, one
-    // that earns as much late 60 ms.
+    // A class with aim 0.4 s and deadline 2 s reserves 0.75 s; with a late worth of one half 0.375
+    // s;
+    // if late answers are worth as much as punctual ones, 60 ms.
     assertEquals(1_250, timeLeft(0, 0));
     assertEquals(1_625, timeLeft(0.5, 0));
     assertEquals(1_940, timeLeft(1, 0));
@@ -190,7 +191,7 @@
   }
 
   @Test
-  void moduleThatGivesNoAnswerIsAnsweredFor() throws Exception {
+  void requestIsAnsweredWithoutTheModulesDecision() throws Exception {
     start((event, out) -> {});
     take("1", "order", 200);
     assertEquals("refused", answer(), "nothing ran");
@@ -198,7 +199,7 @@
   }
 
   @Test
-  void answerForTheModulePromisesNothingOnceTheRequestMayHaveRun() throws Exception {
+  void requestThatMayHaveRunFailsWithoutTheModulesDecision() throws Exception {
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
       start(BalancerCoreTest::sendOnRequest, upstream);
       take("1", "order", 1_000);
@@ -207,7 +208,7 @@
   }
 
   @Test
-  void lateOutcomeStillGoesToTheModuleAndTheClientHearsNothingMore() throws Exception {
+  void lateOutcomeIsPassedToTheModuleAndNotToTheClient() throws Exception {
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       TestNode.until(() -> !answers.isEmpty());
       FakeServer.write(out, FakeServer.ok("late"));
@@ -234,25 +235,26 @@
   }
 
   @Test
-  void pauseOfTheLoopIsNotTheUpstreamsLatency() throws Exception {
-    long pause = 2_000_000_000L;
+  void loopStallIsNotCountedAsUpstreamLatency() throws Exception {
+    long stallNanos = 2_000_000_000L;
     try (FakeServer upstream = FakeServer.serving("fine")) {
       start(BalancerCoreTest::sendOnRequest, upstream);
       take("1", "look", 15_000);
       outcome();
       take("2", "look", 15_000, () -> {
-        for (long end = System.nanoTime() + pause; System.nanoTime() < end; ) {
+        for (long end = System.nanoTime() + stallNanos; System.nanoTime() < end; ) {
           LockSupport.parkNanos(end - System.nanoTime());
         }
       });
       long latency = outcome().latencyNanos();
       assertTrue(
-          latency < pause * 3 / 4, "answered at once, read " + pause + " ns later: " + latency);
+          latency < stallNanos * 3 / 4,
+          "answered at once, read " + stallNanos + " ns later: " + latency);
     }
   }
 
   @Test
-  void plannedStopAnswersWhatIsOpenBeforeItsEnd() throws Exception {
+  void plannedStopAnswersOpenRequestsBeforeItsEnd() throws Exception {
     start((event, out) -> {});
     take("1", "look", 600_000);
     loop.submit(() -> core.endBy(100_000_000L)).get();
@@ -260,7 +262,7 @@
   }
 
   @Test
-  void resetOfAKeptConnectionTellsOfTheConnectionAndOfANewOneOfTheUpstream() throws Exception {
+  void resetIsStaleOnAKeptConnectionAndNotOnANewOne() throws Exception {
     AtomicBoolean broken = new AtomicBoolean();
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       if (broken.get()) {
@@ -284,7 +286,7 @@
   }
 
   @Test
-  void exceptionOfTheModuleAnswersAllThatIsOpen() throws Exception {
+  void moduleExceptionAnswersAllOpenRequests() throws Exception {
     start((event, out) -> {
       if (event instanceof Request r && r.id().equals("2")) {
         throw new IllegalStateException("defect");
@@ -298,7 +300,7 @@
   }
 
   @Test
-  void actionThatTheModuleNeverEmitsIsNamed() throws Exception {
+  void unexpectedActionIsNamedInTheDefect() throws Exception {
     start((event, out) -> {
       if (event instanceof Request) {
         out.accept(new FetchList());
@@ -309,7 +311,7 @@
   }
 
   @Test
-  void upstreamKnownToLeaveGetsNothingMoreAndTheOutcomeIsNotNested() throws Exception {
+  void drainingUpstreamGetsNoMoreRequestsAndTheOutcomeIsNotNested() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       start(BalancerCoreTest::sendOnRequest, upstream);
       Balancer.Listed leaving = new Balancer.Listed(UPSTREAM, "a", 1, State.DRAINING, 0, 1);
@@ -329,13 +331,13 @@
 
   @Test
   void repeatAfterTheKeyedWindowIsNotSent() throws Exception {
-    Consumer<Consumer<Action>> again = out -> out.accept(new Send("1", UPSTREAM, 15_000_000_000L));
+    Consumer<Consumer<Action>> resend = out -> out.accept(new Send("1", UPSTREAM, 15_000_000_000L));
     try (FakeServer upstream = new FakeServer((request, connection, out) ->
         FakeServer.write(out, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"))) {
       start(
           (event, out) -> {
             if (event instanceof Request || event instanceof Balancer.TimerFired) {
-              again.accept(out);
+              resend.accept(out);
             } else if (event instanceof Outcome o && o.status() == Status.ERROR) {
               out.accept(new Balancer.SetTimer(
                   "again",
--- a/src/test/java/pumicekeel/node/ClientDisconnectBetweenAttemptsTest.java
+++ b/src/test/java/pumicekeel/node/ClientDisconnectBetweenAttemptsTest.java
@@ -16,23 +16,23 @@
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.Reactor;
 
-/** Clients that leave after a first attempt, or while a kept connection rests: no attempt of theirs begins any more. */
-class LeavingBetweenAttemptsTest {
+/** Clients that disconnect after a first attempt, or while an upstream connection is held back: no further attempt begins. */
+class ClientDisconnectBetweenAttemptsTest {
 
   private static final long LEFT_MILLIS = 50_000;
-  /** An attempt may still begin so long after its client has gone. */
-  private static final long SEEN_LATE_NANOS = 100_000_000L;
+  /** An attempt may still begin this long after its client has disconnected. */
+  private static final long NOTICED_WITHIN_NANOS = 100_000_000L;
 
-  /** Requests one behind the other, after which a rest that had begun before them is surely over. */
-  private static final int RESTS = 5;
+  /** Sequential requests after which a hold that began before them has surely ended. */
+  private static final int HOLDS = 5;
 
   /** How a client ends its connection. */
-  enum Leaving {
+  enum Disconnect {
     CLOSE,
     RESET,
     HALF_CLOSE;
 
-    void leave(TestClient client) throws IOException {
+    void apply(TestClient client) throws IOException {
       switch (this) {
         case CLOSE -> client.close();
         case RESET -> client.reset();
@@ -41,16 +41,16 @@
     }
   }
 
-  /** An upstream that leaves the requests of clients that leave unanswered, and breaks their connection when it is told to. */
-  private static final class Breaking implements FakeServer.Behaviour {
-    private final CountDownLatch breaks = new CountDownLatch(1);
-    private final AtomicBoolean broke = new AtomicBoolean();
+  /** An upstream that does not answer requests of disconnecting clients and resets the connection of the first when told to. */
+  private static final class ResettingUpstream implements FakeServer.Behaviour {
+    private final CountDownLatch reset = new CountDownLatch(1);
+    private final AtomicBoolean wasReset = new AtomicBoolean();
 
     @Override
     public void answer(String request, Socket connection, java.io.OutputStream out)
         throws Exception {
-      if (request.contains(": leaves") && broke.compareAndSet(false, true)) {
-        breaks.await();
+      if (request.contains(": leaves") && wasReset.compareAndSet(false, true)) {
+        reset.await();
         connection.setSoLinger(true, 0);
         connection.close();
       } else {
@@ -60,7 +60,7 @@
   }
 
   private static String configuration(boolean mayCancel, FakeServer upstream) {
-    return TestNode.json(TestNode.nowhere(), 3, upstream)
+    return TestNode.json(TestNode.unusedAddress(), 3, upstream)
         .replace("\"cancel\":true", "\"cancel\":" + mayCancel);
   }
 
@@ -68,12 +68,13 @@
     return upstream.requests.stream().filter(r -> r.contains(": " + id + "\n")).count();
   }
 
-  /** A later client is served, by which time whatever was to follow the break would have been sent. */
-  private static void laterClientIsServed(TestNode node, FakeServer upstream) throws Exception {
+  /** Serves a later client, by which time any attempt after the reset would have been sent. */
+  private static void assertOnlyALaterClientIsServed(TestNode node, FakeServer upstream)
+      throws Exception {
     try (TestClient stays = new TestClient(node.address)) {
       assertEquals(200, stays.call(TestClient.look("stays", LEFT_MILLIS, "")).status());
     }
-    node.pass();
+    node.awaitLoopPass();
     assertEquals(1, attemptsOf(upstream, "leaves"), () -> "sent on: " + upstream.requests);
   }
 
@@ -86,82 +87,83 @@
     "HALF_CLOSE,true",
     "HALF_CLOSE,false"
   })
-  void leftBeforeItsFirstAttemptBreaks(Leaving how, boolean mayCancel) throws Exception {
-    Breaking breaking = new Breaking();
-    try (FakeServer upstream = new FakeServer(breaking)) {
+  void disconnectBeforeTheFirstAttemptIsReset(Disconnect how, boolean mayCancel) throws Exception {
+    ResettingUpstream resetting = new ResettingUpstream();
+    try (FakeServer upstream = new FakeServer(resetting)) {
       TestNode node = new TestNode(configuration(mayCancel, upstream));
       try (TestClient leaves = new TestClient(node.address)) {
         leaves.send(TestClient.look("leaves", LEFT_MILLIS, ""));
         TestNode.until(() -> attemptsOf(upstream, "leaves") == 1);
-        how.leave(leaves);
+        how.apply(leaves);
         TestNode.until(() -> node.node.listeners().platform().open() == 0);
-        breaking.breaks.countDown();
-        laterClientIsServed(node, upstream);
+        resetting.reset.countDown();
+        assertOnlyALaterClientIsServed(node, upstream);
       }
     }
   }
 
-  /** The break and the client's end stand side by side when the loop reads again. */
+  /** The reset and the client's disconnect are both pending when the loop reads again. */
   @ParameterizedTest
-  @EnumSource(Leaving.class)
-  void leftWhileTheLoopStoodStillAndItsAttemptBroke(Leaving how) throws Exception {
-    Breaking breaking = new Breaking();
-    try (FakeServer upstream = new FakeServer(breaking)) {
+  @EnumSource(Disconnect.class)
+  void disconnectAndResetWhileTheLoopIsStalled(Disconnect how) throws Exception {
+    ResettingUpstream resetting = new ResettingUpstream();
+    try (FakeServer upstream = new FakeServer(resetting)) {
       TestNode node = new TestNode(configuration(false, upstream));
       try (TestClient leaves = new TestClient(node.address)) {
         leaves.send(TestClient.look("leaves", LEFT_MILLIS, ""));
         TestNode.until(() -> attemptsOf(upstream, "leaves") == 1);
-        CountDownLatch goesOn = node.standStill();
-        breaking.breaks.countDown();
+        CountDownLatch resume = node.stallLoop();
+        resetting.reset.countDown();
         TestNode.until(() -> upstream.closedByPeer.get() == 1);
-        how.leave(leaves);
-        goesOn.countDown();
-        laterClientIsServed(node, upstream);
+        how.apply(leaves);
+        resume.countDown();
+        assertOnlyALaterClientIsServed(node, upstream);
       }
     }
   }
 
-  /** So much stands behind its request that its end is not read at once. */
+  /** So much data follows the request that the end of the connection is not read at once. */
   @ParameterizedTest
   @ValueSource(ints = {100, 4_000, 20_000})
-  void leftBehindSoManyMoreRequestsBeforeItsAttemptBreaks(int behind) throws Exception {
-    Breaking breaking = new Breaking();
-    try (FakeServer upstream = new FakeServer(breaking)) {
+  void disconnectBehindFurtherRequestsBeforeTheAttemptIsReset(int behind) throws Exception {
+    ResettingUpstream resetting = new ResettingUpstream();
+    try (FakeServer upstream = new FakeServer(resetting)) {
       TestNode node = new TestNode(configuration(false, upstream));
       try (TestClient leaves = new TestClient(node.address)) {
         leaves.send(TestClient.look("leaves", LEFT_MILLIS, ""));
         TestNode.until(() -> attemptsOf(upstream, "leaves") == 1);
         leaves.send(TestClient.look("behind", LEFT_MILLIS, "").repeat(behind));
       }
-      long left = System.nanoTime();
-      LockSupport.parkNanos(SEEN_LATE_NANOS);
-      TestNode.until(() -> System.nanoTime() - left > SEEN_LATE_NANOS);
-      breaking.breaks.countDown();
-      laterClientIsServed(node, upstream);
+      long leftAt = System.nanoTime();
+      LockSupport.parkNanos(NOTICED_WITHIN_NANOS);
+      TestNode.until(() -> System.nanoTime() - leftAt > NOTICED_WITHIN_NANOS);
+      resetting.reset.countDown();
+      assertOnlyALaterClientIsServed(node, upstream);
     }
   }
 
-  /** A clock that stands still, so that a kept connection rests for as long as a test wants. */
-  private static final class StandingClock {
+  /** A clock that can be stopped, so that an upstream connection is held back for as long as a test wants. */
+  private static final class StoppableClock {
     private volatile long passed;
-    private volatile long from = System.nanoTime();
-    private volatile boolean stands;
+    private volatile long startedAt = System.nanoTime();
+    private volatile boolean stopped;
 
     private long now() {
-      return stands ? passed : passed + System.nanoTime() - from;
+      return stopped ? passed : passed + System.nanoTime() - startedAt;
     }
 
-    private void stand(boolean on) {
+    private void setStopped(boolean stop) {
       passed = now();
-      from = System.nanoTime();
-      stands = on;
+      startedAt = System.nanoTime();
+      stopped = stop;
     }
   }
 
   @ParameterizedTest
   @CsvSource({"CLOSE,true", "CLOSE,false", "RESET,false", "HALF_CLOSE,false"})
-  void leftWhileAKeptConnectionRests(Leaving how, boolean mayCancel) throws Exception {
-    StandingClock clock = new StandingClock();
+  void disconnectWhileAnIdleUpstreamConnectionIsHeldBack(Disconnect how, boolean mayCancel)
+      throws Exception {
+    StoppableClock clock = new StoppableClock();
     Reactor system = Reactor.start();
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = new TestNode(
@@ -170,35 +172,35 @@
               system.loop(), new Clock(clock::now, System.currentTimeMillis()), system.sockets()));
       try (TestClient first = new TestClient(node.address);
           TestClient leaves = new TestClient(node.address)) {
-        node.pass();
-        // Stands before the answer comes: the rest counts from then.
+        node.awaitLoopPass();
+        // Stopped before the answer arrives: the hold counts from then.
         upstream.behaviour = (request, connection, out) -> {
-          clock.stand(true);
+          clock.setStopped(true);
           FakeServer.write(out, FakeServer.ok("fine"));
         };
         assertEquals(200, first.call(TestClient.look("first", LEFT_MILLIS, "")).status());
         upstream.behaviour =
             (request, connection, out) -> FakeServer.write(out, FakeServer.ok("fine"));
         leaves.send(TestClient.look("leaves", LEFT_MILLIS, ""));
-        node.pass();
-        how.leave(leaves);
+        node.awaitLoopPass();
+        how.apply(leaves);
         TestNode.until(() -> node.node.listeners().platform().open() == 1);
-        clock.stand(false);
-        // Each of these waits for the rest of the connection before it, or for the one that was
-        // kept.
-        for (int i = 0; i < RESTS; i++) {
+        clock.setStopped(false);
+        // Each of these waits for the hold of the connection used before, or for that of the idle
+        // connection.
+        for (int i = 0; i < HOLDS; i++) {
           assertEquals(
               200, first.call(TestClient.look("again" + i, LEFT_MILLIS, "")).status());
         }
-        node.pass();
+        node.awaitLoopPass();
         assertEquals(0, attemptsOf(upstream, "leaves"), () -> "sent on: " + upstream.requests);
       }
     }
   }
 
-  /** What a half-close means here: the client has gone, so nothing is owed on its connection, which ends. */
+  /** A half-close over HTTP counts as a disconnect: nothing more is sent, and the connection is closed. */
   @Test
-  void halfCloseOverHttpIsTheClientsEnd() throws Exception {
+  void halfCloseOverHttpIsADisconnect() throws Exception {
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
       TestNode node = new TestNode(configuration(true, upstream));
       try (TestClient leaves = new TestClient(node.address)) {
--- a/src/test/java/pumicekeel/node/ClientDisconnectTest.java
+++ b/src/test/java/pumicekeel/node/ClientDisconnectTest.java
@@ -13,40 +13,41 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that leave while their requests wait, at every wait: nothing of theirs is sent on. The upstream's own log says so. */
-class LeavingClientTest {
+/** Clients that disconnect while their requests wait, in each kind of wait: nothing is forwarded, by the upstream's own log. */
+class ClientDisconnectTest {
 
   private static final long LEFT_MILLIS = 50_000;
-  /** Far more than it takes to see a client leave, and far less than a request is held. */
-  private static final long SEEN_NANOS = 4_000_000_000L;
+  /** Far longer than it takes to notice a disconnect, and far shorter than a request is held. */
+  private static final long NOTICED_WITHIN_NANOS = 4_000_000_000L;
 
   private static final String BAD =
       TestClient.look("bad", LEFT_MILLIS, "").replace("acme", "nobody");
 
-  private final CountDownLatch tell = new CountDownLatch(1);
+  private final CountDownLatch report = new CountDownLatch(1);
 
-  /** A discovery that knows of no upstream until it is to tell of this one. */
+  /** Returns a discovery that has no upstream until it is released to report this one. */
   private FakeServer discovery(FakeServer upstream) throws IOException {
     String list = "{\"index\":8,\"snapshot\":true,\"endpoints\":["
         + TestNode.endpoint("s-0", upstream.address(), "in_service") + "]}\n";
     return new FakeServer((request, connection, out) -> {
       FakeServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-      tell.await();
+      report.await();
       FakeServer.write(out, Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
     });
   }
 
   private static TestNode node(FakeServer discovery, FakeServer... known) throws Exception {
-    // Held for a third of its aim: until the discovery tells.
+    // A request is held for a third of its aim, here until the discovery reports.
     return new TestNode(
-        TestNode.json(discovery == null ? TestNode.nowhere() : discovery.address(), 3, known)
+        TestNode.json(discovery == null ? TestNode.unusedAddress() : discovery.address(), 3, known)
             .replace(
                 "\"aim-ns\":2000000000,\"deadline-ns\":20000000000",
                 "\"aim-ns\":60000000000,\"deadline-ns\":60000000000"));
   }
 
-  /** One that stays is served, and nobody else was; what is held would have gone out by the time of its later requests. */
-  private static void onlyOneThatStays(TestNode node, FakeServer upstream) throws IOException {
+  /** Checks that only a client that stays is served; held requests would have been forwarded before its later ones. */
+  private static void assertOnlyAStayingClientIsServed(TestNode node, FakeServer upstream)
+      throws IOException {
     int calls = 5;
     try (TestClient stays = new TestClient(node.address)) {
       for (int i = 0; i < calls; i++) {
@@ -62,26 +63,26 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 30, 4_000})
-  void leftWhileHeldWithSoManyRequestsBehind(int behind) throws Exception {
+  void disconnectWhileHeldWithFurtherRequestsBehind(int behind) throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine");
         FakeServer discovery = discovery(upstream)) {
       TestNode node = node(discovery);
       try (TestClient leaves = new TestClient(node.address)) {
         leaves.send(TestClient.look("leaves", LEFT_MILLIS, ""));
-        node.pass();
+        node.awaitLoopPass();
         leaves.send(TestClient.look("behind", LEFT_MILLIS, "").repeat(behind));
       }
-      long left = System.nanoTime();
-      node.pass();
-      TestNode.until(() ->
-          node.node.listeners().platform().open() == 0 || System.nanoTime() - left > SEEN_NANOS);
-      tell.countDown();
-      onlyOneThatStays(node, upstream);
+      long leftAt = System.nanoTime();
+      node.awaitLoopPass();
+      TestNode.until(() -> node.node.listeners().platform().open() == 0
+          || System.nanoTime() - leftAt > NOTICED_WITHIN_NANOS);
+      report.countDown();
+      assertOnlyAStayingClientIsServed(node, upstream);
     }
   }
 
   @Test
-  void leftWhileHeldOnAConnectionThatRests() throws Exception {
+  void disconnectWhileHeldOnAThrottledConnection() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine");
         FakeServer discovery = discovery(upstream)) {
       TestNode node = node(discovery);
@@ -89,15 +90,15 @@
         assertEquals(
             400, leaves.call(BAD + TestClient.look("leaves", LEFT_MILLIS, "")).status());
       }
-      node.pass();
-      tell.countDown();
-      onlyOneThatStays(node, upstream);
+      node.awaitLoopPass();
+      report.countDown();
+      assertOnlyAStayingClientIsServed(node, upstream);
     }
   }
 
-  /** Its end stands right behind its request when that is read. */
+  /** The end of the connection is right behind the request when that is read. */
   @Test
-  void leftBeforeItsRequestWasRead() throws Exception {
+  void disconnectBeforeTheRequestIsRead() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = node(null, upstream);
       try (TestClient leaves = new TestClient(node.address);
@@ -108,77 +109,77 @@
         assertEquals(
             200,
             waits.call(TestClient.look("waits", LEFT_MILLIS, "")).status(),
-            "rests as long, from later on");
+            "throttled for as long, starting later");
       }
       TestNode.until(() -> node.node.listeners().platform().open() == 0);
       assertEquals(1, upstream.requests.size(), () -> "sent on: " + upstream.requests);
     }
   }
 
-  /** While the loop stands still clients leave and the list comes: whichever is read first. */
+  /** During a stall of the loop clients disconnect and the list arrives; either may be read first. */
   @Test
-  void leftWhileTheLoopStoodStill() throws Exception {
+  void disconnectWhileTheLoopIsStalled() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine");
         FakeServer discovery = discovery(upstream)) {
       TestNode node = node(discovery);
-      List<TestClient> leave = new ArrayList<>();
+      List<TestClient> leaving = new ArrayList<>();
       for (int i = 0; i < 20; i++) {
-        leave.add(
+        leaving.add(
             new TestClient(node.address).send(TestClient.look("leaves" + i, LEFT_MILLIS, "")));
       }
-      node.pass();
-      CountDownLatch goesOn = node.standStill();
-      tell.countDown();
-      for (TestClient client : leave) {
+      node.awaitLoopPass();
+      CountDownLatch resume = node.stallLoop();
+      report.countDown();
+      for (TestClient client : leaving) {
         client.close();
       }
-      goesOn.countDown();
+      resume.countDown();
       TestNode.until(() -> node.node.listeners().platform().open() == 0);
-      onlyOneThatStays(node, upstream);
+      assertOnlyAStayingClientIsServed(node, upstream);
     }
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void leftDuringAConnect(boolean mayCancel) throws Exception {
+  void disconnectDuringAConnect(boolean mayCancel) throws Exception {
     CountDownLatch gate = new CountDownLatch(1);
-    List<Socket> inLine = new ArrayList<>();
+    List<Socket> backlog = new ArrayList<>();
     try (FakeServer upstream = new FakeServer(
         (request, connection, out) -> FakeServer.write(out, FakeServer.ok("fine")), 1, gate)) {
-      fill(upstream, inLine);
-      TestNode node = new TestNode(TestNode.json(TestNode.nowhere(), 3, upstream)
+      fill(upstream, backlog);
+      TestNode node = new TestNode(TestNode.json(TestNode.unusedAddress(), 3, upstream)
           .replace("\"cancel\":true", "\"cancel\":" + mayCancel));
       try (TestClient leaves = new TestClient(node.address)) {
         leaves.send(TestClient.look("leaves", LEFT_MILLIS, ""));
-        node.pass();
+        node.awaitLoopPass();
       }
-      node.pass();
+      node.awaitLoopPass();
       gate.countDown();
-      for (Socket socket : inLine) {
+      for (Socket socket : backlog) {
         socket.close();
       }
-      onlyOneThatStays(node, upstream);
+      assertOnlyAStayingClientIsServed(node, upstream);
     }
   }
 
-  /** Connects until the next connect gets no answer. */
-  private static void fill(FakeServer upstream, List<Socket> inLine) throws IOException {
-    while (inLine.size() < 10) {
+  /** Fills the backlog: connects until a connect times out. */
+  private static void fill(FakeServer upstream, List<Socket> backlog) throws IOException {
+    while (backlog.size() < 10) {
       Socket next = new Socket();
       try {
         next.connect(upstream.address(), 300);
-        inLine.add(next);
+        backlog.add(next);
       } catch (SocketTimeoutException e) {
         next.close();
         return;
       }
     }
-    throw new IOException("its line does not fill");
+    throw new IOException("the backlog does not fill");
   }
 
-  /** What waits unread is the rest of the body, and the end behind it. */
+  /** The rest of the body and the end of the connection are unread. */
   @Test
-  void leftWithABodyOfWhichMostIsUnread() throws Exception {
+  void disconnectWithAMostlyUnreadBody() throws Exception {
     String body = "x".repeat(300_000);
     try (FakeServer upstream = FakeServer.serving("fine");
         FakeServer discovery = discovery(upstream)) {
@@ -188,11 +189,11 @@
             .replace("Length: 4", "Length: " + body.length())
             .replace("\r\n\r\nbody", "\r\n\r\n" + body));
       }
-      node.pass();
-      tell.countDown();
+      node.awaitLoopPass();
+      report.countDown();
       TestNode.until(
           () -> node.node.listeners().platform().open() == 0 && upstream.closedByPeer.get() == 1);
-      onlyOneThatStays(node, upstream);
+      assertOnlyAStayingClientIsServed(node, upstream);
     }
   }
 }
--- a/src/test/java/pumicekeel/node/ClientLimitsTest.java
+++ b/src/test/java/pumicekeel/node/ClientLimitsTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Clients that say nothing, never finish, hide something or flood: each gets an error or an end, all others go on. */
+/** Clients that are silent, never finish, smuggle requests or flood get an error or a close; all others are still served. */
 class ClientLimitsTest {
 
   private static final String ORDER = TestClient.order("1", 15_000);
 
   @Test
-  void silentConnectionIsEnded() throws Exception {
-    TestNode node = new TestNode(TestNode.nowhere(), 1);
+  void silentConnectionIsClosed() throws Exception {
+    TestNode node = new TestNode(TestNode.unusedAddress(), 1);
     try (TestClient silent = new TestClient(node.address)) {
       assertTrue(silent.ended());
     }
@@ -36,9 +36,9 @@
 
   @ParameterizedTest
   @MethodSource("unfinished")
-  void requestThatNeverEndsIsAnswered408AndEnded(String part) throws Exception {
+  void unfinishedRequestIsAnswered408AndClosed(String part) throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals(408, client.call(part).status());
         assertTrue(client.ended());
@@ -47,49 +47,52 @@
     }
   }
 
-  private static Arguments row(int status, String from, String to) {
+  private static Arguments withReplacement(int status, String from, String to) {
     return Arguments.of(status, ORDER.replace(from, to));
   }
 
-  /** With what is hidden in the body: each must be refused as a whole, and nothing of it passed on. */
+  /** Requests smuggled in a body: each must be rejected as a whole and nothing of it forwarded. */
   static Stream<Arguments> smuggled() {
     String hidden = "0\r\n\r\n" + TestClient.look("2", 15_000, "");
     String both = "Content-Length: " + hidden.length() + "\r\nTransfer-Encoding: ";
     return Stream.of(
-        row(400, "Content-Length: 4\r\n\r\nbody", both + "chunked\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4\r\n\r\nbody", both + "gzip, chunked\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4\r\n\r\nbody", both + "identity\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4\r\n\r\nbody", both + "\tchunked\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4\r\n\r\nbody", both + "\r\n chunked\r\n\r\n" + hidden),
-        row(
+        withReplacement(400, "Content-Length: 4\r\n\r\nbody", both + "chunked\r\n\r\n" + hidden),
+        withReplacement(
+            400, "Content-Length: 4\r\n\r\nbody", both + "gzip, chunked\r\n\r\n" + hidden),
+        withReplacement(400, "Content-Length: 4\r\n\r\nbody", both + "identity\r\n\r\n" + hidden),
+        withReplacement(400, "Content-Length: 4\r\n\r\nbody", both + "\tchunked\r\n\r\n" + hidden),
+        withReplacement(
+            400, "Content-Length: 4\r\n\r\nbody", both + "\r\n chunked\r\n\r\n" + hidden),
+        withReplacement(
             400,
             "Content-Length: 4\r\n\r\nbody",
             both.replace("Encoding:", "Encoding :") + "chunked\r\n\r\n" + hidden),
-        row(
+        withReplacement(
             400,
             "Content-Length: 4\r\n\r\nbody",
             both + "chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden),
-        row(400, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 4"),
-        row(400, "Content-Length: 4", "Content-Length: 4, 4"),
-        row(400, "Content-Length: 4", "Content-Length: +4"),
-        row(400, "Content-Length: 4", "Content-Length: -4"),
-        row(400, "Content-Length: 4", "Content-Length: 4\nX: y"),
-        row(505, "HTTP/1.1", "HTTP/1.0"),
-        row(413, "Content-Length: 4\r\n\r\nbody", "Content-Length: 62914560\r\n\r\n"),
-        row(400, "Content-Length: 4\r\n\r\nbody", "Content-Length: 99999999999999999999\r\n\r\n"));
+        withReplacement(400, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 4"),
+        withReplacement(400, "Content-Length: 4", "Content-Length: 4, 4"),
+        withReplacement(400, "Content-Length: 4", "Content-Length: +4"),
+        withReplacement(400, "Content-Length: 4", "Content-Length: -4"),
+        withReplacement(400, "Content-Length: 4", "Content-Length: 4\nX: y"),
+        withReplacement(505, "HTTP/1.1", "HTTP/1.0"),
+        withReplacement(413, "Content-Length: 4\r\n\r\nbody", "Content-Length: 62914560\r\n\r\n"),
+        withReplacement(
+            400, "Content-Length: 4\r\n\r\nbody", "Content-Length: 99999999999999999999\r\n\r\n"));
   }
 
   @ParameterizedTest
   @MethodSource("smuggled")
-  void framingThatCanBeReadInTwoWaysIsRefusedAndEnded(int status, String request) throws Exception {
+  void ambiguousFramingIsRejectedAndClosed(int status, String request) throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address);
           TestClient next = new TestClient(node.address)) {
         assertEquals(status, client.call(request).status());
         assertTrue(client.ended());
         assertEquals(200, next.call(TestClient.look("3", 15_000, "")).status());
-        assertEquals(1, upstream.requests.size(), "nothing of it went on");
+        assertEquals(1, upstream.requests.size(), "nothing of it was forwarded");
       }
     }
   }
@@ -106,9 +109,9 @@
 
   @ParameterizedTest
   @MethodSource("repeated")
-  void repeatedProtocolHeaderIsRefused(String header) throws Exception {
+  void repeatedProtocolHeaderIsRejected(String header) throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals(
             400, client.call(ORDER.replace("Host: h", "Host: h\r\n" + header)).status());
@@ -118,26 +121,26 @@
   }
 
   @Test
-  void clientToldOfItsMistakeIsSlowedAndStillServed() throws Exception {
+  void clientWithABadRequestIsThrottledAndStillServed() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals(
             400,
             client
                 .call(TestClient.look("1", 15_000, "").replace("acme", "nobody"))
                 .status());
-        long told = System.nanoTime();
+        long rejectedAt = System.nanoTime();
         assertEquals(200, client.call(TestClient.look("2", 15_000, "")).status());
-        assertTrue(System.nanoTime() - told > 300_000_000L, "not at full speed");
+        assertTrue(System.nanoTime() - rejectedAt > 300_000_000L, "not at full speed");
       }
     }
   }
 
   @Test
-  void silentConnectionsAtTheLimitGiveWayToOneThatAsks() throws Exception {
+  void silentConnectionsAtTheLimitAreClosedForOneWithARequest() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.json(TestNode.nowhere(), 1, upstream)
+      TestNode node = new TestNode(TestNode.json(TestNode.unusedAddress(), 1, upstream)
           .replace("\"sockets\":1024", "\"sockets\":20"));
       List<TestClient> silent = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
@@ -153,9 +156,9 @@
   }
 
   @Test
-  void clientThatSentTooMuchIsSeenToLeave() throws Exception {
+  void disconnectOfAClientWithExcessInputIsNoticed() throws Exception {
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         client.send(TestClient.look("1", 15_000, ""));
         TestNode.until(() -> upstream.requests.size() == 1);
@@ -168,8 +171,8 @@
   }
 
   @Test
-  void warmUpIsAnsweredToNobodyElse() throws Exception {
-    TestNode node = new TestNode(TestNode.nowhere(), 1);
+  void clientsCannotUseTheWarmUp() throws Exception {
+    TestNode node = new TestNode(TestNode.unusedAddress(), 1);
     try (TestClient client = new TestClient(node.address)) {
       assertEquals(400, client.call("GET /live HTTP/1.1\r\nHost: h\r\n\r\n").status());
     }
--- a/src/test/java/pumicekeel/node/ConnectionPoolTest.java
+++ b/src/test/java/pumicekeel/node/ConnectionPoolTest.java
@@ -28,29 +28,29 @@
 import pumicekeel.upstream.http.ConnectionPool;
 import pumicekeel.upstream.http.UpstreamPool;
 
-/** Limits of the pool, and what a send comes to that is over before its first byte. */
+/** Limits of the connection pool, and the outcome of a send that is cancelled before its first byte. */
 class ConnectionPoolTest {
 
-  private static final long LONG = 60_000_000_000L;
+  private static final long LONG_NANOS = 60_000_000_000L;
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final BlockingQueue<Status> outcomes = new LinkedBlockingQueue<>();
 
   private void send(UpstreamPool pool, String id, boolean maySend, UpstreamAttempt.Ending ending) {
-    RequestClass type =
-        new RequestClass("look", Effect.SAFE, DedupScope.ALL, LONG, LONG, 0, LONG, 1, 0, false);
+    RequestClass type = new RequestClass(
+        "look", Effect.SAFE, DedupScope.ALL, LONG_NANOS, LONG_NANOS, 0, LONG_NANOS, 1, 0, false);
     ClientRequest request = new ClientRequest(
         id,
         type,
         "acme",
         "k",
-        LONG,
+        LONG_NANOS,
         0,
         false,
         new Payload.Http(HttpMethod.GET, "/look", "h", null, new byte[0]),
         null);
-    pool.attempt(0, 1, 0, ending).start(request, LONG, () -> maySend, new Clock(), loop);
+    pool.attempt(0, 1, 0, ending).start(request, LONG_NANOS, () -> maySend, new Clock(), loop);
   }
 
   private void attempt(UpstreamPool pool, boolean maySend) {
@@ -61,20 +61,21 @@
     return outcomes.poll(30, TimeUnit.SECONDS);
   }
 
-  private ConnectionPool pool(long idleNanos, int most) throws Exception {
-    return loop.submit(() -> new ConnectionPool(Reactor.of(loop), LONG, idleNanos, most))
+  private ConnectionPool pool(long idleNanos, int limit) throws Exception {
+    return loop.submit(() -> new ConnectionPool(Reactor.of(loop), LONG_NANOS, idleNanos, limit))
         .get();
   }
 
   @Test
-  void secondCopyRightBehindAnAnswerIsNotTheNextSendsAnswer() throws Exception {
-    // The next send starts from within the first one's outcome, as a module does that had a request
-    // waiting.
+  void duplicateAnswerInTheSameReadIsNotTheNextRequestsAnswer() throws Exception {
+    // The next send starts inside the callback of the first one's outcome, as with a module that
+    // holds
+    // a request.
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       String answer = FakeServer.ok(request.contains("X-Correlation-Id: 1\n") ? "mine" : "next");
       FakeServer.write(out, answer + answer);
     })) {
-      UpstreamPool pool = of(pool(LONG, 10), upstream.address());
+      UpstreamPool pool = of(pool(LONG_NANOS, 10), upstream.address());
       BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
       loop.execute(() -> send(pool, "1", true, (first, status, answer) -> {
         bodies.add(new String(answer.body()));
@@ -85,24 +86,24 @@
     }
   }
 
-  /** The second copy comes some milliseconds behind the answer: once the next request would have been written. */
+  /** The second copy arrives some milliseconds after the answer, when the next request would have been written. */
   @Test
-  void secondCopySomeTimeBehindAnAnswerIsNotTheNextSendsAnswer() throws Exception {
-    CountDownLatch wanted = new CountDownLatch(1);
-    CountDownLatch written = new CountDownLatch(1);
+  void delayedDuplicateAnswerIsNotTheNextRequestsAnswer() throws Exception {
+    CountDownLatch sendDuplicate = new CountDownLatch(1);
+    CountDownLatch duplicateSent = new CountDownLatch(1);
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       if (request.contains("X-Correlation-Id: 1\n")) {
         FakeServer.write(out, FakeServer.ok("mine"));
-        wanted.await();
+        sendDuplicate.await();
         FakeServer.write(out, FakeServer.ok("mine"));
-        written.countDown();
+        duplicateSent.countDown();
       } else {
         FakeServer.write(out, FakeServer.ok("next"));
       }
     })) {
-      // It stands still: a connection rests until the test says otherwise.
-      AtomicLong time = new AtomicLong(LONG);
-      UpstreamPool pool = of(poolBy(time), upstream.address());
+      // A stopped clock: a connection is held back from reuse until the test advances the time.
+      AtomicLong time = new AtomicLong(LONG_NANOS);
+      UpstreamPool pool = of(poolWithClock(time), upstream.address());
       BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
       loop.execute(() ->
           send(pool, "1", true, (first, status, answer) -> bodies.add(new String(answer.body()))));
@@ -110,18 +111,19 @@
       loop.submit(() -> send(
               pool, "2", true, (second, status, answer) -> bodies.add(new String(answer.body()))))
           .get();
-      wanted.countDown();
-      written.await();
-      time.addAndGet(LONG / 2);
+      sendDuplicate.countDown();
+      duplicateSent.await();
+      time.addAndGet(LONG_NANOS / 2);
       assertEquals("next", bodies.poll(30, TimeUnit.SECONDS));
       assertEquals(2, upstream.connections.size());
     }
   }
 
-  /** Its time is the test's. */
-  private ConnectionPool poolBy(AtomicLong time) throws Exception {
-    Reactor on = new Reactor(loop, new Clock(time::get, 1), new NioSockets());
-    return loop.submit(() -> new ConnectionPool(on, LONG, LONG, 10)).get();
+  /** Returns a pool whose clock the test controls. */
+  private ConnectionPool poolWithClock(AtomicLong time) throws Exception {
+    Reactor reactor = new Reactor(loop, new Clock(time::get, 1), new NioSockets());
+    return loop.submit(() -> new ConnectionPool(reactor, LONG_NANOS, LONG_NANOS, 10))
+        .get();
   }
 
   private UpstreamPool of(ConnectionPool pool, InetSocketAddress address) throws Exception {
@@ -134,9 +136,10 @@
   }
 
   @Test
-  void sendThatIsOverWhenTheConnectionIsUpWritesNothingAndLeavesItForTheNext() throws Exception {
+  void sendCancelledDuringTheConnectWritesNothingAndLeavesTheConnectionToTheNext()
+      throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      UpstreamPool pool = of(pool(LONG, 10), upstream.address());
+      UpstreamPool pool = of(pool(LONG_NANOS, 10), upstream.address());
       attempt(pool, false);
       assertEquals(Status.NOT_SENT, outcome());
       attempt(pool, true);
@@ -147,7 +150,7 @@
   }
 
   @Test
-  void idleConnectionIsClosedBeforeTheUpstreamWould() throws Exception {
+  void idleConnectionIsClosedBeforeTheUpstreamClosesIt() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       attempt(of(pool(100_000_000L, 10), upstream.address()), true);
       assertEquals(Status.SERVED, outcome());
@@ -156,7 +159,7 @@
   }
 
   @Test
-  void keptConnectionThatWasBrokenTakesThoseWithItThatWereKeptForLonger() throws Exception {
+  void brokenIdleConnectionClosesThoseIdleForLonger() throws Exception {
     AtomicInteger waiting = new AtomicInteger();
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       if (request.contains("X-Correlation-Id: break\n")) {
@@ -168,16 +171,16 @@
       TestNode.until(() -> waiting.get() == 3);
       FakeServer.write(out, FakeServer.ok("fine"));
     })) {
-      AtomicLong time = new AtomicLong(LONG);
-      UpstreamPool pool = of(poolBy(time), upstream.address());
+      AtomicLong time = new AtomicLong(LONG_NANOS);
+      UpstreamPool pool = of(poolWithClock(time), upstream.address());
       for (int i = 0; i < 3; i++) {
         attempt(pool, true);
       }
       for (int i = 0; i < 3; i++) {
         assertEquals(Status.SERVED, outcome());
       }
-      // All have rested, so that the one used last is asked first.
-      time.addAndGet(LONG / 4);
+      // All may be reused, so that the one used last is chosen first.
+      time.addAndGet(LONG_NANOS / 4);
       loop.execute(
           () -> send(pool, "break", true, (attempt, status, answer) -> outcomes.add(status)));
       assertEquals(Status.RESET, outcome());
@@ -186,10 +189,10 @@
   }
 
   @Test
-  void atTheLimitAnIdleConnectionGivesWayAndABusyOneDoesNot() throws Exception {
+  void atTheLimitAnIdleConnectionIsClosedAndABusyOneIsNot() throws Exception {
     try (FakeServer first = FakeServer.serving("fine");
         FakeServer second = new FakeServer((r, c, out) -> {})) {
-      ConnectionPool pool = pool(LONG, 1);
+      ConnectionPool pool = pool(LONG_NANOS, 1);
       UpstreamPool toFirst = of(pool, first.address());
       attempt(toFirst, true);
       assertEquals(Status.SERVED, outcome());
--- a/src/test/java/pumicekeel/node/CrashTest.java
+++ b/src/test/java/pumicekeel/node/CrashTest.java
@@ -25,7 +25,7 @@
 import pumicekeel.standin.StandInUpstream.Mode;
 import pumicekeel.standin.StandInUpstream.Seen;
 
-/** The process dies by SIGKILL: what its journal says is held against the stand-ins' logs. */
+/** The process is killed by SIGKILL; its journal is compared with the logs of the stand-in upstreams. */
 class CrashTest {
 
   private final TestServices t = new TestServices();
@@ -101,13 +101,13 @@
     return history;
   }
 
-  /** Killed at random moments under load, again and again: every answer of the journal is true. */
+  /** Kills the process repeatedly at random moments under load: the journal's verdict on each request must be correct. */
   @Test
-  void journalTellsTheTruthHoweverTheProcessDied() throws Exception {
+  void journalIsCorrectAfterKillsAtRandomMoments() throws Exception {
     long seed = new SplittableRandom().nextLong();
     System.err.println("CrashTest seed " + seed);
-    StringWriter said = new StringWriter();
-    boolean truthful = new Torture(
+    StringWriter output = new StringWriter();
+    boolean correct = new Torture(
             List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
@@ -118,36 +118,36 @@
             folder,
             "process",
             seed,
-            new PrintWriter(said))
+            new PrintWriter(output))
         .run(30);
-    assertTrue(truthful, "seed " + seed + ": " + said);
+    assertTrue(correct, "seed " + seed + ": " + output);
   }
 
-  /** The keyed request that was out when the process died: its repeat goes to the group that drops it, in its window. */
+  /** A keyed request in flight at the crash: within its window a repeat goes only to the group that deduplicates it. */
   @Test
-  void repeatAfterACrashGoesOnlyToTheGroupThatDropsIt() throws Exception {
+  void repeatAfterACrashGoesOnlyToTheGroupThatDeduplicatesIt() throws Exception {
     t.upstream("q0", 0).mode(Mode.HANG);
     t.upstream("q1", 0).mode(Mode.HANG);
     start();
     try (TestClient client = new TestClient(address)) {
       client.send(ServicesTest.issue("first", "key-1", "h"));
-      TestNode.until(() -> seen("first").size() == 1);
+      TestNode.until(() -> upstreamsOf("first").size() == 1);
       kill();
     }
-    String where = seen("first").get(0);
+    String upstream = upstreamsOf("first").get(0);
     t.upstreams.values().forEach(u -> u.mode(Mode.SERVE));
     start();
     for (int i = 0; i < 6; i++) {
       try (TestClient client = new TestClient(address)) {
-        // Other session keys, so that the ring alone would spread them over both.
+        // Different session keys, which the hash ring alone would spread over both upstreams.
         int status = client
             .call(ServicesTest.issue("again-" + i, "key-1", "h")
                 .replace("Key: k\r", "Key: s" + i + "\r"))
             .status();
         assertTrue(status == 200 || status == 502, "status " + status);
         assertTrue(
-            seen("again-" + i).stream().allMatch(where::equals),
-            seen("again-" + i) + " and not " + where);
+            upstreamsOf("again-" + i).stream().allMatch(upstream::equals),
+            upstreamsOf("again-" + i) + " and not " + upstream);
       }
     }
     Story first = history().stories().stream()
@@ -156,20 +156,20 @@
         .get();
     assertEquals(Story.Verdict.MAY_HAVE_RUN, first.verdict(history().gapOf(first)));
     assertEquals(
-        List.of(where),
+        List.of(upstream),
         first.attempts().stream().map(a -> a.intent().upstream()).toList());
-    // Its window of 5 s is over: nobody drops it any more, so it is failed and not sent.
+    // After its window of 5 s nobody deduplicates it any more, so it fails without being sent.
     TestNode.until(() -> System.currentTimeMillis() - first.first().wallMillis() > 5_100);
     try (TestClient client = new TestClient(address)) {
       assertEquals(502, client.call(ServicesTest.issue("late", "key-1", "h")).status());
-      assertTrue(seen("late").isEmpty());
+      assertTrue(upstreamsOf("late").isEmpty());
       assertEquals(200, client.call(ServicesTest.issue("other", "key-2", "h")).status());
     }
   }
 
-  /** Killed between the intent and the send: the connection was not up yet, so nothing left, and nobody can prove it. */
+  /** Killed between the intent and the send: the connect was pending, so nothing was sent, but the journal can't prove that. */
   @Test
-  void killBeforeTheSendIsToldAsMayHaveRun() throws Exception {
+  void killBeforeTheSendIsReportedAsMayHaveRun() throws Exception {
     t.upstream("q0", 0);
     t.upstream("q1", 0);
     try (java.net.ServerSocket full =
@@ -181,7 +181,7 @@
         try {
           filler.connect(full.getLocalSocketAddress(), 200);
         } catch (java.io.IOException e) {
-          // The backlog is full: the next connect stays open.
+          // The backlog is full: the next connect stays pending.
         }
       }
       start(t.list("q0", "q1")
@@ -206,9 +206,9 @@
     }
   }
 
-  /** The second of two processes on one folder does not start; once the first was killed, the lock is gone with it. */
+  /** A second process on the same directory does not start; the lock is released when the first process is killed. */
   @Test
-  void folderIsHeldByOneProcessAndItsLockDiesWithIt() throws Exception {
+  void directoryIsLockedByOneProcessAndReleasedAtItsDeath() throws Exception {
     t.upstream("q0", 0);
     t.upstream("q1", 0);
     start();
@@ -221,7 +221,7 @@
     start();
   }
 
-  private List<String> seen(String id) {
+  private List<String> upstreamsOf(String id) {
     return t.upstreams.entrySet().stream()
         .filter(u -> u.getValue().seen().stream().map(Seen::id).anyMatch(id::equals))
         .map(Map.Entry::getKey)
--- a/src/test/java/pumicekeel/node/DeliveredConfigurationTest.java
+++ b/src/test/java/pumicekeel/node/DeliveredConfigurationTest.java
@@ -27,7 +27,7 @@
 import pumicekeel.load.LoadResults.Outcome;
 import pumicekeel.runtime.Log;
 
-/** A balancer that follows a control machine over loopback. */
+/** A balancer that subscribes to a control machine over loopback. */
 class DeliveredConfigurationTest {
 
   private final TestServices t = new TestServices();
@@ -90,12 +90,12 @@
   }
 
   private ServicePool pool(String name) throws Exception {
-    return t.ask(() -> t.node.services().pool(name));
+    return t.onLoop(() -> t.node.services().pool(name));
   }
 
-  /** The altered pool gets a new module; the other one keeps its own, and no request of either is lost. */
+  /** The changed pool gets a new module, the other one keeps its own, and no request of either is lost. */
   @Test
-  void changeOfAPoolUnderLoadTouchesNothingElse() throws Exception {
+  void changeOfAPoolUnderLoadAffectsNoOtherPool() throws Exception {
     start();
     ConfigurationVersion one = publish(1, text(""));
     awaitInForce(one);
@@ -118,8 +118,8 @@
     assertNotSame(quotesBefore, pool("quotes"));
     assertSame(ratesBefore, pool("rates"));
     t.upstreams.get("q0").delayMicros(2_000);
-    long then = quotes.count(Outcome.SERVED);
-    TestNode.until(() -> quotes.count(Outcome.SERVED) > then + 50);
+    long servedBefore = quotes.count(Outcome.SERVED);
+    TestNode.until(() -> quotes.count(Outcome.SERVED) > servedBefore + 50);
     for (Load load : List.of(quotes, rates)) {
       load.stop();
       assertEquals(0, load.results().unended());
@@ -130,9 +130,9 @@
     }
   }
 
-  /** What this build can't read, or what belongs to one process, is refused whole and told; a newer version is tried. */
+  /** A version that this build can't read, or with tables of one process, is refused whole and reported; a newer one is tried. */
   @Test
-  void versionThatIsNoGoodHereIsRefusedAndToldAndTheNextIsTried() throws Exception {
+  void invalidVersionIsRefusedAndReportedAndTheNextIsTried() throws Exception {
     start();
     awaitInForce(publish(1, text("")));
     ServicePool before = pool("quotes");
@@ -165,14 +165,14 @@
     }
   }
 
-  /** With no control machine left the version that was delivered last is in force again after a restart, and its age is told. */
+  /** Without control machines the last delivered version is in force after a restart, and its age is logged. */
   @Test
-  void lastVersionServesOverARestartWithoutControlMachines() throws Exception {
+  void lastVersionIsInForceAfterARestartWithoutControlMachines() throws Exception {
     start();
     publish(1, text(""));
     ConfigurationVersion two = publish(2, text("limits = { max-attempts = 2 }"));
     awaitInForce(two);
-    TestNode.until(() -> keptFiles().contains("1-2.configuration"));
+    TestNode.until(() -> storedFiles().contains("1-2.configuration"));
     control.close();
     List<String> lines = new ArrayList<>();
     Log.to(lines::add);
@@ -189,7 +189,7 @@
     }
   }
 
-  private List<String> keptFiles() {
+  private List<String> storedFiles() {
     try (Stream<Path> files = Files.list(folder.resolve("balancer"))) {
       return files.map(f -> f.getFileName().toString()).toList();
     } catch (IOException e) {
@@ -197,9 +197,9 @@
     }
   }
 
-  /** Until a version has been delivered the operator file is in force, and a start does not wait for control machines. */
+  /** Until the first delivery the operator file is in force, and a start does not wait for control machines. */
   @Test
-  void operatorFileCountsUntilTheFirstVersion() throws Exception {
+  void operatorFileIsInForceUntilTheFirstVersion() throws Exception {
     start();
     assertEquals(ConfigurationVersion.NONE, delivered.inForce());
     assertEquals(TestServices.operator(localFile()), delivered.first());
--- a/src/test/java/pumicekeel/node/DeliveryProcessTest.java
+++ b/src/test/java/pumicekeel/node/DeliveryProcessTest.java
@@ -21,10 +21,10 @@
 import pumicekeel.delivery.client.ControlApi;
 import pumicekeel.runtime.Addresses;
 
-/** A control machine and a balancer as processes, killed in turns. */
+/** A control machine and a balancer as processes, killed one after the other. */
 class DeliveryProcessTest {
 
-  private static final long GENEROUS_SECONDS = 60;
+  private static final long TIMEOUT_SECONDS = 60;
 
   @TempDir
   private Path folder;
@@ -36,7 +36,7 @@
     processes.forEach(Process::destroyForcibly);
   }
 
-  /** A process of the program and what it says. */
+  /** A process of the program and its log. */
   private final class Program {
     private final Process process;
     private final BufferedReader log;
@@ -72,7 +72,7 @@
 
     private void kill() throws InterruptedException {
       process.destroyForcibly();
-      assertTrue(process.waitFor(GENEROUS_SECONDS, TimeUnit.SECONDS));
+      assertTrue(process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
   }
 
@@ -104,10 +104,10 @@
     return "default-pool = \"a\"\n[pools.a]\nlimits = { max-attempts = " + maxAttempts + " }\n";
   }
 
-  /** SIGKILL of the control machine, then of the balancer: each has after its start what it had before. */
+  /** After SIGKILL of the control machine and of the balancer, each restarts with the version that it had before. */
   @Test
-  void versionOutlivesTheKillOfBothProcesses() throws Exception {
-    Files.writeString(folder.resolve("config.json"), TestNode.json(TestNode.nowhere(), 1));
+  void versionSurvivesTheKillOfBothProcesses() throws Exception {
+    Files.writeString(folder.resolve("config.json"), TestNode.json(TestNode.unusedAddress(), 1));
     Program control = control();
     InetSocketAddress address = addressOf(control);
     Program balancer = balancer(address);
@@ -122,22 +122,22 @@
     assertTrue(again.await("configuration: version").contains("version " + one + ", taken "));
     again.await(" serves at ");
     Program controlAgain = control();
-    InetSocketAddress next = addressOf(controlAgain);
-    assertEquals(one, new ControlApi(next).status().current());
+    InetSocketAddress newAddress = addressOf(controlAgain);
+    assertEquals(one, new ControlApi(newAddress).status().current());
     controlAgain.process.destroy();
-    assertTrue(controlAgain.process.waitFor(GENEROUS_SECONDS, TimeUnit.SECONDS));
+    assertTrue(controlAgain.process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     assertEquals(0, controlAgain.process.exitValue());
   }
 
-  /** Delivery costs nothing where it is off: none of its classes is loaded. */
+  /** Without delivery none of its classes is loaded. */
   @Test
-  void balancerWithoutAFileLoadsNothingOfIt() throws Exception {
-    Files.writeString(folder.resolve("config.json"), TestNode.json(TestNode.nowhere(), 1));
+  void balancerWithoutDeliveryLoadsNoneOfItsClasses() throws Exception {
+    Files.writeString(folder.resolve("config.json"), TestNode.json(TestNode.unusedAddress(), 1));
     Program balancer = new Program("serve");
     balancer.await(" serves at ");
     balancer.kill();
     String loaded = Files.readString(folder.resolve("classes.log"));
-    assertTrue(loaded.contains("pumicekeel.node.Node "), "classes are told");
+    assertTrue(loaded.contains("pumicekeel.node.Node "), "loaded classes are logged");
     assertFalse(loaded.contains("pumicekeel.delivery."));
     assertFalse(loaded.contains("pumicekeel.node.Delivered"));
   }
--- a/src/test/java/pumicekeel/node/DescriptorsTest.java
+++ b/src/test/java/pumicekeel/node/DescriptorsTest.java
@@ -34,7 +34,7 @@
 import pumicekeel.runtime.Reactor;
 import pumicekeel.runtime.Sockets;
 
-/** Idle clients hold all descriptors that they can get while discovery is down, in a process with a limit on descriptors. */
+/** Idle clients use up the descriptors while discovery is down, in a process with a descriptor limit. */
 class DescriptorsTest {
 
   private static final long LEFT_MILLIS = 15_000;
@@ -45,11 +45,11 @@
 
   private Process process;
   private BufferedReader log;
-  private final AtomicInteger turnedAway = new AtomicInteger();
-  private final List<String> said = new CopyOnWriteArrayList<>();
-  private volatile boolean over;
+  private final AtomicInteger closedByServer = new AtomicInteger();
+  private final List<String> logLines = new CopyOnWriteArrayList<>();
+  private volatile boolean stopped;
 
-  /** The class path of a test has many files where the program in service has one: they come on top of its limit. */
+  /** Starts the process. A test's class path has many files and the deployed program one jar, so these are added to the limit. */
   private void start(String configuration, int sockets) throws Exception {
     Path file = folder.resolve("config.json");
     Files.writeString(file, configuration);
@@ -77,7 +77,7 @@
     for (String line = log.readLine(); line != null; line = log.readLine()) {
       if (line.contains(" serves at /")) {
         InetSocketAddress at = Addresses.parse("log", line.substring(line.indexOf('/') + 1));
-        Thread reads = new Thread(() -> log.lines().forEach(said::add));
+        Thread reads = new Thread(() -> log.lines().forEach(logLines::add));
         reads.setDaemon(true);
         reads.start();
         return at;
@@ -88,18 +88,18 @@
 
   @AfterEach
   void stop() {
-    over = true;
+    stopped = true;
     if (process != null) {
       process.destroyForcibly();
     }
   }
 
-  /** Clients that connect and never ask, more than there are descriptors; one that is closed comes again. */
-  private void crowd(InetSocketAddress address, int clients) {
-    Thread comesAgain = new Thread(() -> {
+  /** Opens connections that never send a request, more than there are descriptors; closed ones are reopened. */
+  private void openIdleConnections(InetSocketAddress address, int clients) {
+    Thread reconnecting = new Thread(() -> {
       List<SocketChannel> open = new ArrayList<>();
       try {
-        while (!over) {
+        while (!stopped) {
           while (open.size() < clients) {
             SocketChannel next = SocketChannel.open(address);
             next.configureBlocking(false);
@@ -109,12 +109,12 @@
           Thread.sleep(10);
         }
       } catch (IOException | InterruptedException e) {
-        // The process listens no more.
+        // The process no longer listens.
       }
       open.forEach(DescriptorsTest::close);
     });
-    comesAgain.setDaemon(true);
-    comesAgain.start();
+    reconnecting.setDaemon(true);
+    reconnecting.start();
   }
 
   private boolean ended(SocketChannel client) {
@@ -123,10 +123,10 @@
         return false;
       }
     } catch (IOException e) {
-      // A reset is an end, too.
+      // A reset counts as a close.
     }
     close(client);
-    turnedAway.incrementAndGet();
+    closedByServer.incrementAndGet();
     return true;
   }
 
@@ -139,13 +139,13 @@
   }
 
   /**
-   * The limit that the process is told, the one that it has, and how many connections to its upstream it keeps. In the first rows it is
-   * told the truth and nothing fails; in the last one accepts and connects fail, and are tried again.
+   * Parameters: the descriptor limit in the configuration, the actual limit, and the connections kept to the upstream. Where the two
+   * limits agree nothing fails; where the actual limit is lower, accepts and connects fail and are retried.
    */
   @ParameterizedTest
   @CsvSource({"64,64,15", "192,192,60"})
-  void listsUpstreamsOperatorsAndTheStopHaveDescriptorsKeptAside(int told, int limit, int kept)
-      throws Exception {
+  void descriptorsAreReservedForListsUpstreamsOperatorsAndTheStop(
+      int configured, int limit, int kept) throws Exception {
     CountDownLatch answers = new CountDownLatch(1);
     try (FakeServer before = new FakeServer((request, connection, out) -> {
           answers.await();
@@ -153,56 +153,57 @@
         });
         FakeServer after = FakeServer.serving("after");
         FakeServer discovery = new FakeServer((request, connection, out) -> connection.close())) {
-      int door = freePort();
+      int adminPort = freePort();
       start(
           TestNode.json(discovery.address(), 3, before)
-              .replace("\"sockets\":1024", "\"sockets\":" + told)
-              .replace("\"seed\"", "\"admin\":\"127.0.0.1:" + door + "\",\"seed\""),
+              .replace("\"sockets\":1024", "\"sockets\":" + configured)
+              .replace("\"seed\"", "\"admin\":\"127.0.0.1:" + adminPort + "\",\"seed\""),
           limit);
       InetSocketAddress address = address();
-      List<TestClient> asked = new ArrayList<>();
+      List<TestClient> keptClients = new ArrayList<>();
       for (int i = 0; i < kept; i++) {
-        asked.add(new TestClient(address).send(TestClient.look("before" + i, LEFT_MILLIS, "")));
+        keptClients.add(
+            new TestClient(address).send(TestClient.look("before" + i, LEFT_MILLIS, "")));
       }
       TestNode.until(() -> before.requests.size() == kept);
       answers.countDown();
-      for (TestClient client : asked) {
+      for (TestClient client : keptClients) {
         assertEquals(200, client.read().status());
       }
-      crowd(address, 2 * limit);
-      TestNode.until(() -> turnedAway.get() > limit);
-      discovery.behaviour = (request, connection, out) -> tell(out, after);
+      openIdleConnections(address, 2 * limit);
+      TestNode.until(() -> closedByServer.get() > limit);
+      discovery.behaviour = (request, connection, out) -> sendList(out, after);
       TestNode.until(() -> before.closedByPeer.get() == before.connections.size());
       try (TestClient client = new TestClient(address)) {
         assertEquals(
             "after", client.call(TestClient.look("after", LEFT_MILLIS, "")).body());
       }
-      try (TestClient operator = new TestClient(new InetSocketAddress("127.0.0.1", door))) {
+      try (TestClient operator = new TestClient(new InetSocketAddress("127.0.0.1", adminPort))) {
         assertTrue(operator.send("GET /fleet HTTP/1.1\r\n\r\n").readByte() > 0, "an answer");
       }
       process.destroy();
       assertTrue(process.waitFor(30, TimeUnit.SECONDS), "ends");
       assertEquals(0, process.exitValue());
       assertEquals(
-          limit < told,
-          said.stream().anyMatch(l -> l.contains("Too many open files")),
-          said::toString);
+          limit < configured,
+          logLines.stream().anyMatch(l -> l.contains("Too many open files")),
+          logLines::toString);
     }
   }
 
-  /** Sockets of a process that has no descriptor for another connection while a test says so. */
-  private static final class Scarce implements Sockets {
+  /** Sockets of a process that can be set to have no descriptor for another connection. */
+  private static final class LimitedSockets implements Sockets {
     private final Sockets system;
     private final AtomicInteger refused = new AtomicInteger();
-    private volatile boolean none;
+    private volatile boolean exhausted;
 
-    private Scarce(Sockets system) {
+    private LimitedSockets(Sockets system) {
       this.system = system;
     }
 
     @Override
     public Channel connecting() {
-      if (none) {
+      if (exhausted) {
         refused.incrementAndGet();
         throw new ChannelException("no socket", new IOException("Too many open files"));
       }
@@ -230,12 +231,12 @@
     }
   }
 
-  /** Neither a watch nor a place for a connection is lost by a connect that found no descriptor. */
+  /** A connect that fails for lack of a descriptor loses neither a watch nor a connection's share of the limit. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void whatFoundNoDescriptorIsTriedAgain(boolean pushed) throws Exception {
+  void connectWithoutADescriptorIsRetried(boolean pushed) throws Exception {
     Reactor system = Reactor.start();
-    Scarce scarce = new Scarce(system.sockets());
+    LimitedSockets sockets = new LimitedSockets(system.sockets());
     CountDownLatch watched = new CountDownLatch(1);
     try (FakeServer before = FakeServer.serving("before");
         FakeServer after = FakeServer.serving("after");
@@ -248,18 +249,18 @@
           : TestNode.json(discovery.address(), 1, before);
       TestNode node = new TestNode(
           json.replace("\"sockets\":1024", "\"sockets\":20"),
-          new Reactor(system.loop(), system.clock(), scarce));
+          new Reactor(system.loop(), system.clock(), sockets));
       watched.await();
-      scarce.none = true;
+      sockets.exhausted = true;
       try (TestClient client = new TestClient(node.address)) {
         for (int i = 0; i < 10; i++) {
           int status = client.call(TestClient.look("none" + i, LEFT_MILLIS, "")).status();
           assertTrue(status == 429 || status == 502, "answered " + status);
         }
-        int byClients = scarce.refused.get();
-        TestNode.until(() -> scarce.refused.get() > byClients);
-        discovery.behaviour = (request, connection, out) -> tell(out, after);
-        scarce.none = false;
+        int refusedBefore = sockets.refused.get();
+        TestNode.until(() -> sockets.refused.get() > refusedBefore);
+        discovery.behaviour = (request, connection, out) -> sendList(out, after);
+        sockets.exhausted = false;
         TestNode.until(() -> isServedBy(client, "after"));
       }
     }
@@ -276,7 +277,7 @@
     }
   }
 
-  private static void tell(OutputStream out, FakeServer upstream) throws IOException {
+  private static void sendList(OutputStream out, FakeServer upstream) throws IOException {
     String list = "{\"index\":8,\"snapshot\":true,\"endpoints\":["
         + TestNode.endpoint("s-9", upstream.address(), "in_service") + "]}\n";
     FakeServer.write(out, HEAD + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
--- a/src/test/java/pumicekeel/node/DiscoveryTest.java
+++ b/src/test/java/pumicekeel/node/DiscoveryTest.java
@@ -23,14 +23,14 @@
 import pumicekeel.discovery.WatchTerms;
 import pumicekeel.runtime.Reactor;
 
-/** The watch, against a discovery that splits, falls silent, fails and changes its mind. */
+/** The watch, against a discovery that splits lines, stalls, fails and moves. */
 class DiscoveryTest {
 
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private final BlockingQueue<Object> heard = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Object> received = new LinkedBlockingQueue<>();
 
   private static void chunk(OutputStream out, String text) throws Exception {
     FakeServer.write(out, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
@@ -49,14 +49,14 @@
         new WatchTerms(false, 2_000, (int) silenceMillis, (int) silenceMillis, 0),
         new ListCurrency(false, 2_000_000_000L, Reactor.of(loop).clock().now()),
         1,
-        heard::add,
-        () -> heard.add("failed"));
+        received::add,
+        () -> received.add("failed"));
     loop.execute(() -> discovery.watch(true));
     return discovery;
   }
 
   private Object next() throws InterruptedException {
-    return heard.poll(30, TimeUnit.SECONDS);
+    return received.poll(30, TimeUnit.SECONDS);
   }
 
   @AfterEach
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void linesMayBeSplitAnywhereAndTheNextWatchAsksForWhatCameAfter() throws Exception {
+  void linesMayBeSplitAnywhereAndTheNextWatchContinuesAfterTheLastIndex() throws Exception {
     try (FakeServer server = new FakeServer((request, connection, out) -> {
       FakeServer.write(out, HEAD);
       for (char c : ("\n" + list(8, true) + "\n\n" + list(9, false)).toCharArray()) {
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void listMayComeIndentedOverManyLinesAndSplitAnywhere() throws Exception {
+  void listMayBeIndentedOverManyLinesAndSplitAnywhere() throws Exception {
     String indented = """
         {
           "index": 8,
@@ -114,14 +114,14 @@
       for (long index = 8; index <= 10; index++) {
         HostList list = (HostList) next();
         assertEquals(index, list.index());
-        assertEquals("s-{}", list.hosts().get(0).name(), "a bracket in a text ends nothing");
+        assertEquals("s-{}", list.hosts().get(0).name(), "a bracket in a string ends nothing");
       }
-      assertEquals(11, ((HostList) next()).index(), "two in one piece");
+      assertEquals(11, ((HostList) next()).index(), "two in one chunk");
     }
   }
 
   @Test
-  void textWithoutAnEndIsAFailureAndNotKept() throws Exception {
+  void endlessTextIsAFailureAndNotBuffered() throws Exception {
     String piece = "[".repeat(1 << 15);
     try (FakeServer server = new FakeServer((request, connection, out) -> {
       FakeServer.write(out, HEAD);
@@ -135,9 +135,9 @@
     }
   }
 
-  /** Half a list is none, whatever comes behind it: blank lines belong to it, since lists may be indented. */
+  /** An incomplete list is no heartbeat, even if blank lines follow: they belong to it, since lists may be indented. */
   @Test
-  void halfAListIsNoSignOfLife() throws Exception {
+  void incompleteListIsNoHeartbeat() throws Exception {
     try (FakeServer server = new FakeServer((request, connection, out) -> {
       FakeServer.write(out, HEAD);
       chunk(out, list(8, false));
@@ -161,7 +161,7 @@
       discovery(server.address(), 200);
       assertEquals("failed", next());
       TestNode.until(() -> server.closedByPeer.get() == 1);
-      assertTrue(heard.isEmpty());
+      assertTrue(received.isEmpty());
     }
   }
 
@@ -177,18 +177,18 @@
       };
       loop.execute(() -> discovery.watch(true));
       assertEquals("failed", next());
-      assertTrue(heard.isEmpty());
+      assertTrue(received.isEmpty());
     }
   }
 
   @Test
-  void nobodyThereIsAFailure() throws Exception {
-    discovery(TestNode.nowhere(), 60_000);
+  void refusedConnectIsAFailure() throws Exception {
+    discovery(TestNode.unusedAddress(), 60_000);
     assertEquals("failed", next());
   }
 
   @Test
-  void moveAsksTheNewOneForAllAtOnceAndIsNobodysFailure() throws Exception {
+  void moveRequestsTheWholeListFromTheNewAddressAndIsNoFailure() throws Exception {
     try (FakeServer before =
             new FakeServer((request, connection, out) -> FakeServer.write(out, HEAD));
         FakeServer after = new FakeServer((request, connection, out) -> {
@@ -204,26 +204,26 @@
       TestNode.until(() -> before.closedByPeer.get() == 1);
       loop.execute(() -> discovery.watch(true));
       loop.submit(() -> {}).get();
-      assertTrue(heard.isEmpty(), "the old one's end is no failure");
+      assertTrue(received.isEmpty(), "the end of the old watch is no failure");
       assertEquals(1, after.requests.size(), "one watch is enough");
     }
   }
 
   @Test
-  void moveDuringTheBackOffDoesNotWaitForItsEnd() throws Exception {
+  void moveDuringTheBackOffTakesEffectAtOnce() throws Exception {
     try (FakeServer after = new FakeServer((request, connection, out) -> {
       FakeServer.write(out, HEAD);
       chunk(out, list(3, true));
     })) {
-      Discovery discovery = discovery(TestNode.nowhere(), 60_000);
+      Discovery discovery = discovery(TestNode.unusedAddress(), 60_000);
       assertEquals("failed", next());
       loop.execute(() -> discovery.moveTo(after.address()));
-      assertEquals(3, ((HostList) next()).index(), "though nobody has asked again");
+      assertEquals(3, ((HostList) next()).index(), "without another call of watch");
     }
   }
 
   @Test
-  void nodeFollowsAnAddressThatMovedAndAsksAgainAfterAFailure() throws Exception {
+  void nodeFollowsAMovedAddressAndRetriesAfterAFailure() throws Exception {
     try (FakeServer before = FakeServer.serving("before");
         FakeServer after = FakeServer.serving("after");
         FakeServer server = new FakeServer((request, connection, out) ->
@@ -242,10 +242,10 @@
   }
 
   @Test
-  void pushedListIsFollowedFromTheStartAndAfterEveryWayToBreak() throws Exception {
+  void pushedListIsFollowedFromTheStartAndAfterEachKindOfFailure() throws Exception {
     AtomicInteger watches = new AtomicInteger();
     try (FakeServer kept = FakeServer.serving("kept");
-        FakeServer gone = FakeServer.serving("gone");
+        FakeServer removed = FakeServer.serving("gone");
         FakeServer agent = new FakeServer((request, connection, out) -> {
           int watch = watches.incrementAndGet();
           if (watch == 1) {
@@ -259,7 +259,7 @@
             chunk(out, list(8, true, TestNode.endpoint("s-0", kept.address(), "in_service")));
           }
         })) {
-      TestNode node = new TestNode(TestNode.pushed(agent.address(), 1, kept, gone));
+      TestNode node = new TestNode(TestNode.pushed(agent.address(), 1, kept, removed));
       TestNode.until(() -> agent.requests.size() == 5);
       assertTrue(agent.requests.get(4).contains("after=7 "), agent.requests.get(4));
       try (TestClient client = new TestClient(node.address)) {
@@ -267,34 +267,35 @@
         TestNode.until(() -> allKept(client, calls));
       }
       TestNode.until(() -> agent.closedByPeer.get() == 4);
-      assertEquals(5, agent.requests.size(), "one that lives is enough");
+      assertEquals(5, agent.requests.size(), "one live watch is enough");
     }
   }
 
-  /** What a silent watch misses counts as told 6 s after its last byte, and the grace ends a second after that. */
+  /** What a silent watch misses counts as reported 6 s after its last byte, and the grace ends one second later. */
   @Test
-  void listIsKnownInTimeThoughATryFails() {
+  void listIsKnownInTimeDespiteAFailedAttempt() {
     long due = 7_000;
-    for (boolean asked : new boolean[] {true, false}) {
-      WatchTerms terms = WatchTerms.of(settings(asked));
+    for (boolean onRequest : new boolean[] {true, false}) {
+      WatchTerms terms = WatchTerms.of(settings(onRequest));
       assertTrue(terms.silenceMillis() > 2_500, "a heartbeat comes every 2 s");
-      long stalls = terms.connectMillis() + (asked ? 0 : terms.answerMillis());
-      long known = asked
-          ? terms.silenceMillis() + BACK_OFF[0] + stalls + BACK_OFF[1]
-          : terms.silenceMillis() + 4 * (stalls + terms.reopenMillis());
-      assertTrue(known < due, "asked " + asked + ": " + known);
+      long delays = terms.connectMillis() + (onRequest ? 0 : terms.answerMillis());
+      long known = onRequest
+          ? terms.silenceMillis() + BACK_OFF[0] + delays + BACK_OFF[1]
+          : terms.silenceMillis() + 4 * (delays + terms.reopenMillis());
+      assertTrue(known < due, "asked " + onRequest + ": " + known);
     }
     WatchTerms agent = WatchTerms.of(settings(false));
     assertTrue(
         agent.connectMillis() + agent.answerMillis() + agent.reopenMillis() < 1_000,
-        "what an agent gets at its return counts at once");
+        "a list that an agent has after its return is due at once");
   }
 
   private static final long[] BACK_OFF = {500, 1_000};
 
-  private static Settings settings(boolean asked) {
-    String json =
-        asked ? TestNode.json(TestNode.nowhere(), 1) : TestNode.pushed(TestNode.nowhere(), 1);
+  private static Settings settings(boolean onRequest) {
+    String json = onRequest
+        ? TestNode.json(TestNode.unusedAddress(), 1)
+        : TestNode.pushed(TestNode.unusedAddress(), 1);
     try {
       return Decoder.settings(Fields.parse("configuration", json).nested("settings"));
     } catch (java.io.IOException e) {
@@ -303,14 +304,14 @@
   }
 
   @Test
-  void upstreamAbsentFromAWholeListGetsNothingMore() throws Exception {
+  void upstreamAbsentFromASnapshotGetsNoMoreRequests() throws Exception {
     try (FakeServer kept = FakeServer.serving("kept");
-        FakeServer gone = FakeServer.serving("gone");
+        FakeServer removed = FakeServer.serving("gone");
         FakeServer server = new FakeServer((request, connection, out) -> {
           FakeServer.write(out, HEAD);
           chunk(out, list(8, true, TestNode.endpoint("s-0", kept.address(), "in_service")));
         })) {
-      TestNode node = new TestNode(server.address(), 1, kept, gone);
+      TestNode node = new TestNode(server.address(), 1, kept, removed);
       TestNode.until(() -> server.requests.size() == 1);
       try (TestClient client = new TestClient(node.address)) {
         int[] calls = {0};
@@ -319,7 +320,7 @@
     }
   }
 
-  /** The list may take a moment; from then on no key leads to the upstream that is gone. */
+  /** Whether no session key leads to the removed upstream; the list may take a moment to arrive. */
   private static boolean allKept(TestClient client, int[] calls) {
     try {
       boolean all = true;
--- a/src/test/java/pumicekeel/node/FakeServer.java
+++ b/src/test/java/pumicekeel/node/FakeServer.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A small HTTP server on a loopback port: an upstream or a discovery that behaves as a test wants. */
+/** A small HTTP server on a loopback port: an upstream or a discovery whose behaviour a test sets. */
 final class FakeServer implements Closeable {
 
   /** Answers one request, whose text is given; may write nothing, or close the connection. */
@@ -33,7 +33,7 @@
     this(behaviour, 50, new CountDownLatch(0));
   }
 
-  /** One with so much room for connections that it has not accepted, which it does from the opening of a gate on. */
+  /** Creates a server with this backlog of unaccepted connections, which it starts to accept once the gate opens. */
   FakeServer(Behaviour behaviour, int backlog, CountDownLatch gate) throws IOException {
     this.behaviour = behaviour;
     listener = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
@@ -47,7 +47,7 @@
     });
   }
 
-  /** A server that answers every request with a 200 and this body. */
+  /** Returns a server that answers every request with status 200 and this body. */
   static FakeServer serving(String body) throws IOException {
     return new FakeServer((request, connection, out) -> write(out, ok(body)));
   }
@@ -61,14 +61,14 @@
     out.flush();
   }
 
-  private interface Work {
+  private interface Task {
     void run() throws Exception;
   }
 
-  private static void daemon(Work work) {
+  private static void daemon(Task task) {
     Thread thread = new Thread(() -> {
       try {
-        work.run();
+        task.run();
       } catch (Exception e) {
         // The test closed this server, or the peer its connection.
       }
@@ -94,7 +94,7 @@
         for (int i = 0; i < length; i++) {
           int next = in.read();
           if (next < 0) {
-            // It begins with its last byte.
+            // A request counts only once its last byte has arrived.
             return;
           }
           request.append((char) next);
--- a/src/test/java/pumicekeel/node/GenerationsTest.java
+++ b/src/test/java/pumicekeel/node/GenerationsTest.java
@@ -21,7 +21,7 @@
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
 
-/** Reloads under load: each a generation as a whole, or nothing of it. */
+/** Reloads under load: each applies a generation as a whole or not at all. */
 class GenerationsTest {
 
   private final TestServices t = new TestServices();
@@ -52,31 +52,32 @@
 
   private int retired() {
     try {
-      return t.ask(() -> t.node.services().retired());
+      return t.onLoop(() -> t.node.services().retired());
     } catch (Exception e) {
       throw new AssertionError(e);
     }
   }
 
-  private static void noneLost(Load clients, boolean pastRoutes) throws InterruptedException {
+  private static void assertNoneLost(Load clients, boolean mayHaveNoRoute)
+      throws InterruptedException {
     clients.stop();
     assertEquals(0, clients.results().unended());
     assertEquals(
         0,
         clients.count(Outcome.LOST) + clients.count(Outcome.LATE),
         clients.results().faults().toString());
-    // 404 counts as wrong: what a removed pool's clients are told from then on, and nobody else.
+    // 404 counts as wrong: only the clients of a removed pool may get it.
     assertTrue(
-        pastRoutes || clients.count(Outcome.WRONG) == 0,
+        mayHaveNoRoute || clients.count(Outcome.WRONG) == 0,
         clients.results().faults().toString());
     assertTrue(
         clients.results().faults().stream().allMatch(f -> f.contains("answer 404")),
         clients.results().faults().toString());
   }
 
-  /** A pool is altered and then removed while requests run in it and in another one. */
+  /** A pool is changed and then removed while requests run in it and in another pool. */
   @Test
-  void openRequestsEndUnderTheGenerationThatTookThem() throws Exception {
+  void openRequestsEndInTheGenerationThatAdmittedThem() throws Exception {
     start();
     var quotes = t.clients(
         new HttpRequestTemplate("quote.example.org", "quote-issue", true, "acme", 5_000),
@@ -93,16 +94,16 @@
     t.upstreams.get("q1").delayMicros(400_000);
     TestNode.until(() -> t.upstreams.get("q0").open() + t.upstreams.get("q1").open() >= 4);
     t.reload(file("limits = { max-attempts = 2 }", ""));
-    assertEquals(1, retired(), "the altered pool's requests run on in the one that took them");
+    assertEquals(1, retired(), "open requests stay in the pool that admitted them");
     long then = quotes.count(Outcome.SERVED);
     TestNode.until(() -> quotes.count(Outcome.SERVED) > then + 8);
     t.reload(file(null, ""));
     TestNode.until(() -> quotes.count(Outcome.WRONG) > 0);
     TestNode.until(() -> retired() == 0);
     TestNode.until(() -> t.upstreams.get("q0").open() + t.upstreams.get("q1").open() == 0);
-    noneLost(quotes, true);
-    noneLost(rates, false);
-    // The stand-ins' logs: no key ran twice, and every answer of 200 was an upstream's.
+    assertNoneLost(quotes, true);
+    assertNoneLost(rates, false);
+    // By the upstreams' logs no key ran twice.
     long ran = t.upstreams.values().stream()
         .flatMap(u -> u.seen().stream())
         .filter(s -> s.key() != null)
@@ -116,9 +117,9 @@
     assertEquals(ran, seen);
   }
 
-  /** Every 50 ms a generation: pools altered, a pool gone and back, routes turned round, a file that is no good. */
+  /** A new generation every 50 ms: changed settings and limits, an added route, an invalid file. */
   @Test
-  void reloadsInARowUnderLoadLoseNothing() throws Exception {
+  void repeatedReloadsUnderLoadLoseNoRequest() throws Exception {
     start();
     var quotes = t.clients(
         new HttpRequestTemplate("quote.example.org", "quote-issue", true, "acme", 5_000),
@@ -133,16 +134,16 @@
     Path path = folder.resolve("operator.toml");
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
     long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-    int done = 0;
-    while (done <= 20
+    int reloads = 0;
+    while (reloads <= 20
         || quotes.count(Outcome.SERVED) <= 200
         || rates.count(Outcome.SERVED) <= 200
         || System.nanoTime() - end < 0) {
       assertTrue(
           System.nanoTime() - limit < 0,
           () -> "within 60 s: " + quotes.results() + " and " + rates.results());
-      String text = switch (done % 5) {
-        case 0 -> file("limits = { max-attempts = " + (2 + done % 3) + " }", "");
+      String text = switch (reloads % 5) {
+        case 0 -> file("limits = { max-attempts = " + (2 + reloads % 3) + " }", "");
         case 1 -> file("open-requests = { guaranteed = 20 }", "");
         case 2 -> file("", "[[routes]]\npath-prefix = \"/x\"\npool = \"rates\"\n");
         case 3 -> "[pools.quotes]\nsource = \"no";
@@ -150,20 +151,20 @@
       };
       Files.writeString(path, text);
       Reload.readOperator(path, t.node);
-      done++;
+      reloads++;
       TimeUnit.MILLISECONDS.sleep(50);
     }
-    assertTrue(done > 20, "reloads: " + done);
-    noneLost(quotes, false);
-    noneLost(rates, false);
+    assertTrue(reloads > 20, "reloads: " + reloads);
+    assertNoneLost(quotes, false);
+    assertNoneLost(rates, false);
     TestNode.until(() -> retired() == 0);
-    assertEquals(0L, t.ask(() -> t.node.services().pool("quotes").open.used()));
+    assertEquals(0L, t.onLoop(() -> t.node.services().pool("quotes").open.used()));
     assertTrue(t.defects.isEmpty());
   }
 
-  /** Pools whose requests never end pile up only so far: then a reload is refused, and all goes on as it was. */
+  /** The number of retired pools with open requests is limited: beyond it a reload is refused and nothing changes. */
   @Test
-  void reloadIsRefusedWhileTooManyOlderPoolsHaveRequestsOpen() throws Exception {
+  void reloadIsRefusedWhileTooManyRetiredPoolsHaveOpenRequests() throws Exception {
     start();
     t.upstreams.get("q0").mode(Mode.HANG);
     t.upstreams.get("q1").mode(Mode.HANG);
@@ -203,7 +204,7 @@
   }
 
   @Test
-  void fileThatDoesNotFitChangesNothing() throws Exception {
+  void invalidFileChangesNothing() throws Exception {
     start();
     assertThrows(
         IllegalArgumentException.class,
@@ -227,12 +228,12 @@
   }
 
   @Test
-  void listenersComeAndGoAndServeWhatTheyHaveTaken() throws Exception {
+  void addedListenersServeAndRemovedOnesFinishOpenRequests() throws Exception {
     start();
     String partner =
         "[listeners.partner]\naddress = \"127.0.0.1:0\"\n[[routes]]\nlistener = \"partner\"\npool = \"quotes\"\n";
     t.reload(file("", partner));
-    InetSocketAddress address = t.ask(() -> t.node.listeners().address("partner"));
+    InetSocketAddress address = t.onLoop(() -> t.node.listeners().address("partner"));
     StandInUpstream q0 = t.upstreams.get("q0");
     StandInUpstream q1 = t.upstreams.get("q1");
     try (TestClient client = new TestClient(address);
@@ -249,7 +250,7 @@
       client.send(ServicesTest.lookup("3", "any.example.org", ""));
       TestNode.until(() -> q0.seen().size() + q1.seen().size() > seen);
       t.reload(file("", ""));
-      assertTrue(idle.ended(), "one that asks nothing is closed");
+      assertTrue(idle.ended(), "a connection without a request is closed");
       TestClient.Reply last = client.read();
       assertEquals("3", last.body());
       assertTrue(last.head().contains("connection: close"), last.head());
@@ -257,14 +258,14 @@
     assertThrows(ConnectException.class, () -> new TestClient(address).close());
   }
 
-  /** Settings that a running process can't change are named, and the rest counts. */
+  /** Settings that need a restart are named, and the rest is applied. */
   @Test
   void settingsThatNeedARestartAreNamed() throws Exception {
     start();
     var next = TestServices.operator(file("", "") + "[process]\nupstream-sockets = 100\n");
     assertEquals(
         java.util.List.of("process.upstream-sockets"),
-        t.ask(() -> t.node.services().needRestart(next)));
+        t.onLoop(() -> t.node.services().needRestart(next)));
     t.node.reload(next);
   }
 }
--- a/src/test/java/pumicekeel/node/HandoverTest.java
+++ b/src/test/java/pumicekeel/node/HandoverTest.java
@@ -21,10 +21,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One process replaced by the next on a listening socket that the platform holds and both inherit as descriptor 0. */
+/** A process is replaced by the next one on a listening socket that the platform holds and both inherit as descriptor 0. */
 class HandoverTest {
 
-  /** The platform: listens, starts the balancer at once, and once more when a file appears; its lines tell the rest. */
+  /** The platform: listens, starts a balancer at once and another when a file appears; prints each process's start and end. */
   private static final String PLATFORM = """
       use Socket; $| = 1;
       socket(S, PF_INET, SOCK_STREAM, 0); bind(S, sockaddr_in(0, INADDR_LOOPBACK)); listen(S, 1024);
@@ -43,7 +43,7 @@
 
   private Process platform;
   private BufferedReader lines;
-  private long old;
+  private long oldPid;
 
   @AfterEach
   void stop() {
@@ -59,7 +59,7 @@
         return line.substring(start.length()).trim();
       }
     }
-    throw new AssertionError("never said: " + start);
+    throw new AssertionError("line not received: " + start);
   }
 
   private InetSocketAddress freeAddress() throws IOException {
@@ -68,10 +68,10 @@
     }
   }
 
-  private static String call(InetSocketAddress door, String word) {
-    try (Socket socket = new Socket(door.getAddress(), door.getPort())) {
+  private static String call(InetSocketAddress admin, String command) {
+    try (Socket socket = new Socket(admin.getAddress(), admin.getPort())) {
       socket.setSoTimeout(30_000);
-      socket.getOutputStream().write((word + "\n").getBytes(StandardCharsets.US_ASCII));
+      socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.US_ASCII));
       return new BufferedReader(
               new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))
           .readLine();
@@ -81,26 +81,26 @@
   }
 
   @Test
-  void nextProcessTakesClientsOverAndNoRequestMeetsAClosedDoor() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
+  void nextProcessTakesOverWithoutAFailedRequest() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       if (request.contains("held")) {
-        held.await();
+        release.await();
       }
       FakeServer.write(out, FakeServer.ok("fine"));
     })) {
       Path config = folder.resolve("config.json");
-      Files.writeString(config, TestNode.json(TestNode.nowhere(), 1, upstream));
-      Path again = folder.resolve("again");
-      InetSocketAddress firstDoor = freeAddress();
-      InetSocketAddress secondDoor = freeAddress();
+      Files.writeString(config, TestNode.json(TestNode.unusedAddress(), 1, upstream));
+      Path startNext = folder.resolve("again");
+      InetSocketAddress firstAdmin = freeAddress();
+      InetSocketAddress secondAdmin = freeAddress();
       ProcessBuilder builder = new ProcessBuilder(
           "perl",
           "-e",
           PLATFORM,
-          again.toString(),
-          TestNode.text(firstDoor),
-          TestNode.text(secondDoor),
+          startNext.toString(),
+          TestNode.text(firstAdmin),
+          TestNode.text(secondAdmin),
           Path.of(System.getProperty("java.home"), "bin", "java").toString(),
           "-XX:+UseSerialGC",
           "-Xmx128m",
@@ -116,59 +116,59 @@
           new InputStreamReader(platform.getInputStream(), StandardCharsets.UTF_8));
       InetSocketAddress address =
           new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(await("port")));
-      old = Long.parseLong(await("pid"));
-      TestNode.until(() -> call(firstDoor, "readyz").startsWith("YES"));
+      oldPid = Long.parseLong(await("pid"));
+      TestNode.until(() -> call(firstAdmin, "readyz").startsWith("YES"));
 
-      AtomicBoolean over = new AtomicBoolean();
+      AtomicBoolean finished = new AtomicBoolean();
       AtomicInteger served = new AtomicInteger();
       AtomicInteger broken = new AtomicInteger();
-      AtomicInteger ended = new AtomicInteger();
-      Thread client = new Thread(() -> ask(address, over, served, broken, ended));
+      AtomicInteger closes = new AtomicInteger();
+      Thread client = new Thread(() -> sendRequests(address, finished, served, broken, closes));
       client.start();
       TestClient open = new TestClient(address);
       open.send(TestClient.look("held", 15_000, ""));
       TestNode.until(
           () -> upstream.requests.stream().anyMatch(r -> r.contains("held")) && served.get() > 0);
       TestNode.until(() -> served.get() > 200);
-      assertEquals(0, ended.get(), "connections are kept until the handover");
-      Files.writeString(again, "");
+      assertEquals(0, closes.get(), "connections are kept until the handover");
+      Files.writeString(startNext, "");
       await("pid");
-      TestNode.until(() -> call(secondDoor, "readyz").startsWith("YES"));
+      TestNode.until(() -> call(secondAdmin, "readyz").startsWith("YES"));
       assertEquals(
-          0, new ProcessBuilder("kill", "-TERM", Long.toString(old)).start().waitFor());
-      TestNode.until(() -> call(firstDoor, "readyz").startsWith("NO"));
-      held.countDown();
-      assertEquals("fine", open.read().body(), "what the old one had taken");
+          0, new ProcessBuilder("kill", "-TERM", Long.toString(oldPid)).start().waitFor());
+      TestNode.until(() -> call(firstAdmin, "readyz").startsWith("NO"));
+      release.countDown();
+      assertEquals("fine", open.read().body(), "accepted by the old process");
       assertTrue(open.ended());
-      assertEquals(old + " 0", await("ended"), "only the old one ends, with status 0");
+      assertEquals(oldPid + " 0", await("ended"), "only the old process ends, with status 0");
       int before = served.get();
       TestNode.until(() -> served.get() > before + 10);
-      over.set(true);
+      finished.set(true);
       client.join(TimeUnit.SECONDS.toMillis(30));
       assertEquals(
           0,
           broken.get(),
           "requests that met a refused, reset or unread connection, or one that was not ready for them");
-      assertTrue(call(secondDoor, "readyz").startsWith("YES"));
+      assertTrue(call(secondAdmin, "readyz").startsWith("YES"));
     }
   }
 
-  /** A client that keeps its connection until it is told that an answer was its last. */
-  private static void ask(
+  /** Sends requests on one connection until an answer announces its close, then on a new one. */
+  private static void sendRequests(
       InetSocketAddress address,
-      AtomicBoolean over,
+      AtomicBoolean finished,
       AtomicInteger served,
       AtomicInteger broken,
-      AtomicInteger ended) {
+      AtomicInteger closes) {
     TestClient client = null;
-    while (!over.get()) {
+    while (!finished.get()) {
       try {
         client = client == null ? new TestClient(address) : client;
         TestClient.Reply reply = client.call(TestClient.look("c" + served.get(), 15_000, ""));
         served.incrementAndGet();
         broken.addAndGet(reply.status() == 200 ? 0 : 1);
         if (reply.head().contains("connection: close")) {
-          ended.incrementAndGet();
+          closes.incrementAndGet();
           client.close();
           client = null;
         }
--- a/src/test/java/pumicekeel/node/IsolationTest.java
+++ b/src/test/java/pumicekeel/node/IsolationTest.java
@@ -15,11 +15,11 @@
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
 
-/** Whatever happens in pool a, pool b's rate-lookup is answered within the time that it is wanted in. */
+/** Whatever happens in pool a, pool b's rate-lookup is answered within the wanted time. */
 class IsolationTest {
 
-  /** Half of what b's clients wait: a's troubles last longer, and a busy machine's pauses are shorter. */
-  private static final long WANTED_MICROS = 2_500_000L;
+  /** Half the time-out of b's clients: longer than pauses of a busy machine, shorter than the faults in pool a. */
+  private static final long LIMIT_MICROS = 2_500_000L;
 
   private final TestServices t = new TestServices().sockets(256);
 
@@ -43,16 +43,16 @@
         new HttpRequestTemplate("b.example.org", "rate-lookup", false, "acme", 5_000), "b", 4, 100);
   }
 
-  private static void bIsWell(Load b) throws InterruptedException {
-    long then = b.count(Outcome.SERVED);
-    TestNode.until(() -> b.count(Outcome.SERVED) >= then + 200);
+  private static void assertBIsServed(Load b) throws InterruptedException {
+    long servedBefore = b.count(Outcome.SERVED);
+    TestNode.until(() -> b.count(Outcome.SERVED) >= servedBefore + 200);
     b.stop();
     assertEquals(
         b.asked(),
         b.count(Outcome.SERVED),
         "all of b is served: " + b.results().faults() + " refused " + b.count(Outcome.REFUSED));
     assertTrue(
-        b.results().latency().getValueAtPercentile(99) < WANTED_MICROS,
+        b.results().latency().getValueAtPercentile(99) < LIMIT_MICROS,
         "b's 99th percentile, microseconds: " + b.results().latency().getValueAtPercentile(99));
   }
 
@@ -60,7 +60,7 @@
   @EnumSource(
       value = Mode.class,
       names = {"HANG", "RESET", "SPOILT", "ERROR", "FULL"})
-  void upstreamsOfAAreInTrouble(Mode trouble) throws Exception {
+  void faultyUpstreamsOfADoNotAffectB(Mode fault) throws Exception {
     start();
     var a = t.clients(
         new HttpRequestTemplate("a.example.org", "rate-lookup", false, "acme", 2_000),
@@ -69,9 +69,9 @@
         300);
     var b = b();
     TestNode.until(() -> a.count(Outcome.SERVED) > 100 && b.count(Outcome.SERVED) > 50);
-    t.upstreams.get("a0").mode(trouble);
-    t.upstreams.get("a1").mode(trouble);
-    bIsWell(b);
+    t.upstreams.get("a0").mode(fault);
+    t.upstreams.get("a1").mode(fault);
+    assertBIsServed(b);
     a.stop();
     assertEquals(
         0,
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void upstreamsOfARefuseConnections() throws Exception {
+  void refusedConnectionsOfADoNotAffectB() throws Exception {
     start();
     var a = t.clients(
         new HttpRequestTemplate("a.example.org", "rate-lookup", false, "acme", 2_000),
@@ -91,7 +91,7 @@
     TestNode.until(() -> a.count(Outcome.SERVED) > 100 && b.count(Outcome.SERVED) > 50);
     t.upstreams.get("a0").kill();
     t.upstreams.get("a1").kill();
-    bIsWell(b);
+    assertBIsServed(b);
     a.stop();
     assertEquals(
         0,
@@ -99,9 +99,9 @@
         a.results().faults().toString());
   }
 
-  /** Ten times the load, by more connections than a may have requests open; its upstreams slow down as well. */
+  /** Ten times the load, on more connections than pool a may have open requests, with slower upstreams. */
   @Test
-  void aIsFlooded() throws Exception {
+  void overloadOfADoesNotAffectB() throws Exception {
     start();
     var b = b();
     TestNode.until(() -> b.count(Outcome.SERVED) > 50);
@@ -112,7 +112,7 @@
         "a",
         90,
         3_000);
-    bIsWell(b);
+    assertBIsServed(b);
     a.stop();
     assertEquals(
         0,
@@ -120,16 +120,16 @@
         a.results().faults().toString());
   }
 
-  /** More slow senders than the process has sockets, who come again when closed: b's clients still get in and served. */
+  /** More slow senders than the process has sockets, which reconnect when closed: b's clients are still accepted and served. */
   @Test
-  void clientsOfASendTheirBodiesAByteAtATime() throws Exception {
+  void slowBodiesOfADoNotAffectB() throws Exception {
     start();
     java.util.concurrent.atomic.AtomicBoolean stop =
         new java.util.concurrent.atomic.AtomicBoolean();
     List<Thread> slow = new ArrayList<>();
     for (int i = 0; i < 140; i++) {
       String id = "slow-" + i;
-      Thread thread = new Thread(() -> drip(id, stop));
+      Thread thread = new Thread(() -> sendSlowly(id, stop));
       thread.setDaemon(true);
       thread.start();
       slow.add(thread);
@@ -151,15 +151,15 @@
     }
     micros.sort(null);
     assertTrue(
-        micros.get(15) < WANTED_MICROS, "microseconds from the connect to the answer: " + micros);
+        micros.get(15) < LIMIT_MICROS, "microseconds from the connect to the answer: " + micros);
   }
 
   /**
-   * A hundred requests of a wait in their sockets when twenty of b come behind them: b's have every other turn. Without
-   * turns b's would be the last to be sent, by the order in which the sockets are read.
+   * A hundred requests of pool a are unread in their sockets when twenty of pool b follow: the fair queue alternates
+   * between the pools. Without it b's would be sent last, by the order in which the sockets are read.
    */
   @Test
-  void burstOfADoesNotStandBeforeB() throws Exception {
+  void burstOfADoesNotDelayB() throws Exception {
     t.sockets(2_048);
     start();
     List<TestClient> clients = new ArrayList<>();
@@ -169,19 +169,20 @@
         assertEquals(
             200, clients.get(i).call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
       }
-      // The first burst opens the connections to upstreams. The others are judged by the best: on a
-      // busy machine the
-      // stand-ins may write down what came to them in another order than it was sent.
+      // The first burst opens the connections to upstreams. Of the others the best one counts: on a
+      // busy
+      // machine the stand-ins may log requests in another order than they were sent.
       burst("warm", clients);
-      long behind = 0;
-      for (int i = 0; i < 5 && behind <= 20; i++) {
+      long aAfterB = 0;
+      for (int i = 0; i < 5 && aAfterB <= 20; i++) {
         burst("burst" + i, clients);
         long lastOfB = seen("burst" + i, "b0", "b1").max().getAsLong();
-        behind = Math.max(
-            behind, seen("burst" + i, "a0", "a1").filter(at -> at > lastOfB).count());
+        aAfterB = Math.max(
+            aAfterB, seen("burst" + i, "a0", "a1").filter(at -> at > lastOfB).count());
       }
       assertTrue(
-          behind > 20, "requests of a that came to their upstreams after the last of b: " + behind);
+          aAfterB > 20,
+          "requests of a that reached their upstreams after the last one of b: " + aAfterB);
     } finally {
       for (TestClient client : clients) {
         client.close();
@@ -190,10 +191,10 @@
   }
 
   private void burst(String name, List<TestClient> clients) throws Exception {
-    java.util.concurrent.CountDownLatch go = new java.util.concurrent.CountDownLatch(1);
+    java.util.concurrent.CountDownLatch release = new java.util.concurrent.CountDownLatch(1);
     t.node.loop().execute(() -> {
       try {
-        go.await();
+        release.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -204,7 +205,7 @@
           .get(i)
           .send(ServicesTest.lookup(name + "-" + i, host, "").replace("Key: k", "Key: k" + i));
     }
-    go.countDown();
+    release.countDown();
     for (TestClient client : clients) {
       assertEquals(200, client.read().status());
     }
@@ -219,13 +220,13 @@
 
   private long noRooms() {
     try {
-      return t.ask(() -> t.node.services().counters().noRooms());
+      return t.onLoop(() -> t.node.services().counters().noRooms());
     } catch (Exception e) {
       throw new AssertionError(e);
     }
   }
 
-  private void drip(String id, java.util.concurrent.atomic.AtomicBoolean stop) {
+  private void sendSlowly(String id, java.util.concurrent.atomic.AtomicBoolean stop) {
     for (int round = 0; !stop.get(); round++) {
       try (TestClient client = new TestClient(t.address)) {
         client.send(ServicesTest.issue(id + "-" + round, id, "a.example.org")
@@ -235,7 +236,7 @@
           java.util.concurrent.locks.LockSupport.parkNanos(20_000_000L);
         }
       } catch (java.io.IOException e) {
-        // Turned away or timed out, as it should be: it comes again.
+        // Rejected or timed out, as expected: it reconnects.
         java.util.concurrent.locks.LockSupport.parkNanos(20_000_000L);
       }
     }
--- a/src/test/java/pumicekeel/node/JournalFailureTest.java
+++ b/src/test/java/pumicekeel/node/JournalFailureTest.java
@@ -11,8 +11,8 @@
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
 
-/** A disk that stands still or fails: keyed requests are refused at once, nothing is sent unrecorded, others go on. */
-class JournalTroubleTest {
+/** A journal disk that stalls or fails: keyed requests are refused at once, none is sent unrecorded, others are served. */
+class JournalFailureTest {
 
   private final TestServices t = new TestServices();
   private FaultyJournal journal;
@@ -29,7 +29,7 @@
         journal.writer,
         new KeyMemory(KeyMemory.MOST),
         TimeUnit.MILLISECONDS.toNanos(maxWaitMillis));
-    t.ask(() -> {
+    t.onLoop(() -> {
       t.node.services().journal(log);
       return null;
     });
@@ -49,18 +49,20 @@
   }
 
   @Test
-  void diskThatStandsStillRefusesSoonAndHoldsNothing() throws Exception {
+  void stalledDiskRefusesSoonAndHoldsNoRequest() throws Exception {
     start(true, 50);
     assertEquals("1", call(ServicesTest.issue("1", "k1", "h")).body());
     journal.stall(true);
-    // Each of the attempts that the module tries waits so long at most; the deadline of 5 s is far
-    // off.
+    // Each attempt of the module waits at most 50 ms for the journal, far less than the deadline of
+    // 5 s.
     long before = System.nanoTime();
     TestClient.Reply reply = call(ServicesTest.issue("2", "k2", "h"));
     assertTrue(reply.status() == 429 || reply.status() == 503, "status " + reply.status());
     assertTrue(System.nanoTime() - before < TimeUnit.SECONDS.toNanos(4), "not held");
     assertEquals(
-        "3", call(ServicesTest.lookup("3", "h", "")).body(), "what needs no record goes on");
+        "3",
+        call(ServicesTest.lookup("3", "h", "")).body(),
+        "a request that is not journalled is served");
     journal.stall(false);
     TestNode.until(() -> {
       try {
@@ -72,11 +74,12 @@
       }
     });
     assertTrue(
-        q.seen().stream().noneMatch(s -> s.id().equals("2")), "never sent, as the refusal says");
+        q.seen().stream().noneMatch(s -> s.id().equals("2")),
+        "never sent, as the refusal promises");
   }
 
   @Test
-  void diskThatFailsRefusesAtOnceWithTheTimeOfItsNextTry() throws Exception {
+  void failingDiskRefusesAtOnceWithTheTimeOfTheNextAttempt() throws Exception {
     start(true, 5_000);
     journal.fail(true);
     call(ServicesTest.issue("1", "k1", "h"));
@@ -99,7 +102,7 @@
   }
 
   @Test
-  void operatorMayWantThemSentAndTheGapTold() throws Exception {
+  void operatorMayAllowSendingWithoutARecord() throws Exception {
     start(false, 50);
     journal.fail(true);
     assertEquals("1", call(ServicesTest.issue("1", "k1", "h")).body());
@@ -108,9 +111,9 @@
     assertEquals("2", call(ServicesTest.issue("2", "k2", "h")).body());
   }
 
-  /** Whatever ran under a key in this process binds its repeats as well; an upstream's word that it did not frees them. */
+  /** A key that may have run in this process ties its repeats to the group, until an upstream reports that it did not run. */
   @Test
-  void repeatInTheSameProcessIsBoundToTheGroupToo() throws Exception {
+  void repeatInTheSameProcessStaysInTheGroup() throws Exception {
     q = t.upstream("q0", 0);
     t.upstream("q1", 0);
     t.start("[sources.s]\nstatic = " + t.list("q0", "q1")
@@ -122,20 +125,20 @@
         journal.writer,
         new KeyMemory(KeyMemory.MOST),
         TimeUnit.SECONDS.toNanos(5));
-    t.ask(() -> {
+    t.onLoop(() -> {
       t.node.services().journal(log);
       return null;
     });
     t.upstreams.values().forEach(u -> u.mode(Mode.RESET));
     assertEquals(502, call(ServicesTest.issue("1", "k1", "h")).status());
-    String where = seenAt("1");
+    String upstream = seenAt("1");
     t.upstreams.values().forEach(u -> u.mode(Mode.SERVE));
     for (int i = 0; i < 6; i++) {
       int status = call(ServicesTest.issue("r" + i, "k1", "h")
               .replace("Key: k\r", "Key: s" + i + "\r"))
           .status();
       assertTrue(status == 200 || status == 502, "status " + status);
-      assertTrue(status == 502 || seenAt("r" + i).equals(where), "repeat " + i);
+      assertTrue(status == 502 || seenAt("r" + i).equals(upstream), "repeat " + i);
     }
     t.upstreams.values().forEach(u -> u.mode(Mode.FULL));
     assertEquals(429, call(ServicesTest.issue("2", "k2", "h")).status());
--- a/src/test/java/pumicekeel/node/LargeBodyTest.java
+++ b/src/test/java/pumicekeel/node/LargeBodyTest.java
@@ -28,13 +28,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies that are too large to be kept, either way: they pass as they come, whole and unchanged, or visibly cut. */
+/** Request and response bodies too large to buffer are streamed unchanged, or visibly cut off. */
 class LargeBodyTest {
 
   private static final int MIB = 1 << 20;
 
-  /** An upstream in bytes: hands over each request's head and body, and does with the connection what a test wants. */
-  private static final class Raw implements Closeable {
+  /** An upstream at byte level: passes each request's head and body and the connection to the test's behaviour. */
+  private static final class ByteUpstream implements Closeable {
     interface Behaviour {
       void answer(String head, byte[] body, Socket connection) throws Exception;
     }
@@ -44,7 +44,7 @@
     final List<String> heads = new CopyOnWriteArrayList<>();
     final List<byte[]> bodies = new CopyOnWriteArrayList<>();
 
-    Raw(Behaviour behaviour) throws IOException {
+    ByteUpstream(Behaviour behaviour) throws IOException {
       start(() -> {
         while (true) {
           Socket connection = listener.accept();
@@ -63,16 +63,16 @@
       });
     }
 
-    private interface Work {
+    private interface Task {
       void run() throws Exception;
     }
 
-    private static void start(Work work) {
+    private static void start(Task task) {
       Thread thread = new Thread(() -> {
         try {
-          work.run();
+          task.run();
         } catch (Exception e) {
-          // The test or the balancer has closed.
+          // The test or the balancer has closed the connection.
         }
       });
       thread.setDaemon(true);
@@ -139,18 +139,18 @@
     return line.toString().trim();
   }
 
-  private static TestNode node(int attempts, Raw... upstreams) throws Exception {
+  private static TestNode node(int attempts, ByteUpstream... upstreams) throws Exception {
     StringBuilder known = new StringBuilder();
     for (int i = 0; i < upstreams.length; i++) {
       known
           .append(i == 0 ? "" : ",")
           .append(TestNode.endpoint("s-" + i, upstreams[i].address(), "in_service"));
     }
-    return new TestNode(TestNode.json(TestNode.nowhere(), attempts)
+    return new TestNode(TestNode.json(TestNode.unusedAddress(), attempts)
         .replace("\"endpoints\":[]", "\"endpoints\":[" + known + "]"));
   }
 
-  private static byte[] noise(int length, long seed) {
+  private static byte[] randomBytes(int length, long seed) {
     byte[] bytes = new byte[length];
     new Random(seed).nextBytes(bytes);
     return bytes;
@@ -175,9 +175,9 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"length", "chunks", "close"})
-  void largeAnswerPassesUnchangedInEveryForm(String form) throws Exception {
-    byte[] body = noise(3 * MIB + 17, 1);
-    try (Raw upstream = new Raw((head, none, connection) -> {
+  void largeAnswerIsPassedOnUnchangedInEachFraming(String form) throws Exception {
+    byte[] body = randomBytes(3 * MIB + 17, 1);
+    try (ByteUpstream upstream = new ByteUpstream((head, none, connection) -> {
       OutputStream out = connection.getOutputStream();
       if (form.equals("length")) {
         out.write(ascii(
@@ -202,16 +202,16 @@
           socket.getOutputStream().write(ascii(TestClient.look("a" + i, 15_000, "")));
           String head = readHead(in);
           assertTrue(head.startsWith("HTTP/1.1 200"), head);
-          assertArrayEquals(body, readBody(head, in), "the same connection goes on: " + i);
+          assertArrayEquals(body, readBody(head, in), "the connection is reused: " + i);
         }
       }
     }
   }
 
   @Test
-  void answerThatBreaksOffIsCutForTheClientToSeeAndNotSentAgain() throws Exception {
-    byte[] body = noise(MIB, 2);
-    try (Raw upstream = new Raw((head, none, connection) -> {
+  void truncatedAnswerIsVisiblyCutAndNotRetried() throws Exception {
+    byte[] body = randomBytes(MIB, 2);
+    try (ByteUpstream upstream = new ByteUpstream((head, none, connection) -> {
       OutputStream out = connection.getOutputStream();
       out.write(ascii("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n"));
       out.write(body, 0, body.length / 2);
@@ -221,8 +221,8 @@
       try (Socket socket = client(node)) {
         socket.getOutputStream().write(ascii(TestClient.look("a", 15_000, "")));
         byte[] got = socket.getInputStream().readAllBytes();
-        assertTrue(got.length < body.length, "less than the length that the head told");
-        assertEquals(1, upstream.heads.size(), "nothing is sent again once a part is out");
+        assertTrue(got.length < body.length, "less than the announced length");
+        assertEquals(1, upstream.heads.size(), "no second attempt once a part was passed on");
       } catch (SocketException e) {
         assertEquals(1, upstream.heads.size());
       }
@@ -230,11 +230,11 @@
   }
 
   @Test
-  void slowReadersHoldTheirUpstreamsAndNotTheMemory() throws Exception {
+  void slowReadersSlowTheirUpstreamsAndUseNoMemory() throws Exception {
     int clients = 24;
-    byte[] body = noise(16 * MIB, 3);
+    byte[] body = randomBytes(16 * MIB, 3);
     AtomicLong written = new AtomicLong();
-    try (Raw upstream = new Raw((head, none, connection) -> {
+    try (ByteUpstream upstream = new ByteUpstream((head, none, connection) -> {
       OutputStream out = connection.getOutputStream();
       out.write(ascii("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n"));
       for (int i = 0; i < body.length; i += 64 << 10) {
@@ -253,7 +253,7 @@
         sockets.add(socket);
       }
       TestNode.until(() -> upstream.heads.size() == clients);
-      // Until the sockets' own buffers are full; what lies between them is the balancer's.
+      // Until the socket buffers are full; anything more would be in the balancer's memory.
       long before = -1;
       while (before != written.get()) {
         before = written.get();
@@ -272,10 +272,10 @@
   }
 
   @Test
-  void clientThatLeavesALargeAnswerFreesItsUpstream() throws Exception {
+  void disconnectDuringALargeAnswerFreesItsUpstream() throws Exception {
     CountDownLatch broken = new CountDownLatch(1);
-    byte[] body = noise(MIB, 4);
-    try (Raw upstream = new Raw((head, none, connection) -> {
+    byte[] body = randomBytes(MIB, 4);
+    try (ByteUpstream upstream = new ByteUpstream((head, none, connection) -> {
       OutputStream out = connection.getOutputStream();
       out.write(ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
       try {
@@ -302,9 +302,9 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void largeRequestGoesOnAsItComesAndItsTimeCountsFromItsEnd(boolean chunked) throws Exception {
-    byte[] body = noise(2 * MIB, 5);
-    try (Raw upstream = new Raw((head, sent, connection) -> connection
+  void largeRequestIsStreamedAndItsTimeCountsFromItsEnd(boolean chunked) throws Exception {
+    byte[] body = randomBytes(2 * MIB, 5);
+    try (ByteUpstream upstream = new ByteUpstream((head, sent, connection) -> connection
         .getOutputStream()
         .write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine")))) {
       TestNode node = node(1, upstream);
@@ -312,7 +312,7 @@
         OutputStream out = socket.getOutputStream();
         DataInputStream in = new DataInputStream(socket.getInputStream());
         for (int round = 0; round < 2; round++) {
-          // Its time is less than its body takes to come.
+          // The time left is shorter than the upload of the body.
           String head = upload(
                   "u" + round,
                   chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + body.length)
@@ -328,7 +328,7 @@
             TestNode.until(() -> System.nanoTime() - mark > TimeUnit.MILLISECONDS.toNanos(100));
             if (i == 512 << 10) {
               int before = upstream.heads.size();
-              assertEquals(round + 1, before, "sent on before it has come whole");
+              assertEquals(round + 1, before, "forwarded before it has arrived completely");
             }
           }
           if (chunked) {
@@ -344,9 +344,9 @@
   }
 
   @Test
-  void uploadThatEndsHalfWayNeverRunsAndLeavesNothingBehind() throws Exception {
-    byte[] body = noise(MIB, 6);
-    try (Raw upstream = new Raw((head, sent, connection) -> connection
+  void abortedUploadNeverRunsAndLeavesNothingBehind() throws Exception {
+    byte[] body = randomBytes(MIB, 6);
+    try (ByteUpstream upstream = new ByteUpstream((head, sent, connection) -> connection
         .getOutputStream()
         .write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine")))) {
       TestNode node = node(1, upstream);
@@ -362,15 +362,15 @@
         leaves.close();
         assertTrue(
             readHead(new DataInputStream(stops.getInputStream())).startsWith("HTTP/1.1 408"));
-        TestNode.until(() -> upstream.open.stream().allMatch(LargeBodyTest::gone));
+        TestNode.until(() -> upstream.open.stream().allMatch(LargeBodyTest::closedByPeer));
         assertTrue(upstream.bodies.isEmpty(), "no request came whole");
         TestNode.until(() -> node.node.listeners().open() == 0);
       }
     }
   }
 
-  /** Whether the peer of a connection has gone. */
-  private static boolean gone(Socket socket) {
+  /** Whether the peer has closed a connection. */
+  private static boolean closedByPeer(Socket socket) {
     try {
       socket.getOutputStream().write(0);
       return false;
@@ -380,25 +380,25 @@
   }
 
   @Test
-  void bodyThatIsSpentIsNotSentAgainAndOneThatIsNotGoesElsewhere() throws Exception {
-    byte[] body = noise(4 * MIB, 7);
+  void consumedBodyIsNotResentAndAnUntouchedOneGoesToAnotherUpstream() throws Exception {
+    byte[] body = randomBytes(4 * MIB, 7);
     try (ServerSocket refuses = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Raw upstream = new Raw((head, sent, connection) -> connection
+        ByteUpstream upstream = new ByteUpstream((head, sent, connection) -> connection
             .getOutputStream()
             .write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine")))) {
-      // Reads the head and a part of the body, then breaks: nothing can have run.
-      CompletableFuture<Integer> broke = new CompletableFuture<>();
-      Raw.start(() -> {
+      // Reads the head and a part of the body, then closes: nothing can have run.
+      CompletableFuture<Integer> brokenAt = new CompletableFuture<>();
+      ByteUpstream.start(() -> {
         for (int i = 0; true; i++) {
           try (Socket connection = refuses.accept()) {
             DataInputStream in = new DataInputStream(connection.getInputStream());
             readHead(in);
             in.readFully(new byte[MIB]);
-            broke.complete(i);
+            brokenAt.complete(i);
           }
         }
       });
-      TestNode node = new TestNode(TestNode.json(TestNode.nowhere(), 4)
+      TestNode node = new TestNode(TestNode.json(TestNode.unusedAddress(), 4)
           .replace(
               "\"endpoints\":[]",
               "\"endpoints\":["
@@ -413,14 +413,14 @@
         String head = readHead(in);
         assertTrue(
             head.startsWith("HTTP/1.1 429"), "nothing ran, and nothing more can be sent: " + head);
-        assertEquals(0, broke.get(30, TimeUnit.SECONDS), "one attempt");
+        assertEquals(0, brokenAt.get(30, TimeUnit.SECONDS), "one attempt");
       }
       refuses.close();
-      TestNode other = new TestNode(TestNode.json(TestNode.nowhere(), 4)
+      TestNode other = new TestNode(TestNode.json(TestNode.unusedAddress(), 4)
           .replace(
               "\"endpoints\":[]",
               "\"endpoints\":["
-                  + TestNode.endpoint("s-0", TestNode.nowhere(), "in_service") + ","
+                  + TestNode.endpoint("s-0", TestNode.unusedAddress(), "in_service") + ","
                   + TestNode.endpoint("s-1", upstream.address(), "in_service") + "]"));
       int served = 0;
       for (int i = 0; i < 6; i++) {
@@ -434,22 +434,23 @@
           served += readHead(in).startsWith("HTTP/1.1 200") ? 1 : 0;
         }
       }
-      assertEquals(6, served, "one that could not connect takes nothing of the body along");
+      assertEquals(6, served, "a failed connect consumes nothing of the body");
       assertTrue(upstream.bodies.stream().allMatch(b -> Arrays.equals(b, body)));
       assertFalse(upstream.bodies.isEmpty());
     }
   }
 
-  /** Bodies that come whole before anybody has taken them, and then find nobody: their pieces are given back. */
+  /** Bodies that arrive completely before an attempt takes them, and then find no upstream: their buffers are released. */
   @Test
-  void bodiesThatNobodyTakesLeaveNoBuffersBehind() throws Exception {
-    TestNode node = new TestNode(TestNode.json(TestNode.nowhere(), 1)
+  void bodiesWithoutAnUpstreamLeaveNoBuffersBehind() throws Exception {
+    TestNode node = new TestNode(TestNode.json(TestNode.unusedAddress(), 1)
         .replace(
             "\"endpoints\":[]",
-            "\"endpoints\":[" + TestNode.endpoint("s-0", TestNode.nowhere(), "in_service") + "]"));
-    byte[] body = noise((64 << 10) + 1_500, 9);
+            "\"endpoints\":[" + TestNode.endpoint("s-0", TestNode.unusedAddress(), "in_service")
+                + "]"));
+    byte[] body = randomBytes((64 << 10) + 1_500, 9);
     long before = -1;
-    // In small chunks, whose last ones come in one read with the one that is too much.
+    // In small chunks, the last of which arrive in one read with the one that exceeds the limit.
     java.io.ByteArrayOutputStream chunks = new java.io.ByteArrayOutputStream();
     for (int i = 0; i < body.length; i += 200) {
       chunk(chunks, body, i, Math.min(200, body.length - i));
@@ -467,28 +468,29 @@
             readHead(new DataInputStream(socket.getInputStream())).startsWith("HTTP/1.1 200"));
       }
     }
-    long grown = io.netty.util.internal.PlatformDependent.usedDirectMemory() - before;
-    assertTrue(grown < 3 * MIB, "direct memory grew by " + grown);
+    long growth = io.netty.util.internal.PlatformDependent.usedDirectMemory() - before;
+    assertTrue(growth < 3 * MIB, "direct memory grew by " + growth);
   }
 
   @Test
-  void bodiesBeyondTheMostAreTurnedAwayHoweverTheirLengthIsTold() throws Exception {
-    try (Raw upstream = new Raw((head, sent, connection) -> connection
+  void bodiesOverTheLimitAreRejectedInEachFraming() throws Exception {
+    try (ByteUpstream upstream = new ByteUpstream((head, sent, connection) -> connection
         .getOutputStream()
         .write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine")))) {
       TestNode node = node(1, upstream);
-      try (Socket told = client(node);
-          Socket untold = client(node)) {
-        told.getOutputStream().write(ascii(upload("a", "Content-Length: 60000000")));
-        assertTrue(readHead(new DataInputStream(told.getInputStream())).startsWith("HTTP/1.1 413"));
-        untold.getOutputStream().write(ascii(upload("b", "Transfer-Encoding: chunked")));
-        byte[] chunk = noise(MIB, 8);
+      try (Socket withLength = client(node);
+          Socket withChunks = client(node)) {
+        withLength.getOutputStream().write(ascii(upload("a", "Content-Length: 60000000")));
+        assertTrue(
+            readHead(new DataInputStream(withLength.getInputStream())).startsWith("HTTP/1.1 413"));
+        withChunks.getOutputStream().write(ascii(upload("b", "Transfer-Encoding: chunked")));
+        byte[] chunk = randomBytes(MIB, 8);
         try {
           for (int i = 0; i < 60; i++) {
-            chunk(untold.getOutputStream(), chunk, 0, MIB);
+            chunk(withChunks.getOutputStream(), chunk, 0, MIB);
           }
         } catch (IOException e) {
-          // Closed under it.
+          // Closed by the balancer during the upload.
         }
         TestNode.until(() -> node.node.listeners().open() <= 1);
         assertTrue(upstream.bodies.isEmpty());
@@ -496,10 +498,10 @@
     }
   }
 
-  /** The head may take two seconds, and so may each part of a small body: none of it was worth an error before. */
+  /** A slow request head and a slow small answer are served: neither may count as an error while it makes progress. */
   @Test
   void slowHeadAndSmallSlowAnswerAreServed() throws Exception {
-    try (Raw upstream = new Raw((head, sent, connection) -> {
+    try (ByteUpstream upstream = new ByteUpstream((head, sent, connection) -> {
       OutputStream out = connection.getOutputStream();
       out.write(ascii("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n"));
       for (int i = 0; i < 10; i++) {
--- a/src/test/java/pumicekeel/node/ListChangeTimeTest.java
+++ b/src/test/java/pumicekeel/node/ListChangeTimeTest.java
@@ -16,69 +16,69 @@
 import pumicekeel.runtime.Reactor;
 
 /**
- * A change counts as told 6 s after discovery had it and could be reached, and 4 s after a SIGHUP to another discovery, whatever a failed
- * call would allow: a node that has not heard of it by then is wrong. Each order of faults runs beside the others on a node of its own; the
- * limit is a timer of that node's loop, so that a machine which is late is late for both.
+ * A node must have received a change 6 s after discovery had it and could be reached, and 4 s after a SIGHUP to another discovery, whatever
+ * calls fail in between. Each sequence of faults runs concurrently with the others on its own node; the limit is a timer of that node's
+ * event loop, so that a slow machine delays both.
  */
-class ToldInTimeTest {
+class ListChangeTimeTest {
 
-  private static final long TOLD_SECONDS = 6;
-  private static final long TOLD_AFTER_SIGHUP_SECONDS = 4;
+  private static final long LIMIT_SECONDS = 6;
+  private static final long LIMIT_AFTER_SIGHUP_SECONDS = 4;
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   private static final String REFUSAL = "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n";
-  /** Far less than any limit on silence. */
+  /** Far shorter than any limit on silence. */
   private static final long TRICKLE_MILLIS = 200;
 
-  /** What a discovery does with one call. */
+  /** How a discovery handles one call. */
   private enum Call {
-    /** Takes it and says nothing, ever. */
+    /** Accepts it and never answers. */
     SILENT,
-    /** Begins its head and never ends it. */
+    /** Begins the head and never ends it. */
     ENDLESS_HEAD,
     /** Begins a list and never ends it. */
     ENDLESS_LIST,
-    /** Ends the connection. */
+    /** Closes the connection. */
     BREAK,
     REFUSE,
-    /** Tells of the change, which is known by now. */
-    TELL
+    /** Reports the change, which discovery has by now. */
+    REPORT
   }
 
-  /** One order: the calls in turn, the last of them again and again; the change is there when the call of this index comes. */
-  private final class Order implements FakeServer.Behaviour {
+  /** A sequence of calls of which the last one repeats; discovery has the change from the call with index changeAt on. */
+  private final class Sequence implements FakeServer.Behaviour {
     private final String name;
     private final List<Call> calls;
     private final int changeAt;
     private final long limitSeconds;
-    private final AtomicInteger came = new AtomicInteger();
-    private final Reactor on = Reactor.start();
+    private final AtomicInteger received = new AtomicInteger();
+    private final Reactor reactor = Reactor.start();
     private final CountDownLatch decided = new CountDownLatch(1);
-    private volatile boolean told;
+    private volatile boolean reported;
     private volatile boolean late;
 
-    private Order(String name, int changeAt, long limitSeconds, Call... calls) {
+    private Sequence(String name, int changeAt, long limitSeconds, Call... calls) {
       this.name = name;
       this.calls = List.of(calls);
       this.changeAt = changeAt;
       this.limitSeconds = limitSeconds;
     }
 
-    /** The change is known from now on. */
-    private void changes() {
-      on.loop().schedule(this::due, limitSeconds, TimeUnit.SECONDS);
+    /** Discovery has the change from now on. */
+    private void startTimer() {
+      reactor.loop().schedule(this::onLimit, limitSeconds, TimeUnit.SECONDS);
     }
 
-    private void due() {
-      late = !told;
+    private void onLimit() {
+      late = !reported;
       decided.countDown();
     }
 
     @Override
     public void answer(String request, java.net.Socket connection, OutputStream out)
         throws Exception {
-      int number = came.getAndIncrement();
+      int number = received.getAndIncrement();
       if (number == changeAt) {
-        changes();
+        startTimer();
       }
       switch (calls.get(Math.min(number, calls.size() - 1))) {
         case SILENT -> {}
@@ -86,10 +86,10 @@
         case ENDLESS_LIST -> trickle(out, HEAD + "c\r\n{\"index\":9,\n\r\n", "1\r\n\n\r\n");
         case BREAK -> connection.close();
         case REFUSE -> FakeServer.write(out, REFUSAL);
-        case TELL -> {
+        case REPORT -> {
           String list = "{\"index\":9,\"snapshot\":true,\"endpoints\":[]}\n";
           FakeServer.write(out, HEAD + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
-          told = true;
+          reported = true;
           decided.countDown();
         }
       }
@@ -104,17 +104,17 @@
     }
   }
 
-  /** So many that the back-off has reached its longest. */
+  /** Enough refusals for the back-off to reach its maximum. */
   private static final int REFUSALS = 7;
 
   private static Call[] refusals() {
     Call[] calls = new Call[REFUSALS + 1];
     Arrays.fill(calls, Call.REFUSE);
-    calls[REFUSALS] = Call.TELL;
+    calls[REFUSALS] = Call.REPORT;
     return calls;
   }
 
-  private final List<Order> orders = new ArrayList<>();
+  private final List<Sequence> sequences = new ArrayList<>();
   private final List<FakeServer> servers = new CopyOnWriteArrayList<>();
 
   private FakeServer serve(FakeServer.Behaviour behaviour) throws IOException {
@@ -123,54 +123,57 @@
     return server;
   }
 
-  private Node start(Order order, InetSocketAddress discovery, boolean pushed) throws Exception {
-    orders.add(order);
+  private Node start(Sequence sequence, InetSocketAddress discovery, boolean pushed)
+      throws Exception {
+    sequences.add(sequence);
     String json = pushed ? TestNode.pushed(discovery, 3) : TestNode.json(discovery, 3);
-    Node node = new Node(order.on, TestNode.read(json, orders.size()), null, () -> {}, false);
+    Node node =
+        new Node(sequence.reactor, TestNode.read(json, sequences.size()), null, () -> {}, false);
     node.start();
     return node;
   }
 
-  private void all(boolean pushed) throws Exception {
+  private void startAll(boolean pushed) throws Exception {
     String kind = pushed ? "pushed, " : "asked, ";
-    for (Order order : List.of(
-        new Order(kind + "silent from its first byte", 0, TOLD_SECONDS, Call.SILENT, Call.TELL),
-        new Order(kind + "endless head", 0, TOLD_SECONDS, Call.ENDLESS_HEAD, Call.TELL),
-        new Order(kind + "endless list", 0, TOLD_SECONDS, Call.ENDLESS_LIST, Call.TELL),
-        new Order(
-            kind + "broken, then silent", 0, TOLD_SECONDS, Call.BREAK, Call.SILENT, Call.TELL),
-        new Order(kind + "refusing, then back", REFUSALS - 1, TOLD_SECONDS, refusals()),
-        new Order(
+    for (Sequence sequence : List.of(
+        new Sequence(
+            kind + "silent from its first byte", 0, LIMIT_SECONDS, Call.SILENT, Call.REPORT),
+        new Sequence(kind + "endless head", 0, LIMIT_SECONDS, Call.ENDLESS_HEAD, Call.REPORT),
+        new Sequence(kind + "endless list", 0, LIMIT_SECONDS, Call.ENDLESS_LIST, Call.REPORT),
+        new Sequence(
+            kind + "broken, then silent", 0, LIMIT_SECONDS, Call.BREAK, Call.SILENT, Call.REPORT),
+        new Sequence(kind + "refusing, then back", REFUSALS - 1, LIMIT_SECONDS, refusals()),
+        new Sequence(
             kind + "refusing, then silent",
             1,
-            TOLD_SECONDS,
+            LIMIT_SECONDS,
             Call.REFUSE,
             Call.SILENT,
-            Call.TELL))) {
-      start(order, serve(order).address(), pushed);
+            Call.REPORT))) {
+      start(sequence, serve(sequence).address(), pushed);
     }
   }
 
-  /** SIGHUP to another one while the first has refused for long; the first call there fails as well. */
-  private void moved(boolean pushed, Call first) throws Exception {
+  /** SIGHUP to another discovery after the first has refused several calls; the first call there fails as well. */
+  private void startWithSighup(boolean pushed, Call first) throws Exception {
     int refusals = 5;
     CountDownLatch refused = new CountDownLatch(refusals);
     FakeServer before = serve((request, connection, out) -> {
       FakeServer.write(out, REFUSAL);
       refused.countDown();
     });
-    Order order = new Order(
+    Sequence sequence = new Sequence(
         (pushed ? "pushed" : "asked") + ", SIGHUP, then " + first,
         -1,
-        TOLD_AFTER_SIGHUP_SECONDS,
+        LIMIT_AFTER_SIGHUP_SECONDS,
         first,
-        Call.TELL);
-    Node node = start(order, before.address(), pushed);
+        Call.REPORT);
+    Node node = start(sequence, before.address(), pushed);
     Thread hangup = new Thread(() -> {
       try {
         refused.await();
-        InetSocketAddress next = serve(order).address();
-        order.changes();
+        InetSocketAddress next = serve(sequence).address();
+        sequence.startTimer();
         node.reload(TestNode.read(pushed ? TestNode.pushed(next, 3) : TestNode.json(next, 3), 1));
       } catch (IOException | InterruptedException e) {
         throw new IllegalStateException(e);
@@ -181,20 +184,20 @@
   }
 
   @Test
-  void whateverACallDoes() throws Exception {
+  void changeIsReceivedInTimeWhateverCallsFail() throws Exception {
     for (boolean pushed : new boolean[] {false, true}) {
-      all(pushed);
-      moved(pushed, Call.REFUSE);
+      startAll(pushed);
+      startWithSighup(pushed, Call.REFUSE);
       for (int i = 0; i < 4; i++) {
-        moved(pushed, Call.SILENT);
+        startWithSighup(pushed, Call.SILENT);
       }
     }
     List<String> late = new ArrayList<>();
-    for (Order order : orders) {
-      if (!order.decided.await(60, TimeUnit.SECONDS) || order.late) {
-        late.add(order.name + " with seed " + (orders.indexOf(order) + 1));
+    for (Sequence sequence : sequences) {
+      if (!sequence.decided.await(60, TimeUnit.SECONDS) || sequence.late) {
+        late.add(sequence.name + " with seed " + (sequences.indexOf(sequence) + 1));
       }
-      order.on.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
+      sequence.reactor.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
     for (FakeServer server : servers) {
       server.close();
--- a/src/test/java/pumicekeel/node/MalformedAnswerTest.java
+++ b/src/test/java/pumicekeel/node/MalformedAnswerTest.java
@@ -12,53 +12,54 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Upstreams that answer what can't be used, or more than was asked for. */
-class SpoiltAnswerTest {
+/** Upstreams that send malformed answers or surplus data. */
+class MalformedAnswerTest {
 
   private static final int FAILED = 502;
 
-  private static FakeServer.Behaviour says(String answer) {
+  private static FakeServer.Behaviour answers(String answer) {
     return (request, connection, out) -> FakeServer.write(out, answer);
   }
 
-  private static Arguments row(String name, String answer) {
+  private static Arguments answerOf(String name, String answer) {
     return Arguments.of(name, answer);
   }
 
-  /** All leave the connection open and silent: only a close on the balancer's side shows that they were seen. */
-  static Stream<Arguments> spoilt() {
+  /** All leave the connection open and silent, so only a close by the balancer shows that the fault was detected. */
+  static Stream<Arguments> malformed() {
     return Stream.of(
-        row("noise without a line's end", "\u0001\u0002noise"),
-        row("3 GB announced", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nfine"),
-        row("two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nfine"),
-        row(
+        answerOf("noise without a line's end", "\u0001\u0002noise"),
+        answerOf("3 GB announced", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nfine"),
+        answerOf(
+            "two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nfine"),
+        answerOf(
             "two lengths in 1.0",
             "HTTP/1.0 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nfine"),
-        row(
+        answerOf(
             "length and chunks",
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"),
-        row(
+        answerOf(
             "a line without a colon",
             "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nfine"),
-        row("a blank ahead of a colon", "HTTP/1.1 200 OK\r\nContent-Length : 4\r\n\r\nfine"),
-        row(
+        answerOf("a blank ahead of a colon", "HTTP/1.1 200 OK\r\nContent-Length : 4\r\n\r\nfine"),
+        answerOf(
             "another coding",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"),
-        row("lines ended by LF alone", "HTTP/1.1 200 OK\nContent-Length: 4\n\nfine"),
-        row("neither length nor chunks", "HTTP/1.1 200 OK\r\n\r\nfine"),
-        row("another protocol", "HTTP/1.1 101 S\r\nUpgrade: x\r\n\r\nfine"),
-        row("interim answers without end", "HTTP/1.1 102 P\r\n\r\n".repeat(50)),
-        row("a head without end", "HTTP/1.1 200 OK\r\n" + "X: y\r\n".repeat(3_000)),
-        row("a head that stalls", "HTTP/1.1 200 OK\r\nContent-Le"),
-        row("a body that stalls", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine"));
+        answerOf("lines ended by LF alone", "HTTP/1.1 200 OK\nContent-Length: 4\n\nfine"),
+        answerOf("neither length nor chunks", "HTTP/1.1 200 OK\r\n\r\nfine"),
+        answerOf("another protocol", "HTTP/1.1 101 S\r\nUpgrade: x\r\n\r\nfine"),
+        answerOf("interim answers without end", "HTTP/1.1 102 P\r\n\r\n".repeat(50)),
+        answerOf("a head without end", "HTTP/1.1 200 OK\r\n" + "X: y\r\n".repeat(3_000)),
+        answerOf("a head that stalls", "HTTP/1.1 200 OK\r\nContent-Le"),
+        answerOf("a body that stalls", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine"));
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("spoilt")
-  void spoiltAnswerIsAFailureAtOnceAndItsConnectionIsClosed(String name, String answer)
+  @MethodSource("malformed")
+  void malformedAnswerIsAFailureAndItsConnectionIsClosed(String name, String answer)
       throws Exception {
-    try (FakeServer upstream = new FakeServer(says(answer))) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    try (FakeServer upstream = new FakeServer(answers(answer))) {
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         long start = System.nanoTime();
         assertEquals(FAILED, client.call(TestClient.order("1", 20_000)).status());
@@ -71,38 +72,38 @@
 
   static Stream<Arguments> surplus() {
     return Stream.of(
-        row("a second copy", FakeServer.ok("mine")),
-        row("half a line", "HTT"),
-        row("noise", "\u0000\u0001\u0002"));
+        answerOf("a second copy", FakeServer.ok("mine")),
+        answerOf("half a line", "HTT"),
+        answerOf("noise", "\u0000\u0001\u0002"));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("surplus")
-  void whatComesBehindAnAnswerIsNeverTheNextOnes(String name, String behind) throws Exception {
+  void surplusDataIsNeverTheNextAnswer(String name, String extra) throws Exception {
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       String body = request.contains("X-Correlation-Id: 1\n") ? "mine" : "next";
-      FakeServer.write(out, FakeServer.ok(body) + (body.equals("mine") ? behind : ""));
+      FakeServer.write(out, FakeServer.ok(body) + (body.equals("mine") ? extra : ""));
     })) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient first = new TestClient(node.address);
           TestClient second = new TestClient(node.address)) {
         assertEquals("mine", first.call(TestClient.order("1", 15_000)).body());
         assertEquals("next", second.call(TestClient.order("2", 15_000)).body());
-        assertEquals(2, upstream.connections.size(), "the first connection is of no further use");
+        assertEquals(2, upstream.connections.size(), "the first connection is not reused");
         TestNode.until(() -> upstream.closedByPeer.get() == 1);
       }
     }
   }
 
   @Test
-  void whatComesOnAnIdleConnectionClosesIt() throws Exception {
+  void dataOnAnIdleConnectionClosesIt() throws Exception {
     CountDownLatch answered = new CountDownLatch(1);
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       FakeServer.write(out, FakeServer.ok("fine"));
       answered.await();
       FakeServer.write(out, "H");
     })) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals("fine", client.call(TestClient.order("1", 15_000)).body());
         answered.countDown();
@@ -112,25 +113,25 @@
     }
   }
 
-  /** What trickles is passed on after a while; its client still has to see an end in its own time. */
+  /** A slow answer is streamed after a while; its client still has to see an end by its own time limit. */
   @ParameterizedTest(name = "{0}")
   @ValueSource(strings = {"falls silent", "never ends"})
-  void answerThatIsPassedOnIsCutOnceItsClientsTimeIsUp(String then) throws Exception {
+  void streamedAnswerIsCutWhenItsClientsTimeIsUp(String pattern) throws Exception {
     long left = 3_000;
-    // Far beyond the client's time, and before any other limit would end it.
-    long late = 8_000;
+    // Far longer than the client's time, and shorter than any other limit.
+    long limitMillis = 8_000;
     CountDownLatch begun = new CountDownLatch(1);
     AtomicLong bytes = new AtomicLong();
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       FakeServer.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n");
-      while (then.equals("never ends") || begun.getCount() > 0) {
+      while (pattern.equals("never ends") || begun.getCount() > 0) {
         FakeServer.write(out, "x");
         bytes.incrementAndGet();
-        // The upstream's own pace: each piece sooner than an answer is given up.
+        // Each piece arrives before the time-out between pieces.
         Thread.sleep(50);
       }
     })) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         long start = System.nanoTime();
         client.send(TestClient.look("1", left, ""));
@@ -140,24 +141,24 @@
           assertTrue(bytes.get() < 1_000, "cut short");
         }
         long took = (System.nanoTime() - start) / 1_000_000;
-        assertTrue(took < late, "its client saw an end after " + took + " ms");
+        assertTrue(took < limitMillis, "its client saw an end after " + took + " ms");
         TestNode.until(() -> upstream.closedByPeer.get() == 1);
       }
     }
   }
 
   @Test
-  void interimAnswersAndAnUnreadableReportSpoilNothing() throws Exception {
+  void interimAnswersAndAnUnreadableLoadReportAreIgnored() throws Exception {
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       FakeServer.write(out, "HTTP/1.1 103 E\r\nLink: x\r\n\r\n");
-      // Longer than an answer may take from its first byte to its last: an interim one is not its
-      // first byte.
+      // Longer than the limit from an answer's first byte to its last: an interim answer must not
+      // start it.
       Thread.sleep(600);
       FakeServer.write(
           out,
           "HTTP/1.1 200 OK\r\nX-Backend-Load: inflight==;7,,\r\nContent-Length: 4\r\n\r\nfine");
     })) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals("fine", client.call(TestClient.order("1", 15_000)).body());
       }
--- a/src/test/java/pumicekeel/node/OutcomeTest.java
+++ b/src/test/java/pumicekeel/node/OutcomeTest.java
@@ -10,23 +10,23 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What an upstream does and what the client is told. With one attempt and a keyed class, 429 shows an outcome that
- * proves that nothing ran, 502 one that may have run, 200 a whole answer.
+ * An upstream's behaviour and the resulting answer to the client. With one attempt and a keyed class, 429 means that the
+ * request provably did not run, 502 that it may have run, and 200 a complete answer.
  */
 class OutcomeTest {
 
   private static final int REFUSED = 429;
   private static final int FAILED = 502;
 
-  private static Arguments row(String name, int status, FakeServer.Behaviour behaviour) {
+  private static Arguments outcome(String name, int status, FakeServer.Behaviour behaviour) {
     return Arguments.of(name, status, behaviour);
   }
 
-  private static FakeServer.Behaviour says(String answer) {
+  private static FakeServer.Behaviour answers(String answer) {
     return (request, connection, out) -> FakeServer.write(out, answer);
   }
 
-  private static FakeServer.Behaviour saysAndEnds(String answer) {
+  private static FakeServer.Behaviour answersAndCloses(String answer) {
     return (request, connection, out) -> {
       FakeServer.write(out, answer);
       connection.close();
@@ -35,54 +35,60 @@
 
   static Stream<Arguments> behaviours() {
     return Stream.of(
-        row("whole answer", 200, says(FakeServer.ok("fine"))),
-        row(
+        outcome("whole answer", 200, answers(FakeServer.ok("fine"))),
+        outcome(
             "chunked answer",
             200,
-            says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n")),
-        row(
+            answers("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n")),
+        outcome(
             "after an interim answer",
             200,
-            says("HTTP/1.1 100 Continue\r\n\r\n" + FakeServer.ok("fine"))),
-        row(
+            answers("HTTP/1.1 100 Continue\r\n\r\n" + FakeServer.ok("fine"))),
+        outcome(
             "no reason given",
             200,
-            says("HTTP/1.1 103 \r\n\r\n" + FakeServer.ok("fine").replace(" OK", " "))),
-        row("error", FAILED, says("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")),
-        row(
+            answers("HTTP/1.1 103 \r\n\r\n" + FakeServer.ok("fine").replace(" OK", " "))),
+        outcome("error", FAILED, answers("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")),
+        outcome(
             "turned away",
             REFUSED,
-            says("HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
-        row(
+            answers("HTTP/1.1 503 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+        outcome(
             "over already",
             REFUSED,
-            says("HTTP/1.1 504 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
-        row("bare 503", FAILED, says("HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n")),
-        row(
+            answers("HTTP/1.1 504 U\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+        outcome("bare 503", FAILED, answers("HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n")),
+        outcome(
             "mark on an error",
             FAILED,
-            says("HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
-        row("ended with no answer", FAILED, saysAndEnds("")),
-        row("reset", FAILED, (request, connection, out) -> {
+            answers("HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")),
+        outcome("ended with no answer", FAILED, answersAndCloses("")),
+        outcome("reset", FAILED, (request, connection, out) -> {
           connection.setSoLinger(true, 0);
           connection.close();
         }),
-        row("cut short", FAILED, saysAndEnds("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine")),
-        row(
+        outcome(
+            "cut short",
+            FAILED,
+            answersAndCloses("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine")),
+        outcome(
             "cut short in chunks",
             FAILED,
-            saysAndEnds("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")),
-        row("no length", FAILED, saysAndEnds("HTTP/1.1 200 OK\r\n\r\nfine")),
-        row("malformed", FAILED, says("nonsense\r\n\r\n")),
-        row("too large", FAILED, says("HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nfine")));
+            answersAndCloses("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")),
+        outcome("no length", FAILED, answersAndCloses("HTTP/1.1 200 OK\r\n\r\nfine")),
+        outcome("malformed", FAILED, answers("nonsense\r\n\r\n")),
+        outcome(
+            "too large",
+            FAILED,
+            answers("HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nfine")));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("behaviours")
-  void clientIsToldTheTruth(String name, int status, FakeServer.Behaviour behaviour)
+  void clientGetsTheMatchingStatus(String name, int status, FakeServer.Behaviour behaviour)
       throws Exception {
     try (FakeServer upstream = new FakeServer(behaviour)) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         TestClient.Reply reply = client.call(TestClient.order("1", 15_000));
         assertEquals(status, reply.status());
@@ -94,25 +100,25 @@
   }
 
   @Test
-  void upstreamThatIsNotThereIsARefusal() throws Exception {
+  void refusedConnectIsARefusal() throws Exception {
     FakeServer upstream = FakeServer.serving("fine");
     upstream.close();
-    TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+    TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
     try (TestClient client = new TestClient(node.address)) {
       assertEquals(REFUSED, client.call(TestClient.order("1", 15_000)).status());
     }
   }
 
   @Test
-  void silentUpstreamIsAFailureAndItsConnectionsAreNotUsedAgain() throws Exception {
+  void silentUpstreamIsAFailureAndItsConnectionIsNotReused() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals(200, client.call(TestClient.order("1", 15_000)).status());
         upstream.behaviour = (request, connection, out) -> {};
         assertEquals(FAILED, client.call(TestClient.order("2", 1_000)).status());
         TestNode.until(() -> upstream.closedByPeer.get() == 1);
-        upstream.behaviour = says(FakeServer.ok("fine"));
+        upstream.behaviour = answers(FakeServer.ok("fine"));
         assertEquals(200, client.call(TestClient.order("3", 15_000)).status());
         assertEquals(2, upstream.connections.size());
       }
@@ -120,9 +126,9 @@
   }
 
   @Test
-  void requestGoesOnUnchangedAndItsConnectionIsUsedAgain() throws Exception {
+  void requestIsForwardedUnchangedAndTheConnectionIsReused() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         client.call(TestClient.order("1", 15_000));
         client.call(TestClient.look("2", 15_000, ""));
@@ -141,12 +147,12 @@
   }
 
   @Test
-  void connectionThatThePeerClosedIsNotWrittenTo() throws Exception {
+  void connectionClosedByThePeerIsNotWrittenTo() throws Exception {
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       FakeServer.write(out, FakeServer.ok("fine"));
       connection.shutdownOutput();
     })) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         for (int i = 1; i <= 3; i++) {
           int calls = i;
@@ -159,9 +165,9 @@
   }
 
   @Test
-  void clientThatLeavesEndsItsAttempt() throws Exception {
+  void disconnectCancelsTheAttempt() throws Exception {
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(node.address)) {
         client.send(TestClient.order("1", 15_000));
         TestNode.until(() -> upstream.requests.size() == 1);
--- a/src/test/java/pumicekeel/node/PeersTest.java
+++ b/src/test/java/pumicekeel/node/PeersTest.java
@@ -24,7 +24,7 @@
 class PeersTest {
 
   private final List<Node> nodes = new ArrayList<>();
-  private String more = "";
+  private String extraKeys = "";
   private String tenants = "";
   private final List<Integer> ports = new ArrayList<>();
 
@@ -34,16 +34,16 @@
   }
 
   private void freePorts(int count) throws Exception {
-    List<DatagramSocket> held = new ArrayList<>();
+    List<DatagramSocket> reserved = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      held.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
-      ports.add(held.get(i).getLocalPort());
+      reserved.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
+      ports.add(reserved.get(i).getLocalPort());
     }
-    held.forEach(DatagramSocket::close);
+    reserved.forEach(DatagramSocket::close);
   }
 
   private String file() {
-    return "[peers]\n" + more + "addresses = ["
+    return "[peers]\n" + extraKeys + "addresses = ["
         + String.join(", ", ports.stream().map(p -> "\"127.0.0.1:" + p + "\"").toList())
         + "]\n[pools.p]\n" + tenants + "[[routes]]\npool = \"p\"\n";
   }
@@ -56,7 +56,7 @@
         new Configuration(
             "n" + me,
             Addresses.parse("listen", "127.0.0.1:0"),
-            TestNode.nowhere(),
+            TestNode.unusedAddress(),
             1,
             256,
             new HostList(0, true, List.of()),
@@ -76,10 +76,10 @@
   }
 
   @Test
-  void membersFindEachOtherAndMissOneThatEndsAndOneThatIsBackCounts() throws Exception {
+  void membersDetectEachOtherADepartureAndAReturn() throws Exception {
     freePorts(3);
     Node first = start(0, 3);
-    assertEquals(1, live(first), "nobody was heard of yet");
+    assertEquals(1, live(first), "no other member was heard of yet");
     Node second = start(1, 3);
     Node third = start(2, 3);
     TestNode.until(() -> nodes.stream().allMatch(n -> live(n) == 3));
@@ -94,11 +94,11 @@
     TestNode.until(() -> nodes.stream().allMatch(n -> live(n) == 3));
   }
 
-  /** Real datagrams: one asks for what the other does not use, and its module is told. */
+  /** With real datagrams a member borrows quota that another does not use, and its module gets the new rate. */
   @Test
-  void memberThatIsAskedMoreBorrowsFromOneThatIsNot() throws Exception {
+  void busyMemberBorrowsQuotaFromAnIdleOne() throws Exception {
     freePorts(2);
-    more = "lend-quotas = true\n";
+    extraKeys = "lend-quotas = true\n";
     tenants = "[[pools.p.tenants]]\nname = \"t\"\nshare = 1.0\nquota-per-s = 100.0\n";
     Node first = start(0, 2);
     Node second = start(1, 2);
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void strangersNoiseAndOversizeAreNotHeard() throws Exception {
+  void datagramsOfStrangersAndMalformedOnesAreDiscarded() throws Exception {
     freePorts(2);
     Node node = start(0, 2);
     try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress());
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void withoutPeersThereIsNoneAndTooFewAreAFault() throws Exception {
+  void peersAreOptionalAndTooFewAreAFault() throws Exception {
     freePorts(2);
     assertTrue(assertThrows(IllegalArgumentException.class, () -> start(2, 3))
         .getMessage()
--- a/src/test/java/pumicekeel/node/ProcessTest.java
+++ b/src/test/java/pumicekeel/node/ProcessTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import pumicekeel.runtime.Addresses;
 
-/** The program as a process: its start, its end, its exit status. */
+/** The program as a process: start, stop and exit status. */
 class ProcessTest {
 
   @TempDir
@@ -74,13 +74,13 @@
   }
 
   @Test
-  void sigtermAnswersWhatWasTakenAndEndsWithStatusZero() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
+  void sigtermAnswersAcceptedRequestsAndEndsWithStatusZero() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      held.await();
+      release.await();
       FakeServer.write(out, FakeServer.ok("fine"));
     })) {
-      start(TestNode.json(TestNode.nowhere(), 1, upstream));
+      start(TestNode.json(TestNode.unusedAddress(), 1, upstream));
       InetSocketAddress address = address();
       try (TestClient open = new TestClient(address);
           TestClient idle = new TestClient(address);
@@ -94,18 +94,17 @@
         assertEquals(
             503,
             idle.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status(),
-            "clients here are served on");
+            "connected clients are still served");
         try (TestClient late = new TestClient(address)) {
           assertEquals(503, late.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
         } catch (IOException e) {
-          // A busy machine came here only after the half second in which clients are still
-          // accepted.
-          assertTrue(process.isAlive(), "the request that was taken is still open");
+          // On a busy machine the half second in which clients are still accepted may be over
+          // already.
+          assertTrue(process.isAlive(), "the accepted request is still open");
         }
-        assertTrue(idle.ended(), "an idle connection, in the end");
-        assertEquals(
-            408, slow.read().status(), "a request that has come in part is not waited for");
-        held.countDown();
+        assertTrue(idle.ended(), "an idle connection is closed in the end");
+        assertEquals(408, slow.read().status(), "a partly received request is not waited for");
+        release.countDown();
         TestClient.Reply reply = open.read();
         assertEquals("fine", reply.body());
         assertTrue(reply.head().contains("connection: close"), reply.head());
@@ -129,12 +128,12 @@
         return;
       }
     }
-    throw new AssertionError("the log never said: " + part);
+    throw new AssertionError("line not logged: " + part);
   }
 
-  /** Unhandled, SIGHUP ends a Java process. */
+  /** Without a handler SIGHUP ends a Java process. */
   @Test
-  void sighupFollowsTheNewDiscoveryEachTimeAndABadFileChangesNothing() throws Exception {
+  void sighupSwitchesDiscoveryAndAnInvalidFileChangesNothing() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine");
         FakeServer first = new FakeServer((r, c, out) -> {});
         FakeServer second = new FakeServer((r, c, out) -> {});
@@ -163,12 +162,12 @@
     }
   }
 
-  /** As nohup leaves it: Java then never hears the signal, and staff have to know. */
+  /** With SIGHUP ignored, as by nohup, Java never receives the signal, which the log has to say. */
   @Test
-  void ignoredSighupIsSaidAtTheStart() throws Exception {
+  void ignoredSighupIsLoggedAtTheStart() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       Path file = folder.resolve("config.json");
-      Files.writeString(file, TestNode.json(TestNode.nowhere(), 1, upstream));
+      Files.writeString(file, TestNode.json(TestNode.unusedAddress(), 1, upstream));
       ProcessBuilder builder = new ProcessBuilder(
           "sh",
           "-c",
@@ -192,20 +191,20 @@
   }
 
   @Test
-  void badConfigurationIsOnePlainLineAndStatusTwo() throws Exception {
-    String good = TestNode.json(TestNode.nowhere(), 1);
-    for (String bad : new String[] {
+  void invalidConfigurationIsOneLineAndStatusTwo() throws Exception {
+    String valid = TestNode.json(TestNode.unusedAddress(), 1);
+    for (String invalid : new String[] {
       null,
       "",
       "{",
       "{}",
-      good.replace("8c1f30d27a5be964", "seed"),
-      good.replace("127.0.0.1:0", "localhost:0"),
-      good.replace("127.0.0.1:0", "127.0.0.1:99999"),
-      good.replace("\"aim-ns\":2000000000", "\"aim-ns\":0")
+      valid.replace("8c1f30d27a5be964", "seed"),
+      valid.replace("127.0.0.1:0", "localhost:0"),
+      valid.replace("127.0.0.1:0", "127.0.0.1:99999"),
+      valid.replace("\"aim-ns\":2000000000", "\"aim-ns\":0")
     }) {
-      start(bad);
-      assertEquals(2, status(), bad);
+      start(invalid);
+      assertEquals(2, status(), invalid);
       String[] lines = log.lines().toArray(String[]::new);
       assertEquals(1, lines.length, String.join("\n", lines));
       assertTrue(
@@ -214,11 +213,11 @@
   }
 
   @Test
-  void descriptorThatIsNoListeningSocketIsOnePlainLineAndStatusTwo() throws Exception {
+  void descriptorWithoutAListeningSocketIsOneLineAndStatusTwo() throws Exception {
     for (String[] row : new String[][] {
       {"0", "expected a listening socket as descriptor 0"}, {"7", "expected 0, got \"7\""}
     }) {
-      start(TestNode.json(TestNode.nowhere(), 1), "PROXY_SOCKET_FD", row[0]);
+      start(TestNode.json(TestNode.unusedAddress(), 1), "PROXY_SOCKET_FD", row[0]);
       assertEquals(2, status());
       String[] lines = log.lines().toArray(String[]::new);
       assertEquals(1, lines.length, String.join("\n", lines));
@@ -226,9 +225,9 @@
     }
   }
 
-  /** The operator file as a process has it: by option, by variable, reloaded, faulty at a start and at a reload. */
+  /** The operator file of a process: by option, by variable, reloaded, and invalid at a start and at a reload. */
   @Test
-  void operatorFileIsTakenOverAtTheStartAndAtSighupOrNotAtAll() throws Exception {
+  void operatorFileIsAppliedAtTheStartAndAtSighupOrNotAtAll() throws Exception {
     Path operator = folder.resolve("operator.toml");
     try (FakeServer one = FakeServer.serving("one");
         FakeServer two = FakeServer.serving("two")) {
@@ -237,7 +236,7 @@
               + "[[routes]]\nhost = \"%s\"\npool = \"p\"\n";
       Files.writeString(operator, text.formatted(TestNode.text(one.address()), "h"));
       start(
-          TestNode.json(TestNode.nowhere(), 1),
+          TestNode.json(TestNode.unusedAddress(), 1),
           java.util.List.of("--operator", operator.toString()));
       InetSocketAddress address = address();
       try (TestClient client = new TestClient(address)) {
@@ -255,7 +254,7 @@
       process.destroy();
       assertEquals(0, status());
       Files.writeString(operator, "[pools.p]\n");
-      start(TestNode.json(TestNode.nowhere(), 1), "PROXY_OPERATOR", operator.toString());
+      start(TestNode.json(TestNode.unusedAddress(), 1), "PROXY_OPERATOR", operator.toString());
       assertEquals(2, status());
       String[] lines = log.lines().toArray(String[]::new);
       assertEquals(1, lines.length, String.join("\n", lines));
--- a/src/test/java/pumicekeel/node/RetuneReloadTest.java
+++ b/src/test/java/pumicekeel/node/RetuneReloadTest.java
@@ -14,7 +14,7 @@
 import pumicekeel.config.Configuration;
 import pumicekeel.core.ActiveSettings;
 
-/** Other settings at a reload, on sockets: a class more, a class less, another effect, and files that are no good. */
+/** Changed settings at a reload, on sockets: added and removed classes, another effect, and invalid files. */
 class RetuneReloadTest {
 
   @TempDir
@@ -55,11 +55,11 @@
     return TestClient.look(id, 15_000, "");
   }
 
-  /** Upstreams that close what is idle sooner from now on would reset what is written to it. */
+  /** An upstream with a shorter idle time-out would reset requests on connections kept for too long. */
   @Test
-  void connectionsGoByTheNewTimesAsWell() throws Exception {
+  void connectionsUseTheNewIdleTime() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      String text = TestNode.json(TestNode.nowhere(), 1, upstream);
+      String text = TestNode.json(TestNode.unusedAddress(), 1, upstream);
       start(text);
       assertEquals(200, status(look("1")));
       assertEquals(0, upstream.closedByPeer.get());
@@ -68,9 +68,9 @@
     }
   }
 
-  /** Where lists are pushed from now on, nobody has to ask any more. */
+  /** After a change to pushed lists, the node keeps a watch open without a request for one. */
   @Test
-  void listsThatArePushedFromNowOnAreFollowed() throws Exception {
+  void changeToPushedListsIsFollowed() throws Exception {
     try (FakeServer discovery = new FakeServer((request, connection, out) ->
         FakeServer.write(out, "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"))) {
       String text = TestNode.json(discovery.address(), 1);
@@ -83,9 +83,9 @@
   }
 
   @Test
-  void classIsAddedAndDroppedAndClientsThatHaveNotHeardAreServedForAMoment() throws Exception {
+  void removedClassIsStillServedForAMoment() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      String text = TestNode.json(TestNode.nowhere(), 1, upstream);
+      String text = TestNode.json(TestNode.unusedAddress(), 1, upstream);
       start(text);
       assertEquals(400, status(look("1").replace("look", "fresh")));
       String added = text.replace(
@@ -99,7 +99,7 @@
       assertEquals(
           200,
           status(look("4").replace("look", "fresh")),
-          "asked by one that has not heard of the change");
+          "requested by a client that does not know of the change");
       long until = System.nanoTime() + ActiveSettings.OVERLAP_NANOS;
       AtomicInteger ids = new AtomicInteger(10);
       TestNode.until(() -> System.nanoTime() - until > 0);
@@ -109,15 +109,15 @@
   }
 
   @Test
-  void effectChangesForWhatComesAndNotForWhatIsOpen() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
+  void changedEffectAppliesToNewRequestsOnly() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       if (request.contains("open")) {
-        held.await();
+        release.await();
       }
       FakeServer.write(out, FakeServer.ok("fine"));
     })) {
-      String text = TestNode.json(TestNode.nowhere(), 1, upstream);
+      String text = TestNode.json(TestNode.unusedAddress(), 1, upstream);
       start(text);
       try (TestClient open = new TestClient(address)) {
         open.send(order("open"));
@@ -126,9 +126,9 @@
             "{\"name\":\"order\",\"effect\":\"deduplicated\"",
             "{\"name\":\"order\",\"effect\":\"idempotent\""));
         String safe = look("s").replace("look", "order");
-        assertEquals(200, status(safe), "by the new rules");
-        assertEquals(200, status(order("o")), "by the old ones, for a moment");
-        held.countDown();
+        assertEquals(200, status(safe), "by the new settings");
+        assertEquals(200, status(order("o")), "by the old settings, for a moment");
+        release.countDown();
         assertEquals("fine", open.read().body());
         long until = System.nanoTime() + ActiveSettings.OVERLAP_NANOS;
         TestNode.until(() -> System.nanoTime() - until > 0);
@@ -138,12 +138,12 @@
   }
 
   @Test
-  void fileThatIsNoGoodChangesNothingAtAll() throws Exception {
+  void invalidFileChangesNothing() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      String text = TestNode.json(TestNode.nowhere(), 1, upstream);
+      String text = TestNode.json(TestNode.unusedAddress(), 1, upstream);
       start(text);
       String other = text.replace("\"name\":\"look\"", "\"name\":\"fresh\"");
-      for (String bad : new String[] {
+      for (String invalid : new String[] {
         "",
         "{",
         other.substring(0, other.length() / 2),
@@ -158,7 +158,7 @@
         other.replace("\"aim-ns\":2000000000", "\"aim-ns\":\"x\""),
         other.replace("\"effect\":\"idempotent\"", "\"effect\":\"often\"")
       }) {
-        assertThrows(Exception.class, () -> reload(bad), bad);
+        assertThrows(Exception.class, () -> reload(invalid), invalid);
         assertEquals(200, status(look("x")));
         assertEquals(400, status(look("y").replace("look", "fresh")));
       }
@@ -170,27 +170,27 @@
   }
 
   @Test
-  void reloadsWithoutPauseDisturbNobody() throws Exception {
+  void continuousReloadsDisturbNoClient() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      String text = TestNode.json(TestNode.nowhere(), 1, upstream);
+      String text = TestNode.json(TestNode.unusedAddress(), 1, upstream);
       start(text);
       String other = text.replace("\"max-attempts\":1", "\"max-attempts\":3")
           .replace(
               "{\"name\":\"order\",\"effect\":\"deduplicated\"",
               "{\"name\":\"order\",\"effect\":\"idempotent\"");
       AtomicInteger asked = new AtomicInteger();
-      AtomicInteger other200 = new AtomicInteger();
-      java.util.concurrent.atomic.AtomicBoolean over =
+      AtomicInteger notServed = new AtomicInteger();
+      java.util.concurrent.atomic.AtomicBoolean finished =
           new java.util.concurrent.atomic.AtomicBoolean();
       Thread client = new Thread(() -> {
         try (TestClient c = new TestClient(address)) {
-          while (!over.get()) {
-            // Fits one of the two settings only, and is served by whichever came before as well.
-            other200.addAndGet(
+          while (!finished.get()) {
+            // Valid under one of the two settings only; the previous settings are still accepted.
+            notServed.addAndGet(
                 c.call(order("o" + asked.incrementAndGet())).status() == 200 ? 0 : 1);
           }
         } catch (java.io.IOException e) {
-          other200.incrementAndGet();
+          notServed.incrementAndGet();
         }
       });
       client.start();
@@ -200,13 +200,13 @@
           assertThrows(Exception.class, () -> reload("{"));
         }
       }
-      int then = asked.get();
-      TestNode.until(() -> asked.get() > then + 20);
-      over.set(true);
+      int sentBefore = asked.get();
+      TestNode.until(() -> asked.get() > sentBefore + 20);
+      finished.set(true);
       client.join(30_000);
-      assertEquals(0, other200.get(), "of " + asked.get());
+      assertEquals(0, notServed.get(), "of " + asked.get());
       assertEquals(
-          1, node.configuration().settings().limits().maxAttempts(), "the last one counts");
+          1, node.configuration().settings().limits().maxAttempts(), "the last one is in force");
     }
   }
 }
--- a/src/test/java/pumicekeel/node/RpcClientDisconnectTest.java
+++ b/src/test/java/pumicekeel/node/RpcClientDisconnectTest.java
@@ -13,16 +13,16 @@
 import pumicekeel.standin.StandInRpcServer;
 
 /**
- * JSON-RPC clients that reset their connection after a first attempt: no further one begins. A half-close is no end: what was
- * asked before it is still owed ({@code RpcFrontTest.halfClosedClientGetsItsAnswersAndThenTheEnd}).
+ * JSON-RPC clients that reset their connection after a first attempt: no further attempt begins. A half-close is no disconnect:
+ * calls sent before it are still answered ({@code RpcFrontTest.halfClosedClientGetsItsAnswersAndThenTheClose}).
  */
-class RpcLeavingClientTest {
+class RpcClientDisconnectTest {
 
-  private static final long LONG = 20_000;
+  private static final long TIMEOUT_MILLIS = 20_000;
   private static final String LEAVES = "\"leaves\"";
 
   private final TestServices t = new TestServices();
-  private final Queue<Runnable> breaks = new ConcurrentLinkedQueue<>();
+  private final Queue<Runnable> resets = new ConcurrentLinkedQueue<>();
 
   @AfterEach
   void stop() {
@@ -35,15 +35,15 @@
         .count();
   }
 
-  /** Reading is paused where no more calls may be open; what stands behind the call is read ahead or not. */
+  /** Reading pauses at the limit on open calls, so the calls behind the first one are read in advance or not. */
   @ParameterizedTest
   @CsvSource({"10,0", "1,0", "1,1", "1,100"})
-  void resetBeforeItsFirstAttemptBreaks(int mostOpen, int behind) throws Exception {
+  void disconnectBeforeTheFirstAttemptIsReset(int maxOpen, int behind) throws Exception {
     StandInRpcServer server = t.server("s1");
-    t.start(RpcFiles.toServers(t, "max-open-calls = " + mostOpen, "", "s1"));
+    t.start(RpcFiles.toServers(t, "max-open-calls = " + maxOpen, "", "s1"));
     server.script((call, connection) -> {
-      if (call.params().contains(LEAVES) && breaks.isEmpty()) {
-        breaks.add(connection::reset);
+      if (call.params().contains(LEAVES) && resets.isEmpty()) {
+        resets.add(connection::reset);
       } else {
         StandInRpcServer.ECHO.on(call, connection);
       }
@@ -55,24 +55,24 @@
     for (int i = 0; i < behind; i++) {
       leaves.send(RpcFiles.lookup("2" + i, "\"behind\""));
     }
-    pass(stays, "a");
+    awaitLoopPass(stays, "a");
     leaves.reset();
-    pass(stays, "b");
-    t.standIns.submit(breaks.peek()).sync();
-    pass(stays, "c");
+    awaitLoopPass(stays, "b");
+    t.standIns.submit(resets.peek()).sync();
+    awaitLoopPass(stays, "c");
     assertEquals(1, attempts(), () -> "sent on: " + server.seen());
     boolean behindSent = server.seen().stream().anyMatch(s -> s.params().contains("behind"));
     assertFalse(behindSent, () -> "sent on: " + server.seen());
   }
 
-  /** By its answers the loop has read what had come to its sockets before. */
-  private static void pass(StandInRpcClient stays, String name) throws Exception {
+  /** Makes some calls; with their answers the loop has read what had arrived at its sockets before. */
+  private static void awaitLoopPass(StandInRpcClient stays, String name) throws Exception {
     for (int i = 0; i < 5; i++) {
       String n = "\"" + name + i + "\"";
       assertEquals(
           "{\"jsonrpc\":\"2.0\",\"result\":{\"account\":\"acme\",\"n\":" + n + "},\"id\":" + n
               + "}",
-          stays.send(RpcFiles.lookup(n, n)).next(LONG));
+          stays.send(RpcFiles.lookup(n, n)).next(TIMEOUT_MILLIS));
     }
   }
 }
--- a/src/test/java/pumicekeel/node/RpcFiles.java
+++ b/src/test/java/pumicekeel/node/RpcFiles.java
@@ -21,14 +21,14 @@
 
   private RpcFiles() {}
 
-  /** A listener "rpc" with these settings, a pool "p" of JSON-RPC servers, all calls to it. */
+  /** Returns a file with a listener "rpc" of these settings and a pool "p" of JSON-RPC servers that gets all calls. */
   static String toServers(TestServices t, String listener, String pool, String... names) {
     return listener(listener) + METHODS + "[sources.s]\nstatic = " + t.list(names)
         + "\n[pools.p]\nsource = \"s\"\nprotocol = \"json-rpc\"\n" + pool
         + "\n[[routes]]\npool = \"p\"\n";
   }
 
-  /** The same with HTTP upstreams. */
+  /** Returns the same file with HTTP upstreams. */
   static String toHttp(TestServices t, String listener, String pool, String... names) {
     return listener(listener) + METHODS + "[sources.s]\nstatic = " + t.list(names)
         + "\n[pools.p]\nsource = \"s\"\n" + pool + "\n[[routes]]\npool = \"p\"\n";
@@ -39,13 +39,13 @@
         + settings + " }\n";
   }
 
-  /** A call of a safe class; the params carry {@code n}. */
+  /** Returns a call of a safe class with {@code n} in its params. */
   static String lookup(String id, String n) {
     return "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"n\":"
         + n + "},\"id\":" + id + "}";
   }
 
-  /** A keyed call. */
+  /** Returns a keyed call. */
   static String issue(String id, String key) {
     return "{\"jsonrpc\":\"2.0\",\"method\":\"quote.issue\",\"params\":{\"key\":\"" + key
         + "\"},\"id\":" + id + "}";
