--- a/src/test/java/pumicekeel/node/RpcFrontTest.java
+++ b/src/test/java/pumicekeel/node/RpcFrontTest.java
@@ -23,13 +23,13 @@
 import pumicekeel.standin.StandInRpcClient;
 import pumicekeel.standin.StandInRpcServer;
 
-/** JSON-RPC clients, well and ill behaved, and what becomes of their calls. */
+/** Well-behaved and misbehaving JSON-RPC clients, and the outcome of their calls. */
 class RpcFrontTest {
 
-  private static final long LONG = 20_000;
+  private static final long TIMEOUT_MILLIS = 20_000;
 
   private final TestServices t = new TestServices();
-  private final Queue<Runnable> held = new ConcurrentLinkedQueue<>();
+  private final Queue<Runnable> pendingAnswers = new ConcurrentLinkedQueue<>();
 
   @AfterEach
   void stop() {
@@ -46,15 +46,17 @@
     return t.rpcClient("rpc", Framing.VALUES);
   }
 
-  /** The server answers when {@link #release} says. */
+  /** Holds the server's answers back until {@link #release}. */
   private void hold() {
-    t.servers.get("s1").script((call, c) -> held.add(() -> c.result(call.id(), call.params())));
+    t.servers
+        .get("s1")
+        .script((call, c) -> pendingAnswers.add(() -> c.result(call.id(), call.params())));
   }
 
   private void release() throws Exception {
     t.standIns
         .submit(() -> {
-          for (Runnable r = held.poll(); r != null; r = held.poll()) {
+          for (Runnable r = pendingAnswers.poll(); r != null; r = pendingAnswers.poll()) {
             r.run();
           }
         })
@@ -78,10 +80,10 @@
         answer);
   }
 
-  private void assertNothingKept() throws Exception {
+  private void assertNothingOpen() throws Exception {
     TestNode.until(() -> {
       try {
-        return t.ask(() -> t.node.services().pool("p").open.used() == 0
+        return t.onLoop(() -> t.node.services().pool("p").open.used() == 0
             && t.node.services().pool("p").body.used() == 0);
       } catch (Exception e) {
         throw new AssertionError(e);
@@ -93,7 +95,7 @@
   // Ids
 
   @Test
-  void idThatIsOpenIsNotTakenTwiceAndIsFreeRightAfterItsAnswer() throws Exception {
+  void openIdIsRejectedAndFreeRightAfterItsAnswer() throws Exception {
     StandInRpcClient client = start("");
     hold();
     client
@@ -104,42 +106,46 @@
     assertEquals(
         "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":-32600,\"message\":\"this id is open already\",\"data\":{\"id\":1}},"
             + "\"id\":null}",
-        client.next(LONG));
+        client.next(TIMEOUT_MILLIS));
     TestNode.until(() -> seen() == 3);
     release();
     assertEquals(
         Set.of(result("1", "1"), result("\"1\"", "3"), result("1.0", "4")),
-        new HashSet<>(List.of(client.next(LONG), client.next(LONG), client.next(LONG))));
+        new HashSet<>(List.of(
+            client.next(TIMEOUT_MILLIS),
+            client.next(TIMEOUT_MILLIS),
+            client.next(TIMEOUT_MILLIS))));
     t.servers.get("s1").script(StandInRpcServer.ECHO);
     for (int i = 0; i < 50; i++) {
       assertEquals(
-          result("1", "" + i), client.send(RpcFiles.lookup("1", "" + i)).next(LONG));
+          result("1", "" + i), client.send(RpcFiles.lookup("1", "" + i)).next(TIMEOUT_MILLIS));
     }
-    assertNothingKept();
+    assertNothingOpen();
   }
 
   @Test
-  void idOfABatchsHeldAnswerIsStillOpen() throws Exception {
+  void idOfAHeldBatchAnswerIsStillOpen() throws Exception {
     StandInRpcClient client = start("batch-answers = \"together\"");
     t.servers.get("s1").script((call, c) -> {
       if (call.params().contains("slow")) {
-        held.add(() -> c.result(call.id(), call.params()));
+        pendingAnswers.add(() -> c.result(call.id(), call.params()));
       } else {
         StandInRpcServer.ECHO.on(call, c);
       }
     });
     client.send("[" + RpcFiles.lookup("1", "1") + "," + RpcFiles.lookup("2", "\"slow\"") + "]");
     TestNode.until(() -> seen() == 2);
-    assertTrue(client.send(RpcFiles.lookup("1", "3")).next(LONG).contains("open already"));
+    assertTrue(
+        client.send(RpcFiles.lookup("1", "3")).next(TIMEOUT_MILLIS).contains("open already"));
     release();
-    assertTrue(client.next(LONG).startsWith("["));
-    assertEquals(result("1", "4"), client.send(RpcFiles.lookup("1", "4")).next(LONG));
+    assertTrue(client.next(TIMEOUT_MILLIS).startsWith("["));
+    assertEquals(result("1", "4"), client.send(RpcFiles.lookup("1", "4")).next(TIMEOUT_MILLIS));
   }
 
   // Mapping
 
   @Test
-  void whatTheSettingsAskForIsNamedWhereItIsMissing() throws Exception {
+  void missingParameterIsNamedInTheError() throws Exception {
     StandInRpcClient client = start("");
     String call = "{\"jsonrpc\":\"2.0\",\"method\":\"%s\",\"params\":%s,\"id\":1}";
     for (String[] c : new String[][] {
@@ -150,76 +156,79 @@
       {"quote.issue", "{}", "/key"},
       {"quote.issue", "{\"key\":\"k\",\"left\":\"x\"}", "/left"}
     }) {
-      String answer = client.send(call.formatted(c[0], c[1])).next(LONG);
+      String answer = client.send(call.formatted(c[0], c[1])).next(TIMEOUT_MILLIS);
       assertError(-32602, "1", answer);
       assertTrue(answer.contains("Invalid params: " + c[2] + ": expected"), answer);
     }
-    assertError(-32601, "1", client.send(call.formatted("rpc.discover", "{}")).next(LONG));
+    assertError(
+        -32601, "1", client.send(call.formatted("rpc.discover", "{}")).next(TIMEOUT_MILLIS));
     assertError(
         -32602,
         "1",
-        client.send("{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"id\":1}").next(LONG));
+        client
+            .send("{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"id\":1}")
+            .next(TIMEOUT_MILLIS));
     assertEquals(0, seen());
-    // A notification's faults are told to nobody.
+    // Faults of a notification are not answered.
     client
         .send("{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\"}")
         .send("{\"jsonrpc\":\"2.0\",\"method\":\"x\"}");
-    assertEquals(result("2", "2"), client.send(RpcFiles.lookup("2", "2")).next(LONG));
+    assertEquals(result("2", "2"), client.send(RpcFiles.lookup("2", "2")).next(TIMEOUT_MILLIS));
     assertNull(client.next(50));
-    assertNothingKept();
+    assertNothingOpen();
   }
 
   @Test
-  void timeLeftEndsACallInItsTime() throws Exception {
+  void callEndsWithinItsTimeLeft() throws Exception {
     StandInRpcClient client = start("");
     hold();
     long start = System.nanoTime();
     client.send(
         "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"left\":400},\"id\":1}");
-    String answer = client.next(LONG);
+    String answer = client.next(TIMEOUT_MILLIS);
     long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
     assertTrue(answer.contains("\"code\":-3200"), answer);
     assertTrue(millis < 3_000, "ended after " + millis + " ms, not the class's 6,000");
-    assertNothingKept();
+    assertNothingOpen();
   }
 
   // Batches
 
-  /** A lookup that is answered at once beside one that the server holds. */
+  /** Sends a batch with a lookup that is answered at once and one that the server holds back. */
   private void batchOfSlowAndFast(StandInRpcClient client) throws Exception {
     t.servers.get("s1").script((call, c) -> {
       if (call.params().contains("slow")) {
-        held.add(() -> c.result(call.id(), call.params()));
+        pendingAnswers.add(() -> c.result(call.id(), call.params()));
       } else {
         StandInRpcServer.ECHO.on(call, c);
       }
     });
     client.send("[" + RpcFiles.lookup("1", "\"slow\"") + "," + RpcFiles.lookup("2", "2") + "]");
-    TestNode.until(() -> held.size() == 1);
+    TestNode.until(() -> pendingAnswers.size() == 1);
   }
 
   @Test
-  void answerOfABatchIsHeldNoLongerThanItsAim() throws Exception {
+  void batchAnswerIsHeldNoLongerThanItsAim() throws Exception {
     StandInRpcClient client = start("");
     batchOfSlowAndFast(client);
     // The class's aim is a second.
-    assertEquals("[" + result("2", "2") + "]", client.next(LONG));
+    assertEquals("[" + result("2", "2") + "]", client.next(TIMEOUT_MILLIS));
     release();
-    assertEquals("[" + result("1", "\"slow\"") + "]", client.next(LONG));
-    assertNothingKept();
+    assertEquals("[" + result("1", "\"slow\"") + "]", client.next(TIMEOUT_MILLIS));
+    assertNothingOpen();
   }
 
   @Test
-  void answersOfABatchApartComeAsTheyAre() throws Exception {
+  void separateBatchAnswersAreSentAsTheyArrive() throws Exception {
     StandInRpcClient client = start("batch-answers = \"apart\"");
     batchOfSlowAndFast(client);
-    assertEquals("[" + result("2", "2") + "]", client.next(LONG));
+    assertEquals("[" + result("2", "2") + "]", client.next(TIMEOUT_MILLIS));
     release();
-    assertEquals("[" + result("1", "\"slow\"") + "]", client.next(LONG));
+    assertEquals("[" + result("1", "\"slow\"") + "]", client.next(TIMEOUT_MILLIS));
   }
 
   @Test
-  void answersOfABatchTogetherAreOneArrayInTheTimeOfTheShortest() throws Exception {
+  void combinedBatchAnswersAreOneArrayWithinTheShortestTime() throws Exception {
     StandInRpcClient client = start("batch-answers = \"together\"");
     hold();
     long start = System.nanoTime();
@@ -227,7 +236,7 @@
         "[" + RpcFiles.lookup("1", "1")
             + ",{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":"
             + "{\"account\":\"acme\",\"left\":500},\"id\":2},{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\"}]");
-    String answer = client.next(LONG);
+    String answer = client.next(TIMEOUT_MILLIS);
     assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start) < 3_000);
     assertTrue(
         answer.startsWith("[") && answer.contains("\"id\":1}") && answer.contains("\"id\":2}"),
@@ -236,11 +245,11 @@
   }
 
   @Test
-  void batchBeyondItsLimitRunsNothing() throws Exception {
+  void batchOverTheLimitRunsNothing() throws Exception {
     StandInRpcClient client = start("max-batch = 3, framing = \"newline\"");
     client.close();
     StandInRpcClient lines = t.rpcClient("rpc", Framing.NEWLINE);
-    String four = "["
+    String overLimit = "["
         + String.join(
             ",",
             List.of(
@@ -249,9 +258,9 @@
                 RpcFiles.lookup("3", "3"),
                 RpcFiles.lookup("4", "4")))
         + "]";
-    assertError(-32600, "null", lines.send(four).next(LONG));
+    assertError(-32600, "null", lines.send(overLimit).next(TIMEOUT_MILLIS));
     assertEquals(0, seen());
-    assertEquals(result("2", "2"), lines.send(RpcFiles.lookup("2", "2")).next(LONG));
+    assertEquals(result("2", "2"), lines.send(RpcFiles.lookup("2", "2")).next(TIMEOUT_MILLIS));
   }
 
   // Hostile input
@@ -270,7 +279,7 @@
         "http",
         "huge id"
       })
-  void hostileInputIsOneErrorAndOthersAreServed(String kind) throws Exception {
+  void hostileInputGetsOneErrorAndOtherClientsAreServed(String kind) throws Exception {
     StandInRpcClient hostile = start("");
     StandInRpcClient other = client();
     String head =
@@ -291,63 +300,64 @@
         })
         .getBytes(kind.equals("utf8") ? StandardCharsets.ISO_8859_1 : StandardCharsets.UTF_8);
     hostile.raw(bytes);
-    String answer = hostile.next(LONG);
+    String answer = hostile.next(TIMEOUT_MILLIS);
     assertNotNull(answer);
     assertTrue(
         answer.matches("\\{\"jsonrpc\":\"2.0\",\"error\":\\{\"code\":-32[67]00,.*},\"id\":null}"),
         answer);
-    assertNull(hostile.next(50), "one message, one answer");
-    assertEquals(result("1", "1"), other.send(RpcFiles.lookup("1", "1")).next(LONG));
+    assertNull(hostile.next(50), "one answer to one message");
+    assertEquals(result("1", "1"), other.send(RpcFiles.lookup("1", "1")).next(TIMEOUT_MILLIS));
     assertEquals(1, seen());
-    assertNothingKept();
+    assertNothingOpen();
   }
 
   @Test
-  void clientThatSendsAByteNowAndThenIsToldAndClosed() throws Exception {
+  void slowSenderGetsAnErrorAndIsClosed() throws Exception {
     StandInRpcClient slow = start("");
     byte[] bytes = RpcFiles.lookup("1", "1").getBytes(StandardCharsets.US_ASCII);
     for (int i = 0; i < 6 && !slow.awaitEnd(1); i++) {
       slow.raw(new byte[] {bytes[i]});
       slow.awaitEnd(500);
     }
-    String answer = slow.next(LONG);
+    String answer = slow.next(TIMEOUT_MILLIS);
     assertError(-32600, "null", answer);
     assertTrue(answer.contains("took too long"), answer);
-    assertTrue(slow.awaitEnd(LONG));
+    assertTrue(slow.awaitEnd(TIMEOUT_MILLIS));
   }
 
   @Test
-  void clientThatNeverReadsIsCutOffAndCostsABoundedAmount() throws Exception {
+  void clientThatNeverReadsIsClosedAndItsMemoryIsBounded() throws Exception {
     StandInRpcClient client = start("max-open-calls = 16");
     client.reads(false);
     String big = "\"" + "x".repeat(50_000) + "\"";
     for (int i = 0; i < 400; i++) {
       client.send(RpcFiles.lookup("" + i, big));
     }
-    // 20 MB are asked for: what does not fit the sockets and 64 KiB is not even read.
+    // The calls request 20 MB of answers: beyond the socket buffers and 64 KiB no further calls are
+    // read.
     StandInRpcClient other = client();
-    assertEquals(result("1", "1"), other.send(RpcFiles.lookup("1", "1")).next(LONG));
+    assertEquals(result("1", "1"), other.send(RpcFiles.lookup("1", "1")).next(TIMEOUT_MILLIS));
     TestNode.until(() -> {
       try {
-        return t.ask(() -> t.node.listeners().open()) == 1;
+        return t.onLoop(() -> t.node.listeners().open()) == 1;
       } catch (Exception e) {
         throw new AssertionError(e);
       }
     });
     assertTrue(seen() < 400, "read " + seen());
-    assertNothingKept();
+    assertNothingOpen();
   }
 
-  // Backpressure and leaving
+  // Backpressure and disconnects
 
-  /** A busy machine may have some refused: each gets its one answer all the same, and never are more open than may be. */
+  /** On a busy machine some calls may be refused, but each gets exactly one answer and the limit on open calls is kept. */
   @Test
-  void noMoreIsReadThanMayBeOpenAndNothingIsLost() throws Exception {
+  void openCallsAreLimitedAndNoneIsLost() throws Exception {
     StandInRpcClient client = start("max-open-calls = 10");
     AtomicInteger open = new AtomicInteger();
-    AtomicInteger most = new AtomicInteger();
+    AtomicInteger maxSeen = new AtomicInteger();
     t.servers.get("s1").script((call, c) -> {
-      most.accumulateAndGet(open.incrementAndGet(), Math::max);
+      maxSeen.accumulateAndGet(open.incrementAndGet(), Math::max);
       c.later(20, () -> {
         open.decrementAndGet();
         c.result(call.id(), call.params());
@@ -358,17 +368,17 @@
     }
     Set<String> answered = new HashSet<>();
     for (int i = 0; i < 200; i++) {
-      String answer = client.next(LONG);
+      String answer = client.next(TIMEOUT_MILLIS);
       assertNotNull(answer, "answer " + i);
       assertTrue(answered.add(answer.substring(answer.lastIndexOf("\"id\":"))), answer);
     }
     assertNull(client.next(50));
-    assertTrue(most.get() <= 10 && most.get() > 1, "open at once: " + most.get());
-    assertNothingKept();
+    assertTrue(maxSeen.get() <= 10 && maxSeen.get() > 1, "open at once: " + maxSeen.get());
+    assertNothingOpen();
   }
 
   @Test
-  void clientThatLeavesWithTenCallsOpenIsForgotten() throws Exception {
+  void disconnectWithTenOpenCallsLeavesNothingOpen() throws Exception {
     StandInRpcClient client = start("");
     hold();
     for (int i = 0; i < 9; i++) {
@@ -377,96 +387,100 @@
     client.send(RpcFiles.issue("9", "k"));
     TestNode.until(() -> seen() == 10);
     client.reset();
-    assertNothingKept();
+    assertNothingOpen();
     release();
-    assertEquals(9, t.ask(() -> t.node.services().counters().count("p", "rate-lookup", End.LEFT)));
-    assertEquals(1, t.ask(() -> t.node.services().counters().count("p", "quote-issue", End.LEFT)));
-    // The answers of those that left meet nobody, and the connection to the server goes on.
+    assertEquals(
+        9, t.onLoop(() -> t.node.services().counters().count("p", "rate-lookup", End.LEFT)));
+    assertEquals(
+        1, t.onLoop(() -> t.node.services().counters().count("p", "quote-issue", End.LEFT)));
+    // The answers to the departed client's calls are dropped, and the connection to the server is
+    // kept.
     StandInRpcClient next = client();
     t.servers.get("s1").script(StandInRpcServer.ECHO);
-    assertEquals(result("1", "1"), next.send(RpcFiles.lookup("1", "1")).next(LONG));
+    assertEquals(result("1", "1"), next.send(RpcFiles.lookup("1", "1")).next(TIMEOUT_MILLIS));
     assertEquals(1, t.servers.get("s1").opened());
   }
 
   @Test
-  void halfClosedClientGetsItsAnswersAndThenTheEnd() throws Exception {
+  void halfClosedClientGetsItsAnswersAndThenTheClose() throws Exception {
     StandInRpcClient client = start("max-open-calls = 2");
     hold();
     for (int i = 0; i < 4; i++) {
       client.send(RpcFiles.lookup("" + i, "" + i));
     }
     client.halfClose();
-    TestNode.until(() -> held.size() == 2);
+    TestNode.until(() -> pendingAnswers.size() == 2);
     assertFalse(client.awaitEnd(50));
     t.servers.get("s1").script(StandInRpcServer.ECHO);
     release();
     Set<String> got = new HashSet<>();
     for (int i = 0; i < 4; i++) {
-      got.add(client.next(LONG));
+      got.add(client.next(TIMEOUT_MILLIS));
     }
     assertEquals(
         Set.of(result("0", "0"), result("1", "1"), result("2", "2"), result("3", "3")), got);
-    assertTrue(client.awaitEnd(LONG));
+    assertTrue(client.awaitEnd(TIMEOUT_MILLIS));
     StandInRpcClient cut = client();
     cut.raw("{\"jsonrpc\":".getBytes(StandardCharsets.US_ASCII)).halfClose();
-    assertError(-32700, "null", cut.next(LONG));
-    assertTrue(cut.awaitEnd(LONG));
-    assertNothingKept();
+    assertError(-32700, "null", cut.next(TIMEOUT_MILLIS));
+    assertTrue(cut.awaitEnd(TIMEOUT_MILLIS));
+    assertNothingOpen();
   }
 
   @Test
-  void idleConnectionIsClosedAndAtTheLimitTheLongestIdleOneGivesWay() throws Exception {
+  void idleConnectionIsClosedAndAtTheLimitTheLongestIdleOne() throws Exception {
     t.server("s1");
     t.start(RpcFiles.toServers(t, "idle-ms = 300", "", "s1")
         .replace(
             "protocol = \"json-rpc\"\njson-rpc = { idle",
             "max-connections = 2\nprotocol = \"json-rpc\"\njson-rpc = { idle"));
     StandInRpcClient first = client();
-    assertEquals(result("1", "1"), first.send(RpcFiles.lookup("1", "1")).next(LONG));
+    assertEquals(result("1", "1"), first.send(RpcFiles.lookup("1", "1")).next(TIMEOUT_MILLIS));
     StandInRpcClient second = client();
-    assertEquals(result("1", "1"), second.send(RpcFiles.lookup("1", "1")).next(LONG));
-    assertTrue(first.awaitEnd(LONG), "the one that was idle longest");
-    assertTrue(second.awaitEnd(LONG), "idle for its time");
+    assertEquals(result("1", "1"), second.send(RpcFiles.lookup("1", "1")).next(TIMEOUT_MILLIS));
+    assertTrue(first.awaitEnd(TIMEOUT_MILLIS), "the connection that was idle longest");
+    assertTrue(second.awaitEnd(TIMEOUT_MILLIS), "closed by the idle time-out");
   }
 
   // Drain
 
   @Test
-  void stopAnswersWhatIsOpenTurnsTheRestAwayAndCloses() throws Exception {
+  void stopAnswersOpenCallsRejectsNewOnesAndCloses() throws Exception {
     StandInRpcClient client = start("");
     StandInRpcClient idle = client();
     hold();
     client.send(RpcFiles.lookup("1", "1"));
     TestNode.until(() -> seen() == 1);
     t.node.drain();
-    assertTrue(idle.awaitEnd(LONG), "one on which nothing is open");
-    assertError(-32002, "2", client.send(RpcFiles.lookup("2", "2")).next(LONG));
-    assertTrue(client.send("[" + RpcFiles.lookup("3", "3") + "]").next(LONG).contains("-32002"));
+    assertTrue(idle.awaitEnd(TIMEOUT_MILLIS), "a connection without an open call");
+    assertError(-32002, "2", client.send(RpcFiles.lookup("2", "2")).next(TIMEOUT_MILLIS));
+    assertTrue(
+        client.send("[" + RpcFiles.lookup("3", "3") + "]").next(TIMEOUT_MILLIS).contains("-32002"));
     assertFalse(client.awaitEnd(50));
     release();
-    assertEquals(result("1", "1"), client.next(LONG));
-    assertTrue(client.awaitEnd(LONG));
+    assertEquals(result("1", "1"), client.next(TIMEOUT_MILLIS));
+    assertTrue(client.awaitEnd(TIMEOUT_MILLIS));
     t.node.awaitDrained();
     assertEquals(1, seen());
   }
 
   @Test
-  void removedListenerAnswersWhatIsOpenAndReloadChangesMethodsOfOpenConnections() throws Exception {
+  void removedListenerAnswersOpenCallsAndReloadChangesMethodsOfOpenConnections() throws Exception {
     StandInRpcClient client = start("");
     hold();
     client.send(RpcFiles.lookup("1", "1"));
     TestNode.until(() -> seen() == 1);
     t.reload(RpcFiles.toServers(t, "", "", "s1").replace("rate.lookup", "rate.find"));
-    assertError(-32601, "2", client.send(RpcFiles.lookup("2", "2")).next(LONG));
+    assertError(-32601, "2", client.send(RpcFiles.lookup("2", "2")).next(TIMEOUT_MILLIS));
     release();
-    assertEquals(result("1", "1"), client.next(LONG));
+    assertEquals(result("1", "1"), client.next(TIMEOUT_MILLIS));
     hold();
     client.send(RpcFiles.lookup("3", "3").replace("rate.lookup", "rate.find"));
     TestNode.until(() -> seen() == 2);
     t.reload("[sources.s]\nstatic = " + t.list("s1")
         + "\n[pools.p]\nsource = \"s\"\nprotocol = \"json-rpc\"\n" + "[[routes]]\npool = \"p\"\n");
     release();
-    assertEquals(result("3", "3"), client.next(LONG));
-    assertTrue(client.awaitEnd(LONG));
+    assertEquals(result("3", "3"), client.next(TIMEOUT_MILLIS));
+    assertTrue(client.awaitEnd(TIMEOUT_MILLIS));
   }
 }
--- a/src/test/java/pumicekeel/node/RpcServersTest.java
+++ b/src/test/java/pumicekeel/node/RpcServersTest.java
@@ -19,10 +19,10 @@
 import pumicekeel.standin.StandInRpcServer;
 import pumicekeel.standin.StandInRpcServer.Seen;
 
-/** JSON-RPC servers that misbehave, and what their clients get: the servers' logs say what ran. */
+/** Misbehaving JSON-RPC servers and the answers to clients; the servers' logs show which calls ran. */
 class RpcServersTest {
 
-  private static final long LONG = 20_000;
+  private static final long TIMEOUT_MILLIS = 20_000;
 
   private final TestServices t = new TestServices();
 
@@ -58,11 +58,11 @@
         answer);
   }
 
-  // What a close leaves open
+  // Connections closed with open calls
 
   @ParameterizedTest
   @ValueSource(strings = {"rate.lookup", "quote.issue"})
-  void serverAnswersOneOfABatchAndClosesAndTheOtherIsTriedAgain(String answered) throws Exception {
+  void unansweredCallOfABatchIsRetriedAfterAClose(String answered) throws Exception {
     StandInRpcServer server = t.server("s1");
     StandInRpcClient client = start("", "s1");
     List<Seen> first = new ArrayList<>();
@@ -81,18 +81,18 @@
     });
     String batch = client
         .send("[" + RpcFiles.lookup("1", "7") + "," + RpcFiles.issue("\"1\"", "k") + "]")
-        .next(LONG);
+        .next(TIMEOUT_MILLIS);
     assertEquals(Set.of(result("1", "7"), issued("\"1\"", "k")), entries(batch));
     assertNull(client.next(100), "a second answer");
     assertEquals(
         2,
         server.seen().stream().filter(s -> !s.method().equals(answered)).count(),
-        "the one without an answer went out twice");
+        "the call without an answer was sent twice");
     assertEquals(
         1, server.seen().stream().filter(s -> s.method().equals(answered)).count());
   }
 
-  /** Entries of an array that hold no comma between two objects within. */
+  /** Splits an array into its entries, at each comma before a JSON-RPC object. */
   private static Set<String> entries(String array) {
     assertNotNull(array);
     return new HashSet<>(
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void keyedCallThatMayHaveRunStaysWithinItsGroup() throws Exception {
+  void keyedCallThatMayHaveRunStaysInItsGroup() throws Exception {
     Set<String> ran = java.util.concurrent.ConcurrentHashMap.newKeySet();
     for (String name : List.of("a1", "b1", "c2", "d3")) {
       t.server(name).script((call, c) -> {
@@ -115,7 +115,7 @@
     StandInRpcClient client = start("limits = { max-attempts = 8 }", "a1", "b1", "c2", "d3");
     for (int i = 0; i < 10; i++) {
       ran.clear();
-      assertFailed(client.send(RpcFiles.issue("" + i, "key" + i)).next(LONG), "" + i);
+      assertFailed(client.send(RpcFiles.issue("" + i, "key" + i)).next(TIMEOUT_MILLIS), "" + i);
       Set<Character> groups = new HashSet<>();
       ran.forEach(name -> groups.add(name.charAt(1)));
       assertEquals(1, groups.size(), "ran at " + ran);
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void safeCallIsTriedElsewhereWhenItsServerCloses() throws Exception {
+  void safeCallIsRetriedElsewhereAfterAClose() throws Exception {
     AtomicInteger closed = new AtomicInteger();
     for (String name : List.of("a1", "b2")) {
       t.server(name).script((call, c) -> {
@@ -135,20 +135,20 @@
       });
     }
     StandInRpcClient client = start("", "a1", "b2");
-    assertEquals(result("1", "7"), client.send(RpcFiles.lookup("1", "7")).next(LONG));
+    assertEquals(result("1", "7"), client.send(RpcFiles.lookup("1", "7")).next(TIMEOUT_MILLIS));
     assertEquals(2, t.servers.values().stream().mapToInt(s -> s.seen().size()).sum());
   }
 
   // Ids
 
   @Test
-  void answersInReverseFindTheirCalls() throws Exception {
-    List<Runnable> held = new ArrayList<>();
+  void answersInReverseOrderReachTheirCalls() throws Exception {
+    List<Runnable> pendingAnswers = new ArrayList<>();
     t.server("s1").script((call, c) -> {
-      held.add(() -> c.result(call.id(), call.params()));
-      if (held.size() == 20) {
+      pendingAnswers.add(() -> c.result(call.id(), call.params()));
+      if (pendingAnswers.size() == 20) {
         for (int i = 19; i >= 0; i--) {
-          held.get(i).run();
+          pendingAnswers.get(i).run();
         }
       }
     });
@@ -157,19 +157,19 @@
       client.send(RpcFiles.lookup("\"c" + i + "\"", "" + i));
     }
     Set<String> got = new HashSet<>();
-    Set<String> wanted = new HashSet<>();
+    Set<String> expected = new HashSet<>();
     for (int i = 0; i < 20; i++) {
-      got.add(client.next(LONG));
-      wanted.add(result("\"c" + i + "\"", "" + i));
+      got.add(client.next(TIMEOUT_MILLIS));
+      expected.add(result("\"c" + i + "\"", "" + i));
     }
-    assertEquals(wanted, got);
-    assertEquals(1, t.servers.get("s1").opened(), "they share one connection");
+    assertEquals(expected, got);
+    assertEquals(1, t.servers.get("s1").opened(), "all calls share one connection");
     List<Long> ids = t.servers.get("s1").seen().stream().map(Seen::id).toList();
-    assertEquals(20, ids.stream().distinct().count(), "each with an id of its own");
+    assertEquals(20, ids.stream().distinct().count(), "each call has its own id");
   }
 
   @Test
-  void answerThatComesLateMeetsNoOtherCall() throws Exception {
+  void lateAnswerReachesNoOtherCall() throws Exception {
     List<Runnable> late = new ArrayList<>();
     AtomicInteger calls = new AtomicInteger();
     t.server("s1").script((call, c) -> {
@@ -177,7 +177,7 @@
         late.add(() -> c.result(call.id(), "\"late\""));
         return;
       }
-      // The late one first, on the connection that the next call came on too.
+      // The late answer first, on the connection of the next call.
       late.forEach(Runnable::run);
       late.clear();
       StandInRpcServer.ECHO.on(call, c);
@@ -185,11 +185,11 @@
     StandInRpcClient client = start("limits = { max-attempts = 1 }", "s1");
     String first =
         "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"left\":300},\"id\":1}";
-    String answer = client.send(first).next(LONG);
+    String answer = client.send(first).next(TIMEOUT_MILLIS);
     assertTrue(answer.contains("\"code\":-3200"), answer);
     for (int i = 2; i < 6; i++) {
       assertEquals(
-          result("1", "" + i), client.send(RpcFiles.lookup("1", "" + i)).next(LONG));
+          result("1", "" + i), client.send(RpcFiles.lookup("1", "" + i)).next(TIMEOUT_MILLIS));
     }
     assertTrue(late.isEmpty(), "the late answer was given");
     assertNull(client.next(100));
@@ -197,7 +197,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"twice", "nobody's", "null", "text"})
-  void secondAnswerOrAnswerOfNobodysEndsTheConnectionAndMeetsNoOtherCall(String kind)
+  void duplicateOrUnknownAnswerClosesTheConnectionAndReachesNoOtherCall(String kind)
       throws Exception {
     AtomicInteger calls = new AtomicInteger();
     StandInRpcServer server = t.server("s1");
@@ -224,17 +224,19 @@
     });
     for (int i = 1; i < 5; i++) {
       assertEquals(
-          result("" + i, "" + i), client.send(RpcFiles.lookup("" + i, "" + i)).next(LONG), kind);
+          result("" + i, "" + i),
+          client.send(RpcFiles.lookup("" + i, "" + i)).next(TIMEOUT_MILLIS),
+          kind);
     }
     assertEquals(2, server.opened(), kind + ": a new connection was made");
   }
 
   @Test
-  void serverThatMixesIdsUpIsNotBelievedAfterIt() throws Exception {
-    // Two calls are out; the first gets the answer of the second, then the second its own once
-    // more: that one is the
-    // second answer to an id. What was answered by then can't be taken back; nothing after it is
-    // believed.
+  void serverThatConfusesIdsIsNotTrustedAfterwards() throws Exception {
+    // Two calls are open. The server answers the second one's id twice, the second time with the
+    // params of the first. The first answer has been passed on; the duplicate closes the
+    // connection,
+    // and the first call is retried.
     List<Seen> out = new ArrayList<>();
     StandInRpcServer server = t.server("s1");
     server.script((call, c) -> {
@@ -248,17 +250,17 @@
     });
     StandInRpcClient client = start("", "s1");
     client.send(RpcFiles.lookup("1", "1")).send(RpcFiles.lookup("2", "2"));
-    Set<String> got = new HashSet<>(List.of(client.next(LONG), client.next(LONG)));
+    Set<String> got =
+        new HashSet<>(List.of(client.next(TIMEOUT_MILLIS), client.next(TIMEOUT_MILLIS)));
     assertEquals(Set.of(result("1", "1"), result("2", "2")), got);
     assertNull(client.next(100));
   }
 
-  // Answers that are none
+  // Malformed answers
 
   @ParameterizedTest
   @ValueSource(strings = {"half", "noise", "flood", "batch", "call", "deep", "utf8"})
-  void halfAnAnswerThenSilenceNoiseAndFloodsCostTheCallsOnTheConnectionOnly(String kind)
-      throws Exception {
+  void malformedAnswersAffectOnlyTheCallsOfTheirConnection(String kind) throws Exception {
     AtomicInteger calls = new AtomicInteger();
     StandInRpcServer server = t.server("s1");
     StandInRpcClient client = start("", "s1");
@@ -278,29 +280,31 @@
       }
     });
     long start = System.nanoTime();
-    assertEquals(result("1", "7"), client.send(RpcFiles.lookup("1", "7")).next(LONG), kind);
+    assertEquals(
+        result("1", "7"), client.send(RpcFiles.lookup("1", "7")).next(TIMEOUT_MILLIS), kind);
     long millis = (System.nanoTime() - start) / 1_000_000;
     assertTrue(millis < 4_000, kind + " cost " + millis + " ms of the call's 6,000");
-    assertEquals(result("2", "8"), client.send(RpcFiles.lookup("2", "8")).next(LONG), kind);
+    assertEquals(
+        result("2", "8"), client.send(RpcFiles.lookup("2", "8")).next(TIMEOUT_MILLIS), kind);
     assertEquals(List.of(), t.defects);
   }
 
   @Test
-  void notificationOfAServersIsPassedOver() throws Exception {
+  void notificationFromAServerIsIgnored() throws Exception {
     t.server("s1").script((call, c) -> {
       c.raw("{\"jsonrpc\":\"2.0\",\"method\":\"progress\",\"params\":[50]}\n");
       StandInRpcServer.ECHO.on(call, c);
     });
     StandInRpcClient client = start("", "s1");
-    assertEquals(result("1", "7"), client.send(RpcFiles.lookup("1", "7")).next(LONG));
-    assertEquals(result("2", "7"), client.send(RpcFiles.lookup("2", "7")).next(LONG));
+    assertEquals(result("1", "7"), client.send(RpcFiles.lookup("1", "7")).next(TIMEOUT_MILLIS));
+    assertEquals(result("2", "7"), client.send(RpcFiles.lookup("2", "7")).next(TIMEOUT_MILLIS));
     assertEquals(1, t.servers.get("s1").opened());
   }
 
   // Error objects
 
   @Test
-  void errorOfTheApplicationIsTheAnswerAndServersFailuresAreTriedAgain() throws Exception {
+  void errorOfTheApplicationIsTheAnswer() throws Exception {
     AtomicInteger calls = new AtomicInteger();
     StandInRpcServer server = t.server("s1");
     server.script((call, c) -> {
@@ -313,13 +317,13 @@
     assertEquals(
         "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":1004,\"message\":\"no \\u20b8 rate\",\"data\":{\"a\":[1.0]}},"
             + "\"id\":1}",
-        client.send(RpcFiles.lookup("1", "7")).next(LONG));
-    assertEquals(1, calls.get(), "what the application said is final");
+        client.send(RpcFiles.lookup("1", "7")).next(TIMEOUT_MILLIS));
+    assertEquals(1, calls.get(), "an error of the application is final");
   }
 
   @ParameterizedTest
   @ValueSource(ints = {-32603, -32000, -32050})
-  void failureOfTheServerIsTriedAgain(int code) throws Exception {
+  void failureOfTheServerIsRetried(int code) throws Exception {
     AtomicInteger calls = new AtomicInteger();
     t.server("s1").script((call, c) -> {
       if (calls.getAndIncrement() == 0) {
@@ -329,31 +333,31 @@
       }
     });
     StandInRpcClient client = start("json-rpc = { not-run-codes = [-32050] }", "s1");
-    assertEquals(result("2", "7"), client.send(RpcFiles.lookup("2", "7")).next(LONG));
+    assertEquals(result("2", "7"), client.send(RpcFiles.lookup("2", "7")).next(TIMEOUT_MILLIS));
     assertEquals(2, calls.get());
   }
 
   @Test
-  void codeThatProvesThatNothingRanIsARefusalAndAnyOtherFailureIsNone() throws Exception {
+  void codeThatProvesThatNothingRanIsARefusal() throws Exception {
     StandInRpcServer server = t.server("s1");
     StandInRpcClient client = start("json-rpc = { not-run-codes = [-32050] }", "s1");
     server.script((call, c) -> c.error(call.id(), -32050, "full"));
-    String refused = client.send(RpcFiles.issue("3", "k3")).next(LONG);
+    String refused = client.send(RpcFiles.issue("3", "k3")).next(TIMEOUT_MILLIS);
     assertTrue(refused.contains("\"code\":-32001"), refused);
   }
 
   @Test
-  void keyedCallThatFailedAtItsServerIsNotCalledRefused() throws Exception {
+  void keyedCallThatFailedAtItsServerIsNotRefused() throws Exception {
     t.server("s1").script((call, c) -> c.error(call.id(), -32603, "broken"));
     StandInRpcClient client = start("", "s1");
-    assertFailed(client.send(RpcFiles.issue("4", "k4")).next(LONG), "4");
+    assertFailed(client.send(RpcFiles.issue("4", "k4")).next(TIMEOUT_MILLIS), "4");
   }
 
   @Test
-  void refusalIsAnErrorObjectWithAnAdviceAndComesAtOnce() throws Exception {
+  void refusalIsAnErrorObjectWithRetryAfter() throws Exception {
     t.server("s1").script((call, c) -> c.error(call.id(), -32050, "full"));
     StandInRpcClient client = start("json-rpc = { not-run-codes = [-32050] }", "s1");
-    String answer = client.send(RpcFiles.lookup("1", "7")).next(LONG);
+    String answer = client.send(RpcFiles.lookup("1", "7")).next(TIMEOUT_MILLIS);
     assertTrue(
         answer.matches(
             "\\{\"jsonrpc\":\"2.0\",\"error\":\\{\"code\":-32001,\"message\":\"[^\"]*\"(,"
@@ -392,15 +396,15 @@
   }
 
   @Test
-  void callsReachHttpServersAndTheirAnswersAreResults() throws Exception {
+  void callsReachHttpServersAndTheirAnswersBecomeResults() throws Exception {
     t.upstream("u1", 0);
     t.start(RpcFiles.toHttp(t, "framing = \"newline\"", "", "u1"));
     StandInRpcClient client = t.rpcClient("rpc", Framing.NEWLINE);
-    // The stand-in answers with the request's id, which is the balancer's own name for the call.
-    String answer = client.send(RpcFiles.lookup("1", "7")).next(LONG);
+    // The stand-in answers with the request's id, which the balancer generates for the call.
+    String answer = client.send(RpcFiles.lookup("1", "7")).next(TIMEOUT_MILLIS);
     assertTrue(
         answer.matches("\\{\"jsonrpc\":\"2.0\",\"result\":\"n0-[0-9a-z]+-1\",\"id\":1}"), answer);
-    client.send(RpcFiles.issue("2", "k2")).next(LONG);
+    client.send(RpcFiles.issue("2", "k2")).next(TIMEOUT_MILLIS);
     var seen = t.upstreams.get("u1").seen();
     assertEquals("k2", seen.get(1).key());
     assertEquals("{\"key\":\"k2\"}", seen.get(1).body());
@@ -408,25 +412,25 @@
     String tooLong =
         "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"x\":\""
             + "x".repeat(5_000) + "\"},\"id\":3}";
-    assertTrue(client.send(tooLong).next(LONG).contains("-32602"));
+    assertTrue(client.send(tooLong).next(TIMEOUT_MILLIS).contains("-32602"));
     assertEquals(2, t.upstreams.get("u1").seen().size());
   }
 
   @Test
-  void fakeHttpServerMakesJsonResultsAndWhatIsNoJsonIsAFailure() throws Exception {
+  void jsonFromAnHttpServerIsAResultAndOtherContentAFailure() throws Exception {
     for (String body : List.of("{\"a\":[1.0,\"\\u00e9\"]}", "not json", "{\"a\":1,\"a\":2}")) {
       try (FakeServer http = new FakeServer((request, connection, out) -> FakeServer.write(
               out,
               "HTTP/1.1 200 OK\r\nContent-Type: application/json; charset=utf-8\r\nContent-Length: "
                   + body.length() + "\r\n\r\n" + body));
-          TestServices own = new TestServices()) {
-        own.start("[listeners.rpc]\naddress = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\n"
+          TestServices services = new TestServices()) {
+        services.start("[listeners.rpc]\naddress = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\n"
             + RpcFiles.METHODS
             + "[sources.s]\nstatic = [{ name = \"u\", address = \""
             + TestServices.text(http.address())
             + "\" }]\n[pools.p]\nsource = \"s\"\n[[routes]]\npool = \"p\"\n");
-        StandInRpcClient client = own.rpcClient("rpc", Framing.VALUES);
-        String answer = client.send(RpcFiles.lookup("1", "7")).next(LONG);
+        StandInRpcClient client = services.rpcClient("rpc", Framing.VALUES);
+        String answer = client.send(RpcFiles.lookup("1", "7")).next(TIMEOUT_MILLIS);
         if (body.startsWith("{\"a\":[")) {
           assertEquals("{\"jsonrpc\":\"2.0\",\"result\":" + body + ",\"id\":1}", answer);
         } else {
@@ -437,10 +441,10 @@
   }
 
   @Test
-  void limitOnCallsOfAConnectionOpensAnother() throws Exception {
-    List<Runnable> held = new ArrayList<>();
+  void limitOnCallsPerConnectionOpensAnother() throws Exception {
+    List<Runnable> pendingAnswers = new ArrayList<>();
     StandInRpcServer server = t.server("s1");
-    server.script((call, c) -> held.add(() -> c.result(call.id(), call.params())));
+    server.script((call, c) -> pendingAnswers.add(() -> c.result(call.id(), call.params())));
     StandInRpcClient client = start("json-rpc = { calls-per-connection = 3 }", "s1");
     for (int i = 0; i < 9; i++) {
       client.send(RpcFiles.lookup("" + i, "" + i));
@@ -451,9 +455,9 @@
       int n = connection;
       assertEquals(3, server.seen().stream().filter(s -> s.connection() == n).count());
     }
-    t.standIns.submit(() -> List.copyOf(held).forEach(Runnable::run)).sync();
+    t.standIns.submit(() -> List.copyOf(pendingAnswers).forEach(Runnable::run)).sync();
     for (int i = 0; i < 9; i++) {
-      assertNotNull(client.next(LONG));
+      assertNotNull(client.next(TIMEOUT_MILLIS));
     }
   }
 }
--- a/src/test/java/pumicekeel/node/RpcSpecificationTest.java
+++ b/src/test/java/pumicekeel/node/RpcSpecificationTest.java
@@ -21,9 +21,9 @@
 /** The examples of section 7 of the JSON-RPC 2.0 specification, through listener, core and server. */
 class RpcSpecificationTest {
 
-  private static final long LONG = 20_000;
+  private static final long TIMEOUT_MILLIS = 20_000;
 
-  /** What is sent and what comes back; null for nothing. The texts are the specification's own. */
+  /** Messages and their answers, null for none. The texts are those of the specification. */
   private static final String[][] EXAMPLES = {
     {
       "{\"jsonrpc\": \"2.0\", \"method\": \"subtract\", \"params\": [42, 23], \"id\": 1}",
@@ -111,7 +111,7 @@
     };
   }
 
-  /** Tokens as they are written, members in the order of their names, entries of a batch in the order of their texts. */
+  /** Returns a comparable form: tokens as written, members sorted by name, entries of a batch sorted by text. */
   private static String canonical(String json) throws Exception {
     try (JsonParser p = new JsonFactory().createParser(json)) {
       p.nextToken();
@@ -159,23 +159,24 @@
       t.start("[listeners.rpc]\naddress = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\n" + methods
           + "[sources.s]\nstatic = " + t.list("s1")
           + "\n[pools.p]\nsource = \"s\"\nprotocol = \"json-rpc\"\n[[routes]]\npool = \"p\"\n");
-      // What is found from the first byte: heads for one, values for the other.
-      Framing spoken = framing == Framing.DETECT ? Framing.VALUES : framing;
-      StandInRpcClient client = t.rpcClient("rpc", spoken);
+      // Detection uses the first byte: a header for one framing, a value for the other.
+      Framing used = framing == Framing.DETECT ? Framing.VALUES : framing;
+      StandInRpcClient client = t.rpcClient("rpc", used);
       for (String[] example : EXAMPLES) {
         boolean broken = example[1] != null && example[1].contains("-32700");
         client.send(example[0]);
         if (example[1] == null) {
           continue;
         }
-        String answer = client.next(LONG);
+        String answer = client.next(TIMEOUT_MILLIS);
         assertNotNull(answer, example[0]);
         assertEquals(canonical(example[1]), canonical(answer), example[0]);
-        if (broken && spoken == Framing.VALUES) {
-          // Nothing tells there where the next message begins: the connection ends, as the
-          // operators' page says.
-          assertEquals(true, client.awaitEnd(LONG));
-          client = t.rpcClient("rpc", spoken);
+        if (broken && used == Framing.VALUES) {
+          // Without framing the start of the next message is unknown, so the connection is closed,
+          // as
+          // documented for operators.
+          assertEquals(true, client.awaitEnd(TIMEOUT_MILLIS));
+          client = t.rpcClient("rpc", used);
         }
       }
       assertNull(client.next(200), "an answer to a notification");
@@ -190,23 +191,23 @@
   }
 
   @Test
-  void spellingOfTheSpecificationIsInTheAnswersBytes() throws Exception {
+  void answersKeepTheSpellingOfTheSpecification() throws Exception {
     try (TestServices t = new TestServices()) {
       t.server("s1");
       t.start(RpcFiles.toServers(t, "framing = \"newline\"", "", "s1"));
       StandInRpcClient client = t.rpcClient("rpc", Framing.NEWLINE);
       assertEquals(
           "{\"jsonrpc\":\"2.0\",\"result\":{\"account\":\"acme\",\"n\":1e0},\"id\":1.0}",
-          client.send(RpcFiles.lookup("1.0", "1e0")).next(LONG));
+          client.send(RpcFiles.lookup("1.0", "1e0")).next(TIMEOUT_MILLIS));
       assertEquals(
           "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":-32700,\"message\":\"Parse error\"},\"id\":null}",
           client
               .send("{\"jsonrpc\": \"2.0\", \"method\": \"foobar, \"params\": \"bar\", \"baz]")
-              .next(LONG));
+              .next(TIMEOUT_MILLIS));
       client.raw("\n\n  \n".getBytes(StandardCharsets.US_ASCII));
       assertEquals(
           "{\"jsonrpc\":\"2.0\",\"result\":{\"account\":\"acme\",\"n\":2},\"id\":\"\\u00e9\"}",
-          client.send(RpcFiles.lookup("\"\\u00e9\"", "2")).next(LONG));
+          client.send(RpcFiles.lookup("\"\\u00e9\"", "2")).next(TIMEOUT_MILLIS));
     }
   }
 }
--- a/src/test/java/pumicekeel/node/ServicesAtScaleTest.java
+++ b/src/test/java/pumicekeel/node/ServicesAtScaleTest.java
@@ -23,14 +23,14 @@
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
 
-/** As many pools as the largest known configuration has: one change touches what it is about and nothing else. */
+/** As many pools as the largest known configuration: a change affects only the pool that it concerns. */
 class ServicesAtScaleTest {
 
   private static final int POOLS = 220;
-  /** Of pool 0, with requests that are never sent twice. */
+  /** A route of pool 0 whose requests are unsafe and never sent twice. */
   private static final int UNSAFE_ROUTE = 2 * POOLS;
 
-  /** What a pool works with; a reload that leaves it alone leaves each of these the same object. */
+  /** The objects of a pool; a reload that does not affect the pool keeps each of them. */
   private record Parts(ServicePool pool, BalancerCore core, Settings settings) {}
 
   private final TestServices t = new TestServices();
@@ -43,7 +43,7 @@
     t.close();
   }
 
-  /** Upstreams that stand in for all: pool 0's is its own, so that nothing but its requests is in its log. */
+  /** Starts one upstream for pool 0, so that its log has only that pool's requests, and one for all other pools. */
   private void start() throws Exception {
     upstream = t.upstream("a0", 0);
     StandInUpstream others = t.upstream("b0", 0);
@@ -52,13 +52,13 @@
     t.start(text());
   }
 
-  /** The file with the changes so far; unsafe requests may stay open for as long as the test takes. */
+  /** Returns the file with the changes so far and a deadline that lets unsafe requests stay open during the whole test. */
   private String text() {
     return generator.text(changes).replace("deadline-ms = 2000", "deadline-ms = 600000");
   }
 
   private Map<String, Parts> parts() throws Exception {
-    return t.ask(() -> {
+    return t.onLoop(() -> {
       Map<String, Parts> out = new LinkedHashMap<>();
       for (int i = 0; i < POOLS; i++) {
         ServicePool pool = t.node.services().pool(ConfigurationGenerator.poolName(i));
@@ -68,8 +68,8 @@
     });
   }
 
-  /** Makes a change on top of those before; the pools of which any part is another one afterwards. */
-  private List<String> touchedBy(Change change) throws Exception {
+  /** Applies one more change and returns the pools of which any part was replaced. */
+  private List<String> affectedBy(Change change) throws Exception {
     Map<String, Parts> before = parts();
     changes.add(change);
     t.reload(text());
@@ -82,7 +82,7 @@
   }
 
   private int retired() throws Exception {
-    return t.ask(() -> t.node.services().retired());
+    return t.onLoop(() -> t.node.services().retired());
   }
 
   private String request(String id, int tenant) {
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void changeTouchesOnlyWhatItIsAbout() throws Exception {
+  void changeAffectsOnlyThePoolThatItConcerns() throws Exception {
     start();
     try (TestClient client = new TestClient(t.address)) {
       assertEquals("warm", client.call(request("warm", 0)).body());
@@ -103,21 +103,21 @@
       TestNode.until(() -> upstream.seen().size() == 2);
       ServicePool first = parts().get(ConfigurationGenerator.poolName(0)).pool();
 
-      // A quota: its own pool's module goes on with other settings.
+      // A quota: the module of its pool is kept and gets other settings.
       assertEquals(
-          List.of(ConfigurationGenerator.poolName(0)), touchedBy(new TenantQuota(POOLS, 77)));
-      Parts tuned = parts().get(ConfigurationGenerator.poolName(0));
-      assertSame(first, tuned.pool());
-      assertTrue(tuned
+          List.of(ConfigurationGenerator.poolName(0)), affectedBy(new TenantQuota(POOLS, 77)));
+      Parts retuned = parts().get(ConfigurationGenerator.poolName(0));
+      assertSame(first, retuned.pool());
+      assertTrue(retuned
           .settings()
           .tenants()
           .contains(new Tenant(ConfigurationGenerator.tenantName(POOLS), 0, 77)));
-      // A route: no pool at all.
-      assertEquals(List.of(), touchedBy(new RoutePool(POOLS, 9)));
-      // A pool's own limit: that pool alone has a new module, and nothing was open in the old one.
-      assertEquals(List.of(ConfigurationGenerator.poolName(7)), touchedBy(new PoolAttempts(7, 5)));
+      // A route: no pool is affected.
+      assertEquals(List.of(), affectedBy(new RoutePool(POOLS, 9)));
+      // A limit of a pool: only that pool gets a new module; the old one has no open request.
+      assertEquals(List.of(ConfigurationGenerator.poolName(7)), affectedBy(new PoolAttempts(7, 5)));
 
-      assertEquals(1L, t.ask(() -> first.open.used()), "the open request is still its pool's");
+      assertEquals(1L, t.onLoop(() -> first.open.used()), "the open request is still in its pool");
       TestNode.until(() -> {
         try {
           return retired() == 0;
@@ -125,8 +125,8 @@
           throw new AssertionError(e);
         }
       });
-      // The pool of the open request itself: that one ends where it began.
-      touchedBy(new PoolAttempts(0, 5));
+      // The pool of the open request: the request stays in the retired pool.
+      affectedBy(new PoolAttempts(0, 5));
       assertNotSame(first, parts().get(ConfigurationGenerator.poolName(0)).pool());
       assertEquals(1, retired());
       assertEquals(2, upstream.seen().size(), "nothing was sent again");
--- a/src/test/java/pumicekeel/node/ServicesTest.java
+++ b/src/test/java/pumicekeel/node/ServicesTest.java
@@ -17,7 +17,7 @@
 import pumicekeel.standin.StandInUpstream.Mode;
 import pumicekeel.standin.StandInUpstream.Seen;
 
-/** Several pools in one process, on sockets: who gets what, and what the upstreams saw of it. */
+/** Several pools in one process, on sockets: which requests each gets, by the upstreams' own logs. */
 class ServicesTest {
 
   private static final String TWO_POOLS = """
@@ -70,12 +70,12 @@
   // Routes
 
   @Test
-  void hostDecidesInAnyOfItsFormsAndWhatHasNoRouteIsAnsweredAtOnceAndCounted() throws Exception {
+  void hostSelectsThePoolInEachFormAndUnroutedRequestsAreAnsweredAndCounted() throws Exception {
     StandInUpstream q = t.upstream("q", 0);
     StandInUpstream r = t.upstream("r", 0);
     t.start(twoPools(t.list("q"), t.list("r"), ""));
-    // The warm-up may have left some that came after it.
-    long before = t.ask(() -> t.node.services().counters().noRoutes());
+    // Late requests of the warm-up may already have been counted.
+    long before = t.onLoop(() -> t.node.services().counters().noRoutes());
     assertEquals("1", call(lookup("1", "quote.example.org", "")).body());
     assertEquals("2", call(lookup("2", "RATES.example.org.:8080", "")).body());
     assertEquals("3", call(lookup("3", "a.rates.example.org", "")).body());
@@ -108,14 +108,14 @@
                   .replace("/rate-lookup/7", "/rate-lookup%2F7"))
               .status());
       assertEquals(
-          "9", client.call(lookup("9", "quote.example.org", "")).body(), "the connection goes on");
+          "9", client.call(lookup("9", "quote.example.org", "")).body(), "the connection is kept");
     }
-    assertEquals(1, t.ask(() -> t.node.services().counters().noRoutes()) - before);
+    assertEquals(1, t.onLoop(() -> t.node.services().counters().noRoutes()) - before);
     assertEquals(2, q.seen().size());
   }
 
   @Test
-  void pathOfEightKibibytesIsAnErrorAndAnEnd() throws Exception {
+  void pathOfEightKibibytesIsRejectedAndClosed() throws Exception {
     t.upstream("q", 0);
     t.start(twoPools(t.list("q"), t.list("q"), ""));
     try (TestClient client = new TestClient(t.address)) {
@@ -128,16 +128,16 @@
     }
   }
 
-  /** A body behind a request that has no route is dropped, and is not taken for the next request. */
+  /** The body of a request without a route is dropped and not treated as the next request. */
   @Test
-  void bodyOfARequestWithoutARouteIsDroppedAndTheConnectionGoesOn() throws Exception {
+  void bodyOfAnUnroutedRequestIsDroppedAndTheConnectionIsKept() throws Exception {
     StandInUpstream q = t.upstream("q", 0);
     t.start(twoPools(t.list("q"), t.list("q"), ""));
     try (TestClient client = new TestClient(t.address)) {
       String hidden = lookup("hidden", "quote.example.org", "");
       client.send("POST /quote-issue HTTP/1.1\r\nHost: other\r\nContent-Length: " + hidden.length()
           + "\r\n\r\n");
-      assertEquals(404, client.read().status(), "before its body has come");
+      assertEquals(404, client.read().status(), "before its body has arrived");
       client.send(hidden);
       assertEquals("2", client.call(lookup("2", "quote.example.org", "")).body());
     }
@@ -170,24 +170,24 @@
         && rates.count(SERVED) > 100
         && shared.seen().stream().anyMatch(s -> s.className().equals("quote-issue")));
     t.discoveries.get("platform").tell("shared0", shared.address(), 0, "terminating", 0);
-    long told = t.discoveries.get("platform").toldAt("shared0", "terminating");
-    long ratesThen = rates.count(SERVED);
-    TestNode.until(() -> System.nanoTime() - told > TimeUnit.SECONDS.toNanos(3)
-        && rates.count(SERVED) > ratesThen + 200);
+    long notifiedAt = t.discoveries.get("platform").toldAt("shared0", "terminating");
+    long ratesBefore = rates.count(SERVED);
+    TestNode.until(() -> System.nanoTime() - notifiedAt > TimeUnit.SECONDS.toNanos(3)
+        && rates.count(SERVED) > ratesBefore + 200);
     quotes.stop();
     rates.stop();
     assertEquals(
         0,
         shared.seen().stream()
             .filter(s -> s.className().equals("quote-issue")
-                && s.atNanos() - told > TimeUnit.SECONDS.toNanos(2))
+                && s.atNanos() - notifiedAt > TimeUnit.SECONDS.toNanos(2))
             .count(),
-        "quotes drained");
+        "quotes has drained it");
     assertTrue(
         shared.seen().stream()
             .anyMatch(s -> s.className().equals("rate-lookup")
-                && s.atNanos() - told > TimeUnit.SECONDS.toNanos(2)),
-        "rates goes on there");
+                && s.atNanos() - notifiedAt > TimeUnit.SECONDS.toNanos(2)),
+        "rates still uses it");
     assertEquals(0, quotes.results().unended() + rates.results().unended());
     assertEquals(
         quotes.asked(),
@@ -197,7 +197,7 @@
         rates.asked(),
         rates.count(SERVED) + rates.count(REFUSED),
         rates.results().faults().toString());
-    assertTrue(other.seen().stream().anyMatch(s -> s.atNanos() - told > 0));
+    assertTrue(other.seen().stream().anyMatch(s -> s.atNanos() - notifiedAt > 0));
   }
 
   private static final pumicekeel.load.LoadResults.Outcome SERVED =
@@ -205,9 +205,9 @@
   private static final pumicekeel.load.LoadResults.Outcome REFUSED =
       pumicekeel.load.LoadResults.Outcome.REFUSED;
 
-  /** Two lists give one id to two machines: each pool goes to its own. */
+  /** Two lists use one id for two addresses: each pool uses its own upstream. */
   @Test
-  void oneIdInTwoPoolsForTwoAddressesIsTwoUpstreams() throws Exception {
+  void sameIdWithTwoAddressesInTwoPoolsIsTwoUpstreams() throws Exception {
     StandInUpstream one = t.upstream("same", 0);
     String first = t.list("same");
     StandInUpstream two = t.upstream("same", 0);
@@ -224,7 +224,7 @@
   }
 
   @Test
-  void connectionsToASharedUpstreamAreCountedOverAllPools() throws Exception {
+  void connectionsToASharedUpstreamAreLimitedAcrossPools() throws Exception {
     StandInUpstream shared = t.upstream("shared", 30_000);
     String capped = "connections-per-upstream = 3\nsource = ";
     t.start(twoPools(t.list("shared"), t.list("shared"), "").replace("source = ", capped));
@@ -241,18 +241,18 @@
     TestNode.until(() -> shared.seen().size() > 200);
     quotes.stop();
     rates.stop();
-    // An idle one that gave way may be seen to end only after its successor was accepted; without a
-    // cap 18 are busy.
+    // The close of a replaced idle connection may be seen only after its successor was accepted;
+    // without a cap 18 are busy.
     assertTrue(shared.mostOpen() <= 6, "open at once: " + shared.mostOpen());
     assertEquals(0, quotes.results().unended() + rates.results().unended());
   }
 
   /**
-   * Each pool has two warm upstreams of its own, and both get the same cold one: what one of them may send it, from the
-   * share that its warm ones carry, is all that the two together may.
+   * Each pool has two warm upstreams of its own and both get the same cold one: the two pools together may send it no
+   * more than the cold budget that one of them derives from the load of its warm upstreams.
    */
   @Test
-  void coldUpstreamInTwoPoolsGetsNoMoreThanItsBudgetOfBoth() throws Exception {
+  void coldUpstreamInTwoPoolsStaysWithinItsBudget() throws Exception {
     StandInDiscovery quoteList = t.discovery("platform");
     StandInDiscovery rateList = t.discovery("rates");
     for (int i = 0; i < 4; i++) {
@@ -275,7 +275,7 @@
     TestNode.until(() -> quotes.count(SERVED) > 800 && rates.count(SERVED) > 800);
     StandInUpstream cold = t.upstream("cold", 2_000);
     long startedAt = System.nanoTime();
-    // One list knows when it started, the other takes it for an old one.
+    // One list has its start time, the other treats it as an old one.
     quoteList.tell("cold", cold.address(), 9, "in_service", System.currentTimeMillis());
     rateList.tell("cold", cold.address(), 9, "in_service", 0);
     TestNode.until(() -> cold.seen().stream().anyMatch(s -> s.id().startsWith("q"))
@@ -288,9 +288,9 @@
     assertTrue(verdict.good(), verdict.lines().toString());
   }
 
-  // Keyed requests and second pools
+  // Keyed requests and fallback pools
 
-  /** A client's repeat with the same key stays where the first may have run, though its route now goes elsewhere. */
+  /** A repeat of a key stays in the pool where the first request may have run, even if its route now names another pool. */
   @Test
   void repeatOfAKeyedRequestStaysInItsPoolAcrossAReload() throws Exception {
     StandInUpstream q = t.upstream("q", 0);
@@ -309,7 +309,7 @@
   }
 
   @Test
-  void repeatWhosePoolIsGoneFailsAtOnceAndGoesNowhere() throws Exception {
+  void repeatOfARemovedPoolFailsAtOnceAndIsNotSent() throws Exception {
     StandInUpstream q = t.upstream("q", 0);
     StandInUpstream r = t.upstream("r", 0);
     String before = twoPools(t.list("q"), t.list("r"), "");
@@ -321,7 +321,7 @@
         + "\n[pools.rates]\nsource = \"rates\"\n[[routes]]\npool = \"rates\"\n");
     TestNode.until(() -> {
       try {
-        return t.ask(() -> t.node.services().retired()) == 0;
+        return t.onLoop(() -> t.node.services().retired()) == 0;
       } catch (Exception e) {
         throw new AssertionError(e);
       }
@@ -333,7 +333,7 @@
   }
 
   @Test
-  void secondPoolServesWhileTheFirstHasNoReadyUpstreamAndOnlyWhereNothingRan() throws Exception {
+  void fallbackPoolServesOnlyWithoutAReadyUpstreamAndIfNothingRan() throws Exception {
     StandInUpstream q = t.upstream("q", 0);
     StandInUpstream r = t.upstream("r", 0);
     String both = twoPools(t.list("q"), t.list("r"), "fallback = \"rates\"");
@@ -350,20 +350,21 @@
       TestNode.until(() -> q.seen().size() == 2);
       t.reload(twoPools(t.list("q!terminating"), t.list("r"), "fallback = \"rates\""));
       q.kill();
-      assertEquals(502, client.read().status(), "it may have run at q: no second pool for it");
+      assertEquals(502, client.read().status(), "it may have run at q: no fallback pool for it");
     }
     assertEquals(1, r.seen().size());
   }
 
-  /** A request that its pool held, with nothing sent, goes on in the second pool when the first one runs dry. */
+  /** A held request of which nothing was sent moves to the fallback pool when the first has no upstream left. */
   @Test
-  void heldRequestIsHandedOverWhenThePoolRunsDry() throws Exception {
+  void heldRequestMovesToTheFallbackPoolWhenItsPoolHasNoUpstream() throws Exception {
     StandInUpstream q = t.upstream("q", 0);
     StandInUpstream r = t.upstream("r", 0);
     t.start(twoPools(t.list("q"), t.list("r"), "fallback = \"rates\""));
     q.kill();
     try (TestClient client = new TestClient(t.address)) {
-      // Refused connections prove that nothing ran; the module tries again, holds and gives up.
+      // Refused connections prove that nothing ran; the module retries, holds the request and gives
+      // up.
       client.send(lookup("1", "quote.example.org", ""));
       t.reload(twoPools(t.list("q!terminating"), t.list("r"), "fallback = \"rates\""));
       TestClient.Reply reply = client.read();
@@ -374,7 +375,7 @@
   }
 
   @Test
-  void splitIsByTheSessionKeyAndTheSameForEachRequestOfIt() throws Exception {
+  void splitIsStablePerSessionKey() throws Exception {
     StandInUpstream q = t.upstream("q", 0);
     StandInUpstream r = t.upstream("r", 0);
     t.start(twoPools(t.list("q"), t.list("r"), "")
@@ -400,10 +401,10 @@
     return keys;
   }
 
-  // Room
+  // Capacity
 
   @Test
-  void fullPoolRefusesAtOnceWithARetryAfterAndTheOtherServes() throws Exception {
+  void fullPoolRefusesWithRetryAfterAndTheOtherServes() throws Exception {
     StandInUpstream q = t.upstream("q", 0);
     t.upstream("r", 0);
     t.start(twoPools(t.list("q"), t.list("r"), "")
@@ -423,19 +424,20 @@
       one.close();
       TestNode.until(() -> {
         try {
-          return t.ask(() -> t.node.services().pool("quotes").open.used()) == 1;
+          return t.onLoop(() -> t.node.services().pool("quotes").open.used()) == 1;
         } catch (Exception e) {
           throw new AssertionError(e);
         }
       });
       q.mode(Mode.SERVE);
-      assertEquals("5", three.call(lookup("5", "quote.example.org", "")).body(), "room again");
+      assertEquals(
+          "5", three.call(lookup("5", "quote.example.org", "")).body(), "capacity was released");
     }
   }
 
-  /** Bodies that come a byte at a time hold their own pool's room, from the head on, and no other's. */
+  /** Slow bodies use up the open requests of their own pool, from the head on, and of no other. */
   @Test
-  void slowBodiesFillTheirOwnPoolOnly() throws Exception {
+  void slowBodiesFillOnlyTheirOwnPool() throws Exception {
     t.upstream("q", 0);
     t.upstream("r", 0);
     t.start(twoPools(t.list("q"), t.list("r"), "")
@@ -450,7 +452,7 @@
       }
       TestNode.until(() -> {
         try {
-          return t.ask(() -> t.node.services().pool("quotes").open.used()) == 4;
+          return t.onLoop(() -> t.node.services().pool("quotes").open.used()) == 4;
         } catch (Exception e) {
           throw new AssertionError(e);
         }
@@ -460,7 +462,8 @@
       for (TestClient client : slow) {
         assertEquals(408, client.read().status());
       }
-      assertEquals("z", call(issue("z", "kz", "quote.example.org")).body(), "all room is back");
+      assertEquals(
+          "z", call(issue("z", "kz", "quote.example.org")).body(), "all capacity was released");
     } finally {
       for (TestClient client : slow) {
         client.close();
@@ -469,7 +472,7 @@
   }
 
   @Test
-  void bodiesBeyondThePoolsMemoryAreTurnedAwayAndGivenBack() throws Exception {
+  void bodiesOverThePoolsMemoryAreRejectedAndReleased() throws Exception {
     StandInUpstream q = t.upstream("q", 0);
     t.upstream("r", 0);
     t.start(twoPools(t.list("q"), t.list("r"), "")
@@ -491,7 +494,7 @@
     }
     TestNode.until(() -> {
       try {
-        return t.ask(() -> t.node.services().pool("quotes").body.used()) == 0;
+        return t.onLoop(() -> t.node.services().pool("quotes").body.used()) == 0;
       } catch (Exception e) {
         throw new AssertionError(e);
       }
@@ -499,9 +502,9 @@
     assertEquals(1, q.seen().size());
   }
 
-  /** One id is open once in the process, whichever pools its two requests are for. */
+  /** An id may be open only once in the process, even for requests of different pools. */
   @Test
-  void idThatIsOpenInOnePoolIsTakenInNoOther() throws Exception {
+  void idOpenInOnePoolIsRejectedInAnother() throws Exception {
     StandInUpstream q = t.upstream("q", 0);
     StandInUpstream r = t.upstream("r", 0);
     t.start(twoPools(t.list("q"), t.list("r"), ""));
@@ -514,6 +517,6 @@
     }
     assertNull(t.defects.isEmpty() ? null : t.defects);
     assertEquals(
-        0L, t.ask(() -> t.node.services().counters().count("rates", "rate-lookup", End.SERVED)));
+        0L, t.onLoop(() -> t.node.services().counters().count("rates", "rate-lookup", End.SERVED)));
   }
 }
--- a/src/test/java/pumicekeel/node/StalledLoopTest.java
+++ b/src/test/java/pumicekeel/node/StalledLoopTest.java
@@ -10,29 +10,29 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** The loop stands still while a request waits in its socket; the upstream's log tells what was left of its time. */
-class LateLoopTest {
+/** The event loop stalls while a request is unread in its socket; the upstream's log shows the time left that was forwarded. */
+class StalledLoopTest {
 
   private static final int LEFT_MILLIS = 15_000;
   private static final long STALL_MILLIS = 3_000;
 
-  /** What stood unread while its connection rested has spent that time: its client counts from when it sent. */
+  /** Time during which a throttled connection was not read counts against the next request: its client counts from the send. */
   @Test
-  void restOfAConnectionIsSpentOfTheTimeOfWhatWaitedForItsEnd() throws Exception {
+  void throttlingOfAConnectionCountsAgainstTheNextRequest() throws Exception {
     long sentWithinNanos = 200_000_000L;
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 1, upstream);
-      boolean soon = false;
-      for (int i = 0; !soon; i++) {
+      TestNode node = new TestNode(TestNode.unusedAddress(), 1, upstream);
+      boolean sentInTime = false;
+      for (int i = 0; !sentInTime; i++) {
         try (TestClient client = new TestClient(node.address)) {
-          long asked = System.nanoTime();
+          long sentAt = System.nanoTime();
           assertEquals(
               400,
               client
                   .call(TestClient.look("bad" + i, 15_000, "").replace("acme", "nobody"))
                   .status());
           client.send(TestClient.look("good" + i, 15_000, ""));
-          soon = System.nanoTime() - asked < sentWithinNanos;
+          sentInTime = System.nanoTime() - sentAt < sentWithinNanos;
           assertEquals(200, client.read().status());
         }
       }
@@ -44,22 +44,22 @@
   }
 
   @Test
-  void whatARequestWaitedForTheLoopIsSpentOfItsTime() throws Exception {
+  void loopStallCountsAgainstTheRequest() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode t = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode t = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (Socket client = new Socket(t.address.getAddress(), t.address.getPort())) {
-        ask(client, "a");
+        send(client, "a");
         TestNode.until(() -> upstream.requests.size() == 1);
         assertTrue(
             left(upstream, 0) > LEFT_MILLIS - 2_000, "left without a stall: " + left(upstream, 0));
         client.getInputStream().read();
-        CountDownLatch stands = new CountDownLatch(1);
+        CountDownLatch stalled = new CountDownLatch(1);
         t.node.loop().execute(() -> {
-          stands.countDown();
+          stalled.countDown();
           sleep();
         });
-        stands.await();
-        ask(client, "b");
+        stalled.await();
+        send(client, "b");
         TestNode.until(() -> upstream.requests.size() == 2);
         assertTrue(
             left(upstream, 1) < LEFT_MILLIS - 2_500,
@@ -70,26 +70,26 @@
     }
   }
 
-  /** Its upstream never answers, and the process stands still just as its time is up: it is not lost, for half a second is forgiven. */
+  /** The upstream never answers and the process stalls just as the request expires: it is still answered within the tolerated 0.5 s. */
   @Test
-  void standstillAtTheEndOfARequestsTimeLosesItNot() throws Exception {
+  void stallAtTheDeadlineDoesNotLoseTheRequest() throws Exception {
     long leftMillis = 4_000;
-    long forgivenMillis = 500;
-    long stillMillis = 950;
+    long toleratedMillis = 500;
+    long stallMillis = 950;
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
-      TestNode t = new TestNode(TestNode.nowhere(), 1, upstream);
+      TestNode t = new TestNode(TestNode.unusedAddress(), 1, upstream);
       try (TestClient client = new TestClient(t.address)) {
-        long asked = System.nanoTime();
+        long sentAt = System.nanoTime();
         client.send(TestClient.look("a", leftMillis, ""));
         TestNode.until(() -> upstream.requests.size() == 1);
-        long from = asked + (left(upstream, 0) - 50) * 1_000_000L;
-        TestNode.until(() -> System.nanoTime() > from);
-        CountDownLatch goesOn = t.standStill();
-        TestNode.until(() -> System.nanoTime() > from + stillMillis * 1_000_000);
-        goesOn.countDown();
+        long stallAt = sentAt + (left(upstream, 0) - 50) * 1_000_000L;
+        TestNode.until(() -> System.nanoTime() > stallAt);
+        CountDownLatch resume = t.stallLoop();
+        TestNode.until(() -> System.nanoTime() > stallAt + stallMillis * 1_000_000);
+        resume.countDown();
         client.read();
-        long took = (System.nanoTime() - asked) / 1_000_000;
-        assertTrue(took < leftMillis + forgivenMillis, "answered after " + took + " ms");
+        long took = (System.nanoTime() - sentAt) / 1_000_000;
+        assertTrue(took < leftMillis + toleratedMillis, "answered after " + took + " ms");
       } finally {
         t.node.close();
       }
@@ -104,7 +104,7 @@
     }
   }
 
-  private static void ask(Socket client, String id) throws Exception {
+  private static void send(Socket client, String id) throws Exception {
     client
         .getOutputStream()
         .write(("GET /look HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id
--- a/src/test/java/pumicekeel/node/StartTest.java
+++ b/src/test/java/pumicekeel/node/StartTest.java
@@ -23,19 +23,19 @@
 import pumicekeel.runtime.Reactor;
 
 /**
- * Nine in ten restarted processes are ready within 10 s, many starting at once. What a start costs is processor time, so that is what is
- * held to a bound: it says the same on a busy machine, where ten of them share what is left.
+ * Nine in ten restarted processes are ready within 10 s, even if many start at once. The test limits the processor time of a start rather
+ * than its duration, because that gives the same result on a busy machine.
  */
 class StartTest {
 
   private static final int PROCESSES = 10;
-  /** What 10 s bring on half a core, the least that a process may have. */
-  private static final Duration MOST = Duration.ofSeconds(5);
+  /** The processor time of 10 s on half a core, the minimum for a process. */
+  private static final Duration MAX_CPU_TIME = Duration.ofSeconds(5);
 
-  /** The warm-up's own bound, and one of its requests that is on its way then. */
-  private static final long LONGEST_MILLIS = 2_500;
+  /** The warm-up's own limit plus the duration of one request in flight at its end. */
+  private static final long MAX_WARM_UP_MILLIS = 2_500;
 
-  /** All requests of the warm-up, one after the other by eights, would take several times its bound. */
+  /** Delay of each answer: all requests of the warm-up, eight at a time, would take several times its limit. */
   private static final long SLOW_MILLIS = 200;
 
   @TempDir
@@ -58,7 +58,7 @@
     return builder.redirectErrorStream(true).start();
   }
 
-  /** Processor time of a process until it says that it serves. */
+  /** Returns the processor time of a process until it reports that it serves. */
   private static Duration untilReady(Process process) throws IOException {
     BufferedReader log =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
@@ -70,31 +70,31 @@
     throw new AssertionError("a process did not start");
   }
 
-  /** Discovery says nothing meanwhile: a start does not wait for it. */
+  /** Discovery is silent: a start does not wait for it. */
   @Test
-  void nineInTenAreReadyInTimeWhileAllStartAtOnce() throws Exception {
+  void nineInTenAreReadyInTimeWhenAllStartAtOnce() throws Exception {
     List<Process> processes = new ArrayList<>();
     try (FakeServer silent = new FakeServer((request, connection, out) -> {})) {
       for (int i = 0; i < PROCESSES; i++) {
         processes.add(start(i, silent));
       }
-      List<Duration> taken = new ArrayList<>();
+      List<Duration> cpuTimes = new ArrayList<>();
       for (Process process : processes) {
-        taken.add(untilReady(process));
+        cpuTimes.add(untilReady(process));
       }
-      Collections.sort(taken);
+      Collections.sort(cpuTimes);
       assertTrue(
-          taken.get(PROCESSES * 9 / 10 - 1).compareTo(MOST) < 0,
-          "processor time until ready: " + taken);
+          cpuTimes.get(PROCESSES * 9 / 10 - 1).compareTo(MAX_CPU_TIME) < 0,
+          "processor time until ready: " + cpuTimes);
     } finally {
       processes.forEach(Process::destroyForcibly);
     }
   }
 
-  /** A warm-up whose answers come slowly, as on a busy machine, ends by its time alone; the limit is a timer of the same loop. */
+  /** A warm-up with slow answers, as on a busy machine, ends by its time limit; the test's limit is a timer of the same loop. */
   @Test
-  void warmUpOnASlowMachineEndsInItsTime() throws Exception {
-    Reactor on = Reactor.start();
+  void warmUpOnASlowMachineEndsWithinItsLimit() throws Exception {
+    Reactor reactor = Reactor.start();
     CountDownLatch done = new CountDownLatch(1);
     AtomicBoolean late = new AtomicBoolean();
     try (FakeServer slow = new FakeServer((request, connection, out) -> {
@@ -102,13 +102,15 @@
       FakeServer.write(out, FakeServer.ok(""));
     })) {
       InetSocketAddress self = slow.address();
-      on.loop().execute(() -> {
-        on.loop()
-            .schedule(() -> late.set(done.getCount() > 0), LONGEST_MILLIS, TimeUnit.MILLISECONDS);
+      reactor.loop().execute(() -> {
+        reactor
+            .loop()
+            .schedule(
+                () -> late.set(done.getCount() > 0), MAX_WARM_UP_MILLIS, TimeUnit.MILLISECONDS);
         try {
           WarmUp.run(
-              on,
-              new LoopLag(on),
+              reactor,
+              new LoopLag(reactor),
               self,
               WarmUp.newPath(),
               TestNode.read(TestNode.json(self, 3), 1).settings(),
@@ -117,10 +119,11 @@
           throw new IllegalStateException(e);
         }
       });
-      assertTrue(done.await(30, TimeUnit.SECONDS), "an end");
-      assertFalse(on.loop().submit(late::get).get(), "later than " + LONGEST_MILLIS + " ms");
+      assertTrue(done.await(30, TimeUnit.SECONDS), "the warm-up ended");
+      assertFalse(
+          reactor.loop().submit(late::get).get(), "later than " + MAX_WARM_UP_MILLIS + " ms");
     } finally {
-      on.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
+      reactor.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
   }
 }
--- a/src/test/java/pumicekeel/node/StopTest.java
+++ b/src/test/java/pumicekeel/node/StopTest.java
@@ -13,24 +13,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is owed at a stop, with a loop that is late at the worst moment. */
+/** The guarantees of a planned stop when the event loop is delayed at the worst moment. */
 class StopTest {
 
   private static final Pattern LEFT = Pattern.compile("(?i)x-time-left-ms: (\\d+)");
 
-  /** A connection that the machine has accepted and the process has not would be reset with the listener. */
+  /** Connections in the listener's backlog would be reset when it is closed, unless the process accepts them first. */
   @Test
-  void thoseInLineAtTheCloseAreLetInAndServed() throws Exception {
-    int inLine = 40;
+  void connectionsInTheBacklogAreAcceptedAndAnsweredAtTheClose() throws Exception {
+    int backlog = 40;
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 3, upstream);
-      CountDownLatch goesOn = node.standStill();
+      TestNode node = new TestNode(TestNode.unusedAddress(), 3, upstream);
+      CountDownLatch resume = node.stallLoop();
       List<TestClient> clients = new ArrayList<>();
-      for (int i = 0; i < inLine; i++) {
+      for (int i = 0; i < backlog; i++) {
         clients.add(new TestClient(node.address).send(TestClient.look("line" + i, 15_000, "")));
       }
       node.node.loop().execute(() -> node.node.listeners().stopListening());
-      goesOn.countDown();
+      resume.countDown();
       for (TestClient client : clients) {
         // Refused or served, but answered.
         assertTrue(List.of(200, 429).contains(client.read().status()));
@@ -40,8 +40,8 @@
   }
 
   /**
-   * SIGKILL does not wait for a process that comes to SIGTERM late: its end is counted from when SIGTERM may have come, whichever of
-   * its threads was late.
+   * SIGKILL is not delayed for a process that handles SIGTERM late: its end is counted from the earliest time at which SIGTERM may have
+   * arrived, whichever of its threads was delayed.
    */
   @ParameterizedTest(name = "signal heard {0}")
   @ValueSource(
@@ -50,74 +50,74 @@
         "as the process goes on",
         "a moment after it goes on"
       })
-  void endIsCountedFromWhenTheStopMayHaveCome(String heard) throws Exception {
-    long late = 1_000_000_000L;
-    long end = 3_000;
+  void endIsCountedFromTheEarliestTimeOfTheSignal(String handled) throws Exception {
+    long delayNanos = 1_000_000_000L;
+    long endMillis = 3_000;
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 3, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 3, upstream);
       try (TestClient client = new TestClient(node.address)) {
         assertEquals(200, client.call(TestClient.look("before", 15_000, "")).status());
-        CountDownLatch goesOn = node.standStill();
+        CountDownLatch resume = node.stallLoop();
         long asked = System.nanoTime();
-        if (heard.startsWith("at once")) {
+        if (handled.startsWith("at once")) {
           node.node.drain();
         }
-        TestNode.until(() -> System.nanoTime() - asked > late);
-        if (heard.startsWith("as")) {
+        TestNode.until(() -> System.nanoTime() - asked > delayNanos);
+        if (handled.startsWith("as")) {
           node.node.drain();
-        } else if (heard.startsWith("a moment")) {
-          // Queued behind the loop's own look at the time, as the signal's thread may come to run
-          // only then.
+        } else if (handled.startsWith("a moment")) {
+          // Queued behind the loop's own time check, since the signal's thread may run only after
+          // that.
           node.node.loop().execute(() -> node.node.loop().execute(node.node::drain));
         }
-        goesOn.countDown();
+        resume.countDown();
         node.node.loop().submit(() -> {}).sync();
         node.node.loop().submit(() -> {}).sync();
         assertEquals(200, client.call(TestClient.look("after", 15_000, "")).status());
       }
       Matcher left = LEFT.matcher(upstream.requests.get(1));
       assertTrue(left.find());
-      assertTrue(Long.parseLong(left.group(1)) <= end - late / 1_000_000, left.group());
+      assertTrue(Long.parseLong(left.group(1)) <= endMillis - delayNanos / 1_000_000, left.group());
     }
   }
 
-  /** Nothing more is taken, and half a request has come: its client has sent the rest, and must not find a closed door. */
+  /** Nothing more is accepted while a request is partly received: its client, which sends the rest, must get an answer. */
   @ParameterizedTest(name = "half {0}")
   @ValueSource(strings = {"a head", "a body"})
-  void requestThatHasComeInPartAtTheEndIsRefused(String half) throws Exception {
+  void partlyReceivedRequestIsRefusedAtTheEnd(String half) throws Exception {
     String whole = TestClient.order("1", 15_000);
-    int at = half.equals("a head") ? 60 : whole.length() - 2;
+    int split = half.equals("a head") ? 60 : whole.length() - 2;
     try (FakeServer upstream = FakeServer.serving("fine")) {
-      TestNode node = new TestNode(TestNode.nowhere(), 3, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 3, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        client.send(whole.substring(0, at));
-        node.pass();
+        client.send(whole.substring(0, split));
+        node.awaitLoopPass();
         node.node.loop().submit(() -> node.node.listeners().closeUntaken()).sync();
-        client.send(whole.substring(at));
+        client.send(whole.substring(split));
         assertEquals(503, client.read().status());
-        assertTrue(client.endedInOrder(), "and not by a reset");
+        assertTrue(client.closedWithoutReset(), "and not by a reset");
       }
       assertEquals(List.of(), upstream.requests);
     }
   }
 
-  /** A close with bytes unread resets: the last answer may be lost with it. */
+  /** Closing a socket with unread bytes resets the connection, and the last answer may be lost. */
   @Test
   void lastAnswerReachesAClientThatStillSends() throws Exception {
     CountDownLatch asked = new CountDownLatch(1);
-    CountDownLatch answers = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
     CountDownLatch answered = new CountDownLatch(1);
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       asked.countDown();
-      answers.await();
+      release.await();
       FakeServer.write(out, FakeServer.ok("fine"));
       answered.countDown();
     })) {
-      TestNode node = new TestNode(TestNode.nowhere(), 3, upstream);
+      TestNode node = new TestNode(TestNode.unusedAddress(), 3, upstream);
       try (TestClient client = new TestClient(node.address)) {
         client.send(TestClient.look("1", 15_000, "Connection: close\r\n"));
         asked.await();
-        CountDownLatch goesOn = node.standStill();
+        CountDownLatch resume = node.stallLoop();
         AtomicBoolean reset = new AtomicBoolean();
         // More than is dropped at a time, and some of it before the answer.
         client.send("x".repeat(10_000));
@@ -129,12 +129,12 @@
           }
         });
         sends.start();
-        answers.countDown();
+        release.countDown();
         answered.await();
-        goesOn.countDown();
+        resume.countDown();
         assertEquals(200, client.read().status());
         sends.join();
-        assertTrue(client.endedInOrder() && !reset.get(), "and not by a reset");
+        assertTrue(client.closedWithoutReset() && !reset.get(), "and not by a reset");
       }
     }
   }
--- a/src/test/java/pumicekeel/node/TestClient.java
+++ b/src/test/java/pumicekeel/node/TestClient.java
@@ -7,10 +7,10 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** One client connection that writes any bytes and reads HTTP answers. */
+/** A client connection that writes arbitrary bytes and reads HTTP answers. */
 final class TestClient implements Closeable {
 
-  private static final int GENEROUS_MILLIS = 30_000;
+  private static final int TIMEOUT_MILLIS = 30_000;
 
   private final Socket socket = new Socket();
   private final DataInputStream in;
@@ -19,8 +19,8 @@
   record Reply(int status, String head, String body) {}
 
   TestClient(InetSocketAddress address) throws IOException {
-    socket.connect(address, GENEROUS_MILLIS);
-    socket.setSoTimeout(GENEROUS_MILLIS);
+    socket.connect(address, TIMEOUT_MILLIS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     in = new DataInputStream(socket.getInputStream());
   }
 
@@ -51,7 +51,7 @@
     return send(text).read();
   }
 
-  /** Whether the node ends this connection. */
+  /** Whether the node closes this connection, by a reset or not. */
   boolean ended() {
     try {
       return in.read() < 0;
@@ -60,8 +60,8 @@
     }
   }
 
-  /** Whether the node ends this connection in order: a reset might cost its client what it has not read. */
-  boolean endedInOrder() {
+  /** Whether the node closes this connection without a reset, which could discard data that the client has not read. */
+  boolean closedWithoutReset() {
     try {
       return in.read() < 0;
     } catch (IOException e) {
@@ -69,13 +69,13 @@
     }
   }
 
-  /** Ends the connection by a reset, whatever is on its way. */
+  /** Resets the connection, even with data in transit. */
   void reset() throws IOException {
     socket.setSoLinger(true, 0);
     socket.close();
   }
 
-  /** Sends no more, and goes on reading. */
+  /** Shuts down the sending side; reading goes on. */
   void halfClose() throws IOException {
     socket.shutdownOutput();
   }
@@ -85,7 +85,7 @@
     socket.close();
   }
 
-  /** A request of class "look" (safe) with these further header lines, each ended by CRLF. */
+  /** Returns a request of class "look" (safe) with these further header lines, each ended by CRLF. */
   static String look(String id, long leftMillis, String more) {
     return "GET /look/a?b=c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id
         + "\r\nX-Service-Class: look\r\n"
@@ -93,7 +93,7 @@
         + "\r\n";
   }
 
-  /** A request of class "order" (keyed, dropped within a cell) with a body. */
+  /** Returns a request of class "order" (keyed, deduplicated within a cell) with a body. */
   static String order(String id, long leftMillis) {
     return "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id
         + "\r\nX-Service-Class: order\r\n"
--- a/src/test/java/pumicekeel/node/TestNode.java
+++ b/src/test/java/pumicekeel/node/TestNode.java
@@ -12,10 +12,10 @@
 import pumicekeel.runtime.Addresses;
 import pumicekeel.runtime.Reactor;
 
-/** A node in this process, with settings fit for tests. */
+/** A node in this process, with settings suitable for tests. */
 final class TestNode {
 
-  private static final long GENEROUS_NANOS = 30_000_000_000L;
+  private static final long TIMEOUT_NANOS = 30_000_000_000L;
 
   final InetSocketAddress address;
   final Node node;
@@ -28,14 +28,14 @@
     this(configuration, Reactor.start());
   }
 
-  /** A node on a loop and a clock of the test's own. */
-  TestNode(String configuration, Reactor on) throws Exception {
-    node = new Node(on, read(configuration, 1), null, () -> {}, true);
+  /** Starts a node on the test's own event loop and clock. */
+  TestNode(String configuration, Reactor reactor) throws Exception {
+    node = new Node(reactor, read(configuration, 1), null, () -> {}, true);
     address = node.start();
     until(() -> up() == 200);
   }
 
-  /** A configuration as a process reads it, with another seed. */
+  /** Reads a configuration as a process does, with the given seed. */
   static Configuration read(String configuration, long seed) throws java.io.IOException {
     Fields f = Fields.parse("configuration", configuration);
     return new Configuration(
@@ -52,27 +52,27 @@
         java.util.Map.of());
   }
 
-  /** Returns once the loop has read all that had come to its sockets before the call, as far as it reads them. */
-  void pass() {
+  /** Returns once the loop has read what had arrived at its sockets before the call, unless it has stopped reading them. */
+  void awaitLoopPass() {
     for (int i = 0; i < 2; i++) {
       assertTrue(up() == 200, "is up");
     }
   }
 
-  /** Has the loop stand still until the latch that is returned opens; it does by the return. */
-  CountDownLatch standStill() throws InterruptedException {
-    CountDownLatch stands = new CountDownLatch(1);
-    CountDownLatch goesOn = new CountDownLatch(1);
+  /** Blocks the event loop until the returned latch opens; the loop is blocked when this returns. */
+  CountDownLatch stallLoop() throws InterruptedException {
+    CountDownLatch stalled = new CountDownLatch(1);
+    CountDownLatch resume = new CountDownLatch(1);
     node.loop().execute(() -> {
-      stands.countDown();
+      stalled.countDown();
       try {
-        goesOn.await();
+        resume.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     });
-    stands.await();
-    return goesOn;
+    stalled.await();
+    return resume;
   }
 
   private int up() {
@@ -83,7 +83,7 @@
     }
   }
 
-  /** The configuration of a balancer whose list names these upstreams s-0, s-1 and so on. */
+  /** Returns the configuration of a balancer whose list has these upstreams as s-0, s-1 and so on. */
   static String json(InetSocketAddress discovery, int maxAttempts, FakeServer... upstreams) {
     StringBuilder known = new StringBuilder();
     for (int i = 0; i < upstreams.length; i++) {
@@ -107,7 +107,7 @@
         """.formatted(text(discovery), known, maxAttempts);
   }
 
-  /** The same where lists are pushed by an agent. */
+  /** Returns the same configuration with lists that an agent pushes. */
   static String pushed(InetSocketAddress discovery, int maxAttempts, FakeServer... upstreams) {
     return json(discovery, maxAttempts, upstreams).replace("\"on_request\"", "\"pushed\"");
   }
@@ -122,19 +122,19 @@
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** An address on which nothing listens. */
-  static InetSocketAddress nowhere() {
+  /** Returns an address on which nothing listens. */
+  static InetSocketAddress unusedAddress() {
     return new InetSocketAddress(java.net.InetAddress.getLoopbackAddress(), 1);
   }
 
-  /** Waits for a condition, with a limit that only a hang reaches. */
+  /** Waits for a condition, with a time-out that only a hang reaches. */
   static void until(BooleanSupplier condition) throws InterruptedException {
-    long end = System.nanoTime() + GENEROUS_NANOS;
+    long end = System.nanoTime() + TIMEOUT_NANOS;
     boolean holds = condition.getAsBoolean();
     while (!holds && System.nanoTime() < end) {
       Thread.sleep(5);
       holds = condition.getAsBoolean();
     }
-    assertTrue(holds, "a condition that was waited for");
+    assertTrue(holds, "condition not reached in time");
   }
 }
--- a/src/test/java/pumicekeel/node/TestServices.java
+++ b/src/test/java/pumicekeel/node/TestServices.java
@@ -25,10 +25,10 @@
 import pumicekeel.standin.StandInRpcServer;
 import pumicekeel.standin.StandInUpstream;
 
-/** A node with an operator file, its stand-ins and its clients, all in this process. */
+/** A node with an operator file, its stand-in upstreams and its clients, all in this process. */
 final class TestServices implements Closeable {
 
-  /** Two classes, one safe and one keyed within a cell; deadlines that only a hang reaches. */
+  /** Two classes, one safe and one keyed within a cell, with deadlines that only a hang reaches. */
   static final String SETTINGS = """
       {"categories":[
         {"name":"rate-lookup","effect":"idempotent","aim-ns":1000000000,"deadline-ns":6000000000},
@@ -42,7 +42,7 @@
       """;
 
   final EventLoopGroup standIns = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final EventLoopGroup othersOfB =
+  private final EventLoopGroup loopOfB =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   final EventLoopGroup clientLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   final Map<String, StandInUpstream> upstreams = new LinkedHashMap<>();
@@ -55,20 +55,20 @@
   InetSocketAddress address;
   private int sockets = 1024;
 
-  TestServices sockets(int most) {
-    sockets = most;
+  TestServices sockets(int limit) {
+    sockets = limit;
     return this;
   }
 
-  /** Those of pool b on a loop of their own: what a's upstreams are kept busy with must not delay their log. */
+  /** Starts an upstream. Those of pool b run on their own loop, so that load on pool a's upstreams cannot delay their log. */
   StandInUpstream upstream(String name, long delayMicros) throws Exception {
     StandInUpstream upstream =
-        new StandInUpstream(name, name.startsWith("b") ? othersOfB : standIns, delayMicros);
+        new StandInUpstream(name, name.startsWith("b") ? loopOfB : standIns, delayMicros);
     upstreams.put(name, upstream);
     return upstream;
   }
 
-  /** A JSON-RPC server, which a list names as it does the others. */
+  /** Starts a JSON-RPC server, which a list names like any upstream. */
   StandInRpcServer server(String name) throws Exception {
     return server(name, Framing.NEWLINE);
   }
@@ -79,9 +79,9 @@
     return server;
   }
 
-  /** A client of a JSON-RPC listener of the file. */
+  /** Connects a client to a JSON-RPC listener of the file. */
   StandInRpcClient rpcClient(String listener, Framing framing) throws Exception {
-    InetSocketAddress at = ask(() -> node.listeners().address(listener));
+    InetSocketAddress at = onLoop(() -> node.listeners().address(listener));
     StandInRpcClient client = new StandInRpcClient(at, clientLoops, framing);
     rpcClients.add(client);
     return client;
@@ -99,7 +99,7 @@
     return discovery;
   }
 
-  /** A static list of these upstreams, for a file; the number in the name's end is the cell. */
+  /** Returns a static list of these upstreams for an operator file; the digits in a name are the cell. */
   String list(String... names) {
     StringBuilder out = new StringBuilder("[");
     for (String name : names) {
@@ -133,7 +133,7 @@
   TestServices start(String file) throws Exception {
     InetSocketAddress platform = discoveries.containsKey("platform")
         ? discoveries.get("platform").address()
-        : TestNode.nowhere();
+        : TestNode.unusedAddress();
     Configuration configuration = new Configuration(
         "n0",
         Addresses.parse("listen", "127.0.0.1:0"),
@@ -152,22 +152,22 @@
     node.reload(operator(file));
   }
 
-  /** Asks the node's own state, on its loop. */
-  <T> T ask(java.util.concurrent.Callable<T> question) throws Exception {
-    return node.loop().submit(question).get(30, TimeUnit.SECONDS);
+  /** Runs a query on the node's event loop and returns its result. */
+  <T> T onLoop(java.util.concurrent.Callable<T> query) throws Exception {
+    return node.loop().submit(query).get(30, TimeUnit.SECONDS);
   }
 
-  Load clients(HttpRequestTemplate ask, String prefix, int count, double perSecond) {
-    Load started = new Load(
+  Load clients(HttpRequestTemplate request, String prefix, int count, double perSecond) {
+    Load load = new Load(
             address,
             clientLoops,
-            ask,
+            request,
             pumicekeel.load.LoadProfile.openLoop(count, perSecond),
             prefix,
             7)
         .start();
-    clients.add(started);
-    return started;
+    clients.add(load);
+    return load;
   }
 
   @Override
@@ -180,7 +180,7 @@
     servers.values().forEach(StandInRpcServer::close);
     discoveries.values().forEach(StandInDiscovery::close);
     standIns.shutdownGracefully(0, 0, TimeUnit.SECONDS);
-    othersOfB.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+    loopOfB.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     clientLoops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 }
--- a/src/test/java/pumicekeel/node/UpstreamTableTest.java
+++ b/src/test/java/pumicekeel/node/UpstreamTableTest.java
@@ -22,7 +22,7 @@
 import pumicekeel.upstream.http.ConnectionPool;
 import pumicekeel.upstream.http.UpstreamPool;
 
-/** What is remembered of upstreams that come and go all day. */
+/** The state kept of upstreams while instances are continually replaced. */
 class UpstreamTableTest {
 
   private final EventLoop loop =
@@ -31,7 +31,7 @@
       new UpstreamTable(new ConnectionPool(Reactor.of(loop), 1_000_000_000L, 60_000_000_000L, 10));
 
   private static HostList.Host host(long id, State state) {
-    return new HostList.Host(TestNode.nowhere(), new Listed(id, "a", 1, state, 0, 1));
+    return new HostList.Host(TestNode.unusedAddress(), new Listed(id, "a", 1, state, 0, 1));
   }
 
   @AfterEach
@@ -51,20 +51,20 @@
   }
 
   @Test
-  void oneThatIsGoneIsRememberedWhileAnAttemptIsOut() {
+  void removedUpstreamIsKeptWhileAnAttemptIsInFlight() {
     table.news(true, List.of(host(1, State.READY), host(2, State.READY)));
     UpstreamTable.Entry first = table.get(1);
     table.started(first);
     table.news(true, List.of(host(2, State.READY)));
     assertSame(first, table.get(1));
-    assertTrue(first.leaves(), "absent from a whole list");
+    assertTrue(first.leaves(), "absent from a snapshot");
     table.ended(first);
     assertNull(table.get(1));
-    assertTrue(first.leaves(), "a send that is still to come may ask");
+    assertTrue(first.leaves(), "a send that is still pending may query it");
   }
 
   @Test
-  void successorAtTheSameAddressInheritsNothing() {
+  void successorAtTheSameAddressInheritsNoState() {
     table.news(true, List.of(host(1, State.READY)));
     table.news(false, List.of(host(1, State.DRAINING)));
     UpstreamPool before = (UpstreamPool) table.get(1).link();
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void oneThatIsReadyAgainLeavesNoMore() {
+  void upstreamThatIsReadyAgainIsNoLongerLeaving() {
     table.news(true, List.of(host(1, State.READY)));
     table.news(false, List.of(host(1, State.DRAINING)));
     table.news(false, List.of(host(1, State.GONE)));
