--- a/src/main/java/pumicekeel/fleet/Daemon.java
+++ b/src/main/java/pumicekeel/fleet/Daemon.java
@@ -289,7 +289,7 @@
         OperatorLoader.load(settings.operator());
       }
       return null;
-    } catch (OperatorLoader.Faulty e) {
+    } catch (OperatorLoader.InvalidFileException e) {
       return e.getMessage();
     }
   }
@@ -299,7 +299,7 @@
   }
 
   private static String quoted(String text) {
-    return pumicekeel.jsonrpc.Writer.quoted(text);
+    return pumicekeel.jsonrpc.MessageWriter.quoted(text);
   }
 
   private String status() {
--- a/src/main/java/pumicekeel/jsonrpc/Pointers.java
+++ b/src/main/java/pumicekeel/jsonrpc/JsonPointerSet.java
@@ -11,7 +11,7 @@
  * Several pointers evaluated in one pass over a document. Section 4 of RFC 6901: a part names a member of an object, or
  * the index of an array without a leading zero; {@code -} names what is not there.
  */
-public final class Pointers {
+public final class JsonPointerSet {
 
   /** What kind of value a pointer leads to. */
   public enum Kind {
@@ -37,25 +37,25 @@
   private final Node root = new Node();
   private final int count;
 
-  public Pointers(List<Pointer> pointers) {
+  public JsonPointerSet(List<JsonPointer> pointers) {
     count = pointers.size();
     int distinct = 0;
-    places = new int[count];
+    nodeIndexes = new int[count];
     for (int i = 0; i < count; i++) {
       Node node = root;
       for (String token : pointers.get(i).tokens()) {
         node = node.children.computeIfAbsent(token, k -> new Node());
       }
       node.index = node.index < 0 ? distinct++ : node.index;
-      places[i] = node.index;
+      nodeIndexes[i] = node.index;
     }
   }
 
   /** Pointers that are the same share what was found. */
-  private final int[] places;
+  private final int[] nodeIndexes;
 
   /** What each pointer leads to, in their order. The document is whole and well formed; null stands for none. */
-  public Found[] in(byte[] document) {
+  public Found[] resolve(byte[] document) {
     Found[] found = new Found[count];
     java.util.Arrays.fill(found, Found.ABSENT);
     if (document != null && count > 0) {
@@ -68,20 +68,20 @@
     }
     Found[] out = new Found[count];
     for (int i = 0; i < count; i++) {
-      out[i] = found[places[i]];
+      out[i] = found[nodeIndexes[i]];
     }
     return out;
   }
 
   private void walk(JsonParser p, Found[] found) throws IOException {
-    Node[] nodes = new Node[Limits.MOST_DEPTH + 2];
-    int[] indexes = new int[Limits.MOST_DEPTH + 2];
-    boolean[] arrays = new boolean[Limits.MOST_DEPTH + 2];
+    Node[] nodes = new Node[Limits.MAX_DEPTH + 2];
+    int[] indexes = new int[Limits.MAX_DEPTH + 2];
+    boolean[] arrays = new boolean[Limits.MAX_DEPTH + 2];
     int depth = 0;
-    Node here = root;
+    Node current = root;
     for (JsonToken t = p.currentToken(); t != null; t = p.nextToken()) {
       if (t == JsonToken.FIELD_NAME) {
-        here = nodes[depth] == null ? null : nodes[depth].children.get(p.currentName());
+        current = nodes[depth] == null ? null : nodes[depth].children.get(p.currentName());
         continue;
       }
       if (t == JsonToken.END_OBJECT || t == JsonToken.END_ARRAY) {
@@ -91,16 +91,16 @@
       if (depth > 0 && arrays[depth]) {
         Node parent = nodes[depth];
         int at = indexes[depth]++;
-        here = parent == null || parent.children.isEmpty()
+        current = parent == null || parent.children.isEmpty()
             ? null
             : parent.children.get(Integer.toString(at));
       }
-      if (here != null && here.index >= 0) {
-        found[here.index] = found(p, t);
+      if (current != null && current.index >= 0) {
+        found[current.index] = found(p, t);
       }
       if (t.isStructStart()) {
         depth++;
-        nodes[depth] = here;
+        nodes[depth] = current;
         indexes[depth] = 0;
         arrays[depth] = t == JsonToken.START_ARRAY;
       }
--- a/src/main/java/pumicekeel/jsonrpc/MessageReader.java
+++ b/src/main/java/pumicekeel/jsonrpc/MessageReader.java
@@ -25,7 +25,7 @@
       .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
       .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
       .streamReadConstraints(StreamReadConstraints.builder()
-          .maxNestingDepth(Limits.MOST_DEPTH + 1)
+          .maxNestingDepth(Limits.MAX_DEPTH + 1)
           .maxNumberLength(Integer.MAX_VALUE)
           .build())
       .build();
@@ -38,27 +38,27 @@
 
   /** Reads a frame; never fails. */
   public Message read(byte[] frame) {
-    String fault = Text.fault(frame);
+    String fault = TextCheck.fault(frame);
     if (fault != null) {
-      return new Message.Broken(Codes.PARSE, fault);
+      return new Message.Malformed(ErrorCodes.PARSE, fault);
     }
     try (JsonParser p = FACTORY.createParser(frame)) {
       JsonToken first = p.nextToken();
       Message message = first == JsonToken.START_ARRAY
           ? batch(p, frame)
           : first == JsonToken.START_OBJECT
-              ? new Message.One(entry(p, frame, 1))
-              : first == null ? new Message.Broken(Codes.PARSE, null) : scalar(p);
-      if (!(message instanceof Message.Broken) && p.nextToken() != null) {
-        return new Message.Broken(Codes.PARSE, null);
+              ? new Message.Single(entry(p, frame, 1))
+              : first == null ? new Message.Malformed(ErrorCodes.PARSE, null) : scalarMessage(p);
+      if (!(message instanceof Message.Malformed) && p.nextToken() != null) {
+        return new Message.Malformed(ErrorCodes.PARSE, null);
       }
       return message;
-    } catch (TooMuch e) {
-      return new Message.Broken(Codes.INVALID_REQUEST, e.getMessage());
+    } catch (LimitExceededException e) {
+      return new Message.Malformed(ErrorCodes.INVALID_REQUEST, e.getMessage());
     } catch (IOException | RuntimeException e) {
       // A text of the library's own would carry bytes of the client's into the answer.
-      return new Message.Broken(
-          Codes.PARSE,
+      return new Message.Malformed(
+          ErrorCodes.PARSE,
           e.getMessage() != null && e.getMessage().startsWith("Duplicate")
               ? "a name twice in one object"
               : null);
@@ -67,31 +67,31 @@
 
   /** Whether these bytes are one JSON value within the bounds, such as can stand in a message as they are. */
   public boolean isValue(byte[] bytes) {
-    if (bytes.length == 0 || bytes.length > limits.bytes() || Text.fault(bytes) != null) {
+    if (bytes.length == 0 || bytes.length > limits.bytes() || TextCheck.fault(bytes) != null) {
       return false;
     }
     try (JsonParser p = FACTORY.createParser(bytes)) {
       if (p.nextToken() == null) {
         return false;
       }
-      skip(p, 1);
+      skipValue(p, 1);
       return p.nextToken() == null;
     } catch (IOException | RuntimeException e) {
       return false;
     }
   }
 
-  private static final class TooMuch extends IOException {
+  private static final class LimitExceededException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    TooMuch(String why) {
+    LimitExceededException(String why) {
       super(why);
     }
   }
 
-  private Message scalar(JsonParser p) throws IOException {
-    skip(p, 1);
-    return new Message.Broken(Codes.INVALID_REQUEST, null);
+  private Message scalarMessage(JsonParser p) throws IOException {
+    skipValue(p, 1);
+    return new Message.Malformed(ErrorCodes.INVALID_REQUEST, null);
   }
 
   private Message batch(JsonParser p, byte[] frame) throws IOException {
@@ -101,17 +101,17 @@
         throw new IOException("cut");
       }
       if (entries.size() == limits.calls()) {
-        throw new TooMuch("more than " + limits.calls() + " calls in a batch");
+        throw new LimitExceededException("more than " + limits.calls() + " calls in a batch");
       }
       if (t == JsonToken.START_OBJECT) {
         entries.add(entry(p, frame, 2));
       } else {
-        skip(p, 2);
+        skipValue(p, 2);
         entries.add(new Message.Invalid(Id.NULL, "expected an object"));
       }
     }
     return entries.isEmpty()
-        ? new Message.Broken(Codes.INVALID_REQUEST, null)
+        ? new Message.Malformed(ErrorCodes.INVALID_REQUEST, null)
         : new Message.Batch(entries);
   }
 
@@ -150,17 +150,17 @@
         }
         case "method" -> {
           m.hasMethod = true;
-          m.method = t == JsonToken.VALUE_STRING && p.getTextLength() <= Limits.MOST_METHOD
+          m.method = t == JsonToken.VALUE_STRING && p.getTextLength() <= Limits.MAX_METHOD_LENGTH
               ? p.getText()
               : null;
         }
         case "params" -> {
           m.hasParams = true;
           m.params = t == JsonToken.START_OBJECT || t == JsonToken.START_ARRAY
-              ? slice(p, frame, depth)
+              ? rawValue(p, frame, depth)
               : null;
         }
-        case "result" -> m.result = slice(p, frame, depth);
+        case "result" -> m.result = rawValue(p, frame, depth);
         case "error" -> {
           m.hasError = true;
           m.error = t == JsonToken.START_OBJECT ? error(p, frame, depth, m) : null;
@@ -169,7 +169,7 @@
       }
       // What was taken above has been passed; a value that was not is passed here.
       if (p.currentToken().isStructStart() || p.currentToken().isScalarValue()) {
-        skip(p, depth + 1);
+        skipValue(p, depth + 1);
       }
     }
     return entry(m);
@@ -192,7 +192,7 @@
     }
     if (m.method == null) {
       return new Message.Invalid(
-          id, "expected a method that is a string of at most " + Limits.MOST_METHOD);
+          id, "expected a method that is a string of at most " + Limits.MAX_METHOD_LENGTH);
     }
     if (m.hasParams && m.params == null) {
       return new Message.Invalid(id, "expected params that are an object or an array");
@@ -206,12 +206,12 @@
         return Id.NULL;
       case VALUE_NUMBER_INT:
       case VALUE_NUMBER_FLOAT:
-        return p.getTextLength() > Limits.MOST_ID ? null : Id.number(p.getText());
+        return p.getTextLength() > Limits.MAX_ID_LENGTH ? null : Id.number(p.getText());
       case VALUE_STRING:
         int start = (int) p.currentTokenLocation().getByteOffset();
         String decoded = p.getText();
         int end = (int) p.currentLocation().getByteOffset();
-        return end - start > Limits.MOST_ID
+        return end - start > Limits.MAX_ID_LENGTH
             ? null
             : Id.text(decoded, Arrays.copyOfRange(frame, start, end));
       default:
@@ -234,21 +234,21 @@
         m.hasCode = true;
       }
       message |= name.equals("message") && t == JsonToken.VALUE_STRING;
-      skip(p, depth + 2);
+      skipValue(p, depth + 2);
     }
     m.hasCode &= message;
     return Arrays.copyOfRange(frame, start, (int) p.currentLocation().getByteOffset());
   }
 
   /** The raw bytes of the value that the parser stands at the beginning of; behind it afterwards. */
-  private byte[] slice(JsonParser p, byte[] frame, int depth) throws IOException {
+  private byte[] rawValue(JsonParser p, byte[] frame, int depth) throws IOException {
     int start = (int) p.currentTokenLocation().getByteOffset();
-    skip(p, depth + 1);
+    skipValue(p, depth + 1);
     return Arrays.copyOfRange(frame, start, (int) p.currentLocation().getByteOffset());
   }
 
   /** Passes a value, {@code depth} being the one it would have as an array or object. */
-  private void skip(JsonParser p, int depth) throws IOException {
+  private void skipValue(JsonParser p, int depth) throws IOException {
     int open = 0;
     do {
       JsonToken t = p.currentToken();
@@ -258,13 +258,15 @@
       if (t.isStructStart()) {
         open++;
         if (depth + open - 1 > limits.depth()) {
-          throw new TooMuch("more than " + limits.depth() + " arrays and objects in one another");
+          throw new LimitExceededException(
+              "more than " + limits.depth() + " arrays and objects in one another");
         }
       } else if (t.isStructEnd()) {
         open--;
       } else if (t.isNumeric()) {
-        if (p.getTextLength() > Limits.MOST_NUMBER) {
-          throw new TooMuch("a number of more than " + Limits.MOST_NUMBER + " characters");
+        if (p.getTextLength() > Limits.MAX_NUMBER_LENGTH) {
+          throw new LimitExceededException(
+              "a number of more than " + Limits.MAX_NUMBER_LENGTH + " characters");
         }
       } else if (t == JsonToken.VALUE_STRING) {
         p.finishToken();
@@ -276,7 +278,7 @@
   }
 
   /** What has to be looked at before the library reads: it takes several encodings, and half a pair for a character. */
-  private static final class Text {
+  private static final class TextCheck {
 
     static String fault(byte[] b) {
       int from = 0;
--- a/src/main/java/pumicekeel/node/DepartureSharing.java
+++ b/src/main/java/pumicekeel/node/DepartureSharing.java
@@ -56,7 +56,7 @@
     }
     source = of;
     exchange = new DepartureExchange(of.currency(), size, seed);
-    source.exchange(exchange);
+    source.shareDepartures(exchange);
     peers.open();
     scheduleTick();
   }
@@ -67,7 +67,7 @@
     }
     Set<Long> departed = exchange.receive(from, bytes, clock.now());
     if (!departed.isEmpty()) {
-      source.othersSay(departed);
+      source.markDeparted(departed);
     }
     scheduleTick();
   }
@@ -75,7 +75,7 @@
   /** Schedules the single timer for the next due event; a flood of datagrams cannot postpone it. */
   private void scheduleTick() {
     long now = clock.now();
-    long due = Math.max(MIN_TICK_NANOS, exchange.nextAt() - now);
+    long due = Math.max(MIN_TICK_NANOS, exchange.nextTickAt() - now);
     long at = now + Math.min(MAX_TICK_NANOS, due);
     if (timer != null && !timer.isDone()) {
       if (tickAt <= at) {
@@ -94,14 +94,14 @@
     }
     if (peers.isOpen()) {
       peers.send(exchange.tick(clock.now()));
-      source.othersSayBack(exchange.back(clock.now()));
+      source.markReturned(exchange.pollReturned(clock.now()));
     }
     scheduleTick();
   }
 
   /** Returns the state of the exchange for the operators' call {@code list}. */
   String line() {
-    return exchange == null ? "" : "; " + exchange.line();
+    return exchange == null ? "" : "; " + exchange.statusLine();
   }
 
   @Override
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -19,7 +19,7 @@
 import pumicekeel.discovery.UpstreamSource;
 import pumicekeel.front.Front;
 import pumicekeel.front.admin.AdminEndpoint;
-import pumicekeel.front.http.ClientSide;
+import pumicekeel.front.http.HttpFront;
 import pumicekeel.front.jsonrpc.RequestIds;
 import pumicekeel.journal.Journal;
 import pumicekeel.journal.JournalWriter;
@@ -30,8 +30,8 @@
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.Log;
 import pumicekeel.runtime.LoopLag;
-import pumicekeel.runtime.Persistent;
 import pumicekeel.runtime.Reactor;
+import pumicekeel.runtime.Retry;
 import sun.misc.Signal;
 
 /** A balancer that serves on sockets, all of it on one event-loop thread. */
@@ -114,7 +114,7 @@
         rotation,
         this::onRotationChange,
         () -> peers == null ? null : peers.view(),
-        reactor.guard()::line,
+        reactor.guard()::summary,
         this::listLine);
     admin =
         new AdminEndpoint(reactor, line -> calls.answer(line, reactor.clock().now()));
@@ -138,23 +138,22 @@
     Reload.recordEarlyHangup();
     Node node;
     try {
-      Configuration configuration = Persistent.call(
-          "configuration", START_RETRY_MILLIS, () -> Configuration.read(environment));
+      Configuration configuration =
+          Retry.call("configuration", START_RETRY_MILLIS, () -> Configuration.read(environment));
       Operator operator = operatorFile == null
           ? null
-          : Persistent.call(
+          : Retry.call(
               "operator file", START_RETRY_MILLIS, () -> OperatorLoader.load(operatorFile));
       DeliveredConfiguration delivered = operator == null || operator.control() == null
           ? null
-          : Persistent.call(
+          : Retry.call(
               "delivered configuration",
               START_RETRY_MILLIS,
               () -> DeliveredConfiguration.open(configuration, operator));
       Operator first = delivered == null ? operator : delivered.first();
-      node = Persistent.call(
+      node = Retry.call(
           "event loop", START_RETRY_MILLIS, () -> new Node(configuration, first, () -> halt(1)));
-      ExecutorService worker =
-          Persistent.call("reload thread", START_RETRY_MILLIS, Reload::newWorker);
+      ExecutorService worker = Retry.call("reload thread", START_RETRY_MILLIS, Reload::newWorker);
       Runnable operatorReading =
           operatorFile == null ? null : Reload.operatorReading(operatorFile, node, delivered);
       node.start();
@@ -162,7 +161,7 @@
       if (delivered != null) {
         delivered.follow(node, worker);
       }
-    } catch (OperatorLoader.Faulty e) {
+    } catch (OperatorLoader.InvalidFileException e) {
       e.lines().forEach(err::println);
       return 2;
     } catch (IOException | RuntimeException e) {
@@ -210,29 +209,29 @@
   /** Listens and follows the upstream list; returns the address that clients connect to. */
   public InetSocketAddress start() throws IOException, InterruptedException {
     if (configuration.admin() != null) {
-      adminAddress = Persistent.call(
+      adminAddress = Retry.call(
           "admin listener", START_RETRY_MILLIS, () -> admin.listen(configuration.admin()));
     }
-    Persistent.call("journal", START_RETRY_MILLIS, this::openJournal);
-    Persistent.call("peers", START_RETRY_MILLIS, this::openPeers);
+    Retry.call("journal", START_RETRY_MILLIS, this::openJournal);
+    Retry.call("peers", START_RETRY_MILLIS, this::openPeers);
     departures = DepartureSharing.of(reactor, configuration);
     Map<String, Front> bound = firstGeneration == null
         ? Map.of()
-        : Persistent.call("listeners", START_RETRY_MILLIS, () -> listeners.bind(firstGeneration));
-    ClientSide warmUpSide = configuration.inherited()
-        ? new ClientSide(reactor, lag, "warm-up", pools.router(), WARM_UP_SOCKETS, warmUpPath)
+        : Retry.call("listeners", START_RETRY_MILLIS, () -> listeners.bind(firstGeneration));
+    HttpFront warmUpSide = configuration.inherited()
+        ? new HttpFront(reactor, lag, "warm-up", pools.router(), WARM_UP_SOCKETS, warmUpPath)
         : null;
     InetSocketAddress address = warmUpSide == null
-        ? Persistent.call(
+        ? Retry.call(
             "listener",
             START_RETRY_MILLIS,
             () -> listeners.platform().listen(configuration.listen()))
-        : Persistent.call(
+        : Retry.call(
             "listener", START_RETRY_MILLIS, () -> listeners.platform().adopt(inheritedSocket()));
     // Other processes that share an inherited socket may accept the connections of the warm-up.
     InetSocketAddress self = warmUpSide == null
         ? address
-        : Persistent.call(
+        : Retry.call(
             "warm-up listener",
             START_RETRY_MILLIS,
             () -> warmUpSide.listen(new InetSocketAddress(address.getAddress(), 0)));
@@ -255,7 +254,7 @@
     return address;
   }
 
-  private void serve(ClientSide warmUpSide, InetSocketAddress address) {
+  private void serve(HttpFront warmUpSide, InetSocketAddress address) {
     if (warmUpSide != null) {
       warmUpSide.stopListening();
       warmUpSide.closeIdle();
@@ -328,8 +327,8 @@
     UpstreamSource source = pools.platformSource();
     return source == null || source.currency() == null
         ? null
-        : source.currency().line(reactor.clock().now()) + ", calls failed " + source.failures()
-            + (departures == null ? "" : departures.line());
+        : source.currency().statusLine(reactor.clock().now()) + ", calls failed "
+            + source.failureCount() + (departures == null ? "" : departures.line());
   }
 
   /** Writes the pending journal entries; the process may end afterwards. */
@@ -487,7 +486,7 @@
     // Counted from the earliest time at which the signal may have been sent: a stalled process
     // handles
     // it late, but SIGKILL is not delayed.
-    long signalledAt = lag.unheardSince();
+    long signalledAt = lag.undeliveredSince();
     loop.execute(() -> {
       Log.line(configuration.name() + " drains");
       draining = true;
--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/pumicekeel/node/Reload.java
@@ -12,7 +12,7 @@
 import pumicekeel.config.OperatorLoader;
 import pumicekeel.delivery.ConfigurationVersion;
 import pumicekeel.runtime.Log;
-import pumicekeel.runtime.Persistent;
+import pumicekeel.runtime.Retry;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -92,7 +92,7 @@
   private static void read(Map<String, String> environment, Node node) {
     try {
       node.reload(
-          Persistent.call("reload", RETRY_MILLIS, () -> node.configuration().reread(environment)));
+          Retry.call("reload", RETRY_MILLIS, () -> node.configuration().reread(environment)));
     } catch (IOException | RuntimeException e) {
       Log.line("reload: the configuration stays as it was: " + e);
     } catch (InterruptedException e) {
@@ -118,12 +118,12 @@
 
   static void readOperator(Path file, Node node) {
     try {
-      Operator next = Persistent.call("reload", RETRY_MILLIS, () -> OperatorLoader.load(file));
-      Persistent.call("reload", RETRY_MILLIS, () -> {
+      Operator next = Retry.call("reload", RETRY_MILLIS, () -> OperatorLoader.load(file));
+      Retry.call("reload", RETRY_MILLIS, () -> {
         node.reload(next);
         return next;
       });
-    } catch (OperatorLoader.Faulty e) {
+    } catch (OperatorLoader.InvalidFileException e) {
       e.lines().stream().limit(MAX_SHOWN_FAULTS).forEach(l -> Log.line("reload: " + l));
       Log.line("reload: the operator file stays as it was: " + e.lines().size() + " faults");
     } catch (IOException | RuntimeException e) {
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -35,7 +35,7 @@
  * A running pool of an operator file: its own module instance, upstream list, connections and part of the capacity. Its
  * name, its source and its selection identify the upstreams that remember its keyed requests.
  */
-final class ServicePool implements UpstreamSource.Follower {
+final class ServicePool implements UpstreamSource.Observer {
 
   /** Limit of the queue; each queued request is an open one, so the limit on open requests is the effective bound. */
   private static final int MAX_QUEUED = 1 << 16;
@@ -91,7 +91,7 @@
         shared.lag(),
         connections,
         shared.defect());
-    core.currency(source.currency());
+    core.setListCurrency(source.currency());
   }
 
   private static UpstreamLinks links(Operator.Pool spec, Settings settings, Shared shared) {
@@ -115,7 +115,7 @@
   /** Returns why a request can't be sent in the protocol of this pool's upstreams; null if it can. */
   String objection(ClientRequest request) {
     if (connections instanceof RpcLinks rpc) {
-      return rpc.objection(request);
+      return rpc.unsupportedReason(request);
     }
     return request.payload() instanceof Payload.Call call
             && !call.fitsHttp(request.type().effect())
@@ -142,13 +142,14 @@
 
   /** Applies changed settings. */
   void retune(Settings next) {
-    connections.tune(next.limits().connectTimeoutNanos(), next.limits().connectionIdleNanos());
-    core.retune(next);
+    connections.setTimeouts(
+        next.limits().connectTimeoutNanos(), next.limits().connectionIdleNanos());
+    core.applySettings(next);
   }
 
   /** Sets the exchange that lends and borrows tenants' quotas; null for even shares. */
   void lend(LentQuotas quotas) {
-    core.quotas(quotas == null ? null : quotas.of(name()));
+    core.setQuotaSource(quotas == null ? null : quotas.of(name()));
   }
 
   BalancerCore core() {
@@ -188,24 +189,24 @@
   }
 
   boolean finished() {
-    return core.empty() && open.used() == 0;
+    return core.isEmpty() && open.used() == 0;
   }
 
   // Upstream list
 
   void start() {
-    HostList initial = select(source.follow(this));
+    HostList initial = select(source.addObserver(this));
     core.start(initial, active -> source.watch(this, active));
   }
 
   @Override
-  public void news(HostList list) {
-    core.news(select(list));
+  public void listChanged(HostList list) {
+    core.updateList(select(list));
   }
 
   /** Closes a pool that has no open requests. */
   void close() {
-    source.unfollow(this);
+    source.removeObserver(this);
     connections.close();
     open.leave();
     body.leave();
@@ -222,28 +223,28 @@
     List<HostList.Host> mine = new ArrayList<>();
     for (HostList.Host host : list.hosts()) {
       HostList.Host before = hosts.get(host.listed().upstream());
-      if (spec.select().takes(host)) {
+      if (spec.select().matches(host)) {
         mine.add(host);
-      } else if (before != null && !list.whole()) {
+      } else if (before != null && !list.snapshot()) {
         mine.add(departed(before));
       }
     }
-    if (list.whole()) {
+    if (list.snapshot()) {
       List<Long> listed = mine.stream().map(h -> h.listed().upstream()).toList();
       Set<Long> absent = new LinkedHashSet<>(hosts.keySet());
       absent.removeAll(Set.copyOf(listed));
       absent.forEach(id -> update(departed(hosts.get(id)), affected));
     }
     mine.forEach(h -> update(h, affected));
-    HostList selected =
-        new HostList(list.index(), list.whole(), mine.stream().map(this::viewOf).toList());
+    HostList selected = new HostList(
+        list.index(), list.snapshot(), mine.stream().map(this::viewOf).toList());
     onSharedChange.accept(affected);
     return selected;
   }
 
   private static HostList.Host departed(HostList.Host host) {
     Listed l = host.listed();
-    return host.as(
+    return host.withListed(
         new Listed(l.upstream(), l.zone(), l.cell(), State.GONE, l.startedNanos(), l.weight()));
   }
 
@@ -267,7 +268,7 @@
   }
 
   private HostList.Host viewOf(HostList.Host host) {
-    return host.as(shared.upstreams().seenBy(this, host.address(), host.listed()));
+    return host.withListed(shared.upstreams().seenBy(this, host.address(), host.listed()));
   }
 
   /** Reports the upstreams at these addresses to the module again after another pool has received an update of them. */
@@ -277,7 +278,7 @@
         .map(this::viewOf)
         .toList();
     if (!again.isEmpty()) {
-      core.news(new HostList(0, false, again));
+      core.updateList(new HostList(0, false, again));
     }
   }
 }
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -19,8 +19,8 @@
 import pumicekeel.Balancer.Settings;
 import pumicekeel.Balancer.Tenant;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.ClientRequest.Bad;
-import pumicekeel.call.Facts;
+import pumicekeel.call.ClientRequest.InvalidRequest;
+import pumicekeel.call.RequestAttributes;
 import pumicekeel.config.Configuration;
 import pumicekeel.config.Operator;
 import pumicekeel.core.RequestHandle;
@@ -214,7 +214,7 @@
 
   private static Settings settingsOf(Configuration configuration, Operator.Pool pool) {
     try {
-      return pool.overrides().over(configuration.settings());
+      return pool.overrides().applyTo(configuration.settings());
     } catch (IllegalArgumentException e) {
       throw new IllegalArgumentException("pools." + pool.name() + ": " + e.getMessage());
     }
@@ -224,13 +224,13 @@
       String what,
       long total,
       Operator next,
-      java.util.function.Function<Operator.Pool, Operator.Room> room) {
+      java.util.function.Function<Operator.Pool, Operator.Capacity> room) {
     return RoomPlan.of(
         what,
         total,
         next.pools().values().stream()
             .map(p -> new RoomPlan.Ask(
-                p.name(), room.apply(p).guaranteed(), room.apply(p).most()))
+                p.name(), room.apply(p).guaranteed(), room.apply(p).max()))
             .toList());
   }
 
@@ -258,8 +258,8 @@
     platformDiscovery = next.discovery();
     sources
         .values()
-        .forEach(s ->
-            s.retune(WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos()));
+        .forEach(s -> s.reconfigure(
+            WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos()));
     UpstreamSource source = sources.get(Operator.PLATFORM);
     if (source != null) {
       source.moveTo(platformDiscovery);
@@ -414,9 +414,9 @@
       if (now != null && spec.equals(was)) {
         return;
       }
-      if (spec instanceof Operator.Fixed fixed && now != null && now.fixed()) {
+      if (spec instanceof Operator.StaticSource fixed && now != null && now.fixed()) {
         now.replace(fixed.hosts());
-      } else if (spec instanceof Operator.Watched watched && now != null && !now.fixed()) {
+      } else if (spec instanceof Operator.DiscoverySource watched && now != null && !now.fixed()) {
         now.moveTo(watched.address());
       } else {
         sources.put(name, source(spec));
@@ -425,11 +425,11 @@
   }
 
   private UpstreamSource source(Operator.Source spec) {
-    if (spec instanceof Operator.Fixed fixed) {
+    if (spec instanceof Operator.StaticSource fixed) {
       return UpstreamSource.fixed(fixed.hosts());
     }
     WatchTerms terms = WatchTerms.of(configuration.settings());
-    return spec instanceof Operator.Watched watched
+    return spec instanceof Operator.DiscoverySource watched
         ? watched(watched.address(), new HostList(0, true, List.of()), terms)
         : watched(platformDiscovery, configuration.known(), terms);
   }
@@ -471,30 +471,30 @@
   // Routing
 
   @Override
-  public RequestHandle route(Facts head) throws Bad {
+  public RequestHandle route(RequestAttributes head) throws InvalidRequest {
     if (!started) {
-      throw new Bad(503, "not started");
+      throw new InvalidRequest(503, "not started");
     }
     RouteTable.Found found = table.match(head);
     if (found instanceof RouteTable.Malformed malformed) {
       counters.malformed();
-      throw new Bad(400, malformed.why());
+      throw new InvalidRequest(400, malformed.why());
     }
     if (!(found instanceof RouteTable.Taken taken)) {
       counters.noRoute();
-      throw new Bad(404, "no route");
+      throw new InvalidRequest(404, "no route");
     }
     ServicePool home = home(head);
     ServicePool pool = home == null ? poolFor(taken.route(), head) : home;
     if (!pool.open.tryTake(1)) {
       counters.noRoom();
-      throw new Bad(503, "this pool is full", retryAfter(pool));
+      throw new InvalidRequest(503, "this pool is full", retryAfter(pool));
     }
     return new Admission(this, taken.route(), pool, home != null, clock.now());
   }
 
   /** Returns the pool that may have run a request with the same idempotency key, or null. */
-  private ServicePool home(Facts head) throws Bad {
+  private ServicePool home(RequestAttributes head) throws InvalidRequest {
     boolean noKeys =
         keyAffinity.size() == 0 && (journal == null || journal.memory().size() == 0);
     String key = noKeys ? null : head.header(ClientRequest.IDEMPOTENCY_KEY);
@@ -516,17 +516,17 @@
       }
     }
     // Failed, not refused: the request may have run in a pool that no longer exists.
-    throw new Bad(502, "the pool that may have run this key is gone");
+    throw new InvalidRequest(502, "the pool that may have run this key is gone");
   }
 
-  private ServicePool poolFor(Route route, Facts head) {
+  private ServicePool poolFor(Route route, RequestAttributes head) {
     ServicePool first = pools.get(route.split().poolOf(splitKey(route, head)));
-    ServicePool second = first.core().ready() > 0 ? null : fallbackOf(route, first);
+    ServicePool second = first.core().readyUpstreams() > 0 ? null : fallbackOf(route, first);
     return second == null ? first : second;
   }
 
   /** Returns the key that keeps related requests in one pool: the session key, else the idempotency key, else the id. */
-  private static String splitKey(Route route, Facts head) {
+  private static String splitKey(Route route, RequestAttributes head) {
     if (route.split().parts().size() == 1) {
       return "";
     }
@@ -539,7 +539,7 @@
   /** Returns the route's fallback pool if it has a ready upstream; else null. */
   ServicePool fallbackOf(Route route, ServicePool first) {
     ServicePool second = route.fallback() == null ? null : pools.get(route.fallback());
-    return second == null || second == first || second.core().ready() == 0 ? null : second;
+    return second == null || second == first || second.core().readyUpstreams() == 0 ? null : second;
   }
 
   // Used by Admission
@@ -605,7 +605,7 @@
   @Override
   public void endBy(long nanos) {
     Log.line("requests: " + counters.line());
-    all().forEach(p -> p.core().endBy(nanos));
+    all().forEach(p -> p.core().limitDeadlines(nanos));
   }
 
   @Override
--- a/src/main/java/pumicekeel/node/SinglePool.java
+++ b/src/main/java/pumicekeel/node/SinglePool.java
@@ -14,7 +14,7 @@
 import pumicekeel.upstream.http.ConnectionPool;
 
 /** The pool of a node without an operator file: one module, one list, one connection pool. */
-final class SinglePool implements NodePools, UpstreamSource.Follower {
+final class SinglePool implements NodePools, UpstreamSource.Observer {
 
   private final ConnectionPool connections;
   private final BalancerCore core;
@@ -46,7 +46,7 @@
         WatchTerms.of(settings),
         settings.contract().drainGraceNanos(),
         configuration.seed() ^ configuration.name().hashCode());
-    core.currency(source.currency());
+    core.setListCurrency(source.currency());
     router = new SinglePoolRouter(core);
   }
 
@@ -57,12 +57,12 @@
 
   @Override
   public void start() {
-    core.start(source.follow(this), active -> source.watch(this, active));
+    core.start(source.addObserver(this), active -> source.watch(this, active));
   }
 
   @Override
-  public void news(HostList list) {
-    core.news(list);
+  public void listChanged(HostList list) {
+    core.updateList(list);
   }
 
   @Override
@@ -79,16 +79,17 @@
   @Override
   public void reload(Configuration next) {
     source.moveTo(next.discovery());
-    source.retune(WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos());
-    connections.tune(
+    source.reconfigure(
+        WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos());
+    connections.setTimeouts(
         next.settings().limits().connectTimeoutNanos(),
         next.settings().limits().connectionIdleNanos());
-    core.retune(next.settings());
+    core.applySettings(next.settings());
   }
 
   @Override
   public void endBy(long nanos) {
-    core.endBy(nanos);
+    core.limitDeadlines(nanos);
   }
 
   @Override
--- a/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
@@ -94,7 +94,7 @@
 
   /** False where the peer has closed, or has sent what nobody asked for. */
   public boolean usable() {
-    return reactor.sockets().quiet(channel);
+    return reactor.sockets().isQuiet(channel);
   }
 
   /** How long it still has to be left alone before the next request; 0 or less for not at all. */
@@ -105,12 +105,12 @@
   }
 
   /** Nothing has come since the last request was written. */
-  public boolean nothingHeard() {
+  public boolean nothingReceived() {
     return heard == 0;
   }
 
-  public void giveBack() {
-    pool.giveBack(this);
+  public void returnToPool() {
+    pool.returnIdle(this);
   }
 
   public void send(UpstreamAttempt next, FullHttpRequest request) {
@@ -142,17 +142,17 @@
     channel.write(head);
     from.attach(new BodySink() {
       @Override
-      public void piece(ByteBuf bytes) {
+      public void onChunk(ByteBuf bytes) {
         channel.writeAndFlush(new DefaultHttpContent(bytes));
       }
 
       @Override
-      public void whole() {
+      public void onComplete() {
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, all);
       }
 
       @Override
-      public void cut() {
+      public void onTruncated() {
         broken();
       }
     });
@@ -244,13 +244,13 @@
       coming.detach();
     }
     if (open != null) {
-      open.cut();
+      open.onTruncated();
     }
   }
 
   /** An answer's first bytes already show noise: it is not waited for any longer. */
   boolean accepts(ByteBuf bytes) {
-    pool.heard();
+    pool.dataReceived();
     if (attempt == null || whole || surplus) {
       surplus = true;
       return false;
@@ -273,11 +273,12 @@
     }
     if (message instanceof HttpResponse head) {
       response = head;
-      surplus |= !AnswerHead.sound(head) || interim() && ++interim > AnswerHead.MOST_INTERIM;
+      surplus |=
+          !AnswerHead.hasValidFraming(head) || interim() && ++interim > AnswerHead.MAX_INTERIM;
     }
     if (message instanceof HttpContent part && response != null && !interim() && !surplus) {
       received += part.content().readableBytes();
-      surplus = received > Answer.MOST_BODY || !take(part.content());
+      surplus = received > Answer.MAX_BODY_BYTES || !take(part.content());
       whole = !surplus && message instanceof LastHttpContent;
     }
   }
@@ -285,24 +286,24 @@
   /** Keeps a piece, or passes it on; false where it can be neither. */
   private boolean take(ByteBuf piece) throws IOException {
     if (sink == null
-        && received > Answer.MAX_BODY
+        && received > Answer.MAX_BUFFERED_BYTES
         && AnswerHead.statusOf(response) != Status.SERVED) {
       // Nobody reads what a failed attempt has to say.
       return true;
     }
     if (sink == null
-        && (received > Answer.MAX_BODY
-            || HttpUtil.getContentLength(response, -1L) > Answer.MAX_BODY)
+        && (received > Answer.MAX_BUFFERED_BYTES
+            || HttpUtil.getContentLength(response, -1L) > Answer.MAX_BUFFERED_BYTES)
         && !passOn()) {
       return false;
     }
-    if (sink != null && received > Answer.MAX_BODY) {
-      attempt.untimed();
+    if (sink != null && received > Answer.MAX_BUFFERED_BYTES) {
+      attempt.exemptFromTimeout();
     }
     if (sink == null) {
       piece.readBytes(body, piece.readableBytes());
     } else if (piece.isReadable()) {
-      sink.piece(piece.retain());
+      sink.onChunk(piece.retain());
     }
     return true;
   }
@@ -315,11 +316,11 @@
     long length = HttpUtil.getContentLength(response, -1L);
     sink = attempt.begin(
         new AnswerStart(response.headers().get(HttpHeaderNames.CONTENT_TYPE), length), this::flow);
-    if (sink != null && length > Answer.MAX_BODY) {
-      attempt.untimed();
+    if (sink != null && length > Answer.MAX_BUFFERED_BYTES) {
+      attempt.exemptFromTimeout();
     }
     if (sink != null && body.size() > 0) {
-      sink.piece(Unpooled.wrappedBuffer(body.toByteArray()));
+      sink.onChunk(Unpooled.wrappedBuffer(body.toByteArray()));
     }
     return sink != null;
   }
@@ -352,7 +353,7 @@
   /** Ends an answer of which nothing comes any more; one whose client takes nothing is waited for by its front. */
   private void look(ChannelHandlerContext ctx) {
     long quiet = held ? 0 : reactor.clock().now() - heardAt;
-    long left = attempt.leftNanos();
+    long left = attempt.remainingNanos();
     long most =
         sink == null || left <= 0 ? BUFFERED_STALL_TIMEOUT_NANOS : STREAM_STALL_TIMEOUT_NANOS;
     if (quiet >= most) {
@@ -365,7 +366,7 @@
 
   /** Part of the answer itself has come, not only of interim ones ahead of it. */
   private boolean begun() {
-    return attempt != null && (decoder.leftOver() || response != null && !interim());
+    return attempt != null && (decoder.hasUnreadBytes() || response != null && !interim());
   }
 
   private void answered() {
@@ -379,17 +380,17 @@
       flow(true);
     }
     if (!surplus
-        && !decoder.leftOver()
+        && !decoder.hasUnreadBytes()
         && HttpUtil.isKeepAlive(response)
         && written.isSuccess()
         && channel.isActive()) {
       answeredAt = reactor.clock().now();
-      pool.giveBack(this);
+      pool.returnIdle(this);
     } else {
       channel.close();
     }
     if (passed != null) {
-      passed.whole();
+      passed.onComplete();
     }
     ended.end(
         AnswerHead.statusOf(response),
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import pumicekeel.call.ClientRequest;
 import pumicekeel.pool.Shares;
+import pumicekeel.runtime.PeriodicTask;
 import pumicekeel.runtime.Reactor;
-import pumicekeel.runtime.Repeated;
 import pumicekeel.upstream.SocketUser;
 import pumicekeel.upstream.UpstreamLink;
 import pumicekeel.upstream.UpstreamLinks;
@@ -22,9 +22,9 @@
 public final class RpcLinks implements UpstreamLinks, SocketUser {
 
   /** As with HTTP: an idle connection goes before the server would close it. */
-  private static final double IDLE_PART = 0.7;
+  private static final double IDLE_FRACTION = 0.7;
 
-  private static final int SWEEPS = 20;
+  private static final int SWEEPS_PER_IDLE_TIME = 20;
 
   private final Reactor on;
   private final Bootstrap bootstrap;
@@ -49,27 +49,28 @@
     share = sockets.shares().add(0, 0);
     sockets.add(this);
     bootstrap = new Bootstrap().group(on.loop());
-    tune(connectTimeoutNanos, idleNanos);
+    setTimeouts(connectTimeoutNanos, idleNanos);
   }
 
   @Override
-  public void tune(long connectTimeoutNanos, long idleNanos) {
+  public void setTimeouts(long connectTimeoutNanos, long idleNanos) {
     bootstrap.option(
         ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNanos / 1_000_000));
-    this.idleNanos = (long) (idleNanos * IDLE_PART);
+    this.idleNanos = (long) (idleNanos * IDLE_FRACTION);
     if (sweep != null) {
       sweep.cancel(false);
     }
-    long periodMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(this.idleNanos / SWEEPS));
-    sweep = Repeated.every(periodMillis, on.loop(), this::closeOld);
+    long periodMillis =
+        Math.max(1, TimeUnit.NANOSECONDS.toMillis(this.idleNanos / SWEEPS_PER_IDLE_TIME));
+    sweep = PeriodicTask.every(periodMillis, on.loop(), this::closeExpired);
   }
 
   /** Why a request can't be sent to these servers; null where it can. */
-  public String objection(ClientRequest request) {
+  public String unsupportedReason(ClientRequest request) {
     try {
-      HttpCalls.of(request, settings);
+      HttpCallTranslator.toCall(request, settings);
       return null;
-    } catch (HttpCalls.Untranslatable e) {
+    } catch (HttpCallTranslator.UntranslatableException e) {
       return e.getMessage();
     }
   }
@@ -87,10 +88,10 @@
 
   /** Opens a connection; null where the limit on sockets or the process's descriptors leave no room for one. */
   RpcConnection connect(RpcLink link) {
-    if (!sockets.take(this, link.address())) {
+    if (!sockets.acquire(this, link.address())) {
       return null;
     }
-    Channel made = on.connecting();
+    Channel made = on.newConnectingChannel();
     if (made == null) {
       sockets.release(this, link.address());
       return null;
@@ -130,7 +131,7 @@
   }
 
   @Override
-  public int perUpstream() {
+  public int maxPerAddress() {
     return perUpstream;
   }
 
@@ -140,7 +141,7 @@
   }
 
   @Override
-  public boolean closeOldest() {
+  public boolean closeLongestIdle() {
     return closed(oldest(null));
   }
 
@@ -163,8 +164,8 @@
     return oldest;
   }
 
-  private void closeOld() {
+  private void closeExpired() {
     long before = on.clock().now() - idleNanos;
-    links.forEach(l -> l.closeOlderThan(before));
+    links.forEach(l -> l.closeIdleSince(before));
   }
 }
--- a/src/test/java/pumicekeel/node/BalancerCoreTest.java
+++ b/src/test/java/pumicekeel/node/BalancerCoreTest.java
@@ -20,7 +20,7 @@
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.Event;
 import pumicekeel.Balancer.FetchList;
-import pumicekeel.Balancer.ListNews;
+import pumicekeel.Balancer.ListUpdate;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.Request;
 import pumicekeel.Balancer.Send;
@@ -125,7 +125,7 @@
   private void take(String id, String type, long leftMillis, Runnable then) throws Exception {
     ClientRequest request = request(id, type, leftMillis);
     assertTrue(loop.submit(() -> {
-          boolean taken = core.take(request, client);
+          boolean taken = core.submit(request, client);
           then.run();
           return taken;
         })
@@ -162,13 +162,13 @@
   @Test
   void timeOfNoWorthIsReservedForAStallOfTheProcess() throws Exception {
     start((event, out) -> {});
-    assertEquals(19_000, BalancerCore.timeFor(request("1", "look", 20_000)) / 1_000_000);
-    assertEquals(2_600, BalancerCore.timeFor(request("2", "look", 2_700)) / 1_000_000);
-    assertEquals(2_440, BalancerCore.timeFor(request("3", "look", 2_500)) / 1_000_000);
-    assertEquals(840, BalancerCore.timeFor(request("4", "look", 900)) / 1_000_000);
-    // A class with aim 0.4 s and deadline 2 s reserves 0.75 s; with a late worth of one half 0.375
-    // s;
-    // if late answers are worth as much as punctual ones, 60 ms.
+    assertEquals(19_000, BalancerCore.serviceTimeNanos(request("1", "look", 20_000)) / 1_000_000);
+    assertEquals(2_600, BalancerCore.serviceTimeNanos(request("2", "look", 2_700)) / 1_000_000);
+    assertEquals(2_440, BalancerCore.serviceTimeNanos(request("3", "look", 2_500)) / 1_000_000);
+    assertEquals(840, BalancerCore.serviceTimeNanos(request("4", "look", 900)) / 1_000_000);
+    // A class with aim 0.4 s and deadline 2 s reserves 0.75 s, with a late worth of one half 0.375
+    // s,
+    // and 60 ms if late answers are worth as much as punctual ones.
     assertEquals(1_250, timeLeft(0, 0));
     assertEquals(1_625, timeLeft(0.5, 0));
     assertEquals(1_940, timeLeft(1, 0));
@@ -187,7 +187,7 @@
         1,
         lateWorth,
         false);
-    return BalancerCore.timeFor(request("5", "look", 2_000).withType(type)) / 1_000_000;
+    return BalancerCore.serviceTimeNanos(request("5", "look", 2_000).withType(type)) / 1_000_000;
   }
 
   @Test
@@ -257,7 +257,7 @@
   void plannedStopAnswersOpenRequestsBeforeItsEnd() throws Exception {
     start((event, out) -> {});
     take("1", "look", 600_000);
-    loop.submit(() -> core.endBy(100_000_000L)).get();
+    loop.submit(() -> core.limitDeadlines(100_000_000L)).get();
     assertEquals("refused", answer());
   }
 
@@ -274,14 +274,14 @@
     })) {
       start(BalancerCoreTest::sendOnRequest, upstream);
       take("1", "look", 15_000);
-      assertFalse(outcome().stale());
+      assertFalse(outcome().staleConnection());
       broken.set(true);
       take("2", "look", 15_000);
-      assertTrue(outcome().stale(), "kept");
+      assertTrue(outcome().staleConnection(), "kept");
       take("3", "look", 15_000);
       Outcome onNew = outcome();
       assertEquals(Status.RESET, onNew.status());
-      assertFalse(onNew.stale(), "new");
+      assertFalse(onNew.staleConnection(), "new");
     }
   }
 
@@ -318,14 +318,14 @@
       take("1", "look", 15_000);
       assertEquals(
           Status.SERVED, outcome().status(), "an idle connection makes the next send end at once");
-      loop.submit(() -> core.news(
+      loop.submit(() -> core.updateList(
               new HostList(8, false, List.of(new HostList.Host(upstream.address(), leaving)))))
           .get();
       take("2", "look", 15_000);
       assertEquals(Status.NOT_SENT, outcome().status());
       assertEquals(1, upstream.requests.size());
       assertFalse(nested);
-      assertTrue(events.stream().noneMatch(e -> e instanceof ListNews));
+      assertTrue(events.stream().noneMatch(e -> e instanceof ListUpdate));
     }
   }
 
--- a/src/test/java/pumicekeel/node/ClientDisconnectBetweenAttemptsTest.java
+++ b/src/test/java/pumicekeel/node/ClientDisconnectBetweenAttemptsTest.java
@@ -95,7 +95,7 @@
         leaves.send(TestClient.look("leaves", LEFT_MILLIS, ""));
         TestNode.until(() -> attemptsOf(upstream, "leaves") == 1);
         how.apply(leaves);
-        TestNode.until(() -> node.node.listeners().platform().open() == 0);
+        TestNode.until(() -> node.node.listeners().platform().openConnections() == 0);
         resetting.reset.countDown();
         assertOnlyALaterClientIsServed(node, upstream);
       }
@@ -184,7 +184,7 @@
         leaves.send(TestClient.look("leaves", LEFT_MILLIS, ""));
         node.awaitLoopPass();
         how.apply(leaves);
-        TestNode.until(() -> node.node.listeners().platform().open() == 1);
+        TestNode.until(() -> node.node.listeners().platform().openConnections() == 1);
         clock.setStopped(false);
         // Each of these waits for the hold of the connection used before, or for that of the idle
         // connection.
--- a/src/test/java/pumicekeel/node/ClientDisconnectTest.java
+++ b/src/test/java/pumicekeel/node/ClientDisconnectTest.java
@@ -74,7 +74,7 @@
       }
       long leftAt = System.nanoTime();
       node.awaitLoopPass();
-      TestNode.until(() -> node.node.listeners().platform().open() == 0
+      TestNode.until(() -> node.node.listeners().platform().openConnections() == 0
           || System.nanoTime() - leftAt > NOTICED_WITHIN_NANOS);
       report.countDown();
       assertOnlyAStayingClientIsServed(node, upstream);
@@ -111,7 +111,7 @@
             waits.call(TestClient.look("waits", LEFT_MILLIS, "")).status(),
             "throttled for as long, starting later");
       }
-      TestNode.until(() -> node.node.listeners().platform().open() == 0);
+      TestNode.until(() -> node.node.listeners().platform().openConnections() == 0);
       assertEquals(1, upstream.requests.size(), () -> "sent on: " + upstream.requests);
     }
   }
@@ -134,7 +134,7 @@
         client.close();
       }
       resume.countDown();
-      TestNode.until(() -> node.node.listeners().platform().open() == 0);
+      TestNode.until(() -> node.node.listeners().platform().openConnections() == 0);
       assertOnlyAStayingClientIsServed(node, upstream);
     }
   }
@@ -191,8 +191,8 @@
       }
       node.awaitLoopPass();
       report.countDown();
-      TestNode.until(
-          () -> node.node.listeners().platform().open() == 0 && upstream.closedByPeer.get() == 1);
+      TestNode.until(() -> node.node.listeners().platform().openConnections() == 0
+          && upstream.closedByPeer.get() == 1);
       assertOnlyAStayingClientIsServed(node, upstream);
     }
   }
