--- a/src/main/java/pumicekeel/adapter/Decoder.java
+++ b/src/main/java/pumicekeel/adapter/Decoder.java
@@ -27,10 +27,10 @@
 import pumicekeel.Balancer.TimerFired;
 import pumicekeel.Balancer.WeightKind;
 
-/** Translates the wire's events and settings into the module's. */
+/** Translates events and settings of the simulator's protocol into those of the module. */
 public final class Decoder {
 
-  /** Where the settings say nothing: as the protocol's sites have them. */
+  /** Defaults for absent settings, as used by the sites of the protocol. */
   private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = 250_000_000L;
 
   private static final long DEFAULT_CONNECTION_IDLE_NANOS = 15_000_000_000L;
@@ -74,7 +74,7 @@
 
   private Decoder() {}
 
-  /** An event by its wire name; start and stop of an instance are not among these. */
+  /** Decodes an event by its protocol name, except start and stop of an instance. */
   static Event event(String name, Fields f) {
     return switch (name) {
       case "Topology" -> topology(f);
@@ -112,7 +112,7 @@
     };
   }
 
-  /** Sites without tenants leave the field out or write 0. */
+  /** Reads the tenant; sites without tenants omit the field or write 0. */
   private static String tenant(Fields f) {
     return f.values().get("user-group") instanceof Long none && none == 0
         ? null
@@ -144,13 +144,13 @@
     return new ListUpdate(kind, entries);
   }
 
-  /** A time of which 0 says nothing, like its absence: as a limit it would end every connection at once. */
+  /** Reads a time for which 0 means unset: as a limit it would close every connection at once. */
   private static long orDefault(Fields f, String name, long defaultValue) {
     long value = f.integer(name, defaultValue);
     return value == 0 ? defaultValue : value;
   }
 
-  /** The settings; unknown keys are skipped, absent ones get the defaults written here. */
+  /** Decodes the settings; ignores unknown keys and applies the defaults below for absent ones. */
   public static Settings settings(Fields f) {
     List<RequestClass> classes = new ArrayList<>();
     for (Fields c : f.objects("categories")) {
--- a/src/main/java/pumicekeel/adapter/Encoder.java
+++ b/src/main/java/pumicekeel/adapter/Encoder.java
@@ -16,7 +16,7 @@
 import pumicekeel.Balancer.SetTimer;
 import pumicekeel.Balancer.Watch;
 
-/** Writes the module's actions in the wire's words. */
+/** Encodes the module's actions in the simulator's protocol. */
 final class Encoder {
 
   private Encoder() {}
@@ -66,7 +66,7 @@
     out.writeEndObject();
   }
 
-  /** Writes the report that an instance's decision code has failed. */
+  /** Reports an exception thrown by the decision code of an instance. */
   static void writeFault(JsonGenerator out, RuntimeException e) throws IOException {
     open(out, "Fault");
     StackTraceElement[] trace = e.getStackTrace();
--- a/src/main/java/pumicekeel/adapter/Fields.java
+++ b/src/main/java/pumicekeel/adapter/Fields.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A JSON object of the wire with checked access to its fields. */
+/** A JSON object with checked access to its fields. */
 public final class Fields {
 
   private static final JsonFactory JSON = new JsonFactory();
@@ -22,7 +22,7 @@
     this.values = values;
   }
 
-  /** Reads a text that holds one JSON object and nothing else. */
+  /** Parses a text that contains exactly one JSON object. */
   public static Fields parse(String path, String text) throws IOException {
     try (JsonParser parser = JSON.createParser(text)) {
       if (parser.nextToken() == null) {
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Reads the value that the parser's current token starts. */
+  /** Reads the value that starts at the parser's current token. */
   static Object read(JsonParser in) throws IOException {
     JsonToken token = in.currentToken();
     switch (token) {
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Casts a value to an object, or says what was expected. */
+  /** Casts a value to an object, or throws an exception that names what was expected. */
   static Fields object(String path, Object value) {
     if (value instanceof Map<?, ?> map) {
       return new Fields(path, map);
@@ -96,7 +96,7 @@
     return mismatch(path + "." + name, expected, values.get(name));
   }
 
-  /** As it was read: objects are maps, arrays are lists. */
+  /** Returns the values as parsed: objects are maps, arrays are lists. */
   public Map<?, ?> values() {
     return values;
   }
@@ -109,7 +109,7 @@
     return values.get(name) != null;
   }
 
-  /** A whole number that has to be there. */
+  /** Returns a mandatory integer. */
   public long integer(String name) {
     if (values.get(name) instanceof Long number) {
       return number;
@@ -153,14 +153,14 @@
     return has(name) ? text(name) : defaultValue;
   }
 
-  /** A nested object; an empty one where it is absent. */
+  /** Returns a nested object; an empty one if absent. */
   public Fields nested(String name) {
     return has(name)
         ? object(path + "." + name, values.get(name))
         : new Fields(path + "." + name, Map.of());
   }
 
-  /** An array of objects that has to be there. */
+  /** Returns a mandatory array of objects. */
   public List<Fields> objects(String name) {
     if (!(values.get(name) instanceof List<?> list)) {
       throw mismatch(name, "an array");
@@ -172,7 +172,7 @@
     return out;
   }
 
-  /** One of the words; the table maps the wire's words to the module's. */
+  /** Returns the value that {@code choices} maps the string to; any other string is an error. */
   public <T> T choice(String name, Map<String, T> choices) {
     T choice = choices.get(text(name));
     if (choice == null) {
@@ -185,7 +185,7 @@
     return has(name) ? choice(name, choices) : defaultValue;
   }
 
-  /** A load report: its numbers by name, anything else skipped; empty where none came. */
+  /** Returns the numbers of a load report by name and ignores anything else; empty if absent. */
   Map<String, Double> load(String name) {
     if (!has(name)) {
       return Map.of();
--- a/src/main/java/pumicekeel/adapter/SimulatorSession.java
+++ b/src/main/java/pumicekeel/adapter/SimulatorSession.java
@@ -15,7 +15,7 @@
 import pumicekeel.AdaptiveBalancer;
 import pumicekeel.Balancer;
 
-/** The conversation: a batch of events a line in, a line of actions out; one module instance for each balancer. */
+/** Serves the simulator: reads a batch of events per line, writes a line of actions; one module instance per balancer. */
 public final class SimulatorSession {
 
   private final JsonFactory json = new JsonFactory();
--- a/src/main/java/pumicekeel/adapter/WireException.java
+++ b/src/main/java/pumicekeel/adapter/WireException.java
@@ -1,6 +1,6 @@
 package pumicekeel.adapter;
 
-/** Malformed input; the message says what was wrong and, once known, on which line. */
+/** Thrown for malformed input; the message names the error and, once known, its line. */
 public final class WireException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/src/main/java/pumicekeel/config/Configuration.java
+++ b/src/main/java/pumicekeel/config/Configuration.java
@@ -14,12 +14,12 @@
 import pumicekeel.runtime.Addresses;
 
 /**
- * What the platform tells a balancer at its start; a bad value is an IllegalArgumentException that names it.
+ * The platform's configuration of a balancer at start-up. An invalid value causes an IllegalArgumentException that names its key.
  *
- * @param supervised a fleet's daemon restarts instances a few at a time: while this one stops, others are there
- * @param admin where operators call; null for nowhere
- * @param inherited whether the clients' listening socket is the process's descriptor 0, which others may hold too
- * @param read the file as it was read; empty where there was none
+ * @param supervised whether a fleet daemon manages this instance: it restarts a few instances at a time, so others serve meanwhile
+ * @param admin the address of the admin endpoint; null for none
+ * @param inherited whether the client listening socket is descriptor 0 of the process, which other processes may share
+ * @param read the parsed file; empty if there was none
  */
 public record Configuration(
     String name,
@@ -34,10 +34,10 @@
     boolean inherited,
     Map<?, ?> read) {
 
-  /** An operators' door at a path of the file system, which only those reach who may enter there. */
+  /** Prefix of an admin address that is a Unix domain socket, protected by file system permissions. */
   public static final String UNIX_PREFIX = "unix:";
 
-  /** One of which nothing is known of others. */
+  /** Creates a configuration without a fleet daemon, an admin endpoint or an inherited socket. */
   public Configuration(
       String name,
       InetSocketAddress listen,
@@ -49,7 +49,7 @@
     this(name, listen, discovery, seed, sockets, known, settings, false, null, false, Map.of());
   }
 
-  /** Reads the file that PROXY_CONFIG names; the other variables, where set, come before what it says. */
+  /** Reads the file that PROXY_CONFIG names; the other environment variables, where set, override its values. */
   public static Configuration read(Map<String, String> environment) throws IOException {
     String file = environment.get("PROXY_CONFIG");
     if (file == null) {
@@ -81,7 +81,7 @@
     return value.isEmpty() ? null : Addresses.parse("admin", value);
   }
 
-  /** Java adopts a socket as descriptor 0 only. */
+  /** Java can only inherit a listening socket as descriptor 0. */
   private static boolean inherited(String descriptor) {
     if (!descriptor.isEmpty() && !descriptor.equals("0")) {
       throw new IllegalArgumentException("PROXY_SOCKET_FD: expected 0, got \"" + descriptor + "\"");
@@ -89,7 +89,7 @@
     return !descriptor.isEmpty();
   }
 
-  /** What a fleet's daemon says, as {@code NUMBER/SIZE}: one configuration serves all its instances. */
+  /** Applies the instance number and group size, {@code NUMBER/SIZE}, from the fleet daemon: all instances share one file. */
   private static Settings withGroup(String group, Settings s) {
     if (group == null || group.isEmpty()) {
       return s;
@@ -117,8 +117,8 @@
   }
 
   /**
-   * Reads the file again at a reload: then it wins, for the other variables are as old as the process; only who this
-   * instance is in a fleet stays the daemon's word. One that lacks a key which this one had is no good.
+   * Reads the file again for a reload. The file then overrides the environment, whose values date from the process start,
+   * except for PROXY_GROUP, which the fleet daemon sets. A file that lacks a key of the previous one is rejected.
    */
   public Configuration reread(Map<String, String> environment) throws IOException {
     Configuration next = read(Map.of(
--- a/src/main/java/pumicekeel/config/ControlSettings.java
+++ b/src/main/java/pumicekeel/config/ControlSettings.java
@@ -8,16 +8,16 @@
 import pumicekeel.runtime.Addresses;
 
 /**
- * The table {@code [control]}: where configurations are delivered from. Counts at a start only.
+ * The table {@code [control]}: where configurations are delivered from. Takes effect only at start-up.
  *
- * @param addresses of the control machines, 1 to 16
- * @param directory in which the last delivered versions are kept
+ * @param addresses the addresses of the control machines, 1 to 16
+ * @param directory the directory that stores the last delivered versions
  */
 public record ControlSettings(List<InetSocketAddress> addresses, Path directory) {
 
   private static final int MAX_ADDRESSES = 16;
 
-  /** Reads the table, or gives null where there is none. */
+  /** Reads the table; returns null if there is none. */
   static ControlSettings read(Section s) {
     if (s == null) {
       return null;
--- a/src/main/java/pumicekeel/config/Fault.java
+++ b/src/main/java/pumicekeel/config/Fault.java
@@ -1,9 +1,9 @@
 package pumicekeel.config;
 
-/** Something wrong in a file: where, in which setting, and what was expected there. Lines count from 1. */
+/** A fault in a file: its line (from 1), its key and what was expected there. */
 public record Fault(int line, String key, String expected) implements Comparable<Fault> {
 
-  /** The one line that an operator reads. */
+  /** Returns the fault as a single line for operators. */
   public String in(String file) {
     String text = file + ":" + line + ": " + key + ": " + expected;
     return text.replace('\n', ' ').replace('\r', ' ');
--- a/src/main/java/pumicekeel/config/KeyLines.java
+++ b/src/main/java/pumicekeel/config/KeyLines.java
@@ -6,22 +6,22 @@
 import java.util.Map;
 
 /**
- * The lines of all keys and array elements of a TOML text. It only looks for where things begin and takes the text to be
- * good: where it is not, it stops, and what stands behind has no line of its own. Keys in quotes are taken as written,
- * so one with escapes has its table's line.
+ * Line numbers of all keys and array elements of a TOML text. The scan only finds where values begin and assumes valid TOML:
+ * it stops at a syntax error, and keys after that have no line of their own. Quoted keys are compared as written, so a key
+ * with escapes is reported with the line of its table.
  */
 final class KeyLines {
 
-  /** A key that comes a second time: its path, its line and that of the first one. */
+  /** A key that is defined twice: its path, its line and the line of the first definition. */
   record DuplicateKey(String path, int line, int firstLine) {}
 
-  /** A value, with what it holds where it is a table or an array. */
+  /** A value and, for a table or an array, its children. */
   private static final class Entry {
     private final int line;
     private final int depth;
     private final Map<String, Entry> keys = new HashMap<>(2);
     private final List<Entry> elements = new ArrayList<>(0);
-    /** By a header or a value of its own, not only as a part of another key. */
+    /** Whether a header or a value defines it, not only a part of a dotted key. */
     private boolean defined;
 
     private Entry(int line, int depth) {
@@ -44,14 +44,14 @@
     this.text = text;
   }
 
-  /** Reads a whole text. */
+  /** Scans a whole text. */
   static KeyLines of(String text) {
     KeyLines lines = new KeyLines(text);
     lines.document();
     return lines;
   }
 
-  /** The line of what stands at a path, or of the nearest thing around it that is there. */
+  /** Returns the line of the value at a path, or of its nearest enclosing value that exists. */
   int lineOf(KeyPath path) {
     for (KeyPath p = path; p != null; p = p.parent()) {
       Entry entry = find(p);
@@ -62,12 +62,12 @@
     return root.line;
   }
 
-  /** The first line on which something is nested too deep; 1 where nothing is. */
+  /** Returns the first line on which a value is nested too deeply; 1 if there is none. */
   int tooDeepLine() {
     return Math.max(1, tooDeepLine);
   }
 
-  /** The first key that comes a second time; null for none. */
+  /** Returns the first key that is defined twice, or null. */
   DuplicateKey duplicateKey() {
     return duplicate;
   }
@@ -135,7 +135,7 @@
     entry.defined = true;
   }
 
-  /** The table that a dotted key's last part is in: of an array of tables the last one. */
+  /** Returns the table that contains the last part of a dotted key; in an array of tables, its last element. */
   private Entry outerOf(Entry table, List<String> parts) {
     Entry outer = table;
     for (String part : parts.subList(0, parts.size() - 1)) {
@@ -160,7 +160,7 @@
   private Entry entry(int start, int depth) {
     if (depth > TomlDocument.MAX_NESTING && tooDeepLine == 0) {
       tooDeepLine = start;
-      // Far enough: nothing that is nested deeper is ever asked for, and the stack is bounded.
+      // Deeper values are never looked up, and stopping here bounds the stack.
       malformed = true;
     }
     return new Entry(start, depth);
@@ -237,7 +237,7 @@
     }
   }
 
-  /** A text of any of the four kinds, with its quotes. */
+  /** Skips a string of any of TOML's four kinds with its quotes. */
   private void skipText() {
     char quote = peek();
     boolean multiLine = text.startsWith(String.valueOf(quote).repeat(3), at);
@@ -255,7 +255,7 @@
     }
     at = Math.min(text.length(), at + quotes);
     while (multiLine && peek() == quote) {
-      // Up to two quotes may stand in front of the three that close the text.
+      // Up to two quotes may precede the three that close the string.
       at++;
     }
   }
@@ -296,7 +296,7 @@
     }
   }
 
-  /** Spaces, ends of lines and comments. */
+  /** Skips whitespace, line ends and comments. */
   private void skipBlank() {
     while (at < text.length()) {
       char c = peek();
--- a/src/main/java/pumicekeel/config/KeyPath.java
+++ b/src/main/java/pumicekeel/config/KeyPath.java
@@ -1,11 +1,11 @@
 package pumicekeel.config;
 
 /**
- * Where a value stands in a file: the keys and array places from the root on.
+ * The path of a value in a file: keys and array indexes from the root.
  *
- * @param parent the table or array that holds it; null for the root
+ * @param parent the path of the enclosing table or array; null for the root
  * @param key its key in a table; null for an element of an array
- * @param index its place in an array, from 0; of no meaning where {@code key} is not null
+ * @param index its index in an array, from 0; unused if {@code key} is not null
  */
 record KeyPath(KeyPath parent, String key, int index) {
 
@@ -15,11 +15,11 @@
     return new KeyPath(this, name, 0);
   }
 
-  KeyPath element(int place) {
-    return new KeyPath(this, null, place);
+  KeyPath element(int position) {
+    return new KeyPath(this, null, position);
   }
 
-  /** As faults name it: {@code pools.quotes.classes[0].name}; empty for the root. */
+  /** Returns the path as faults show it, such as {@code pools.quotes.classes[0].name}; empty for the root. */
   @Override
   public String toString() {
     StringBuilder out = new StringBuilder();
--- a/src/main/java/pumicekeel/config/Operator.java
+++ b/src/main/java/pumicekeel/config/Operator.java
@@ -17,8 +17,8 @@
 import pumicekeel.upstream.jsonrpc.ServerSettings;
 
 /**
- * An operator file that has passed its checks: one generation of listeners, sources, pools and routes. {@code peers} and {@code control},
- * null where no control machines deliver, count at a start only.
+ * A checked operator file: one generation of listeners, sources, pools and routes. {@code peers} and {@code control} take
+ * effect only at start-up; {@code control} is null if no control machines deliver configurations.
  */
 public record Operator(
     Process process,
@@ -30,24 +30,24 @@
     Peers peers,
     ControlSettings control) {
 
-  /** The listener and the source that the platform's own configuration names. */
+  /** Name of the listener and of the source that come from the platform's configuration. */
   public static final String PLATFORM = "platform";
 
   /**
-   * Where the fleet's members speak to each other, in the order of their numbers; no address for no membership.
+   * Addresses at which the fleet's members communicate, in the order of their numbers; empty without membership.
    *
-   * @param lendQuotas whether they lend each other parts of tenants' quotas
+   * @param lendQuotas whether members lend each other parts of tenants' quotas
    */
   public record Peers(List<InetSocketAddress> addresses, boolean lendQuotas) {
 
     static final Peers NONE = new Peers(List.of(), false);
   }
 
-  /** Room of the whole process, null where the platform's figures decide; taken over at a start only. */
+  /** Limits of the whole process; null where the platform's values apply. They take effect only at start-up. */
   public record Process(
       Long clientSockets, Long upstreamSockets, Long openRequests, Long bodyBytes) {}
 
-  /** Where and how attempts of keyed and unsafe requests are put on record; counts at a start only. */
+  /** Where and how attempts of keyed and unsafe requests are recorded; takes effect only at start-up. */
   public record Journal(
       Path directory,
       Durability durability,
@@ -57,8 +57,8 @@
       long keepBytes,
       long keepMillis) {}
 
-  /** A listener beside the platform's; {@code maxConnections} is null for an even part of what is left,
-   * {@code rpc} where it speaks HTTP. */
+  /** A listener in addition to the platform's; {@code maxConnections} is null for an even share of the remaining connections,
+   * {@code rpc} is null if it speaks HTTP. */
   public record Listener(
       String name, InetSocketAddress address, Long maxConnections, CallSettings rpc) {}
 
@@ -68,13 +68,13 @@
   /** The platform's discovery. */
   public record PlatformSource() implements Source {}
 
-  /** Another discovery, of the same protocol. */
+  /** Another discovery with the same protocol. */
   public record DiscoverySource(InetSocketAddress address) implements Source {}
 
-  /** The list that the file itself holds. */
+  /** A static list in the file itself. */
   public record StaticSource(List<HostList.Host> hosts) implements Source {}
 
-  /** Which upstreams of the source are the pool's; an empty list asks nothing. A name may end in {@code *}. */
+  /** Selects the source's upstreams that belong to the pool; an empty list matches all. A name may end in {@code *}. */
   public record Select(
       List<String> names, List<String> zones, List<String> types, List<Long> groups) {
 
@@ -92,10 +92,10 @@
     }
   }
 
-  /** What is kept for a pool whatever the others do, and the most that it may have; null for the default. */
+  /** The capacity reserved for a pool and its maximum; null for the default. */
   public record Capacity(Long guaranteed, Long max) {}
 
-  /** What a pool's module is told otherwise than the platform says; null where the platform's word holds. */
+  /** Settings of a pool's module that override the platform's; null where the platform's apply. */
   public record Overrides(
       List<RequestClass> classes, List<Tenant> tenants, LimitsPart limits, ContractPart contract) {
 
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Limits of a pool; null where the platform's hold. */
+  /** Limits of a pool; null where the platform's apply. */
   public record LimitsPart(
       Boolean secondCopies,
       Boolean retryAfter,
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Figures of the four rules for a pool's upstreams; null where the platform's hold. */
+  /** Values of the four rules for a pool's upstreams; null where the platform's apply. */
   public record ContractPart(
       Long drainGraceNanos,
       Double coldFrom,
@@ -170,10 +170,10 @@
   /**
    * A pool.
    *
-   * @param connectionsPerUpstream connections to one address by all pools of the process together that this pool
-   *     opens up to; 0 for no cap
-   * @param journal which of its requests go on record, where there is a journal
-   * @param rpc how its upstreams speak JSON-RPC; null where they speak HTTP
+   * @param connectionsPerUpstream the number of connections to one address, counted over all pools of the process, up to which
+   *     this pool opens more; 0 for no limit
+   * @param journal which of its requests are recorded, if there is a journal
+   * @param rpc its JSON-RPC settings; null if its upstreams speak HTTP
    */
   public record Pool(
       String name,
@@ -187,7 +187,7 @@
       Overrides overrides,
       ServerSettings rpc) {}
 
-  /** Which keyed and unsafe classes of a pool go on record: all but those that are off, or only those named. */
+  /** Which keyed and unsafe classes of a pool are recorded: none unless {@code on}, and only those named if any are. */
   public record JournalSelection(boolean on, List<String> only) {
 
     public static final JournalSelection ALL = new JournalSelection(true, List.of());
--- a/src/main/java/pumicekeel/config/OperatorFile.java
+++ b/src/main/java/pumicekeel/config/OperatorFile.java
@@ -13,20 +13,20 @@
 import java.nio.file.attribute.BasicFileAttributes;
 
 /**
- * The text of an operator file, read whole through one open file: a symlink or a rename that swaps the file under the
- * reader gives the old text or the new one and never a mixture. A file that is written in place may be read half done,
- * so one that changes meanwhile, or whose last line has no end, is not believed.
+ * Reads the text of an operator file through one open file descriptor, so that a replaced symlink or a rename gives either
+ * the old or the new text and never a mixture. A file that is overwritten in place could be read incompletely, so a file
+ * that changes while it is read, or whose last line has no line end, is rejected.
  */
 public final class OperatorFile {
 
-  /** The largest known configuration takes 3.5 MB; reading a file takes some ten times its size of heap for a moment. */
+  /** The largest known configuration has 3.5 MB; reading temporarily takes about ten times the file size of heap. */
   public static final int MAX_BYTES = 16 << 20;
-  /** Heap at the height of a reading, by the byte of the file: its bytes, its text, the library's tree and the plain one. */
+  /** Peak heap per byte of the file: its bytes, its text, the library's tree and the plain values. */
   private static final int HEAP_BYTES_PER_FILE_BYTE = 14;
-  /** Readings of a file that goes on changing. */
+  /** Read attempts for a file that keeps changing. */
   private static final int MAX_READS = 3;
 
-  /** A file that can't be read; the message says why, in words for the operator. */
+  /** Thrown for a file that can't be read; the message gives the operator the reason. */
   public static final class UnreadableFileException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -37,7 +37,7 @@
 
   private OperatorFile() {}
 
-  /** The file's text; blocks, so it is not for the loop. */
+  /** Returns the file's text. Blocks, so it must not run on the event loop. */
   public static String read(Path file) throws UnreadableFileException {
     try {
       for (int i = 0; i < MAX_READS; i++) {
@@ -75,7 +75,7 @@
       }
       checkHeap(channel.size(), Runtime.getRuntime().maxMemory());
       while (bytes.hasRemaining() && channel.read(bytes) >= 0) {
-        // The buffer is one byte longer than the file was: a full one shows that it grew.
+        // The buffer has one byte more than the file had: a full buffer means that the file grew.
       }
     }
     BasicFileAttributes after = Files.readAttributes(file, BasicFileAttributes.class);
@@ -86,11 +86,11 @@
     return same ? decode(bytes.flip()) : null;
   }
 
-  /** Refuses a file that would end the process for want of memory while it is read. */
+  /** Rejects a file that would exhaust the heap while it is read. */
   static void checkHeap(long fileBytes, long heapBytes) throws UnreadableFileException {
     long needed = fileBytes * HEAP_BYTES_PER_FILE_BYTE;
     if (needed > heapBytes) {
-      // Rounded apart, so that the two never read as the same.
+      // Rounded in opposite directions, so that the two figures are never the same.
       throw new UnreadableFileException("expected a heap (-Xmx) of at least " + ((needed >> 20) + 1)
           + " MiB to read a file of this size, got " + (heapBytes >> 20));
     }
--- a/src/main/java/pumicekeel/config/OperatorLoader.java
+++ b/src/main/java/pumicekeel/config/OperatorLoader.java
@@ -4,10 +4,10 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Reads and checks an operator file: one generation, or all that is wrong with it. Blocks. */
+/** Reads and checks an operator file; returns one generation of settings or reports every fault. Blocks. */
 public final class OperatorLoader {
 
-  /** A file that is no good; nothing of it counts. */
+  /** Thrown for an operator file with faults; none of its settings apply. */
   public static final class InvalidFileException extends IOException {
     private static final long serialVersionUID = 1L;
     private final transient List<String> lines;
@@ -17,7 +17,7 @@
       this.lines = lines;
     }
 
-    /** {@code FILE:LINE: KEY: what was expected}, in the order of the file. */
+    /** Returns the faults as {@code FILE:LINE: KEY: EXPECTED}, in the order of the file. */
     public List<String> lines() {
       return lines;
     }
--- a/src/main/java/pumicekeel/config/OperatorReader.java
+++ b/src/main/java/pumicekeel/config/OperatorReader.java
@@ -32,28 +32,28 @@
 import pumicekeel.route.Route;
 import pumicekeel.runtime.Addresses;
 
-/** Turns the text of an operator file into an {@link Operator}, or into the list of all that is wrong with it. */
+/** Reads the text of an operator file into an {@link Operator}, or into the list of all its faults. */
 public final class OperatorReader {
 
-  /** Each pool has a module instance with its list and connections; twice the largest known configuration's 220. */
+  /** Each pool has its own module instance, list and connections; more than twice the 220 of the largest known configuration. */
   public static final int MAX_POOLS = 512;
-  /** Each is a socket of its own, and a part of the clients' room. */
+  /** Each listener uses a socket and a share of the client connections. */
   public static final int MAX_LISTENERS = 32;
-  /** Each may be a watch on a discovery with a connection of its own; as many as pools, which have one each at most. */
+  /** Each source may watch a discovery over its own connection; a pool has one source, so no more than pools are needed. */
   public static final int MAX_SOURCES = MAX_POOLS;
-  /** Twice the largest known configuration's 9,800; the index and the check of what they cover grow with their number. */
+  /** Twice the 9,800 of the largest known configuration; the index and the coverage check grow with the number of routes. */
   public static final int MAX_ROUTES = 20_000;
-  /** Static upstreams of a source and, twice the largest known configuration's 5,500 and more, of all sources. */
+  /** Static upstreams of one source and of all sources: more than twice the 5,500 of the largest known configuration. */
   private static final int MAX_STATIC_UPSTREAMS = 10_000;
 
   private static final int MAX_STATIC_UPSTREAMS_TOTAL = 20_000;
-  /** Tenants of a pool, each with an entry in its module, and of all pools: twice the largest known 35,000. */
+  /** Tenants of one pool, each with an entry in its module, and of all pools: twice the largest known number, 35,000. */
   private static final int MAX_TENANTS = 10_000;
 
   private static final int MAX_TENANTS_TOTAL = 70_000;
-  /** Names, zones, types or groups that a pool selects by: each upstream is held against each. */
+  /** Names, zones, types or groups of a pool's selector: each upstream is compared with each value. */
   private static final int MAX_SELECTOR_VALUES = 1_000;
-  /** Names that a fault lists when none of them was meant. */
+  /** Names that a fault message lists as possible values. */
   private static final int MAX_LISTED_NAMES = 8;
 
   private static final int MAX_CLASSES = 100;
@@ -68,7 +68,7 @@
   private static final Map<String, State> STATES =
       Map.of("in_service", State.READY, "terminating", State.DRAINING);
 
-  /** What a reading came to: an operator, or faults in the order of the lines. */
+  /** The outcome of reading: an operator, or faults in the order of their lines. */
   public record Result(Operator operator, List<Fault> faults) {}
 
   private final List<Fault> faults = new ArrayList<>();
@@ -342,7 +342,7 @@
         : first;
   }
 
-  /** A class that never goes on record, or is none of the pool's, was meant otherwise. */
+  /** Reports a journal class that is not in the pool or is safe, and so is never recorded: most likely a mistake. */
   private static void checkJournalSelection(Section s, Pool pool) {
     List<RequestClass> classes = pool.overrides().classes();
     for (String name : classes == null ? List.<String>of() : pool.journal().only()) {
@@ -353,7 +353,7 @@
     }
   }
 
-  /** {@code journal = false}, or the names of the classes that go on record. */
+  /** Reads {@code journal = false}, or the names of the classes that are recorded. */
   private static Operator.JournalSelection journalSelection(Section s) {
     if (s.holds("journal", Boolean.class)) {
       return Boolean.TRUE.equals(s.bool("journal"))
@@ -462,7 +462,7 @@
     if (name == null || aim == null) {
       return null;
     }
-    // The worst is assumed of a class that says nothing.
+    // Without settings the most restrictive values apply: unsafe, deduplicated within a cell only.
     return new RequestClass(
         name,
         effect == null ? Effect.UNSAFE : effect,
@@ -530,7 +530,7 @@
     return part;
   }
 
-  /** Guarantees of all pools together must fit where the file says how much there is. */
+  /** Checks that the pools' guarantees together fit the process limits that the file sets. */
   private static void checkGuarantees(
       Section root, Operator.Process process, Map<String, Pool> pools) {
     checkSum(
--- a/src/main/java/pumicekeel/config/RequiredKeys.java
+++ b/src/main/java/pumicekeel/config/RequiredKeys.java
@@ -8,19 +8,19 @@
 import java.util.Set;
 
 /**
- * What a configuration that is read anew has to have: every key that the one before had. Absent keys have defaults at a
- * start, but a file in which a key is missing that was there is one that was cut or written wrongly.
+ * Checks that a re-read configuration has every key of the previous one. At start-up an absent key gets its default, but a
+ * key that disappears at a reload indicates a truncated or wrongly written file.
  */
 final class RequiredKeys {
 
-  /** Lists of the moment, which may be short or absent. */
+  /** Keys that hold current lists, which may be shorter or absent. */
   private static final Set<String> OPTIONAL = Set.of("known", "peers", "peers_all", "peer_listen");
 
   private static final String KIND_KEY = "effect";
 
   private RequiredKeys() {}
 
-  /** The first key that {@code next} lacks, as a path; null where it has all. */
+  /** Returns the path of the first key that {@code next} lacks, or null if it has all of them. */
   static String firstMissing(Map<?, ?> before, Map<?, ?> next) {
     return firstMissing("", before, next);
   }
@@ -48,7 +48,7 @@
     return null;
   }
 
-  /** An element has what all elements of its kind had before, or where none is of its kind, what all had. */
+  /** Requires of an element the keys common to all previous elements of its kind or, if there were none, to all elements. */
   private static String firstMissing(String path, List<?> before, List<?> next) {
     for (int i = 0; i < next.size(); i++) {
       if (next.get(i) instanceof Map<?, ?> element) {
--- a/src/main/java/pumicekeel/config/RouteReader.java
+++ b/src/main/java/pumicekeel/config/RouteReader.java
@@ -16,13 +16,13 @@
 import pumicekeel.route.RouteTable;
 import pumicekeel.route.Split;
 
-/** Reads the routes of an operator file, and finds those that can never match. */
+/** Reads the routes of an operator file and reports those that can never match. */
 final class RouteReader {
 
   private static final int MAX_HOSTS = 100;
   private static final int MAX_HEADERS = 16;
   private static final int MAX_PARTS = 64;
-  /** The name of the route that default-pool makes. */
+  /** Name of the route that default-pool creates. */
   static final String DEFAULT_ROUTE_NAME = "default";
 
   private final Map<String, Pool> pools;
@@ -214,7 +214,7 @@
     }
   }
 
-  /** A class is the first part of its paths, and its effect says its method: a route against that takes nothing. */
+  /** Checks class, path and method: a class is the first path segment and its effect fixes the method, else nothing matches. */
   private void checkConsistency(
       Section s, PathPattern path, String className, String method, Split split) {
     String first = path.segments().isEmpty() ? null : path.segments().get(0);
--- a/src/main/java/pumicekeel/config/RpcReader.java
+++ b/src/main/java/pumicekeel/config/RpcReader.java
@@ -19,12 +19,12 @@
 import pumicekeel.route.HostName;
 import pumicekeel.upstream.jsonrpc.ServerSettings;
 
-/** Reads what an operator file says of JSON-RPC: listeners, methods, and pools whose servers speak it. */
+/** Reads the JSON-RPC settings of an operator file: listeners, methods, and pools whose servers speak JSON-RPC. */
 final class RpcReader {
 
-  /** Looked up by name for each call; far above any known interface. */
+  /** Methods are looked up by name for each call; the limit is far above any known interface. */
   private static final int MAX_METHODS = 1_000;
-  /** What a call's host is where no setting says one: routes by host and HTTP upstreams want to see something. */
+  /** Host of calls without a host setting: routing by host and HTTP upstreams need one. */
   private static final String DEFAULT_HOST = "localhost";
 
   private static final Map<String, Boolean> PROTOCOLS = Map.of("http", false, "json-rpc", true);
@@ -56,7 +56,7 @@
 
   // Methods
 
-  /** Reads {@code [[methods]]}, each for one listener or for all that speak JSON-RPC. */
+  /** Reads {@code [[methods]]}, each for one listener or for all JSON-RPC listeners. */
   void methods(Section root, Map<String, Section> listeners) {
     List<String> speaking = listeners.entrySet().stream()
         .filter(e -> "json-rpc".equals(e.getValue().text("protocol", null)))
@@ -116,7 +116,7 @@
     }
   }
 
-  /** A constant, or {@code { pointer = "/a/b", optional = true }}. */
+  /** Reads a constant or {@code { pointer = "/a/b", optional = true }}. */
   private MethodMapping.Source source(Section s, String key, Part part) {
     boolean number = part == Part.TIME_LEFT_MS || part == Part.WORK_HINT_US;
     if (!s.has(key)) {
@@ -147,7 +147,7 @@
     }
   }
 
-  /** {@code /class/{/pointer}}: where a call goes as an HTTP request. */
+  /** Reads {@code /class/{/pointer}}, the path of a call that is forwarded as an HTTP request. */
   private static List<MethodMapping.PathPart> path(Section s, String className) {
     String text = s.text("path", null);
     List<MethodMapping.PathPart> out = new ArrayList<>();
@@ -189,7 +189,7 @@
 
   // Listeners
 
-  /** What a listener says of its protocol; null where it is HTTP. */
+  /** Reads a listener's JSON-RPC settings; null if it speaks HTTP. */
   CallSettings listener(String name, Section s) {
     Boolean speaks = s.choice("protocol", PROTOCOLS);
     Section own = s.table("json-rpc");
@@ -226,7 +226,7 @@
 
   // Pools
 
-  /** How a pool's upstreams speak JSON-RPC; null where they speak HTTP. */
+  /** Reads a pool's JSON-RPC settings; null if its upstreams speak HTTP. */
   static ServerSettings pool(Section s) {
     Boolean speaks = s.choice("protocol", PROTOCOLS);
     Section r = s.table("json-rpc");
--- a/src/main/java/pumicekeel/config/Section.java
+++ b/src/main/java/pumicekeel/config/Section.java
@@ -9,8 +9,8 @@
 import java.util.TreeSet;
 
 /**
- * A table of a TOML file with checked access to its keys. Every fault is noted and reading goes on with the default, so
- * that one reading finds all of them; {@link #reportUnknownKeys} notes the keys that nobody asked for.
+ * A table of a TOML file with checked access to its keys. Each fault is recorded and reading continues with the default, so
+ * that one pass reports all faults; {@link #reportUnknownKeys} reports the keys that were never read.
  */
 public final class Section {
 
@@ -27,19 +27,19 @@
     this.faults = faults;
   }
 
-  /** The root of a file's text; null, with the faults noted, where it is no TOML. */
+  /** Parses a file's text to its root table; adds the faults and returns null if it is not valid TOML. */
   public static Section parse(String text, List<Fault> faults) {
     TomlDocument document = TomlDocument.parse(text, faults);
     return document == null ? null : new Section(document, document.root(), KeyPath.ROOT, faults);
   }
 
-  /** The keys that the table has. */
+  /** Returns the keys of the table. */
   public Set<String> keys() {
     known.addAll(table.keySet());
     return Collections.unmodifiableSet(table.keySet());
   }
 
-  /** Where the table itself stands. */
+  /** Returns the line of the table itself. */
   int line() {
     return document.lineOf(path);
   }
@@ -54,7 +54,7 @@
     return table.get(key);
   }
 
-  /** Whether a key holds a value of this kind. */
+  /** Returns whether a key holds a value of this type. */
   boolean holds(String key, Class<?> kind) {
     return kind.isInstance(value(key));
   }
@@ -88,7 +88,7 @@
     return defaultValue;
   }
 
-  /** A text that has to be there. */
+  /** Returns a mandatory string. */
   public String requiredText(String key, String what) {
     if (!has(key)) {
       addFault(key, "expected " + what + ", got nothing");
@@ -145,7 +145,7 @@
     return choice;
   }
 
-  /** One text or an array of them; null where it is absent. */
+  /** Returns a string or an array of strings as a list; null if absent. */
   public List<String> textList(String key) {
     Object value = value(key);
     if (value == null) {
@@ -168,7 +168,7 @@
     return out;
   }
 
-  /** An array of numbers; empty where there is none. */
+  /** Returns an array of numbers; empty and a fault if there is none. */
   public List<Double> numbers(String key) {
     List<Double> out = new ArrayList<>();
     if (!(value(key) instanceof List<?> array)) {
@@ -185,7 +185,7 @@
     return out;
   }
 
-  /** An array of whole numbers; null where it is absent. */
+  /** Returns an array of integers; null if absent. */
   public List<Integer> integers(String key, int min, int max) {
     Object value = value(key);
     if (value == null) {
@@ -206,19 +206,19 @@
     return out;
   }
 
-  /** Every key of a document's tables is a text. */
+  /** Safe, as every key of a document's tables is a string. */
   @SuppressWarnings("unchecked")
   private static Map<String, ?> tableOf(Map<?, ?> table) {
     return (Map<String, ?>) table;
   }
 
-  /** A table; an empty one where it is absent. */
+  /** Returns a table; an empty one if absent. */
   Section tableOrEmpty(String key) {
     Section inner = table(key);
     return inner == null ? new Section(document, Map.of(), path.key(key), faults) : inner;
   }
 
-  /** A table; null where it is absent. */
+  /** Returns a table; null if absent. */
   public Section table(String key) {
     Object value = value(key);
     if (value instanceof Map<?, ?> inner) {
@@ -230,7 +230,7 @@
     return null;
   }
 
-  /** A table of tables, by their names in the order of the file. */
+  /** Returns the tables of a table by name, in the order of the file. */
   Map<String, Section> tablesByName(String key) {
     Map<String, Section> out = new LinkedHashMap<>();
     Section outer = table(key);
@@ -245,7 +245,7 @@
     return out;
   }
 
-  /** The keys and texts of a table such as {@code headers}. */
+  /** Returns the keys and string values of a table such as {@code headers}. */
   Map<String, String> textTable(String key) {
     Map<String, String> out = new LinkedHashMap<>();
     Section inner = table(key);
@@ -260,7 +260,7 @@
     return out;
   }
 
-  /** An array of tables; empty where it is absent. */
+  /** Returns an array of tables; empty if absent. */
   public List<Section> tables(String key) {
     List<Section> out = new ArrayList<>();
     Object value = value(key);
@@ -278,7 +278,7 @@
     return out;
   }
 
-  /** Notes each key that was never asked for, with the nearest one that is known. */
+  /** Reports each key that was never read, with the most similar known key. */
   public void reportUnknownKeys() {
     for (String key : table.keySet()) {
       if (!known.contains(key)) {
@@ -302,7 +302,7 @@
     return best;
   }
 
-  /** Levenshtein distance; keys of files are short, but their length is cut all the same. */
+  /** Returns the Levenshtein distance; long keys are cut to bound the work. */
   private static int distance(String one, String other) {
     String a = one.length() > 64 ? one.substring(0, 64) : one;
     int[] row = new int[other.length() + 1];
--- a/src/main/java/pumicekeel/config/TomlDiagnosis.java
+++ b/src/main/java/pumicekeel/config/TomlDiagnosis.java
@@ -12,33 +12,33 @@
 import java.util.regex.Pattern;
 
 /**
- * What is wrong with a text that is no TOML. The library stops at the first fault; reading goes on at the next table
- * header behind it, as compilers do, so that one reading finds more than one.
+ * Finds the syntax errors of a text that is not valid TOML. The library stops at the first error; parsing resumes at the next
+ * table header after it, as compilers do, so that one pass reports several.
  */
 final class TomlDiagnosis {
 
-  /** The first ones are mended first; what comes behind so many is mostly their consequence. */
+  /** Later faults are mostly consequences of earlier ones, which have to be fixed first. */
   private static final int MAX_FAULTS = 20;
 
-  /** The library's messages repeat what they are about, whatever its length. */
+  /** The library's messages quote the offending text at any length. */
   private static final int MAX_MESSAGE_CHARS = 160;
-  /** Of a date and time; what stands between the two may have been rewritten. */
+  /** Length of the date in a date-time; the parser may have rewritten the separator after it. */
   private static final int DATE_CHARS = 10;
 
   private static final String KEY = "TOML";
-  /** Where reading goes on: a header at the start of a line, not the bracket of an array in an array. */
+  /** Where parsing resumes: a table header at the start of a line, not the bracket of a nested array. */
   private static final Pattern HEADER =
       Pattern.compile("^\\[\\[?[ \\t]*[A-Za-z_\"'-]", Pattern.MULTILINE);
-  /** Messages of faults that the library notices only after it has read the token behind them. */
+  /** Messages of faults that the library reports only after it has read the following token. */
   private static final List<String> REPORTED_AFTER_NEXT_TOKEN =
       List.of("Unexpected token", "Duplicate key", "Invalid number representation");
-  /** Messages of faults that are about a key which came before. */
+  /** Messages of faults about a key that was defined before. */
   private static final List<String> DUPLICATE_KEY_MESSAGES =
       List.of("Duplicate key", "Table redefined");
 
   private TomlDiagnosis() {}
 
-  /** The faults in the order of the lines, at least one. */
+  /** Returns the faults in the order of their lines, at least one. */
   static List<Fault> of(String text) {
     List<Fault> faults = new ArrayList<>();
     int linesBefore = 0;
@@ -56,7 +56,7 @@
     return faults;
   }
 
-  /** The first fault of a text; null where it has none. */
+  /** Returns the first fault of a text, or null. */
   private static Fault firstFault(String text) {
     LineReader reader = new LineReader(text);
     try {
@@ -106,7 +106,7 @@
     return new Fault(line, KEY, "expected TOML 1.0: " + cut);
   }
 
-  /** The line of the last token before a place: that place's line where something else stands before it there. */
+  /** Returns the line of the last token before a position: the position's own line if a token precedes it there. */
   private static int lineOfTokenBefore(String text, int line, int column) {
     String[] lines = text.split("\n", line + 1);
     String own = line > lines.length ? "" : lines[line - 1];
@@ -122,14 +122,14 @@
     return line;
   }
 
-  /** The line of a date, which is noticed after the token behind it: the last line read, or one before it. */
+  /** Returns the line of a date, which is reported after its following token: the last line read or one before it. */
   private static int lineOfDate(String text, int lineRead, String date) {
     String start = date.substring(0, Math.min(date.length(), DATE_CHARS));
     String last = text.split("\n", lineRead + 1)[lineRead - 1];
     return last.contains(start) ? lineRead : lineOfTokenBefore(text, lineRead, 1);
   }
 
-  /** Where the first header behind a line begins; -1 for none. */
+  /** Returns the offset of the first header after a line, or -1. */
   private static int headerAfter(String text, int line) {
     int at = 0;
     for (int i = 0; i < line && at >= 0; i++) {
@@ -146,7 +146,7 @@
     return (int) text.substring(0, end).chars().filter(c -> c == '\n').count();
   }
 
-  /** Hands out one line at a time: what the library breaks at without saying where is on the last one. */
+  /** Supplies one line at a time: an error that the library reports without a location is on the last line supplied. */
   private static final class LineReader extends Reader {
     private final String text;
     private int at;
@@ -156,7 +156,7 @@
       this.text = text;
     }
 
-    /** The line handed out last, from 1. */
+    /** Returns the number of the line supplied last, from 1. */
     int line() {
       return Math.max(1, line);
     }
@@ -178,7 +178,7 @@
 
     @Override
     public void close() {
-      // Nothing is held open.
+      // There is nothing to close.
     }
   }
 }
--- a/src/main/java/pumicekeel/config/TomlDocument.java
+++ b/src/main/java/pumicekeel/config/TomlDocument.java
@@ -16,15 +16,15 @@
 
 /**
  * A TOML text as plain values: tables as {@code Map<String, Object>} in the order of the file, arrays as
- * {@code List<Object>}, texts as {@code String}, whole numbers as {@code Long} ({@code BigInteger} beyond its range),
- * other numbers as {@code Double}, {@code Boolean}, and dates as those of {@code java.time}.
+ * {@code List<Object>}, strings as {@code String}, integers as {@code Long} ({@code BigInteger} beyond its range),
+ * other numbers as {@code Double}, booleans as {@code Boolean}, and dates as types of {@code java.time}.
  *
- * <p>The library's tree carries no lines. They are found by a second reading of the text, made only when a line is asked
- * for, so that a file without faults does not pay for them.
+ * <p>The library's tree has no line numbers. They come from a second scan of the text, which runs only when a line is
+ * requested, so a file without faults does not pay for it.
  */
 final class TomlDocument {
 
-  /** Tables within tables and arrays; an operator file's own go six deep. Bounds the stack of every walk. */
+  /** Maximum depth of nested tables and arrays, which bounds the stack of every traversal; operator files use six levels. */
   static final int MAX_NESTING = 64;
 
   private static final TomlFactory FACTORY = factory();
@@ -39,7 +39,7 @@
   }
 
   private static TomlFactory factory() {
-    // A date is told apart from a text, so that one is not taken for the other.
+    // Dates are parsed as dates, so that they are not treated as strings.
     TomlFactory factory =
         TomlFactory.builder().enable(TomlReadFeature.PARSE_JAVA_TIME).build();
     factory.setStreamReadConstraints(
@@ -47,7 +47,7 @@
     return factory;
   }
 
-  /** Reads a text; null, with the faults noted, where it is no TOML. */
+  /** Parses a text; adds the faults and returns null if it is not valid TOML. */
   static TomlDocument parse(String text, List<Fault> faults) {
     try {
       return new TomlDocument(text, parse(new StringReader(text)));
@@ -57,7 +57,7 @@
     }
   }
 
-  /** The root table; whatever the library throws where the text is no TOML. */
+  /** Parses the root table; throws whatever the library throws if the text is not valid TOML. */
   static Map<String, Object> parse(Reader text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
       parser.nextToken();
@@ -69,7 +69,7 @@
     return root;
   }
 
-  /** The line of a key or element, from 1; of the nearest table around it where it is absent. */
+  /** Returns the line of a key or element, from 1; for an absent one, the line of the nearest enclosing table. */
   int lineOf(KeyPath path) {
     if (lines == null) {
       lines = KeyLines.of(text);
@@ -77,7 +77,7 @@
     return lines.lineOf(path);
   }
 
-  /** {@code names} holds each key's name once: most of a large file's keys are the same few. */
+  /** Interns key names in {@code names}: most keys of a large file repeat the same few names. */
   private static Map<String, Object> table(JsonParser parser, Map<String, String> names, int depth)
       throws IOException {
     Map<String, Object> out = new LinkedHashMap<>();
@@ -101,7 +101,7 @@
   private static Object value(JsonParser parser, Map<String, String> names, int depth)
       throws IOException {
     if (depth > MAX_NESTING) {
-      // The library counts brackets but not the parts of dotted keys.
+      // The library limits the depth of brackets but not of dotted keys.
       throw new NestingException();
     }
     return switch (parser.currentToken()) {
@@ -122,7 +122,7 @@
         : (Number) parser.getLongValue();
   }
 
-  /** Dotted keys that go too deep. */
+  /** Thrown for dotted keys that nest too deeply. */
   static final class NestingException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/pumicekeel/jsonrpc/ErrorCodes.java
+++ b/src/main/java/pumicekeel/jsonrpc/ErrorCodes.java
@@ -1,34 +1,34 @@
 package pumicekeel.jsonrpc;
 
-/** The codes of error objects that the balancer itself answers with. Section 5.1 of the JSON-RPC 2.0 specification. */
+/** Codes of the error objects that the balancer itself sends; see section 5.1 of the JSON-RPC 2.0 specification. */
 public final class ErrorCodes {
 
-  /** Not JSON, or JSON that readers would differ over. Nothing ran. */
+  /** Not JSON, or JSON that parsers interpret differently. Nothing ran. */
   public static final int PARSE = -32700;
-  /** JSON, but no request. Nothing ran. */
+  /** JSON, but not a request. Nothing ran. */
   public static final int INVALID_REQUEST = -32600;
-  /** No setting knows the method. Nothing ran. */
+  /** The method is not configured. Nothing ran. */
   public static final int UNKNOWN_METHOD = -32601;
-  /** A parameter that the settings ask for is missing or of the wrong type. Nothing ran. */
+  /** A parameter that the settings require is missing or has the wrong type. Nothing ran. */
   public static final int INVALID_PARAMS = -32602;
-  /** Failed: it may have run. No promise is made. */
+  /** Failed: the call may have run. */
   public static final int FAILED = -32000;
-  /** Refused: trying again is harmless, after {@code data.retryAfterMs} where it is there. */
+  /** Refused: a retry is safe, after {@code data.retryAfterMs} if present. */
   public static final int REFUSED = -32001;
-  /** The balancer is about to stop: nothing ran, another connection is to be used. */
+  /** The balancer is about to stop: nothing ran; the client has to use another connection. */
   public static final int DRAINING = -32002;
-  /** No room for the call: nothing ran; {@code data.retryAfterMs} says when there may be. */
+  /** No capacity for the call: nothing ran; {@code data.retryAfterMs} is when there may be. */
   public static final int NO_ROOM = -32003;
-  /** The method is known and no route takes it. Nothing ran. */
+  /** The method is configured but no route matches. Nothing ran. */
   public static final int NO_ROUTE = -32004;
 
-  /** The range that the specification keeps for servers. */
+  /** The range that the specification reserves for server errors. */
   public static final int SERVER_MIN = -32099;
 
   public static final int SERVER_MAX = -32000;
   public static final int INTERNAL = -32603;
 
-  /** The message of a code, as section 5.1 has it for its own. */
+  /** Returns the message of a code; for codes of section 5.1, the one given there. */
   public static String messageOf(int code) {
     return switch (code) {
       case PARSE -> "Parse error";
--- a/src/main/java/pumicekeel/jsonrpc/Frame.java
+++ b/src/main/java/pumicekeel/jsonrpc/Frame.java
@@ -1,11 +1,11 @@
 package pumicekeel.jsonrpc;
 
-/** What a decoder hands on. */
+/** The output of a frame decoder. */
 public sealed interface Frame permits Frame.Complete, Frame.Fault {
 
   /** The bytes of one message. */
   record Complete(byte[] bytes) implements Frame {}
 
-  /** Something after which the next message can't be told from the rest of this one. */
+  /** An error after which the start of the next message is unknown. */
   record Fault(int code, String why) implements Frame {}
 }
--- a/src/main/java/pumicekeel/jsonrpc/FrameDecoder.java
+++ b/src/main/java/pumicekeel/jsonrpc/FrameDecoder.java
@@ -11,12 +11,12 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Cuts the bytes of a connection into {@link Frame}s, with bounds that hold while they come. Behind a fault nothing more is
- * read. Nothing is handed on while {@code open} says no; {@link #resume} goes on.
+ * Splits the bytes of a connection into {@link Frame}s and enforces the limits while they arrive. After a fault, all further
+ * input is discarded. Emits nothing while {@code accepting} returns false; {@link #resume} continues.
  */
 public final class FrameDecoder extends ByteToMessageDecoder {
 
-  /** A head of Content-Length and perhaps Content-Type. */
+  /** Maximum size of a header with Content-Length and perhaps Content-Type. */
   static final int MAX_HEADER_BYTES = 512;
 
   private final Limits limits;
@@ -36,22 +36,22 @@
     scanner = new ValueScanner(limits);
   }
 
-  /** How messages come: found by now, or {@link Framing#DETECT}. Answers go out the same way. */
+  /** Returns the framing: the detected one, or {@link Framing#DETECT} until then. Answers use the same framing. */
   public Framing framing() {
     return framing;
   }
 
-  /** Whether a message has come in part, or some wait in whole. */
+  /** Returns whether part of a message, or messages not yet emitted, are buffered. */
   public boolean hasBufferedBytes() {
     return actualReadableBytes() > 0;
   }
 
-  /** How many bytes are held: of a message that has come in part, and of those that wait in whole. */
+  /** Returns the number of buffered bytes of partial messages and of messages not yet emitted. */
   public int bufferedBytes() {
     return actualReadableBytes();
   }
 
-  /** Drops what is held and what still comes. */
+  /** Discards buffered and all further input. */
   public void discard() {
     failed = true;
     if (hasBufferedBytes()) {
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Reads no further by itself while nothing is taken: the library would ask for more where nothing came of a read. */
+  /** Requests no read while nothing is accepted: Netty's decoder would read again whenever a read emits nothing. */
   @Override
   public void channelReadComplete(ChannelHandlerContext context) throws Exception {
     if (accepting.getAsBoolean()) {
@@ -69,7 +69,7 @@
     }
   }
 
-  /** One read is gone through before another: its messages are in order. */
+  /** Marks a read in progress, so that {@link #resume} does not start a nested one and messages stay in order. */
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
     boolean nested = reading;
@@ -81,7 +81,7 @@
     }
   }
 
-  /** Goes on with what is held; false from within a read, which goes on by itself. On the loop. */
+  /** Continues with buffered input; returns false from within a read, which continues by itself. Event loop only. */
   public boolean resume() throws Exception {
     if (!reading && hasBufferedBytes() && ctx != null && !ctx.isRemoved()) {
       channelRead(ctx, Unpooled.EMPTY_BUFFER);
@@ -96,7 +96,7 @@
     super.handlerAdded(context);
   }
 
-  /** The end of what the other side sends is no end of what it sent before: that is still answered. */
+  /** Keeps buffered input when the peer shuts down its output: messages received before are still answered. */
   @Override
   public void userEventTriggered(ChannelHandlerContext context, Object event) throws Exception {
     if (event instanceof ChannelInputShutdownEvent) {
@@ -106,7 +106,7 @@
     }
   }
 
-  /** What is left when a connection has ended is nobody's any more. */
+  /** Discards what is left when the connection has closed. */
   @Override
   protected void decodeLast(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
     in.skipBytes(in.readableBytes());
@@ -211,7 +211,7 @@
     }
   }
 
-  /** Whether the head is whole and sound, and how much follows. */
+  /** Reads a header and the length that it states; returns false if it is incomplete or malformed. */
   private boolean decodeHeader(ByteBuf in, List<Object> out) {
     int max = Math.min(in.readableBytes(), MAX_HEADER_BYTES);
     String text = in.toString(in.readerIndex(), max, StandardCharsets.ISO_8859_1);
--- a/src/main/java/pumicekeel/jsonrpc/Framing.java
+++ b/src/main/java/pumicekeel/jsonrpc/Framing.java
@@ -2,18 +2,18 @@
 
 import java.util.Map;
 
-/** How messages are told apart on a connection. JSON-RPC 2.0 leaves that to the transport. */
+/** How messages are delimited on a connection. JSON-RPC 2.0 leaves that to the transport. */
 public enum Framing {
-  /** Found from the first byte: a letter is the head of {@link #CONTENT_LENGTH}, anything else {@link #VALUES}. */
+  /** Detected from the first byte: the letter C starts a header of {@link #CONTENT_LENGTH}, else {@link #VALUES}. */
   DETECT,
-  /** One message a line, ended by LF; a malformed line costs that line alone. */
+  /** One message per line, ended by LF; a malformed line affects no other. */
   NEWLINE,
-  /** JSON values one behind the other, with or without white space; what is malformed ends the connection. */
+  /** Consecutive JSON values with or without white space; a malformed one ends the connection. */
   VALUES,
-  /** A head with {@code Content-Length}, an empty line, and so many bytes. */
+  /** A header with {@code Content-Length}, an empty line, and that many bytes. */
   CONTENT_LENGTH;
 
-  /** As settings and commands name them. */
+  /** Names in settings and commands. */
   public static final Map<String, Framing> NAMES = Map.of(
       "detect", DETECT, "newline", NEWLINE, "values", VALUES, "content-length", CONTENT_LENGTH);
 }
--- a/src/main/java/pumicekeel/jsonrpc/Id.java
+++ b/src/main/java/pumicekeel/jsonrpc/Id.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The id of a call. It is answered with the very bytes it came as, so 1, 1.0 and 1e0 stay what they were; two are the same
- * id where they are the same string, or numbers written alike.
+ * The id of a call. Answers repeat its received bytes, so 1, 1.0 and 1e0 stay as they are. Two ids are equal if they are the
+ * same string, or numbers with the same spelling.
  */
 public final class Id {
 
@@ -26,17 +26,17 @@
     return new Id(written, written.getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** One that the balancer gives to a call of its own. */
+  /** Returns an id for one of the balancer's own calls. */
   public static Id of(long number) {
     return number(Long.toString(number));
   }
 
-  /** As it is written; not to be changed. */
+  /** Returns the id as received; the array must not be modified. */
   public byte[] raw() {
     return raw;
   }
 
-  /** The number it stands for, if it is a whole one that {@link #of} wrote; else -1. */
+  /** Returns the number if the id has the form that {@link #of} creates, else -1. */
   public long asNumber() {
     int length = key.length();
     if (length == 0 || length > 18 || length > 1 && key.charAt(0) == '0') {
--- a/src/main/java/pumicekeel/jsonrpc/JsonPointer.java
+++ b/src/main/java/pumicekeel/jsonrpc/JsonPointer.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A JSON Pointer as RFC 6901 writes it; {@code ""} is the whole document. */
+/** A JSON Pointer (RFC 6901); {@code ""} is the whole document. */
 public record JsonPointer(String text, List<String> tokens) {
 
-  /** Of a pointer that a person wrote; params are no deeper. */
+  /** Maximum number of tokens in a configured pointer; params are not nested more deeply. */
   public static final int MAX_TOKENS = Limits.MAX_DEPTH;
 
-  /** Reads a pointer; an IllegalArgumentException says what was expected. */
+  /** Parses a pointer; throws an IllegalArgumentException that names what was expected. */
   public static JsonPointer of(String text) {
     if (!text.isEmpty() && text.charAt(0) != '/') {
       throw new IllegalArgumentException("a JSON Pointer, which is empty or begins with /");
@@ -26,7 +26,7 @@
     return new JsonPointer(text, List.copyOf(tokens));
   }
 
-  /** ~1 first: ~01 stands for ~1. Section 4 of the RFC. */
+  /** Decodes escapes, ~1 before ~0, as ~01 means ~1 (section 4 of the RFC). */
   private static String unescaped(String token) {
     for (int i = token.indexOf('~'); i >= 0; i = token.indexOf('~', i + 1)) {
       if (i + 1 == token.length() || token.charAt(i + 1) != '0' && token.charAt(i + 1) != '1') {
--- a/src/main/java/pumicekeel/jsonrpc/JsonPointerSet.java
+++ b/src/main/java/pumicekeel/jsonrpc/JsonPointerSet.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 
 /**
- * Several pointers evaluated in one pass over a document. Section 4 of RFC 6901: a part names a member of an object, or
- * the index of an array without a leading zero; {@code -} names what is not there.
+ * Evaluates several pointers in one pass over a document. Section 4 of RFC 6901: a token is the name of an object member or
+ * an array index without leading zeros; {@code -} never matches an element.
  */
 public final class JsonPointerSet {
 
-  /** What kind of value a pointer leads to. */
+  /** The type of the value that a pointer refers to. */
   public enum Kind {
     ABSENT,
     STRING,
@@ -24,7 +24,7 @@
     ARRAY
   }
 
-  /** A value; {@code text} is a string decoded, a number or word as written, and null for the rest. */
+  /** A value; {@code text} is the decoded string, or the number or boolean as written, else null. */
   public record Found(Kind kind, String text) {
     static final Found ABSENT = new Found(Kind.ABSENT, null);
   }
@@ -51,10 +51,10 @@
     }
   }
 
-  /** Pointers that are the same share what was found. */
+  /** The result index of each pointer; equal pointers share one. */
   private final int[] nodeIndexes;
 
-  /** What each pointer leads to, in their order. The document is whole and well formed; null stands for none. */
+  /** Returns the values of the pointers in their order. The document must be valid JSON; null means none. */
   public Found[] resolve(byte[] document) {
     Found[] found = new Found[count];
     java.util.Arrays.fill(found, Found.ABSENT);
@@ -63,7 +63,7 @@
         p.nextToken();
         walk(p, found);
       } catch (IOException e) {
-        throw new IllegalStateException("params that were read before", e);
+        throw new IllegalStateException("params that were valid before", e);
       }
     }
     Found[] out = new Found[count];
--- a/src/main/java/pumicekeel/jsonrpc/Limits.java
+++ b/src/main/java/pumicekeel/jsonrpc/Limits.java
@@ -1,21 +1,21 @@
 package pumicekeel.jsonrpc;
 
 /**
- * Bounds on one message.
+ * Limits of one message.
  *
- * @param bytes the whole message
- * @param depth nested arrays and objects, the message's own object and a batch's array among them
- * @param calls entries of a batch
+ * @param bytes the size of the whole message
+ * @param depth the depth of nested arrays and objects, including the message's object and a batch's array
+ * @param calls the number of entries in a batch
  */
 public record Limits(int bytes, int depth, int calls) {
 
-  /** A scanner keeps the kind of each open bracket in one bit of a long. */
+  /** The scanner stores the type of each open bracket in one bit of a long. */
   public static final int MAX_DEPTH = 64;
-  /** No id that a client makes is as long, and each is kept and copied for every call. */
+  /** Longer than any id that clients generate; each id is stored and copied for every call. */
   public static final int MAX_ID_LENGTH = 256;
-  /** Far beyond any quantity; reading a number is quadratic in its digits for some readers behind us. */
+  /** Far above any real number; in some parsers at upstreams, parsing takes time quadratic in the number of digits. */
   public static final int MAX_NUMBER_LENGTH = 1_000;
-  /** A method's name; it is kept in logs and looked up. */
+  /** Maximum length of a method name, which is looked up and logged. */
   public static final int MAX_METHOD_LENGTH = 256;
 
   public Limits {
--- a/src/main/java/pumicekeel/jsonrpc/MessageReader.java
+++ b/src/main/java/pumicekeel/jsonrpc/MessageReader.java
@@ -15,12 +15,12 @@
 import java.util.List;
 
 /**
- * Reads one frame as JSON-RPC 2.0, sections 4 to 6, strictly: what two readers could understand in two ways (names twice,
- * invalid UTF-8, half of a surrogate pair) is not JSON here. Values that are passed on are kept as the bytes they came as.
+ * Strict reader of one JSON-RPC 2.0 frame (sections 4 to 6). Input that parsers may interpret differently (duplicate names,
+ * invalid UTF-8, unpaired surrogates) is rejected as invalid JSON. Values that are forwarded keep their original bytes.
  */
 public final class MessageReader {
 
-  /** Constraints on tokens are checked here with the message's own limits, before anything is converted. */
+  /** Token limits are checked in this class with the message's limits, before any conversion. */
   static final JsonFactory FACTORY = new JsonFactoryBuilder()
       .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
       .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
@@ -36,7 +36,7 @@
     this.limits = limits;
   }
 
-  /** Reads a frame; never fails. */
+  /** Reads a frame; never throws. */
   public Message read(byte[] frame) {
     String fault = TextCheck.fault(frame);
     if (fault != null) {
@@ -56,7 +56,7 @@
     } catch (LimitExceededException e) {
       return new Message.Malformed(ErrorCodes.INVALID_REQUEST, e.getMessage());
     } catch (IOException | RuntimeException e) {
-      // A text of the library's own would carry bytes of the client's into the answer.
+      // The library's message would copy bytes of the client into the answer.
       return new Message.Malformed(
           ErrorCodes.PARSE,
           e.getMessage() != null && e.getMessage().startsWith("Duplicate")
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Whether these bytes are one JSON value within the bounds, such as can stand in a message as they are. */
+  /** Returns whether the bytes are one JSON value within the limits, so that a message can contain them unchanged. */
   public boolean isValue(byte[] bytes) {
     if (bytes.length == 0 || bytes.length > limits.bytes() || TextCheck.fault(bytes) != null) {
       return false;
@@ -115,7 +115,7 @@
         : new Message.Batch(entries);
   }
 
-  /** The members of one object, as far as they are known. */
+  /** The known members of one object. */
   private static final class Members {
     private boolean version;
     private boolean hasId;
@@ -167,7 +167,7 @@
         }
         default -> {}
       }
-      // What was taken above has been passed; a value that was not is passed here.
+      // Skips a value that was not consumed above.
       if (p.currentToken().isStructStart() || p.currentToken().isScalarValue()) {
         skipValue(p, depth + 1);
       }
@@ -219,7 +219,7 @@
     }
   }
 
-  /** The error's raw bytes; its code goes to the members. */
+  /** Returns the error's raw bytes and stores its code in the members. */
   private byte[] error(JsonParser p, byte[] frame, int depth, Members m) throws IOException {
     int start = (int) p.currentTokenLocation().getByteOffset();
     boolean message = false;
@@ -240,14 +240,14 @@
     return Arrays.copyOfRange(frame, start, (int) p.currentLocation().getByteOffset());
   }
 
-  /** The raw bytes of the value that the parser stands at the beginning of; behind it afterwards. */
+  /** Returns the raw bytes of the value at the parser's position and moves past it. */
   private byte[] rawValue(JsonParser p, byte[] frame, int depth) throws IOException {
     int start = (int) p.currentTokenLocation().getByteOffset();
     skipValue(p, depth + 1);
     return Arrays.copyOfRange(frame, start, (int) p.currentLocation().getByteOffset());
   }
 
-  /** Passes a value, {@code depth} being the one it would have as an array or object. */
+  /** Skips a value; {@code depth} is its depth if it is an array or object. */
   private void skipValue(JsonParser p, int depth) throws IOException {
     int open = 0;
     do {
@@ -277,7 +277,7 @@
     } while (open > 0);
   }
 
-  /** What has to be looked at before the library reads: it takes several encodings, and half a pair for a character. */
+  /** Checks before the library parses: it accepts other encodings than UTF-8, and unpaired surrogates. */
   private static final class TextCheck {
 
     static String fault(byte[] b) {
@@ -306,7 +306,7 @@
           : "not UTF-8";
     }
 
-    /** The last byte of the escape that begins here, its pair included; -1 where half of one stands alone. */
+    /** Returns the last byte of the escape at a position, with the rest of its pair; -1 for an unpaired surrogate. */
     private static int escape(byte[] b, int at) {
       int unit = unit(b, at);
       if (unit < 0) {
@@ -322,7 +322,7 @@
       return low >= 0 && Character.isLowSurrogate((char) low) ? at + 11 : -1;
     }
 
-    /** The UTF-16 unit of a \\uXXXX that begins here, or -1. */
+    /** Returns the UTF-16 unit of a \\uXXXX escape at a position, or -1. */
     private static int unit(byte[] b, int at) {
       if (at + 5 >= b.length || b[at] != '\\' || b[at + 1] != 'u') {
         return -1;
--- a/src/main/java/pumicekeel/jsonrpc/MessageWriter.java
+++ b/src/main/java/pumicekeel/jsonrpc/MessageWriter.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Makes messages. Strings of the balancer's own are ASCII; what comes from others is passed on as it came. */
+/** Builds messages. The balancer's own strings are written as ASCII; values from others are forwarded unchanged. */
 public final class MessageWriter {
 
   private static final byte[] CALL = ascii("{\"jsonrpc\":\"2.0\",\"method\":");
@@ -14,7 +14,7 @@
   private static final byte[] ERROR = ascii("{\"jsonrpc\":\"2.0\",\"error\":");
   private static final byte[] PARAMS = ascii(",\"params\":");
   private static final byte[] ID = ascii(",\"id\":");
-  /** Behind a message where a line ends it; a value of its own, as the message is over without it. */
+  /** The line end after a message; sent separately, as the message is complete without it. */
   private static final byte[] LINE = {'\n'};
 
   private MessageWriter() {}
@@ -23,7 +23,7 @@
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** A call; {@code params} may be null. */
+  /** Builds a call; {@code params} may be null. */
   public static byte[] call(Id id, String method, byte[] params) {
     byte[] name = ascii(quoted(method));
     return params == null
@@ -35,18 +35,18 @@
     return joined(RESULT, result, ID, id.raw(), new byte[] {'}'});
   }
 
-  /** A response whose error object is raw JSON. */
+  /** Builds a response whose error object is raw JSON. */
   public static byte[] error(Id id, byte[] error) {
     return joined(ERROR, error, ID, id.raw(), new byte[] {'}'});
   }
 
-  /** An error object; {@code data} is raw JSON or null. */
+  /** Builds an error object; {@code data} is raw JSON or null. */
   public static byte[] errorObject(int code, String message, String data) {
     return ascii("{\"code\":" + code + ",\"message\":" + quoted(message)
         + (data == null ? "" : ",\"data\":" + data) + "}");
   }
 
-  /** Several messages as one array. */
+  /** Joins several messages into one array. */
   public static byte[] array(List<byte[]> messages) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     out.write('[');
@@ -74,7 +74,7 @@
     return out;
   }
 
-  /** A JSON string in ASCII. */
+  /** Returns a text as a JSON string in ASCII. */
   public static String quoted(String text) {
     StringBuilder out = new StringBuilder(text.length() + 2).append('"');
     for (int i = 0; i < text.length(); i++) {
@@ -90,19 +90,19 @@
     return out.append('"').toString();
   }
 
-  /** What goes in front of a message of so many bytes; null for nothing. */
+  /** Returns the bytes to send before a message of the given size; null for none. */
   public static ByteBuf prefix(Framing framing, int size) {
     return framing == Framing.CONTENT_LENGTH
         ? Unpooled.wrappedBuffer(ascii("Content-Length: " + size + "\r\n\r\n"))
         : null;
   }
 
-  /** What goes behind a message; null for nothing. */
+  /** Returns the bytes to send after a message; null for none. */
   public static ByteBuf suffix(Framing framing) {
     return framing == Framing.CONTENT_LENGTH ? null : Unpooled.wrappedBuffer(LINE);
   }
 
-  /** A whole frame. */
+  /** Builds a complete frame. */
   public static ByteBuf frame(Framing framing, byte[] message) {
     ByteBuf prefix = prefix(framing, message.length);
     ByteBuf suffix = suffix(framing);
--- a/src/main/java/pumicekeel/jsonrpc/ValueScanner.java
+++ b/src/main/java/pumicekeel/jsonrpc/ValueScanner.java
@@ -3,14 +3,14 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Finds where a JSON object or array ends, byte by byte as it comes, and stops at the first bracket that can't be: what is
- * too deep, closes what was not opened, or holds too many entries is not waited for to its end.
+ * Incrementally finds the end of a JSON object or array. Fails at the first byte that violates the nesting or a limit, without
+ * waiting for the end of the value.
  */
 final class ValueScanner {
 
   private final Limits limits;
   private int depth;
-  /** One bit for each open bracket, the innermost lowest: 1 for an object. */
+  /** One bit per open bracket, the innermost lowest: 1 for an object. */
   private long kinds;
 
   private boolean batch;
@@ -39,7 +39,7 @@
     return failed;
   }
 
-  /** What is wrong beyond its code, or null. */
+  /** Returns the reason for the failure, or null if the code says enough. */
   String fault() {
     return fault;
   }
@@ -48,7 +48,7 @@
     return code;
   }
 
-  /** Reads on; the index behind the value's last byte, or -1 where there is more to come or a fault. */
+  /** Continues scanning; returns the index after the value's last byte, or -1 if it is incomplete or failed. */
   int scan(ByteBuf in, int from, int to) {
     for (int i = from; i < to; i++) {
       if (step(in.getByte(i))) {
--- a/src/test/java/pumicekeel/adapter/SimulatorSessionTest.java
+++ b/src/test/java/pumicekeel/adapter/SimulatorSessionTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import pumicekeel.Balancer;
 
-/** The wire: conversations byte for byte, every action, and each kind of malformed input. */
+/** The simulator's protocol: exact input and output of sessions, every action, and each kind of malformed input. */
 class SimulatorSessionTest {
 
   private static final String CLASS =
@@ -30,7 +30,7 @@
           + "{\"Topology\":{\"kind\":\"C\",\"stamp\":1,\"entries\":[{\"hw\":\"x\",\"launched-ns\":null,\"pack\":0,"
           + "\"upstream\":7,\"region-part\":\"\",\"stage-state\":\"up\",\"capacity-hint\":1}]}}]}]}";
 
-  private static String talk(String... lines) throws IOException {
+  private static String run(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String text = String.join("\n", lines) + "\n";
     new SimulatorSession(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out)
@@ -53,11 +53,11 @@
 
   @Test
   void anEmptyBatch() throws IOException {
-    assertEquals("{\"groups\":[]}\n", talk("{\"clock-ns\":1,\"groups\":[]}"));
+    assertEquals("{\"groups\":[]}\n", run("{\"clock-ns\":1,\"groups\":[]}"));
   }
 
   @Test
-  void everyEventOfALife() throws IOException {
+  void everyEventOfAnInstance() throws IOException {
     String expected = reply("{\"Observe\":{\"enable\":true}}")
         + reply("{\"Deliver\":{\"rid\":\"c:a\",\"patience-ns\":1400000000,\"upstream\":7}},"
             + "{\"SetTimer\":{\"handle\":\"sweep\",\"fire-at-ns\":1150000000}}")
@@ -69,7 +69,7 @@
         + reply("");
     assertEquals(
         expected,
-        talk(
+        run(
             PROVISION,
             batch(1_100_000_000L, JOB),
             batch(1_110_000_000L, "{\"Fired\":{\"handle\":\"sweep\"}}"),
@@ -116,10 +116,10 @@
         text.toString());
   }
 
-  /** Guards the instance: it refuses what it does not know and goes on. */
+  /** The instance refuses requests of unknown classes and continues. */
   @Test
   void aRequestOfAnUnknownClassIsRefusedAndLogged() throws IOException {
-    String out = talk(
+    String out = run(
         PROVISION, batch(1_100_000_000L, JOB.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
     assertTrue(
         out.contains(reply("{\"Emit\":{\"note-text\":\"refused a request of unknown class nope\"}},"
@@ -154,20 +154,18 @@
         "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"HealthResult\":{\"upstream\":1,\"rc\":\"fine\"}}]}]} | rc: expected one of",
         "{\"clock-ns\":1,\"groups\":[]} {} | expected one value a line"
       })
-  void malformedInputSaysWhatAndWhere(String line, String message) {
-    WireException e = assertThrows(WireException.class, () -> talk(PROVISION, line));
+  void malformedInputIsReportedWithItsPlace(String line, String message) {
+    WireException e = assertThrows(WireException.class, () -> run(PROVISION, line));
     assertTrue(e.getMessage().startsWith("line 2: "), e.getMessage());
     assertTrue(e.getMessage().contains(message), e.getMessage());
   }
 
   @Test
-  void senselessSettingsAreRefusedByName() {
-    WireException none =
-        assertThrows(WireException.class, () -> talk(PROVISION.replace(CLASS, "")));
+  void invalidSettingsAreRejectedByName() {
+    WireException none = assertThrows(WireException.class, () -> run(PROVISION.replace(CLASS, "")));
     assertEquals("line 1: settings: classes must not be empty", none.getMessage());
     WireException negative = assertThrows(
-        WireException.class,
-        () -> talk(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
+        WireException.class, () -> run(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
     assertEquals("line 1: settings: aim of class c must be above 0", negative.getMessage());
   }
 }
--- a/src/test/java/pumicekeel/config/ConfigurationTest.java
+++ b/src/test/java/pumicekeel/config/ConfigurationTest.java
@@ -14,7 +14,7 @@
 import pumicekeel.adapter.Decoder;
 import pumicekeel.adapter.Fields;
 
-/** What a fleet's daemon tells an instance beside the one configuration of all. */
+/** The shared configuration, values of the fleet daemon that override it, and defaults. */
 class ConfigurationTest {
 
   private static Configuration read(String group) throws Exception {
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void groupIsTheDaemonsWhereItSaysOne() throws Exception {
+  void groupOfTheDaemonOverridesTheFile() throws Exception {
     assertEquals(1, read(null).settings().groupSize());
     assertEquals(1, read("").settings().groupSize());
     assertEquals(20, read("19/20").settings().groupSize());
@@ -38,20 +38,20 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"20/20", "1", "-1/3", "a/b", "1/0", "1/2/3", "999999/9999999"})
-  void groupThatIsNoneIsRefused(String group) {
+  void malformedGroupIsRejected(String group) {
     assertTrue(assertThrows(IllegalArgumentException.class, () -> read(group))
         .getMessage()
         .contains("PROXY_GROUP"));
   }
 
-  /** A connect time of a millisecond would fail every connect, an idle time of nothing close every connection. */
+  /** Taken literally, a connect timeout of 0 would fail every connect and an idle time of 0 would close every connection. */
   @ParameterizedTest
   @CsvSource({
     "'', 250000000, 15000000000",
     "'\"connect-timeout-ns\":0,\"conn-idle-ns\":0', 250000000, 15000000000",
     "'\"connect-timeout-ns\":7,\"conn-idle-ns\":9', 7, 9"
   })
-  void timesOfConnectionsThatSayNothingAreTheDefaults(String limits, long connect, long idle)
+  void connectionTimesOfZeroAreTheDefaults(String limits, long connect, long idle)
       throws Exception {
     assertEquals(
         List.of(connect, idle),
@@ -66,7 +66,7 @@
     "'\"conn-idle-ns\":-5', idle time of connections must be above 0",
     "'\"max-attempts\":0', max attempts must be above 0"
   })
-  void limitsThatCannotBeAreNamed(String limits, String what) {
+  void invalidLimitsAreNamed(String limits, String what) {
     assertEquals(
         "settings: " + what,
         assertThrows(IllegalArgumentException.class, () -> settings(limits)).getMessage());
--- a/src/test/java/pumicekeel/config/ControlSettingsTest.java
+++ b/src/test/java/pumicekeel/config/ControlSettingsTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void tableIsReadAndMayBeLeftOut() {
+  void tableIsReadAndIsOptional() {
     ControlSettings read = OperatorReader.read(
             POOL + "[control]\naddresses = [\"127.0.0.1:7001\"]\ndirectory = \"d\"\n")
         .operator()
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void eachFaultSaysWhatWasExpected() {
+  void eachFaultStatesTheExpectedValue() {
     assertTrue(fault("[control]\naddresses = [\"127.0.0.1:7001\"]\n").contains("directory"));
     assertTrue(fault("[control]\ndirectory = \"d\"\n").contains("1 to 16"));
     assertTrue(
--- a/src/test/java/pumicekeel/config/OperatorFileTest.java
+++ b/src/test/java/pumicekeel/config/OperatorFileTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Reading a file that somebody else may be writing, swapping or spoiling. */
+/** Reading a file that another process may be writing, replacing or corrupting. */
 class OperatorFileTest {
 
   @TempDir
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void whatIsNoFileOfSettingsIsToldInOneLine() throws IOException {
+  void unreadableFileIsReportedInOneLine() throws IOException {
     refused(folder.resolve("none"), "found none");
     refused(folder, "a directory");
     refused(Path.of("/dev/zero"), "regular file");
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void fileThatTheHeapCannotReadIsRefusedInOneLine() throws IOException {
+  void fileTooLargeForTheHeapIsRejectedInOneLine() throws IOException {
     OperatorFile.checkHeap(4 << 20, 56L << 20);
     OperatorFile.UnreadableFileException e = assertThrows(
         OperatorFile.UnreadableFileException.class,
@@ -53,9 +53,9 @@
     assertTrue(e.getMessage().endsWith("got 56"), e.getMessage());
   }
 
-  /** A link that is swapped all the time between two good files: each reading is one of them, whole. */
+  /** A symlink that is continuously switched between two files: each read returns one of them completely. */
   @Test
-  void linkSwappedUnderTheReaderGivesOneFileOrTheOther() throws Exception {
+  void symlinkReplacedDuringAReadGivesOneFileOrTheOther() throws Exception {
     String one = "# one\n".repeat(20_000);
     String two = "# two!\n".repeat(15_000);
     Path first = Files.writeString(folder.resolve("one"), one);
@@ -95,9 +95,9 @@
     assertTrue(read > 0);
   }
 
-  /** A file that is written in place, a piece at a time: never a part of it. */
+  /** A file that is overwritten in place: a read that ends within a line is rejected. */
   @Test
-  void fileWrittenInPlaceIsReadWholeOrNotAtAll() throws Exception {
+  void fileCutWithinALineIsRejected() throws Exception {
     Path file = folder.resolve("f");
     StringBuilder whole = new StringBuilder();
     for (int i = 0; i < 200; i++) {
--- a/src/test/java/pumicekeel/config/OperatorReaderTest.java
+++ b/src/test/java/pumicekeel/config/OperatorReaderTest.java
@@ -13,7 +13,7 @@
 import pumicekeel.adapter.Decoder;
 import pumicekeel.adapter.Fields;
 
-/** The operator file: what it says, and each thing that can be wrong with it as one line. */
+/** Reading of the operator file, and each possible fault as one line. */
 class OperatorReaderTest {
 
   static final String GOOD = """
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void goodFileSaysWhatItSaysAndFallsBackToThePlatform() throws Exception {
+  void validFileIsReadAndOtherSettingsAreThePlatforms() throws Exception {
     Operator operator = OperatorReader.read(GOOD).operator();
     assertNotNull(operator, () -> faults(GOOD).toString());
     assertEquals(
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void namesThatNothingHasAreTold() {
+  void unknownNamesAreReported() {
     change(
         "default-pool = \"rates\"",
         "default-pool = \"rate\"",
@@ -137,7 +137,7 @@
   }
 
   @Test
-  void valuesOutOfRangeOrOfAnotherKindAreTold() {
+  void valuesOutOfRangeOrOfTheWrongTypeAreReported() {
     change(
         "max-connections = 10",
         "max-connections = 0",
@@ -175,7 +175,7 @@
   }
 
   @Test
-  void settingsThatContradictEachOtherAreTold() {
+  void contradictorySettingsAreReported() {
     onlyFault(
         "[pools.a]\n[[routes]]\nclass = \"x\"\npath = \"/y\"\npool = \"a\"\n",
         3,
@@ -206,7 +206,7 @@
   }
 
   @Test
-  void journalIsForTheClassesThatAreNamedAndMayNotRunTwice() {
+  void journalCoversTheNamedClassesThatMustNotRunTwice() {
     Operator all = OperatorReader.read(GOOD).operator();
     var type = all.pools().get("quotes").overrides().classes().get(0);
     assertTrue(all.pools().get("quotes").journal().covers(type));
@@ -226,14 +226,14 @@
   }
 
   @Test
-  void routeThatAnEarlierOneLeavesNothingIsTold() {
+  void routeCoveredByAnEarlierOneIsReported() {
     String text = "[pools.a]\n[[routes]]\nname = \"wide\"\nhost = \"*.example.org\"\npool = \"a\"\n"
         + "[[routes]]\nname = \"narrow\"\nhost = \"quote.example.org\"\npath = \"/x\"\npool = \"a\"\n";
     onlyFault(text, 7, "routes[1].name", "\"wide\" on line 2 takes all");
   }
 
   @Test
-  void allFaultsAreToldInTheOrderOfTheLines() {
+  void allFaultsAreReportedInTheOrderOfTheLines() {
     String text = GOOD.replace("max-connections = 10", "max-connections = 0")
         .replace("source = \"fixed\"", "source = 1")
         .replace("method = \"POST\"", "method = 7")
@@ -247,7 +247,7 @@
   }
 
   @Test
-  void textThatIsNoTomlIsToldByItsLines() {
+  void syntaxErrorsAreReportedWithTheirLines() {
     List<Fault> faults = faults("[pools.a]\nsource = \n[[routes]\npool = \"a\"\n");
     assertTrue(
         faults.size() >= 2 && faults.get(0).line() == 2 && faults.get(1).line() == 3,
@@ -258,9 +258,9 @@
         new Fault(3, "pools.a.source", "expected x\ny").in("f.toml"));
   }
 
-  /** Both break the library itself. */
+  /** The TOML library itself throws unexpectedly on both. */
   @Test
-  void escapesThatTomlDoesNotKnowAndDeepNestingAreToldByTheirLine() {
+  void unknownEscapesAndDeepNestingAreReportedWithTheirLine() {
     for (char c = ' '; c < 127; c++) {
       if ("btnfr\"\\".indexOf(c) < 0) {
         List<Fault> faults =
@@ -272,9 +272,9 @@
     onlyFault("# nested\na = " + "[".repeat(200_000) + "\n", 2, "TOML", "less nesting");
   }
 
-  /** Cut anywhere, or with a byte changed, a file is read or refused; it never breaks the reader. */
+  /** A truncated file, or one with changed characters, is read or rejected; the reader never throws. */
   @Test
-  void spoiltTextNeverBreaksTheReader() {
+  void corruptedTextNeverMakesTheReaderThrow() {
     for (int i = 0; i < GOOD.length(); i += 3) {
       String cut = GOOD.substring(0, i);
       OperatorReader.Result result = OperatorReader.read(cut);
--- a/src/test/java/pumicekeel/config/RequiredKeysTest.java
+++ b/src/test/java/pumicekeel/config/RequiredKeysTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import pumicekeel.adapter.Fields;
 
-/** A configuration that lacks what the one before had. */
+/** A re-read configuration that lacks keys of the previous one. */
 class RequiredKeysTest {
 
   private static final String BEFORE = """
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void namesTheFirstKeyThatIsNotThereAnyMore() throws Exception {
+  void returnsTheFirstKeyThatIsMissing() throws Exception {
     assertNull(missing("", ""));
     assertEquals("name", missing("\"name\":\"n\",", ""));
     assertEquals("settings.limits.max-attempts", missing("\"max-attempts\":3,", ""));
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void whatBelongsToOneKindOrToTheMomentMayBeAbsent() throws Exception {
+  void keysOfOtherKindsAndOfCurrentListsMayBeAbsent() throws Exception {
     assertNull(missing(",\"odd\":1", ""));
     assertNull(missing(
         "\"effect\":\"deduplicated\",\"aim-ns\":1,\"deadline-ns\":2,\"window-ns\":3",
@@ -46,7 +46,7 @@
         missing(
             "\"effect\":\"deduplicated\",\"aim-ns\":1,\"deadline-ns\":2,\"window-ns\":3",
             "\"effect\":\"at_most_once\",\"aim-ns\":1,\"deadline-ns\":2"),
-        "a kind that was not there needs what all had");
+        "an element of a new kind needs only the keys common to all");
     assertNull(missing("\"known\":{\"index\":1,\"endpoints\":[{\"name\":\"s\"}]},", ""));
   }
 }
--- a/src/test/java/pumicekeel/config/RpcReaderTest.java
+++ b/src/test/java/pumicekeel/config/RpcReaderTest.java
@@ -18,7 +18,7 @@
 import pumicekeel.jsonrpc.Limits;
 import pumicekeel.upstream.jsonrpc.ServerSettings;
 
-/** What an operator file says of JSON-RPC, and each thing that can be wrong with it. */
+/** JSON-RPC settings of an operator file, and each possible fault. */
 class RpcReaderTest {
 
   private static final String GOOD = """
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void listenersMethodsAndPoolsAreAsTheFileSays() {
+  void listenersMethodsAndPoolsAreReadFromTheFile() {
     Operator operator = read(GOOD);
     CallSettings a = operator.listeners().get("a").rpc();
     assertEquals(
@@ -104,7 +104,7 @@
             Framing.NEWLINE, 32, Set.of(), Set.of(), Set.of(), Map.of(), "idempotencyKey"),
         operator.pools().get("q").rpc());
     assertNull(operator.pools().get("h").rpc());
-    assertEquals(operator, read(GOOD), "the same text is the same generation");
+    assertEquals(operator, read(GOOD), "the same text gives an equal generation");
   }
 
   @ParameterizedTest
@@ -134,7 +134,7 @@
         "host = \"Rates.Example.org\"|host = \"a b\"|methods[0].host: expected a host name",
         "[pools.h]|[pools.h]\\nprotocol = \"grpc\"|pools.h.protocol: expected one of http, json-rpc"
       })
-  void eachFaultIsToldWithItsKey(String was, String now, String told) {
+  void eachFaultIsReportedWithItsKey(String was, String now, String told) {
     String text = GOOD.replace("\\n", "\n");
     String from = was.replace("\\n", "\n");
     assertTrue(text.contains(from), from);
--- a/src/test/java/pumicekeel/config/TomlDocumentTest.java
+++ b/src/test/java/pumicekeel/config/TomlDocumentTest.java
@@ -15,7 +15,7 @@
 import pumicekeel.rig.scale.ConfigurationGenerator;
 import pumicekeel.rig.scale.ConfigurationGenerator.Size;
 
-/** TOML as plain values, with a line for each, and one clear line for each thing that is no TOML. */
+/** TOML as plain values with line numbers, and one clear message for each syntax error. */
 class TomlDocumentTest {
 
   private static final String TRICKY = """
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void valuesAreOfTheKindsThatTheFileSays() {
+  void valuesHaveTheTypesOfTheFile() {
     Map<String, Object> root = parsed(
             "t = \"x\"\ni = 7\nbig = 99999999999999999999\nf = 1.5\nn = nan\nb = true\nd = 2026-01-31\nl = [1, \"x\"]\n")
         .root();
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void keyThatComesTwiceIsToldWithBothLines() {
+  void duplicateKeyIsReportedWithBothLines() {
     onlyFault(
         "[a]\nx = 1\ny = [\n2,\n]\nx = 3\n\n# c\nz = 1\n", 6, "f:6: x: expected each key once");
     onlyFault("[a.b]\n[c]\n[a.b]\n", 3, "a.b: expected each key once, this one stands on line 1");
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void faultHasTheLineWhereItIsNotThatOfWhatComesBehind() {
+  void faultHasItsOwnLineNotThatOfTheNextToken() {
     onlyFault("[[routes]\n\n# c\npool = \"a\"\n", 1, "STD_TABLE_CLOSE");
     onlyFault("a = 1\nb = 2026-13-45\n# c\n\nc = 1\n", 2, "a date that there is");
     onlyFault("a = 1\nb = { d = 2026-13-45, e = 1 }\nc = 1\n", 2, "a date that there is");
@@ -166,15 +166,15 @@
   }
 
   @Test
-  void oneReadingFindsMoreThanOneFaultAndStopsAtSome() {
+  void onePassReportsSeveralFaultsUpToALimit() {
     String bad = "[a]\nx = \n[b]\ny = 1\n[c]\nz = \"\\q\"\n";
     assertEquals(List.of(2, 6), faults(bad).stream().map(Fault::line).toList());
     assertEquals(20, faults("[a]\nx =\n".repeat(100_000)).size());
   }
 
-  /** Whatever stands in a text, it is read or refused, and each fault is on a line that the text has. */
+  /** Any text is either parsed or rejected, and the line of each fault is within the text. */
   @Test
-  void spoiltTextIsReadOrRefusedWithLinesOfItsOwn() {
+  void corruptedTextIsParsedOrRejectedWithLinesWithinIt() {
     long seed = new SplittableRandom().nextLong();
     SplittableRandom random = new SplittableRandom(seed);
     String good = TRICKY + new ConfigurationGenerator(new Size(2, 8, 6, 2), 1).text();
--- a/src/test/java/pumicekeel/jsonrpc/FrameDecoderTest.java
+++ b/src/test/java/pumicekeel/jsonrpc/FrameDecoderTest.java
@@ -14,7 +14,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Messages told apart, however the bytes come, and bounds that hold while they do. */
+/** Splitting of messages at any read boundaries, and limits that apply while bytes arrive. */
 class FrameDecoderTest {
 
   private static final Limits LIMITS = new Limits(1_000, 8, 5);
@@ -49,7 +49,7 @@
       List.of("{\"a\":\"}{\\\"]\"}", "[1,{\"b\":[2]}]", "{}", "[]");
 
   @Test
-  void sameMessagesHoweverTheBytesAreCut() {
+  void sameMessagesAtAnyReadBoundaries() {
     long seed = System.nanoTime();
     Random random = new Random(seed);
     String lines = String.join("\n", SPLIT) + "\r\n\n";
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void valueThatCanNotEndIsToldAtOnceAndNothingBehindItIsRead() {
+  void malformedValueIsReportedAtOnceAndTheRestIsDiscarded() {
     for (String bad : new String[] {"{]", "{\"a\":\"\n", "}", "1", "x", "GET / HTTP/1.1\r\n"}) {
       EmbeddedChannel channel = channel(Framing.DETECT);
       assertEquals(List.of("fault " + ErrorCodes.PARSE), all(channel, bad), bad);
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void depthSizeAndCallsAreBoundedWhileTheyCome() {
+  void depthSizeAndCallsAreLimitedWhileBytesArrive() {
     for (Framing framing : List.of(Framing.VALUES, Framing.DETECT)) {
       assertEquals(
           List.of("fault " + ErrorCodes.INVALID_REQUEST), all(channel(framing), "[".repeat(9)));
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void headThatCouldBeReadInTwoWaysIsRefused() {
+  void ambiguousHeaderIsRejected() {
     for (String head : new String[] {
       "Content-Length: 2\r\nContent-Length: 2",
       "Content-Length: -1",
@@ -138,12 +138,12 @@
   }
 
   @Test
-  void brokenLineCostsThatLineAlone() {
+  void malformedLineAffectsNoOther() {
     assertEquals(List.of("{\"a", "{}"), all(channel(Framing.NEWLINE), "{\"a\n{}\n"));
   }
 
   @Test
-  void nothingIsHandedOnWhileClosedAndNothingIsLost() throws Exception {
+  void nothingIsEmittedWhilePausedAndNothingIsLost() throws Exception {
     FrameDecoder decoder = new FrameDecoder(Framing.DETECT, LIMITS, () -> open);
     EmbeddedChannel channel = new EmbeddedChannel(decoder);
     open = false;
--- a/src/test/java/pumicekeel/jsonrpc/JsonPointerSetTest.java
+++ b/src/test/java/pumicekeel/jsonrpc/JsonPointerSetTest.java
@@ -12,7 +12,7 @@
 import pumicekeel.jsonrpc.JsonPointerSet.Found;
 import pumicekeel.jsonrpc.JsonPointerSet.Kind;
 
-/** RFC 6901, with the example of its section 5. */
+/** JSON Pointers of RFC 6901, with the example of its section 5. */
 class JsonPointerSetTest {
 
   private static final String DOCUMENT = """
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void wholeDocumentAndContainersHaveAKind() {
+  void documentsAndContainersHaveAKind() {
     assertEquals(Kind.OBJECT, find(DOCUMENT, "").kind());
     assertEquals(Kind.ARRAY, find(DOCUMENT, "/foo").kind());
     assertEquals(Kind.ARRAY, find("[1]", "").kind());
@@ -65,12 +65,12 @@
         "/foo/bar",
         "/ /x"
       })
-  void whatLeadsNowhereIsAbsent(String pointer) {
+  void pointerWithoutAValueIsAbsent(String pointer) {
     assertEquals(Kind.ABSENT, find(DOCUMENT, pointer).kind());
   }
 
   @Test
-  void escapesAreUndoneInTheRightOrder() {
+  void escapesAreDecodedInTheRightOrder() {
     assertEquals("x", find("{\"~1\":\"x\",\"/\":\"y\"}", "/~01").text());
     assertEquals("y", find("{\"~1\":\"x\",\"/\":\"y\"}", "/~1").text());
     for (String bad : new String[] {"foo", "/~", "/~2", "/a~"}) {
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void severalAreFoundInOnePassEvenWhereOneLiesWithinAnother() {
+  void severalAreFoundInOnePassEvenNestedOnes() {
     Found[] found = new JsonPointerSet(List.of(
             JsonPointer.of("/a/b"),
             JsonPointer.of("/a"),
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void memberNamedLikeAnIndexIsNoIndexOfAnotherArray() {
+  void memberNamedLikeAnIndexIsNotAnArrayIndex() {
     assertEquals("m", find("{\"a\":{\"0\":\"m\"}}", "/a/0").text());
     assertEquals("m", find("[[0],[\"m\"]]", "/1/0").text());
   }
--- a/src/test/java/pumicekeel/jsonrpc/MessageReaderTest.java
+++ b/src/test/java/pumicekeel/jsonrpc/MessageReaderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One frame as JSON-RPC 2.0, and what is none. */
+/** Reading of valid and malformed JSON-RPC 2.0 frames. */
 class MessageReaderTest {
 
   private final MessageReader reader = new MessageReader(new Limits(1 << 20, 8, 5));
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void idsAreTheSameByStringOrWriting() {
+  void idsAreEqualAsStringsOrBySpelling() {
     assertEquals(idOf("\"1\""), idOf("\"\\u0031\""));
     assertNotEquals(idOf("1"), idOf("\"1\""));
     assertNotEquals(idOf("1"), idOf("1.0"));
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void paramsAreKeptByteForByteWhereverTheyStand() {
+  void paramsAreKeptByteForByteAtAnyPosition() {
     String params = "{ \"a\" : [1.0, 1e400, \"\\u00e9\u00e9\", {\"b\":null}] }";
     Message.Call call = call(" {\"params\":" + params
         + ",\"more\":[{\"x\":1}],\"id\":1,\"method\":\"m\",\"jsonrpc\":\"2.0\"} ");
@@ -92,7 +92,7 @@
         "{\"jsonrpc\":\"2.0\",\"error\":{\"code\":1},\"id\":1}",
         "{\"jsonrpc\":\"2.0\",\"id\":1}"
       })
-  void whatIsNoRequestIsInvalidUnderItsId(String text) {
+  void invalidRequestKeepsItsId(String text) {
     Message.Invalid invalid = assertInstanceOf(
         Message.Invalid.class,
         assertInstanceOf(Message.Single.class, read(text)).entry());
@@ -101,7 +101,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"[1]", "{}", "true"})
-  void idOfAnotherKindIsNone(String id) {
+  void idOfAnotherTypeIsTheNullId(String id) {
     assertEquals(
         Id.NULL,
         assertInstanceOf(
@@ -148,12 +148,12 @@
         "[1,2",
         "// x\n{}"
       })
-  void whatReadersWouldDifferOverIsNoJson(String text) {
+  void ambiguousJsonIsRejected(String text) {
     broken(ErrorCodes.PARSE, text);
   }
 
   @Test
-  void wholePairsAndEscapedBackslashesArePassedOn() {
+  void surrogatePairsAndEscapedBackslashesAreForwarded() {
     String params = "[\"\\ud83d\\ude00\",\"\\\\ud800\",\"\\\\\\\"\",\"\ud83d\ude00\"]";
     assertEquals(
         params,
@@ -164,7 +164,7 @@
   }
 
   @Test
-  void otherEncodingsAndBytesThatAreNoUtf8AreNoJson() {
+  void otherEncodingsAndInvalidUtf8AreRejected() {
     String text = "{\"jsonrpc\":\"2.0\",\"method\":\"m\"}";
     for (byte[] bytes : new byte[][] {
       text.getBytes(StandardCharsets.UTF_16LE),
@@ -180,7 +180,7 @@
   }
 
   @Test
-  void boundsHoldWhereverTheyAreReached() {
+  void limitsApplyAtAnyPosition() {
     broken(ErrorCodes.INVALID_REQUEST, "[" + "1,".repeat(5) + "1]");
     broken(ErrorCodes.INVALID_REQUEST, "{\"a\":" + "[".repeat(8) + "]".repeat(8) + "}");
     broken(
@@ -194,7 +194,7 @@
   }
 
   @Test
-  void replyKeepsItsResultOrErrorAsItCame() {
+  void replyKeepsItsResultOrErrorByteForByte() {
     Message.Reply served = assertInstanceOf(
         Message.Reply.class,
         assertInstanceOf(
@@ -214,7 +214,7 @@
   }
 
   @Test
-  void valueIsOneWholeValueWithinTheBounds() {
+  void valueIsOneCompleteValueWithinTheLimits() {
     for (String good : new String[] {"1", "null", "\"x\"", " {\"a\":[]} ", "[1,2]"}) {
       assertTrue(reader.isValue(good.getBytes(StandardCharsets.UTF_8)), good);
     }
