--- a/src/main/java/pumicekeel/node/LentQuotas.java
+++ b/src/main/java/pumicekeel/node/LentQuotas.java
@@ -22,7 +22,7 @@
 
   LentQuotas(int self, int size, long epochMillis, long seed) {
     exchange =
-        new QuotaExchange(QuotaSettings.USUAL, self, size, epochMillis, seed, System.nanoTime());
+        new QuotaExchange(QuotaSettings.DEFAULTS, self, size, epochMillis, seed, System.nanoTime());
   }
 
   /** The pools from now on. */
@@ -35,7 +35,7 @@
       tenants.put(pool.name(), with.stream().map(Tenant::name).toList());
       with.forEach(t -> quotas.put(key(pool.name(), t.name()), t.quotaPerSecond()));
     }
-    exchange.quotas(quotas, System.nanoTime());
+    exchange.setQuotas(quotas, System.nanoTime());
     version++;
   }
 
@@ -51,8 +51,8 @@
       @Override
       public Map<String, Double> asked(String tenant, long now) {
         long at = System.nanoTime();
-        exchange.asked(key(pool, tenant), 1, at);
-        version += exchange.changed(at) ? 1 : 0;
+        exchange.recordRequests(key(pool, tenant), 1, at);
+        version += exchange.ratesChanged(at) ? 1 : 0;
         if (seen == version) {
           return null;
         }
@@ -78,7 +78,7 @@
 
   @Override
   public boolean speaks(byte[] bytes) {
-    return QuotaExchange.speaks(bytes);
+    return QuotaExchange.isQuotaMessage(bytes);
   }
 
   @Override
@@ -93,10 +93,10 @@
 
   @Override
   public long nextAt() {
-    return exchange.nextAt();
+    return exchange.nextTickAt();
   }
 
-  private static List<Membership.Out> out(List<QuotaExchange.Out> out) {
+  private static List<Membership.Out> out(List<QuotaExchange.OutgoingDatagram> out) {
     return out.stream().map(o -> new Membership.Out(o.to(), o.bytes())).toList();
   }
 }
--- a/src/main/java/pumicekeel/quota/QuotaExchange.java
+++ b/src/main/java/pumicekeel/quota/QuotaExchange.java
@@ -13,24 +13,25 @@
 import java.util.SplittableRandom;
 
 /**
- * One member's part in sharing tenants' quotas over a fleet: it begins with an even share of each, borrows from live members
- * what it lacks and lends what it does not need, for some seconds at a time. No I/O; times are readings of one clock in
- * nanoseconds. Only who is asked goes by who is there, never how much may be used, so a wrong view costs use and no safety.
+ * Shares tenants' quotas between the members of a fleet, from one member's side: it starts with an even share of each quota,
+ * borrows missing capacity from live members and lends unused capacity, on leases of a few seconds. Does no I/O; times are
+ * nanoseconds of one monotonic clock. The membership view only selects whom to query, never how much may be used, so a wrong
+ * view lowers utilization and cannot exceed a quota.
  */
 public final class QuotaExchange {
 
-  /** Where a datagram is to go. */
-  public record Out(int to, byte[] bytes) {}
+  /** A datagram and the member that it goes to. */
+  public record OutgoingDatagram(int to, byte[] bytes) {}
 
-  /** An answer that is waited for. */
-  private record Asked(int lender, long tenant, double perSecond, long at) {}
+  /** A loan request without a reply yet. */
+  private record PendingLoan(int lender, long tenant, double perSecond, long at) {}
 
   private static final class Tenant {
     private final long id;
     private final QuotaLedger ledger;
-    private final Map<Integer, Long> declinedUntil = new HashMap<>();
-    /** The last sequence and epoch of each borrower: what is repeated or late is not served again. */
-    private final Map<Integer, long[]> lastAsk = new HashMap<>();
+    private final Map<Integer, Long> declineBackoffUntil = new HashMap<>();
+    /** The last epoch and sequence number of each borrower; repeated and reordered messages are discarded by them. */
+    private final Map<Integer, long[]> lastMessage = new HashMap<>();
 
     private Tenant(long id, QuotaLedger ledger) {
       this.id = id;
@@ -38,14 +39,14 @@
     }
   }
 
-  /** Less than this part of a share is not worth a datagram. */
-  private static final double LEAST_PART = 0.02;
-  /** What is not needed is given back as soon as this part of what is wanted is left over. */
-  private static final double SURPLUS_KEPT = 0.25;
-  /** Asks of one round over all tenants; at 42 bytes some 7 kB/s at the most. */
-  private static final int MOST_ASKS = 32;
-  /** Tenants with a quota; each has books of every other member. */
-  public static final int MOST_TENANTS = 1_024;
+  /** Smaller fractions of a share are not worth a datagram. */
+  private static final double MIN_SHARE_FRACTION = 0.02;
+  /** Loans are returned once the surplus exceeds this fraction of the demand. */
+  private static final double MAX_SURPLUS_FRACTION = 0.25;
+  /** Messages sent in one round over all tenants; at 42 bytes each at most some 7 kB/s. */
+  private static final int MAX_REQUESTS_PER_ROUND = 32;
+  /** Maximum number of tenants with a quota: each keeps state about every other member. */
+  public static final int MAX_TENANTS = 1_024;
 
   private final QuotaSettings settings;
   private final int self;
@@ -54,14 +55,14 @@
   private final SplittableRandom random;
   private final Map<Long, Tenant> tenants = new LinkedHashMap<>();
   private final Map<String, Tenant> byName = new HashMap<>();
-  private final Map<Long, Asked> asked = new LinkedHashMap<>();
+  private final Map<Long, PendingLoan> pending = new LinkedHashMap<>();
   private long sequence;
-  private long roundAt;
-  private long changesAt;
+  private long nextRoundAt;
+  private long nextRateChangeAt;
   private long discarded;
-  private long firstTenant;
+  private long firstTenantOfRound;
 
-  /** The member of this number in a fleet of so many; {@code epoch} is higher in each of its lives. */
+  /** Creates the member numbered {@code self} of {@code size}; {@code epoch} grows with each restart of that member. */
   public QuotaExchange(
       QuotaSettings settings, int self, int size, long epoch, long seed, long now) {
     if (self < 0 || self >= size) {
@@ -74,20 +75,20 @@
     this.epoch = epoch;
     random = new SplittableRandom(seed);
     sequence = random.nextInt() & 0xffffffffL;
-    roundAt = now + random.nextLong(settings.roundNanos());
-    changesAt = Long.MAX_VALUE;
+    nextRoundAt = now + random.nextLong(settings.roundNanos());
+    nextRateChangeAt = Long.MAX_VALUE;
   }
 
   /**
-   * The quotas from now on, in requests a second over the fleet, by a name that is the same everywhere. One that was there with
-   * the same figure goes on; any other begins as a new life does, since others may lend by the former figure. Beyond
-   * {@link #MOST_TENANTS} none is shared, and each member has its even part.
+   * Replaces the quotas, in requests per second over the fleet, by a name that is the same at all members. A quota that keeps
+   * its rate keeps its leases; any other starts as after a restart, since members may still lend by the former rate. Quotas
+   * beyond {@link #MAX_TENANTS} are not exchanged; each member has its even share of them.
    */
-  public void quotas(Map<String, Double> perSecond, long now) {
+  public void setQuotas(Map<String, Double> perSecond, long now) {
     Map<Long, Tenant> next = new LinkedHashMap<>();
     byName.clear();
     perSecond.forEach((name, rate) -> {
-      if (rate > 0 && next.size() < MOST_TENANTS) {
+      if (rate > 0 && next.size() < MAX_TENANTS) {
         long id = idOf(name, rate);
         Tenant t = tenants.get(id);
         next.put(id, t == null ? new Tenant(id, new QuotaLedger(settings, rate / size, now)) : t);
@@ -96,11 +97,11 @@
     });
     tenants.clear();
     tenants.putAll(next);
-    asked.values().removeIf(a -> !tenants.containsKey(a.tenant()));
-    touched(now);
+    pending.values().removeIf(a -> !tenants.containsKey(a.tenant()));
+    ratesMayChange(now);
   }
 
-  /** Members with another figure or size do not lend to each other: their shares do not add up. */
+  /** Hashes rate and fleet size too: members that differ in them must not lend to each other, their shares do not add up. */
   private long idOf(String name, double rate) {
     try {
       byte[] digest = MessageDigest.getInstance("SHA-256")
@@ -111,142 +112,154 @@
     }
   }
 
-  /** Datagrams that were none, repeated, late, or of nobody's quota. */
+  /** Returns the number of datagrams discarded as malformed, repeated, late or of an unknown quota. */
   public long discarded() {
     return discarded;
   }
 
-  // What may be used
+  // Admissible rates
 
-  /** So many requests of a tenant have come. */
-  public void asked(String name, double count, long now) {
+  /** Records {@code count} requests received for a tenant. */
+  public void recordRequests(String name, double count, long now) {
     Tenant t = byName.get(name);
     if (t != null) {
-      t.ledger.asked(count, now);
+      t.ledger.recordRequests(count, now);
     }
   }
 
-  /** Requests a second of a tenant that this member may admit as within its quota; 0 for one without. */
+  /** Returns the requests per second of a tenant that this member may admit within the quota; 0 for a tenant without one. */
   public double rate(String name, long now) {
     Tenant t = byName.get(name);
-    return t == null ? 0 : t.ledger.usable(now);
+    return t == null ? 0 : t.ledger.usablePerSecond(now);
   }
 
-  /** Whether rates may be others than when this was last asked. */
-  public boolean changed(long now) {
-    if (now - changesAt < 0) {
+  /** Returns whether rates may have changed since the last call. */
+  public boolean ratesChanged(long now) {
+    if (now - nextRateChangeAt < 0) {
       return false;
     }
-    changesAt = Long.MAX_VALUE;
+    nextRateChangeAt = Long.MAX_VALUE;
     for (Tenant t : tenants.values()) {
-      changesAt = Math.min(changesAt, t.ledger.nextEnd(now));
+      nextRateChangeAt = Math.min(nextRateChangeAt, t.ledger.nextExpiry(now));
     }
     return true;
   }
 
-  private void touched(long now) {
-    changesAt = now;
+  private void ratesMayChange(long now) {
+    nextRateChangeAt = now;
   }
 
-  // Asking
+  // Borrowing and returning
 
-  /** When {@link #tick} has something to do. */
-  public long nextAt() {
-    return tenants.isEmpty() ? Long.MAX_VALUE : roundAt;
+  /** Returns when {@link #tick} is due. */
+  public long nextTickAt() {
+    return tenants.isEmpty() ? Long.MAX_VALUE : nextRoundAt;
   }
 
-  /** Asks for what is lacking; {@code live} are the members that may be asked. */
-  public List<Out> tick(long now, BitSet live) {
-    if (now - roundAt < 0) {
+  /** Requests missing capacity and returns surplus loans; {@code live} are the members that may be queried. */
+  public List<OutgoingDatagram> tick(long now, BitSet live) {
+    if (now - nextRoundAt < 0) {
       return List.of();
     }
-    roundAt = now + settings.roundNanos() / 2 + random.nextLong(settings.roundNanos());
-    asked.values().removeIf(a -> now - a.at() >= settings.declinedNanos());
-    List<Out> out = new ArrayList<>();
+    nextRoundAt = now + settings.roundNanos() / 2 + random.nextLong(settings.roundNanos());
+    pending.values().removeIf(a -> now - a.at() >= settings.declineBackoffNanos());
+    List<OutgoingDatagram> out = new ArrayList<>();
     List<Tenant> all = new ArrayList<>(tenants.values());
-    // Begins elsewhere each round, so that the bound on asks starves nobody.
-    firstTenant++;
-    for (int i = 0; i < all.size() && out.size() < MOST_ASKS; i++) {
-      ask(all.get((int) ((firstTenant + i) % all.size())), now, live, out);
+    // Starts at another tenant each round, so that the limit on requests starves none.
+    firstTenantOfRound++;
+    for (int i = 0; i < all.size() && out.size() < MAX_REQUESTS_PER_ROUND; i++) {
+      requestAndReturn(all.get((int) ((firstTenantOfRound + i) % all.size())), now, live, out);
     }
     return out;
   }
 
-  private void ask(Tenant t, long now, BitSet live, List<Out> out) {
-    double wanted = t.ledger.wanted(now);
-    double has = t.ledger.usable(now);
-    double least = LEAST_PART * t.ledger.share();
-    double surplus = has - wanted;
+  private void requestAndReturn(Tenant t, long now, BitSet live, List<OutgoingDatagram> out) {
+    double demand = t.ledger.demandPerSecond(now);
+    double usable = t.ledger.usablePerSecond(now);
+    double minimum = MIN_SHARE_FRACTION * t.ledger.share();
+    double surplus = usable - demand;
     for (int lender : t.ledger.lenders()) {
-      double due = t.ledger.due(lender, now);
-      if (due == 0 || isAsked(t, lender)) {
+      double due = t.ledger.dueForRenewal(lender, now);
+      if (due == 0 || hasPendingRequest(t, lender)) {
         continue;
       }
-      // Renewed as far as it is still needed.
+      // Renews only the part that is still needed.
       double need = Math.min(due, due - surplus);
-      boolean renews = need > least && live.get(lender);
+      boolean renews = need > minimum && live.get(lender);
       if (renews) {
-        send(t, lender, need, now, out);
+        sendRequest(t, lender, need, now, out);
       }
       surplus -= due - (renews ? need : 0);
     }
-    double slack = SURPLUS_KEPT * wanted + least;
+    double slack = MAX_SURPLUS_FRACTION * demand + minimum;
     for (int lender : t.ledger.lenders()) {
-      double part = t.ledger.from(lender);
-      if (part > 0 && surplus - part > slack && !isAsked(t, lender) && out.size() < MOST_ASKS) {
+      double loan = t.ledger.borrowedFrom(lender);
+      if (loan > 0
+          && surplus - loan > slack
+          && !hasPendingRequest(t, lender)
+          && out.size() < MAX_REQUESTS_PER_ROUND) {
         surplus -= t.ledger.giveUp(lender);
-        touched(now);
+        ratesMayChange(now);
         sequence = sequence + 1 & 0xffffffffL;
-        out.add(new Out(
+        out.add(new OutgoingDatagram(
             lender,
             new QuotaMessage(QuotaMessage.Kind.RETURN, self, epoch, epoch, sequence, t.id, 0)
                 .bytes()));
       }
     }
-    double lacks = -surplus - underWay(t);
-    int[] others = lacks > least ? others(t, lacks, now, live) : new int[0];
-    for (int lender : others) {
-      send(t, lender, t.ledger.from(lender) + Math.max(least, lacks / others.length), now, out);
+    double missing = -surplus - pendingLoans(t);
+    int[] chooseLenders = missing > minimum ? chooseLenders(t, missing, now, live) : new int[0];
+    for (int lender : chooseLenders) {
+      sendRequest(
+          t,
+          lender,
+          t.ledger.borrowedFrom(lender) + Math.max(minimum, missing / chooseLenders.length),
+          now,
+          out);
     }
   }
 
-  private boolean isAsked(Tenant t, int lender) {
-    return asked.values().stream().anyMatch(a -> a.lender() == lender && a.tenant() == t.id);
+  private boolean hasPendingRequest(Tenant t, int lender) {
+    return pending.values().stream().anyMatch(a -> a.lender() == lender && a.tenant() == t.id);
   }
 
-  /** What answers that are waited for would add. */
-  private double underWay(Tenant t) {
-    return asked.values().stream()
+  /** Returns the capacity that outstanding requests would add if all were granted. */
+  private double pendingLoans(Tenant t) {
+    return pending.values().stream()
         .filter(a -> a.tenant() == t.id)
-        .mapToDouble(a -> Math.max(0, a.perSecond() - t.ledger.from(a.lender())))
+        .mapToDouble(a -> Math.max(0, a.perSecond() - t.ledger.borrowedFrom(a.lender())))
         .sum();
   }
 
-  /** Some that live and have not just declined; one that lends already may have more to lend. */
-  private int[] others(Tenant t, double lacks, long now, BitSet live) {
-    t.declinedUntil.values().removeIf(until -> now - until >= 0);
-    int[] can = live.stream()
-        .filter(m -> m != self && m < size && !t.declinedUntil.containsKey(m) && !isAsked(t, m))
+  /** Chooses random live members that have not just declined; a current lender may have more to lend. */
+  private int[] chooseLenders(Tenant t, double missing, long now, BitSet live) {
+    t.declineBackoffUntil.values().removeIf(until -> now - until >= 0);
+    int[] candidates = live.stream()
+        .filter(m -> m != self
+            && m < size
+            && !t.declineBackoffUntil.containsKey(m)
+            && !hasPendingRequest(t, m))
         .toArray();
-    int needed =
-        (int) Math.ceil(Math.min(MOST_ASKS, lacks / (settings.lendablePart() * t.ledger.share())));
-    int count = Math.min(Math.max(settings.askedAtOnce(), needed), can.length);
+    int needed = (int) Math.ceil(Math.min(
+        MAX_REQUESTS_PER_ROUND, missing / (settings.lendableFraction() * t.ledger.share())));
+    int count = Math.min(Math.max(settings.lendersPerRound(), needed), candidates.length);
     for (int i = 0; i < count; i++) {
-      int j = i + random.nextInt(can.length - i);
-      int m = can[i];
-      can[i] = can[j];
-      can[j] = m;
+      int j = i + random.nextInt(candidates.length - i);
+      int m = candidates[i];
+      candidates[i] = candidates[j];
+      candidates[j] = m;
     }
-    return java.util.Arrays.copyOf(can, count);
+    return java.util.Arrays.copyOf(candidates, count);
   }
 
-  private void send(Tenant t, int lender, double perSecond, long now, List<Out> out) {
-    if (out.size() >= MOST_ASKS) {
+  private void sendRequest(
+      Tenant t, int lender, double perSecond, long now, List<OutgoingDatagram> out) {
+    if (out.size() >= MAX_REQUESTS_PER_ROUND) {
       return;
     }
     sequence = sequence + 1 & 0xffffffffL;
-    asked.put(sequence, new Asked(lender, t.id, perSecond, now));
-    out.add(new Out(
+    pending.put(sequence, new PendingLoan(lender, t.id, perSecond, now));
+    out.add(new OutgoingDatagram(
         lender,
         new QuotaMessage(QuotaMessage.Kind.ASK, self, epoch, epoch, sequence, t.id, perSecond)
             .bytes()));
@@ -254,13 +267,13 @@
 
   // Messages
 
-  /** Whether a datagram is of this protocol. */
-  public static boolean speaks(byte[] bytes) {
+  /** Returns whether a datagram belongs to this protocol. */
+  public static boolean isQuotaMessage(byte[] bytes) {
     return bytes.length >= 2 && ByteBuffer.wrap(bytes).getShort() == QuotaMessage.MAGIC;
   }
 
-  /** Takes a datagram that came from the address of a member. */
-  public List<Out> receive(int from, byte[] bytes, long now) {
+  /** Handles a datagram received from the address of a member; returns the replies. */
+  public List<OutgoingDatagram> receive(int from, byte[] bytes, long now) {
     QuotaMessage m = QuotaMessage.of(bytes);
     Tenant t = m == null ? null : tenants.get(m.tenant());
     if (t == null || m.from() != from || from == self) {
@@ -268,7 +281,7 @@
       return List.of();
     }
     if (m.kind() == QuotaMessage.Kind.LEND) {
-      take(t, m, now);
+      onLend(t, m, now);
       return List.of();
     }
     if (!isLater(t, m)) {
@@ -278,14 +291,14 @@
     if (m.kind() == QuotaMessage.Kind.ASK) {
       return lend(t, m, now);
     }
-    t.ledger.returned(from);
-    touched(now);
+    t.ledger.onReturned(from);
+    ratesMayChange(now);
     return List.of();
   }
 
-  /** What was overtaken or comes twice is not served: an ask behind a return would lend to one that knows nothing of it. */
+  /** Rejects reordered and repeated messages: a request that arrives after its return would lend to a borrower that ignores it. */
   private static boolean isLater(Tenant t, QuotaMessage m) {
-    long[] last = t.lastAsk.computeIfAbsent(m.from(), k -> new long[] {-1, 0});
+    long[] last = t.lastMessage.computeIfAbsent(m.from(), k -> new long[] {-1, 0});
     boolean later =
         m.epoch() > last[0] || m.epoch() == last[0] && (int) (m.sequence() - last[1]) > 0;
     if (later) {
@@ -295,20 +308,20 @@
     return later;
   }
 
-  private List<Out> lend(Tenant t, QuotaMessage m, long now) {
-    double part = t.ledger.lend(m.from(), m.perSecond(), now);
-    if (part > 0) {
-      touched(now);
+  private List<OutgoingDatagram> lend(Tenant t, QuotaMessage m, long now) {
+    double granted = t.ledger.lend(m.from(), m.perSecond(), now);
+    if (granted > 0) {
+      ratesMayChange(now);
     }
-    return List.of(new Out(
+    return List.of(new OutgoingDatagram(
         m.from(),
         new QuotaMessage(
-                QuotaMessage.Kind.LEND, self, epoch, m.epoch(), m.sequence(), m.tenant(), part)
+                QuotaMessage.Kind.LEND, self, epoch, m.epoch(), m.sequence(), m.tenant(), granted)
             .bytes()));
   }
 
-  private void take(Tenant t, QuotaMessage m, long now) {
-    Asked a = m.borrowerEpoch() == epoch ? asked.get(m.sequence()) : null;
+  private void onLend(Tenant t, QuotaMessage m, long now) {
+    PendingLoan a = m.borrowerEpoch() == epoch ? pending.get(m.sequence()) : null;
     if (a == null
         || a.lender() != m.from()
         || a.tenant() != m.tenant()
@@ -316,13 +329,13 @@
       discarded++;
       return;
     }
-    asked.remove(m.sequence());
+    pending.remove(m.sequence());
     if (m.perSecond() < a.perSecond()) {
-      t.declinedUntil.put(m.from(), now + settings.declinedNanos());
+      t.declineBackoffUntil.put(m.from(), now + settings.declineBackoffNanos());
     }
     if (m.perSecond() > 0 && now - a.at() < settings.leaseNanos()) {
       t.ledger.borrow(m.from(), m.perSecond(), a.at());
-      touched(now);
+      ratesMayChange(now);
     }
   }
 }
--- a/src/main/java/pumicekeel/quota/QuotaLedger.java
+++ b/src/main/java/pumicekeel/quota/QuotaLedger.java
@@ -7,40 +7,40 @@
 import java.util.Map;
 
 /**
- * One member's book of one tenant's quota: its own share, what of it is lent, and what it has borrowed. The shares of all
- * members add up to the quota; a part counts for its lender no more before it counts for a borrower, and again only when the
- * borrower's time is over. So the sum never exceeds the quota, whoever hears of whom (escrow: O'Neil 1986; leases: Gray and
- * Cheriton 1989).
+ * One member's ledger of one tenant's quota: its own share, the leases it has granted and those it has borrowed. The shares of
+ * all members add up to the quota. The lender stops using a lease before the borrower starts, and uses it again only after the
+ * borrower's lease has expired, so the sum never exceeds the quota whatever messages are lost (escrow: O'Neil 1986; leases:
+ * Gray and Cheriton 1989).
  */
 final class QuotaLedger {
 
-  /** A part that is given out, until then. */
-  private record Lease(double perSecond, long until) {}
+  /** Capacity lent until a point in time. */
+  private record Lease(double perSecond, long expiresAt) {}
 
-  /** Leases to one borrower that run at once: it renews halfway, so two; a flood of asking is not served. */
-  private static final int MOST_LEASES = 4;
-  /** Parts of a second over which demand is counted: the last whole ones. */
+  /** Concurrent leases to one borrower. Renewal at half time needs two; the limit bounds the state under a flood of requests. */
+  private static final int MAX_LEASES_PER_BORROWER = 4;
+  /** Slots per second in which demand is counted; only complete slots count. */
   private static final int SLOTS = 4;
-  /** Chance: so many roots of a second's mean beyond it may come in any second. */
-  private static final double ROOTS = 2;
+  /** Standard deviations (of a Poisson process) added to the mean demand, since any second may exceed the mean by chance. */
+  private static final double DEMAND_STANDARD_DEVIATIONS = 2;
 
   private final QuotaSettings settings;
   private final double share;
-  private final long keptBackUntil;
+  private final long reservedUntil;
   private final Map<Integer, ArrayDeque<Lease>> lent = new HashMap<>();
-  /** Of each lender what still runs, the largest first: one that ends later is there only if it is smaller. */
+  /** Unexpired leases by lender, the largest first: a lease that expires later is kept only if it is smaller. */
   private final Map<Integer, ArrayDeque<Lease>> borrowed = new HashMap<>();
 
   private final double[] slots = new double[SLOTS + 1];
   private int slot;
-  private long slotEnds;
+  private long slotEndsAt;
 
-  /** Of a member whose earlier life may have lent what it could until just now. */
+  /** Reserves the lendable part at first: before its restart the member may have lent all of it until just now. */
   QuotaLedger(QuotaSettings settings, double share, long now) {
     this.settings = settings;
     this.share = share;
-    keptBackUntil = now + settings.heldNanos();
-    slotEnds = now;
+    reservedUntil = now + settings.lenderLeaseNanos();
+    slotEndsAt = now;
   }
 
   double share() {
@@ -49,52 +49,53 @@
 
   // Demand
 
-  void asked(double count, long now) {
-    turn(now);
+  void recordRequests(double count, long now) {
+    advanceSlots(now);
     slots[slot] += count;
   }
 
-  private void turn(long now) {
+  private void advanceSlots(long now) {
     long length = 1_000_000_000L / SLOTS;
-    for (int i = 0; i <= SLOTS && now - slotEnds >= 0; i++) {
+    for (int i = 0; i <= SLOTS && now - slotEndsAt >= 0; i++) {
       slot = (slot + 1) % slots.length;
       slots[slot] = 0;
-      slotEnds += length;
+      slotEndsAt += length;
     }
-    if (now - slotEnds >= 0) {
-      slotEnds = now + length;
+    if (now - slotEndsAt >= 0) {
+      slotEndsAt = now + length;
     }
   }
 
-  /** Requests a second that this member wants to admit. */
-  double wanted(long now) {
-    turn(now);
+  /** Returns the requests per second that this member needs to admit. */
+  double demandPerSecond(long now) {
+    advanceSlots(now);
     double sum = -slots[slot];
     for (double s : slots) {
       sum += s;
     }
-    return Math.max(0, sum) + ROOTS * Math.sqrt(Math.max(0, sum));
+    return Math.max(0, sum) + DEMAND_STANDARD_DEVIATIONS * Math.sqrt(Math.max(0, sum));
   }
 
-  // What may be used
+  // Admissible rates
 
-  /** Requests a second that this member may admit as within the quota. */
-  double usable(long now) {
+  /** Returns the requests per second that this member may admit within the quota. */
+  double usablePerSecond(long now) {
     double own = share
-        - Math.max(lentOut(now), now - keptBackUntil < 0 ? settings.lendablePart() * share : 0);
-    return Math.max(0, own + running(borrowed, now));
+        - Math.max(
+            lentPerSecond(now), now - reservedUntil < 0 ? settings.lendableFraction() * share : 0);
+    return Math.max(0, own + sumOfLargest(borrowed, now));
   }
 
-  /** What counts for borrowers: of each the largest that runs, as the last word that reached it is not known here. */
-  private double lentOut(long now) {
-    return running(lent, now);
+  /** Sums the largest unexpired lease of each borrower, since the lender cannot know which reply reached the borrower last. */
+  private double lentPerSecond(long now) {
+    return sumOfLargest(lent, now);
   }
 
-  private static double running(Map<Integer, ArrayDeque<Lease>> book, long now) {
+  private static double sumOfLargest(Map<Integer, ArrayDeque<Lease>> leasesByMember, long now) {
     double sum = 0;
-    for (Iterator<ArrayDeque<Lease>> it = book.values().iterator(); it.hasNext(); ) {
+    for (Iterator<ArrayDeque<Lease>> it = leasesByMember.values().iterator(); it.hasNext(); ) {
       ArrayDeque<Lease> leases = it.next();
-      leases.removeIf(l -> now - l.until() >= 0);
+      leases.removeIf(l -> now - l.expiresAt() >= 0);
       if (leases.isEmpty()) {
         it.remove();
       } else {
@@ -104,25 +105,27 @@
     return sum;
   }
 
-  /** One more with a member: any that is no larger and ends no later says nothing any more. */
-  private static void enter(Map<Integer, ArrayDeque<Lease>> book, int member, Lease lease) {
-    ArrayDeque<Lease> leases = book.computeIfAbsent(member, k -> new ArrayDeque<>());
-    leases.removeIf(l -> l.perSecond() <= lease.perSecond() && l.until() - lease.until() <= 0);
+  /** Adds a lease and removes those that are no larger and expire no later. */
+  private static void addLease(
+      Map<Integer, ArrayDeque<Lease>> leasesByMember, int member, Lease lease) {
+    ArrayDeque<Lease> leases = leasesByMember.computeIfAbsent(member, k -> new ArrayDeque<>());
+    leases.removeIf(
+        l -> l.perSecond() <= lease.perSecond() && l.expiresAt() - lease.expiresAt() <= 0);
     leases.addLast(lease);
   }
 
-  private static double largest(Map<Integer, ArrayDeque<Lease>> book, int member) {
-    ArrayDeque<Lease> leases = book.get(member);
+  private static double largestLease(Map<Integer, ArrayDeque<Lease>> leasesByMember, int member) {
+    ArrayDeque<Lease> leases = leasesByMember.get(member);
     return leases == null || leases.isEmpty() ? 0 : leases.peekFirst().perSecond();
   }
 
-  /** When something runs out, at the earliest. */
-  long nextEnd(long now) {
-    long next = now - keptBackUntil < 0 ? keptBackUntil : Long.MAX_VALUE;
-    for (Map<Integer, ArrayDeque<Lease>> book : List.of(borrowed, lent)) {
-      for (ArrayDeque<Lease> leases : book.values()) {
+  /** Returns when the next lease or the reservation expires. */
+  long nextExpiry(long now) {
+    long next = now - reservedUntil < 0 ? reservedUntil : Long.MAX_VALUE;
+    for (Map<Integer, ArrayDeque<Lease>> leasesByMember : List.of(borrowed, lent)) {
+      for (ArrayDeque<Lease> leases : leasesByMember.values()) {
         for (Lease l : leases) {
-          next = Math.min(next, l.until());
+          next = Math.min(next, l.expiresAt());
         }
       }
     }
@@ -131,53 +134,53 @@
 
   // Lending and borrowing
 
-  /** Lends as much of what is asked as this member can spare; 0 for nothing. */
+  /** Lends at most {@code perSecond}, as far as this member can spare it; returns the granted rate, 0 for a refusal. */
   double lend(int borrower, double perSecond, long now) {
-    double out = lentOut(now);
+    double lentNow = lentPerSecond(now);
     ArrayDeque<Lease> to = lent.get(borrower);
-    // What the borrower has already does not count twice, so that it can renew all of it.
-    double spare = Math.min(settings.lendablePart() * share, share - wanted(now))
-        - (out - largest(lent, borrower));
+    // Excludes the borrower's current lease, so that it can be renewed in full.
+    double spare = Math.min(settings.lendableFraction() * share, share - demandPerSecond(now))
+        - (lentNow - largestLease(lent, borrower));
     boolean full = to != null
-        && to.size() >= MOST_LEASES
+        && to.size() >= MAX_LEASES_PER_BORROWER
         && to.peekLast().perSecond() > Math.min(perSecond, spare);
-    double part = now - keptBackUntil < 0 || full ? 0 : Math.min(perSecond, spare);
-    if (part <= 0) {
+    double granted = now - reservedUntil < 0 || full ? 0 : Math.min(perSecond, spare);
+    if (granted <= 0) {
       return 0;
     }
-    enter(lent, borrower, new Lease(part, now + settings.heldNanos()));
-    return part;
+    addLease(lent, borrower, new Lease(granted, now + settings.lenderLeaseNanos()));
+    return granted;
   }
 
-  /** Takes a part over that was asked for at {@code askedAt}. */
+  /** Records a loan; its lease runs from {@code askedAt}, when it was requested. */
   void borrow(int lender, double perSecond, long askedAt) {
-    enter(borrowed, lender, new Lease(perSecond, askedAt + settings.leaseNanos()));
+    addLease(borrowed, lender, new Lease(perSecond, askedAt + settings.leaseNanos()));
   }
 
-  /** The borrower uses nothing of it any more. */
-  void returned(int borrower) {
+  /** Frees the borrower's leases: it has stopped using them. */
+  void onReturned(int borrower) {
     lent.remove(borrower);
   }
 
-  /** Gives up what one member lends; from now on it is not used here. */
+  /** Drops the loans of one lender, which are not used from now on; returns their rate. */
   double giveUp(int lender) {
-    double part = from(lender);
+    double part = borrowedFrom(lender);
     borrowed.remove(lender);
     return part;
   }
 
-  double from(int lender) {
-    return largest(borrowed, lender);
+  double borrowedFrom(int lender) {
+    return largestLease(borrowed, lender);
   }
 
-  /** What comes from one member, and is past the middle of its time: of the one that ends last. */
-  double due(int lender, long now) {
+  /** Returns the rate of a lender's last-expiring lease once half of its time is over; 0 before that. */
+  double dueForRenewal(int lender, long now) {
     ArrayDeque<Lease> leases = borrowed.get(lender);
     Lease l = leases == null ? null : leases.peekLast();
-    return l != null && l.until() - now <= settings.leaseNanos() / 2 ? l.perSecond() : 0;
+    return l != null && l.expiresAt() - now <= settings.leaseNanos() / 2 ? l.perSecond() : 0;
   }
 
-  /** Members that lend to this one. */
+  /** Returns the members that lend to this one. */
   int[] lenders() {
     return borrowed.keySet().stream().mapToInt(i -> i).sorted().toArray();
   }
--- a/src/main/java/pumicekeel/quota/QuotaMessage.java
+++ b/src/main/java/pumicekeel/quota/QuotaMessage.java
@@ -3,11 +3,11 @@
 import java.nio.ByteBuffer;
 
 /**
- * One message between members about one tenant's quota, {@link #BYTES} long. Big-endian: magic 2, version 1, kind 1, sender 2,
- * its epoch 8, the borrower's epoch 8, the borrower's sequence 4, tenant 8, requests a second 8.
+ * A message between members about one tenant's quota, {@link #BYTES} bytes long. Big-endian: magic 2, version 1, kind 1,
+ * sender 2, its epoch 8, the borrower's epoch 8, the borrower's sequence number 4, tenant 8, requests per second 8.
  *
- * @param tenant what the quota is of, as {@link QuotaExchange} names it
- * @param perSecond what is asked for, or lent; 0 lent is a refusal, and what is returned is all that the member has
+ * @param tenant the quota's id, a hash computed by {@link QuotaExchange}
+ * @param perSecond the rate requested or lent; 0 lent is a refusal. A RETURN gives back everything borrowed from the receiver
  */
 record QuotaMessage(
     Kind kind,
@@ -18,7 +18,7 @@
     long tenant,
     double perSecond) {
 
-  /** What a message asks, gives or gives back. */
+  /** The purpose of a message. */
   enum Kind {
     ASK,
     LEND,
@@ -28,8 +28,8 @@
   static final int BYTES = 42;
   static final short MAGIC = 0x4851;
   private static final byte VERSION = 1;
-  /** As the operator file bounds a quota. */
-  private static final double MOST_PER_SECOND = 10_000_000;
+  /** The operator file's limit on a quota. */
+  private static final double MAX_PER_SECOND = 10_000_000;
 
   byte[] bytes() {
     return ByteBuffer.allocate(BYTES)
@@ -45,7 +45,7 @@
         .array();
   }
 
-  /** Reads one; null for anything that is none, to the last byte. */
+  /** Parses a message; returns null for anything that is not exactly a valid one. */
   static QuotaMessage of(byte[] bytes) {
     if (bytes.length != BYTES) {
       return null;
@@ -65,7 +65,7 @@
             in.getInt() & 0xffffffffL,
             in.getLong(),
             in.getDouble());
-    // Written so that a NaN fails it too.
-    return m != null && m.perSecond >= 0 && m.perSecond <= MOST_PER_SECOND ? m : null;
+    // Comparisons in this form reject NaN too.
+    return m != null && m.perSecond >= 0 && m.perSecond <= MAX_PER_SECOND ? m : null;
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/HollowQuotas.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowQuotas.java
@@ -38,12 +38,12 @@
     random = new SplittableRandom(seed);
     long now = System.nanoTime();
     exchange = new QuotaExchange(
-        QuotaSettings.USUAL, self, members, System.currentTimeMillis(), seed, now);
+        QuotaSettings.DEFAULTS, self, members, System.currentTimeMillis(), seed, now);
     Map<String, Double> quotas = new HashMap<>();
     for (int tenant = 0; tenant < tenants; tenant++) {
       quotas.put(ConfigurationGenerator.tenantName(tenant), QUOTA_PER_SECOND);
     }
-    exchange.quotas(quotas, now);
+    exchange.setQuotas(quotas, now);
   }
 
   long sentDatagrams() {
@@ -56,7 +56,7 @@
 
   @Override
   public boolean speaks(byte[] bytes) {
-    return QuotaExchange.speaks(bytes);
+    return QuotaExchange.isQuotaMessage(bytes);
   }
 
   @Override
@@ -76,12 +76,13 @@
     }
     double share = QUOTA_PER_SECOND / members;
     for (int tenant = firstActive; tenant < tenants; tenant += ACTIVE_EVERY) {
-      exchange.asked(ConfigurationGenerator.tenantName(tenant), random.nextDouble() * share, now);
+      exchange.recordRequests(
+          ConfigurationGenerator.tenantName(tenant), random.nextDouble() * share, now);
     }
   }
 
-  private List<Membership.Out> counted(List<QuotaExchange.Out> out) {
-    for (QuotaExchange.Out one : out) {
+  private List<Membership.Out> counted(List<QuotaExchange.OutgoingDatagram> out) {
+    for (QuotaExchange.OutgoingDatagram one : out) {
       sentDatagrams++;
       sentBytes += one.bytes().length;
     }
@@ -90,6 +91,6 @@
 
   @Override
   public long nextAt() {
-    return exchange.nextAt();
+    return exchange.nextTickAt();
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/QuotaScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/QuotaScenario.java
@@ -57,15 +57,15 @@
   @Override
   public void warmUp(long seed, Deadline deadline)
       throws RefusedException, TimeoutException, InterruptedException, IOException {
-    measure(QuotaExchange.MOST_TENANTS, seed, deadline);
+    measure(QuotaExchange.MAX_TENANTS, seed, deadline);
   }
 
   @Override
   public Map<String, Double> measure(int size, long seed, Deadline deadline)
       throws RefusedException, TimeoutException, InterruptedException, IOException {
-    if (size > QuotaExchange.MOST_TENANTS) {
+    if (size > QuotaExchange.MAX_TENANTS) {
       throw new RefusedException(
-          "at most " + QuotaExchange.MOST_TENANTS + " tenants' quotas are lent, got " + size);
+          "at most " + QuotaExchange.MAX_TENANTS + " tenants' quotas are lent, got " + size);
     }
     try (Loops loops = new Loops(MEMBERS);
         HollowFleet fleet = HollowFleet.start(loops, seed)) {
--- a/src/main/java/pumicekeel/sim/QuotaSim.java
+++ b/src/main/java/pumicekeel/sim/QuotaSim.java
@@ -138,7 +138,7 @@
     for (int i = 0; i < size; i++) {
       if (up(i)) {
         for (int t = 0; t < names.size(); t++) {
-          members[i].asked(names.get(t), poisson(demand[i][t] * STEP / SECOND), now);
+          members[i].recordRequests(names.get(t), poisson(demand[i][t] * STEP / SECOND), now);
         }
         send(i, members[i].tick(now, view(i)));
       }
@@ -179,8 +179,8 @@
     return view;
   }
 
-  private void send(int from, List<QuotaExchange.Out> out) {
-    for (QuotaExchange.Out o : out) {
+  private void send(int from, List<QuotaExchange.OutgoingDatagram> out) {
+    for (QuotaExchange.OutgoingDatagram o : out) {
       datagrams++;
       bytes += o.bytes().length;
       if (old.size() < 500 && random.nextInt(20) == 0) {
@@ -199,13 +199,13 @@
       running[i] = true;
       pausedUntil[i] = 0;
       members[i] = new QuotaExchange(
-          QuotaSettings.USUAL,
+          QuotaSettings.DEFAULTS,
           i,
           size,
           1_700_000_000_000L + now / MS + lives++,
           random.nextLong(),
           now);
-      members[i].quotas(QUOTAS, now);
+      members[i].setQuotas(QUOTAS, now);
     }
   }
 
--- a/src/test/java/pumicekeel/quota/QuotaExchangeTest.java
+++ b/src/test/java/pumicekeel/quota/QuotaExchangeTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pumicekeel.quota.QuotaExchange.Out;
+import pumicekeel.quota.QuotaExchange.OutgoingDatagram;
 
 /** Two members and one tenant's quota of 200 a second, in virtual time. */
 class QuotaExchangeTest {
@@ -25,8 +25,8 @@
   private long now = SECOND;
 
   private static QuotaExchange member(int self, long epoch, long at) {
-    QuotaExchange m = new QuotaExchange(QuotaSettings.USUAL, self, 2, epoch, 7, at);
-    m.quotas(Map.of("t", 200.0), at);
+    QuotaExchange m = new QuotaExchange(QuotaSettings.DEFAULTS, self, 2, epoch, 7, at);
+    m.setQuotas(Map.of("t", 200.0), at);
     return m;
   }
 
@@ -45,8 +45,8 @@
   private byte[] ask() {
     for (int i = 0; i < 100; i++) {
       now += 50 * MS;
-      busy.asked("t", 7.5, now);
-      List<Out> out = busy.tick(now, both);
+      busy.recordRequests("t", 7.5, now);
+      List<OutgoingDatagram> out = busy.tick(now, both);
       if (!out.isEmpty()) {
         return out.get(0).bytes();
       }
@@ -121,8 +121,8 @@
     byte[] returned = null;
     for (int i = 0; i < 60 && returned == null; i++) {
       now += 50 * MS;
-      busy.asked("t", i < 30 ? 7.5 : 0, now);
-      for (Out o : busy.tick(now, both)) {
+      busy.recordRequests("t", i < 30 ? 7.5 : 0, now);
+      for (OutgoingDatagram o : busy.tick(now, both)) {
         boolean gives = o.bytes()[3] == QuotaMessage.Kind.RETURN.ordinal();
         returned = gives ? o.bytes() : returned;
         overtaken = gives ? overtaken : o.bytes();
@@ -141,8 +141,8 @@
   void memberThatHasALittleGetsMoreOfTheSameLender() {
     for (int i = 0; i < 100; i++) {
       now += 50 * MS;
-      busy.asked("t", 4 + 0.1 * i, now);
-      for (Out o : busy.tick(now, both)) {
+      busy.recordRequests("t", 4 + 0.1 * i, now);
+      for (OutgoingDatagram o : busy.tick(now, both)) {
         idle.receive(0, o.bytes(), now).forEach(answer -> busy.receive(1, answer.bytes(), now));
         assertTrue(rate(busy) + rate(idle) <= 200 + GRAIN);
       }
@@ -158,9 +158,9 @@
     byte[] less = null;
     for (int i = 0; i < 40 && less == null; i++) {
       now += 50 * MS;
-      idle.asked("t", 4.5, now);
-      busy.asked("t", 7.5, now);
-      List<Out> out = busy.tick(now, both);
+      idle.recordRequests("t", 4.5, now);
+      busy.recordRequests("t", 7.5, now);
+      List<OutgoingDatagram> out = busy.tick(now, both);
       less = out.isEmpty() || now < 6 * SECOND ? null : lent(out.get(0).bytes());
     }
     assertNotNull(less);
@@ -172,7 +172,7 @@
   @Test
   void membersWithAnotherFigureDoNotLend() {
     byte[] ask = ask();
-    idle.quotas(Map.of("t", 300.0), now);
+    idle.setQuotas(Map.of("t", 300.0), now);
     assertEquals(List.of(), idle.receive(0, ask, now));
     assertEquals(1, idle.discarded());
   }
--- a/src/test/java/pumicekeel/rig/scale/HollowScenariosTest.java
+++ b/src/test/java/pumicekeel/rig/scale/HollowScenariosTest.java
@@ -59,7 +59,7 @@
     assertTrue(figures.get("messages-per-s") > 0, figures::toString);
     assertThrows(
         RefusedException.class,
-        () -> new QuotaScenario().measure(QuotaExchange.MOST_TENANTS + 1, SEED, later()));
+        () -> new QuotaScenario().measure(QuotaExchange.MAX_TENANTS + 1, SEED, later()));
   }
 
   @Test
