--- a/src/main/java/pumicekeel/cli/SubsetsCommand.java
+++ b/src/main/java/pumicekeel/cli/SubsetsCommand.java
@@ -69,10 +69,10 @@
       out.printf(
           "%-10s  %4.2f  %5.2f  %9.3f  %8d  %18.3f  %17.3f%n",
           way.toString().toLowerCase(java.util.Locale.ROOT),
-          f.most(),
-          f.least(),
-          f.deviation(),
-          f.connections(),
+          f.maxLoad(),
+          f.minLoad(),
+          f.loadDeviation(),
+          f.maxConnections(),
           f.movedByUpstream(),
           f.movedByBalancer());
     }
--- a/src/test/java/pumicekeel/subset/SubsetsTest.java
+++ b/src/test/java/pumicekeel/subset/SubsetsTest.java
@@ -42,16 +42,16 @@
   void apertureLoadsAllAlike() {
     for (int balancers : new int[] {1, 3, 20, 37}) {
       SubsetFigures f = SubsetFigures.of(Subsets.APERTURE, balancers, 103, 25);
-      assertEquals(1, f.most(), 1e-6, balancers + " balancers");
-      assertEquals(1, f.least(), 1e-6, balancers + " balancers");
+      assertEquals(1, f.maxLoad(), 1e-6, balancers + " balancers");
+      assertEquals(1, f.minLoad(), 1e-6, balancers + " balancers");
     }
   }
 
   @Test
   void roundsLoadAllAlikeWhereTheyFit() {
     SubsetFigures f = SubsetFigures.of(Subsets.ROUNDS, 20, 100, 25);
-    assertEquals(1, f.most(), 1e-9);
-    assertEquals(5, f.connections());
+    assertEquals(1, f.maxLoad(), 1e-9);
+    assertEquals(5, f.maxConnections());
   }
 
   @Test
