--- a/src/main/java/pumicekeel/cli/RoutesCommand.java
+++ b/src/main/java/pumicekeel/cli/RoutesCommand.java
@@ -97,12 +97,12 @@
       return 0;
     }
     Asked asked = asked();
-    RouteTable.Found found = table.match(asked);
+    RouteTable.MatchResult found = table.match(asked);
     if (found instanceof RouteTable.Malformed malformed) {
       spec.commandLine().getErr().println("answered 400: " + malformed.why());
       return 2;
     }
-    Route taken = found instanceof RouteTable.Taken t ? t.route() : null;
+    Route taken = found instanceof RouteTable.Matched t ? t.route() : null;
     String pool = taken == null ? null : taken.split().poolOf(splitKey(asked));
     if (json) {
       out.println(asJson(table.explain(asked), taken, pool));
@@ -168,8 +168,8 @@
   }
 
   private static void explain(
-      PrintWriter out, List<RouteTable.Verdict> verdicts, Route taken, String pool) {
-    for (RouteTable.Verdict v : verdicts) {
+      PrintWriter out, List<RouteTable.Explanation> verdicts, Route taken, String pool) {
+    for (RouteTable.Explanation v : verdicts) {
       out.println(v.route().order() + 1 + " " + v.route().name() + ": "
           + (v.objection() == null ? "takes it" : "no: " + v.objection()));
     }
@@ -185,7 +185,7 @@
                     : ""));
   }
 
-  private static String asJson(List<RouteTable.Verdict> verdicts, Route taken, String pool)
+  private static String asJson(List<RouteTable.Explanation> verdicts, Route taken, String pool)
       throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
@@ -194,7 +194,7 @@
       g.writeStringField("pool", pool);
       g.writeStringField("fallback", taken == null ? null : taken.fallback());
       g.writeArrayFieldStart("tried");
-      for (RouteTable.Verdict v : verdicts) {
+      for (RouteTable.Explanation v : verdicts) {
         g.writeStartObject();
         g.writeNumberField("order", v.route().order() + 1);
         g.writeStringField("name", v.route().name());
--- a/src/main/java/pumicekeel/node/Admission.java
+++ b/src/main/java/pumicekeel/node/Admission.java
@@ -64,8 +64,8 @@
 
   @Override
   public boolean reserveBody(int more) {
-    if (!pool.body.tryTake(more)) {
-      services.counters().noRoom();
+    if (!pool.body.tryAcquire(more)) {
+      services.counters().countPoolFull();
       return false;
     }
     bytes += more;
@@ -149,10 +149,12 @@
   public boolean handOver(long leftNanos) {
     ServicePool next = bound || pool.core().ready() > 0 ? null : services.fallbackOf(route, pool);
     RequestClass type = next == null ? null : next.classLike(request.type());
-    if (type == null || next.objection(request.withType(type)) != null || !next.open.tryTake(1)) {
+    if (type == null
+        || next.objection(request.withType(type)) != null
+        || !next.open.tryAcquire(1)) {
       return false;
     }
-    if (!next.body.tryTake(bytes)) {
+    if (!next.body.tryAcquire(bytes)) {
       next.open.release(1);
       return false;
     }
@@ -243,8 +245,8 @@
     if (!over) {
       over = true;
       services.close(request.id());
-      services.counters().ended(pool.name(), request.type().name(), how);
-      pool.residenceTime().ended(services.now() - enteredAt);
+      services.counters().countEnd(pool.name(), request.type().name(), how);
+      pool.residenceTime().record(services.now() - enteredAt);
     }
   }
 
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -391,7 +391,9 @@
 
   /** What became of the requests so far, a line; only with an operator file. */
   public String counters() {
-    return loop.submit(() -> services.counters().line()).syncUninterruptibly().getNow();
+    return loop.submit(() -> services.counters().logLine())
+        .syncUninterruptibly()
+        .getNow();
   }
 
   /** Whether a generation fits the platform's figures; an IllegalArgumentException says what does not. */
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -19,11 +19,11 @@
 import pumicekeel.core.BalancerCore;
 import pumicekeel.discovery.HostList;
 import pumicekeel.discovery.UpstreamSource;
+import pumicekeel.pool.CapacityPlan;
 import pumicekeel.pool.FairQueue;
 import pumicekeel.pool.ResidenceTime;
-import pumicekeel.pool.RoomPlan;
+import pumicekeel.pool.SharedCapacity;
 import pumicekeel.pool.SharedUpstreams;
-import pumicekeel.pool.Shares;
 import pumicekeel.runtime.LoopLag;
 import pumicekeel.runtime.Reactor;
 import pumicekeel.upstream.UpstreamLinks;
@@ -45,8 +45,8 @@
       Reactor on,
       LoopLag lag,
       UpstreamSockets sockets,
-      Shares open,
-      Shares body,
+      SharedCapacity open,
+      SharedCapacity body,
       FairQueue fairQueue,
       SharedUpstreams<InetSocketAddress> upstreams,
       Consumer<RuntimeException> defect) {}
@@ -60,8 +60,8 @@
   private final UpstreamLinks connections;
   private final BalancerCore core;
   private final ResidenceTime residenceTime = new ResidenceTime();
-  final Shares.Owner open;
-  final Shares.Owner body;
+  final SharedCapacity.Owner open;
+  final SharedCapacity.Owner body;
   final FairQueue.PoolQueue turn;
   /** The upstreams of the list that are this pool's, as the list names them. */
   private final Map<Long, HostList.Host> hosts = new LinkedHashMap<>();
@@ -174,17 +174,20 @@
 
   /** New figures; what they don't name stays as the pool was made. */
   void resize(
-      RoomPlan.Part openPart, RoomPlan.Part socketPart, RoomPlan.Part bodyPart, int perUpstream) {
-    open.resize(openPart.guaranteed(), openPart.most());
-    body.resize(bodyPart.guaranteed(), bodyPart.most());
-    connections.resize(socketPart.guaranteed(), socketPart.most(), perUpstream);
+      CapacityPlan.Allocation openPart,
+      CapacityPlan.Allocation socketPart,
+      CapacityPlan.Allocation bodyPart,
+      int perUpstream) {
+    open.resize(openPart.guaranteed(), openPart.max());
+    body.resize(bodyPart.guaranteed(), bodyPart.max());
+    connections.resize(socketPart.guaranteed(), socketPart.max(), perUpstream);
   }
 
   /** Gives up its guarantees; what it has out it keeps until that has ended. */
-  void retire(RoomPlan.Part sockets) {
+  void retire(CapacityPlan.Allocation sockets) {
     open.resize(0, Long.MAX_VALUE);
     body.resize(0, Long.MAX_VALUE);
-    connections.resize(0, sockets.most(), spec.connectionsPerUpstream());
+    connections.resize(0, sockets.max(), spec.connectionsPerUpstream());
   }
 
   boolean over() {
@@ -207,10 +210,10 @@
   void close() {
     source.unfollow(this);
     connections.close();
-    open.leave();
-    body.leave();
+    open.close();
+    body.close();
     Map<ServicePool, Set<InetSocketAddress>> others = new LinkedHashMap<>();
-    for (InetSocketAddress address : shared.upstreams().leave(this)) {
+    for (InetSocketAddress address : shared.upstreams().removePool(this)) {
       note(others, address, shared.upstreams().poolsAt(address));
     }
     changed.accept(others);
@@ -266,7 +269,7 @@
   }
 
   private HostList.Host seen(HostList.Host host) {
-    return host.as(shared.upstreams().seenBy(this, host.address(), host.listed()));
+    return host.as(shared.upstreams().withSharing(this, host.address(), host.listed()));
   }
 
   /** Tells the module again of what listens at these addresses, after another pool's news of them. */
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -30,12 +30,12 @@
 import pumicekeel.discovery.WatchTerms;
 import pumicekeel.front.jsonrpc.MethodMapping;
 import pumicekeel.journal.KeyMemory;
+import pumicekeel.pool.CapacityPlan;
 import pumicekeel.pool.FairQueue;
 import pumicekeel.pool.KeyAffinity;
 import pumicekeel.pool.RequestCounters;
-import pumicekeel.pool.RoomPlan;
+import pumicekeel.pool.SharedCapacity;
 import pumicekeel.pool.SharedUpstreams;
-import pumicekeel.pool.Shares;
 import pumicekeel.route.Route;
 import pumicekeel.route.RouteTable;
 import pumicekeel.runtime.Clock;
@@ -102,8 +102,8 @@
         on,
         lag,
         new UpstreamSockets(rooms.upstreamSockets()),
-        new Shares(rooms.openRequests()),
-        new Shares(rooms.bodyBytes()),
+        new SharedCapacity(rooms.openRequests()),
+        new SharedCapacity(rooms.bodyBytes()),
         fairQueue,
         new SharedUpstreams<>(),
         defect);
@@ -220,16 +220,16 @@
     }
   }
 
-  private static List<RoomPlan.Part> plan(
+  private static List<CapacityPlan.Allocation> plan(
       String what,
       long total,
       Operator next,
       java.util.function.Function<Operator.Pool, Operator.Room> room) {
-    return RoomPlan.of(
+    return CapacityPlan.of(
         what,
         total,
         next.pools().values().stream()
-            .map(p -> new RoomPlan.Ask(
+            .map(p -> new CapacityPlan.Demand(
                 p.name(), room.apply(p).guaranteed(), room.apply(p).most()))
             .toList());
   }
@@ -314,7 +314,7 @@
       pool.lend(lending);
       after.put(spec.name(), pool);
     }
-    List<RoomPlan.Part> socketParts =
+    List<CapacityPlan.Allocation> socketParts =
         plan("sockets", rooms.upstreamSockets(), next, Operator.Pool::sockets);
     pools.values().stream().filter(p -> after.get(p.name()) != p).forEach(this::retire);
     pools.clear();
@@ -393,10 +393,10 @@
     }
   }
 
-  private void resize(Operator next, List<RoomPlan.Part> sockets) {
-    List<RoomPlan.Part> open =
+  private void resize(Operator next, List<CapacityPlan.Allocation> sockets) {
+    List<CapacityPlan.Allocation> open =
         plan("open-requests", rooms.openRequests(), next, Operator.Pool::open);
-    List<RoomPlan.Part> body =
+    List<CapacityPlan.Allocation> body =
         plan("body-memory-kib", rooms.bodyBytes(), next, Operator.Pool::body);
     int i = 0;
     for (Operator.Pool spec : next.pools().values()) {
@@ -450,7 +450,7 @@
   }
 
   private void retire(ServicePool pool) {
-    pool.retire(new RoomPlan.Part(0, rooms.upstreamSockets()));
+    pool.retire(new CapacityPlan.Allocation(0, rooms.upstreamSockets()));
     retired.add(pool);
     if (!sweeping) {
       sweeping = true;
@@ -475,19 +475,19 @@
     if (!started) {
       throw new Bad(503, "not started");
     }
-    RouteTable.Found found = table.match(head);
+    RouteTable.MatchResult found = table.match(head);
     if (found instanceof RouteTable.Malformed malformed) {
-      counters.malformed();
+      counters.countMalformed();
       throw new Bad(400, malformed.why());
     }
-    if (!(found instanceof RouteTable.Taken taken)) {
-      counters.noRoute();
+    if (!(found instanceof RouteTable.Matched taken)) {
+      counters.countNoRoute();
       throw new Bad(404, "no route");
     }
     ServicePool home = home(head);
     ServicePool pool = home == null ? poolFor(taken.route(), head) : home;
-    if (!pool.open.tryTake(1)) {
-      counters.noRoom();
+    if (!pool.open.tryAcquire(1)) {
+      counters.countPoolFull();
       throw new Bad(503, "this pool is full", retryAfter(pool));
     }
     return new Admission(this, taken.route(), pool, home != null, clock.now());
@@ -568,7 +568,7 @@
 
   /** Notes where a keyed request may run from now on. */
   void noteHome(ClientRequest request, ServicePool pool) {
-    keyAffinity.taken(
+    keyAffinity.recordAccepted(
         request.idempotencyKey(),
         pool.home(),
         clock.now(),
@@ -576,7 +576,7 @@
   }
 
   void forgetHome(ClientRequest request) {
-    keyAffinity.neverRan(request.idempotencyKey());
+    keyAffinity.recordNotRun(request.idempotencyKey());
   }
 
   /** Lines work up for a pool's turn; false where too much waits. */
@@ -594,7 +594,7 @@
   /** By a timer, not a task: tasks are run one after the other, and the sockets would not be read between them. */
   private void turn() {
     fairQueue.run(QUANTUM_NANOS, clock::now);
-    turning = !fairQueue.idle();
+    turning = !fairQueue.isIdle();
     if (turning) {
       loop.schedule(this::turn, 1, TimeUnit.NANOSECONDS);
     }
@@ -604,7 +604,7 @@
 
   @Override
   public void endBy(long nanos) {
-    Log.line("requests: " + counters.line());
+    Log.line("requests: " + counters.logLine());
     all().forEach(p -> p.core().endBy(nanos));
   }
 
--- a/src/main/java/pumicekeel/pool/FairQueue.java
+++ b/src/main/java/pumicekeel/pool/FairQueue.java
@@ -43,7 +43,7 @@
     return new PoolQueue(most);
   }
 
-  public boolean idle() {
+  public boolean isIdle() {
     return turn.isEmpty();
   }
 
--- a/src/main/java/pumicekeel/pool/KeyAffinity.java
+++ b/src/main/java/pumicekeel/pool/KeyAffinity.java
@@ -19,7 +19,7 @@
 
   private final int most;
   private final Map<String, Owner> owners = new LinkedHashMap<>();
-  private long dropped;
+  private long evicted;
 
   public KeyAffinity(int most) {
     this.most = most;
@@ -32,7 +32,7 @@
   }
 
   /** A request of this key was taken by a pool, which may run it from now on. */
-  public void taken(String key, String pool, long now, long windowNanos) {
+  public void recordAccepted(String key, String pool, long now, long windowNanos) {
     Owner before = owners.remove(key);
     forget(now);
     long until = before == null ? now + windowNanos : Math.max(before.until, now + windowNanos);
@@ -40,7 +40,7 @@
   }
 
   /** Nothing of one request of this key ran after all: it may go anywhere again, unless another one of it was taken. */
-  public void neverRan(String key) {
+  public void recordNotRun(String key) {
     owners.computeIfPresent(
         key, (k, h) -> h.takers == 1 ? null : new Owner(h.pool, h.until, h.takers - 1));
   }
@@ -54,7 +54,7 @@
         if (owners.size() < most) {
           return;
         }
-        dropped++;
+        evicted++;
       }
       oldest.remove();
     }
@@ -65,7 +65,7 @@
   }
 
   /** Entries given up before their time, for want of room. */
-  public long dropped() {
-    return dropped;
+  public long evicted() {
+    return evicted;
   }
 }
--- a/src/main/java/pumicekeel/pool/RequestCounters.java
+++ b/src/main/java/pumicekeel/pool/RequestCounters.java
@@ -17,27 +17,27 @@
   private final Map<String, long[]> counts = new TreeMap<>();
   private long noRoute;
   private long malformed;
-  private long noRoom;
+  private long poolFull;
 
-  public void ended(String pool, String className, End end) {
+  public void countEnd(String pool, String className, End end) {
     counts
         .computeIfAbsent(pool + " " + className, k -> new long[End.values().length])[
         end.ordinal()]++;
   }
 
   /** Turned away with 404. */
-  public void noRoute() {
+  public void countNoRoute() {
     noRoute++;
   }
 
   /** Turned away with 400 for its host or path. */
-  public void malformed() {
+  public void countMalformed() {
     malformed++;
   }
 
   /** Turned away at its head since its pool was full. */
-  public void noRoom() {
-    noRoom++;
+  public void countPoolFull() {
+    poolFull++;
   }
 
   public long count(String pool, String className, End end) {
@@ -45,18 +45,18 @@
     return row == null ? 0 : row[end.ordinal()];
   }
 
-  public long noRoutes() {
+  public long noRouteCount() {
     return noRoute;
   }
 
-  public long noRooms() {
-    return noRoom;
+  public long poolFullCount() {
+    return poolFull;
   }
 
   /** A line for the log. */
-  public String line() {
-    StringBuilder out =
-        new StringBuilder("no-route " + noRoute + " malformed " + malformed + " no-room " + noRoom);
+  public String logLine() {
+    StringBuilder out = new StringBuilder(
+        "no-route " + noRoute + " malformed " + malformed + " no-room " + poolFull);
     counts.forEach((key, n) -> out.append("; ")
         .append(key)
         .append(" served ")
--- a/src/main/java/pumicekeel/pool/ResidenceTime.java
+++ b/src/main/java/pumicekeel/pool/ResidenceTime.java
@@ -16,7 +16,7 @@
   private double mean = FIRST_NANOS;
 
   /** A request is over that came in so long ago. */
-  public void ended(long nanos) {
+  public void record(long nanos) {
     mean += (Math.max(0, nanos) - mean) * STEP;
   }
 
--- a/src/main/java/pumicekeel/pool/Shares.java
+++ b/src/main/java/pumicekeel/pool/SharedCapacity.java
@@ -5,7 +5,7 @@
  * there for it at any moment, since nobody else may have it; beyond that it borrows of what no guarantee holds back,
  * up to its own most. Nothing is ever taken back: a guarantee needs no reclaiming. All steps are O(1).
  */
-public final class Shares {
+public final class SharedCapacity {
 
   /** One that has a share. */
   public final class Owner {
@@ -16,16 +16,16 @@
     private Owner() {}
 
     /** Takes so much, all or nothing. */
-    public boolean tryTake(long amount) {
+    public boolean tryAcquire(long amount) {
       if (amount > most - used || amount > total - reserved + Math.max(0, guaranteed - used)) {
         return false;
       }
-      take(amount);
+      acquire(amount);
       return true;
     }
 
     /** Takes what is there already, such as a socket that was accepted. */
-    public void take(long amount) {
+    public void acquire(long amount) {
       long before = held();
       used += amount;
       reserved += held() - before;
@@ -50,7 +50,7 @@
     }
 
     /** Has more than is guaranteed to it. */
-    public boolean borrows() {
+    public boolean isBorrowing() {
       return used > guaranteed;
     }
 
@@ -59,7 +59,7 @@
     }
 
     /** Ends this owner; what it still has out may be given back as ever. */
-    public void leave() {
+    public void close() {
       resize(0, 0);
     }
 
@@ -72,7 +72,7 @@
   /** The sum, over all owners, of what each has out or is guaranteed, whichever is more. */
   private long reserved;
 
-  public Shares(long total) {
+  public SharedCapacity(long total) {
     this.total = total;
   }
 
--- a/src/main/java/pumicekeel/pool/SharedUpstreams.java
+++ b/src/main/java/pumicekeel/pool/SharedUpstreams.java
@@ -81,7 +81,7 @@
   }
 
   /** Forgets a pool that is over; the addresses of which other pools have to hear again. */
-  public Set<A> leave(Object pool) {
+  public Set<A> removePool(Object pool) {
     Set<A> changed = new HashSet<>();
     for (Map.Entry<Long, A> e :
         Map.copyOf(addresses.getOrDefault(pool, Map.of())).entrySet()) {
@@ -94,7 +94,7 @@
   }
 
   /** A pool's line as its module is to see it. */
-  public Listed seenBy(Object pool, A address, Listed own) {
+  public Listed withSharing(Object pool, A address, Listed own) {
     Place place = places.get(address);
     if (place == null || own.state() == State.GONE) {
       return own;
--- a/src/main/java/pumicekeel/route/HostName.java
+++ b/src/main/java/pumicekeel/route/HostName.java
@@ -1,41 +1,42 @@
 package pumicekeel.route;
 
 /**
- * The host that a request names, in the one form that routes are compared with: lower case, without a port, without the
+ * Normalizes the host of a request to the form that routes are compared with: lower case, without a port, without the
  * root's trailing dot (RFC 9110 section 4.2.3, RFC 3986 section 3.2.2). An IPv6 literal keeps its brackets.
  */
 public final class HostName {
 
-  /** A host name's limit (RFC 1035 section 2.3.4), with room for the brackets of a literal. */
-  private static final int MOST_CHARS = 255;
+  /** Maximum length of a host name (RFC 1035 section 2.3.4); also leaves space for the brackets of a literal. */
+  private static final int MAX_CHARS = 255;
 
   private HostName() {}
 
-  /** The canonical host; null where the text is none: empty, with user information, or with what no host has. */
+  /** Returns the canonical host; null if the text is empty, has user information or has characters that no host may have. */
   public static String of(String authority) {
     if (authority == null) {
       return null;
     }
     int end = endOfHost(authority);
-    if (end <= 0 || end > MOST_CHARS || !portIsSound(authority, end)) {
+    if (end <= 0 || end > MAX_CHARS || !portIsValid(authority, end)) {
       return null;
     }
     boolean literal = authority.charAt(0) == '[';
     if (!literal && authority.charAt(end - 1) == '.') {
       end--;
     }
-    boolean asIs = end == authority.length();
+    boolean canonical = end == authority.length();
     for (int i = 0; i < end; i++) {
       char c = authority.charAt(i);
-      if (!(literal ? literalChar(c) : nameChar(c)) || c == '.' && dotsMeet(authority, i, end)) {
+      if (!(literal ? isLiteralChar(c) : isNameChar(c))
+          || c == '.' && emptyLabel(authority, i, end)) {
         return null;
       }
-      asIs &= c < 'A' || c > 'Z';
+      canonical &= c < 'A' || c > 'Z';
     }
-    return end == 0 ? null : asIs ? authority : lower(authority, end);
+    return end == 0 ? null : canonical ? authority : lower(authority, end);
   }
 
-  /** Not String.toLowerCase: its answer depends on the machine's language. */
+  /** Lower-cases ASCII only; String.toLowerCase depends on the default locale. */
   private static String lower(String text, int end) {
     char[] out = new char[end];
     for (int i = 0; i < end; i++) {
@@ -53,7 +54,7 @@
     return colon < 0 ? authority.length() : colon;
   }
 
-  private static boolean portIsSound(String authority, int end) {
+  private static boolean portIsValid(String authority, int end) {
     if (end == authority.length()) {
       return true;
     }
@@ -71,11 +72,11 @@
     return port <= 65_535;
   }
 
-  private static boolean dotsMeet(String text, int at, int end) {
+  private static boolean emptyLabel(String text, int at, int end) {
     return at == 0 || at + 1 < end && text.charAt(at + 1) == '.';
   }
 
-  private static boolean nameChar(char c) {
+  private static boolean isNameChar(char c) {
     return c >= 'a' && c <= 'z'
         || c >= 'A' && c <= 'Z'
         || c >= '0' && c <= '9'
@@ -84,7 +85,7 @@
         || c == '_';
   }
 
-  private static boolean literalChar(char c) {
+  private static boolean isLiteralChar(char c) {
     return c >= 'a' && c <= 'f'
         || c >= 'A' && c <= 'F'
         || c >= '0' && c <= '9'
--- a/src/main/java/pumicekeel/route/PathIndex.java
+++ b/src/main/java/pumicekeel/route/PathIndex.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import pumicekeel.call.Facts;
 
-/** Routes of one host by the segments of their paths. Walked without making a string of any segment. */
+/** Indexes the routes of one host by path segments. A lookup allocates no strings for segments. */
 final class PathIndex {
 
-  /** Routes that only differ in what stands in headers, class, method and listener, the earliest first. */
+  /** Routes that differ only in headers, class, method and listener, in file order. */
   private static final class Bucket {
     private final List<Route> plain = new ArrayList<>(1);
-    /** By the name of the first header whose value is compared, then by that value. */
+    /** Routes by the name of the first header whose value is compared, then by that value. */
     private final List<Map.Entry<String, Map<String, List<Route>>>> byHeader = new ArrayList<>(0);
 
     private void add(Route route) {
@@ -54,7 +54,7 @@
         if (best != null && best.order() < r.order()) {
           return best;
         }
-        if (r.takesRest(f)) {
+        if (r.matchesConditions(f)) {
           return r;
         }
       }
@@ -62,15 +62,15 @@
     }
   }
 
-  /** A place in the tree: what lies below it, and the routes that end here. */
+  /** A node of the segment tree, with the routes whose pattern ends here. */
   private static final class Node {
     private final Children children = new Children();
-    private Node wild;
+    private Node wildcard;
     private Bucket prefix;
     private Bucket whole;
   }
 
-  /** A hash table by segment that is asked for a stretch of a path. */
+  /** A hash table from segment to node that is looked up by a range of a path, without a substring. */
   private static final class Children {
     private String[] names = new String[2];
     private Node[] nodes = new Node[2];
@@ -138,9 +138,10 @@
   void add(Route route) {
     Node node = root;
     for (String segment : segmentsOf(route.path())) {
-      if (segment.equals(PathPattern.WILD) && route.path().kind() == PathPattern.Kind.TEMPLATE) {
-        node.wild = node.wild == null ? new Node() : node.wild;
-        node = node.wild;
+      if (segment.equals(PathPattern.WILDCARD)
+          && route.path().kind() == PathPattern.Kind.TEMPLATE) {
+        node.wildcard = node.wildcard == null ? new Node() : node.wildcard;
+        node = node.wildcard;
       } else {
         node = node.children.at(segment);
       }
@@ -158,18 +159,18 @@
   }
 
   private static List<String> segmentsOf(PathPattern path) {
-    // As a path, "/" has one segment, the empty one.
+    // As an exact path, "/" has one empty segment.
     boolean root = path.segments().isEmpty()
         && (path.kind() == PathPattern.Kind.EXACT || path.kind() == PathPattern.Kind.TEMPLATE);
     return root ? List.of("") : path.segments();
   }
 
-  /** The earliest route that takes the request, of these and the one found so far; null where neither is. */
+  /** Returns the earliest matching route, out of this index and {@code best}, the one found so far; null if there is none. */
   Route best(String path, Facts f, Route best) {
     return walk(root, path, 0, f, best);
   }
 
-  /** {@code slash} is where the rest of the path begins, or the path's end. Depth is bounded by the patterns'. */
+  /** Matches the path from {@code slash}, the start of the remaining path or its end. The patterns bound the depth. */
   private static Route walk(Node node, String path, int slash, Facts f, Route best) {
     Route found = node.prefix == null ? best : node.prefix.best(f, best);
     if (slash >= path.length()) {
@@ -179,6 +180,8 @@
     int to = end < 0 ? path.length() : end;
     Node next = node.children.get(path, slash + 1, to);
     found = next == null ? found : walk(next, path, to, f, found);
-    return node.wild == null || to == slash + 1 ? found : walk(node.wild, path, to, f, found);
+    return node.wildcard == null || to == slash + 1
+        ? found
+        : walk(node.wildcard, path, to, f, found);
   }
 }
--- a/src/main/java/pumicekeel/route/PathPattern.java
+++ b/src/main/java/pumicekeel/route/PathPattern.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What a route asks of the path. A prefix and a template count by whole segments: {@code /quote} takes {@code /quote}
- * and {@code /quote/7} and not {@code /quotes}.
+ * The path condition of a route. Prefixes and templates match whole segments: the prefix {@code /quote} matches
+ * {@code /quote} and {@code /quote/7} but not {@code /quotes}.
  */
 public record PathPattern(Kind kind, String text, List<String> segments) {
 
-  /** How the pattern is compared. */
+  /** How the pattern matches. */
   public enum Kind {
     ANY,
     EXACT,
@@ -16,14 +16,14 @@
     TEMPLATE
   }
 
-  /** A segment of a template that takes any one segment. */
-  static final String WILD = "{}";
-  /** Deeper patterns than any service has; bounds the walk of the index. */
-  public static final int MOST_SEGMENTS = 32;
-  /** Takes every path. */
+  /** A template segment that matches any one non-empty segment. */
+  static final String WILDCARD = "{}";
+  /** Deeper than the patterns of any service; bounds the depth of an index lookup. */
+  public static final int MAX_SEGMENTS = 32;
+  /** Matches every path. */
   public static final PathPattern ANY = new PathPattern(Kind.ANY, "", List.of());
 
-  /** Makes a pattern; an IllegalArgumentException says what was expected. */
+  /** Parses a pattern; the IllegalArgumentException for an invalid one says what was expected. */
   public static PathPattern of(Kind kind, String text) {
     boolean template = kind == Kind.TEMPLATE;
     String plain = template ? text.replaceAll("\\{[A-Za-z0-9_-]+}", "x") : text;
@@ -40,59 +40,59 @@
         kind == Kind.PREFIX && text.length() > 1 && text.endsWith("/")
             ? text.substring(0, text.length() - 1)
             : text);
-    if (segments.size() > MOST_SEGMENTS) {
-      throw new IllegalArgumentException("at most " + MOST_SEGMENTS + " segments");
+    if (segments.size() > MAX_SEGMENTS) {
+      throw new IllegalArgumentException("at most " + MAX_SEGMENTS + " segments");
     }
     if (template) {
       segments = segments.stream()
-          .map(s -> s.startsWith("{") && s.endsWith("}") ? WILD : s)
+          .map(s -> s.startsWith("{") && s.endsWith("}") ? WILDCARD : s)
           .toList();
       if (segments.stream()
-          .anyMatch(s -> !s.equals(WILD) && (s.contains("{") || s.contains("}")))) {
+          .anyMatch(s -> !s.equals(WILDCARD) && (s.contains("{") || s.contains("}")))) {
         throw new IllegalArgumentException("{name} for a whole segment, not for a part of one");
       }
     }
     return new PathPattern(kind, text, segments);
   }
 
-  /** "/" has no segment as a prefix and one empty one as a path. */
+  /** Returns no segments for "/"; as an exact path it has one empty segment, which the index adds. */
   private static List<String> segments(String text) {
     return text.equals("/") ? List.of() : List.of(text.substring(1).split("/", -1));
   }
 
-  /** Whether a path in {@link RequestPath}'s form is taken. */
-  public boolean takes(String path) {
+  /** Returns whether a path normalized by {@link RequestPath} matches. */
+  public boolean matches(String path) {
     return switch (kind) {
       case ANY -> true;
       case EXACT -> path.equals(text);
       case PREFIX ->
         path.equals(text)
             || segments.isEmpty()
-            || path.startsWith("/" + String.join("/", segments)) && boundary(path);
-      case TEMPLATE -> takesTemplate(path);
+            || path.startsWith("/" + String.join("/", segments)) && endsAtBoundary(path);
+      case TEMPLATE -> matchesTemplate(path);
     };
   }
 
-  private boolean boundary(String path) {
+  private boolean endsAtBoundary(String path) {
     int length = 1 + String.join("/", segments).length();
     return path.length() == length || path.charAt(length) == '/';
   }
 
-  private boolean takesTemplate(String path) {
+  private boolean matchesTemplate(String path) {
     List<String> sent = segments(path);
     if (sent.size() != segments.size()) {
       return false;
     }
     for (int i = 0; i < sent.size(); i++) {
-      boolean wild = segments.get(i).equals(WILD);
-      if (wild ? sent.get(i).isEmpty() : !segments.get(i).equals(sent.get(i))) {
+      boolean wildcard = segments.get(i).equals(WILDCARD);
+      if (wildcard ? sent.get(i).isEmpty() : !segments.get(i).equals(sent.get(i))) {
         return false;
       }
     }
     return true;
   }
 
-  /** Whether every path that the other takes is taken here. */
+  /** Returns whether every path that matches the other pattern matches this one too. */
   boolean covers(PathPattern other) {
     return switch (kind) {
       case ANY -> true;
@@ -111,8 +111,10 @@
 
   private boolean coversSegments(PathPattern other) {
     for (int i = 0; i < segments.size(); i++) {
-      String theirs = other.segments.get(i);
-      if (segments.get(i).equals(WILD) ? theirs.isEmpty() : !segments.get(i).equals(theirs)) {
+      String otherSegment = other.segments.get(i);
+      if (segments.get(i).equals(WILDCARD)
+          ? otherSegment.isEmpty()
+          : !segments.get(i).equals(otherSegment)) {
         return false;
       }
     }
--- a/src/main/java/pumicekeel/route/RequestPath.java
+++ b/src/main/java/pumicekeel/route/RequestPath.java
@@ -1,16 +1,16 @@
 package pumicekeel.route;
 
 /**
- * The path that routes are compared with. What is passed on to the upstream stays as the client wrote it, so the two
- * must not be readable in two ways: a path that a server could take for another one ({@code ..}, {@code %2F},
- * {@code //}) is refused rather than guessed at, and octets that need no escape are compared without theirs (RFC 3986
- * sections 6.2.2.2 and 6.2.2.3).
+ * Normalizes the path of a request to the form that routes are compared with. The upstream receives the path as the client
+ * sent it, so both must have the same meaning: a path that a server could interpret as another one ({@code ..}, {@code %2F},
+ * {@code //}) is rejected, and unreserved octets are compared without percent-encoding (RFC 3986 sections 6.2.2.2 and
+ * 6.2.2.3).
  */
 public final class RequestPath {
 
   private RequestPath() {}
 
-  /** The path to compare; the same object where nothing in it is escaped. Null where it is ambiguous or malformed. */
+  /** Returns the normalized path, the same object if nothing in it is escaped; null if it is ambiguous or malformed. */
   public static String of(String sent) {
     if (sent == null || sent.isEmpty() || sent.charAt(0) != '/') {
       return null;
@@ -22,10 +22,10 @@
         return null;
       }
     }
-    return sound(path) ? path : null;
+    return isUnambiguous(path) ? path : null;
   }
 
-  /** Decodes what RFC 3986 calls unreserved; null at an escape that is cut short or hides a separator or control. */
+  /** Decodes unreserved characters (RFC 3986); null for a truncated escape or one of a separator or control character. */
   private static String unescaped(String sent) {
     StringBuilder out = new StringBuilder(sent.length());
     for (int i = 0; i < sent.length(); i++) {
@@ -45,7 +45,7 @@
           || value == 0x7f) {
         return null;
       }
-      if (unreserved((char) value)) {
+      if (isUnreserved((char) value)) {
         out.append((char) value);
       } else {
         out.append('%').append(upper(sent.charAt(i + 1))).append(upper(sent.charAt(i + 2)));
@@ -59,7 +59,7 @@
     return hex >= 'a' ? (char) (hex - 32) : hex;
   }
 
-  private static boolean unreserved(char c) {
+  private static boolean isUnreserved(char c) {
     return c >= 'a' && c <= 'z'
         || c >= 'A' && c <= 'Z'
         || c >= '0' && c <= '9'
@@ -69,7 +69,7 @@
         || c == '~';
   }
 
-  private static boolean sound(String path) {
+  private static boolean isUnambiguous(String path) {
     int start = 1;
     for (int i = 1; i <= path.length(); i++) {
       char c = i == path.length() ? '/' : path.charAt(i);
@@ -79,7 +79,7 @@
       if (c == '/') {
         int length = i - start;
         boolean last = i == path.length();
-        if (length == 0 && !last || dots(path, start, length)) {
+        if (length == 0 && !last || isDotSegment(path, start, length)) {
           return false;
         }
         start = i + 1;
@@ -88,7 +88,7 @@
     return true;
   }
 
-  private static boolean dots(String path, int start, int length) {
+  private static boolean isDotSegment(String path, int start, int length) {
     return length == 1 && path.charAt(start) == '.'
         || length == 2 && path.charAt(start) == '.' && path.charAt(start + 1) == '.';
   }
--- a/src/main/java/pumicekeel/route/Route.java
+++ b/src/main/java/pumicekeel/route/Route.java
@@ -5,13 +5,13 @@
 import pumicekeel.call.Facts;
 
 /**
- * One route of the operator file: what it asks of a request, and where it sends what it takes. An empty list, a null or
- * an empty map asks nothing.
+ * One route of the operator file: its match conditions, and the pools that serve matching requests. An empty list, null or
+ * an empty map is no condition.
  *
- * @param order its place in the file, from 0; the first route that takes a request has it
- * @param hosts canonical names, {@code *.} for any one or more labels in front of a suffix
- * @param headers by lower-case name, the wanted value, or {@link #PRESENT} for any
- * @param fallback the pool for while the first has no ready upstream, or null
+ * @param order its position in the file, from 0; the first matching route wins
+ * @param hosts canonical names; {@code *.} stands for one or more labels in front of a suffix
+ * @param headers required values by lower-case name; {@link #PRESENT} for any value
+ * @param fallback the pool to use while the selected one has no ready upstream, or null
  */
 public record Route(
     int order,
@@ -25,43 +25,43 @@
     Split split,
     String fallback) {
 
-  /** A header that only has to be there. */
+  /** Requires a header to be present, with any value. */
   public static final String PRESENT = "*";
 
-  /** Whether all but host and path fit, which the index has seen to. */
-  boolean takesRest(Facts f) {
+  /** Returns whether all conditions except host and path hold; the index has checked those two. */
+  boolean matchesConditions(Facts f) {
     return (listener == null || listener.equals(f.listener()))
         && (className == null || className.equals(f.className()))
         && (method == null || method.equals(f.method()))
-        && takesHeaders(f);
+        && matchesHeaders(f);
   }
 
-  private boolean takesHeaders(Facts f) {
+  private boolean matchesHeaders(Facts f) {
     if (headers.isEmpty()) {
       return true;
     }
     for (Map.Entry<String, String> wanted : headers.entrySet()) {
-      if (!takesHeader(wanted.getValue(), f.header(wanted.getKey()))) {
+      if (!matchesHeader(wanted.getValue(), f.header(wanted.getKey()))) {
         return false;
       }
     }
     return true;
   }
 
-  private static boolean takesHeader(String wanted, String sent) {
+  private static boolean matchesHeader(String wanted, String sent) {
     return sent != null && (wanted == PRESENT || wanted.equals(PRESENT) || wanted.equals(sent));
   }
 
-  /** Why this route does not take a request whose host and path are canonical; null where it does. */
+  /** Returns why this route does not match a request with canonical host and path; null if it matches. */
   String objection(Facts f, String host, String path) {
     if (listener != null && !listener.equals(f.listener())) {
       return "listener: wanted " + listener + ", got " + f.listener();
     }
-    if (!hosts.isEmpty() && hosts.stream().noneMatch(h -> hostTakes(h, host))) {
+    if (!hosts.isEmpty() && hosts.stream().noneMatch(h -> hostMatches(h, host))) {
       return "host: wanted " + String.join(" or ", hosts) + ", got "
           + (host == null ? "none" : host);
     }
-    if (!this.path.takes(path)) {
+    if (!this.path.matches(path)) {
       return "path: wanted " + this.path + ", got " + path;
     }
     if (className != null && !className.equals(f.className())) {
@@ -73,7 +73,7 @@
     }
     for (Map.Entry<String, String> wanted : headers.entrySet()) {
       String sent = f.header(wanted.getKey());
-      if (!takesHeader(wanted.getValue(), sent)) {
+      if (!matchesHeader(wanted.getValue(), sent)) {
         return "header " + wanted.getKey() + ": wanted "
             + (wanted.getValue().equals(PRESENT) ? "any value" : wanted.getValue()) + ", got "
             + (sent == null ? "none" : sent);
@@ -82,14 +82,14 @@
     return null;
   }
 
-  static boolean hostTakes(String wanted, String host) {
+  static boolean hostMatches(String wanted, String host) {
     return host != null
         && (wanted.startsWith("*.")
             ? host.length() > wanted.length() - 1 && host.endsWith(wanted.substring(1))
             : wanted.equals(host));
   }
 
-  /** Whether this route, being earlier, leaves nothing for the other. */
+  /** Returns whether this route matches every request that the other one matches. */
   boolean covers(Route other) {
     return path.covers(other.path)
         && (listener == null || listener.equals(other.listener))
@@ -106,10 +106,13 @@
     return hosts.isEmpty()
         || !other.hosts.isEmpty()
             && other.hosts.stream()
-                .allMatch(theirs -> hosts.stream()
-                    .anyMatch(ours -> ours.equals(theirs)
+                .allMatch(otherSegment -> hosts.stream()
+                    .anyMatch(ours -> ours.equals(otherSegment)
                         || ours.startsWith("*.")
-                            && hostTakes(
-                                ours, theirs.startsWith("*.") ? theirs.substring(2) : theirs)));
+                            && hostMatches(
+                                ours,
+                                otherSegment.startsWith("*.")
+                                    ? otherSegment.substring(2)
+                                    : otherSegment)));
   }
 }
--- a/src/main/java/pumicekeel/route/RouteCoverage.java
+++ b/src/main/java/pumicekeel/route/RouteCoverage.java
@@ -10,28 +10,28 @@
 import pumicekeel.route.RouteTable.Covered;
 
 /**
- * Finds routes that can never match since one earlier route takes all that they would ({@link Route#covers}). An earlier
- * route is only compared where it shares a host and the beginning of the path with the later one, and asks nothing that
- * the later one does not: a table whose routes differ in host, path or a condition costs time linear in its size.
+ * Finds unreachable routes: those whose requests all match one earlier route ({@link Route#covers}). Two routes are compared
+ * only if the earlier one shares a host and a path prefix with the later one and has no condition that the later one lacks,
+ * so a table whose routes differ in host, path or a condition takes time linear in its size.
  *
- * <p>Routes are entered in the file's order, each after it was looked for among those before it.
+ * <p>Routes are indexed in file order, each after it was compared with the routes before it.
  */
 final class RouteCoverage {
 
-  /** The key under which routes that name no host are found. */
+  /** The key of routes without a host condition. */
   private static final String ANY_HOST = "";
 
   private static final String SUFFIX = "*.";
 
-  /** A path's segments as a tree; routes stand where their pattern ends. */
+  /** A node of the segment tree; routes are stored where their pattern ends. */
   private static final class Node {
     private final Map<String, Node> children = new HashMap<>(2);
-    private Node wild;
+    private Node wildcard;
     private final Map<Condition, List<Route>> routes = new HashMap<>(2);
   }
 
   /**
-   * What a route asks beside host and path, null for nothing; of its headers the one that fewest routes ask for.
+   * The conditions of a route besides host and path, null for none; of its headers only the one that fewest routes require.
    *
    * @param value the header's value, {@link Route#PRESENT} for any
    */
@@ -40,8 +40,8 @@
 
   private record Header(String name, String value) {}
 
-  private final Map<String, Integer> hostUse = new HashMap<>();
-  private final Map<Header, Integer> headerUse = new HashMap<>();
+  private final Map<String, Integer> hostCounts = new HashMap<>();
+  private final Map<Header, Integer> headerCounts = new HashMap<>();
   private final Map<String, Node> roots = new HashMap<>();
 
   private final List<Route> routes;
@@ -50,51 +50,51 @@
   RouteCoverage(List<Route> routes) {
     this.routes = routes;
     for (Route route : routes) {
-      route.hosts().forEach(host -> hostUse.merge(host, 1, Integer::sum));
+      route.hosts().forEach(host -> hostCounts.merge(host, 1, Integer::sum));
       route
           .headers()
-          .forEach((name, value) -> headerUse.merge(new Header(name, value), 1, Integer::sum));
+          .forEach((name, value) -> headerCounts.merge(new Header(name, value), 1, Integer::sum));
     }
   }
 
-  /** Each covered route with the first route that covers it, in the order of the covered ones. */
+  /** Returns each covered route with the first route that covers it, in file order of the covered routes. */
   List<Covered> covered() {
     List<Covered> out = new ArrayList<>();
     for (Route route : routes) {
-      Route by = firstThatCovers(route);
+      Route by = firstCovering(route);
       if (by != null) {
         out.add(new Covered(route, by));
       }
-      enter(route);
+      index(route);
     }
     return out;
   }
 
-  /** How many pairs of routes were compared: what the cost grows with beside the number of routes. */
+  /** Returns how many pairs of routes were compared, the cost besides the number of routes. */
   long comparisons() {
     return comparisons;
   }
 
-  // Entering
+  // Indexing
 
-  private void enter(Route route) {
+  private void index(Route route) {
     Condition condition = conditionOf(route);
     Collection<String> hosts =
         route.hosts().isEmpty() ? Set.of(ANY_HOST) : Set.copyOf(route.hosts());
     for (String host : hosts) {
       Node node = roots.computeIfAbsent(host, k -> new Node());
       for (String segment : route.path().segments()) {
-        node = segment.equals(PathPattern.WILD) ? wildOf(node) : childOf(node, segment);
+        node = segment.equals(PathPattern.WILDCARD) ? wildcardOf(node) : childOf(node, segment);
       }
       node.routes.computeIfAbsent(condition, k -> new ArrayList<>(1)).add(route);
     }
   }
 
-  private static Node wildOf(Node node) {
-    if (node.wild == null) {
-      node.wild = new Node();
+  private static Node wildcardOf(Node node) {
+    if (node.wildcard == null) {
+      node.wildcard = new Node();
     }
-    return node.wild;
+    return node.wildcard;
   }
 
   private static Node childOf(Node node, String segment) {
@@ -105,7 +105,7 @@
     Header rarest = null;
     for (Map.Entry<String, String> e : route.headers().entrySet()) {
       Header header = new Header(e.getKey(), e.getValue());
-      if (rarest == null || headerUse.get(header) < headerUse.get(rarest)) {
+      if (rarest == null || headerCounts.get(header) < headerCounts.get(rarest)) {
         rarest = header;
       }
     }
@@ -117,25 +117,25 @@
         rarest == null ? null : rarest.value());
   }
 
-  // Looking
+  // Lookup
 
-  private Route firstThatCovers(Route route) {
+  private Route firstCovering(Route route) {
     Set<Condition> weaker = weakerConditions(route);
     Route first = null;
-    for (String host : hostsThatMayCover(route)) {
+    for (String host : hostKeysThatMayCover(route)) {
       Node root = roots.get(host);
       first = root == null ? first : firstBelow(root, 0, route, weaker, first);
     }
     return first;
   }
 
-  /** Whoever covers a route covers each of its hosts, so looking for its rarest one finds all of them. */
-  private List<String> hostsThatMayCover(Route route) {
+  /** Returns the host keys to search: a covering route covers every host of the route, so its rarest host suffices. */
+  private List<String> hostKeysThatMayCover(Route route) {
     List<String> out = new ArrayList<>();
     out.add(ANY_HOST);
     String rarest = null;
     for (String host : route.hosts()) {
-      rarest = rarest == null || hostUse.get(host) < hostUse.get(rarest) ? host : rarest;
+      rarest = rarest == null || hostCounts.get(host) < hostCounts.get(rarest) ? host : rarest;
     }
     if (rarest != null) {
       out.add(rarest);
@@ -147,7 +147,7 @@
     return out;
   }
 
-  /** Each condition that a route may have which covers this one: the same, or with nothing in places. */
+  /** Returns the conditions that a covering route may have: the route's own, with any of them left out. */
   private static Set<Condition> weakerConditions(Route route) {
     Set<Header> headers = new HashSet<>();
     headers.add(new Header(null, null));
@@ -156,9 +156,9 @@
       headers.add(new Header(name, Route.PRESENT));
     });
     Set<Condition> out = new HashSet<>();
-    for (String listener : orNothing(route.listener())) {
-      for (String className : orNothing(route.className())) {
-        for (String method : orNothing(route.method())) {
+    for (String listener : valueOrNull(route.listener())) {
+      for (String className : valueOrNull(route.className())) {
+        for (String method : valueOrNull(route.method())) {
           for (Header h : headers) {
             out.add(new Condition(listener, className, method, h.name(), h.value()));
           }
@@ -168,7 +168,7 @@
     return out;
   }
 
-  private static Set<String> orNothing(String value) {
+  private static Set<String> valueOrNull(String value) {
     Set<String> out = new HashSet<>();
     out.add(null);
     out.add(value);
@@ -182,11 +182,11 @@
       return found;
     }
     String segment = segments.get(depth);
-    Node next = segment.equals(PathPattern.WILD) ? null : node.children.get(segment);
+    Node next = segment.equals(PathPattern.WILDCARD) ? null : node.children.get(segment);
     found = next == null ? found : firstBelow(next, depth + 1, route, weaker, found);
-    return node.wild == null || segment.isEmpty()
+    return node.wildcard == null || segment.isEmpty()
         ? found
-        : firstBelow(node.wild, depth + 1, route, weaker, found);
+        : firstBelow(node.wildcard, depth + 1, route, weaker, found);
   }
 
   private Route firstAt(Node node, Route route, Set<Condition> weaker, Route first) {
--- a/src/main/java/pumicekeel/route/RouteTable.java
+++ b/src/main/java/pumicekeel/route/RouteTable.java
@@ -7,49 +7,49 @@
 import pumicekeel.call.Facts;
 
 /**
- * The routes of one generation, compiled once and never changed. The first route of the file that takes a request has
- * it; the index only finds that route without trying those in front. It is by host, then by the path's segments, then by
- * the first header that a route compares, so that the cost of a match does not grow with routes that differ in any of
- * these. Routes that share all three are tried one by one.
+ * The immutable, compiled routes of one configuration generation. The first matching route of the file wins; the index finds
+ * it without trying the routes before it. It is keyed by host, then by path segments, then by the first header that a route
+ * compares, so the cost of a match does not grow with routes that differ in any of these. Routes that share all three are
+ * tried one by one.
  */
 public final class RouteTable {
 
-  /** What became of a request: the route, or why there is none. */
-  public sealed interface Found permits Taken, NoRoute, Malformed {}
+  /** The result of a match: the route, or why there is none. */
+  public sealed interface MatchResult permits Matched, NoRoute, Malformed {}
 
-  /** The route that takes it. */
-  public record Taken(Route route) implements Found {}
+  /** A route matches. */
+  public record Matched(Route route) implements MatchResult {}
 
-  /** None does. */
-  public record NoRoute() implements Found {}
+  /** No route matches. */
+  public record NoRoute() implements MatchResult {}
 
-  /** Host or path can be read in more than one way, or not at all; the text says which. */
-  public record Malformed(String why) implements Found {}
+  /** The host or path is ambiguous or malformed; the text says which. */
+  public record Malformed(String why) implements MatchResult {}
 
-  /** Why one route did not take a request; null where it did. */
-  public record Verdict(Route route, String objection) {}
+  /** Why a route does not match a request; null if it does. */
+  public record Explanation(Route route, String objection) {}
 
   private static final NoRoute NO_ROUTE = new NoRoute();
   private static final Malformed BAD_HOST = new Malformed("no host, or one that can't be read");
   private static final Malformed BAD_PATH = new Malformed("a path that can be read in two ways");
 
   private final List<Route> routes;
-  private final Taken[] found;
+  private final Matched[] found;
   private final Map<String, PathIndex> exact = new HashMap<>();
-  /** By what follows the {@code *.}. */
+  /** Indexes by the suffix after {@code *.}. */
   private final Map<String, PathIndex> suffixes = new HashMap<>();
 
   private final PathIndex any = new PathIndex();
 
-  /** Compiles routes, in the order of the file. */
+  /** Compiles routes, given in file order. */
   public RouteTable(List<Route> routes) {
     this.routes = List.copyOf(routes);
-    found = new Taken[routes.size()];
+    found = new Matched[routes.size()];
     for (Route r : this.routes) {
       if (r.order() != 0 && found[r.order() - 1] == null) {
         throw new IllegalArgumentException("routes must be numbered from 0 without a gap");
       }
-      found[r.order()] = new Taken(r);
+      found[r.order()] = new Matched(r);
       if (r.hosts().isEmpty()) {
         any.add(r);
       }
@@ -66,8 +66,8 @@
     return routes;
   }
 
-  /** Finds the route of a request; makes no garbage unless its host or path has to be rewritten to be compared. */
-  public Found match(Facts f) {
+  /** Finds the route of a request; allocates nothing unless its host or path has to be normalized. */
+  public MatchResult match(Facts f) {
     String host = HostName.of(f.host());
     if (host == null) {
       return BAD_HOST;
@@ -88,9 +88,9 @@
     return best == null ? NO_ROUTE : found[best.order()];
   }
 
-  /** What each route says, up to and with the one that takes the request: by trying all, apart from the index. */
-  public List<Verdict> explain(Facts f) {
-    List<Verdict> verdicts = new ArrayList<>();
+  /** Explains each route up to and including the matching one, by trying them in order without the index. */
+  public List<Explanation> explain(Facts f) {
+    List<Explanation> verdicts = new ArrayList<>();
     String host = HostName.of(f.host());
     String path = RequestPath.of(f.path());
     if (host == null || path == null) {
@@ -98,7 +98,7 @@
     }
     for (Route r : routes) {
       String objection = r.objection(f, host, path);
-      verdicts.add(new Verdict(r, objection));
+      verdicts.add(new Explanation(r, objection));
       if (objection == null) {
         break;
       }
@@ -106,10 +106,10 @@
     return verdicts;
   }
 
-  /** A route that can never match, and the earlier one that takes all that it would. */
+  /** An unreachable route, and the earlier route that matches all of its requests. */
   public record Covered(Route route, Route by) {}
 
-  /** Routes that one earlier route covers whole. Several that cover one only together are not looked for. */
+  /** Returns the routes that one earlier route covers completely; coverage by several routes together is not detected. */
   public List<Covered> covered() {
     return new RouteCoverage(routes).covered();
   }
--- a/src/main/java/pumicekeel/upstream/SocketUser.java
+++ b/src/main/java/pumicekeel/upstream/SocketUser.java
@@ -1,12 +1,12 @@
 package pumicekeel.upstream;
 
 import java.net.InetSocketAddress;
-import pumicekeel.pool.Shares;
+import pumicekeel.pool.SharedCapacity;
 
 /** One of those that share the sockets to upstreams. */
 public interface SocketUser {
 
-  Shares.Owner share();
+  SharedCapacity.Owner share();
 
   /** The most connections to one address at which this one still opens another; 0 for no cap. */
   int perUpstream();
--- a/src/main/java/pumicekeel/upstream/UpstreamSockets.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamSockets.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import pumicekeel.pool.Shares;
+import pumicekeel.pool.SharedCapacity;
 
 /**
  * The sockets to upstreams that a process may hold, shared by the pools' connections. An idle connection gives way to a
@@ -14,15 +14,15 @@
  */
 public final class UpstreamSockets {
 
-  private final Shares shares;
+  private final SharedCapacity shares;
   private final Set<SocketUser> pools = new LinkedHashSet<>();
   private final Map<InetSocketAddress, Integer> open = new HashMap<>();
 
   public UpstreamSockets(int most) {
-    shares = new Shares(most);
+    shares = new SharedCapacity(most);
   }
 
-  public Shares shares() {
+  public SharedCapacity shares() {
     return shares;
   }
 
@@ -46,13 +46,14 @@
         && pools.stream().noneMatch(p -> p.closeIdleAt(address))) {
       return false;
     }
-    if (!pool.share().tryTake(1)) {
+    if (!pool.share().tryAcquire(1)) {
       if (!pool.closeOldest()
-          && pools.stream().noneMatch(p -> p != pool && p.share().borrows() && p.closeOldest())) {
+          && pools.stream()
+              .noneMatch(p -> p != pool && p.share().isBorrowing() && p.closeOldest())) {
         return false;
       }
       // The one that gave way may be given back only after this.
-      pool.share().take(1);
+      pool.share().acquire(1);
     }
     open.merge(address, 1, Integer::sum);
     return true;
--- a/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
+++ b/src/main/java/pumicekeel/upstream/http/ConnectionPool.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import pumicekeel.pool.Shares;
+import pumicekeel.pool.SharedCapacity;
 import pumicekeel.runtime.Reactor;
 import pumicekeel.upstream.SocketUser;
 import pumicekeel.upstream.UpstreamLinks;
@@ -41,7 +41,7 @@
   private final Reactor on;
   private final Bootstrap bootstrap;
   private final UpstreamSockets sockets;
-  private final Shares.Owner share;
+  private final SharedCapacity.Owner share;
   private int perUpstream;
   private long idleNanos;
   private final Set<UpstreamPool> pools = new LinkedHashSet<>();
@@ -147,11 +147,11 @@
     }
     List.copyOf(pools).forEach(UpstreamPool::close);
     sockets.remove(this);
-    share.leave();
+    share.close();
   }
 
   @Override
-  public Shares.Owner share() {
+  public SharedCapacity.Owner share() {
     return share;
   }
 
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.pool.Shares;
+import pumicekeel.pool.SharedCapacity;
 import pumicekeel.runtime.Reactor;
 import pumicekeel.runtime.Repeated;
 import pumicekeel.upstream.SocketUser;
@@ -29,7 +29,7 @@
   private final Reactor on;
   private final Bootstrap bootstrap;
   private final UpstreamSockets sockets;
-  private final Shares.Owner share;
+  private final SharedCapacity.Owner share;
   private final ServerSettings settings;
   private long idleNanos;
   private final Set<RpcLink> links = new LinkedHashSet<>();
@@ -121,11 +121,11 @@
     sweep.cancel(false);
     List.copyOf(links).forEach(RpcLink::close);
     sockets.remove(this);
-    share.leave();
+    share.close();
   }
 
   @Override
-  public Shares.Owner share() {
+  public SharedCapacity.Owner share() {
     return share;
   }
 
--- a/src/test/java/pumicekeel/bench/RouteMatch.java
+++ b/src/test/java/pumicekeel/bench/RouteMatch.java
@@ -90,7 +90,7 @@
   }
 
   @Benchmark
-  public RouteTable.Found match() {
+  public RouteTable.MatchResult match() {
     next = next + 1 & 1023;
     return table.match(asked.get(next));
   }
--- a/src/test/java/pumicekeel/node/IsolationTest.java
+++ b/src/test/java/pumicekeel/node/IsolationTest.java
@@ -219,7 +219,7 @@
 
   private long noRooms() {
     try {
-      return t.ask(() -> t.node.services().counters().noRooms());
+      return t.ask(() -> t.node.services().counters().poolFullCount());
     } catch (Exception e) {
       throw new AssertionError(e);
     }
--- a/src/test/java/pumicekeel/node/ServicesTest.java
+++ b/src/test/java/pumicekeel/node/ServicesTest.java
@@ -75,7 +75,7 @@
     StandInUpstream r = t.upstream("r", 0);
     t.start(twoPools(t.list("q"), t.list("r"), ""));
     // The warm-up may have left some that came after it.
-    long before = t.ask(() -> t.node.services().counters().noRoutes());
+    long before = t.ask(() -> t.node.services().counters().noRouteCount());
     assertEquals("1", call(lookup("1", "quote.example.org", "")).body());
     assertEquals("2", call(lookup("2", "RATES.example.org.:8080", "")).body());
     assertEquals("3", call(lookup("3", "a.rates.example.org", "")).body());
@@ -110,7 +110,7 @@
       assertEquals(
           "9", client.call(lookup("9", "quote.example.org", "")).body(), "the connection goes on");
     }
-    assertEquals(1, t.ask(() -> t.node.services().counters().noRoutes()) - before);
+    assertEquals(1, t.ask(() -> t.node.services().counters().noRouteCount()) - before);
     assertEquals(2, q.seen().size());
   }
 
--- a/src/test/java/pumicekeel/pool/FairQueueTest.java
+++ b/src/test/java/pumicekeel/pool/FairQueueTest.java
@@ -43,9 +43,9 @@
     b.offer(piece("b"));
     fairQueue.run(0, () -> clock);
     assertEquals("ab", done.toString());
-    assertFalse(fairQueue.idle());
+    assertFalse(fairQueue.isIdle());
     fairQueue.run(0, () -> clock);
-    assertTrue(fairQueue.idle());
+    assertTrue(fairQueue.isIdle());
   }
 
   @Test
@@ -55,6 +55,6 @@
     assertFalse(b.offer(piece("b")));
     fairQueue.run(1_000, () -> clock);
     assertEquals("bc", done.toString());
-    assertTrue(fairQueue.idle());
+    assertTrue(fairQueue.isIdle());
   }
 }
--- a/src/test/java/pumicekeel/pool/KeyAffinityTest.java
+++ b/src/test/java/pumicekeel/pool/KeyAffinityTest.java
@@ -12,15 +12,15 @@
 
   @Test
   void homeLastsForItsWindowAndIsLengthenedByEachAttempt() {
-    keyAffinity.taken("k", "a", 0, 100);
+    keyAffinity.recordAccepted("k", "a", 0, 100);
     assertEquals("a", keyAffinity.poolOf("k", 99));
     assertNull(keyAffinity.poolOf("k", 100));
-    keyAffinity.taken("k", "a", 50, 100);
+    keyAffinity.recordAccepted("k", "a", 50, 100);
     assertEquals("a", keyAffinity.poolOf("k", 149));
-    keyAffinity.taken("k", "a", 60, 10);
+    keyAffinity.recordAccepted("k", "a", 60, 10);
     assertEquals("a", keyAffinity.poolOf("k", 149), "a shorter window takes nothing away");
     for (int i = 0; i < 3; i++) {
-      keyAffinity.neverRan("k");
+      keyAffinity.recordNotRun("k");
     }
     assertNull(keyAffinity.poolOf("k", 61), "none of the three ran");
   }
@@ -28,25 +28,25 @@
   /** Of two requests of one key the first is refused, the second may have run: the key stays where it is. */
   @Test
   void oneThatNeverRanDoesNotFreeAKeyThatAnotherMayHaveRun() {
-    keyAffinity.taken("k", "a", 0, 100);
-    keyAffinity.taken("k", "a", 10, 100);
-    keyAffinity.neverRan("k");
+    keyAffinity.recordAccepted("k", "a", 0, 100);
+    keyAffinity.recordAccepted("k", "a", 10, 100);
+    keyAffinity.recordNotRun("k");
     assertEquals("a", keyAffinity.poolOf("k", 50));
-    keyAffinity.neverRan("k");
+    keyAffinity.recordNotRun("k");
     assertNull(keyAffinity.poolOf("k", 50));
   }
 
   @Test
   void tableIsBoundedAndTheOldestGoesFirst() {
     for (int i = 0; i < 5; i++) {
-      keyAffinity.taken("k" + i, "a", i, 1_000);
+      keyAffinity.recordAccepted("k" + i, "a", i, 1_000);
     }
     assertEquals(3, keyAffinity.size());
     assertNull(keyAffinity.poolOf("k1", 5));
     assertEquals("a", keyAffinity.poolOf("k2", 5));
-    assertEquals(2, keyAffinity.dropped());
-    keyAffinity.taken("late", "a", 5_000, 10);
+    assertEquals(2, keyAffinity.evicted());
+    keyAffinity.recordAccepted("late", "a", 5_000, 10);
     assertEquals(1, keyAffinity.size(), "those whose time is up make room first");
-    assertEquals(2, keyAffinity.dropped());
+    assertEquals(2, keyAffinity.evicted());
   }
 }
--- a/src/test/java/pumicekeel/pool/PoolRoomsTest.java
+++ b/src/test/java/pumicekeel/pool/PoolCapacityTest.java
@@ -11,49 +11,49 @@
 import org.junit.jupiter.api.Test;
 
 /** Guaranteed and borrowed shares, their plan, and what a full pool tells its clients. */
-class PoolRoomsTest {
+class PoolCapacityTest {
 
   @Test
   void guaranteeIsThereWhateverTheOthersBorrow() {
-    Shares shares = new Shares(10);
-    Shares.Owner a = shares.add(2, 10);
-    Shares.Owner b = shares.add(3, 10);
+    SharedCapacity shares = new SharedCapacity(10);
+    SharedCapacity.Owner a = shares.add(2, 10);
+    SharedCapacity.Owner b = shares.add(3, 10);
     for (int i = 0; i < 7; i++) {
-      assertTrue(a.tryTake(1));
+      assertTrue(a.tryAcquire(1));
     }
-    assertFalse(a.tryTake(1), "three are kept for b");
-    assertTrue(a.borrows());
-    assertTrue(b.tryTake(3));
-    assertFalse(b.tryTake(1), "all is out");
+    assertFalse(a.tryAcquire(1), "three are kept for b");
+    assertTrue(a.isBorrowing());
+    assertTrue(b.tryAcquire(3));
+    assertFalse(b.tryAcquire(1), "all is out");
     a.release(1);
-    assertTrue(b.tryTake(1), "b borrows what a gave back");
-    assertFalse(a.tryTake(1));
+    assertTrue(b.tryAcquire(1), "b borrows what a gave back");
+    assertFalse(a.tryAcquire(1));
   }
 
   @Test
   void mostHoldsThoughThereIsRoomAndAllOrNothingIsTaken() {
-    Shares shares = new Shares(100);
-    Shares.Owner a = shares.add(0, 5);
-    assertFalse(a.tryTake(6));
+    SharedCapacity shares = new SharedCapacity(100);
+    SharedCapacity.Owner a = shares.add(0, 5);
+    assertFalse(a.tryAcquire(6));
     assertEquals(0, a.used());
-    assertTrue(a.tryTake(5));
+    assertTrue(a.tryAcquire(5));
     assertThrows(IllegalStateException.class, () -> a.release(6));
   }
 
   @Test
   void whatIsOutBeyondNewFiguresStaysOutUntilItIsGivenBack() {
-    Shares shares = new Shares(10);
-    Shares.Owner a = shares.add(0, 10);
-    assertTrue(a.tryTake(9));
-    Shares.Owner b = shares.add(5, 10);
-    assertFalse(b.tryTake(2), "the room is not there yet");
+    SharedCapacity shares = new SharedCapacity(10);
+    SharedCapacity.Owner a = shares.add(0, 10);
+    assertTrue(a.tryAcquire(9));
+    SharedCapacity.Owner b = shares.add(5, 10);
+    assertFalse(b.tryAcquire(2), "the room is not there yet");
     a.resize(0, 3);
-    assertFalse(a.tryTake(1));
+    assertFalse(a.tryAcquire(1));
     a.release(5);
-    assertTrue(b.tryTake(5));
-    a.leave();
+    assertTrue(b.tryAcquire(5));
+    a.close();
     a.release(4);
-    assertTrue(b.tryTake(5), "one that left holds nothing back");
+    assertTrue(b.tryAcquire(5), "one that left holds nothing back");
   }
 
   /** In any order of taking, giving and resizing: never more than the total is out, and every guarantee can be had. */
@@ -62,8 +62,8 @@
     long seed = new SplittableRandom().nextLong();
     SplittableRandom random = new SplittableRandom(seed);
     for (int round = 0; round < 500; round++) {
-      Shares shares = new Shares(50);
-      List<Shares.Owner> owners = new ArrayList<>();
+      SharedCapacity shares = new SharedCapacity(50);
+      List<SharedCapacity.Owner> owners = new ArrayList<>();
       long[] guaranteed = new long[4];
       for (int i = 0; i < 4; i++) {
         guaranteed[i] = random.nextInt(12);
@@ -74,38 +74,43 @@
         if (random.nextBoolean()) {
           long wanted = 1 + random.nextInt(5);
           boolean within = owners.get(i).used() + wanted <= guaranteed[i];
-          boolean got = owners.get(i).tryTake(wanted);
+          boolean got = owners.get(i).tryAcquire(wanted);
           assertTrue(got || !within, () -> "seed " + seed + ": a guarantee was not there");
         } else if (owners.get(i).used() > 0) {
           owners.get(i).release(1 + random.nextLong(owners.get(i).used()));
         }
-        assertTrue(owners.stream().mapToLong(Shares.Owner::used).sum() <= 50, () -> "seed " + seed);
+        assertTrue(
+            owners.stream().mapToLong(SharedCapacity.Owner::used).sum() <= 50,
+            () -> "seed " + seed);
       }
     }
   }
 
   @Test
   void poolsThatSayNothingGetHalfOfWhatIsLeftEvenly() {
-    List<RoomPlan.Part> parts = RoomPlan.of(
+    List<CapacityPlan.Allocation> parts = CapacityPlan.of(
         "sockets",
         100,
         List.of(
-            new RoomPlan.Ask("a", 40L, null),
-            new RoomPlan.Ask("b", null, 10L),
-            new RoomPlan.Ask("c", null, null)));
+            new CapacityPlan.Demand("a", 40L, null),
+            new CapacityPlan.Demand("b", null, 10L),
+            new CapacityPlan.Demand("c", null, null)));
     assertEquals(
-        List.of(new RoomPlan.Part(40, 100), new RoomPlan.Part(10, 10), new RoomPlan.Part(15, 100)),
+        List.of(
+            new CapacityPlan.Allocation(40, 100),
+            new CapacityPlan.Allocation(10, 10),
+            new CapacityPlan.Allocation(15, 100)),
         parts);
     assertThrows(
         IllegalArgumentException.class,
-        () -> RoomPlan.of("sockets", 39, List.of(new RoomPlan.Ask("a", 40L, null))));
+        () -> CapacityPlan.of("sockets", 39, List.of(new CapacityPlan.Demand("a", 40L, null))));
   }
 
   @Test
   void fullPoolTellsHowLongItsRequestsStay() {
     ResidenceTime residence = new ResidenceTime();
     for (int i = 0; i < 500; i++) {
-      residence.ended(400_000_000L);
+      residence.record(400_000_000L);
     }
     assertEquals(400_000_000L, residence.retryAfter(true, 2_000_000_000L), 1_000_000);
     assertEquals(300_000_000L, residence.retryAfter(true, 300_000_000L));
--- a/src/test/java/pumicekeel/pool/SharedUpstreamsTest.java
+++ b/src/test/java/pumicekeel/pool/SharedUpstreamsTest.java
@@ -18,7 +18,7 @@
   }
 
   private Listed seen(String pool, String address, long id) {
-    return shared.seenBy(pool, address, line(id, State.READY, 0));
+    return shared.withSharing(pool, address, line(id, State.READY, 0));
   }
 
   @Test
@@ -37,7 +37,8 @@
     assertEquals(Set.of("a"), shared.update("b", "h:1", line(1, State.DRAINING, 0)));
     assertEquals(1, seen("a", "h:1", 1).sharers());
     assertEquals(
-        State.DRAINING, shared.seenBy("b", "h:1", line(1, State.DRAINING, 0)).state());
+        State.DRAINING,
+        shared.withSharing("b", "h:1", line(1, State.DRAINING, 0)).state());
   }
 
   @Test
@@ -66,8 +67,8 @@
     shared.update("a", "h:2", line(1, State.GONE, 0));
     assertEquals(1, shared.size());
     shared.update("c", "h:1", line(3, State.READY, 0));
-    assertEquals(Set.of("h:1"), shared.leave("c"));
-    assertEquals(Set.of(), shared.leave("b"));
+    assertEquals(Set.of("h:1"), shared.removePool("c"));
+    assertEquals(Set.of(), shared.removePool("b"));
     assertEquals(0, shared.size());
     for (int i = 0; i < 1_000; i++) {
       shared.update("a", "h:" + i, line(i, State.READY, 0));
--- a/src/test/java/pumicekeel/route/HostAndPathTest.java
+++ b/src/test/java/pumicekeel/route/HostAndPathTest.java
@@ -136,18 +136,18 @@
   @Test
   void prefixesAndTemplatesCountByWholeSegments() {
     PathPattern prefix = PathPattern.of(PathPattern.Kind.PREFIX, "/quote");
-    assertTrue(prefix.takes("/quote") && prefix.takes("/quote/") && prefix.takes("/quote/7"));
-    assertTrue(!prefix.takes("/quotes") && !prefix.takes("/") && !prefix.takes("/q/quote"));
+    assertTrue(prefix.matches("/quote") && prefix.matches("/quote/") && prefix.matches("/quote/7"));
+    assertTrue(!prefix.matches("/quotes") && !prefix.matches("/") && !prefix.matches("/q/quote"));
     assertEquals(
         prefix.segments(), PathPattern.of(PathPattern.Kind.PREFIX, "/quote/").segments());
     PathPattern template = PathPattern.of(PathPattern.Kind.TEMPLATE, "/quote/{id}/pdf");
-    assertTrue(template.takes("/quote/7/pdf"));
-    assertTrue(!template.takes("/quote//pdf")
-        && !template.takes("/quote/7")
-        && !template.takes("/quote/7/pdf/x"));
-    assertTrue(PathPattern.of(PathPattern.Kind.PREFIX, "/").takes("/any/thing"));
-    assertTrue(PathPattern.of(PathPattern.Kind.EXACT, "/").takes("/"));
-    assertTrue(!PathPattern.of(PathPattern.Kind.EXACT, "/").takes("/a"));
+    assertTrue(template.matches("/quote/7/pdf"));
+    assertTrue(!template.matches("/quote//pdf")
+        && !template.matches("/quote/7")
+        && !template.matches("/quote/7/pdf/x"));
+    assertTrue(PathPattern.of(PathPattern.Kind.PREFIX, "/").matches("/any/thing"));
+    assertTrue(PathPattern.of(PathPattern.Kind.EXACT, "/").matches("/"));
+    assertTrue(!PathPattern.of(PathPattern.Kind.EXACT, "/").matches("/a"));
   }
 
   @ParameterizedTest
--- a/src/test/java/pumicekeel/route/RouteTableTest.java
+++ b/src/test/java/pumicekeel/route/RouteTableTest.java
@@ -49,7 +49,7 @@
   }
 
   private static Integer match(RouteTable table, Facts f) {
-    return table.match(f) instanceof RouteTable.Taken t ? t.route().order() : null;
+    return table.match(f) instanceof RouteTable.Matched t ? t.route().order() : null;
   }
 
   @Test
@@ -77,7 +77,7 @@
         new Route(1, "two", null, List.of(), wide, null, null, Map.of(), Split.to("two"), null);
     assertEquals(
         "one",
-        ((RouteTable.Taken) new RouteTable(List.of(one, two)).match(get("h", "/a")))
+        ((RouteTable.Matched) new RouteTable(List.of(one, two)).match(get("h", "/a")))
             .route()
             .name());
   }
@@ -120,7 +120,7 @@
     RouteTable table = new RouteTable(routes);
     Asked last = new Asked("platform", "h", "/x", "GET", null, Map.of("x-account", "t9999"));
     assertEquals(9_999, match(table, last));
-    List<RouteTable.Verdict> why = table.explain(last);
+    List<RouteTable.Explanation> why = table.explain(last);
     assertEquals(10_000, why.size());
     assertEquals("header x-account: wanted t0, got t9999", why.get(0).objection());
     assertNull(why.get(9_999).objection());
@@ -157,8 +157,8 @@
             random.nextBoolean()
                 ? Map.of("x", "" + random.nextInt(3))
                 : Map.of("y", "1", "x", "0"));
-        List<RouteTable.Verdict> tried = table.explain(asked);
-        RouteTable.Verdict end = tried.get(tried.size() - 1);
+        List<RouteTable.Explanation> tried = table.explain(asked);
+        RouteTable.Explanation end = tried.get(tried.size() - 1);
         Integer wanted = end.objection() == null ? end.route().order() : null;
         assertEquals(
             wanted, match(table, asked), () -> "seed " + seed + ": " + asked + " " + routes);
