--- a/src/main/java/pumicekeel/front/admin/AdminEndpoint.java
+++ b/src/main/java/pumicekeel/front/admin/AdminEndpoint.java
@@ -14,7 +14,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.UnaryOperator;
-import pumicekeel.front.AcceptFaults;
+import pumicekeel.front.AcceptErrorHandler;
 import pumicekeel.runtime.Reactor;
 
 /**
@@ -24,7 +24,7 @@
 public final class AdminEndpoint {
 
   /** Callers that say nothing stay for some seconds; beyond so many the oldest gives way. */
-  static final int MOST = 32;
+  static final int MAX_CONNECTIONS = 32;
 
   private static final int BACKLOG = 128;
   /** After a failed accept: long enough for descriptors to come back, short for an operator. */
@@ -47,7 +47,7 @@
   public SocketAddress listen(SocketAddress at) throws IOException, InterruptedException {
     ServerBootstrap bootstrap = new ServerBootstrap()
         .group(loop, loop)
-        .handler(new AcceptFaults(
+        .handler(new AcceptErrorHandler(
             "admin", scope -> ACCEPT_REST_NANOS, () -> listener.config().setAutoRead(true)))
         .option(ChannelOption.SO_BACKLOG, BACKLOG);
     if (at instanceof UnixDomainSocketAddress path) {
@@ -56,13 +56,14 @@
       bootstrap.channel(NioServerDomainSocketChannel.class);
     } else {
       bootstrap
-          .channelFactory(on.sockets()::listening)
+          .channelFactory(on.sockets()::newListeningChannel)
           .option(ChannelOption.SO_REUSEADDR, true)
           .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
     }
     listener = bootstrap
         .childOption(
-            ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(AdminHandler.MOST_LINE))
+            ChannelOption.RECVBUF_ALLOCATOR,
+            new FixedRecvByteBufAllocator(AdminHandler.MAX_LINE_BYTES))
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
@@ -79,7 +80,7 @@
   private void opened(Channel channel) {
     open.add(channel);
     channel.closeFuture().addListener(closed -> open.remove(channel));
-    if (open.size() > MOST) {
+    if (open.size() > MAX_CONNECTIONS) {
       open.iterator().next().close();
     }
   }
--- a/src/main/java/pumicekeel/jsonrpc/FrameDecoder.java
+++ b/src/main/java/pumicekeel/jsonrpc/FrameDecoder.java
@@ -17,22 +17,22 @@
 public final class FrameDecoder extends ByteToMessageDecoder {
 
   /** A head of Content-Length and perhaps Content-Type. */
-  static final int MOST_HEAD = 512;
+  static final int MAX_HEADER_BYTES = 512;
 
   private final Limits limits;
   private final ValueScanner scanner;
-  private final BooleanSupplier open;
+  private final BooleanSupplier accepting;
   private Framing framing;
   private int scanned;
   private int length = -1;
-  private boolean broken;
+  private boolean failed;
   private boolean reading;
   private ChannelHandlerContext ctx;
 
-  public FrameDecoder(Framing framing, Limits limits, BooleanSupplier open) {
+  public FrameDecoder(Framing framing, Limits limits, BooleanSupplier accepting) {
     this.framing = framing;
     this.limits = limits;
-    this.open = open;
+    this.accepting = accepting;
     scanner = new ValueScanner(limits);
   }
 
@@ -42,19 +42,19 @@
   }
 
   /** Whether a message has come in part, or some wait in whole. */
-  public boolean holdsBytes() {
+  public boolean hasBufferedBytes() {
     return actualReadableBytes() > 0;
   }
 
   /** How many bytes are held: of a message that has come in part, and of those that wait in whole. */
-  public int heldBytes() {
+  public int bufferedBytes() {
     return actualReadableBytes();
   }
 
   /** Drops what is held and what still comes. */
   public void discard() {
-    broken = true;
-    if (holdsBytes()) {
+    failed = true;
+    if (hasBufferedBytes()) {
       internalBuffer().skipBytes(actualReadableBytes());
     }
   }
@@ -62,7 +62,7 @@
   /** Reads no further by itself while nothing is taken: the library would ask for more where nothing came of a read. */
   @Override
   public void channelReadComplete(ChannelHandlerContext context) throws Exception {
-    if (open.getAsBoolean()) {
+    if (accepting.getAsBoolean()) {
       super.channelReadComplete(context);
     } else {
       context.fireChannelReadComplete();
@@ -72,18 +72,18 @@
   /** One read is gone through before another: its messages are in order. */
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-    boolean within = reading;
+    boolean nested = reading;
     reading = true;
     try {
       super.channelRead(context, message);
     } finally {
-      reading = within;
+      reading = nested;
     }
   }
 
   /** Goes on with what is held; false from within a read, which goes on by itself. On the loop. */
   public boolean resume() throws Exception {
-    if (!reading && holdsBytes() && ctx != null && !ctx.isRemoved()) {
+    if (!reading && hasBufferedBytes() && ctx != null && !ctx.isRemoved()) {
       channelRead(ctx, Unpooled.EMPTY_BUFFER);
       channelReadComplete(ctx);
     }
@@ -114,11 +114,11 @@
 
   @Override
   protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
-    if (broken) {
+    if (failed) {
       in.skipBytes(in.readableBytes());
       return;
     }
-    if (!open.getAsBoolean()) {
+    if (!accepting.getAsBoolean()) {
       return;
     }
     if (length < 0 && scanned == 0 && framing != Framing.NEWLINE) {
@@ -132,9 +132,9 @@
       framing = first == 'C' || first == 'c' ? Framing.CONTENT_LENGTH : Framing.VALUES;
     }
     switch (framing) {
-      case NEWLINE -> line(in, out);
-      case CONTENT_LENGTH -> counted(in, out);
-      default -> value(in, out);
+      case NEWLINE -> decodeLine(in, out);
+      case CONTENT_LENGTH -> decodeContentLength(in, out);
+      default -> decodeValue(in, out);
     }
   }
 
@@ -148,7 +148,7 @@
     }
   }
 
-  private void line(ByteBuf in, List<Object> out) {
+  private void decodeLine(ByteBuf in, List<Object> out) {
     int end = in.indexOf(in.readerIndex() + scanned, in.writerIndex(), (byte) '\n');
     int size = (end < 0 ? in.writerIndex() : end) - in.readerIndex();
     if (size > limits.bytes()) {
@@ -163,7 +163,7 @@
     byte[] bytes = take(in, size);
     in.skipBytes(1);
     if (!blank(bytes)) {
-      out.add(new Frame.Whole(bytes));
+      out.add(new Frame.Complete(bytes));
     }
   }
 
@@ -176,22 +176,22 @@
     return true;
   }
 
-  private void value(ByteBuf in, List<Object> out) {
+  private void decodeValue(ByteBuf in, List<Object> out) {
     if (scanned == 0) {
       scanner.reset();
       byte first = in.getByte(in.readerIndex());
       if (first != '{' && first != '[') {
-        fault(in, out, Codes.PARSE, "expected { or [ at the beginning of a message");
+        fault(in, out, ErrorCodes.PARSE, "expected { or [ at the beginning of a message");
         return;
       }
     }
-    int most = Math.min(in.readableBytes(), limits.bytes());
-    int end = scanner.scan(in, in.readerIndex() + scanned, in.readerIndex() + most);
+    int max = Math.min(in.readableBytes(), limits.bytes());
+    int end = scanner.scan(in, in.readerIndex() + scanned, in.readerIndex() + max);
     if (scanner.failed()) {
       fault(in, out, scanner.code(), scanner.fault());
     } else if (end >= 0) {
       scanned = 0;
-      out.add(new Frame.Whole(take(in, end - in.readerIndex())));
+      out.add(new Frame.Complete(take(in, end - in.readerIndex())));
     } else if (in.readableBytes() > limits.bytes()) {
       tooLarge(in, out);
     } else {
@@ -199,26 +199,26 @@
     }
   }
 
-  private void counted(ByteBuf in, List<Object> out) {
-    if (length < 0 && !head(in, out)) {
+  private void decodeContentLength(ByteBuf in, List<Object> out) {
+    if (length < 0 && !decodeHeader(in, out)) {
       return;
     }
     if (in.readableBytes() >= length) {
       byte[] bytes = take(in, length);
       length = -1;
       scanned = 0;
-      out.add(new Frame.Whole(bytes));
+      out.add(new Frame.Complete(bytes));
     }
   }
 
   /** Whether the head is whole and sound, and how much follows. */
-  private boolean head(ByteBuf in, List<Object> out) {
-    int most = Math.min(in.readableBytes(), MOST_HEAD);
-    String text = in.toString(in.readerIndex(), most, StandardCharsets.ISO_8859_1);
+  private boolean decodeHeader(ByteBuf in, List<Object> out) {
+    int max = Math.min(in.readableBytes(), MAX_HEADER_BYTES);
+    String text = in.toString(in.readerIndex(), max, StandardCharsets.ISO_8859_1);
     int end = text.indexOf("\r\n\r\n");
     if (end < 0) {
-      if (in.readableBytes() >= MOST_HEAD) {
-        fault(in, out, Codes.PARSE, "a head of more than " + MOST_HEAD + " bytes");
+      if (in.readableBytes() >= MAX_HEADER_BYTES) {
+        fault(in, out, ErrorCodes.PARSE, "a head of more than " + MAX_HEADER_BYTES + " bytes");
       } else {
         scanned = in.readableBytes();
       }
@@ -232,12 +232,12 @@
       if (name.equals("content-length") && size < 0 && value.matches("[0-9]{1,10}")) {
         size = Long.parseLong(value);
       } else if (!name.equals("content-type")) {
-        fault(in, out, Codes.PARSE, "expected one Content-Length and perhaps a Content-Type");
+        fault(in, out, ErrorCodes.PARSE, "expected one Content-Length and perhaps a Content-Type");
         return false;
       }
     }
     if (size < 0) {
-      fault(in, out, Codes.PARSE, "no Content-Length");
+      fault(in, out, ErrorCodes.PARSE, "no Content-Length");
       return false;
     }
     if (size > limits.bytes()) {
@@ -256,11 +256,12 @@
   }
 
   private void tooLarge(ByteBuf in, List<Object> out) {
-    fault(in, out, Codes.INVALID_REQUEST, "a message of more than " + limits.bytes() + " bytes");
+    fault(
+        in, out, ErrorCodes.INVALID_REQUEST, "a message of more than " + limits.bytes() + " bytes");
   }
 
   private void fault(ByteBuf in, List<Object> out, int code, String why) {
-    broken = true;
+    failed = true;
     in.skipBytes(in.readableBytes());
     out.add(new Frame.Fault(code, why));
   }
--- a/src/main/java/pumicekeel/route/PathIndex.java
+++ b/src/main/java/pumicekeel/route/PathIndex.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pumicekeel.call.Facts;
+import pumicekeel.call.RequestAttributes;
 
 /** Indexes the routes of one host by path segments. A lookup allocates no strings for segments. */
 final class PathIndex {
@@ -38,7 +38,7 @@
       values.computeIfAbsent(route.headers().get(name), k -> new ArrayList<>(1)).add(route);
     }
 
-    private Route best(Facts f, Route best) {
+    private Route best(RequestAttributes f, Route best) {
       Route found = first(plain, f, best);
       for (int i = 0; i < byHeader.size(); i++) {
         String sent = f.header(byHeader.get(i).getKey());
@@ -48,7 +48,7 @@
       return found;
     }
 
-    private static Route first(List<Route> routes, Facts f, Route best) {
+    private static Route first(List<Route> routes, RequestAttributes f, Route best) {
       for (int i = 0; i < routes.size(); i++) {
         Route r = routes.get(i);
         if (best != null && best.order() < r.order()) {
@@ -166,12 +166,12 @@
   }
 
   /** Returns the earliest matching route, out of this index and {@code best}, the one found so far; null if there is none. */
-  Route best(String path, Facts f, Route best) {
+  Route best(String path, RequestAttributes f, Route best) {
     return walk(root, path, 0, f, best);
   }
 
   /** Matches the path from {@code slash}, the start of the remaining path or its end. The patterns bound the depth. */
-  private static Route walk(Node node, String path, int slash, Facts f, Route best) {
+  private static Route walk(Node node, String path, int slash, RequestAttributes f, Route best) {
     Route found = node.prefix == null ? best : node.prefix.best(f, best);
     if (slash >= path.length()) {
       return node.whole == null ? found : node.whole.best(f, found);
--- a/src/main/java/pumicekeel/route/Route.java
+++ b/src/main/java/pumicekeel/route/Route.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import pumicekeel.call.Facts;
+import pumicekeel.call.RequestAttributes;
 
 /**
  * One route of the operator file: its match conditions, and the pools that serve matching requests. An empty list, null or
@@ -29,14 +29,14 @@
   public static final String PRESENT = "*";
 
   /** Returns whether all conditions except host and path hold; the index has checked those two. */
-  boolean matchesConditions(Facts f) {
+  boolean matchesConditions(RequestAttributes f) {
     return (listener == null || listener.equals(f.listener()))
         && (className == null || className.equals(f.className()))
         && (method == null || method.equals(f.method()))
         && matchesHeaders(f);
   }
 
-  private boolean matchesHeaders(Facts f) {
+  private boolean matchesHeaders(RequestAttributes f) {
     if (headers.isEmpty()) {
       return true;
     }
@@ -53,7 +53,7 @@
   }
 
   /** Returns why this route does not match a request with canonical host and path; null if it matches. */
-  String objection(Facts f, String host, String path) {
+  String objection(RequestAttributes f, String host, String path) {
     if (listener != null && !listener.equals(f.listener())) {
       return "listener: wanted " + listener + ", got " + f.listener();
     }
--- a/src/main/java/pumicekeel/route/RouteTable.java
+++ b/src/main/java/pumicekeel/route/RouteTable.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pumicekeel.call.Facts;
+import pumicekeel.call.RequestAttributes;
 
 /**
  * The immutable, compiled routes of one configuration generation. The first matching route of the file wins; the index finds
@@ -67,7 +67,7 @@
   }
 
   /** Finds the route of a request; allocates nothing unless its host or path has to be normalized. */
-  public MatchResult match(Facts f) {
+  public MatchResult match(RequestAttributes f) {
     String host = HostName.of(f.host());
     if (host == null) {
       return BAD_HOST;
@@ -89,7 +89,7 @@
   }
 
   /** Explains each route up to and including the matching one, by trying them in order without the index. */
-  public List<Explanation> explain(Facts f) {
+  public List<Explanation> explain(RequestAttributes f) {
     List<Explanation> verdicts = new ArrayList<>();
     String host = HostName.of(f.host());
     String path = RequestPath.of(f.path());
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
@@ -16,42 +16,42 @@
   /** Its id there; 0 while it has none. */
   private long id;
 
-  private long framesThen;
+  private long framesAtSend;
   private boolean stale;
 
-  RpcAttempt(int number, long upstream, long decidedAt, RpcLink link, Ending ending) {
+  RpcAttempt(int number, long upstream, long decidedAt, RpcLink link, Observer ending) {
     super(number, upstream, decidedAt, ending);
     this.link = link;
   }
 
   @Override
   protected void begin(ClientRequest request, BooleanSupplier maySend) {
-    RpcConnection place = link.place();
-    if (place == null) {
+    RpcConnection assigned = link.acquire();
+    if (assigned == null) {
       end(Status.CONNECT_FAILED, null);
       return;
     }
-    connection = place;
-    place.send(this, request, maySend);
+    connection = assigned;
+    assigned.send(this, request, maySend);
   }
 
   /** It goes out now under this id. */
-  void goesOut(long as) {
+  void sendStarted(long as) {
     id = as;
-    framesThen = connection.frames();
-    sending();
+    framesAtSend = connection.frames();
+    markSending();
   }
 
   long id() {
     return id;
   }
 
-  long sinceGoingOut() {
-    return sinceSent();
+  long nanosSinceSend() {
+    return nanosSinceSent();
   }
 
-  void wholeOut() {
-    written();
+  void sendCompleted() {
+    notifyWritten();
   }
 
   @Override
@@ -60,17 +60,17 @@
   }
 
   @Override
-  protected void over(Status how) {
+  protected void onEnded(Status how) {
     if (connection == null) {
       return;
     }
     stale = how == Status.RESET
-        && connection.keptAndSilent(id, framesThen)
-        && sinceSent() < STALE_NANOS;
+        && connection.wasReusedAndSilent(id, framesAtSend)
+        && nanosSinceSent() < STALE_NANOS;
     if (how == Status.TIMEOUT || how == Status.CANCELLED) {
       // By what came since it was sent, not by a clock: its time-out began before its connection
       // did.
-      connection.giveUp(this, how == Status.TIMEOUT && connection.frames() == framesThen);
+      connection.abandon(this, how == Status.TIMEOUT && connection.frames() == framesAtSend);
     }
   }
 }
