--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -402,7 +402,9 @@
 
   /** Returns the outcomes of the requests so far, on one line; only with an operator file. */
   public String counters() {
-    return loop.submit(() -> services.counters().line()).syncUninterruptibly().getNow();
+    return loop.submit(() -> services.counters().logLine())
+        .syncUninterruptibly()
+        .getNow();
   }
 
   /** Checks whether a generation fits the platform's limits; throws IllegalArgumentException if not. */
--- a/src/main/java/pumicekeel/upstream/SocketUser.java
+++ b/src/main/java/pumicekeel/upstream/SocketUser.java
@@ -1,12 +1,12 @@
 package pumicekeel.upstream;
 
 import java.net.InetSocketAddress;
-import pumicekeel.pool.Shares;
+import pumicekeel.pool.SharedCapacity;
 
 /** One of the users that share the sockets to upstreams. */
 public interface SocketUser {
 
-  Shares.Owner share();
+  SharedCapacity.Owner share();
 
   /** Returns the number of connections to one address from which on this user opens no further one; 0 for no limit. */
   int maxPerAddress();
