--- a/src/main/java/pumicekeel/node/Admission.java
+++ b/src/main/java/pumicekeel/node/Admission.java
@@ -64,8 +64,8 @@
 
   @Override
   public boolean reserveBody(int more) {
-    if (!pool.body.tryTake(more)) {
-      services.counters().noRoom();
+    if (!pool.body.tryAcquire(more)) {
+      services.counters().countPoolFull();
       return false;
     }
     bytes += more;
@@ -151,10 +151,12 @@
     ServicePool next =
         pinned || pool.core().readyUpstreams() > 0 ? null : services.fallbackOf(route, pool);
     RequestClass type = next == null ? null : next.equivalentClass(request.type());
-    if (type == null || next.objection(request.withType(type)) != null || !next.open.tryTake(1)) {
+    if (type == null
+        || next.objection(request.withType(type)) != null
+        || !next.open.tryAcquire(1)) {
       return false;
     }
-    if (!next.body.tryTake(bytes)) {
+    if (!next.body.tryAcquire(bytes)) {
       next.open.release(1);
       return false;
     }
@@ -245,8 +247,8 @@
     if (!finished) {
       finished = true;
       services.close(request.id());
-      services.counters().ended(pool.name(), request.type().name(), how);
-      pool.residenceTime().ended(services.now() - startedAt);
+      services.counters().countEnd(pool.name(), request.type().name(), how);
+      pool.residenceTime().record(services.now() - startedAt);
     }
   }
 
