--- a/src/main/java/pumicekeel/call/AnswerStart.java
+++ b/src/main/java/pumicekeel/call/AnswerStart.java
@@ -1,4 +1,4 @@
 package pumicekeel.call;
 
-/** What is known of an answer whose body is passed on while it comes: its type or null, its length or -1. */
+/** The head of a streamed answer: its content type or null, its length or -1. */
 public record AnswerStart(String contentType, long length) {}
--- a/src/main/java/pumicekeel/call/BodySink.java
+++ b/src/main/java/pumicekeel/call/BodySink.java
@@ -2,15 +2,15 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Where the pieces of a body go that is passed on while it comes, an answer's or a request's. Only on the loop. */
+/** Receives the chunks of a streamed body, of an answer or a request. Event loop only. */
 public interface BodySink {
 
-  /** One more piece, which the sink owns from now on. */
+  /** Receives a chunk, which the sink owns from now on. */
   void onChunk(ByteBuf bytes);
 
-  /** The body has come whole. */
+  /** Called when the body is complete. */
   void onComplete();
 
-  /** It will not come whole, and whoever gets it has to be able to tell. */
+  /** Called when the body ends early; the recipient has to be able to detect it. */
   void onTruncated();
 }
--- a/src/main/java/pumicekeel/call/Client.java
+++ b/src/main/java/pumicekeel/call/Client.java
@@ -1,21 +1,22 @@
 package pumicekeel.call;
 
-/** Where the final answer of a request goes. */
+/** Receives the final answer of a request. */
 public interface Client {
 
   void served(Answer answer);
 
   /**
-   * Asked when an answer begins that is too large or too slow to be kept: where its pieces go, or null where only whole
-   * answers are of use. After that none of the others is called: the sink is told of the end.
+   * Called when an answer begins that is too large or too slow to be buffered: returns the sink of its chunks, or null
+   * if only complete answers can be used. No other method is called afterwards; the sink is notified of the end.
    */
   default BodySink beginStream(AnswerStart start, FlowControl source) {
     return null;
   }
 
   /**
-   * Asked right before a request's first byte goes out: whether its client is surely there. One that has left is gone by the
-   * return, as if it had been seen to leave; one that has sent so much that its end can't be seen is not, and is owed an answer.
+   * Called right before a request's first byte is sent: returns whether its client is certainly still connected. A
+   * client that has disconnected is handled as such before this returns; one that has sent so much that its end cannot
+   * be seen counts as not connected, and still gets an answer.
    */
   default boolean isConnected() {
     return true;
@@ -26,8 +27,8 @@
   void failed();
 
   /**
-   * Asked before a refusal of a request of which nothing ran and nothing is out: true where something else answers it
-   * from now on, within what is left of its time.
+   * Called before the refusal of a request of which nothing ran and no attempt is in flight; returns true if something
+   * else answers it from now on, within the remaining time.
    */
   default boolean handOver(long leftNanos) {
     return false;
--- a/src/main/java/pumicekeel/call/ClientRequest.java
+++ b/src/main/java/pumicekeel/call/ClientRequest.java
@@ -9,7 +9,7 @@
 import pumicekeel.Balancer.RequestClass;
 import pumicekeel.Balancer.Settings;
 
-/** A client's request, checked against the protocol and the settings. */
+/** A client's request, validated against the protocol and the settings. */
 public record ClientRequest(
     String id,
     RequestClass type,
@@ -25,19 +25,19 @@
   public static final String TIME_LEFT = "X-Time-Left-Ms";
   public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-  /** A request that breaks the protocol; carries the 4xx status and what is wrong. */
+  /** A request that violates the protocol; carries the 4xx status and the reason. */
   public static final class InvalidRequest extends Exception {
     private static final long serialVersionUID = 1L;
     public final int status;
-    /** When trying again is worth it; 0 for no advice. */
+    /** The time after which a retry makes sense; 0 for no advice. */
     public final long retryAfterNanos;
 
-    /** Without a stack trace: clients that break the protocol do so at full speed. */
+    /** Has no stack trace: clients that violate the protocol may do so at full speed. */
     public InvalidRequest(int status, String what) {
       this(status, what, 0);
     }
 
-    /** One that says when to come back. */
+    /** Creates an exception with a retry time. */
     public InvalidRequest(int status, String what, long retryAfterNanos) {
       super(what, null, false, false);
       this.status = status;
@@ -45,7 +45,9 @@
     }
   }
 
-  /** The headers that say what a request is: each once, or readers would differ over which one counts. */
+  /**
+   * Headers that identify a request: a repeated one is rejected, since readers could differ on which value counts.
+   */
   private static final List<String> SINGLE_VALUE_HEADERS = List.of(
       ID,
       "X-Service-Class",
@@ -57,8 +59,10 @@
       "X-Repeat",
       HttpHeaderNames.HOST.toString());
 
-  /** One that does not fit the settings but those before them, where there are such, was asked by a client that has
-   * not heard of the change yet, and keeps its class of then. */
+  /**
+   * Parses a request; one that fits only the previous settings, if there are any, was sent by a client that has not
+   * seen the change yet, and keeps its previous class.
+   */
   public static ClientRequest of(
       HttpRequest head, byte[] body, Upload upload, Settings settings, Settings former)
       throws InvalidRequest {
@@ -72,10 +76,13 @@
     }
   }
 
-  /** A name that is kept while its request is open, and a key for its window: some times what the platform's clients send. */
+  /**
+   * The maximum length of a name that is kept while its request is open, and of a key kept for its window: several
+   * times what the platform's clients send.
+   */
   public static final int MAX_NAME_LENGTH = 256;
 
-  /** The headers whose values are kept. */
+  /** The headers whose values are retained. */
   private static final List<String> RETAINED_HEADERS =
       List.of(ID, "X-Session-Key", IDEMPOTENCY_KEY);
 
@@ -129,7 +136,7 @@
         idempotencyKey);
   }
 
-  /** The class of this name. */
+  /** Returns the class of this name. */
   public static RequestClass classOf(String name, Settings settings) throws InvalidRequest {
     for (RequestClass c : settings.classes()) {
       if (c.name().equals(name)) {
@@ -139,14 +146,14 @@
     throw new InvalidRequest(400, "unknown class");
   }
 
-  /** Turns a name away that is too long to be kept; null is none. */
+  /** Rejects a name that is too long to be kept; null is allowed. */
   public static void checkName(String what, String name) throws InvalidRequest {
     if (name != null && name.length() > MAX_NAME_LENGTH) {
       throw new InvalidRequest(400, what + " over " + MAX_NAME_LENGTH + " characters");
     }
   }
 
-  /** Turns a tenant away that the settings don't know, where they know any. */
+  /** Rejects a tenant that is not in the settings, if those list any. */
   public static void checkTenant(String tenant, Settings settings) throws InvalidRequest {
     if (!settings.tenants().isEmpty()
         && settings.tenants().stream().noneMatch(t -> t.name().equals(tenant))) {
@@ -154,18 +161,18 @@
     }
   }
 
-  /** Its body, where that is too large to be kept; else null. */
+  /** Returns the body if it is too large to be buffered; else null. */
   public Upload upload() {
     return payload instanceof Payload.Http http ? http.upload() : null;
   }
 
-  /** The same request with less of its time left, at least none. */
+  /** Returns the same request with this much time left, at least none. */
   public ClientRequest withTimeLeft(long nanos) {
     return new ClientRequest(
         id, type, tenant, key, Math.max(0, nanos), hintNanos, retry, payload, idempotencyKey);
   }
 
-  /** The same request as another pool has its class. */
+  /** Returns the same request with its class as another pool defines it. */
   public ClientRequest withType(RequestClass other) {
     return new ClientRequest(
         id, other, tenant, key, leftNanos, hintNanos, retry, payload, idempotencyKey);
@@ -179,7 +186,7 @@
     return value;
   }
 
-  /** A count that stays far from overflow when it is turned into nanoseconds. */
+  /** Parses a count that is limited so that it cannot overflow when converted to nanoseconds. */
   private static long parseCount(String name, String text) throws InvalidRequest {
     try {
       long value = Long.parseLong(text);
@@ -187,7 +194,7 @@
         return Math.min(value, 1_000_000_000L);
       }
     } catch (NumberFormatException e) {
-      // Said below.
+      // Reported below.
     }
     throw new InvalidRequest(400, "bad " + name);
   }
--- a/src/main/java/pumicekeel/call/FlowControl.java
+++ b/src/main/java/pumicekeel/call/FlowControl.java
@@ -1,9 +1,9 @@
 package pumicekeel.call;
 
-/** The source of a body's pieces, which stops and goes on as its sink can take them. Only on the loop. */
+/** Pauses and resumes the source of a body's chunks as its sink can accept them. Event loop only. */
 @FunctionalInterface
 public interface FlowControl {
 
-  /** Whether more pieces are wanted. */
+  /** Sets whether more chunks are wanted. */
   void flow(boolean on);
 }
--- a/src/main/java/pumicekeel/call/Payload.java
+++ b/src/main/java/pumicekeel/call/Payload.java
@@ -5,21 +5,21 @@
 import java.nio.charset.StandardCharsets;
 import pumicekeel.Balancer.Effect;
 
-/** What a client wants done, in the form of its own protocol. An upstream of another protocol gets it translated. */
+/** The content of a request in its client's protocol. It is translated for upstreams of another protocol. */
 public sealed interface Payload permits Payload.Http, Payload.Call {
 
-  /** Bytes that are kept for it while it is open. */
+  /** Returns the number of bytes retained while the request is open. */
   int size();
 
-  /** As a request of the platform's protocol, for a class with this effect. */
+  /** Converts to a request of the platform's protocol, for a class with this effect. */
   Http toHttp(Effect effect);
 
-  /** An HTTP request; where {@code upload} is not null, its body is that, and still comes. */
+  /** An HTTP request; if {@code upload} is not null, that is its body, still incomplete. */
   record Http(
       HttpMethod method, String uri, String host, String contentType, byte[] body, Upload upload)
       implements Payload {
 
-    /** One whose body has come whole. */
+    /** Creates a request with a complete body. */
     public Http(HttpMethod method, String uri, String host, String contentType, byte[] body) {
       this(method, uri, host, contentType, body, null);
     }
@@ -39,11 +39,12 @@
    * A JSON-RPC call.
    *
    * @param params raw JSON, an object or an array; null for none
-   * @param uri where it goes as an HTTP request; null for the class, with the params in the query of a safe one
+   * @param uri the target as an HTTP request; null for one derived from the class, with the params in the query of a
+   * safe call
    */
   record Call(String method, byte[] params, String className, String uri, String host)
       implements Payload {
-    /** Servers take lines of 4 KiB to 8 KiB; method and version are on it too. */
+    /** Servers accept request lines of 4 KiB to 8 KiB; method and version are part of it. */
     public static final int MAX_TARGET_LENGTH = 4_000;
 
     private static final byte[] EMPTY = {};
@@ -53,7 +54,7 @@
       return params == null ? 0 : params.length;
     }
 
-    /** A safe one says all in its target; any other carries its params as the body. */
+    /** A safe call has its params in the target; any other has them as the body. */
     @Override
     public Http toHttp(Effect effect) {
       boolean safe = effect == Effect.SAFE;
@@ -76,7 +77,7 @@
                   : "");
     }
 
-    /** Whether it fits the line that HTTP upstreams take. */
+    /** Returns whether the target fits the request line that HTTP upstreams accept. */
     public boolean fitsHttp(Effect effect) {
       return target(effect == Effect.SAFE).length() <= MAX_TARGET_LENGTH;
     }
--- a/src/main/java/pumicekeel/call/RequestAttributes.java
+++ b/src/main/java/pumicekeel/call/RequestAttributes.java
@@ -1,24 +1,24 @@
 package pumicekeel.call;
 
 /**
- * What a front knows of a request once its head has come, before its body: all that a route can ask for. Values are as
- * the client sent them; an absent one is null.
+ * The attributes of a request that are known once its head has arrived, before its body: all that routes can match on.
+ * Values are as the client sent them; an absent one is null.
  */
 public interface RequestAttributes {
 
-  /** The name of the listener that the request came in at. */
+  /** Returns the name of the listener that received the request. */
   String listener();
 
-  /** The authority as the client wrote it, with a port if it gave one. */
+  /** Returns the authority as the client sent it, including the port if present. */
   String host();
 
-  /** The target without its query; empty where the client sent a query only. */
+  /** Returns the target without its query; empty if the client sent only a query. */
   String path();
 
   String method();
 
   String className();
 
-  /** The value of a header by its name in any case; null where it is absent, the first where it came twice. */
+  /** Returns the value of a header by its case-insensitive name; null if absent, the first one if repeated. */
   String header(String name);
 }
--- a/src/main/java/pumicekeel/call/Upload.java
+++ b/src/main/java/pumicekeel/call/Upload.java
@@ -6,9 +6,9 @@
 import java.util.Queue;
 
 /**
- * A request's body that is too large to be kept: it goes on while it comes. What had come when the request was taken is
- * kept, so that another attempt can begin as long as nothing beyond it has gone out; after that the body is spent. Only
- * on the loop. Holds no more than that, and what the client's socket had delivered before it could be told to wait.
+ * A request's body that is too large to be buffered and is streamed. The prefix received before the submission is
+ * kept, so that another attempt can start as long as nothing beyond it was sent; after that the body is consumed.
+ * Holds only that prefix and what the client's socket delivered before it could be paused. Event loop only.
  */
 public final class Upload {
 
@@ -22,7 +22,10 @@
   private boolean discarded;
   private Runnable onComplete = () -> {};
 
-  /** {@code length} is -1 where the client did not say; {@code kept} is what has come; {@code client} sends the rest. */
+  /**
+   * {@code length} is -1 if the client did not declare it; {@code prefix} is what was received; {@code client}
+   * controls the rest.
+   */
   public Upload(long length, byte[] kept, FlowControl client) {
     this.length = length;
     this.prefix = kept;
@@ -37,17 +40,17 @@
     return complete;
   }
 
-  /** Whether a part of it is gone that no further attempt could send. */
+  /** Returns whether a part was sent that no further attempt could send again. */
   public boolean isConsumed() {
     return isConsumed;
   }
 
-  /** Run once its last byte has come. */
+  /** Sets the action to run when the last byte has been received. */
   public void onComplete(Runnable action) {
     onComplete = action;
   }
 
-  /** The client's side: one more piece, which this owns from now on. */
+  /** Called by the client's side with a further chunk, which this upload owns from now on. */
   public void addChunk(ByteBuf bytes) {
     if (discarded) {
       bytes.release();
@@ -59,7 +62,7 @@
     }
   }
 
-  /** The client's side: the last byte has come. */
+  /** Called by the client's side after the last byte. */
   public void finish() {
     complete = true;
     if (sink != null) {
@@ -68,7 +71,7 @@
     onComplete.run();
   }
 
-  /** An attempt begins: gets all that there is, and what comes. */
+  /** Starts an attempt, which gets everything received so far and what follows. */
   public void attach(BodySink newSink) {
     sink = newSink;
     if (prefix.length > 0) {
@@ -83,7 +86,7 @@
     }
   }
 
-  /** The attempt has ended. Until another begins the client waits; a body that is spent is read on, for its end. */
+  /** Ends the attempt. The client is paused until another starts; a consumed body is read on, to reach its end. */
   public void detach() {
     sink = null;
     if (discarded) {
@@ -96,12 +99,12 @@
     }
   }
 
-  /** The sink's side: whether it can take more. */
+  /** Called by the sink's side to pause or resume the client. */
   public void flow(boolean on) {
     clientFlow.flow(on);
   }
 
-  /** The request has its answer: what still comes of it is of no use. */
+  /** Discards the rest of the body: the request has been answered. */
   public void discard() {
     discarded = true;
     sink = null;
--- a/src/main/java/pumicekeel/core/ActiveSettings.java
+++ b/src/main/java/pumicekeel/core/ActiveSettings.java
@@ -4,12 +4,13 @@
 import pumicekeel.Balancer.Settings;
 
 /**
- * The settings in force and, for {@link #OVERLAP_NANOS} after a change, the settings before it: clients learn of a change later
- * than the balancer and send requests of the former classes until then. No I/O; times are nanoseconds of a monotonic clock.
+ * The settings in force and, for {@link #OVERLAP_NANOS} after a change, the previous ones: clients learn of a change
+ * later than the balancer and send requests of the previous classes until then. No I/O; times are nanoseconds of a
+ * monotonic clock.
  */
 public final class ActiveSettings {
 
-  /** Clients name what is new 1.2 s after SIGHUP; what was asked just before that may still be on its way. */
+  /** Clients use new settings 1.2 s after SIGHUP; requests sent just before that may still be on their way. */
   public static final long OVERLAP_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private Settings current;
@@ -24,7 +25,7 @@
     return current;
   }
 
-  /** The settings before the last change, as long as clients may not have heard of it; else null. */
+  /** Returns the settings before the last change while clients may still use them; null otherwise. */
   public Settings previous(long now) {
     if (previous != null && now - changedAt >= OVERLAP_NANOS) {
       previous = null;
@@ -32,7 +33,7 @@
     return previous;
   }
 
-  /** Takes other settings over; false where they are the same. */
+  /** Replaces the settings; returns false if they are equal to the current ones. */
   public boolean replace(Settings next, long now) {
     if (next.equals(current)) {
       return false;
--- a/src/main/java/pumicekeel/core/AttemptLog.java
+++ b/src/main/java/pumicekeel/core/AttemptLog.java
@@ -4,16 +4,22 @@
 import pumicekeel.call.ClientRequest;
 import pumicekeel.discovery.HostList;
 
-/** Who keeps a record of one request's attempts. Only on the loop. */
+/** Records the attempts of one request. Event loop only. */
 public interface AttemptLog {
 
-  /** An attempt is about to be made: exactly one of the two is run, at once or later, and nothing is sent before. */
+  /**
+   * Called before an attempt: exactly one of the two callbacks is run, at once or later, and nothing is sent before.
+   */
   void beforeAttempt(
-      ClientRequest request, int attempt, HostList.Host upstream, Runnable go, Runnable never);
+      ClientRequest request,
+      int attempt,
+      HostList.Host upstream,
+      Runnable proceed,
+      Runnable abandon);
 
-  /** The attempt's last byte was written. */
+  /** Called when the last byte of the attempt's request was written. */
   void requestWritten(ClientRequest request, int attempt);
 
-  /** The attempt ended; NOT_SENT where its first byte never left, whatever ended it. */
+  /** Called when the attempt ended; the status is NOT_SENT if its first byte was never sent, whatever ended it. */
   void attemptEnded(ClientRequest request, int attempt, Status status);
 }
--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -50,24 +50,27 @@
 import pumicekeel.upstream.UpstreamLinks;
 import pumicekeel.upstream.UpstreamTable;
 
-/** The table of open requests: tells the module what happens on the sockets and carries out what it decides. */
+/** The table of open requests: reports socket events to the decision module and carries out its actions. */
 public final class BalancerCore {
 
-  /** An answer goes out this long before the client stops waiting, so that a busy core still is in time. */
+  /**
+   * An answer is sent this long before the client stops waiting, so that it arrives in time even when the CPU is busy.
+   */
   public static final long ANSWER_MARGIN_NANOS = 60_000_000L;
   /**
-   * Of the time past a class's aim by a quarter, that part which earns nothing is parted between waiting and answering, so that a process
-   * that stands still at its end loses no request, however short or long its time is. Not more than this, though: an answer that earns
-   * nothing is still one, and a process that stands still for a second and more is beyond help.
+   * Upper bound of the margin against stalls of the process. Of the time beyond 1.25 times a class's aim, the share in
+   * which an answer has no worth is split between waiting and answering, so that a process that stalls at the end of
+   * it loses no request, whatever the request's time limit. The bound exists because a late answer is still an answer,
+   * and no margin helps against stalls of a second or more.
    */
   private static final long STALL_MARGIN_NANOS = 1_000_000_000L;
 
   private static final double STALL_PART = 0.5;
-  private static final double PAST_AIM = 1.25;
-  /** The node's own answer where the module gave none in time, after the module's deadline. */
-  private static final long GUARD_NANOS = 20_000_000L;
-  /** The largest body at half the rate that clients have at least; what is slower is ended by its front. */
-  private static final long LONGEST_UPLOAD_NANOS = TimeUnit.MINUTES.toNanos(20);
+  private static final double LATE_FACTOR = 1.25;
+  /** How long after the module's deadline the core itself answers a request that the module left unanswered. */
+  private static final long MODULE_GRACE_NANOS = 20_000_000L;
+  /** Time for the largest body at half the minimum rate of clients; the front ends slower uploads. */
+  private static final long MAX_UPLOAD_NANOS = TimeUnit.MINUTES.toNanos(20);
 
   private final ActiveSettings activeSettings;
   private final Balancer module;
@@ -75,46 +78,46 @@
   private final EventLoop loop;
   private final ServingGuard guard;
   private final LoopLag lag;
-  private final Consumer<RuntimeException> defect;
+  private final Consumer<RuntimeException> onDefect;
   private final Map<String, OpenRequest> table = new HashMap<>();
   private final UpstreamTable upstreams;
   private final Queue<Event> events = new ArrayDeque<>();
-  private final List<OpenRequest> over = new ArrayList<>();
-  private Consumer<Boolean> watch = on -> {};
+  private final List<OpenRequest> finished = new ArrayList<>();
+  private Consumer<Boolean> watch = reactor -> {};
   private boolean handling;
-  private QuotaSource setQuotaSource;
-  /** How current the list is; null where it can't be outdated. */
-  private ListCurrency setListCurrency;
+  private QuotaSource quotaSource;
+  /** Tracks whether the list is outdated; null if it cannot be. */
+  private ListCurrency listCurrency;
 
-  private long endsAt = Long.MAX_VALUE;
+  private long processEndsAt = Long.MAX_VALUE;
 
   public BalancerCore(
       Settings settings,
       Balancer module,
-      Reactor on,
+      Reactor reactor,
       LoopLag lag,
       UpstreamLinks links,
       Consumer<RuntimeException> defect) {
     activeSettings = new ActiveSettings(settings);
     this.module = module;
-    clock = on.clock();
-    loop = on.loop();
-    guard = on.guard();
+    clock = reactor.clock();
+    loop = reactor.loop();
+    guard = reactor.guard();
     this.lag = lag;
     upstreams = new UpstreamTable(links);
-    this.defect = defect;
+    this.onDefect = defect;
   }
 
-  /** From now on nothing is sent while the list by which it would be is outdated. */
-  public void setListCurrency(ListCurrency of) {
-    setListCurrency = of;
+  /** Sets the source that tells whether the list is outdated; while it is, nothing is sent. */
+  public void setListCurrency(ListCurrency currency) {
+    listCurrency = currency;
   }
 
   private boolean listOutdated(long now) {
-    return setListCurrency != null && !setListCurrency.sendable(now);
+    return listCurrency != null && !listCurrency.sendable(now);
   }
 
-  /** Starts with the list as last held; {@code watch} carries out the module's wish to follow it. */
+  /** Starts with the last known list; {@code watch} is called when the module starts or stops watching the list. */
   public void start(HostList known, Consumer<Boolean> watch) {
     this.watch = watch;
     updateList(ListKind.CACHED, known);
@@ -124,50 +127,49 @@
     return activeSettings.current();
   }
 
-  /** The settings until a moment ago, which clients may still go by; null where there are none. */
+  /** Returns the previous settings while clients may still use them; null otherwise. */
   public Settings previousSettings() {
     return activeSettings.previous(clock.now());
   }
 
-  /** Takes over other settings: what is open keeps its class, what comes from now on goes by the new ones. */
+  /** Applies new settings: open requests keep their class, later ones use the new settings. */
   public void applySettings(Settings next) {
     if (activeSettings.replace(next, clock.now())) {
-      tell(new SettingsChanged(next));
+      dispatch(new SettingsChanged(next));
     }
   }
 
-  /** From now on what this instance may admit of tenants' quotas is said by somebody else; null for its even part. */
+  /** Sets the source of this instance's share of tenants' quotas; null for an even share. */
   public void setQuotaSource(QuotaSource source) {
-    if (setQuotaSource != null && source == null) {
-      tell(new SettingsChanged(settings()));
+    if (quotaSource != null && source == null) {
+      dispatch(new SettingsChanged(settings()));
     }
-    setQuotaSource = source;
+    quotaSource = source;
   }
 
-  /** Has the rates in force told to the module, before a request of this tenant is judged by them. */
+  /** Reports changed quota rates to the module before it decides on a request of this tenant. */
   public void refreshQuotas(String tenant, long now) {
-    Map<String, Double> rates = setQuotaSource == null || tenant == null
-        ? null
-        : setQuotaSource.requestArrived(tenant, now);
+    Map<String, Double> rates =
+        quotaSource == null || tenant == null ? null : quotaSource.requestArrived(tenant, now);
     if (rates != null) {
-      tell(new QuotaAllocation(rates));
+      dispatch(new QuotaAllocation(rates));
     }
   }
 
   // Clients
 
-  /** Takes a request; false where its id is open already, which must not replace the first one. */
+  /** Submits a request; returns false if its id is already open, since it must not replace the first one. */
   public boolean submit(ClientRequest request, Client client) {
     return submit(request, client, List.of(), null);
   }
 
-  /** Takes one of which something may have run before, and whose attempts somebody may put on record ({@code log}). */
+  /** Submits a request that earlier attempts may have run; {@code log} records its attempts, null for no record. */
   public boolean submit(
-      ClientRequest request, Client client, List<PriorAttempt> earlier, AttemptLog log) {
+      ClientRequest request, Client client, List<PriorAttempt> priorAttempts, AttemptLog log) {
     long now = clock.now();
-    long left = Math.max(0, Math.min(serviceTimeNanos(request), endsAt - now));
+    long left = Math.max(0, Math.min(serviceTimeNanos(request), processEndsAt - now));
     OpenRequest r = new OpenRequest(
-        request, client, now + left, earlier, log, settings().limits().maxAttempts());
+        request, client, now + left, priorAttempts, log, settings().limits().maxAttempts());
     if (table.putIfAbsent(request.id(), r) != null) {
       return false;
     }
@@ -175,22 +177,23 @@
       table.remove(request.id(), r);
       r.ended = true;
       if (!client.handOver(left)) {
-        giveUp(r, retryAfterNanos());
+        refuseOrFail(r, retryAfterNanos());
       }
       return true;
     }
     r.clientDeadline = now + request.leftNanos();
-    boolean coming = r.bodyIncomplete();
-    if (coming) {
-      // Its time counts from its last byte; until then the front ends what does not come.
-      r.deadline = Math.min(now + LONGEST_UPLOAD_NANOS, endsAt);
-      request.upload().onComplete(() -> came(r));
+    boolean bodyIncomplete = r.bodyIncomplete();
+    if (bodyIncomplete) {
+      // The time limit starts at the last byte of the body; until then the front ends slow
+      // uploads.
+      r.deadline = Math.min(now + MAX_UPLOAD_NANOS, processEndsAt);
+      request.upload().onComplete(() -> bodyReceived(r));
     } else {
       r.deadlineTimer =
-          loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
+          loop.schedule(() -> answerForModule(r), left + MODULE_GRACE_NANOS, TimeUnit.NANOSECONDS);
     }
     refreshQuotas(request.tenant(), now);
-    tell(new Request(
+    dispatch(new Request(
         request.id(),
         request.type().name(),
         request.tenant(),
@@ -198,59 +201,59 @@
         r.deadline,
         request.hintNanos(),
         request.retry(),
-        earlier,
-        former(request),
-        coming));
+        priorAttempts,
+        usesPreviousSettings(request),
+        bodyIncomplete));
     return true;
   }
 
-  /** When a list comes is not known: the longest that clients heed. */
+  /** The longest wait that clients accept, since it is not known when a list will arrive. */
   private long retryAfterNanos() {
     var limits = settings().limits();
     return limits.retryAfter() ? limits.maxRetryAfterNanos() : 0;
   }
 
-  /** Of a client's time, what the module has, in nanoseconds; 0 or less for none. */
+  /** Returns the part of the client's time, in nanoseconds, that the module may use; 0 or less for none. */
   public static long serviceTimeNanos(ClientRequest request) {
     long left = request.leftNanos();
-    // How long a class's aim is for a request is not known where it goes by its work.
-    double earnsNothing =
+    // The aim is not known here if it scales with the request's work.
+    double worthlessPart =
         request.type().aimStretch() > 0 ? 0 : Math.max(0, 1 - request.type().lateWorth());
-    double pastAim = left - PAST_AIM * request.type().aimNanos();
-    long kept = (long) Math.min(STALL_MARGIN_NANOS, STALL_PART * earnsNothing * pastAim);
-    return left - Math.max(ANSWER_MARGIN_NANOS, kept);
+    double pastAim = left - LATE_FACTOR * request.type().aimNanos();
+    long margin = (long) Math.min(STALL_MARGIN_NANOS, STALL_PART * worthlessPart * pastAim);
+    return left - Math.max(ANSWER_MARGIN_NANOS, margin);
   }
 
-  /** The last byte of a request has come that was taken before: its time begins. */
-  private void came(OpenRequest r) {
+  /** Starts the time limit of an already submitted request whose body is now complete. */
+  private void bodyReceived(OpenRequest r) {
     if (r.ended) {
       return;
     }
     long now = clock.now();
-    long left = Math.max(0, Math.min(serviceTimeNanos(r.request), endsAt - now));
+    long left = Math.max(0, Math.min(serviceTimeNanos(r.request), processEndsAt - now));
     r.deadline = now + left;
     r.clientDeadline = now + r.request.leftNanos();
     r.deadlineTimer =
-        loop.schedule(() -> answerForModule(r), left + GUARD_NANOS, TimeUnit.NANOSECONDS);
+        loop.schedule(() -> answerForModule(r), left + MODULE_GRACE_NANOS, TimeUnit.NANOSECONDS);
     r.attempts.stream().filter(UpstreamAttempt::inFlight).forEach(a -> a.bodyReceived(left, loop));
-    tell(new RequestBodyReceived(r.request.id(), r.deadline));
+    dispatch(new RequestBodyReceived(r.request.id(), r.deadline));
   }
 
-  private boolean former(ClientRequest request) {
+  private boolean usesPreviousSettings(ClientRequest request) {
     return previousSettings() != null && !settings().classes().contains(request.type());
   }
 
-  /** The process ends after so long: no request that is open or taken from now on may last longer. */
+  /** Limits the deadlines of open and future requests to the process's remaining time. */
   public void limitDeadlines(long nanos) {
-    endsAt = clock.now() + nanos;
+    processEndsAt = clock.now() + nanos;
     table.values().stream()
-        .filter(r -> !r.ended && r.deadline > endsAt)
+        .filter(r -> !r.ended && r.deadline > processEndsAt)
         .forEach(r -> loop.schedule(() -> answerForModule(r), nanos, TimeUnit.NANOSECONDS));
-    loop.schedule(this::cutStreams, nanos, TimeUnit.NANOSECONDS);
+    loop.schedule(this::abortStreams, nanos, TimeUnit.NANOSECONDS);
   }
 
-  /** Answers that are still being passed on have no time limit of the request's; the process can't wait for them longer. */
-  private void cutStreams() {
+  /** Ends streamed answers: they have no deadline of their own, and the process cannot wait longer for them. */
+  private void abortStreams() {
     List.copyOf(table.values()).stream()
         .filter(r -> r.streamingAttempt != null)
         .forEach(r -> r.streamingAttempt.end(Status.CANCELLED, null));
@@ -258,23 +261,23 @@
 
   public void clientDisconnected(String id) {
     OpenRequest r = table.get(id);
-    if (r != null && end(r)) {
-      tell(new ClientDisconnected(id));
+    if (r != null && finish(r)) {
+      dispatch(new ClientDisconnected(id));
     } else if (r != null && r.streamingAttempt != null) {
       r.streamingAttempt.end(Status.CANCELLED, null);
     }
   }
 
-  /** Guards against a module that leaves a request without its answer until the client's time is up. */
+  /** Answers a request that the module left unanswered until its deadline. */
   private void answerForModule(OpenRequest r) {
-    if (end(r)) {
-      Log.caused("answered for the module: " + r.request.id());
-      giveUp(r, 0);
-      tell(new ClientDisconnected(r.request.id()));
+    if (finish(r)) {
+      Log.caused("answered in place of the module: " + r.request.id());
+      refuseOrFail(r, 0);
+      dispatch(new ClientDisconnected(r.request.id()));
     }
   }
 
-  private static void giveUp(OpenRequest r, long retryAfterNanos) {
+  private static void refuseOrFail(OpenRequest r, long retryAfterNanos) {
     if (r.mayRefuse()) {
       r.client.refused(retryAfterNanos);
     } else {
@@ -282,17 +285,17 @@
     }
   }
 
-  /** Answers all that is open, for an end that leaves no time. */
+  /** Answers all open requests at once, for a stop that leaves no time. */
   public void answerAll() {
     for (OpenRequest r : List.copyOf(table.values())) {
-      if (end(r)) {
-        giveUp(r, 0);
+      if (finish(r)) {
+        refuseOrFail(r, 0);
       }
     }
   }
 
-  /** True once: the caller then owes the client the only final answer. */
-  private boolean end(OpenRequest r) {
+  /** Marks a request as finished; returns true only once, and the caller then has to send the only final answer. */
+  private boolean finish(OpenRequest r) {
     if (r.ended) {
       return false;
     }
@@ -300,7 +303,7 @@
     if (r.deadlineTimer != null) {
       r.deadlineTimer.cancel(false);
     }
-    over.add(r);
+    finished.add(r);
     return true;
   }
 
@@ -312,23 +315,26 @@
 
   private void updateList(ListKind kind, HostList list) {
     upstreams.applyList(kind != ListKind.DELTA, list.hosts());
-    tell(new ListUpdate(kind, list.hosts().stream().map(HostList.Host::listed).toList()));
+    dispatch(
+        new ListUpdate(kind, list.hosts().stream().map(HostList.Host::listed).toList()));
   }
 
-  /** How many upstreams are ready, as the list tells. */
+  /** Returns the number of upstreams that the list has as ready. */
   public int readyUpstreams() {
     return upstreams.readyCount();
   }
 
-  /** Whether no request is open and no attempt is out. */
+  /** Returns whether no request is open and no attempt is in flight. */
   public boolean isEmpty() {
     return table.isEmpty();
   }
 
   // The module
 
-  /** Events wait in line while one is handled: an action may end at once in an event of its own. */
-  private void tell(Event event) {
+  /**
+   * Queues an event and handles the queue unless an event is being handled: an action may cause another event at once.
+   */
+  private void dispatch(Event event) {
     events.add(event);
     if (handling) {
       return;
@@ -338,16 +344,18 @@
       for (Event next = events.poll(); next != null; next = events.poll()) {
         module.handle(clock.now(), next, this::perform);
       }
-      over.stream().filter(OpenRequest::isComplete).forEach(r -> table.remove(r.request.id(), r));
-      over.clear();
+      finished.stream()
+          .filter(OpenRequest::isComplete)
+          .forEach(r -> table.remove(r.request.id(), r));
+      finished.clear();
     } catch (RuntimeException e) {
-      defect.accept(e);
+      onDefect.accept(e);
     } finally {
       handling = false;
     }
   }
 
-  /** Exhaustive over the kinds of action; those that this module never emits are an error that names them. */
+  /** Carries out an action; an action of a kind that this core does not support is an error that names it. */
   private void perform(Action action) {
     if (action instanceof Send a) {
       send(a);
@@ -357,12 +365,12 @@
       refuse(a);
     } else if (action instanceof Fail a) {
       OpenRequest r = table.get(a.id());
-      if (r != null && end(r)) {
+      if (r != null && finish(r)) {
         r.client.failed();
       }
     } else if (action instanceof SetTimer a) {
       loop.schedule(
-          () -> tell(new TimerFired(a.token())),
+          () -> dispatch(new TimerFired(a.token())),
           Math.max(0, a.atNanos() - clock.now()),
           TimeUnit.NANOSECONDS);
     } else if (action instanceof Watch a) {
@@ -370,8 +378,8 @@
     } else if (action instanceof Balancer.Log a) {
       Log.caused("module: " + a.text());
     } else {
-      throw new IllegalStateException("the module asked for what this balancer has no use of: "
-          + action.getClass().getSimpleName());
+      throw new IllegalStateException(
+          "unsupported action of the module: " + action.getClass().getSimpleName());
     }
   }
 
@@ -380,11 +388,12 @@
     if (r == null || r.ended) {
       return;
     }
-    // Out of the table first: what takes it over may come back here with the same id.
+    // Removed from the table first: what takes the request over may submit it here again under the
+    // same id.
     boolean untouched = !r.mayHaveRun()
         && (r.request.upload() == null || !r.request.upload().isConsumed())
         && r.attempts.stream().noneMatch(UpstreamAttempt::inFlight);
-    end(r);
+    finish(r);
     if (untouched) {
       table.remove(a.id(), r);
     }
@@ -403,7 +412,7 @@
     UpstreamTable.Entry upstream = upstreams.get(a.upstream());
     if (r == null || upstream == null) {
       throw new IllegalStateException(
-          "the module sent an unknown request or to an unknown upstream");
+          "the module sent an unknown request or used an unknown upstream");
     }
     UpstreamAttempt attempt = upstream
         .link()
@@ -411,16 +420,17 @@
           @Override
           public void ended(UpstreamAttempt ended, Status status, Answer answer) {
             upstreams.attemptEnded(upstream);
-            BalancerCore.this.ended(r, ended, status, answer);
+            BalancerCore.this.attemptEnded(r, ended, status, answer);
           }
 
           @Override
-          public BodySink answerStarted(UpstreamAttempt begun, AnswerStart start, FlowControl source) {
-            return BalancerCore.this.begins(r, begun, start, source);
+          public BodySink answerStarted(
+              UpstreamAttempt begun, AnswerStart start, FlowControl source) {
+            return BalancerCore.this.answerStarted(r, begun, start, source);
           }
         });
     upstreams.attemptStarted(upstream);
-    // Checked where the attempt's first byte goes out, which may be a connect later than the
+    // Checked when the attempt's first byte is sent, which may be one connect later than the
     // decision.
     boolean counts =
         r.attempts.size() < Math.min(r.maxAttempts, settings().limits().maxAttempts());
@@ -460,8 +470,8 @@
   private boolean maySend(
       OpenRequest r, UpstreamAttempt attempt, UpstreamTable.Entry upstream, boolean counts) {
     long now = clock.now();
-    // None to one that is known to leave: its grace began when it was told, which may be long
-    // before the list came here.
+    // Nothing is sent to an upstream that is known to be leaving: its grace began with its
+    // announcement, which may be long before the list arrived here.
     Denial denial = guard.checkSend(new SendContext(
         r.request.id(),
         r.ended,
@@ -480,9 +490,9 @@
   }
 
   private String listAge(long now) {
-    return setListCurrency == null
+    return listCurrency == null
         ? ""
-        : ", list " + TimeUnit.NANOSECONDS.toMillis(setListCurrency.age(now)) + " ms old";
+        : ", list " + TimeUnit.NANOSECONDS.toMillis(listCurrency.age(now)) + " ms old";
   }
 
   private void cancel(Cancel a) {
@@ -492,14 +502,14 @@
     }
   }
 
-  /** An answer begins that is passed on while it comes: from now on it is the request's only one. */
-  private BodySink begins(
+  /** Starts a streamed answer, which from now on is the request's only answer. */
+  private BodySink answerStarted(
       OpenRequest r, UpstreamAttempt attempt, AnswerStart start, FlowControl source) {
     BodySink sink = r.ended ? null : r.client.beginStream(start, source);
     if (sink != null) {
-      end(r);
+      finish(r);
       r.streamingAttempt = attempt;
-      tell(new AnswerStarted(
+      dispatch(new AnswerStarted(
           r.request.id(),
           attempt.number,
           attempt.upstream,
@@ -508,16 +518,17 @@
     return sink;
   }
 
-  private void ended(OpenRequest r, UpstreamAttempt attempt, Status status, Answer answer) {
-    if (status == Status.SERVED && end(r)) {
+  private void attemptEnded(OpenRequest r, UpstreamAttempt attempt, Status status, Answer answer) {
+    if (status == Status.SERVED && finish(r)) {
       r.client.served(answer);
     }
     if (r.attemptLog != null) {
-      boolean left = attempt.mayHaveRun() || status.provesNotRun();
-      r.attemptLog.attemptEnded(r.request, attempt.number, left ? status : Status.NOT_SENT);
+      boolean firstByteSent = attempt.mayHaveRun() || status.provesNotRun();
+      r.attemptLog.attemptEnded(
+          r.request, attempt.number, firstByteSent ? status : Status.NOT_SENT);
     }
-    over.add(r);
-    tell(new Outcome(
+    finished.add(r);
+    dispatch(new Outcome(
         r.request.id(),
         attempt.number,
         attempt.upstream,
--- a/src/main/java/pumicekeel/core/OpenRequest.java
+++ b/src/main/java/pumicekeel/core/OpenRequest.java
@@ -10,39 +10,39 @@
 import pumicekeel.call.ClientRequest;
 import pumicekeel.upstream.UpstreamAttempt;
 
-/** A request in the table: until it has its final answer and each of its attempts has ended. */
+/** A request in the table, from its submission until it has its final answer and all of its attempts have ended. */
 public final class OpenRequest {
 
   public final ClientRequest request;
   public final Client client;
-  /** When the module has to have answered, by the balancer's clock. */
+  /** The time by which the module has to answer, by the balancer's clock. */
   public long deadline;
 
-  /** When its client's own time is up; of one whose body still comes, as if that had come by now. */
+  /** The client's own deadline; while the body is incomplete, as if it had been completed now. */
   public long clientDeadline;
 
   public final List<UpstreamAttempt> attempts = new ArrayList<>(1);
   public ScheduledFuture<?> deadlineTimer;
   public boolean ended;
-  /** The attempt whose answer is being passed on; null where none is. */
+  /** The attempt whose answer is being streamed; null for none. */
   UpstreamAttempt streamingAttempt;
-  /** What may have run before this request came; and who keeps a record of it, null for nobody. */
-  final List<PriorAttempt> earlierAttempts;
+  /** Earlier attempts that may have run. */
+  final List<PriorAttempt> priorAttempts;
 
   final AttemptLog attemptLog;
 
-  /** As the settings had it when it came. */
+  /** The limit in the settings at the time of submission. */
   final int maxAttempts;
 
   public OpenRequest(
       ClientRequest request,
       Client client,
       long deadline,
-      List<PriorAttempt> earlier,
+      List<PriorAttempt> priorAttempts,
       AttemptLog log,
       int maxAttempts) {
     this.maxAttempts = maxAttempts;
-    this.earlierAttempts = earlier;
+    this.priorAttempts = priorAttempts;
     this.attemptLog = log;
     this.request = request;
     this.client = client;
@@ -53,26 +53,26 @@
     return ended && attempts.stream().noneMatch(UpstreamAttempt::inFlight);
   }
 
-  /** Its body still comes: its time has not begun. */
+  /** Returns whether the body is incomplete, so that the request's time limit has not started. */
   public boolean bodyIncomplete() {
     return request.upload() != null && !request.upload().isComplete();
   }
 
   public boolean mayHaveRun() {
-    return !earlierAttempts.isEmpty() || attempts.stream().anyMatch(UpstreamAttempt::mayHaveRun);
+    return !priorAttempts.isEmpty() || attempts.stream().anyMatch(UpstreamAttempt::mayHaveRun);
   }
 
-  /** Whether a refusal's promise, that trying again is harmless, would be true. */
+  /** Returns whether a refusal, which promises that a retry is harmless, would be correct. */
   public boolean mayRefuse() {
     return request.type().effect() == Effect.SAFE
         || !mayHaveRun()
         || request.type().effect() == Effect.KEYED && request.type().dedupScope() == DedupScope.ALL;
   }
 
-  /** Whether what an earlier attempt may have done is still remembered by its upstream's group. */
+  /** Returns whether the upstream's group still deduplicates whatever earlier attempts may have done. */
   public boolean retryIsSafe(long now) {
     return request.type().effect() == Effect.SAFE
-        || earlierAttempts.stream()
+        || priorAttempts.stream()
                 .allMatch(e -> request.type().effect() == Effect.KEYED
                     && now - e.sentAtNanos() < request.type().dedupWindowNanos())
             && attempts.stream()
--- a/src/main/java/pumicekeel/core/QuotaSource.java
+++ b/src/main/java/pumicekeel/core/QuotaSource.java
@@ -2,9 +2,11 @@
 
 import java.util.Map;
 
-/** Where a fleet's members share tenants' quotas: told of each request, and says what this instance may admit. */
+/**
+ * Shares tenants' quotas among the members of a fleet: notified of each request, returns what this instance may admit.
+ */
 public interface QuotaSource {
 
-  /** A request of this tenant has come; rates a second by tenant where they may have changed, else null. */
+  /** Notifies of a request of this tenant; returns rates per second by tenant if they may have changed, else null. */
   Map<String, Double> requestArrived(String tenant, long now);
 }
--- a/src/main/java/pumicekeel/core/RequestHandle.java
+++ b/src/main/java/pumicekeel/core/RequestHandle.java
@@ -5,29 +5,35 @@
 import pumicekeel.call.ClientRequest;
 import pumicekeel.call.ClientRequest.InvalidRequest;
 
-/** One request of a front, from its head to its final answer: body memory, submission and release. Used on the loop only. */
+/**
+ * One request of a front, from its head to its final answer: body memory, submission and release. Event loop only.
+ */
 public interface RequestHandle {
 
-  /** What the request is checked against. */
+  /** Returns the settings that the request is validated against. */
   Settings settings();
 
-  /** What it may be checked against where it does not fit those: the settings until a moment ago; null for none. */
+  /**
+   * Returns the previous settings, against which a request that does not fit the current ones is validated; null for
+   * none.
+   */
   default Settings previousSettings() {
     return null;
   }
 
-  /** Keeps room for so many more bytes of the body; false where there is none. */
+  /** Reserves memory for the given number of further body bytes; returns false if there is none. */
   boolean reserveBody(int bytes);
 
   /**
-   * Takes the whole request, which is owed one final answer from now on; false where its id is open already. One that
-   * can't be put into the protocol of the pool's upstreams is turned away with the words of the exception.
+   * Submits the complete request, which gets exactly one final answer; returns false if its id is already open. A
+   * request that cannot be translated into the protocol of the pool's upstreams is rejected with the exception's
+   * message.
    */
   boolean submit(ClientRequest request, Client client) throws InvalidRequest;
 
-  /** The client left a request that was taken. */
+  /** Notifies that the client of a submitted request has disconnected. */
   void clientDisconnected(String id);
 
-  /** The request is over, answered or not, taken or not: gives back what was kept for it. Called once. */
+  /** Releases what was reserved, once the request is over, whether answered, submitted or not. Called once. */
   void release();
 }
--- a/src/main/java/pumicekeel/core/SinglePoolRouter.java
+++ b/src/main/java/pumicekeel/core/SinglePoolRouter.java
@@ -5,7 +5,10 @@
 import pumicekeel.call.ClientRequest;
 import pumicekeel.call.RequestAttributes;
 
-/** The router of a balancer with one pool and no operator file: every request goes to that pool, and no room is reserved. */
+/**
+ * The router of a balancer with one pool and no operator file: every request goes to that pool, and no memory is
+ * reserved.
+ */
 public final class SinglePoolRouter implements RequestRouter, RequestHandle {
 
   private final BalancerCore core;
@@ -46,6 +49,6 @@
 
   @Override
   public void release() {
-    // Nothing was kept.
+    // Nothing was reserved.
   }
 }
--- a/src/main/java/pumicekeel/front/AcceptControl.java
+++ b/src/main/java/pumicekeel/front/AcceptControl.java
@@ -4,193 +4,202 @@
 import pumicekeel.runtime.FailureScope;
 
 /**
- * The one owner of a listener's limit on connections and of its pauses. A failed accept makes it rest for a moment; only where the
- * process has no descriptor left, several times on end, does the limit fall, and it rises again by itself, so that nothing that failed
- * for a moment leaves it lowered. No I/O; the time is a parameter, in nanoseconds of one clock.
+ * Owns a listener's limit on connections and its accept pauses. A failed accept pauses it briefly; only if the process
+ * is out of descriptors several times in a row does the limit fall, and it rises again by itself, so that no temporary
+ * failure leaves it lowered. No I/O; time is a parameter, in nanoseconds of one clock.
  */
 public final class AcceptControl {
 
-  private static final long SHORTEST_REST_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
-  private static final long LONGEST_REST_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
-  /** Failures on end that concern one connection each: so many are taken without a rest. */
-  private static final int CONNECTIONS_ON_END = 16;
-  /** So many times on end the process had no descriptor, with none accepted between: a shortage, not a moment's failure. */
-  private static final int SHORTAGE_TIMES = 3;
-
-  private static final long SHORTAGE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
-  /** Descriptors that clients leave to others in a shortage: as many as a round of accepts takes. */
-  private static final int KEPT_ASIDE = 16;
-  /** The first rise comes so long after the limit fell, and each one after that; twice as long after each further fall. */
-  private static final long SHORTEST_RISE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-
-  private static final long LONGEST_RISE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
-  /** Without a shortage for so long, the next one is a new one. */
+  private static final long MIN_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
+  private static final long MAX_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  /** This many consecutive failures that concern a single connection each do not cause a pause. */
+  private static final int MAX_CONNECTION_FAILURES = 16;
+  /**
+   * A shortage: the process was out of descriptors this many times with no accept in between, for at least {@link
+   * #SHORTAGE_MIN_NANOS}.
+   */
+  private static final int SHORTAGE_MIN_FAILURES = 3;
+
+  private static final long SHORTAGE_MIN_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+  /** Descriptors left to other uses in a shortage: as many as one round of accepts takes. */
+  private static final int RESERVED_DESCRIPTORS = 16;
+  /**
+   * The interval from lowering the limit to its first raise, and between raises; doubled by each further lowering.
+   */
+  private static final long MIN_RAISE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+
+  private static final long MAX_RAISE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
+  /** After this long without a shortage, the raise interval starts anew. */
   private static final long SHORTAGE_OVER_NANOS = TimeUnit.SECONDS.toNanos(10);
-  /** Once it accepts again, the line that stood is through after so long. */
-  private static final long LINE_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+  /** The backlog is drained this long after accepting has resumed. */
+  private static final long BACKLOG_DRAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
-  private final long mostWaitAtLimitNanos;
+  private final long maxWaitAtLimitNanos;
   private int configured;
   private int limit;
-  private int failuresOnEnd;
-  private int shortagesOnEnd;
+  private int consecutiveFailures;
+  private int consecutiveShortages;
   private long shortageSince;
-  private long restsUntil;
-  private boolean rests;
-  private long riseNanos = SHORTEST_RISE_NANOS;
+  private long pausedUntil;
+  private boolean paused;
+  private long raiseIntervalNanos = MIN_RAISE_INTERVAL_NANOS;
   private long loweredAt;
-  private long nextRise;
-  /** Since when connections may have stood in the kernel's line; 0 where none has. */
-  private long heldSince;
+  private long nextRaiseAt;
+  /** Since when connections may have waited in the kernel's backlog; 0 if none has. */
+  private long waitingSince;
 
-  /** Somebody can look at the line: it is through once it is seen empty, and not a while after. */
-  private boolean lineKnown;
+  /** The backlog can be observed: it counts as drained once seen empty, not after a fixed time. */
+  private boolean backlogObservable;
 
-  private boolean full;
+  private boolean atLimit;
   private boolean failing;
-  /** Since when accepting goes on; 0 while it does not. */
-  private long acceptsSince;
+  /** Since when connections are accepted; 0 while they are not. */
+  private long acceptingSince;
 
-  /** A limit, and how long a connection stands in line at most where the limit alone holds it back. */
-  public AcceptControl(int configured, long mostWaitAtLimitNanos) {
+  /** Creates a control with the configured limit and the longest wait in the backlog due to the limit alone. */
+  public AcceptControl(int configured, long maxWaitAtLimitNanos) {
     this.configured = configured;
-    this.mostWaitAtLimitNanos = mostWaitAtLimitNanos;
+    this.maxWaitAtLimitNanos = maxWaitAtLimitNanos;
     limit = configured;
   }
 
-  /** The limit in force. */
+  /** Returns the limit in force. */
   public int limit() {
     return limit;
   }
 
-  /** Another limit from now on. */
+  /** Sets the configured limit. */
   public void configure(int connections) {
     limit = limit == configured ? connections : Math.min(limit, connections);
     configured = connections;
   }
 
-  /** The limit rises beyond what is configured, for the last ones before a stop. */
+  /** Raises the limit beyond the configured one, for the last connections before a stop. */
   public void addSpareConnections(int more) {
     configured += more;
     limit = Math.max(limit, configured);
   }
 
-  /** Whether the limit is below what is configured. */
+  /** Returns whether the limit is below the configured one. */
   public boolean isLowered() {
     return limit < configured;
   }
 
-  /** An accept has failed; for how long nothing is accepted now, 0 for not at all. */
+  /** Records a failed accept; returns how long nothing is accepted now, 0 for no pause. */
   public long acceptFailed(FailureScope scope, int open, long now) {
-    failuresOnEnd++;
-    if (scope == FailureScope.CONNECTION && failuresOnEnd <= CONNECTIONS_ON_END) {
+    consecutiveFailures++;
+    if (scope == FailureScope.CONNECTION && consecutiveFailures <= MAX_CONNECTION_FAILURES) {
       return 0;
     }
     if (scope == FailureScope.PROCESS) {
-      shortageSince = shortagesOnEnd == 0 ? now : shortageSince;
-      shortagesOnEnd++;
-      if (shortagesOnEnd >= SHORTAGE_TIMES && now - shortageSince >= SHORTAGE_NANOS) {
-        lower(open, now);
+      shortageSince = consecutiveShortages == 0 ? now : shortageSince;
+      consecutiveShortages++;
+      if (consecutiveShortages >= SHORTAGE_MIN_FAILURES
+          && now - shortageSince >= SHORTAGE_MIN_NANOS) {
+        lowerLimit(open, now);
       }
     }
-    int doublings = Math.min(failuresOnEnd - 1, Long.SIZE / 4);
-    long rest = Math.min(LONGEST_REST_NANOS, SHORTEST_REST_NANOS << doublings);
-    held(now);
+    int doublings = Math.min(consecutiveFailures - 1, Long.SIZE / 4);
+    long pause = Math.min(MAX_PAUSE_NANOS, MIN_PAUSE_NANOS << doublings);
+    acceptingStopped(now);
     failing = true;
-    rests = true;
-    restsUntil = now + rest;
-    return rest;
+    paused = true;
+    pausedUntil = now + pause;
+    return pause;
   }
 
-  private void lower(int open, long now) {
-    shortagesOnEnd = 0;
+  private void lowerLimit(int open, long now) {
+    consecutiveShortages = 0;
     if (loweredAt != 0 && now - loweredAt < SHORTAGE_OVER_NANOS) {
-      riseNanos = Math.min(LONGEST_RISE_NANOS, 2 * riseNanos);
+      raiseIntervalNanos = Math.min(MAX_RAISE_INTERVAL_NANOS, 2 * raiseIntervalNanos);
     } else {
-      riseNanos = SHORTEST_RISE_NANOS;
+      raiseIntervalNanos = MIN_RAISE_INTERVAL_NANOS;
     }
     loweredAt = now;
-    nextRise = now + riseNanos;
-    int kept = Math.max(open - KEPT_ASIDE, open / 2);
+    nextRaiseAt = now + raiseIntervalNanos;
+    int kept = Math.max(open - RESERVED_DESCRIPTORS, open / 2);
     limit = Math.max(1, Math.min(limit, kept));
   }
 
-  /** One was accepted. */
+  /** Records an accepted connection. */
   public void accepted() {
-    failuresOnEnd = 0;
-    shortagesOnEnd = 0;
+    consecutiveFailures = 0;
+    consecutiveShortages = 0;
   }
 
-  /** The limit is reached: nothing is accepted for now. */
+  /** Records that the limit is reached and nothing is accepted for now. */
   public void limitReached(long now) {
-    held(now);
-    full = true;
+    acceptingStopped(now);
+    atLimit = true;
   }
 
-  /** Accepting goes on now, or goes on still. */
+  /** Records that connections are accepted, from now on or still. */
   public void accepting(long now) {
-    rests = false;
-    full = false;
-    if (acceptsSince == 0) {
-      acceptsSince = now;
+    paused = false;
+    atLimit = false;
+    if (acceptingSince == 0) {
+      acceptingSince = now;
     }
   }
 
-  /** Whether one more may be accepted now, beside so many. */
+  /** Returns whether a further connection may be accepted, given the number of open ones. */
   public boolean mayAccept(int open, long now) {
-    return open < limit && !(rests && now - restsUntil < 0);
+    return open < limit && !(paused && now - pausedUntil < 0);
   }
 
-  /** Raises a limit that fell, when it is time to; to be called now and then. Whether it is as configured again by that. */
+  /**
+   * Raises a lowered limit when it is due; to be called regularly. Returns true if that restores the configured limit.
+   */
   public boolean raiseLimit(int open, long now) {
-    if (!isLowered() || now - nextRise < 0) {
+    if (!isLowered() || now - nextRaiseAt < 0) {
       return false;
     }
-    nextRise = now + riseNanos;
-    limit = Math.min(configured, Math.max(2 * limit, open + KEPT_ASIDE));
+    nextRaiseAt = now + raiseIntervalNanos;
+    limit = Math.min(configured, Math.max(2 * limit, open + RESERVED_DESCRIPTORS));
     return !isLowered();
   }
 
-  private boolean through(long now) {
-    return !lineKnown && acceptsSince != 0 && now - acceptsSince > LINE_NANOS;
+  private boolean backlogDrained(long now) {
+    return !backlogObservable && acceptingSince != 0 && now - acceptingSince > BACKLOG_DRAIN_NANOS;
   }
 
-  private void held(long now) {
-    heldSince = heldSince == 0 || through(now) ? now : heldSince;
-    acceptsSince = 0;
+  private void acceptingStopped(long now) {
+    waitingSince = waitingSince == 0 || backlogDrained(now) ? now : waitingSince;
+    acceptingSince = 0;
   }
 
-  /** Whether connections may have stood in line lately: then a look at the line is of use. */
+  /** Returns whether connections may have waited in the backlog, so that it should be observed. */
   public boolean mayHaveBacklog() {
-    return heldSince != 0;
+    return waitingSince != 0;
   }
 
-  /** Connections stand in line, behind those that are accepted, since this time at the earliest. */
+  /** Records that connections wait in the backlog, since this time at the earliest. */
   public void backlogSince(long since) {
-    heldSince = heldSince == 0 ? since : heldSince;
+    waitingSince = waitingSince == 0 ? since : waitingSince;
   }
 
-  /** No connection stands in line now. */
+  /** Records that the backlog is empty now. */
   public void backlogEmpty(long now) {
-    heldSince = acceptsSince == 0 ? now : 0;
+    waitingSince = acceptingSince == 0 ? now : 0;
   }
 
   /**
-   * How long one that is accepted now may have stood in line unseen, at most; its client's time ran meanwhile. Where nobody can look at
-   * the line ({@code known} is false) it is taken that room is made within what was given at the construction.
+   * Returns the longest time that a connection accepted now may have waited in the backlog; its client's time limit
+   * ran meanwhile. If the backlog cannot be observed, a connection is assumed to be freed within the time given to the
+   * constructor.
    */
-  public long maxBacklogWaitNanos(long now, boolean known) {
-    lineKnown = known;
-    if (through(now)) {
-      heldSince = 0;
+  public long maxBacklogWaitNanos(long now, boolean observable) {
+    backlogObservable = observable;
+    if (backlogDrained(now)) {
+      waitingSince = 0;
       failing = false;
     }
-    long waited = heldSince == 0 ? 0 : now - heldSince;
-    return lineKnown || failing ? waited : Math.min(waited, mostWaitAtLimitNanos);
+    long waited = waitingSince == 0 ? 0 : now - waitingSince;
+    return backlogObservable || failing ? waited : Math.min(waited, maxWaitAtLimitNanos);
   }
 
-  /** Whether connections may stand in line, held back by the limit. */
+  /** Returns whether connections may wait in the backlog because of the limit. */
   public boolean backlogAtLimit() {
-    return full;
+    return atLimit;
   }
 }
--- a/src/main/java/pumicekeel/front/AcceptErrorHandler.java
+++ b/src/main/java/pumicekeel/front/AcceptErrorHandler.java
@@ -8,36 +8,36 @@
 import pumicekeel.runtime.Log;
 
 /**
- * Keeps a listener alive where a connection can't be accepted: it rests for as long as its owner says, and tries again. Netty's own
- * answer is a pause of a second and a record in the log, whose first use opens a file: without a descriptor for that the error ends
- * the event loop, and with it the process's service. One for each listener; on its loop.
+ * Keeps a listener open when a connection cannot be accepted: pauses it for as long as its owner says, then resumes.
+ * Netty instead pauses for a second and logs a record, and the first use of its logger opens a file: without a
+ * descriptor for that, the error ends the event loop and with it the process's service. One per listener; on its loop.
  */
 public final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
 
   private final String name;
-  private final ToLongFunction<FailureScope> failed;
-  private final Runnable acceptAgain;
+  private final ToLongFunction<FailureScope> onFailure;
+  private final Runnable resumeAccepting;
 
   /**
-   * {@code failed} is told of each failure and says for how many nanoseconds nothing is accepted; {@code acceptAgain} runs after
-   * that, and says itself whether it is still wanted.
+   * {@code onFailure} is notified of each failure and returns for how many nanoseconds nothing is accepted; {@code
+   * resumeAccepting} runs after that, and decides itself whether accepting is still wanted.
    */
   public AcceptErrorHandler(
-      String name, ToLongFunction<FailureScope> failed, Runnable acceptAgain) {
+      String name, ToLongFunction<FailureScope> onFailure, Runnable resumeAccepting) {
     this.name = name;
-    this.failed = failed;
-    this.acceptAgain = acceptAgain;
+    this.onFailure = onFailure;
+    this.resumeAccepting = resumeAccepting;
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext listener, Throwable cause) {
     FailureScope scope = FailureScope.of(cause);
-    long restNanos = failed.applyAsLong(scope);
-    Log.caused(name + ": accept failed: " + cause.getMessage() + ", " + scope + ", rests "
-        + TimeUnit.NANOSECONDS.toMillis(restNanos) + " ms");
-    if (restNanos > 0) {
+    long pauseNanos = onFailure.applyAsLong(scope);
+    Log.caused(name + ": accept failed: " + cause.getMessage() + ", " + scope + ", paused for "
+        + TimeUnit.NANOSECONDS.toMillis(pauseNanos) + " ms");
+    if (pauseNanos > 0) {
       listener.channel().config().setAutoRead(false);
-      listener.channel().eventLoop().schedule(acceptAgain, restNanos, TimeUnit.NANOSECONDS);
+      listener.channel().eventLoop().schedule(resumeAccepting, pauseNanos, TimeUnit.NANOSECONDS);
     }
   }
 }
--- a/src/main/java/pumicekeel/front/Front.java
+++ b/src/main/java/pumicekeel/front/Front.java
@@ -2,45 +2,49 @@
 
 import java.net.InetSocketAddress;
 
-/** A listening side, whatever protocol its clients speak. On the loop, unless it says otherwise. */
+/**
+ * A listener and its connections, whatever protocol its clients speak. Called on the loop unless stated otherwise.
+ */
 public interface Front {
 
-  /** Listens; where {@code accepting} is false, connections wait until {@link #accept}. Waits, so not on the loop. */
+  /**
+   * Listens; if {@code accepting} is false, connections wait until {@link #startAccepting}. Waits, so not on the loop.
+   */
   InetSocketAddress listen(InetSocketAddress at, boolean accepting) throws InterruptedException;
 
-  /** Begins to accept, where listening began without. */
+  /** Starts accepting, if listening started without. */
   void startAccepting();
 
-  /** Where it listens. */
+  /** Returns the address of the listener. */
   InetSocketAddress address();
 
-  /** The balancer serves from now on. */
+  /** Notifies that the balancer serves from now on. */
   void setReady();
 
-  /** Another limit on connections, for what is accepted from now on. */
+  /** Sets the limit on connections, for later accepts. */
   void setMaxConnections(int connections);
 
-  /** Begins a planned stop, or to send clients away: the front is told to bring no more. */
+  /** Begins a planned stop or an evacuation: health checks fail, so that no more clients are sent. */
   void drain();
 
-  /** Takes clients again after a drain that was not a stop's. */
+  /** Accepts clients again after a drain that was not part of a stop. */
   void resume();
 
-  /** Accepts no more; by any thread. */
+  /** Stops accepting; may be called by any thread. */
   void stopListening();
 
-  /** Each answer is its connection's last from now on; nothing is closed for it. */
+  /** Makes each later answer its connection's last, without closing any connection now. */
   void closeAfterAnswers();
 
-  /** Ends what asks nothing; what is answered from now on is its connection's last. */
+  /** Closes idle connections and makes each later answer its connection's last. */
   void closeIdle();
 
-  /** Takes no more, also of what has come in part. */
+  /** Accepts no further request and ends those that are only partly received. */
   void closeIncomplete();
 
-  /** Whether no connection is open and none can come any more. */
+  /** Returns whether no connection is open and none can be accepted any more. */
   boolean isClosed();
 
-  /** Connections that are open. */
+  /** Returns the number of open connections. */
   int openConnections();
 }
--- a/src/main/java/pumicekeel/front/http/AnswerWriter.java
+++ b/src/main/java/pumicekeel/front/http/AnswerWriter.java
@@ -17,7 +17,7 @@
 import java.math.BigDecimal;
 import pumicekeel.call.AnswerStart;
 
-/** Puts answers into HTTP's form and on their way (RFC 9112); what they mean for the connection is its handler's matter. */
+/** Encodes and writes answers as HTTP (RFC 9112); the handler decides what they mean for the connection. */
 final class AnswerWriter {
 
   private final ChannelHandlerContext ctx;
@@ -26,14 +26,14 @@
     this.ctx = ctx;
   }
 
-  /** The client may send the body that it asked about. */
-  void goOn() {
+  /** Sends 100 Continue. */
+  void sendContinue() {
     ctx.writeAndFlush(
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
   }
 
-  /** A whole answer; {@code last}: the connection ends with it. */
-  ChannelFuture whole(
+  /** Writes a complete answer; {@code last}: the connection ends with it. */
+  ChannelFuture writeWhole(
       int status, byte[] content, String contentType, long retryAfterNanos, boolean last) {
     FullHttpResponse response = new DefaultFullHttpResponse(
         HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(content));
@@ -48,12 +48,12 @@
               HttpHeaderNames.RETRY_AFTER,
               BigDecimal.valueOf(retryAfterNanos / 1_000_000, 3).toPlainString());
     }
-    close(response, last);
+    markLast(response, last);
     return ctx.writeAndFlush(response);
   }
 
-  /** The head of an answer whose body follows in pieces. */
-  void begin(AnswerStart start, boolean last) {
+  /** Writes the head of a streamed answer. */
+  void beginStream(AnswerStart start, boolean last) {
     HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
     if (start.length() < 0) {
       response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
@@ -63,22 +63,22 @@
     if (start.contentType() != null) {
       response.headers().set(HttpHeaderNames.CONTENT_TYPE, start.contentType());
     }
-    close(response, last);
+    markLast(response, last);
     ctx.write(response);
   }
 
-  private static void close(HttpResponse response, boolean last) {
+  private static void markLast(HttpResponse response, boolean last) {
     if (last) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
   }
 
-  /** One more piece; the channel tells by its writability when its source has to wait. */
-  void piece(ByteBuf bytes) {
+  /** Writes a chunk; the channel's writability tells when the source has to pause. */
+  void writeChunk(ByteBuf bytes) {
     ctx.writeAndFlush(new DefaultHttpContent(bytes));
   }
 
-  ChannelFuture end() {
+  ChannelFuture endStream() {
     return ctx.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
   }
 }
--- a/src/main/java/pumicekeel/front/http/ClientHandler.java
+++ b/src/main/java/pumicekeel/front/http/ClientHandler.java
@@ -31,718 +31,753 @@
 import pumicekeel.runtime.Sockets;
 
 /**
- * One client connection: reads a request at a time, hands it to the core and passes its answer on. Where it stands is its {@link Phase},
- * its limits are {@link ClientTimes}, the form of answers is {@link AnswerWriter}'s.
+ * One client connection: reads one request at a time, submits it to the core and writes its answer. {@link Phase} is
+ * its state, {@link ClientTimes} has its limits, {@link AnswerWriter} encodes its answers.
  */
 public final class ClientHandler extends SimpleChannelInboundHandler<HttpObject> implements Client {
 
-  /** A client that was told of its mistake is not read for so long: it may well ask the same again at full speed. */
+  /** A client whose request was rejected is not read for this long: it may repeat the request at full speed. */
   private static final long PENALTY_MILLIS = 500;
-  /** What is read so shortly after a rest has waited for its end. */
-  private static final long JUST_RESTED_NANOS = 20_000_000L;
-  /** What is read so shortly after the accept, beside the loop's own lag, may have stood in the socket before it. */
-  private static final long JUST_OPENED_NANOS = 60_000_000L;
-  /** What is dropped at a time behind a request that waits, to see its client leave; then reading rests for so long. A flood
-   * of a megabyte is through within 0.2 s, and no client's takes more than a hundredth of the loop's time. */
-  private static final int MOST_DROPPED = 64 << 10;
-
-  private static final long DROPS_EVERY_MILLIS = 10;
-  /** What is dropped at once, right before an attempt, to see whether the client has left behind it: some milliseconds of the loop. */
-  private static final int MOST_DROPPED_BEFORE_ATTEMPT = 1 << 20;
-  /** One that has its last answer and still sends has so long to read it and go. */
-  private static final long PARTING_MILLIS = 300;
-
-  private final HttpFront side;
+  /** Bytes read within this time after a pause have waited for its end. */
+  private static final long AFTER_PAUSE_NANOS = 20_000_000L;
+  /** Bytes read within this time after the accept, plus the loop's lag, may have been in the socket before it. */
+  private static final long AFTER_ACCEPT_NANOS = 60_000_000L;
+  /**
+   * Bytes discarded at a time behind a pending request, to see its client disconnect; then reading pauses. A flood of
+   * a megabyte is through within 0.2 s, and no client takes more than a hundredth of the loop's time.
+   */
+  private static final int MAX_DISCARDED_BYTES = 64 << 10;
+
+  private static final long DISCARD_PAUSE_MILLIS = 10;
+  /**
+   * Bytes discarded right before an attempt, to see whether the client has disconnected behind them: some milliseconds
+   * of the loop.
+   */
+  private static final int MAX_DISCARDED_BEFORE_ATTEMPT = 1 << 20;
+  /** A client that still sends after its last answer has this long to read the answer and disconnect. */
+  private static final long LINGER_MILLIS = 300;
+
+  private final HttpFront front;
   private final ClientTimes times;
   private ChannelHandlerContext ctx;
-  private AnswerWriter out;
+  private AnswerWriter writer;
   private Phase phase = Phase.IDLE;
-  /** Nothing is read into requests any more, though one may still wait for its answer. */
-  private boolean ends;
-  /** The request that is coming in, until it is taken. */
+  /** No further request is read, though one may still wait for its answer. */
+  private boolean noMoreRequests;
+  /** The request that is being received, until it is submitted. */
   private HttpRequest head;
 
   private ByteArrayOutputStream body;
-  /** The id of the request that the core has, or null. */
-  private String taken;
-  /** The way of the request that has begun to come or is taken; null where none is. */
+  /** The id of the request that was submitted to the core, or null. */
+  private String submittedId;
+  /** The handle of the request that is being received or was submitted; null for none. */
   private RequestHandle handle;
-  /** The body of a request that was taken before it had come whole; null where there is none that still comes. */
+  /** The body of a request that was submitted before it was complete; null if no body is being received. */
   private Upload upload;
-  /** The same until the request is over, also once it has come whole: pieces that nobody took are given back then. */
-  private Upload sent;
-  /** Where the answer comes from that is being passed on; null where none is. */
-  private FlowControl answer;
+  /**
+   * The same until the request is finished, even once the body is complete: chunks that were not consumed are released
+   * then.
+   */
+  private Upload uploadToRelease;
+  /** Controls the source of the answer that is being streamed; null for none. */
+  private FlowControl answerSource;
 
   private boolean keepAlive;
   private boolean lastAnswer;
-  /** Why its client has to wait, once what it did wrong has been dropped. */
+  /** Whether reading pauses once the rest of a rejected request has been discarded. */
   private boolean penalty;
-  /** The client is made to wait for what it did. */
-  private boolean resting;
-  /** Nothing more is read from it, ever. */
-  private boolean deaf;
-  /** A request was refused before it had come whole: its client still sends. */
-  private boolean restDue;
-
-  private long dropped;
-  private ScheduledFuture<?> drops;
-  private ScheduledFuture<?> parting;
-  /** What its client may have waited unread, in the line before it was accepted or while the connection rested; counts for the next request. */
-  private long waited;
-
-  private boolean cameBeforeOpening;
-  /** When the first byte of the request that comes was read. */
-  private long cameAt;
-
-  private Stood stood = Stood.ALL;
-  private long restSince;
-  private long restedAt;
+  /** Reading is paused because of a rejected request. */
+  private boolean paused;
+  /** Reading has ended for good. */
+  private boolean readingStopped;
+  /** A request was refused before it was complete: its client still sends. */
+  private boolean bodyOutstanding;
+
+  private long discarded;
+  private ScheduledFuture<?> discardTimer;
+  private ScheduledFuture<?> lingerTimer;
+  /**
+   * How long bytes may have waited unread, in the accept backlog or while reading was paused; counts for the next
+   * request.
+   */
+  private long unreadWaitNanos;
+
+  private boolean unreadAtAccept;
+  /** When the first byte of the current request was read. */
+  private long firstByteAt;
+
+  private BufferState bufferState = BufferState.NEVER_EMPTY;
+  private long pausedAt;
+  private long resumedAt;
 
   public ClientHandler(HttpFront side) {
-    this.side = side;
+    this.front = side;
     times = new ClientTimes(now());
   }
 
   @Override
   public void handlerAdded(ChannelHandlerContext context) {
     ctx = context;
-    out = new AnswerWriter(context);
+    writer = new AnswerWriter(context);
   }
 
   private long now() {
-    return side.clock().now();
+    return front.clock().now();
   }
 
-  private void become(Phase next) {
-    if (!phase.mayBecome(next)) {
-      Log.caused("defect of a client's connection: " + phase + " became " + next);
+  private void transitionTo(Phase next) {
+    if (!phase.canTransitionTo(next)) {
+      Log.caused("invalid phase transition of a client connection: " + phase + " to " + next);
     }
     phase = next;
   }
 
-  // What its side asks
+  // Called by the front
 
-  /** Nothing of a request has come that has no answer yet. */
+  /** Returns whether no part of an unanswered request has been received. */
   public boolean idle() {
-    return untaken() && !times.partCame();
+    return nothingSubmitted() && !times.isReceiving();
   }
 
-  /** Nothing waits unread in its socket either. Asked right before a close: a request may have come while the loop was busy. */
-  boolean atRest() {
-    return side.pending(ctx.channel()) != Sockets.Pending.SOME;
+  /**
+   * Returns whether nothing is known to wait unread in the socket. Called right before a close: a request may have
+   * arrived while the loop was busy.
+   */
+  boolean nothingUnread() {
+    return front.pending(ctx.channel()) != Sockets.Pending.SOME;
   }
 
-  /** No whole request has come that has no answer yet, and no last answer is on its way out. */
-  public boolean untaken() {
-    return taken == null && !ends;
+  /** Returns whether no request is submitted and no last answer is being sent. */
+  public boolean nothingSubmitted() {
+    return submittedId == null && !noMoreRequests;
   }
 
-  /** A connection on which nothing was ever asked in whole. */
-  public boolean neverAsked() {
-    return untaken() && times.neverAnswered();
+  /** Returns whether no complete request was ever received on this connection. */
+  public boolean neverRequested() {
+    return nothingSubmitted() && times.neverAnswered();
   }
 
-  /** How long nothing has been open on it, since the last answer or the connect. */
-  public long idleFor(long now) {
-    return times.idleFor(now);
+  /** Returns the time since the last answer or the connect. */
+  public long idleNanos(long now) {
+    return times.idleNanos(now);
   }
 
-  /** How long a request has been coming in, counted from the connect for the first one; 0 where none is. */
-  public long comingFor(long now) {
-    return untaken() ? times.comingFor(now) : 0;
+  /** Returns how long a request has been arriving, counted from the connect for the first one; 0 for none. */
+  public long receivingNanos(long now) {
+    return nothingSubmitted() ? times.receivingNanos(now) : 0;
   }
 
-  /** How long the rest of a request has been coming in that was turned away at its head; 0 where none is. */
-  public long skippingFor(long now) {
-    return phase == Phase.SKIPPING ? times.skippingFor(now, uploads()) : 0;
+  /** Returns how long the rest of a request has been arriving that was rejected by its head; 0 for none. */
+  public long discardingNanos(long now) {
+    return phase == Phase.DISCARDING ? times.discardingNanos(now, hasUpload()) : 0;
   }
 
-  /** How long the client has not taken anything of what was written to it. */
-  public long stuckFor(long now) {
+  /** Returns how long the client has read nothing of what was written to it. */
+  public long writeStalledNanos(long now) {
     var buffer = ctx.channel().unsafe().outboundBuffer();
-    return times.stuckFor(now, buffer == null ? 0 : buffer.totalPendingWriteBytes());
+    return times.writeStalledNanos(now, buffer == null ? 0 : buffer.totalPendingWriteBytes());
   }
 
-  /** Whether a request does not come on as fast as it has to. */
-  boolean late(long now) {
-    if (phase == Phase.SKIPPING) {
-      return times.skipLate(now);
+  /** Returns whether a request arrives more slowly than it must. */
+  boolean tooSlow(long now) {
+    if (phase == Phase.DISCARDING) {
+      return times.discardTooSlow(now);
     }
     return head == null && upload == null
-        ? comingFor(now) > ClientLimits.HEAD_NANOS
-        : times.bodyLate(now);
+        ? receivingNanos(now) > ClientLimits.MAX_HEAD_NANOS
+        : times.bodyTooSlow(now);
   }
 
-  /** Whether a body is being dropped that was said to be large. */
-  boolean uploads() {
+  /** Returns whether a large body is being received or discarded. */
+  boolean hasUpload() {
     return upload != null;
   }
 
-  /** Accepted after so long in line; where bytes stood in its socket by then they are its first request's. */
-  void opened(long waitedNanos, boolean bytesCame) {
-    waited = waitedNanos;
-    cameBeforeOpening = bytesCame;
+  /**
+   * Notifies of the accept after this wait in the backlog; bytes that were in the socket by then belong to the first
+   * request.
+   */
+  void accepted(long waitedNanos, boolean bytesCame) {
+    unreadWaitNanos = waitedNanos;
+    unreadAtAccept = bytesCame;
   }
 
-  /** Ends a request that does not come to its end. */
-  public void expire() {
-    if (phase == Phase.SKIPPING) {
+  /** Ends a request that was not completed in time. */
+  public void timeOut() {
+    if (phase == Phase.DISCARDING) {
       close(CloseReason.TOO_SLOW);
       return;
     }
-    if (taken != null && upload != null) {
-      leave();
+    if (submittedId != null && upload != null) {
+      abandonRequest();
     }
-    reject(408, "the request took too long");
+    rejectAndClose(408, "the request took too long");
   }
 
   void abort(CloseReason reason) {
-    if (side.guard().mayClose(reason, taken)) {
+    if (front.guard().mayClose(reason, submittedId)) {
       ctx.close();
     }
   }
 
-  /** Ends a connection that owes no answer. A request that has come in part is refused: its rest may be in the socket, and its client waits. */
-  void endUntaken() {
-    if (phase == Phase.COMING) {
-      restDue = true;
-      reject(503, "nothing more is taken here");
+  /**
+   * Ends a connection without a submitted request. A partly received request is refused: the rest may be in the
+   * socket, and its client waits.
+   */
+  void endUnsubmitted() {
+    if (phase == Phase.RECEIVING) {
+      bodyOutstanding = true;
+      rejectAndClose(503, "nothing more is taken here");
     } else {
       close(CloseReason.STOPPING);
     }
   }
 
-  /** Closes once all that was written has gone out: an answer must not be cut short. */
+  /** Closes after everything written has been sent: an answer must not be cut short. */
   public void close(CloseReason reason) {
-    if (!side.guard().mayClose(reason, taken)) {
+    if (!front.guard().mayClose(reason, submittedId)) {
       return;
     }
-    // Chosen once: an idle connection whose close is under way makes no more room.
-    end();
+    // Selected only once: a connection that is already closing frees no further capacity.
+    stopRequests();
     ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
   }
 
-  private void end() {
-    ends = true;
-    if (taken == null && phase != Phase.SKIPPING) {
-      become(Phase.ENDING);
+  private void stopRequests() {
+    noMoreRequests = true;
+    if (submittedId == null && phase != Phase.DISCARDING) {
+      transitionTo(Phase.CLOSING);
     }
   }
 
   // Reading
 
-  /** Notes a request's first byte, and drops what a client sends that is not read any more. */
-  public boolean accepts(ByteBuf bytes) {
-    if ((taken == null || upload != null) && !ends) {
-      times.bytesCame(now());
+  /** Records a request's first byte; discards bytes that are not read any more and returns false for them. */
+  public boolean acceptBytes(ByteBuf bytes) {
+    if ((submittedId == null || upload != null) && !noMoreRequests) {
+      times.bytesReceived(now());
       if (phase == Phase.IDLE) {
-        become(Phase.COMING);
-        noteWaiting();
+        transitionTo(Phase.RECEIVING);
+        recordWait();
       }
       return true;
     }
-    dropped(bytes.readableBytes());
+    discarded(bytes.readableBytes());
     return false;
   }
 
-  /** What comes first, on a new connection or after a rest, may have waited all the while before it could be read. */
-  private void noteWaiting() {
+  /**
+   * Records how long the first bytes on a new connection or after a pause may have waited before they could be read.
+   */
+  private void recordWait() {
     if (times.neverAnswered()) {
-      long since = times.idleFor(now());
-      boolean stoodBefore = cameBeforeOpening || since < JUST_OPENED_NANOS + side.behindNanos();
-      waited = stoodBefore ? waited + since : 0;
-    } else if (restedAt != 0 && now() - restedAt < JUST_RESTED_NANOS) {
-      waited = restedAt - restSince;
+      long since = times.idleNanos(now());
+      boolean stoodBefore =
+          unreadAtAccept || since < AFTER_ACCEPT_NANOS + front.maxReadDelayNanos();
+      unreadWaitNanos = stoodBefore ? unreadWaitNanos + since : 0;
+    } else if (resumedAt != 0 && now() - resumedAt < AFTER_PAUSE_NANOS) {
+      unreadWaitNanos = resumedAt - pausedAt;
     }
-    restedAt = 0;
-    cameAt = now();
-    stood = Stood.ALL;
-    waited = Math.max(waited, side.behindNanos() + side.readDelayNanos(ctx.channel()));
+    resumedAt = 0;
+    firstByteAt = now();
+    bufferState = BufferState.NEVER_EMPTY;
+    unreadWaitNanos =
+        Math.max(unreadWaitNanos, front.maxReadDelayNanos() + front.readDelayNanos(ctx.channel()));
   }
 
-  /** What was not read of a request that is not whole may have stood there as long as what was. */
+  /** While a request is incomplete, its unread part may have been in the socket as long as the part that was read. */
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    if (phase == Phase.COMING && stood != Stood.NOT) {
-      stood = switch (side.pending(context.channel())) {
-        case NONE -> Stood.NOT;
-        case SOME -> stood;
-        case UNKNOWN -> Stood.UNKNOWN;
+    if (phase == Phase.RECEIVING && bufferState != BufferState.SEEN_EMPTY) {
+      bufferState = switch (front.pending(context.channel())) {
+        case NONE -> BufferState.SEEN_EMPTY;
+        case SOME -> bufferState;
+        case UNKNOWN -> BufferState.UNKNOWN;
       };
     }
     context.fireChannelReadComplete();
   }
 
-  /** How long the last byte of a request that is whole now may have waited in line and in its socket. */
+  /** Returns how long the last byte of the now complete request may have waited in the backlog and in its socket. */
   private long waitedNanos() {
-    long inSocket = switch (stood) {
-      case ALL -> waited + now() - cameAt;
-      case UNKNOWN -> waited;
-      case NOT -> 0;
+    long inSocket = switch (bufferState) {
+      case NEVER_EMPTY -> unreadWaitNanos + now() - firstByteAt;
+      case UNKNOWN -> unreadWaitNanos;
+      case SEEN_EMPTY -> 0;
     };
-    return Math.max(inSocket, side.behindNanos());
+    return Math.max(inSocket, front.maxReadDelayNanos());
   }
 
-  /** So many bytes came behind a request that still waits: it is the last one of its connection. */
-  private void dropped(int bytes) {
-    ends = true;
+  /** Discards bytes behind a pending request, which becomes the last one of its connection. */
+  private void discarded(int bytes) {
+    noMoreRequests = true;
     keepAlive = false;
-    dropped += bytes;
-    if (dropped > MOST_DROPPED && drops == null) {
-      drops = ctx.executor()
+    discarded += bytes;
+    if (discarded > MAX_DISCARDED_BYTES && discardTimer == null) {
+      discardTimer = ctx.executor()
           .schedule(
               () -> {
-                drops = null;
-                dropped = 0;
-                read();
+                discardTimer = null;
+                discarded = 0;
+                updateAutoRead();
               },
-              DROPS_EVERY_MILLIS,
+              DISCARD_PAUSE_MILLIS,
               TimeUnit.MILLISECONDS);
     }
-    read();
+    updateAutoRead();
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, HttpObject message)
       throws IOException {
-    if (ends) {
+    if (noMoreRequests) {
       return;
     }
     if (message.decoderResult().isFailure()) {
-      reject(400, "malformed request");
+      rejectAndClose(400, "malformed request");
       return;
     }
     if (message instanceof HttpRequest next) {
       begin(next);
     }
-    if (phase == Phase.SKIPPING) {
-      skip(message);
+    if (phase == Phase.DISCARDING) {
+      discardRest(message);
     } else if (message instanceof HttpContent part && upload != null) {
-      passOn(part);
+      forwardChunk(part);
     } else if (message instanceof HttpContent part && head != null) {
-      keep(part);
+      bufferBody(part);
     }
   }
 
   private void begin(HttpRequest next) {
-    if (taken != null) {
-      // Pipelining: the first request still gets its answer, the rest is dropped with the
+    if (submittedId != null) {
+      // Pipelining: the first request still gets its answer; the rest is discarded with the
       // connection.
       keepAlive = false;
-      ends = true;
+      noMoreRequests = true;
       return;
     }
-    become(Phase.COMING);
+    transitionTo(Phase.RECEIVING);
     try {
       RequestHead.check(next);
     } catch (ClientRequest.InvalidRequest e) {
-      reject(e.status, e.getMessage());
+      rejectAndClose(e.status, e.getMessage());
       return;
     }
     head = next;
-    times.headCame(now());
+    times.headReceived(now());
     body = new ByteArrayOutputStream();
-    if (!isOwn(next.uri())) {
+    if (!isInternalPath(next.uri())) {
       try {
-        handle = side.router().route(new HttpRequestAttributes(side.name(), next));
+        handle = front.router().route(new HttpRequestAttributes(front.name(), next));
       } catch (ClientRequest.InvalidRequest e) {
-        turnAway(e);
+        rejectByHead(e);
         return;
       }
     }
     if (HttpUtil.is100ContinueExpected(next)) {
-      out.goOn();
+      writer.sendContinue();
     }
     long length = HttpUtil.getContentLength(next, -1L);
     if (length > Answer.MAX_BUFFERED_BYTES) {
-      takeUpload(length);
+      submitUpload(length);
     }
   }
 
-  /** Keeps a piece of a body, and takes the request once that has come whole or grown too large. */
-  private void keep(HttpContent part) throws IOException {
+  /** Buffers a chunk of a body, and submits the request once the body is complete or too large to be buffered. */
+  private void bufferBody(HttpContent part) throws IOException {
     if (handle != null && !handle.reserveBody(part.content().readableBytes())) {
-      turnAway(new ClientRequest.InvalidRequest(503, "no room for the body"));
-      skip(part);
+      rejectByHead(new ClientRequest.InvalidRequest(503, "no room for the body"));
+      discardRest(part);
       return;
     }
     part.content().readBytes(body, part.content().readableBytes());
     times.received(body.size());
     if (body.size() > Answer.MAX_BUFFERED_BYTES) {
-      takeUpload(-1);
-      if (phase == Phase.SKIPPING) {
-        skip(part);
+      submitUpload(-1);
+      if (phase == Phase.DISCARDING) {
+        discardRest(part);
       } else {
-        pieceOver(part);
+        finishUploadIfLast(part);
       }
     } else if (part instanceof LastHttpContent) {
-      whole();
+      requestComplete();
     }
   }
 
-  private void whole() {
+  private void requestComplete() {
     HttpRequest request = head;
     head = null;
     keepAlive = HttpUtil.isKeepAlive(request);
-    if (isOwn(request.uri())) {
-      write(
-          side.ready() || side.warmsUpAt(request.uri()) ? 200 : 503, new byte[0], "text/plain", 0);
+    if (isInternalPath(request.uri())) {
+      writeAnswer(
+          front.ready() || front.isWarmUpPath(request.uri()) ? 200 : 503,
+          new byte[0],
+          "text/plain",
+          0);
       return;
     }
     try {
-      take(request, body.toByteArray(), Phase.TAKEN);
+      submit(request, body.toByteArray(), Phase.SUBMITTED);
     } catch (ClientRequest.InvalidRequest e) {
-      taken = null;
-      write(e.status, reason(request, e), "text/plain", 0);
-      pause();
+      submittedId = null;
+      writeAnswer(e.status, errorBody(request, e), "text/plain", 0);
+      pauseReading();
     }
   }
 
-  /** Takes a request whose body is too large to be kept; what has come of it by now is. */
-  private void takeUpload(long length) {
+  /** Submits a request whose body is too large to be buffered; what has arrived so far is kept. */
+  private void submitUpload(long length) {
     HttpRequest request = head;
     byte[] kept = body.toByteArray();
     body = null;
     keepAlive = HttpUtil.isKeepAlive(request);
-    upload = new Upload(length, kept, this::hold);
-    sent = upload;
+    upload = new Upload(length, kept, this::setUploadFlowing);
+    uploadToRelease = upload;
     try {
-      if (isOwn(request.uri())) {
+      if (isInternalPath(request.uri())) {
         throw new ClientRequest.InvalidRequest(413, "no body is wanted here");
       }
-      take(request, new byte[0], Phase.UPLOADING);
+      submit(request, new byte[0], Phase.UPLOADING);
     } catch (ClientRequest.InvalidRequest e) {
-      taken = null;
+      submittedId = null;
       head = request;
-      turnAway(e);
+      rejectByHead(e);
     }
   }
 
-  /** Hands a request to the core, which may answer at once. */
-  private void take(HttpRequest request, byte[] kept, Phase as)
+  /** Submits a request to the core, which may answer at once. */
+  private void submit(HttpRequest request, byte[] kept, Phase as)
       throws ClientRequest.InvalidRequest {
-    ClientRequest next = inTime(
+    ClientRequest next = deductWait(
         ClientRequest.of(request, kept, upload, handle.settings(), handle.previousSettings()));
     head = null;
-    taken = next.id();
-    become(as);
-    // One that came while its connection rests may not wait unseen.
-    read();
+    submittedId = next.id();
+    transitionTo(as);
+    // A client's disconnect must be seen even if its request arrived while reading was paused.
+    updateAutoRead();
     if (upload != null) {
-      // Nobody takes more of it before an upstream does.
-      hold(false);
+      // No more is accepted before an upstream reads it.
+      setUploadFlowing(false);
     }
     if (!handle.submit(next, this)) {
       throw new ClientRequest.InvalidRequest(409, "this id is open already");
     }
   }
 
-  /** A request with what is left of its time, of which its client may have spent some in line or while the loop was behind. */
-  private ClientRequest inTime(ClientRequest request) {
+  /** Deducts from a request's time limit what its client may have waited in the backlog or for the loop. */
+  private ClientRequest deductWait(ClientRequest request) {
     long spent = waitedNanos();
     return spent > 0 ? request.withTimeLeft(request.leftNanos() - spent) : request;
   }
 
-  /** Whether a path is the balancer's own. */
-  private boolean isOwn(String uri) {
-    return uri.equals("/up") || side.warmsUpAt(uri);
+  /** Returns whether the balancer itself answers this path. */
+  private boolean isInternalPath(String uri) {
+    return uri.equals("/up") || front.isWarmUpPath(uri);
   }
 
-  // A body that is passed on while it comes
+  // Streamed request bodies
 
-  /** The upstream of an upload takes more of it, or does not. */
-  private void hold(boolean on) {
+  /** Pauses or resumes the upload as its upstream can accept more. */
+  private void setUploadFlowing(boolean on) {
     if (upload != null) {
-      times.hold(!on, now());
-      read();
+      times.setHeld(!on, now());
+      updateAutoRead();
     }
   }
 
-  private void passOn(HttpContent part) {
+  private void forwardChunk(HttpContent part) {
     times.received(times.received() + part.content().readableBytes());
     if (times.received() > Answer.MAX_BODY_BYTES) {
-      leave();
-      reject(413, "body over 32 MiB");
+      abandonRequest();
+      rejectAndClose(413, "body over 32 MiB");
       return;
     }
-    if (part instanceof LastHttpContent && dropUnread(MOST_DROPPED) == Unread.END) {
-      // Its last byte would have the upstream begin.
+    if (part instanceof LastHttpContent
+        && discardUnread(MAX_DISCARDED_BYTES) == Unread.DISCONNECTED) {
+      // The client has disconnected; the last byte would let the upstream start.
       return;
     }
     if (part.content().isReadable()) {
       upload.addChunk(part.content().retain());
     }
-    pieceOver(part);
+    finishUploadIfLast(part);
   }
 
-  private void pieceOver(HttpContent part) {
+  private void finishUploadIfLast(HttpContent part) {
     if (part instanceof LastHttpContent && upload != null) {
       Upload whole = upload;
       upload = null;
-      times.bodyCame();
+      times.bodyComplete();
       if (phase == Phase.UPLOADING) {
-        become(Phase.TAKEN);
+        transitionTo(Phase.SUBMITTED);
       }
       whole.finish();
-      read();
+      updateAutoRead();
     }
   }
 
-  /** Gives up the request that was taken: it will not come whole. */
-  private void leave() {
-    String id = taken;
-    taken = null;
-    dropBody();
+  /** Abandons the submitted request: its body will not be completed. */
+  private void abandonRequest() {
+    String id = submittedId;
+    submittedId = null;
+    discardBody();
     upload = null;
     handle.clientDisconnected(id);
   }
 
-  private void dropBody() {
-    if (sent != null) {
-      sent.discard();
-      sent = null;
+  private void discardBody() {
+    if (uploadToRelease != null) {
+      uploadToRelease.discard();
+      uploadToRelease = null;
     }
   }
 
-  // A request that is not taken
+  // Rejected requests
 
-  /** Answers a request at once, by its head; the connection goes on once the rest of its body was dropped. */
-  private void turnAway(ClientRequest.InvalidRequest why) {
+  /** Rejects a request by its head; the connection continues once the rest of its body has been discarded. */
+  private void rejectByHead(ClientRequest.InvalidRequest why) {
     keepAlive = HttpUtil.isKeepAlive(head);
-    byte[] text = reason(head, why);
+    byte[] text = errorBody(head, why);
     head = null;
-    become(Phase.SKIPPING);
-    times.skips(now());
-    write(why.status, text, "text/plain", why.retryAfterNanos);
+    transitionTo(Phase.DISCARDING);
+    times.discardStarted(now());
+    writeAnswer(why.status, text, "text/plain", why.retryAfterNanos);
     penalty = why.status < 500;
   }
 
-  /** No body to an answer to HEAD: it would be taken for the next answer. */
-  private static byte[] reason(HttpRequest request, ClientRequest.InvalidRequest why) {
+  /** Returns no body for HEAD: the client would read it as the next answer. */
+  private static byte[] errorBody(HttpRequest request, ClientRequest.InvalidRequest why) {
     return request.method().equals(HttpMethod.HEAD)
         ? new byte[0]
         : why.getMessage().getBytes(StandardCharsets.UTF_8);
   }
 
-  private void skip(HttpObject message) {
+  private void discardRest(HttpObject message) {
     if (message instanceof HttpContent part) {
-      times.skipped(part.content().readableBytes());
+      times.discarded(part.content().readableBytes());
     }
     if (message instanceof LastHttpContent) {
-      become(Phase.IDLE);
+      transitionTo(Phase.IDLE);
       upload = null;
-      times.skippedAll();
+      times.discardComplete();
       if (lastAnswer) {
         close(CloseReason.LAST_ANSWER);
       } else if (penalty) {
-        // Only now: what is not read could not be dropped.
-        pause();
+        // Only now: the rest had to be read to be discarded.
+        pauseReading();
       }
-    } else if (times.skipped()
+    } else if (times.discarded()
         > (upload == null ? Answer.MAX_BUFFERED_BYTES : Answer.MAX_BODY_BYTES)) {
       close(CloseReason.SKIPPED_TOO_MUCH);
     }
   }
 
-  /** Answers what breaks the protocol; a request that is taken already keeps its own, only answer. */
-  private void reject(int status, String why) {
+  /** Rejects a protocol violation; a request that was already submitted still gets its own, only answer. */
+  private void rejectAndClose(int status, String why) {
     keepAlive = false;
     head = null;
-    ends = true;
-    deaf = true;
-    read();
-    if (taken == null) {
-      write(status, why.getBytes(StandardCharsets.UTF_8), "text/plain", 0);
+    noMoreRequests = true;
+    readingStopped = true;
+    updateAutoRead();
+    if (submittedId == null) {
+      writeAnswer(status, why.getBytes(StandardCharsets.UTF_8), "text/plain", 0);
     }
   }
 
-  /** Slows a client that breaks the protocol; ending its connection would only bring it back at once. */
-  private void pause() {
-    resting = true;
-    restSince = now();
-    read();
+  /** Slows a client that violates the protocol; a disconnect would only make it reconnect at once. */
+  private void pauseReading() {
+    paused = true;
+    pausedAt = now();
+    updateAutoRead();
     ctx.executor()
         .schedule(
             () -> {
-              resting = false;
-              restedAt = now();
-              read();
+              paused = false;
+              resumedAt = now();
+              updateAutoRead();
             },
             PENALTY_MILLIS,
             TimeUnit.MILLISECONDS);
   }
 
-  /** Reads where reading is of use: one place decides, or one reason to wait would be lifted by another's end. */
-  private void read() {
+  /**
+   * Sets whether the channel is read. All reasons to pause are combined here, or the end of one would lift another.
+   */
+  private void updateAutoRead() {
     ctx.channel()
         .config()
-        .setAutoRead(!deaf
+        .setAutoRead(!readingStopped
             && !times.held()
-            && (!resting || taken != null)
-            && dropped <= MOST_DROPPED
-            && (parting != null || ctx.channel().isWritable()));
+            && (!paused || submittedId != null)
+            && discarded <= MAX_DISCARDED_BYTES
+            && (lingerTimer != null || ctx.channel().isWritable()));
   }
 
   @Override
   public boolean isConnected() {
-    // While a body comes or an answer passes, what waits unread may be part of a message.
-    return phase != Phase.TAKEN || dropUnread(MOST_DROPPED_BEFORE_ATTEMPT) == Unread.NONE;
+    // While a body is received or an answer streamed, unread bytes may be part of a message.
+    return phase != Phase.SUBMITTED || discardUnread(MAX_DISCARDED_BEFORE_ATTEMPT) == Unread.NONE;
   }
 
-  /** Whether the rest of a request may have stood in its socket while its beginning was read. */
-  private enum Stood {
-    /** It never was seen empty since. */
-    ALL,
-    /** Nobody can tell. */
+  /** Whether the rest of a request may have been in its socket while its beginning was read. */
+  private enum BufferState {
+    /** The socket was never seen empty since. */
+    NEVER_EMPTY,
+    /** Not known. */
     UNKNOWN,
-    /** It was: what came later has not waited since. */
-    NOT
+    /** The socket was seen empty: later bytes have not waited since. */
+    SEEN_EMPTY
   }
 
-  /** What stands in a client's socket behind the request that is taken. */
+  /** What waits unread in a client's socket behind the submitted request. */
   private enum Unread {
     NONE,
-    /** More than was dropped; where it ends is not known. */
+    /** More than was discarded; where it ends is not known. */
     MORE,
-    /** The client has left: its request is given up. */
-    END
+    /** The client has disconnected; its request was abandoned. */
+    DISCONNECTED
   }
 
-  /** Drops what a client has sent behind its request, so many bytes at most, to see whether it has left since. */
-  private Unread dropUnread(int most) {
-    int read = side.drop(ctx.channel(), most);
+  /** Discards up to this many bytes behind the request, to see whether the client has disconnected. */
+  private Unread discardUnread(int most) {
+    int read = front.discardUnread(ctx.channel(), most);
     if (read > 0) {
-      dropped(read);
+      discarded(read);
     }
     if (read != Sockets.CLOSED_BY_PEER) {
       return read < most ? Unread.NONE : Unread.MORE;
     }
-    leave();
+    abandonRequest();
     abort(CloseReason.CLIENT_LEFT);
-    return Unread.END;
+    return Unread.DISCONNECTED;
   }
 
   // Answers
 
-  /** Reads nothing from a client that does not take its answers. */
+  /** Stops reading from a client that does not read its answers. */
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
     boolean takes = context.channel().isWritable();
-    times.takes(takes, now());
-    read();
-    if (answer != null) {
-      answer.flow(takes);
+    times.setWritable(takes, now());
+    updateAutoRead();
+    if (answerSource != null) {
+      answerSource.flow(takes);
     }
   }
 
   @Override
   public void served(Answer whole) {
-    if (!side.guard().mayAnswer(taken)) {
+    if (!front.guard().mayAnswer(submittedId)) {
       return;
     }
-    // A definite answer of the application's own, which the platform has no status for: 4xx, as the
-    // request is at fault.
-    write(whole.error() ? 422 : 200, whole.body(), whole.contentType(), 0);
+    // An application error, for which the platform has no status: 4xx, since the request caused
+    // it.
+    writeAnswer(whole.error() ? 422 : 200, whole.body(), whole.contentType(), 0);
   }
 
   @Override
   public void refused(long retryAfterNanos) {
-    if (!side.guard().mayAnswer(taken)) {
+    if (!front.guard().mayAnswer(submittedId)) {
       return;
     }
-    write(429, new byte[0], null, retryAfterNanos);
+    writeAnswer(429, new byte[0], null, retryAfterNanos);
   }
 
   @Override
   public void failed() {
-    if (!side.guard().mayAnswer(taken)) {
+    if (!front.guard().mayAnswer(submittedId)) {
       return;
     }
-    write(502, new byte[0], null, 0);
+    writeAnswer(502, new byte[0], null, 0);
   }
 
-  private void write(int status, byte[] content, String contentType, long retryAfterNanos) {
-    lastAnswer = !keepAlive || side.closing();
-    over(out.whole(status, content, contentType, retryAfterNanos, lastAnswer));
+  private void writeAnswer(int status, byte[] content, String contentType, long retryAfterNanos) {
+    lastAnswer = !keepAlive || front.closing();
+    answerWritten(writer.writeWhole(status, content, contentType, retryAfterNanos, lastAnswer));
   }
 
-  /** An answer that is too large to be kept begins: passes it on as it comes, and no faster than the client reads. */
+  /** Starts a streamed answer, which is forwarded no faster than the client reads. */
   @Override
   public BodySink beginStream(AnswerStart start, FlowControl source) {
-    lastAnswer = !keepAlive || side.closing();
-    answer = source;
-    become(Phase.PASSING);
-    out.begin(start, lastAnswer);
-    return new Pieces();
+    lastAnswer = !keepAlive || front.closing();
+    answerSource = source;
+    transitionTo(Phase.STREAMING);
+    writer.beginStream(start, lastAnswer);
+    return new AnswerSink();
   }
 
-  /** What comes of an answer that is passed on. */
-  private final class Pieces implements BodySink {
+  /** Writes the chunks of a streamed answer. */
+  private final class AnswerSink implements BodySink {
     @Override
     public void onChunk(ByteBuf bytes) {
-      out.piece(bytes);
+      writer.writeChunk(bytes);
     }
 
     @Override
     public void onComplete() {
-      answer = null;
+      answerSource = null;
       lastAnswer |= !keepAlive;
-      over(out.end());
+      answerWritten(writer.endStream());
     }
 
-    /** Ended without its last piece, so that the client can tell. */
+    /** Closes without the last chunk, so that the client can detect the truncation. */
     @Override
     public void onTruncated() {
-      answer = null;
-      taken = null;
-      become(Phase.ENDING);
-      dropBody();
-      leaveLane();
+      answerSource = null;
+      submittedId = null;
+      transitionTo(Phase.CLOSING);
+      discardBody();
+      releaseHandle();
       abort(CloseReason.ANSWER_CUT);
     }
   }
 
-  /** The last byte of an answer is on its way. */
-  private void over(ChannelFuture written) {
-    taken = null;
-    waited = 0;
-    leaveLane();
+  /** Called when the last byte of an answer has been written to the channel. */
+  private void answerWritten(ChannelFuture written) {
+    submittedId = null;
+    unreadWaitNanos = 0;
+    releaseHandle();
     times.answered(now());
-    if (upload != null && phase != Phase.SKIPPING) {
-      // What is left of the request is read, or the client would write into a closed socket and
-      // never see its answer.
-      become(Phase.SKIPPING);
-      times.skips(now());
+    if (upload != null && phase != Phase.DISCARDING) {
+      // The rest of the request is read, or the client would write into a closed socket and never
+      // see its answer.
+      transitionTo(Phase.DISCARDING);
+      times.discardStarted(now());
       penalty = false;
-    } else if (lastAnswer && phase != Phase.SKIPPING) {
-      become(Phase.ENDING);
-      ends = true;
-      deaf = true;
-      read();
-      written.addListener(done -> part());
-    } else if (phase != Phase.SKIPPING) {
-      become(Phase.IDLE);
-    }
-    dropBody();
-    side.becameIdle(this);
-  }
-
-  /** A close with anything unread would reset the connection, and its client might not see its answer: then that is dropped first. */
-  private void part() {
-    boolean quiet = !restDue && dropped == 0 && side.drop(ctx.channel(), MOST_DROPPED) <= 0;
+    } else if (lastAnswer && phase != Phase.DISCARDING) {
+      transitionTo(Phase.CLOSING);
+      noMoreRequests = true;
+      readingStopped = true;
+      updateAutoRead();
+      written.addListener(done -> closeAfterLastAnswer());
+    } else if (phase != Phase.DISCARDING) {
+      transitionTo(Phase.IDLE);
+    }
+    discardBody();
+    front.becameIdle(this);
+  }
+
+  /**
+   * Closes after the last answer. A close with unread bytes would reset the connection, and its client might not see
+   * the answer: these are discarded first.
+   */
+  private void closeAfterLastAnswer() {
+    boolean quiet = !bodyOutstanding
+        && discarded == 0
+        && front.discardUnread(ctx.channel(), MAX_DISCARDED_BYTES) <= 0;
     if (quiet || !(ctx.channel() instanceof DuplexChannel both)) {
       abort(CloseReason.LAST_ANSWER);
       return;
     }
     both.shutdownOutput();
-    parting = ctx.executor()
-        .schedule(() -> abort(CloseReason.LAST_ANSWER), PARTING_MILLIS, TimeUnit.MILLISECONDS);
-    deaf = false;
-    read();
+    lingerTimer = ctx.executor()
+        .schedule(() -> abort(CloseReason.LAST_ANSWER), LINGER_MILLIS, TimeUnit.MILLISECONDS);
+    readingStopped = false;
+    updateAutoRead();
   }
 
-  private void leaveLane() {
+  private void releaseHandle() {
     RequestHandle left = handle;
     handle = null;
     if (left != null) {
@@ -752,21 +787,21 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    side.closed(this);
-    if (drops != null) {
-      drops.cancel(false);
+    front.connectionClosed(this);
+    if (discardTimer != null) {
+      discardTimer.cancel(false);
     }
-    if (parting != null) {
-      parting.cancel(false);
+    if (lingerTimer != null) {
+      lingerTimer.cancel(false);
     }
-    dropBody();
-    if (taken != null) {
-      String id = taken;
-      taken = null;
+    discardBody();
+    if (submittedId != null) {
+      String id = submittedId;
+      submittedId = null;
       handle.clientDisconnected(id);
     }
-    become(Phase.ENDING);
-    leaveLane();
+    transitionTo(Phase.CLOSING);
+    releaseHandle();
   }
 
   @Override
@@ -775,12 +810,13 @@
       abort(CloseReason.BROKEN);
       return;
     }
-    // A defect of this connection's handling is no reason to leave what was taken unanswered.
-    Log.caused("client " + context.channel().remoteAddress() + ", request " + taken + ": " + cause);
-    if (taken == null && phase != Phase.COMING && phase != Phase.IDLE) {
+    // A defect in the handling of this connection must not leave a submitted request unanswered.
+    Log.caused(
+        "client " + context.channel().remoteAddress() + ", request " + submittedId + ": " + cause);
+    if (submittedId == null && phase != Phase.RECEIVING && phase != Phase.IDLE) {
       abort(CloseReason.DEFECT);
     } else {
-      reject(500, "internal error");
+      rejectAndClose(500, "internal error");
     }
   }
 }
--- a/src/main/java/pumicekeel/front/http/ClientLimits.java
+++ b/src/main/java/pumicekeel/front/http/ClientLimits.java
@@ -7,88 +7,106 @@
 import pumicekeel.runtime.PeriodicTask;
 
 /**
- * Time limits on client connections: without them those that say nothing, or never come to a request's end, stay for
- * ever, and once they hold all descriptors nobody is accepted any more. One look at all of them now and then costs
- * less than timers of each one's own.
+ * Time limits on client connections: without them silent connections and unfinished requests would stay open until all
+ * descriptors are in use and no client is accepted. One periodic check of all connections costs less than a timer for
+ * each.
  */
 public final class ClientLimits {
 
   private static final long MILLI = 1_000_000L;
-  /** The period of the looks: short, since at the limit the next client waits for one. */
-  private static final long LOOK_MILLIS = 50;
-  /** From the connect to the end of the first request's head, or from a later one's first byte: some take 2 s for it, and
-   * an error is owed within 3 s. */
-  static final long HEAD_NANOS = 2_600 * MILLI;
-  /** Between two pieces of a body: less would cut clients on slow lines, more would keep half a request's socket. */
-  static final long PIECE_NANOS = 1_000 * MILLI;
-  /** Slow lines bring 64 kB a second; half of that, after a moment, is no client any more. */
-  static final long LEAST_BYTES_PER_SECOND = 32_000;
+  /** The check period: short, since at the connection limit the next client waits for a check. */
+  private static final long CHECK_PERIOD_MILLIS = 50;
+  /**
+   * Time from the connect to the end of the first request's head, or from the first byte of a later one: some clients
+   * take 2 s, and an error is due within 3 s.
+   */
+  static final long MAX_HEAD_NANOS = 2_600 * MILLI;
+  /**
+   * Time between two chunks of a body: less would disconnect clients on slow lines, more would keep sockets for
+   * abandoned requests.
+   */
+  static final long MAX_CHUNK_GAP_NANOS = 1_000 * MILLI;
+  /** Slow lines deliver 64 kB a second; a client at half of that, after an initial allowance, is treated as gone. */
+  static final long MIN_BYTES_PER_SECOND = 32_000;
 
-  static final long BODY_NANOS = 1_500 * MILLI;
-  /** A connection that asked before may be closed after 2 s, and is where there are many. */
-  private static final long IDLE_NANOS = 2_000 * MILLI;
-  /** And where there are few: it costs memory, and clients that keep one for good never use it again. */
-  private static final long IDLE_LONG_NANOS = 10_000 * MILLI;
+  static final long BODY_ALLOWANCE_NANOS = 1_500 * MILLI;
+  /**
+   * A connection that has had a request may be closed after 2 s of idleness, and is closed then if there are many.
+   */
+  private static final long MAX_IDLE_NANOS = 2_000 * MILLI;
+  /**
+   * Idle limit if there are few connections: each costs memory, and clients that keep one open this long never use it
+   * again.
+   */
+  private static final long MAX_IDLE_WHEN_FEW_NANOS = 10_000 * MILLI;
 
-  private static final double MANY_PART = 0.5;
-  /** At the limit, one that has not asked so long after its connect: usual clients ask at once. */
-  private static final long SILENT_NANOS = 250 * MILLI;
-  /** At the limit, room is made for the next client within this. */
-  static final long ROOM_NANOS = SILENT_NANOS + LOOK_MILLIS * MILLI;
-  /** What is left of a request that was turned away at its head: usual clients have sent it all at once, and one that
-   * sends slowly would hold a socket for nothing. */
-  private static final long SKIP_NANOS = 250 * MILLI;
-  /** A client that does not take its answer for so long does not want it. */
-  static final long STUCK_NANOS = 5_000 * MILLI;
+  private static final double MANY_CONNECTIONS_RATIO = 0.5;
+  /**
+   * At the connection limit, one without a request for this long after its connect is closed: usual clients send at
+   * once.
+   */
+  private static final long MAX_SILENT_NANOS = 250 * MILLI;
+  /** At the connection limit, a connection is freed for the next client within this time. */
+  static final long MAX_WAIT_AT_LIMIT_NANOS = MAX_SILENT_NANOS + CHECK_PERIOD_MILLIS * MILLI;
+  /**
+   * Time for the rest of a request that was rejected by its head: usual clients have sent it all at once, and a slow
+   * sender would occupy a socket for nothing.
+   */
+  private static final long MAX_DISCARD_NANOS = 250 * MILLI;
+  /** A client that has read nothing of its answer for this long is disconnected. */
+  static final long MAX_WRITE_STALL_NANOS = 5_000 * MILLI;
 
   private final EventLoop loop;
-  private final HttpFront side;
-  private Future<?> looks;
+  private final HttpFront front;
+  private Future<?> checks;
 
   public ClientLimits(EventLoop loop, HttpFront side) {
     this.loop = loop;
-    this.side = side;
+    this.front = side;
   }
 
   public void start() {
-    looks = PeriodicTask.every(LOOK_MILLIS, loop, this::look);
+    checks = PeriodicTask.every(CHECK_PERIOD_MILLIS, loop, this::check);
   }
 
-  private void look() {
-    if (side.isClosed()) {
-      looks.cancel(false);
+  private void check() {
+    if (front.isClosed()) {
+      checks.cancel(false);
       return;
     }
-    long now = side.clock().now();
-    side.look(now);
-    for (ClientHandler c : side.connections()) {
-      if (c.stuckFor(now) > STUCK_NANOS
-          || c.skippingFor(now) > (c.uploads() ? PIECE_NANOS : SKIP_NANOS)) {
-        c.abort(c.skippingFor(now) > 0 ? CloseReason.SKIPPED_TOO_MUCH : CloseReason.STUCK);
-      } else if (c.late(now) || full() && c.neverAsked() && c.comingFor(now) > SILENT_NANOS) {
-        c.expire();
-      } else if (c.idle() && c.idleFor(now) > longestIdle(c) && c.atRest()) {
+    long now = front.clock().now();
+    front.check(now);
+    for (ClientHandler c : front.connections()) {
+      if (c.writeStalledNanos(now) > MAX_WRITE_STALL_NANOS
+          || c.discardingNanos(now) > (c.hasUpload() ? MAX_CHUNK_GAP_NANOS : MAX_DISCARD_NANOS)) {
+        c.abort(c.discardingNanos(now) > 0 ? CloseReason.SKIPPED_TOO_MUCH : CloseReason.STUCK);
+      } else if (c.tooSlow(now)
+          || full() && c.neverRequested() && c.receivingNanos(now) > MAX_SILENT_NANOS) {
+        c.timeOut();
+      } else if (c.idle() && c.idleNanos(now) > maxIdleNanos(c) && c.nothingUnread()) {
         c.close(CloseReason.IDLE);
       }
     }
     if (full()) {
-      // Every one of them is busy or was so just now: the longest idle one gives way.
-      side.connections().stream()
-          .filter(c -> c.idle() && !c.neverAsked())
-          .max(Comparator.comparingLong(c -> c.idleFor(now)))
-          .filter(ClientHandler::atRest)
+      // All connections are busy or were so just now: the longest idle one is closed.
+      front.connections().stream()
+          .filter(c -> c.idle() && !c.neverRequested())
+          .max(Comparator.comparingLong(c -> c.idleNanos(now)))
+          .filter(ClientHandler::nothingUnread)
           .ifPresent(c -> c.close(CloseReason.GIVES_WAY));
     }
   }
 
-  private long longestIdle(ClientHandler c) {
-    if (c.neverAsked()) {
-      return full() ? SILENT_NANOS : HEAD_NANOS;
+  private long maxIdleNanos(ClientHandler c) {
+    if (c.neverRequested()) {
+      return full() ? MAX_SILENT_NANOS : MAX_HEAD_NANOS;
     }
-    return side.openConnections() > side.most() * MANY_PART ? IDLE_NANOS : IDLE_LONG_NANOS;
+    return front.openConnections() > front.maxConnections() * MANY_CONNECTIONS_RATIO
+        ? MAX_IDLE_NANOS
+        : MAX_IDLE_WHEN_FEW_NANOS;
   }
 
   private boolean full() {
-    return side.openConnections() >= side.most();
+    return front.openConnections() >= front.maxConnections();
   }
 }
--- a/src/main/java/pumicekeel/front/http/ClientTimes.java
+++ b/src/main/java/pumicekeel/front/http/ClientTimes.java
@@ -3,48 +3,48 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When things happened on one client's connection, and which of its limits that breaks: all of a connection's times in one place,
- * without I/O. Times are readings of one clock in nanoseconds, 0 for never.
+ * The event times of one client connection and the limits that they exceed, kept in one place and without I/O. Times
+ * are readings of one clock in nanoseconds, 0 for never.
  */
 final class ClientTimes {
 
   private final long openedAt;
-  /** When the last request ended, and when the first byte came of the one that has come in part. */
+  /** When the last request ended, and when the first byte of a partly received one arrived. */
   private long answeredAt;
 
-  private long partSince;
-  private long headAt;
-  private long pieceAt;
+  private long receivingSince;
+  private long headReceivedAt;
+  private long lastChunkAt;
   private long received;
-  /** No more of a body is wanted for now, since when. */
+  /** Whether the body is paused, and since when. */
   private boolean held;
 
   private long heldSince;
-  private long skipSince;
-  private long skipped;
-  /** When the socket took no more of an answer, and what waited for it then. */
-  private long stuckSince;
+  private long discardSince;
+  private long discarded;
+  /** When the socket stopped accepting bytes of an answer, and how many were pending then. */
+  private long writeStalledSince;
 
-  private long stuckBytes;
+  private long pendingAtStall;
 
   ClientTimes(long now) {
     openedAt = now;
   }
 
-  // What happens
+  // Events
 
-  void bytesCame(long now) {
-    pieceAt = now;
-    partSince = partSince == 0 ? now : partSince;
+  void bytesReceived(long now) {
+    lastChunkAt = now;
+    receivingSince = receivingSince == 0 ? now : receivingSince;
   }
 
-  void headCame(long now) {
-    headAt = now;
-    pieceAt = now;
+  void headReceived(long now) {
+    headReceivedAt = now;
+    lastChunkAt = now;
     received = 0;
   }
 
-  /** So many bytes of the body have come by now. */
+  /** Sets the number of body bytes received so far. */
   void received(long bytes) {
     received = bytes;
   }
@@ -53,19 +53,19 @@
     return received;
   }
 
-  /** More of a body is wanted, or not; a client that is made to wait is not late. */
-  void hold(boolean on, long now) {
+  /** Pauses or resumes the body; a client that is paused is not late. */
+  void setHeld(boolean on, long now) {
     if (held && !on) {
-      headAt += now - heldSince;
-      pieceAt = now;
+      headReceivedAt += now - heldSince;
+      lastChunkAt = now;
     } else if (!held && on) {
       heldSince = now;
     }
     held = on;
   }
 
-  /** The body has come whole: nothing of it is held back any more. */
-  void bodyCame() {
+  /** The body is complete and no longer paused. */
+  void bodyComplete() {
     held = false;
   }
 
@@ -73,84 +73,86 @@
     return held;
   }
 
-  void skips(long now) {
-    skipSince = now;
-    skipped = 0;
+  void discardStarted(long now) {
+    discardSince = now;
+    discarded = 0;
   }
 
-  void skipped(int bytes) {
-    skipped += bytes;
+  void discarded(int bytes) {
+    discarded += bytes;
   }
 
-  long skipped() {
-    return skipped;
+  long discarded() {
+    return discarded;
   }
 
-  void skippedAll() {
-    partSince = 0;
+  void discardComplete() {
+    receivingSince = 0;
   }
 
   void answered(long now) {
-    partSince = 0;
+    receivingSince = 0;
     answeredAt = now;
   }
 
-  void takes(boolean on, long now) {
-    stuckSince = on ? 0 : now;
+  void setWritable(boolean on, long now) {
+    writeStalledSince = on ? 0 : now;
   }
 
-  // What that makes of it
+  // Derived state
 
-  /** Bytes have come of a request that is not whole. */
-  boolean partCame() {
-    return partSince != 0;
+  /** Returns whether a request is partly received. */
+  boolean isReceiving() {
+    return receivingSince != 0;
   }
 
   boolean neverAnswered() {
     return answeredAt == 0;
   }
 
-  /** How long nothing has been open on it, since the last answer or the connect. */
-  long idleFor(long now) {
+  /** Returns the time since the last answer or the connect. */
+  long idleNanos(long now) {
     return now - (answeredAt == 0 ? openedAt : answeredAt);
   }
 
-  /** How long a request has been coming in, counted from the connect for the first one; 0 where none is. */
-  long comingFor(long now) {
-    return partSince == 0 ? 0 : now - (answeredAt == 0 ? openedAt : partSince);
+  /** Returns how long a request has been arriving, counted from the connect for the first one; 0 for none. */
+  long receivingNanos(long now) {
+    return receivingSince == 0 ? 0 : now - (answeredAt == 0 ? openedAt : receivingSince);
   }
 
-  /** How long the rest of a request has been coming in that is dropped; of a large body, since its last piece. */
-  long skippingFor(long now, boolean large) {
-    return now - (large ? Math.max(skipSince, pieceAt) : skipSince);
+  /** Returns how long the rest of a discarded request has been arriving; for a large body, since its last chunk. */
+  long discardingNanos(long now, boolean large) {
+    return now - (large ? Math.max(discardSince, lastChunkAt) : discardSince);
   }
 
-  /** How long the client has taken nothing of what was written to it, of which so many bytes wait now. */
-  long stuckFor(long now, long waits) {
-    if (stuckSince == 0) {
+  /** Returns how long the client has read nothing of what was written to it, given the bytes pending now. */
+  long writeStalledNanos(long now, long pendingBytes) {
+    if (writeStalledSince == 0) {
       return 0;
     }
-    if (waits != stuckBytes) {
-      // A slow reader is none that is stuck.
-      stuckBytes = waits;
-      stuckSince = now;
+    if (pendingBytes != pendingAtStall) {
+      // A slow reader is not stalled.
+      pendingAtStall = pendingBytes;
+      writeStalledSince = now;
     }
-    return now - stuckSince;
+    return now - writeStalledSince;
   }
 
-  /** Whether a body that is wanted comes too slowly. */
-  boolean bodyLate(long now) {
-    return !held && (now - pieceAt > ClientLimits.PIECE_NANOS || slow(now - headAt, received));
+  /** Returns whether a body that is not paused arrives too slowly. */
+  boolean bodyTooSlow(long now) {
+    return !held
+        && (now - lastChunkAt > ClientLimits.MAX_CHUNK_GAP_NANOS
+            || tooSlow(now - headReceivedAt, received));
   }
 
-  /** Whether what is dropped comes too slowly. */
-  boolean skipLate(long now) {
-    return slow(now - skipSince, skipped);
+  /** Returns whether a discarded body arrives too slowly. */
+  boolean discardTooSlow(long now) {
+    return tooSlow(now - discardSince, discarded);
   }
 
-  private static boolean slow(long nanos, long bytes) {
+  private static boolean tooSlow(long nanos, long bytes) {
     return nanos
-        > ClientLimits.BODY_NANOS
-            + bytes * TimeUnit.SECONDS.toNanos(1) / ClientLimits.LEAST_BYTES_PER_SECOND;
+        > ClientLimits.BODY_ALLOWANCE_NANOS
+            + bytes * TimeUnit.SECONDS.toNanos(1) / ClientLimits.MIN_BYTES_PER_SECOND;
   }
 }
--- a/src/main/java/pumicekeel/front/http/HttpFront.java
+++ b/src/main/java/pumicekeel/front/http/HttpFront.java
@@ -28,45 +28,56 @@
 import pumicekeel.runtime.Reactor;
 import pumicekeel.runtime.Sockets;
 
-/** The listening side: client connections, readiness, and the end of both at a planned stop. */
+/** The HTTP front: one listener's client connections, its readiness, and the end of both at a planned stop. */
 public final class HttpFront implements Front {
 
   private static final int BACKLOG = 1024;
-  /** Read a piece at a time and few pieces in a row, or one client that floods would keep all others waiting. */
+  /** Bytes per read. Reads are small and few per turn, or one flooding client would delay all others. */
   private static final int READ_BYTES = 4096;
 
-  private static final int READS_IN_A_ROW = 2;
-  /** Large answers pass in pieces, to hundreds of clients at once: what each may hold has to be little. */
-  private static final int UNSENT_LOW = 8 << 10;
+  private static final int MAX_READS_PER_TURN = 2;
+  /** Large answers are streamed to hundreds of clients at once, so each may buffer only little. */
+  private static final int WRITE_BUFFER_LOW = 8 << 10;
 
-  private static final int UNSENT_HIGH = 16 << 10;
-  /** One that was answered so lately asks again this moment: it is told with its next answer that this is the last, where
-   * a close would meet its request on the way. Costs a stop no more than this. */
-  private static final long JUST_NANOS = 60_000_000L;
-  /** One that came so lately has its first request on the way: the front's question whether this balancer is up, too. */
-  private static final long NEW_NANOS = 300_000_000L;
-  /** Beyond its limit by that part, at the end only: less than what the process keeps for itself. */
-  private static final int SPARE_PART = 4;
+  private static final int WRITE_BUFFER_HIGH = 16 << 10;
+  /**
+   * A client that was answered this recently is about to send its next request: its next answer tells it that the
+   * connection ends, since a close would cross the request. Delays a stop by no more than this.
+   */
+  private static final long RECENT_ANSWER_NANOS = 60_000_000L;
+  /**
+   * A connection accepted this recently has its first request on the way, as have the health checks of the platform's
+   * front.
+   */
+  private static final long RECENT_ACCEPT_NANOS = 300_000_000L;
+  /**
+   * One part in this many of the limit is accepted in addition, at a stop only: less than the process keeps in
+   * reserve.
+   */
+  private static final int SPARE_DIVISOR = 4;
 
-  private static final long LAST_CALL_NANOS = 20_000_000L;
-  /** Usual clients ask at once; at the end, one that has not for so long gives way to those in line. */
-  private static final long SAID_NOTHING_NANOS = 100_000_000L;
+  private static final long FINAL_ACCEPT_NANOS = 20_000_000L;
+  /**
+   * Usual clients send at once; at a stop, a connection without a request for this long makes way for those in the
+   * backlog.
+   */
+  private static final long SILENT_AT_STOP_NANOS = 100_000_000L;
 
-  private final Reactor on;
+  private final Reactor reactor;
   private final EventLoop loop;
   private final String name;
   private final RequestRouter router;
-  private final AcceptControl accepts;
-  /** The connection that got its last answer longest ago comes first. */
+  private final AcceptControl acceptControl;
+  /** Ordered by the last answer, the oldest first. */
   private final Set<ClientHandler> connections = new LinkedHashSet<>();
 
   private volatile Channel listener;
-  /** The listening socket is the platform's: others may hold it too, and it is never closed here. */
+  /** The listening socket belongs to the platform: other processes may hold it too, and it is never closed here. */
   private boolean adopted;
 
   private boolean accepting;
-  /** It accepts once more, those that stand in line, and then closes. */
-  private boolean lastCall;
+  /** The backlog is accepted once more before the listener closes. */
+  private boolean finalAccept;
 
   private InetSocketAddress address;
   private boolean ready;
@@ -74,19 +85,24 @@
   private boolean closing;
   private final String warmUpPath;
   private final LoopLag lag;
-  /** The listener of this name, with at most so many connections; {@code warmUpPath} is answered with 200. */
+  /** Creates the listener of this name with a limit on connections; {@code warmUpPath} is answered with 200. */
   public HttpFront(
-      Reactor on, LoopLag lag, String name, RequestRouter router, int most, String warmUpPath) {
-    this.on = on;
+      Reactor reactor,
+      LoopLag lag,
+      String name,
+      RequestRouter router,
+      int maxConnections,
+      String warmUpPath) {
+    this.reactor = reactor;
     this.lag = lag;
-    loop = on.loop();
+    loop = reactor.loop();
     this.name = name;
     this.router = router;
-    accepts = new AcceptControl(most, ClientLimits.ROOM_NANOS);
+    acceptControl = new AcceptControl(maxConnections, ClientLimits.MAX_WAIT_AT_LIMIT_NANOS);
     this.warmUpPath = warmUpPath;
   }
 
-  /** Listens; waits for the bind, so it is not to be called on the loop. */
+  /** Listens; waits for the bind, so it must not be called on the loop. */
   public InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
     return listen(address, true);
   }
@@ -95,8 +111,8 @@
   public InetSocketAddress listen(InetSocketAddress at, boolean accepting)
       throws InterruptedException {
     this.accepting = accepting;
-    return listens(bootstrap()
-        .channelFactory(on.sockets()::newListeningChannel)
+    return bound(bootstrap()
+        .channelFactory(reactor.sockets()::newListeningChannel)
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .bind(at)
@@ -105,19 +121,19 @@
   }
 
   /**
-   * Takes clients from a socket that listens already and that other processes may hold too. None is accepted before
-   * {@link #setReady}: until then another process may serve them better. Waits, so it is not to be called on the loop.
+   * Accepts clients from a socket that already listens and that other processes may hold too. None is accepted before
+   * {@link #setReady}: until then another process may serve them better. Waits, so it must not be called on the loop.
    */
   public InetSocketAddress adopt(ServerSocketChannel socket) throws InterruptedException {
     adopted = true;
-    return listens(bootstrap()
+    return bound(bootstrap()
         .channelFactory(() -> NioSockets.adopted(socket))
         .register()
         .sync()
         .channel());
   }
 
-  private InetSocketAddress listens(Channel channel) {
+  private InetSocketAddress bound(Channel channel) {
     listener = channel;
     address = (InetSocketAddress) listener.localAddress();
     loop.execute(new ClientLimits(loop, this)::start);
@@ -127,22 +143,23 @@
   private ServerBootstrap bootstrap() {
     return new ServerBootstrap()
         .group(loop, loop)
-        .handler(new AcceptErrorHandler(name, this::acceptFailed, this::acceptAgain))
+        .handler(new AcceptErrorHandler(name, this::acceptFailed, this::resumeAccepting))
         .option(ChannelOption.AUTO_READ, accepting)
         .childOption(
             ChannelOption.WRITE_BUFFER_WATER_MARK,
-            new WriteBufferWaterMark(UNSENT_LOW, UNSENT_HIGH))
+            new WriteBufferWaterMark(WRITE_BUFFER_LOW, WRITE_BUFFER_HIGH))
         .childOption(
             ChannelOption.RECVBUF_ALLOCATOR,
-            new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_IN_A_ROW))
+            new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(MAX_READS_PER_TURN))
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
             ClientHandler handler = new ClientHandler(HttpFront.this);
             channel
                 .pipeline()
-                .addLast(new RequestDecoder(handler::accepts), new HttpResponseEncoder(), handler);
-            opened(handler, channel);
+                .addLast(
+                    new RequestDecoder(handler::acceptBytes), new HttpResponseEncoder(), handler);
+            connectionOpened(handler, channel);
           }
         });
   }
@@ -159,7 +176,7 @@
     return ready && !draining;
   }
 
-  /** Whether each answer is its connection's last. */
+  /** Returns whether each answer is its connection's last. */
   public boolean closing() {
     return closing;
   }
@@ -169,61 +186,66 @@
   }
 
   ServingGuard guard() {
-    return on.guard();
+    return reactor.guard();
   }
 
   Clock clock() {
-    return on.clock();
+    return reactor.clock();
   }
 
-  /** Takes what waits unread on a client's connection and drops it; {@link Sockets#LEFT} where its client has ended it. */
-  int drop(Channel channel, int most) {
-    return on.sockets().discardUnread(channel, most);
+  /**
+   * Discards what waits unread on a client's connection; returns {@link Sockets#CLOSED_BY_PEER} if the client has
+   * closed it.
+   */
+  int discardUnread(Channel channel, int most) {
+    return reactor.sockets().discardUnread(channel, most);
   }
 
-  /** Whether something of a client waits unread: its next request may cross its connection's end. */
+  /** Returns whether bytes of a client wait unread: its next request may cross the connection's end. */
   Sockets.Pending pending(Channel channel) {
-    return on.sockets().pending(channel);
+    return reactor.sockets().pending(channel);
   }
 
-  /** How long reading what came last had failed before. */
+  /** Returns how long reading had failed before the last successful read. */
   long readDelayNanos(Channel channel) {
-    return on.sockets().readDelayNanos(channel);
+    return reactor.sockets().readDelayNanos(channel);
   }
 
   RequestRouter router() {
     return router;
   }
 
-  int most() {
-    return accepts.limit();
+  int maxConnections() {
+    return acceptControl.limit();
   }
 
-  /** Another limit on connections, for what is accepted from now on. */
+  /** Sets the limit on connections, for later accepts. */
   @Override
   public void setMaxConnections(int connections) {
-    accepts.configure(connections);
+    acceptControl.configure(connections);
   }
 
-  /** Begins to accept, where listening began without. */
+  /** Starts accepting, if listening started without. */
   @Override
   public void startAccepting() {
     accepting = true;
-    acceptAgain();
+    resumeAccepting();
   }
 
-  /** Whether this is where the balancer's own warm-up asks: nobody else knows the path.
-   * Its last requests may come after it has ended, and are no client's without a route. */
-  public boolean warmsUpAt(String uri) {
+  /**
+   * Returns whether this is the path of the balancer's own warm-up, which nobody else knows. Its last requests may
+   * arrive after the warm-up has ended, and must not be routed as a client's.
+   */
+  public boolean isWarmUpPath(String uri) {
     return uri.equals(warmUpPath);
   }
 
-  /** All connections, the one that got its last answer longest ago first. */
+  /** Returns all connections, ordered by the last answer, the oldest first. */
   public List<ClientHandler> connections() {
     return List.copyOf(connections);
   }
 
-  /** Accepts no more and has nothing open. */
+  /** Returns whether nothing is accepted any more and no connection is open. */
   @Override
   public boolean isClosed() {
     return connections.isEmpty() && (!listener.isOpen() || adopted && ready && !accepting);
@@ -235,97 +257,99 @@
   }
 
   /**
-   * At the limit the longest idle connection gives way at once, or a crowd of clients, and the front's question
-   * whether this balancer is up, would wait in line; with none nothing is accepted until {@link ClientLimits} has
-   * made room.
+   * Registers a connection. At the limit the longest idle connection is closed at once, or a crowd of clients and the
+   * health checks of the platform's front would wait in the backlog; if none is idle, nothing is accepted until {@link
+   * ClientLimits} has closed one.
    */
-  private void opened(ClientHandler handler, Channel channel) {
+  private void connectionOpened(ClientHandler handler, Channel channel) {
     long now = clock().now();
-    long waitedNanos = on.sockets().sinceAcceptNanos(channel);
+    long waitedNanos = reactor.sockets().sinceAcceptNanos(channel);
     connections.add(handler);
-    accepts.accepted();
-    handler.opened(
-        Math.max(waitedInLine(now), lag.maxReadDelayNanos()) + waitedNanos,
+    acceptControl.accepted();
+    handler.accepted(
+        Math.max(backlogWaitNanos(now), lag.maxReadDelayNanos()) + waitedNanos,
         pending(channel) == Sockets.Pending.SOME);
-    if (connections.size() >= accepts.limit()) {
+    if (connections.size() >= acceptControl.limit()) {
       connections.stream()
-          .filter(c -> c != handler && c.idle() && !c.neverAsked() && c.atRest())
+          .filter(c -> c != handler && c.idle() && !c.neverRequested() && c.nothingUnread())
           .findFirst()
-          .ifPresentOrElse(c -> c.close(CloseReason.GIVES_WAY), this::pause);
+          .ifPresentOrElse(c -> c.close(CloseReason.GIVES_WAY), this::pauseAccepting);
     }
   }
 
-  private long waitedInLine(long now) {
+  private long backlogWaitNanos(long now) {
     if (listener == null) {
-      // Accepted before the bind has returned.
+      // Accepted before the bind returned.
       return 0;
     }
-    Sockets.Backlog line = on.sockets().backlog(listener);
-    long waited = accepts.maxBacklogWaitNanos(now, line != Sockets.Backlog.UNKNOWN);
+    Sockets.Backlog line = reactor.sockets().backlog(listener);
+    long waited = acceptControl.maxBacklogWaitNanos(now, line != Sockets.Backlog.UNKNOWN);
     if (line == Sockets.Backlog.EMPTY) {
-      accepts.backlogEmpty(now);
+      acceptControl.backlogEmpty(now);
     } else if (line == Sockets.Backlog.WAITING) {
-      // More have come than one turn takes: the line was empty when the loop last asked.
-      accepts.backlogSince(now - lag.sincePreviousPollNanos());
+      // More connections arrived than one turn accepts: the backlog was empty when the loop last
+      // polled.
+      acceptControl.backlogSince(now - lag.sincePreviousPollNanos());
     }
     return waited;
   }
 
   /**
-   * An accept failed; for how long nothing is accepted. Where the process has no descriptor left the longest idle connection gives way,
-   * so that lists, upstreams and operators have room again.
+   * Handles a failed accept; returns how long nothing is accepted. If the process is out of descriptors the longest
+   * idle connection is closed, so that discovery, upstreams and operators can open theirs.
    */
   private long acceptFailed(FailureScope scope) {
-    boolean lowered = accepts.isLowered();
-    long rest = accepts.acceptFailed(scope, connections.size(), clock().now());
-    if (accepts.isLowered() && !lowered) {
-      Log.line(name + ": takes " + accepts.limit() + " connections for now, out of descriptors");
+    boolean lowered = acceptControl.isLowered();
+    long rest = acceptControl.acceptFailed(scope, connections.size(), clock().now());
+    if (acceptControl.isLowered() && !lowered) {
+      Log.line(
+          name + ": takes " + acceptControl.limit() + " connections for now, out of descriptors");
     }
     if (scope == FailureScope.PROCESS) {
       connections.stream()
-          .filter(c -> c.idle() && !c.neverAsked() && c.atRest())
+          .filter(c -> c.idle() && !c.neverRequested() && c.nothingUnread())
           .findFirst()
           .ifPresent(c -> c.close(CloseReason.GIVES_WAY));
     }
     return rest;
   }
 
-  /** The regular look: what rests or was lowered comes back by this, whatever else happens or does not. */
-  void look(long now) {
-    if (accepts.mayHaveBacklog()
+  /** Resumes accepting and raises a lowered limit; called regularly, so that neither depends on other events. */
+  void check(long now) {
+    if (acceptControl.mayHaveBacklog()
         && listener.isOpen()
-        && on.sockets().backlog(listener) == Sockets.Backlog.EMPTY) {
-      accepts.backlogEmpty(now);
+        && reactor.sockets().backlog(listener) == Sockets.Backlog.EMPTY) {
+      acceptControl.backlogEmpty(now);
     }
-    if (accepts.raiseLimit(connections.size(), now)) {
-      Log.line(name + ": takes " + accepts.limit() + " connections again");
+    if (acceptControl.raiseLimit(connections.size(), now)) {
+      Log.line(name + ": takes " + acceptControl.limit() + " connections again");
     }
-    acceptAgain();
+    resumeAccepting();
   }
 
-  public void closed(ClientHandler handler) {
+  public void connectionClosed(ClientHandler handler) {
     connections.remove(handler);
-    acceptAgain();
+    resumeAccepting();
   }
 
-  private void acceptAgain() {
+  private void resumeAccepting() {
     long now = clock().now();
     if (listener != null
         && listener.isOpen()
-        && (accepting || lastCall)
-        && accepts.mayAccept(connections.size(), now)) {
-      accepts.accepting(now);
+        && (accepting || finalAccept)
+        && acceptControl.mayAccept(connections.size(), now)) {
+      acceptControl.accepting(now);
       listener.config().setAutoRead(true);
     }
   }
 
-  private void pause() {
-    accepts.limitReached(clock().now());
+  private void pauseAccepting() {
+    acceptControl.limitReached(clock().now());
     listener.config().setAutoRead(false);
   }
 
-  /** How long what is read now may have waited for the loop, at most. */
-  long behindNanos() {
+  /** Returns the longest time that bytes read now may have waited for the loop. */
+  long maxReadDelayNanos() {
     return lag.maxReadDelayNanos();
   }
 
@@ -335,7 +359,7 @@
     }
   }
 
-  /** Begins a planned stop: the front is told to send no more clients; those that are here are served on. */
+  /** Begins a planned stop: health checks fail, so that no more clients are sent; connected ones are still served. */
   @Override
   public void drain() {
     draining = true;
@@ -347,7 +371,7 @@
     closing = false;
   }
 
-  /** Where it listens. */
+  /** Returns the address of the listener. */
   @Override
   public InetSocketAddress address() {
     return address;
@@ -358,64 +382,73 @@
     closing = true;
   }
 
-  /** Ends what asks nothing; each answer is its connection's last from now on. */
+  /** Closes idle connections; each later answer is its connection's last. */
   @Override
   public void closeIdle() {
     closing = true;
     long now = clock().now();
     List.copyOf(connections).stream()
-        .filter(c -> c.idle() && c.idleFor(now) > JUST_NANOS && c.atRest())
+        .filter(c -> c.idle() && c.idleNanos(now) > RECENT_ANSWER_NANOS && c.nothingUnread())
         .forEach(c -> c.close(CloseReason.STOPPING));
   }
 
-  /** Accepts no more. Java takes a closed descriptor 0 for the end of the log, too, so an adopted socket stays open. */
+  /**
+   * Stops accepting. Java treats a closed descriptor 0 as the end of the log as well, so an adopted socket stays open.
+   */
   @Override
   public void stopListening() {
     accepting = false;
     if (adopted) {
       listener.config().setAutoRead(false);
-    } else if (accepts.backlogAtLimit()) {
-      // At the limit: those that stand in the kernel's line would be reset with it, and their
-      // machine has them for accepted.
-      lastCall();
+    } else if (acceptControl.backlogAtLimit()) {
+      // At the limit, connections in the kernel's backlog would be reset by a close, though their
+      // clients consider them accepted.
+      finalAccept();
     } else {
-      closeBehindLine();
+      drainBacklogAndClose();
     }
   }
 
-  private void closeBehindLine() {
-    int most = accepts.limit();
-    on.sockets()
-        .drainBacklogAndClose(listener, Math.max(0, most + most / SPARE_PART - connections.size()));
+  private void drainBacklogAndClose() {
+    int most = acceptControl.limit();
+    reactor
+        .sockets()
+        .drainBacklogAndClose(
+            listener, Math.max(0, most + most / SPARE_DIVISOR - connections.size()));
   }
 
-  /** Lets in those that stand in line, in the room that is spare and that of those which have asked nothing for a while. */
-  private void lastCall() {
-    lastCall = true;
-    accepts.addSpareConnections(Math.max(1, accepts.limit() / SPARE_PART));
+  /** Accepts the backlog, into the spare capacity and that of connections that have been silent for a while. */
+  private void finalAccept() {
+    finalAccept = true;
+    acceptControl.addSpareConnections(Math.max(1, acceptControl.limit() / SPARE_DIVISOR));
     long now = clock().now();
     List.copyOf(connections).stream()
-        .filter(c -> c.neverAsked() && c.idleFor(now) > SAID_NOTHING_NANOS)
+        .filter(c -> c.neverRequested() && c.idleNanos(now) > SILENT_AT_STOP_NANOS)
         .forEach(c -> {
           if (c.idle()) {
             c.close(CloseReason.GIVES_WAY);
           } else {
-            c.expire();
+            c.timeOut();
           }
         });
     listener.config().setAutoRead(true);
-    loop.schedule(this::closeBehindLine, LAST_CALL_NANOS, TimeUnit.NANOSECONDS);
+    loop.schedule(this::drainBacklogAndClose, FINAL_ACCEPT_NANOS, TimeUnit.NANOSECONDS);
   }
 
-  /** Takes no more, also of what has come in part: a slow sender must not keep the process from its end. */
+  /**
+   * Ends all connections without a submitted request, even partly received ones: a slow sender must not delay the
+   * process's end.
+   */
   @Override
   public void closeIncomplete() {
     closing = true;
     long now = clock().now();
     List.copyOf(connections).stream()
-        .filter(c -> c.untaken()
+        .filter(c -> c.nothingSubmitted()
             && (!c.idle()
-                || c.idleFor(now) > (c.neverAsked() ? NEW_NANOS : JUST_NANOS) && c.atRest()))
-        .forEach(ClientHandler::endUntaken);
+                || c.idleNanos(now)
+                        > (c.neverRequested() ? RECENT_ACCEPT_NANOS : RECENT_ANSWER_NANOS)
+                    && c.nothingUnread()))
+        .forEach(ClientHandler::endUnsubmitted);
   }
 }
--- a/src/main/java/pumicekeel/front/http/HttpRequestAttributes.java
+++ b/src/main/java/pumicekeel/front/http/HttpRequestAttributes.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import pumicekeel.call.RequestAttributes;
 
-/** What a route may ask of a request whose head has come at this listener. */
+/** The attributes of an HTTP request whose head has arrived at this listener. */
 record HttpRequestAttributes(String listener, HttpRequest head) implements RequestAttributes {
 
   @Override
--- a/src/main/java/pumicekeel/front/http/Phase.java
+++ b/src/main/java/pumicekeel/front/http/Phase.java
@@ -4,44 +4,45 @@
 import java.util.Set;
 
 /**
- * Where one client's connection stands. A request goes from COMING to TAKEN or UPLOADING, perhaps on to PASSING, and back to IDLE with
- * its answer's last byte; SKIPPING is what is left of one that was answered before it had come whole.
+ * The state of a client connection. A request goes from RECEIVING to SUBMITTED or UPLOADING, possibly on to STREAMING,
+ * and back to IDLE with the last byte of its answer; in DISCARDING the rest of a request is dropped that was answered
+ * before it was complete.
  */
 enum Phase {
-  /** Nothing is asked. */
+  /** No request is in progress. */
   IDLE,
-  /** A head, or a body that is kept, is on its way in. */
-  COMING,
-  /** The core has the request, and it has come whole. */
-  TAKEN,
-  /** The core has it, and its body goes on to an upstream while it comes. */
+  /** A head or a buffered body is being received. */
+  RECEIVING,
+  /** The core has the complete request. */
+  SUBMITTED,
+  /** The core has the request, and its body is streamed to an upstream. */
   UPLOADING,
-  /** Its answer goes out while it comes. */
-  PASSING,
-  /** It has its answer, and what is left of its body is dropped. */
-  SKIPPING,
-  /** Nothing more is asked on this connection, ever. */
-  ENDING;
+  /** The answer is being streamed. */
+  STREAMING,
+  /** The request has its answer, and the rest of its body is discarded. */
+  DISCARDING,
+  /** No further request is read on this connection. */
+  CLOSING;
 
-  /** The core owes an answer. */
-  boolean taken() {
-    return this == TAKEN || this == UPLOADING || this == PASSING;
+  /** Returns whether the core has yet to answer. */
+  boolean awaitsAnswer() {
+    return this == SUBMITTED || this == UPLOADING || this == STREAMING;
   }
 
-  /** Whether a connection may go on so. */
-  boolean mayBecome(Phase next) {
-    return next == this || next == ENDING || next(this).contains(next);
+  /** Returns whether this transition is allowed. */
+  boolean canTransitionTo(Phase next) {
+    return next == this || next == CLOSING || successors(this).contains(next);
   }
 
-  private static Set<Phase> next(Phase from) {
+  private static Set<Phase> successors(Phase from) {
     return switch (from) {
-      case IDLE -> EnumSet.of(COMING);
-      case COMING -> EnumSet.of(IDLE, TAKEN, UPLOADING, SKIPPING);
-      case TAKEN -> EnumSet.of(IDLE, PASSING);
-      case UPLOADING -> EnumSet.of(TAKEN, PASSING, SKIPPING, IDLE);
-      case PASSING -> EnumSet.of(IDLE, SKIPPING);
-      case SKIPPING -> EnumSet.of(IDLE);
-      case ENDING -> EnumSet.noneOf(Phase.class);
+      case IDLE -> EnumSet.of(RECEIVING);
+      case RECEIVING -> EnumSet.of(IDLE, SUBMITTED, UPLOADING, DISCARDING);
+      case SUBMITTED -> EnumSet.of(IDLE, STREAMING);
+      case UPLOADING -> EnumSet.of(SUBMITTED, STREAMING, DISCARDING, IDLE);
+      case STREAMING -> EnumSet.of(IDLE, DISCARDING);
+      case DISCARDING -> EnumSet.of(IDLE);
+      case CLOSING -> EnumSet.noneOf(Phase.class);
     };
   }
 }
--- a/src/main/java/pumicekeel/front/http/RequestDecoder.java
+++ b/src/main/java/pumicekeel/front/http/RequestDecoder.java
@@ -7,20 +7,20 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.function.Predicate;
 
-/** Reads requests strictly, and shows the raw bytes to the connection's handler first. */
+/** Decodes requests strictly, and passes the raw bytes to the connection's handler first. */
 public final class RequestDecoder extends HttpRequestDecoder {
 
-  private final Predicate<ByteBuf> reader;
+  private final Predicate<ByteBuf> filter;
 
-  /** {@code reader} says of raw bytes whether they are due on the connection; others are dropped undecoded. */
-  public RequestDecoder(Predicate<ByteBuf> reader) {
+  /** {@code filter} returns whether raw bytes are expected on the connection; others are dropped undecoded. */
+  public RequestDecoder(Predicate<ByteBuf> filter) {
     super(new HttpDecoderConfig().setStrictLineParsing(true));
-    this.reader = reader;
+    this.filter = filter;
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-    if (message instanceof ByteBuf bytes && !reader.test(bytes)) {
+    if (message instanceof ByteBuf bytes && !filter.test(bytes)) {
       ReferenceCountUtil.release(message);
       return;
     }
--- a/src/main/java/pumicekeel/front/http/RequestHead.java
+++ b/src/main/java/pumicekeel/front/http/RequestHead.java
@@ -10,8 +10,8 @@
 import pumicekeel.call.ClientRequest.InvalidRequest;
 
 /**
- * Checks of a request's framing, at its head: guards against a request that hides another in its body, and against
- * bodies that would be read only to be refused.
+ * Validates a request's framing by its head: guards against request smuggling, and against reading bodies that would
+ * be rejected anyway.
  */
 public final class RequestHead {
 
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
@@ -121,7 +121,9 @@
     }
     if (call.params() != null && call.params().length > Answer.MAX_BUFFERED_BYTES) {
       throw new RejectedException(
-          ErrorCodes.INVALID_PARAMS, "params of more than " + Answer.MAX_BUFFERED_BYTES + " bytes", 0);
+          ErrorCodes.INVALID_PARAMS,
+          "params of more than " + Answer.MAX_BUFFERED_BYTES + " bytes",
+          0);
     }
     long left = fields.timeLeftMillis() < 0
         ? type.deadlineNanos()
--- a/src/main/java/pumicekeel/lab/program/ProgramRun.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramRun.java
@@ -127,7 +127,7 @@
 
   /** Plays it. */
   public Report play() {
-    Log.to(this::logged);
+    Log.redirect(this::logged);
     loop.onFailure(e -> verifier.broken(
         "thrown: " + e + (e.getStackTrace().length == 0 ? "" : " at " + e.getStackTrace()[0])));
     try {
@@ -150,7 +150,7 @@
     } catch (IOException | InterruptedException | RuntimeException e) {
       verifier.broken("the run ended with " + e + " at " + e.getStackTrace()[0]);
     } finally {
-      Log.to(null);
+      Log.redirect(null);
     }
     return new Report(
         script.seed(),
--- a/src/main/java/pumicekeel/node/Admission.java
+++ b/src/main/java/pumicekeel/node/Admission.java
@@ -148,7 +148,8 @@
   /** Moves to the route's fallback pool if the first has no ready upstream and no attempt may have run. */
   @Override
   public boolean handOver(long leftNanos) {
-    ServicePool next = pinned || pool.core().readyUpstreams() > 0 ? null : services.fallbackOf(route, pool);
+    ServicePool next =
+        pinned || pool.core().readyUpstreams() > 0 ? null : services.fallbackOf(route, pool);
     RequestClass type = next == null ? null : next.equivalentClass(request.type());
     if (type == null || next.objection(request.withType(type)) != null || !next.open.tryTake(1)) {
       return false;
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -139,8 +139,7 @@
     Node node;
     try {
       Configuration configuration =
-          Retry.call(
-          "configuration", START_RETRY_MILLIS, () -> Configuration.read(environment));
+          Retry.call("configuration", START_RETRY_MILLIS, () -> Configuration.read(environment));
       Operator operator = operatorFile == null
           ? null
           : Retry.call(
@@ -210,8 +209,8 @@
   /** Listens and follows the upstream list; returns the address that clients connect to. */
   public InetSocketAddress start() throws IOException, InterruptedException {
     if (configuration.admin() != null) {
-      adminAddress =
-          Retry.call("admin listener", START_RETRY_MILLIS, () -> admin.listen(configuration.admin()));
+      adminAddress = Retry.call(
+          "admin listener", START_RETRY_MILLIS, () -> admin.listen(configuration.admin()));
     }
     Retry.call("journal", START_RETRY_MILLIS, this::openJournal);
     Retry.call("peers", START_RETRY_MILLIS, this::openPeers);
@@ -227,7 +226,8 @@
             "listener",
             START_RETRY_MILLIS,
             () -> listeners.platform().listen(configuration.listen()))
-        : Retry.call("listener", START_RETRY_MILLIS, () -> listeners.platform().adopt(inheritedSocket()));
+        : Retry.call(
+            "listener", START_RETRY_MILLIS, () -> listeners.platform().adopt(inheritedSocket()));
     // Other processes that share an inherited socket may accept the connections of the warm-up.
     InetSocketAddress self = warmUpSide == null
         ? address
@@ -327,8 +327,8 @@
     UpstreamSource source = pools.platformSource();
     return source == null || source.currency() == null
         ? null
-        : source.currency().statusLine(reactor.clock().now()) + ", calls failed " + source.failureCount()
-            + (departures == null ? "" : departures.line());
+        : source.currency().statusLine(reactor.clock().now()) + ", calls failed "
+            + source.failureCount() + (departures == null ? "" : departures.line());
   }
 
   /** Writes the pending journal entries; the process may end afterwards. */
--- a/src/main/java/pumicekeel/node/WarmUp.java
+++ b/src/main/java/pumicekeel/node/WarmUp.java
@@ -126,7 +126,7 @@
     for (int i = 0; i < CONCURRENCY; i++) {
       ClientHandler handler = new ClientHandler(side);
       clients.add(new EmbeddedChannel(
-          new RequestDecoder(handler::accepts), new HttpResponseEncoder(), handler));
+          new RequestDecoder(handler::acceptBytes), new HttpResponseEncoder(), handler));
     }
     loop.execute(this::round);
   }
--- a/src/main/java/pumicekeel/rig/scale/Loops.java
+++ b/src/main/java/pumicekeel/rig/scale/Loops.java
@@ -29,7 +29,7 @@
 
   /** Hundreds of balancers' lines tell nothing that the figures don't. */
   private static long prepare() {
-    Log.to(line -> {});
+    Log.redirect(line -> {});
     return Thread.currentThread().getId();
   }
 
--- a/src/main/java/pumicekeel/runtime/Addresses.java
+++ b/src/main/java/pumicekeel/runtime/Addresses.java
@@ -4,17 +4,19 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** Socket addresses as the platform, lists and files write them. */
+/** Formats and parses socket addresses as used by the platform, lists and files. */
 public final class Addresses {
 
   private Addresses() {}
 
-  /** An address as it is parsed here. */
+  /** Formats an address as {@link #parse} reads it. */
   public static String text(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** An address and a port; no names, since there is no DNS and a look-up would block the loop. */
+  /**
+   * Parses an address and a port; host names are not supported, as there is no DNS and a look-up would block the loop.
+   */
   public static InetSocketAddress parse(String what, String text) {
     int colon = text.lastIndexOf(':');
     InetAddress host =
@@ -24,7 +26,7 @@
         return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
       }
     } catch (IllegalArgumentException e) {
-      // Said below: a port that is no number or out of range.
+      // Reported below: the port is not a number or out of range.
     }
     throw new IllegalArgumentException(what + ": expected ADDRESS:PORT, got \"" + text + "\"");
   }
--- a/src/main/java/pumicekeel/runtime/Clock.java
+++ b/src/main/java/pumicekeel/runtime/Clock.java
@@ -3,27 +3,27 @@
 import java.util.function.LongSupplier;
 
 /**
- * The balancer's clock: Unix time in nanoseconds that never goes back. The list gives start times in Unix time and 0
- * for "long ago", so the module's clock has to have the same origin.
+ * The balancer's clock: Unix time in nanoseconds that never goes back. Lists have start times in Unix time, with 0 for
+ * "long ago", so the module's clock needs the same origin.
  */
 public final class Clock {
 
   private final LongSupplier ticks;
   private final long origin;
-  /** The wall clock in milliseconds, which may be stepped; null where it never is. */
+  /** The wall clock in milliseconds, which may be stepped; null if there is none. */
   private final LongSupplier wall;
 
-  /** The system's time. */
+  /** Creates a clock of the system's time. */
   public Clock() {
     this(System::nanoTime, System.currentTimeMillis(), System::currentTimeMillis);
   }
 
-  /** Time by these nanoseconds, which never go back; it is now so many milliseconds of Unix time. */
+  /** Creates a clock that counts these monotonic nanoseconds from the given Unix time in milliseconds. */
   public Clock(LongSupplier ticks, long unixMillis) {
     this(ticks, unixMillis, null);
   }
 
-  /** The same with a wall clock beside it, in milliseconds of Unix time. */
+  /** Creates the same with a separate wall clock, in milliseconds of Unix time. */
   public Clock(LongSupplier ticks, long unixMillis, LongSupplier wall) {
     this.ticks = ticks;
     this.wall = wall;
@@ -34,12 +34,12 @@
     return origin + ticks.getAsLong();
   }
 
-  /** What the wall clock says at this moment, in nanoseconds of Unix time: it may have been stepped since the start. */
+  /** Returns the wall clock's time in nanoseconds of Unix time; it may have been stepped since the start. */
   public long wallNanos() {
     return wall == null ? now() : wall.getAsLong() * 1_000_000L;
   }
 
-  /** Unix time in whole milliseconds. */
+  /** Returns Unix time in whole milliseconds. */
   public long millis() {
     return now() / 1_000_000L;
   }
--- a/src/main/java/pumicekeel/runtime/FailureScope.java
+++ b/src/main/java/pumicekeel/runtime/FailureScope.java
@@ -7,22 +7,23 @@
 import java.util.Map;
 
 /**
- * What a failed system call says, and of what: each of these asks for another answer, and a way back from the first two. The JDK
- * hands the error on as text only, so it is told by the text of {@code strerror} in the C locale.
+ * Classifies the failure of a system call by what it affects; each class is handled differently, and the first two are
+ * retried. The JDK passes the error on only as text, so it is recognized by the text of {@code strerror} in the C
+ * locale.
  */
 public enum FailureScope {
-  /** The call can't be carried out at this moment; nothing was done, and nothing is wrong with what it was for. To be tried again. */
+  /** The call failed temporarily; nothing was done, and its object is intact. To be retried. */
   TEMPORARY,
-  /** The process has no descriptor left: others of its own have to be closed before the call can work. To be tried again. */
+  /** The process is out of descriptors: others have to be closed before the call can succeed. To be retried. */
   PROCESS,
-  /** The connection is at its end, or never came to be; others are not concerned. */
+  /** The connection has ended or was never established; others are not affected. */
   CONNECTION,
-  /** What was asked for is not there or not allowed: trying again is of no use. */
+  /** The object does not exist or access is denied: a retry is useless. */
   PERMANENT;
 
   private static final String OUT_OF_DESCRIPTORS = "Too many open files";
 
-  /** By the error's text, as the Linux manual pages name the errors. */
+  /** Classes by error text, as in the Linux manual pages. */
   private static final Map<String, FailureScope> BY_TEXT = Map.ofEntries(
       Map.entry("Interrupted system call", TEMPORARY),
       Map.entry("Resource temporarily unavailable", TEMPORARY),
@@ -51,7 +52,7 @@
       Map.entry("Transport endpoint is not connected", CONNECTION),
       Map.entry("Broken pipe", CONNECTION));
 
-  /** What this error says; where it is none of those that are known, CONNECTION for an error of I/O and PERMANENT for others. */
+  /** Classifies an error; an unknown one is CONNECTION if it is an I/O error and PERMANENT otherwise. */
   public static FailureScope of(Throwable error) {
     FailureScope known = known(error);
     if (known != null) {
@@ -60,7 +61,7 @@
     return error instanceof IOException ? CONNECTION : PERMANENT;
   }
 
-  /** The same; null where it is none of those that are known. */
+  /** Classifies an error; null for an unknown one. */
   public static FailureScope known(Throwable error) {
     for (Throwable e = error; e != null; e = e.getCause()) {
       if (e instanceof BindException
@@ -76,7 +77,7 @@
     return null;
   }
 
-  /** The text stands alone, or behind what the JDK puts before it (a path, the name of the call). */
+  /** Finds a known error text, alone or behind what the JDK puts before it (a path, the name of the call). */
   private static FailureScope byText(String message) {
     if (message == null) {
       return null;
@@ -94,7 +95,7 @@
     return BY_TEXT.get(longest);
   }
 
-  /** Whether the same call may work a moment later. */
+  /** Returns whether the same call may succeed later. */
   public boolean isRetryable() {
     return this == TEMPORARY || this == PROCESS;
   }
--- a/src/main/java/pumicekeel/runtime/JdkSockets.java
+++ b/src/main/java/pumicekeel/runtime/JdkSockets.java
@@ -16,14 +16,14 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * Calls of the JDK's own socket classes (package {@code sun.nio.ch}) that its public ones carry out without telling how they ended: an
- * accept apart from what it does with the new descriptor, which it closes where the socket's own address can't be told for a moment;
- * and epoll_ctl, whose failure its selector drops. The jar's manifest opens the package; where it is not open there is none of this,
- * and the public calls are used.
+ * Calls internal socket classes of the JDK (package {@code sun.nio.ch}) whose public counterparts hide how a call
+ * ended: an accept separate from the setup of the new descriptor, which the public call closes if the socket's own
+ * address cannot be read temporarily; and epoll_ctl, whose failure the selector ignores. The jar's manifest opens the
+ * package; if it is not open, the public calls are used instead.
  */
 final class JdkSockets {
 
-  /** epoll_ctl's operations and errors (Linux, all architectures that the JDK runs on). */
+  /** Operations and errors of epoll_ctl (Linux, all architectures that the JDK supports). */
   static final int EPOLL_CTL_ADD = 1;
 
   static final int EPOLL_CTL_DEL = 2;
@@ -34,18 +34,18 @@
   static final int EPOLLOUT = 0x4;
   private static final int POLLIN = 0x1;
 
-  private static final JdkSockets INSTANCE = find();
+  private static final JdkSockets INSTANCE = load();
 
   private final MethodHandle accept;
-  private final MethodHandle connected;
+  private final MethodHandle newSocketChannel;
   private final MethodHandle closeDescriptor;
   private final MethodHandle preClose;
-  private final MethodHandle valueOf;
+  private final MethodHandle descriptorNumber;
   private final MethodHandle descriptor;
   private final MethodHandle poll;
   private final MethodHandle epollCtl;
   private final Field epollDescriptor;
-  private final Field wakeUp;
+  private final Field eventFd;
   private final Field wakeUpDescriptor;
 
   private JdkSockets() throws ReflectiveOperationException {
@@ -65,7 +65,7 @@
             FileDescriptor.class,
             SocketAddress.class);
     constructor.setAccessible(true);
-    connected = lookup
+    newSocketChannel = lookup
         .unreflectConstructor(constructor)
         .asType(MethodType.methodType(
             SocketChannel.class,
@@ -77,7 +77,8 @@
         handle(lookup, Class.forName("sun.nio.ch.FileDispatcherImpl"), "closeIntFD", int.class);
     preClose = handle(
         lookup, Class.forName("sun.nio.ch.FileDispatcherImpl"), "preClose0", FileDescriptor.class);
-    valueOf = handle(lookup, Class.forName("sun.nio.ch.IOUtil"), "fdVal", FileDescriptor.class);
+    descriptorNumber =
+        handle(lookup, Class.forName("sun.nio.ch.IOUtil"), "fdVal", FileDescriptor.class);
     Class<?> selectable = Class.forName("sun.nio.ch.SelChImpl");
     descriptor = handle(lookup, selectable, "getFD")
         .asType(MethodType.methodType(FileDescriptor.class, Channel.class));
@@ -86,7 +87,7 @@
     epollCtl = handle(lookup, epoll, "ctl", int.class, int.class, int.class, int.class);
     Class<?> selector = Class.forName("sun.nio.ch.EPollSelectorImpl");
     epollDescriptor = field(selector, "epfd");
-    wakeUp = field(selector, "eventfd");
+    eventFd = field(selector, "eventfd");
     wakeUpDescriptor = field(Class.forName("sun.nio.ch.EventFD"), "efd");
   }
 
@@ -104,7 +105,7 @@
     return field;
   }
 
-  private static JdkSockets find() {
+  private static JdkSockets load() {
     try {
       return new JdkSockets();
     } catch (ReflectiveOperationException | RuntimeException e) {
@@ -112,73 +113,77 @@
     }
   }
 
-  /** The one there is; null where this JDK has other classes or the package is not open. */
+  /** Returns the instance; null if this JDK has other classes or the package is not open. */
   static JdkSockets get() {
     return INSTANCE;
   }
 
-  /** A descriptor that was accepted, and whose it is. */
-  record NewDescriptor(FileDescriptor descriptor, InetSocketAddress peer) {}
+  /** An accepted descriptor and its peer. */
+  record AcceptedDescriptor(FileDescriptor descriptor, InetSocketAddress peer) {}
 
-  /** Accepts one; null where none waits. */
-  NewDescriptor accept(Channel listener) throws IOException {
+  /** Accepts a connection; null if none waits. */
+  AcceptedDescriptor accept(Channel listener) throws IOException {
     FileDescriptor fresh = new FileDescriptor();
     InetSocketAddress[] peer = new InetSocketAddress[1];
     try {
       int accepted = (int) accept.invokeExact(descriptorOf(listener), fresh, peer);
-      return accepted > 0 ? new NewDescriptor(fresh, peer[0]) : null;
+      return accepted > 0 ? new AcceptedDescriptor(fresh, peer[0]) : null;
     } catch (Throwable e) {
-      throw asIo(e);
+      throw toIoException(e);
     }
   }
 
-  /** A channel of a descriptor that was accepted. Where this fails the descriptor stays open, and it may be tried again. */
-  SocketChannel channelOf(NewDescriptor accepted, ProtocolFamily family) throws IOException {
+  /**
+   * Opens a channel for an accepted descriptor. On failure the descriptor stays open, and the call may be retried.
+   */
+  SocketChannel channelOf(AcceptedDescriptor accepted, ProtocolFamily family) throws IOException {
     try {
-      return (SocketChannel) connected.invokeExact(
+      return (SocketChannel) newSocketChannel.invokeExact(
           SelectorProvider.provider(), family, accepted.descriptor(), (SocketAddress)
               accepted.peer());
     } catch (Throwable e) {
-      throw asIo(e);
+      throw toIoException(e);
     }
   }
 
-  /** Whether connections wait to be accepted, as far as one look tells: an interrupted one sees none. */
-  boolean waits(Channel listener) throws IOException {
+  /**
+   * Returns whether input or connections are pending, as far as a single poll shows: an interrupted one reports none.
+   */
+  boolean hasPendingInput(Channel listener) throws IOException {
     try {
       return (int) poll.invokeExact(descriptorOf(listener), POLLIN, 0L) != 0;
     } catch (Throwable e) {
-      throw asIo(e);
+      throw toIoException(e);
     }
   }
 
-  /** Closes one that never became a channel. */
-  void close(NewDescriptor accepted) throws IOException {
+  /** Closes a descriptor that never became a channel. */
+  void close(AcceptedDescriptor accepted) throws IOException {
     try {
-      closeDescriptor.invokeExact((int) valueOf.invokeExact(accepted.descriptor()));
+      closeDescriptor.invokeExact((int) descriptorNumber.invokeExact(accepted.descriptor()));
     } catch (Throwable e) {
-      throw asIo(e);
+      throw toIoException(e);
     }
   }
 
   /**
-   * Ends a channel's socket at once; the channel is still to be closed. A close alone leaves a registered socket as it is until its
-   * selector has looked again.
+   * Ends a channel's socket at once; the channel still has to be closed. A close alone leaves a registered socket open
+   * until its selector's next turn.
    */
-  void endSocket(Channel channel) throws IOException {
+  void preCloseSocket(Channel channel) throws IOException {
     try {
       preClose.invokeExact(descriptorOf(channel));
     } catch (Throwable e) {
-      throw asIo(e);
+      throw toIoException(e);
     }
   }
 
-  /** The descriptor of a channel, as a number. */
-  int numberOf(Channel channel) throws IOException {
+  /** Returns the number of a channel's descriptor. */
+  int descriptorNumberOf(Channel channel) throws IOException {
     try {
-      return (int) valueOf.invokeExact(descriptorOf(channel));
+      return (int) descriptorNumber.invokeExact(descriptorOf(channel));
     } catch (Throwable e) {
-      throw asIo(e);
+      throw toIoException(e);
     }
   }
 
@@ -186,8 +191,8 @@
     return (FileDescriptor) descriptor.invokeExact(channel);
   }
 
-  /** The epoll descriptor of a selector; -1 where it is of another kind. */
-  int epollOf(Selector selector) {
+  /** Returns the epoll descriptor of a selector; -1 for a selector of another kind. */
+  int epollDescriptorOf(Selector selector) {
     try {
       return epollDescriptor.getDeclaringClass().isInstance(selector)
           ? epollDescriptor.getInt(selector)
@@ -197,25 +202,25 @@
     }
   }
 
-  /** The descriptor by which other threads wake a selector up. */
-  int wakeUpOf(Selector selector) {
+  /** Returns the descriptor with which other threads wake up a selector. */
+  int wakeUpDescriptorOf(Selector selector) {
     try {
-      return wakeUpDescriptor.getInt(wakeUp.get(selector));
+      return wakeUpDescriptor.getInt(eventFd.get(selector));
     } catch (IllegalAccessException e) {
       return -1;
     }
   }
 
-  /** epoll_ctl; 0 or the error's number. */
+  /** Calls epoll_ctl; returns 0 or the error number. */
   int epollCtl(int epoll, int operation, int fd, int events) throws IOException {
     try {
       return (int) epollCtl.invokeExact(epoll, operation, fd, events);
     } catch (Throwable e) {
-      throw asIo(e);
+      throw toIoException(e);
     }
   }
 
-  private static IOException asIo(Throwable e) {
+  private static IOException toIoException(Throwable e) {
     if (e instanceof Error error) {
       throw error;
     }
--- a/src/main/java/pumicekeel/runtime/ListeningChannel.java
+++ b/src/main/java/pumicekeel/runtime/ListeningChannel.java
@@ -15,25 +15,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A listening socket that loses no connection which the kernel has accepted: neither one whose channel can't be made at this moment,
- * nor those in line when it is closed while accepting fails. Only on its loop.
+ * A listening socket that loses no connection accepted by the kernel: neither one whose channel temporarily cannot be
+ * opened, nor those in the backlog when it closes while accepting fails. Event loop only.
  */
 final class ListeningChannel extends NioServerSocketChannel {
 
-  private static final long AGAIN_MILLIS = 2;
-  /** A descriptor that can't become a channel for so long belongs to a connection that is no more. */
-  private static final long LONGEST_MAKING_NANOS = TimeUnit.SECONDS.toNanos(3);
-  /** Until when those in line are let in at a close, where accepting fails. */
-  private static final long LONGEST_CLOSE_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+  private static final long RETRY_MILLIS = 2;
+  /** A descriptor that cannot become a channel for this long belongs to a connection that no longer exists. */
+  private static final long MAX_OPENING_NANOS = TimeUnit.SECONDS.toNanos(3);
+  /** How long a close waits for the backlog while accepting fails. */
+  private static final long MAX_CLOSING_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
-  /** A look that was interrupted sees nothing. */
-  private static final int LOOKS = 2;
+  /** An interrupted poll reports nothing. */
+  private static final int POLLS = 2;
 
-  private record Unmade(JdkSockets.NewDescriptor accepted, long since) {}
+  private record PendingDescriptor(JdkSockets.AcceptedDescriptor accepted, long since) {}
 
   private final JdkSockets jdk = JdkSockets.get();
-  private final ArrayDeque<Unmade> unmade = new ArrayDeque<>();
-  private boolean makesAgain;
+  private final ArrayDeque<PendingDescriptor> pendingDescriptors = new ArrayDeque<>();
+  private boolean retryScheduled;
 
   ListeningChannel() {}
 
@@ -43,10 +43,10 @@
 
   @Override
   protected int doReadMessages(List<Object> into) throws IOException {
-    return jdk == null ? acceptWhole(into) : acceptInSteps(into);
+    return jdk == null ? acceptChannel(into) : acceptDescriptor(into);
   }
 
-  private int acceptWhole(List<Object> into) throws IOException {
+  private int acceptChannel(List<Object> into) throws IOException {
     SocketChannel socket = javaChannel().accept();
     if (socket == null) {
       return 0;
@@ -55,37 +55,38 @@
     return 1;
   }
 
-  private int acceptInSteps(List<Object> into) throws IOException {
-    JdkSockets.NewDescriptor accepted = jdk.accept(javaChannel());
+  private int acceptDescriptor(List<Object> into) throws IOException {
+    JdkSockets.AcceptedDescriptor accepted = jdk.accept(javaChannel());
     if (accepted == null) {
       return 0;
     }
-    Unmade next = new Unmade(accepted, System.nanoTime());
-    if (!make(next, into)) {
-      unmade.add(next);
-      makeAgainLater();
+    PendingDescriptor next = new PendingDescriptor(accepted, System.nanoTime());
+    if (!openChannel(next, into)) {
+      pendingDescriptors.add(next);
+      scheduleRetry();
     }
     return 1;
   }
 
-  /** Makes the channel of a descriptor; false where that does not work at this moment. */
-  private boolean make(Unmade one, List<Object> into) {
+  /** Opens the channel of a descriptor; returns false if that fails temporarily. */
+  private boolean openChannel(PendingDescriptor one, List<Object> into) {
     try {
       SocketChannel socket =
           jdk.channelOf(one.accepted(), familyOf(one.accepted().peer()));
       into.add(channelOf(socket, one.since()));
       return true;
     } catch (IOException e) {
-      if (System.nanoTime() - one.since() < LONGEST_MAKING_NANOS) {
+      if (System.nanoTime() - one.since() < MAX_OPENING_NANOS) {
         return false;
       }
-      Log.caused("gave up an accepted connection of " + one.accepted().peer() + ": " + e);
-      giveUp(one);
+      Log.caused("closed an accepted connection whose channel could not be opened, from "
+          + one.accepted().peer() + ": " + e);
+      closeDescriptor(one);
       return true;
     }
   }
 
-  private void giveUp(Unmade one) {
+  private void closeDescriptor(PendingDescriptor one) {
     try {
       jdk.close(one.accepted());
     } catch (IOException e) {
@@ -103,89 +104,92 @@
     try {
       return new NioSockets.Accepted(this, socket, since);
     } catch (ChannelException e) {
-      // To Netty a listener's failure that is no IOException is its end.
+      // Netty closes a listener on any failure that is not an IOException.
       socket.close();
       throw new IOException(e);
     }
   }
 
-  /** Whether connections stand in the kernel's line. */
+  /** Returns whether connections wait in the kernel's backlog. */
   Sockets.Backlog backlog() {
     if (jdk == null) {
       return Sockets.Backlog.UNKNOWN;
     }
     try {
-      for (int i = 0; i < LOOKS; i++) {
-        if (jdk.waits(javaChannel())) {
+      for (int i = 0; i < POLLS; i++) {
+        if (jdk.hasPendingInput(javaChannel())) {
           return Sockets.Backlog.WAITING;
         }
       }
-      return unmade.isEmpty() ? Sockets.Backlog.EMPTY : Sockets.Backlog.WAITING;
+      return pendingDescriptors.isEmpty() ? Sockets.Backlog.EMPTY : Sockets.Backlog.WAITING;
     } catch (IOException e) {
       return Sockets.Backlog.WAITING;
     }
   }
 
-  private void makeAgainLater() {
-    if (!makesAgain) {
-      makesAgain = true;
-      eventLoop().schedule(this::makeAgain, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+  private void scheduleRetry() {
+    if (!retryScheduled) {
+      retryScheduled = true;
+      eventLoop().schedule(this::retryPending, RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void makeAgain() {
-    makesAgain = false;
+  private void retryPending() {
+    retryScheduled = false;
     List<Object> made = new ArrayList<>();
-    unmade.removeIf(one -> make(one, made));
-    pass(made);
-    if (!unmade.isEmpty()) {
-      makeAgainLater();
+    pendingDescriptors.removeIf(one -> openChannel(one, made));
+    fireAccepted(made);
+    if (!pendingDescriptors.isEmpty()) {
+      scheduleRetry();
     }
   }
 
-  private void pass(List<Object> made) {
+  private void fireAccepted(List<Object> made) {
     if (!made.isEmpty()) {
       made.forEach(pipeline()::fireChannelRead);
       pipeline().fireChannelReadComplete();
     }
   }
 
-  /** Right behind the last look at the line: one that comes in between would be reset by the close. */
-  private void endSocket() {
+  /**
+   * Called right after the last poll of the backlog: a connection that arrives in between would be reset by the close.
+   */
+  private void preCloseSocket() {
     try {
       if (jdk != null && isOpen()) {
-        jdk.endSocket(javaChannel());
+        jdk.preCloseSocket(javaChannel());
       }
     } catch (IOException e) {
-      Log.caused("a listener's end: " + e);
+      Log.caused("could not end a listening socket: " + e);
     }
   }
 
-  /** Lets in those that stand in line, so many at most, and closes; tries again for a while where accepting fails. */
-  void closeBehindLine(int most) {
-    closeBehindLine(most, System.nanoTime() + LONGEST_CLOSE_NANOS);
+  /** Accepts up to this many connections of the backlog and closes; retries for a while if accepting fails. */
+  void drainBacklogAndClose(int maxConnections) {
+    drainBacklogAndClose(maxConnections, System.nanoTime() + MAX_CLOSING_NANOS);
   }
 
-  private void closeBehindLine(int most, long until) {
+  private void drainBacklogAndClose(int maxConnections, long closeAt) {
     List<Object> line = new ArrayList<>();
-    boolean through = false;
+    boolean drained = false;
     try {
       int accepted = 1;
-      while (line.size() < most && accepted > 0) {
+      while (line.size() < maxConnections && accepted > 0) {
         accepted = doReadMessages(line);
       }
-      through = true;
+      drained = true;
     } catch (IOException e) {
-      Log.caused("in line at the close: " + e);
+      Log.caused("accepting the backlog at the close failed: " + e);
     }
-    pass(line);
-    if (System.nanoTime() - until >= 0 || through && unmade.isEmpty()) {
-      unmade.forEach(this::giveUp);
-      endSocket();
+    fireAccepted(line);
+    if (System.nanoTime() - closeAt >= 0 || drained && pendingDescriptors.isEmpty()) {
+      pendingDescriptors.forEach(this::closeDescriptor);
+      preCloseSocket();
       close();
     } else {
-      int left = most - line.size();
-      eventLoop().schedule(() -> closeBehindLine(left, until), AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+      int left = maxConnections - line.size();
+      eventLoop()
+          .schedule(() -> drainBacklogAndClose(left, closeAt), RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/src/main/java/pumicekeel/runtime/Log.java
+++ b/src/main/java/pumicekeel/runtime/Log.java
@@ -5,32 +5,35 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** The balancer's log: changes of state, a line each, on standard error. */
+/** The balancer's log: one line per event, on standard error. */
 public final class Log {
 
-  /** Lines a second that peers may cause together: more tell nothing new, and a flood of them costs the core. */
+  /** Limit on lines per second that peers may cause: more add no information, and a flood of them costs CPU time. */
   private static final int CAUSED_PER_SECOND = 5;
 
   private static final AtomicLong SECOND = new AtomicLong();
   private static final AtomicInteger CAUSED = new AtomicInteger();
 
-  /** Where this thread's lines go instead; null for standard error. A simulation reads its program's. */
-  private static final ThreadLocal<Consumer<String>> TO = new ThreadLocal<>();
+  /**
+   * Receives this thread's lines instead of standard error; null for none. Used by simulations to read a program's
+   * log.
+   */
+  private static final ThreadLocal<Consumer<String>> READER = new ThreadLocal<>();
 
   private Log() {}
 
-  /** This thread's lines go there from now on; null for standard error. */
-  public static void to(Consumer<String> reader) {
+  /** Redirects this thread's lines; null for standard error. */
+  public static void redirect(Consumer<String> reader) {
     if (reader == null) {
-      TO.remove();
+      READER.remove();
     } else {
-      TO.set(reader);
+      READER.set(reader);
     }
   }
 
-  /** A line that something on a socket caused: left out where there are too many. */
+  /** Logs a line that was caused by a peer; discarded if there are too many. */
   public static void caused(String text) {
-    if (TO.get() != null) {
+    if (READER.get() != null) {
       line(text);
       return;
     }
@@ -43,14 +46,14 @@
     }
   }
 
-  /** Waits until what was logged so far is written, so many milliseconds at most; before the process ends. */
-  public static void flush(long mostMillis) {
-    LogWriter.SYSTEM.flush(mostMillis);
+  /** Waits until the lines logged so far are written, at most this long; called before the process ends. */
+  public static void flush(long maxMillis) {
+    LogWriter.SYSTEM.flush(maxMillis);
   }
 
-  /** A line of the log; never waits for its reader. */
+  /** Logs a line; never waits for the reader of the log. */
   public static void line(String text) {
-    Consumer<String> reader = TO.get();
+    Consumer<String> reader = READER.get();
     if (reader != null) {
       reader.accept(text);
       return;
--- a/src/main/java/pumicekeel/runtime/LogWriter.java
+++ b/src/main/java/pumicekeel/runtime/LogWriter.java
@@ -7,44 +7,44 @@
 import java.util.function.Supplier;
 
 /**
- * Writes lines on a thread of its own, so that a reader of the log that stands still holds nobody up. Beyond what waits for it lines are
- * left out, and how many is told.
+ * Writes lines on its own thread, so that a stalled reader of the log delays nobody. Lines beyond the queue's capacity
+ * are discarded, and their number is logged.
  */
 final class LogWriter {
 
-  /** Some seconds of a busy log. */
-  private static final int MOST_WAITING = 2_048;
+  /** Holds some seconds of a busy log. */
+  private static final int MAX_QUEUED_LINES = 2_048;
 
-  private static final long FLUSH_LOOK_MILLIS = 1;
+  private static final long FLUSH_POLL_MILLIS = 1;
 
-  /** Standard error, wherever it goes at the moment. */
+  /** Writes to the current standard error. */
   static final LogWriter SYSTEM = new LogWriter(() -> System.err);
 
-  private final Supplier<PrintStream> to;
-  private final ArrayBlockingQueue<String> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
-  private final AtomicLong taken = new AtomicLong();
+  private final Supplier<PrintStream> output;
+  private final ArrayBlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+  private final AtomicLong enqueued = new AtomicLong();
   private final AtomicLong written = new AtomicLong();
-  private final AtomicLong leftOut = new AtomicLong();
+  private final AtomicLong discarded = new AtomicLong();
   private volatile Thread thread;
 
-  LogWriter(Supplier<PrintStream> to) {
-    this.to = to;
+  LogWriter(Supplier<PrintStream> output) {
+    this.output = output;
   }
 
-  /** Takes a line; for any thread, and never waits. */
+  /** Queues a line; for any thread, and never waits. */
   void line(String text) {
-    if (waiting.offer(text)) {
-      taken.incrementAndGet();
+    if (queue.offer(text)) {
+      enqueued.incrementAndGet();
     } else {
-      leftOut.incrementAndGet();
+      discarded.incrementAndGet();
     }
     if (thread == null) {
-      begin();
+      startThread();
     }
   }
 
-  /** The thread is begun with the first line; where the system has none to give, the next line tries again. */
-  private synchronized void begin() {
+  /** Starts the thread, with the first line; if the system has no thread available, the next line tries again. */
+  private synchronized void startThread() {
     if (thread != null) {
       return;
     }
@@ -54,7 +54,7 @@
       next.start();
       thread = next;
     } catch (OutOfMemoryError e) {
-      // No thread to be had at this moment.
+      // No thread is available now.
       thread = null;
     }
   }
@@ -62,11 +62,11 @@
   private void run() {
     try {
       while (true) {
-        String line = waiting.take();
-        PrintStream out = to.get();
+        String line = queue.take();
+        PrintStream out = output.get();
         out.println(line);
-        // Behind those that had room.
-        long missing = waiting.isEmpty() ? leftOut.getAndSet(0) : 0;
+        // After the lines that were queued.
+        long missing = queue.isEmpty() ? discarded.getAndSet(0) : 0;
         if (missing > 0) {
           out.println("log: " + missing + " lines left out");
         }
@@ -77,13 +77,13 @@
     }
   }
 
-  /** Waits until what was taken so far is written, so many milliseconds at most. */
-  void flush(long mostMillis) {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMillis);
-    long all = taken.get();
+  /** Waits until the lines queued so far are written, at most this long. */
+  void flush(long maxMillis) {
+    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMillis);
+    long all = enqueued.get();
     try {
       while (written.get() < all && System.nanoTime() - until < 0) {
-        TimeUnit.MILLISECONDS.sleep(FLUSH_LOOK_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(FLUSH_POLL_MILLIS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
