--- a/src/main/java/pumicekeel/runtime/LoopLag.java
+++ b/src/main/java/pumicekeel/runtime/LoopLag.java
@@ -4,49 +4,50 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How far the event loop is behind, seen by a timer that comes late. What comes in on a socket meanwhile waits unread,
- * and without this the wait would count as the upstream's latency: a balancer that is short of CPU, as after a start,
- * would take itself for an overload of all upstreams. It covers any pause of the process as well (a collection, a core
- * that others use). It hurts where upstreams are slow just as long as the loop is, by half of its lag at most.
+ * Measures how far the event loop is behind, by the delay of a timer. Bytes that arrive meanwhile wait unread in their
+ * sockets, and without this measurement that wait would count as the upstream's latency: a balancer that is short of
+ * CPU, as after a start, would treat its own delay as an overload of all upstreams. Any pause of the process (a
+ * garbage collection, a core used by others) is covered as well. The correction is wrong by at most half of the lag,
+ * when upstreams are slow at the same time as the loop.
  */
 public final class LoopLag {
 
-  /** Short against any aim, and a hundred timers a second cost next to nothing. */
+  /** Short compared to any aim; a hundred timers a second cost next to nothing. */
   private static final long PERIOD_NANOS = 10_000_000L;
-  /** Under this a loop is not behind: a piece of work, a collection. */
-  private static final long BEHIND_NANOS = 50_000_000L;
-  /** The log tells of a loop that is late by more. */
-  private static final long TOLD_NANOS = 150_000_000L;
-  /** What waited came at any time since the loop last looked: half of that on average. */
-  private static final int WAIT_PART = 2;
+  /** Below this the loop does not count as behind: a unit of work or a garbage collection. */
+  private static final long DELAYED_NANOS = 50_000_000L;
+  /** Longer delays of the loop are logged. */
+  private static final long LOGGED_NANOS = 150_000_000L;
+  /** Waiting bytes arrived at any time since the last poll: half of that on average. */
+  private static final int WAIT_DIVISOR = 2;
 
-  /** A signal is heard within this of the moment at which the process runs again: it takes two threads to hand it on. */
-  private static final long HANDED_ON_NANOS = 100_000_000L;
+  /** A signal is delivered within this time after the process runs again, since two threads forward it. */
+  private static final long SIGNAL_DELIVERY_NANOS = 100_000_000L;
 
   private final EventLoop loop;
   private final Clock clock;
-  /** Written by the loop alone; the thread that hears of a signal reads it too. */
+  /** Written by the loop only; the thread that receives signals reads it too. */
   private volatile long due;
 
-  private long late;
-  /** The last two looks. */
-  private long tickAt;
+  private long delayNanos;
+  /** The times of the last two ticks. */
+  private long lastTickAt;
 
-  private long earlierTickAt;
-  /** The last time at which the loop stood still, from when until when. */
-  private volatile Still still;
+  private long previousTickAt;
+  /** The last period in which the loop stalled. */
+  private volatile Stall lastStall;
 
-  private record Still(long from, long until) {}
+  private record Stall(long from, long until) {}
 
-  public LoopLag(Reactor on) {
-    loop = on.loop();
-    clock = on.clock();
-    tickAt = clock.now();
-    earlierTickAt = tickAt;
-    loop.execute(this::next);
+  public LoopLag(Reactor reactor) {
+    loop = reactor.loop();
+    clock = reactor.clock();
+    lastTickAt = clock.now();
+    previousTickAt = lastTickAt;
+    loop.execute(this::scheduleTick);
   }
 
-  private void next() {
+  private void scheduleTick() {
     long next = clock.now() + PERIOD_NANOS;
     due = next;
     loop.schedule(this::tick, PERIOD_NANOS, TimeUnit.NANOSECONDS);
@@ -54,48 +55,50 @@
 
   private void tick() {
     long now = clock.now();
-    earlierTickAt = tickAt;
-    tickAt = now;
-    late = Math.max(0, now - due);
-    if (late > TOLD_NANOS) {
-      Log.caused("the event loop is late by " + TimeUnit.NANOSECONDS.toMillis(late) + " ms");
+    previousTickAt = lastTickAt;
+    lastTickAt = now;
+    delayNanos = Math.max(0, now - due);
+    if (delayNanos > LOGGED_NANOS) {
+      Log.caused("the event loop is late by " + TimeUnit.NANOSECONDS.toMillis(delayNanos) + " ms");
     }
-    if (late > BEHIND_NANOS) {
-      still = new Still(due - PERIOD_NANOS, now);
+    if (delayNanos > DELAYED_NANOS) {
+      lastStall = new Stall(due - PERIOD_NANOS, now);
     }
-    next();
+    scheduleTick();
   }
 
-  /** How long ago the loop asked for what had come in the turn before this one, at the most. Only for the loop's own thread. */
+  /** Returns the longest time since the loop polled its sockets in the turn before this one. Loop thread only. */
   public long sincePreviousPollNanos() {
-    return clock.now() - earlierTickAt;
+    return clock.now() - previousTickAt;
   }
 
   /**
-   * How long what is read now may have waited in its socket, at the most; 0 while the loop is hardly behind. Its sender's time
-   * ran meanwhile: whoever takes that for new promises an answer that comes too late. It came after the loop last asked for what had
-   * come, which was in the turn before this one, and so after the last look but one. Only for the loop's own thread.
+   * Returns the longest time that bytes read now may have waited in their socket; 0 while the loop is hardly behind.
+   * The sender's time limit ran meanwhile: treating the bytes as new promises an answer that comes too late. They
+   * arrived after the previous poll, which was in the turn before this one, so after the tick before the last. Loop
+   * thread only.
    */
   public long maxReadDelayNanos() {
     long behind = sincePreviousPollNanos();
-    return behind > BEHIND_NANOS ? behind : 0;
+    return behind > DELAYED_NANOS ? behind : 0;
   }
 
   /**
-   * Since when something may have been waiting of which the process hears now, a signal for one: the loop's last look, or where it
-   * stood still until a moment ago, and with it the process, the last one before that. For any thread.
+   * Returns since when an event that the process sees now, such as a signal, may have been pending: since the loop's
+   * last tick, or, if the loop and with it the process stalled until just now, since the last tick before the stall.
+   * For any thread.
    */
   public long undeliveredSince() {
     long now = clock.now();
-    Still last = still;
+    Stall last = lastStall;
     long looked = Math.min(now, due - PERIOD_NANOS);
-    return last != null && now - last.until < HANDED_ON_NANOS
+    return last != null && now - last.until < SIGNAL_DELIVERY_NANOS
         ? Math.min(last.from, looked)
         : looked;
   }
 
-  /** How long what is read now has waited in its socket, on average; only for the loop's own thread. */
+  /** Returns how long bytes read now have waited in their socket, on average. Loop thread only. */
   public long averageReadDelayNanos() {
-    return Math.max(late, clock.now() - due) / WAIT_PART;
+    return Math.max(delayNanos, clock.now() - due) / WAIT_DIVISOR;
   }
 }
--- a/src/main/java/pumicekeel/runtime/NioSockets.java
+++ b/src/main/java/pumicekeel/runtime/NioSockets.java
@@ -7,10 +7,10 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 
-/** TCP sockets of the system. */
+/** TCP sockets of the operating system. */
 public final class NioSockets implements Sockets {
 
-  /** Usually there is nothing: little, since it is asked before each send. */
+  /** Small, since usually nothing is unread, and this is called before each attempt. */
   private static final int DROP_BYTES = 1 << 10;
 
   @Override
@@ -35,7 +35,7 @@
 
   @Override
   public void drainBacklogAndClose(Channel listener, int most) {
-    ((ListeningChannel) listener).closeBehindLine(most);
+    ((ListeningChannel) listener).drainBacklogAndClose(most);
   }
 
   @Override
@@ -58,16 +58,16 @@
     return ((ListeningChannel) listener).backlog();
   }
 
-  /** One that listens on a socket which others hold too. */
+  /** Creates a listener on a socket that other processes hold too. */
   public static ServerChannel adopted(ServerSocketChannel socket) {
     return new ListeningChannel(socket);
   }
 
-  /** One that was accepted. */
+  /** An accepted connection. */
   static final class Accepted extends TolerantSocketChannel {
     private final long acceptedAt;
 
-    /** A socket that was accepted at this time of System.nanoTime. */
+    /** Creates the channel of a socket accepted at this time of System.nanoTime. */
     Accepted(Channel parent, SocketChannel socket, long acceptedAt) {
       super(parent, socket);
       this.acceptedAt = acceptedAt;
@@ -84,7 +84,7 @@
           read = readNow(bytes);
         }
         return read < 0 ? CLOSED_BY_PEER : dropped + read;
-      } catch (NotKnownException e) {
+      } catch (InconclusiveReadException e) {
         return most;
       } catch (IOException e) {
         return CLOSED_BY_PEER;
@@ -92,7 +92,7 @@
     }
   }
 
-  /** One whose socket can be asked what the event loop has not read yet. */
+  /** An outgoing connection, whose socket can be checked for bytes that the event loop has not read yet. */
   private static final class Connecting extends TolerantSocketChannel {
 
     private boolean quiet() {
--- a/src/main/java/pumicekeel/runtime/PeriodicTask.java
+++ b/src/main/java/pumicekeel/runtime/PeriodicTask.java
@@ -4,12 +4,12 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Work that a loop repeats for as long as the process runs: a defect of one round is no end of it. */
+/** A task that an event loop repeats for as long as the process runs: an exception in one run does not end it. */
 public final class PeriodicTask {
 
   private PeriodicTask() {}
 
-  /** Repeats something, so many milliseconds after the end of each round, until the future is cancelled. */
+  /** Repeats a task, each run the given time after the end of the last one, until the future is cancelled. */
   public static Future<?> every(long millis, EventLoop loop, Runnable round) {
     return loop.scheduleWithFixedDelay(
         () -> {
@@ -18,7 +18,7 @@
           } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             Log.caused(
-                "defect of repeated work: " + e + " at " + (trace.length == 0 ? "?" : trace[0]));
+                "error in a periodic task: " + e + " at " + (trace.length == 0 ? "?" : trace[0]));
           }
         },
         millis,
--- a/src/main/java/pumicekeel/runtime/Reactor.java
+++ b/src/main/java/pumicekeel/runtime/Reactor.java
@@ -7,35 +7,35 @@
 import pumicekeel.guard.ServingGuard;
 
 /**
- * What the serving code runs on: one event loop, its time, and the channels that it opens, which come from outside; and the one guard
- * that all of its parts ask.
+ * What the serving code runs on: one event loop, its clock and its sockets, all provided from outside, and the one
+ * guard that all parts consult.
  */
 public record Reactor(EventLoop loop, Clock clock, Sockets sockets, ServingGuard guard) {
 
-  /** With a guard of its own. */
+  /** Creates a reactor with its own guard. */
   public Reactor(EventLoop loop, Clock clock, Sockets sockets) {
     this(loop, clock, sockets, new ServingGuard(Log::line, Log::caused));
   }
 
-  /** A loop of the system's sockets, with a thread of its own and the system's time. */
+  /** Starts an event loop on the system's sockets, with its own thread and the system's time. */
   public static Reactor start() {
     return of(new MultiThreadIoEventLoopGroup(1, VerifiedIoHandler.newFactory()).next());
   }
 
-  /** A loop of the system's sockets that runs already. */
+  /** Creates a reactor on a running event loop of the system's sockets. */
   public static Reactor of(EventLoop loop) {
     return new Reactor(loop, new Clock(), new NioSockets());
   }
 
   /**
-   * A channel to connect with; null where the process has no descriptor left for one. Left to Netty, such a connect fails on
-   * another thread, with a channel that can't be closed.
+   * Creates an outgoing channel; null if the process is out of descriptors. In Netty's own bootstrap such a connect
+   * fails on another thread, with a channel that cannot be closed.
    */
   public Channel newConnectingChannel() {
     try {
       return sockets.newConnectingChannel();
     } catch (ChannelException e) {
-      Log.caused("no descriptor for a connection: " + e.getCause());
+      Log.caused("no descriptor for an outgoing connection: " + e.getCause());
       return null;
     }
   }
--- a/src/main/java/pumicekeel/runtime/Retry.java
+++ b/src/main/java/pumicekeel/runtime/Retry.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 
-/** Tries again what failed for a moment, on a thread that may wait; not for a loop. */
+/** Retries calls that fail temporarily, on a thread that may wait; not for an event loop. */
 public final class Retry {
 
   private static final long FIRST_PAUSE_MILLIS = 10;
-  private static final long LONGEST_PAUSE_MILLIS = 200;
+  private static final long MAX_PAUSE_MILLIS = 200;
 
-  /** Something that may fail. */
+  /** A call that may fail. */
   public interface Call<T> {
     T call() throws IOException, InterruptedException;
   }
@@ -17,28 +17,28 @@
   private Retry() {}
 
   /**
-   * The result of a call, which is repeated while it fails for a moment or for one descriptor only, for so long at most; then, and
-   * where it fails in another way, its error. Each repeat is told in the log.
+   * Returns the result of a call, which is repeated for up to {@code maxMillis} while it fails temporarily or for a
+   * single descriptor; then, or if it fails in another way, throws its error. Each retry is logged.
    */
-  public static <T> T call(String what, long mostMillis, Call<T> call)
+  public static <T> T call(String what, long maxMillis, Call<T> call)
       throws IOException, InterruptedException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMillis);
+    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMillis);
     long pause = FIRST_PAUSE_MILLIS;
     while (true) {
       try {
         return call.call();
       } catch (IOException | RuntimeException | OutOfMemoryError e) {
-        // A thread that the system can't give at this moment is an OutOfMemoryError, too.
+        // Also an OutOfMemoryError: a thread that the system cannot create now.
         FailureScope scope = FailureScope.known(e);
-        boolean passes =
+        boolean retryable =
             e instanceof OutOfMemoryError || scope != null && scope != FailureScope.PERMANENT;
-        if (!passes || System.nanoTime() - until >= 0) {
+        if (!retryable || System.nanoTime() - until >= 0) {
           throw e;
         }
-        Log.caused(what + " failed, tried again in " + pause + " ms: " + e);
+        Log.caused(what + " failed, retrying in " + pause + " ms: " + e);
       }
       TimeUnit.MILLISECONDS.sleep(pause);
-      pause = Math.min(LONGEST_PAUSE_MILLIS, 2 * pause);
+      pause = Math.min(MAX_PAUSE_MILLIS, 2 * pause);
     }
   }
 }
--- a/src/main/java/pumicekeel/runtime/Sockets.java
+++ b/src/main/java/pumicekeel/runtime/Sockets.java
@@ -3,69 +3,74 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ServerChannel;
 
-/** The kinds of channels that the serving code opens; from outside, so that the same code runs on a simulated network. */
+/**
+ * Creates the channels of the serving code; provided from outside, so that the same code runs on a simulated network.
+ */
 public interface Sockets {
 
-  /** One that listens, not bound yet. */
+  /** Creates a listening channel, not bound yet. */
   ServerChannel newListeningChannel();
 
-  /** One that connects, not connected yet. */
+  /** Creates an outgoing channel, not connected yet. */
   Channel newConnectingChannel();
 
   /**
-   * Lets in those that stand in line for one that {@link #listening} made, so many at most, and closes it: in one go, so that none
-   * comes between.
+   * Accepts up to this many connections in the backlog of a channel of {@link #newListeningChannel} and closes it, in
+   * one step, so that no connection arrives in between.
    */
   void drainBacklogAndClose(Channel listener, int most);
 
   /**
-   * Whether neither bytes nor an end wait unread on one that {@link #connecting} made. Guards a reuse against what the loop
-   * has still to read: a second copy of the last answer would be taken for the answer to the next request. May take a
-   * byte, so a channel that is not quiet is to be closed.
+   * Returns whether neither bytes nor an end of stream wait unread on a channel of {@link #newConnectingChannel}.
+   * Guards a reuse against what the loop has not read yet: a duplicate of the last answer would be read as the answer
+   * to the next request. May consume a byte, so a channel that is not quiet has to be closed.
    */
   boolean isQuiet(Channel channel);
 
   /**
-   * Takes what waits unread on one that {@link #listening} accepted, so many bytes at most, and drops it: how many that
-   * were, or {@link #LEFT} where the peer has ended the connection, behind those or at once. Guards against a client that
-   * left: the loop reads it no further while it has bytes of no use, or is late.
+   * Discards up to this many unread bytes of a connection accepted by {@link #newListeningChannel}; returns their
+   * number, or {@link #CLOSED_BY_PEER} if the peer has closed the connection, behind these bytes or at once. Detects
+   * clients that have disconnected: the loop does not read further while a client sends unusable bytes, or while the
+   * loop is late.
    */
   int discardUnread(Channel channel, int most);
 
-  /** What is known of bytes, or an end, that wait unread. */
+  /** Whether bytes or an end of stream wait unread. */
   enum Pending {
     NONE,
     SOME,
     UNKNOWN
   }
 
-  /** Whether bytes or an end wait unread on one that {@link #listening} accepted. */
+  /**
+   * Returns whether bytes or an end of stream wait unread on a connection accepted by {@link #newListeningChannel}.
+   */
   default Pending pending(Channel accepted) {
     return Pending.UNKNOWN;
   }
 
-  /** How long reading what was read last had failed before, in nanoseconds; 0 where it worked at once. */
+  /** Returns how long reading had failed before the last successful read, in nanoseconds; 0 for no failure. */
   default long readDelayNanos(Channel accepted) {
     return 0;
   }
 
-  /** What is known of the connections that wait to be accepted. */
+  /** Whether connections wait to be accepted. */
   enum Backlog {
     EMPTY,
     WAITING,
     UNKNOWN
   }
 
-  /** Whether connections wait to be accepted by one that {@link #listening} made. */
+  /** Returns whether connections wait to be accepted by a channel of {@link #newListeningChannel}. */
   default Backlog backlog(Channel listener) {
     return Backlog.UNKNOWN;
   }
 
-  /** How long one that {@link #listening} accepted has waited between its accept and its first use, in nanoseconds. */
+  /** Returns the time since a connection of {@link #newListeningChannel} was accepted, in nanoseconds. */
   default long sinceAcceptNanos(Channel accepted) {
     return 0;
   }
 
-  /** The peer has ended the connection. */
+  /** The peer has closed the connection. */
   int CLOSED_BY_PEER = -1;
 }
--- a/src/main/java/pumicekeel/runtime/TolerantSocketChannel.java
+++ b/src/main/java/pumicekeel/runtime/TolerantSocketChannel.java
@@ -11,29 +11,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection that outlives calls which fail for a moment. Netty ends a connection at any failed write, and at any read that gives
- * less than nothing, which the JDK also returns for a call that was interrupted (IOStatus.INTERRUPTED, -3).
+ * A connection that survives temporary failures of system calls. Netty closes a connection on any failed write, and on
+ * any read that returns a negative count, which the JDK also returns for an interrupted call (IOStatus.INTERRUPTED,
+ * -3).
  */
 class TolerantSocketChannel extends NioSocketChannel {
 
-  /** The stream has ended; the JDK's other negative counts say that nothing was read yet. */
+  /** End of stream; the JDK's other negative counts mean that nothing was read yet. */
   private static final int END_OF_STREAM = -1;
-  /** Until a write that failed is tried again; readiness says nothing then, since the socket counts as writable. */
-  private static final long WRITE_AGAIN_MILLIS = 1;
+  /** Delay until a failed write is retried; readiness is no signal then, since the socket counts as writable. */
+  private static final long WRITE_RETRY_MILLIS = 1;
 
-  private static final long OPTION_AGAIN_MILLIS = 2;
-  private static final int MOST_OPTION_TRIES = 500;
-  /** Reads of the program's own that are tried at once; where all fail, nothing is known. */
-  private static final int READ_TRIES = 16;
-  /** A look that was interrupted sees nothing. */
-  private static final int LOOKS = 2;
+  private static final long OPTION_RETRY_MILLIS = 2;
+  private static final int MAX_OPTION_ATTEMPTS = 500;
+  /** Immediate attempts at a direct read; if all fail, the state is unknown. */
+  private static final int MAX_READ_ATTEMPTS = 16;
+  /** An interrupted poll reports nothing. */
+  private static final int POLLS = 2;
 
-  /** Since when reading fails; 0 where the last read worked. */
-  private long readFailsSince;
+  /** Since when reads fail; 0 if the last one succeeded. */
+  private long readFailingSince;
 
   private long readDelayNanos;
-  private boolean writesAgain;
-  private boolean sendsAtOnce;
+  private boolean writeRetryScheduled;
+  private boolean noDelayRequested;
 
   TolerantSocketChannel() {}
 
@@ -45,10 +46,10 @@
   protected int doReadBytes(ByteBuf into) throws Exception {
     try {
       int read = super.doReadBytes(into);
-      // Called where the socket is readable: nothing read is a failure, too.
+      // Called when the socket is readable: an empty read is a failure, too.
       if (read > 0 || read == END_OF_STREAM) {
-        readDelayNanos = readFailsSince == 0 ? 0 : System.nanoTime() - readFailsSince;
-        readFailsSince = 0;
+        readDelayNanos = readFailingSince == 0 ? 0 : System.nanoTime() - readFailingSince;
+        readFailingSince = 0;
         return read;
       }
     } catch (IOException e) {
@@ -56,11 +57,11 @@
         throw e;
       }
     }
-    readFailsSince = readFailsSince == 0 ? System.nanoTime() : readFailsSince;
+    readFailingSince = readFailingSince == 0 ? System.nanoTime() : readFailingSince;
     return 0;
   }
 
-  /** How long reading had failed before the last read that worked. */
+  /** Returns how long reads had failed before the last successful one. */
   final long readDelayNanos() {
     return readDelayNanos;
   }
@@ -73,38 +74,38 @@
       if (!FailureScope.of(e).isRetryable()) {
         throw e;
       }
-      writeAgainLater();
+      scheduleWriteRetry();
     }
   }
 
-  private void writeAgainLater() {
-    if (!writesAgain) {
-      writesAgain = true;
+  private void scheduleWriteRetry() {
+    if (!writeRetryScheduled) {
+      writeRetryScheduled = true;
       eventLoop()
           .schedule(
               () -> {
-                writesAgain = false;
+                writeRetryScheduled = false;
                 unsafe().flush();
               },
-              WRITE_AGAIN_MILLIS,
+              WRITE_RETRY_MILLIS,
               TimeUnit.MILLISECONDS);
     }
   }
 
   @Override
   protected void doBeginRead() throws Exception {
-    if (!sendsAtOnce) {
-      sendsAtOnce = true;
-      sendAtOnce(MOST_OPTION_TRIES);
+    if (!noDelayRequested) {
+      noDelayRequested = true;
+      disableNagle(MAX_OPTION_ATTEMPTS);
     }
     super.doBeginRead();
   }
 
   /**
-   * Sends small writes at once, also where the option can't be set at this moment. Netty sets it when it makes the channel, says
-   * nothing of a failure, and would end a connection whose bootstrap has the option.
+   * Sets TCP_NODELAY, with retries if that fails temporarily. Netty sets it when it creates the channel but ignores a
+   * failure, and would close a connection whose bootstrap has the option.
    */
-  private void sendAtOnce(int triesLeft) {
+  private void disableNagle(int triesLeft) {
     try {
       if (isOpen() && !config().isTcpNoDelay()) {
         config().setTcpNoDelay(true);
@@ -112,22 +113,23 @@
     } catch (ChannelException e) {
       if (triesLeft > 0) {
         eventLoop()
-            .schedule(() -> sendAtOnce(triesLeft - 1), OPTION_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+            .schedule(
+                () -> disableNagle(triesLeft - 1), OPTION_RETRY_MILLIS, TimeUnit.MILLISECONDS);
       } else {
-        Log.caused("a connection sends small writes late: " + e.getCause());
+        Log.caused("could not set TCP_NODELAY on a connection: " + e.getCause());
       }
     }
   }
 
-  /** Whether bytes or an end wait unread. */
+  /** Returns whether bytes or an end of stream wait unread. */
   final Sockets.Pending pending() {
     JdkSockets jdk = JdkSockets.get();
     if (jdk == null || !isOpen()) {
       return Sockets.Pending.UNKNOWN;
     }
     try {
-      for (int i = 0; i < LOOKS; i++) {
-        if (jdk.waits(javaChannel())) {
+      for (int i = 0; i < POLLS; i++) {
+        if (jdk.hasPendingInput(javaChannel())) {
           return Sockets.Pending.SOME;
         }
       }
@@ -138,13 +140,13 @@
   }
 
   /**
-   * Reads past Netty: how many bytes, 0 for none at this moment, -1 for the end of the stream.
+   * Reads directly, bypassing Netty: returns the number of bytes, 0 for none now, -1 for the end of the stream.
    *
-   * @throws NotKnownException where no try could tell
-   * @throws IOException where the connection is broken
+   * @throws InconclusiveReadException if no attempt succeeded
+   * @throws IOException if the connection is broken
    */
   final int readNow(ByteBuffer into) throws IOException {
-    for (int i = 0; i < READ_TRIES; i++) {
+    for (int i = 0; i < MAX_READ_ATTEMPTS; i++) {
       try {
         int read = javaChannel().read(into);
         if (read > 0 || read == END_OF_STREAM || read == 0 && pending() != Sockets.Pending.SOME) {
@@ -156,15 +158,15 @@
         }
       }
     }
-    throw new NotKnownException();
+    throw new InconclusiveReadException();
   }
 
-  /** Reading failed for a moment, each time that it was tried. */
-  static final class NotKnownException extends IOException {
+  /** Every attempt to read failed temporarily. */
+  static final class InconclusiveReadException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    private NotKnownException() {
-      super("reading fails at this moment");
+    private InconclusiveReadException() {
+      super("all reads failed temporarily");
     }
   }
 }
--- a/src/main/java/pumicekeel/runtime/VerifiedIoHandler.java
+++ b/src/main/java/pumicekeel/runtime/VerifiedIoHandler.java
@@ -17,27 +17,27 @@
 import java.util.Set;
 
 /**
- * Guards against interest in events that the kernel never heard of. The JDK's selector drops the result of epoll_ctl: where that fails
- * for want of memory, a channel is deaf for good, and nobody is told. After each turn every interest that changed is set once more by
- * a call whose result is looked at, until it holds. Only on the loop.
+ * Ensures that the kernel knows all interest in events. The JDK's selector ignores the result of epoll_ctl: if that
+ * fails for lack of memory, a channel receives no events any more, and nobody is notified. After each turn, every
+ * changed interest is set once more by a call whose result is checked, until it succeeds. Event loop only.
  */
 final class VerifiedIoHandler implements IoHandler {
 
   private final IoHandler nio;
   private final JdkSockets jdk;
-  private final Set<Verified> registered = new LinkedHashSet<>();
-  private final Set<Verified> changed = new LinkedHashSet<>();
-  /** The selector whose wake-up is known to be heard; Netty may replace the selector. */
-  private Selector wakes;
+  private final Set<VerifiedRegistration> registered = new LinkedHashSet<>();
+  private final Set<VerifiedRegistration> changed = new LinkedHashSet<>();
+  /** The selector whose wake-up descriptor is known to be registered; Netty may replace the selector. */
+  private Selector wakeUpVerified;
 
-  private Selector seen;
+  private Selector lastSelector;
 
   private VerifiedIoHandler(IoHandler nio, JdkSockets jdk) {
     this.nio = nio;
     this.jdk = jdk;
   }
 
-  /** The system's sockets, verified where the JDK lets it. */
+  /** Returns a factory for the system's sockets, verified if the JDK allows it. */
   static IoHandlerFactory newFactory() {
     IoHandlerFactory plain = NioIoHandler.newFactory();
     JdkSockets jdk = JdkSockets.get();
@@ -51,16 +51,19 @@
 
   @Override
   public int run(IoHandlerContext context) {
-    int handled = nio.run(changed.isEmpty() ? context : new Unblocked(context));
-    noteNewSelector();
+    int handled = nio.run(changed.isEmpty() ? context : new NonBlockingContext(context));
+    reverifyOnNewSelector();
     if (!changed.isEmpty()) {
       List.copyOf(changed).forEach(this::verify);
     }
     return handled;
   }
 
-  /** While an interest is not verified the kernel may report what nobody waits for: a wait in the selector would spin. */
-  private record Unblocked(IoHandlerContext context) implements IoHandlerContext {
+  /**
+   * Does not block while an interest is not verified: the kernel may report events that nobody waits for, and a
+   * blocking select would spin.
+   */
+  private record NonBlockingContext(IoHandlerContext context) implements IoHandlerContext {
     @Override
     public boolean canBlock() {
       return false;
@@ -87,26 +90,26 @@
     }
   }
 
-  /** Where Netty has replaced the selector, all of its registrations are new. */
-  private void noteNewSelector() {
-    Iterator<Verified> any = registered.iterator();
+  /** Verifies all registrations anew if Netty has replaced the selector. */
+  private void reverifyOnNewSelector() {
+    Iterator<VerifiedRegistration> any = registered.iterator();
     if (any.hasNext()) {
-      Verified one = any.next();
+      VerifiedRegistration one = any.next();
       if (!one.isValid()) {
         any.remove();
-      } else if (one.<SelectionKey>attachment().selector() != seen) {
-        seen = one.<SelectionKey>attachment().selector();
+      } else if (one.<SelectionKey>attachment().selector() != lastSelector) {
+        lastSelector = one.<SelectionKey>attachment().selector();
         changed.addAll(registered);
       }
     }
   }
 
-  private void verify(Verified one) {
+  private void verify(VerifiedRegistration one) {
     try {
       if (!one.isValid()) {
         changed.remove(one);
         registered.remove(one);
-      } else if (holds(one.attachment())) {
+      } else if (interestApplied(one.attachment())) {
         changed.remove(one);
       }
     } catch (IOException | CancelledKeyException e) {
@@ -114,17 +117,18 @@
     }
   }
 
-  /** Whether the kernel has this key's interest now. */
-  private boolean holds(SelectionKey key) throws IOException {
-    int epoll = jdk.epollOf(key.selector());
+  /** Applies a key's interest; returns whether the kernel has it now. */
+  private boolean interestApplied(SelectionKey key) throws IOException {
+    int epoll = jdk.epollDescriptorOf(key.selector());
     if (epoll < 0 || !key.isValid() || !key.channel().isOpen()) {
       return true;
     }
-    boolean wakesUp = wakesUp(key.selector(), epoll);
+    boolean wakesUp = wakeUpApplied(key.selector(), epoll);
     int events = eventsOf(key.interestOps());
-    int number = jdk.numberOf(key.channel());
+    int number = jdk.descriptorNumberOf(key.channel());
     if (events == 0) {
-      // The selector knows nothing of an interest that was verified before it applied it itself.
+      // An interest may have been verified before the selector applied it itself, and the selector
+      // does not know that.
       int error = jdk.epollCtl(epoll, JdkSockets.EPOLL_CTL_DEL, number, 0);
       return wakesUp && (error == 0 || error == JdkSockets.ENOENT);
     }
@@ -135,15 +139,15 @@
     return wakesUp && error == 0;
   }
 
-  private boolean wakesUp(Selector selector, int epoll) throws IOException {
-    if (wakes != selector) {
-      int error =
-          jdk.epollCtl(epoll, JdkSockets.EPOLL_CTL_ADD, jdk.wakeUpOf(selector), JdkSockets.EPOLLIN);
+  private boolean wakeUpApplied(Selector selector, int epoll) throws IOException {
+    if (wakeUpVerified != selector) {
+      int error = jdk.epollCtl(
+          epoll, JdkSockets.EPOLL_CTL_ADD, jdk.wakeUpDescriptorOf(selector), JdkSockets.EPOLLIN);
       if (error == 0 || error == JdkSockets.EEXIST) {
-        wakes = selector;
+        wakeUpVerified = selector;
       }
     }
-    return wakes == selector;
+    return wakeUpVerified == selector;
   }
 
   private static int eventsOf(int interest) {
@@ -169,7 +173,7 @@
 
   @Override
   public IoRegistration register(IoHandle handle) throws Exception {
-    Verified next = new Verified(nio.register(handle));
+    VerifiedRegistration next = new VerifiedRegistration(nio.register(handle));
     registered.add(next);
     return next;
   }
@@ -185,10 +189,10 @@
   }
 
   /** A registration whose changes of interest are verified. */
-  private final class Verified implements IoRegistration {
+  private final class VerifiedRegistration implements IoRegistration {
     private final IoRegistration registration;
 
-    private Verified(IoRegistration registration) {
+    private VerifiedRegistration(IoRegistration registration) {
       this.registration = registration;
     }
 
--- a/src/test/java/pumicekeel/core/ActiveSettingsTest.java
+++ b/src/test/java/pumicekeel/core/ActiveSettingsTest.java
@@ -12,7 +12,7 @@
 import pumicekeel.adapter.Decoder;
 import pumicekeel.adapter.Fields;
 
-/** Which settings count, and how long those before them still do. */
+/** Tests which settings are in force, and how long the previous ones stay valid. */
 class ActiveSettingsTest {
 
   private static Settings settings(String name) throws Exception {
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void formerSettingsCountForAMomentOnly() throws Exception {
+  void previousSettingsApplyDuringTheOverlapOnly() throws Exception {
     Settings one = settings("one");
     Settings two = settings("two");
     ActiveSettings activeSettings = new ActiveSettings(one);
--- a/src/test/java/pumicekeel/front/AcceptControlTest.java
+++ b/src/test/java/pumicekeel/front/AcceptControlTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import pumicekeel.runtime.FailureScope;
 
-/** The limit on a listener's connections and its pauses, in virtual time. */
+/** Tests a listener's limit on connections and its pauses, in virtual time. */
 class AcceptControlTest {
 
   private static final long MS = 1_000_000L;
@@ -17,7 +17,7 @@
   private long now = 1_000 * MS;
 
   @Test
-  void whatFailsForAMomentOrForOneConnectionLowersNoLimit() {
+  void temporaryAndConnectionFailuresLeaveTheLimit() {
     for (int i = 0; i < 1_000; i++) {
       control.acceptFailed(i % 2 == 0 ? FailureScope.TEMPORARY : FailureScope.CONNECTION, 100, now);
       now += MS;
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void oneConnectionsFailureIsNoPauseAndAMomentsIsAShortOneThatGrows() {
+  void connectionFailureDoesNotPauseAndTemporaryFailuresPauseEverLonger() {
     assertEquals(0, control.acceptFailed(FailureScope.CONNECTION, 10, now));
     control.accepted();
     long first = control.acceptFailed(FailureScope.TEMPORARY, 10, now);
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aLimitThatAShortageLoweredRisesByItself() {
+  void limitLoweredByAShortageRisesByItself() {
     shortage(100);
     assertEquals(84, control.limit(), "16 are left to others");
     assertFalse(control.raiseLimit(84, now), "not at once");
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void aSingleFailureOutOfDescriptorsIsNoShortage() {
+  void singleFailureOutOfDescriptorsIsNoShortage() {
     control.acceptFailed(FailureScope.PROCESS, 100, now);
     control.acceptFailed(FailureScope.PROCESS, 100, now);
     control.accepted();
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void shortagesThatComeAgainAreLookedAtMoreSeldomButNeverForGood() {
+  void repeatedShortagesSlowTheRaiseButNeverStopIt() {
     long rises = 0;
     for (int i = 0; i < 12; i++) {
       shortage(100);
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void whatStoodInLineIsChargedFromWhenTheLineWasLastSeenEmpty() {
+  void backlogWaitCountsFromWhenItWasLastSeenEmpty() {
     control.limitReached(now);
     now += 700 * MS;
     control.accepting(now);
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void whoStandsBehindMoreThanATurnTakesIsChargedThoughNothingHeldThemBack() {
+  void backlogBeyondOneTurnCountsThoughAcceptingNeverStopped() {
     control.accepting(now);
     assertEquals(0, control.maxBacklogWaitNanos(now, true), "the first ones");
     control.backlogSince(now - 15 * MS);
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void aLineThatNobodyCanLookAtIsThroughAWhileAfterAcceptingGoesOn() {
+  void unobservableBacklogIsTakenAsDrainedSomeTimeAfterAcceptingResumes() {
     control.limitReached(now);
     now += 700 * MS;
     control.accepting(now);
--- a/src/test/java/pumicekeel/node/DeliveredConfigurationTest.java
+++ b/src/test/java/pumicekeel/node/DeliveredConfigurationTest.java
@@ -175,7 +175,7 @@
     TestNode.until(() -> keptFiles().contains("1-2.configuration"));
     control.close();
     List<String> lines = new ArrayList<>();
-    Log.to(lines::add);
+    Log.redirect(lines::add);
     try {
       DeliveredConfiguration again = open();
       assertEquals(two, again.inForce());
@@ -185,7 +185,7 @@
       Reload.readOperator(folder.resolve("none.toml"), t.node, again);
       assertTrue(lines.get(1).contains("the operator file is not read"), lines.toString());
     } finally {
-      Log.to(null);
+      Log.redirect(null);
     }
   }
 
--- a/src/test/java/pumicekeel/runtime/FailureScopeTest.java
+++ b/src/test/java/pumicekeel/runtime/FailureScopeTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a failed call says, by the errors that the manual pages name. */
+/** Tests the classification of failed calls, by the errors in the manual pages. */
 class FailureScopeTest {
 
   @ParameterizedTest
@@ -38,13 +38,13 @@
     "Broken pipe,CONNECTION",
     "something that no page names,CONNECTION"
   })
-  void aSocketsErrorIsToldByItsText(String text, FailureScope scope) {
+  void socketErrorIsClassifiedByItsText(String text, FailureScope scope) {
     assertEquals(scope, FailureScope.of(new IOException(text)));
     assertEquals(scope, FailureScope.of(new SocketException(text)));
   }
 
   @Test
-  void theCauseCountsAndWhatStandsBeforeTheText() {
+  void causeAndPrefixedTextAreClassified() {
     assertEquals(
         FailureScope.PROCESS,
         FailureScope.of(new ChannelException(
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void whatIsNotThereOrIsTakenIsPermanent() {
+  void missingFileAndUsedAddressArePermanent() {
     assertEquals(FailureScope.PERMANENT, FailureScope.of(new NoSuchFileException("/x")));
     assertEquals(
         FailureScope.PERMANENT, FailureScope.of(new BindException("Address already in use")));
--- a/src/test/java/pumicekeel/runtime/LogWriterTest.java
+++ b/src/test/java/pumicekeel/runtime/LogWriterTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The log's own thread. */
+/** Tests the thread that writes the log. */
 class LogWriterTest {
 
-  /** A stream whose reader stands still until the latch opens. */
-  private static PrintStream standing(CountDownLatch goesOn, OutputStream to) {
+  /** Returns a stream whose reader is stalled until the latch opens. */
+  private static PrintStream stalled(CountDownLatch resume, OutputStream to) {
     return new PrintStream(
         new OutputStream() {
           @Override
           public void write(int b) throws java.io.IOException {
             try {
-              goesOn.await();
+              resume.await();
             } catch (InterruptedException e) {
               Thread.currentThread().interrupt();
             }
@@ -33,10 +33,10 @@
 
   @Test
   @Timeout(30)
-  void aReaderThatStandsStillHoldsNobodyUpAndWhatIsLeftOutIsTold() {
+  void stalledReaderDelaysNobodyAndDiscardedLinesAreCounted() {
     CountDownLatch goesOn = new CountDownLatch(1);
     ByteArrayOutputStream read = new ByteArrayOutputStream();
-    PrintStream out = standing(goesOn, read);
+    PrintStream out = stalled(goesOn, read);
     LogWriter log = new LogWriter(() -> out);
     for (int i = 0; i < 10_000; i++) {
       log.line("line " + i);
--- a/src/test/java/pumicekeel/runtime/PersistentTest.java
+++ b/src/test/java/pumicekeel/runtime/RetryTest.java
@@ -8,8 +8,8 @@
 import java.nio.file.NoSuchFileException;
 import org.junit.jupiter.api.Test;
 
-/** What is tried again, and what is not. */
-class PersistentTest {
+/** Tests which failures are retried. */
+class RetryTest {
 
   private int calls;
 
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void whatFailsForAMomentIsTriedAgain() throws Exception {
+  void temporaryFailureIsRetried() throws Exception {
     assertEquals(4, tryIt(3, new IOException("Too many open files"), 60_000));
     calls = 0;
     assertEquals(2, tryIt(1, new OutOfMemoryError("unable to create native thread"), 60_000));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void whatIsNotThereOrUnknownIsNot() {
+  void permanentOrUnknownFailureIsNotRetried() {
     for (IOException e : new IOException[] {
       new NoSuchFileException("/x"),
       new BindException("Address already in use"),
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void itEndsWithTheErrorOnceTheTimeIsUp() {
+  void lastErrorIsThrownOnceTheTimeIsUp() {
     assertThrows(
         IOException.class, () -> tryIt(1_000_000, new IOException("Cannot allocate memory"), 50));
   }
