--- a/src/main/java/pumicekeel/node/AttemptJournal.java
+++ b/src/main/java/pumicekeel/node/AttemptJournal.java
@@ -136,8 +136,7 @@
       if (!done) {
         done = true;
         // Without a record the attempt is sent only if the operator file allows it; the writer
-        // reports
-        // the gap.
+        // reports the gap.
         (recorded || !writer.refusesInTrouble() ? proceed : cancel).run();
       }
     }
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -484,8 +484,7 @@
   /** Begins a planned stop: answers accepted requests, and after a while accepts no new ones. */
   public void drain() {
     // Counted from the earliest time at which the signal may have been sent: a stalled process
-    // handles
-    // it late, but SIGKILL is not delayed.
+    // handles it late, but SIGKILL is not delayed.
     long signalledAt = lag.undeliveredSince();
     loop.execute(() -> {
       Log.line(configuration.name() + " drains");
@@ -501,8 +500,7 @@
       long delay = reactor.clock().now() - signalledAt;
       pools.endBy(Math.max(0, TimeUnit.MILLISECONDS.toNanos(end) - delay));
       // On a socket shared with other processes the next process accepts already, or the kernel
-      // queues
-      // clients until it does.
+      // queues clients until it does.
       long accept = configuration.inherited() ? 0 : ACCEPT_MILLIS;
       loop.schedule(listeners::stopListening, accept, TimeUnit.MILLISECONDS);
       if (configuration.supervised() || configuration.inherited()) {
--- a/src/test/java/pumicekeel/node/BalancerCoreTest.java
+++ b/src/test/java/pumicekeel/node/BalancerCoreTest.java
@@ -167,8 +167,7 @@
     assertEquals(2_440, BalancerCore.serviceTimeNanos(request("3", "look", 2_500)) / 1_000_000);
     assertEquals(840, BalancerCore.serviceTimeNanos(request("4", "look", 900)) / 1_000_000);
     // A class with aim 0.4 s and deadline 2 s reserves 0.75 s, with a late worth of one half 0.375
-    // s,
-    // and 60 ms if late answers are worth as much as punctual ones.
+    // s, and 60 ms if late answers are worth as much as punctual ones.
     assertEquals(1_250, timeLeft(0, 0));
     assertEquals(1_625, timeLeft(0.5, 0));
     assertEquals(1_940, timeLeft(1, 0));
--- a/src/test/java/pumicekeel/node/ConnectionPoolTest.java
+++ b/src/test/java/pumicekeel/node/ConnectionPoolTest.java
@@ -70,8 +70,7 @@
   @Test
   void duplicateAnswerInTheSameReadIsNotTheNextRequestsAnswer() throws Exception {
     // The next send starts inside the callback of the first one's outcome, as with a module that
-    // holds
-    // a request.
+    // holds a request.
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
       String answer = FakeServer.ok(request.contains("X-Correlation-Id: 1\n") ? "mine" : "next");
       FakeServer.write(out, answer + answer);
--- a/src/test/java/pumicekeel/node/IsolationTest.java
+++ b/src/test/java/pumicekeel/node/IsolationTest.java
@@ -170,8 +170,7 @@
             200, clients.get(i).call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
       }
       // The first burst opens the connections to upstreams. Of the others the best one counts: on a
-      // busy
-      // machine the stand-ins may log requests in another order than they were sent.
+      // busy machine the stand-ins may log requests in another order than they were sent.
       burst("warm", clients);
       long aAfterB = 0;
       for (int i = 0; i < 5 && aAfterB <= 20; i++) {
--- a/src/test/java/pumicekeel/node/RpcServersTest.java
+++ b/src/test/java/pumicekeel/node/RpcServersTest.java
@@ -235,8 +235,7 @@
   void serverThatConfusesIdsIsNotTrustedAfterwards() throws Exception {
     // Two calls are open. The server answers the second one's id twice, the second time with the
     // params of the first. The first answer has been passed on; the duplicate closes the
-    // connection,
-    // and the first call is retried.
+    // connection, and the first call is retried.
     List<Seen> out = new ArrayList<>();
     StandInRpcServer server = t.server("s1");
     server.script((call, c) -> {
--- a/src/test/java/pumicekeel/node/RpcSpecificationTest.java
+++ b/src/test/java/pumicekeel/node/RpcSpecificationTest.java
@@ -173,8 +173,7 @@
         assertEquals(canonical(example[1]), canonical(answer), example[0]);
         if (broken && used == Framing.VALUES) {
           // Without framing the start of the next message is unknown, so the connection is closed,
-          // as
-          // documented for operators.
+          // as documented for operators.
           assertEquals(true, client.awaitEnd(TIMEOUT_MILLIS));
           client = t.rpcClient("rpc", used);
         }
