--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -19,11 +19,11 @@
 import pumicekeel.core.BalancerCore;
 import pumicekeel.discovery.HostList;
 import pumicekeel.discovery.UpstreamSource;
+import pumicekeel.pool.CapacityPlan;
 import pumicekeel.pool.FairQueue;
 import pumicekeel.pool.ResidenceTime;
-import pumicekeel.pool.RoomPlan;
+import pumicekeel.pool.SharedCapacity;
 import pumicekeel.pool.SharedUpstreams;
-import pumicekeel.pool.Shares;
 import pumicekeel.runtime.LoopLag;
 import pumicekeel.runtime.Reactor;
 import pumicekeel.upstream.UpstreamLinks;
@@ -45,8 +45,8 @@
       Reactor on,
       LoopLag lag,
       UpstreamSockets sockets,
-      Shares open,
-      Shares body,
+      SharedCapacity open,
+      SharedCapacity body,
       FairQueue fairQueue,
       SharedUpstreams<InetSocketAddress> upstreams,
       Consumer<RuntimeException> defect) {}
@@ -60,8 +60,8 @@
   private final UpstreamLinks connections;
   private final BalancerCore core;
   private final ResidenceTime residenceTime = new ResidenceTime();
-  final Shares.Owner open;
-  final Shares.Owner body;
+  final SharedCapacity.Owner open;
+  final SharedCapacity.Owner body;
   final FairQueue.PoolQueue queue;
   /** The upstreams that this pool selects from the list, as the list has them. */
   private final Map<Long, HostList.Host> hosts = new LinkedHashMap<>();
@@ -175,17 +175,20 @@
 
   /** Sets new limits; all else stays as the pool was created. */
   void resize(
-      RoomPlan.Part openPart, RoomPlan.Part socketPart, RoomPlan.Part bodyPart, int perUpstream) {
-    open.resize(openPart.guaranteed(), openPart.most());
-    body.resize(bodyPart.guaranteed(), bodyPart.most());
-    connections.resize(socketPart.guaranteed(), socketPart.most(), perUpstream);
+      CapacityPlan.Allocation openPart,
+      CapacityPlan.Allocation socketPart,
+      CapacityPlan.Allocation bodyPart,
+      int perUpstream) {
+    open.resize(openPart.guaranteed(), openPart.max());
+    body.resize(bodyPart.guaranteed(), bodyPart.max());
+    connections.resize(socketPart.guaranteed(), socketPart.max(), perUpstream);
   }
 
   /** Gives up the guarantees; capacity in use is kept until its requests have ended. */
-  void retire(RoomPlan.Part sockets) {
+  void retire(CapacityPlan.Allocation sockets) {
     open.resize(0, Long.MAX_VALUE);
     body.resize(0, Long.MAX_VALUE);
-    connections.resize(0, sockets.most(), spec.connectionsPerUpstream());
+    connections.resize(0, sockets.max(), spec.connectionsPerUpstream());
   }
 
   boolean finished() {
@@ -208,10 +211,10 @@
   void close() {
     source.removeObserver(this);
     connections.close();
-    open.leave();
-    body.leave();
+    open.close();
+    body.close();
     Map<ServicePool, Set<InetSocketAddress>> affected = new LinkedHashMap<>();
-    for (InetSocketAddress address : shared.upstreams().leave(this)) {
+    for (InetSocketAddress address : shared.upstreams().removePool(this)) {
       addAffected(affected, address, shared.upstreams().poolsAt(address));
     }
     onSharedChange.accept(affected);
@@ -268,7 +271,7 @@
   }
 
   private HostList.Host viewOf(HostList.Host host) {
-    return host.withListed(shared.upstreams().seenBy(this, host.address(), host.listed()));
+    return host.withListed(shared.upstreams().withSharing(this, host.address(), host.listed()));
   }
 
   /** Reports the upstreams at these addresses to the module again after another pool has received an update of them. */
