--- a/src/main/java/pumicekeel/config/OperatorReader.java
+++ b/src/main/java/pumicekeel/config/OperatorReader.java
@@ -188,7 +188,7 @@
     rpc.methods(root, named);
     named.forEach((name, s) -> {
       InetSocketAddress address = address(s, "address");
-      Long most = s.integer("max-connections", 1, MAX_CAPACITY);
+      Long maxConnections = s.integer("max-connections", 1, MAX_CAPACITY);
       CallSettings calls = rpc.listener(name, s);
       s.reportUnknownKeys();
       if (name.equals(Operator.PLATFORM)) {
@@ -201,7 +201,7 @@
             "address",
             "expected an address of its own, listener " + taken.get(address) + " has this one");
       }
-      out.put(name, new Listener(name, address, most, calls));
+      out.put(name, new Listener(name, address, maxConnections, calls));
     });
     return out;
   }
@@ -399,14 +399,14 @@
       return new Capacity(null, null);
     }
     Long guaranteed = s.integer("guaranteed", 0, MAX_CAPACITY);
-    Long most = s.integer("most", 1, MAX_CAPACITY);
+    Long max = s.integer("most", 1, MAX_CAPACITY);
     s.reportUnknownKeys();
-    if (guaranteed != null && most != null && most < guaranteed) {
+    if (guaranteed != null && max != null && max < guaranteed) {
       s.addFault(
-          "most", "expected no less than what is guaranteed, " + guaranteed + ", got " + most);
+          "most", "expected no less than what is guaranteed, " + guaranteed + ", got " + max);
     }
     return new Capacity(
-        guaranteed == null ? null : guaranteed * unit, most == null ? null : most * unit);
+        guaranteed == null ? null : guaranteed * unit, max == null ? null : max * unit);
   }
 
   private List<RequestClass> classes(Section pool) {
@@ -511,8 +511,8 @@
     return part;
   }
 
-  private static Long ms(Section s, String key, long least) {
-    Long value = s.integer(key, least, MAX_MILLIS);
+  private static Long ms(Section s, String key, long min) {
+    Long value = s.integer(key, min, MAX_MILLIS);
     return value == null ? null : Long.valueOf(value * NANOS_PER_MILLI);
   }
 
@@ -550,8 +550,8 @@
         pools.values().stream().map(Pool::body).toList());
   }
 
-  private static void checkSum(Section root, String key, Long total, List<Capacity> rooms) {
-    long sum = rooms.stream()
+  private static void checkSum(Section root, String key, Long total, List<Capacity> capacities) {
+    long sum = capacities.stream()
         .mapToLong(r -> r.guaranteed() == null ? 0 : r.guaranteed())
         .sum();
     if (total != null && sum > total) {
--- a/src/main/java/pumicekeel/front/jsonrpc/BatchAnswers.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/BatchAnswers.java
@@ -4,24 +4,24 @@
 import java.util.List;
 
 /**
- * Decides when the answers of one batch go out, and which of them in one array. No I/O; times are readings of one clock in
- * nanoseconds. Section 6 of JSON-RPC 2.0 asks for one array; see docs/design/0003-json-rpc.md for what speaks against it.
+ * Decides when the answers of one batch are sent, and which of them in one array. No I/O; times are readings of one clock in
+ * nanoseconds. Section 6 of JSON-RPC 2.0 asks for one array; docs/design/0003-json-rpc.md has the reasons against it.
  *
  * @param <T> an answer
  */
 final class BatchAnswers<T> {
 
-  /** EntryOutcome an entry of the batch ended. */
+  /** How an entry of the batch ended. */
   enum EntryOutcome {
-    /** Served, or an error of the application: it may wait for the others. */
+    /** Served, or an error of the application: may wait for other answers. */
     ANSWERED,
-    /** Refused or failed: the client may want to do something about it. */
+    /** Refused or failed: sent at once, as the client may want to react. */
     REFUSED_OR_FAILED,
-    /** Turned away before anything was tried: it goes with the first that go. */
+    /** Rejected before any attempt: sent with the first answers that are sent. */
     INVALID
   }
 
-  /** No time at which something has to go. */
+  /** Means that no answer is due. */
   static final long NEVER = Long.MAX_VALUE;
 
   private final BatchMode mode;
@@ -30,13 +30,13 @@
   private boolean flushDue;
   private long flushAt = NEVER;
 
-  /** A batch with so many entries that will end, notifications among them. */
+  /** Creates the answers of a batch with this many entries, including notifications. */
   BatchAnswers(BatchMode mode, int entries) {
     this.mode = mode;
     pending = entries;
   }
 
-  /** An entry ended; {@code answer} is null for a notification; {@code waitUntil}: no longer than that is it ready. */
+  /** Records the end of an entry; {@code answer} is null for a notification and waits at most until {@code waitUntil}. */
   void ended(T answer, EntryOutcome outcome, long waitUntil) {
     pending--;
     if (answer != null) {
@@ -50,7 +50,7 @@
     }
   }
 
-  /** What goes out now as one array; empty for nothing. */
+  /** Returns the answers to send now as one array; empty if none. */
   List<T> takeReady(long now) {
     if (ready.isEmpty() || !flushDue && pending > 0 && now < flushAt) {
       return List.of();
@@ -62,7 +62,7 @@
     return out;
   }
 
-  /** When {@link #takeReady} is to be called at the latest, or {@link #NEVER}. */
+  /** Returns the latest time to call {@link #takeReady}, or {@link #NEVER}. */
   long flushAt() {
     return ready.isEmpty() ? NEVER : flushAt;
   }
--- a/src/main/java/pumicekeel/front/jsonrpc/BatchMode.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/BatchMode.java
@@ -2,16 +2,16 @@
 
 import java.util.Map;
 
-/** How a batch is answered whose calls have times of their own. */
+/** How the answers of a batch are sent whose calls have different deadlines. */
 public enum BatchMode {
-  /** One array where all end soon enough; none waits for another beyond its class's aim, or at all once it is given up. */
+  /** One array if all calls end in time; an answer waits for others at most until its class's aim, a refusal or failure never. */
   IN_TIME,
-  /** One array, always: all calls get the time of the shortest, and a refusal waits for the others. */
+  /** Always one array: all calls get the shortest time left of any, and a refusal waits for the others. */
   TOGETHER,
-  /** An array of one for each, as soon as it has ended. */
+  /** An array of one for each answer, as soon as its call has ended. */
   APART;
 
-  /** As settings name them. */
+  /** Names in settings. */
   public static final Map<String, BatchMode> NAMES =
       Map.of("in-time", IN_TIME, "together", TOGETHER, "apart", APART);
 }
--- a/src/main/java/pumicekeel/front/jsonrpc/CallSettings.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/CallSettings.java
@@ -7,10 +7,10 @@
 /**
  * Settings of a JSON-RPC listener.
  *
- * @param maxOpen calls of one connection that are open at once; beyond it nothing more is read. A batch is taken whole, so
- *     it may be exceeded by the calls of one
- * @param idleNanos a connection on which nothing is asked for so long is closed
- * @param methods by their names
+ * @param maxOpen the maximum number of open calls on a connection, at which reading pauses. A batch is accepted as a whole,
+ *     so the calls of one batch may exceed it
+ * @param idleNanos the idle time after which a connection without calls is closed
+ * @param methods the mappings by method name
  */
 public record CallSettings(
     Framing framing,
--- a/src/main/java/pumicekeel/front/jsonrpc/MethodMapping.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/MethodMapping.java
@@ -10,10 +10,10 @@
 import pumicekeel.jsonrpc.JsonPointerSet.Found;
 import pumicekeel.jsonrpc.JsonPointerSet.Kind;
 
-/** What a method of a listener stands for: a class, and where in the params the rest is said. */
+/** Maps a method of a listener to a request class, and its params to the other fields of a request. */
 public final class MethodMapping {
 
-  /** The parts of a request that a method can state. */
+  /** The fields of a request that a mapping can provide. */
   public enum Part {
     TENANT,
     SESSION_KEY,
@@ -23,35 +23,35 @@
     PATH
   }
 
-  /** Where a part comes from. */
+  /** The source of a field. */
   public sealed interface Source permits Constant, At {}
 
-  /** Always the same. */
+  /** A fixed value. */
   public record Constant(String value) implements Source {}
 
-  /** Where a pointer into the params leads; {@code optional}: it may lead nowhere. */
+  /** The value at a pointer into the params; it may be absent if {@code optional}. */
   public record At(JsonPointer pointer, boolean optional) implements Source {}
 
-  /** A part of the path of the HTTP request that a call becomes: text as it is, or a value by pointer. */
+  /** A part of the path when a call is forwarded as an HTTP request: literal text, or a value by pointer. */
   public sealed interface PathPart permits Text, Value {}
 
-  /** As it is. */
+  /** Literal text. */
   public record Text(String text) implements PathPart {}
 
-  /** Percent-encoded. */
+  /** A value of the params, percent-encoded. */
   public record Value(JsonPointer pointer) implements PathPart {}
 
-  /** Params that don't have what the settings ask for; the words name the pointer. */
+  /** Thrown for params that lack what the settings require; the message names the pointer. */
   public static final class BadParams extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Without a stack trace: clients make these at full speed. */
+    /** Has no stack trace, as clients can cause it at a high rate. */
     BadParams(String what) {
       super(what, null, false, false);
     }
   }
 
-  /** What the params of one call said; {@code leftMillis} and {@code hintMicros} are -1 where nothing did. */
+  /** The fields of one call; {@code timeLeftMillis} and {@code workHintMicros} are -1 if absent. */
   public record CallFields(
       String tenant,
       String sessionKey,
@@ -60,9 +60,9 @@
       long workHintMicros,
       String uri) {}
 
-  /** Far from overflow in nanoseconds. */
+  /** Upper bound that can't overflow in nanoseconds. */
   static final long MAX_NUMBER = 1_000_000_000L;
-  /** Keys and names are kept while a request is open, and longer for keyed ones. */
+  /** Keys and names are stored while a request is open, and longer for keyed requests. */
   static final int MAX_TEXT_LENGTH = 256;
 
   private final String method;
@@ -73,7 +73,7 @@
   private final JsonPointerSet pointers;
   private final List<JsonPointer> order;
 
-  /** {@code path} is empty for the class's own. */
+  /** Creates a mapping; an empty {@code path} means the default path of the class. */
   public MethodMapping(
       String method,
       String className,
@@ -111,19 +111,19 @@
     return host;
   }
 
-  /** Whether it says where a part comes from. */
+  /** Returns whether the mapping provides a field. */
   public boolean states(Part part) {
     return sources.containsKey(part);
   }
 
-  /** Where a part comes from, for a message to a person. */
+  /** Returns the source of a field for use in error messages. */
   public String describeSource(Part part) {
     return sources.get(part) instanceof At at
         ? at.pointer().toString()
         : "no pointer for it in the settings";
   }
 
-  /** Reads the params of a call; null stands for none. */
+  /** Reads the params of a call; null means none. */
   public CallFields read(byte[] params) throws BadParams {
     Found[] found = pointers.resolve(params);
     int[] next = {0};
@@ -148,7 +148,7 @@
     if (f.kind() == Kind.ABSENT && at.optional()) {
       return null;
     }
-    // A whole number is as good a key; 1.0 would be another key than 1, so that is none.
+    // Integers are accepted as keys; 1.0 would be a different key than 1, so other numbers are not.
     if (f.kind() == Kind.NUMBER && f.text().matches("-?[0-9]{1,20}")) {
       return f.text();
     }
@@ -162,7 +162,7 @@
     return f.text();
   }
 
-  /** Keys go into headers and logs as they are. */
+  /** Keys are copied unchanged into headers and logs. */
   private static boolean printable(String text) {
     return text.chars().allMatch(c -> c >= 0x20 && c < 0x7f);
   }
--- a/src/main/java/pumicekeel/front/jsonrpc/Reply.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/Reply.java
@@ -4,7 +4,7 @@
 import pumicekeel.jsonrpc.Id;
 import pumicekeel.jsonrpc.MessageWriter;
 
-/** A response object, made when it goes out. */
+/** A response object, built when it is sent. */
 interface Reply {
 
   byte[] at(long now);
@@ -13,17 +13,17 @@
     return MessageWriter.result(id, result);
   }
 
-  /** An error object of a server's, as it came. */
+  /** Builds a response with an error object of a server, unchanged. */
   static byte[] error(Id id, byte[] error) {
     return MessageWriter.error(id, error);
   }
 
-  /** An error of the balancer's own, with raw JSON as its data, or null for none. */
+  /** Builds an error of the balancer; {@code data} is raw JSON, or null for none. */
   static byte[] error(Id id, int code, String message, String data) {
     return MessageWriter.error(id, MessageWriter.errorObject(code, message, data));
   }
 
-  /** An error whose usual message says enough, or for which {@code reason} says more. */
+  /** Builds an error with the standard message of its code and an optional {@code reason}. */
   static byte[] errorWithReason(Id id, int code, String reason) {
     return error(
         id,
@@ -32,7 +32,7 @@
         reason == null ? null : "{\"reason\":" + MessageWriter.quoted(reason) + "}");
   }
 
-  /** An error with an advice when to come back; 0 for none. */
+  /** Builds an error that advises when to retry; 0 for no advice. */
   static byte[] errorWithRetryAfter(Id id, int code, long retryAfterNanos) {
     return error(
         id,
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
@@ -20,7 +20,7 @@
 import pumicekeel.jsonrpc.Message;
 import pumicekeel.jsonrpc.MessageWriter;
 
-/** One call on its way from its connection to its end; a notification is one whose end nobody is told of. */
+/** A call from its arrival to its end; for a notification, no answer is sent. */
 final class RpcCall implements Client, Facts {
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -31,8 +31,8 @@
   private CallFields fields;
   private RequestHandle handle;
   private ClientRequest request;
-  private boolean taken;
-  private boolean over;
+  private boolean submitted;
+  private boolean ended;
   private long arrivedAt;
 
   RpcCall(
@@ -46,7 +46,7 @@
     this.batch = batch;
   }
 
-  /** Null for a notification. */
+  /** Returns the id; null for a notification. */
   Id id() {
     return call.id();
   }
@@ -55,7 +55,7 @@
     return batch;
   }
 
-  /** Why a call is turned away before anything was tried. */
+  /** Thrown for a call that is rejected before any attempt. */
   static final class RejectedException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int code;
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Reads the params and finds the handle. */
+  /** Reads the params, routes the call and reserves capacity for the params. */
   void prepare(long now) throws RejectedException {
     arrivedAt = now;
     try {
@@ -76,7 +76,7 @@
       handle = connection.front().router().route(this);
       request = request(settings());
       if (!handle.reserveBody(request.payload().size())) {
-        throw new RejectedException(ErrorCodes.NO_ROOM, "no room for the params", 0);
+        throw new RejectedException(ErrorCodes.NO_CAPACITY, "no room for the params", 0);
       }
     } catch (BadParams e) {
       throw new RejectedException(ErrorCodes.INVALID_PARAMS, e.getMessage(), 0);
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Those before a change for a class that it dropped just now. */
+  /** Returns the current settings, or the former ones if the class was just removed. */
   private Settings settings() {
     boolean dropped = handle.formerSettings() != null
         && handle.settings().classes().stream()
@@ -93,12 +93,12 @@
     return dropped ? handle.formerSettings() : handle.settings();
   }
 
-  /** What a status of the platform's protocol is here. */
+  /** Returns the error code for a status of the platform's protocol. */
   private static int codeOf(int status) {
     return switch (status) {
       case 404 -> ErrorCodes.NO_ROUTE;
       case 502 -> ErrorCodes.FAILED;
-      case 503 -> ErrorCodes.NO_ROOM;
+      case 503 -> ErrorCodes.NO_CAPACITY;
       default -> ErrorCodes.INVALID_PARAMS;
     };
   }
@@ -143,23 +143,23 @@
     return request.leftNanos();
   }
 
-  /** Gives it no more time than this. */
+  /** Limits the time left. */
   void limitTime(long nanos) {
     request = request.withLeft(Math.min(nanos, request.leftNanos()));
   }
 
-  /** Hands it over; from now on it is owed its end. */
-  void take() throws RejectedException {
+  /** Submits the call; from now on its end will be reported. */
+  void submit() throws RejectedException {
     try {
-      taken = true;
+      submitted = true;
       if (!handle.submit(request, this)) {
-        throw new RejectedException(ErrorCodes.NO_ROOM, "its request id is open", 0);
+        throw new RejectedException(ErrorCodes.NO_CAPACITY, "its request id is open", 0);
       }
     } catch (Bad e) {
-      taken = false;
+      submitted = false;
       throw new RejectedException(codeOf(e.status), e.getMessage(), e.retryAfterNanos);
     } catch (RejectedException e) {
-      taken = false;
+      submitted = false;
       throw e;
     }
   }
@@ -180,7 +180,7 @@
   public void served(Answer answer) {
     byte[] result = connection.resultOf(answer);
     if (result == null) {
-      // It ran, and what came of it can't be said: the client must not take that for a refusal.
+      // It ran, but its result can't be represented; the client must not treat that as a refusal.
       failed();
     } else if (answer.error()) {
       end(now -> Reply.error(call.id(), result), EntryOutcome.ANSWERED);
@@ -192,7 +192,7 @@
   @Override
   public void refused(long retryAfterNanos) {
     long at = System.nanoTime();
-    // What a batch holds back is told with what is left of the advice.
+    // In a batch the reply may be delayed: the retry advice is reduced by the delay.
     end(
         now -> Reply.errorWithRetryAfter(
             call.id(),
@@ -212,38 +212,38 @@
         EntryOutcome.REFUSED_OR_FAILED);
   }
 
-  private void end(Reply reply, EntryOutcome how) {
-    if (over) {
+  private void end(Reply reply, EntryOutcome outcome) {
+    if (ended) {
       return;
     }
-    over = true;
-    taken = false;
-    leave();
+    ended = true;
+    submitted = false;
+    releaseHandle();
     long aim = request == null ? arrivedAt : arrivedAt + request.type().aimNanos();
-    connection.ended(this, call.id() == null ? null : reply, how, aim);
+    connection.ended(this, call.id() == null ? null : reply, outcome, aim);
   }
 
-  private void leave() {
-    RequestHandle left = handle;
+  private void releaseHandle() {
+    RequestHandle released = handle;
     handle = null;
-    if (left != null) {
-      left.release();
+    if (released != null) {
+      released.release();
     }
   }
 
-  /** The client is gone: nobody is owed anything. */
+  /** Ends the call without an answer, as the client has disconnected. */
   void clientClosed() {
-    if (over) {
+    if (ended) {
       return;
     }
-    over = true;
-    if (taken) {
+    ended = true;
+    if (submitted) {
       handle.clientGone(request.id());
     }
-    leave();
+    releaseHandle();
   }
 
-  // What a route may ask for
+  // Values that routes match
 
   @Override
   public String listener() {
@@ -262,7 +262,7 @@
     return query < 0 ? uri : uri.substring(0, query);
   }
 
-  /** A call has none, and takes no route that asks for one. */
+  /** Calls have no HTTP method, so they match no route that requires one. */
   @Override
   public String method() {
     return null;
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcClientConnection.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcClientConnection.java
@@ -33,22 +33,22 @@
 import pumicekeel.jsonrpc.MessageWriter;
 import pumicekeel.runtime.Log;
 
-/** One client connection: reads messages, hands their calls over, and writes each answer once. */
+/** One client connection: reads messages, submits their calls, and writes each answer once. */
 final class RpcClientConnection extends SimpleChannelInboundHandler<Frame> {
 
-  /** Answers that a client does not read; more is given up at once, the rest after a time. */
+  /** Maximum of unread answers, beyond which the connection is closed at once; below it, after a time-out. */
   private static final int MAX_UNREAD_BYTES = 1 << 20;
-  /** What is read of calls that can't be taken yet. Behind more than that a client's reset is not seen before it is read. */
+  /** Bytes read ahead of calls that can't be accepted yet; a reset behind more unread input is only noticed later. */
   private static final int READ_AHEAD_BYTES = 16 << 10;
-  /** Messages that could not be read; a client that sends more does not speak JSON-RPC. */
+  /** Malformed messages on a connection; a client that sends more does not speak JSON-RPC. */
   private static final int MAX_MALFORMED_MESSAGES = 100;
-  /** Between our last byte and the close: what the client sends meanwhile must not turn its answers into a reset. */
+  /** Delay between the last byte sent and the close, so that input arriving meanwhile causes no reset that drops answers. */
   private static final long LINGER_MILLIS = 500;
-  /** At a drain, after the last answer: a call that was under way is still told to go elsewhere. */
+  /** Time after the last answer in a drain during which calls on the way still get an error that sends them elsewhere. */
   private static final long QUIET_MILLIS = 200;
-  /** Longer than a call takes on its way here: what meets a close on the way has no answer. */
+  /** Idle time before eviction, longer than a call is on the way: a call that meets a close gets no answer. */
   private static final long EVICTABLE_AFTER_NANOS = 250_000_000L;
-  /** What an HTTP server's text becomes a string of. */
+  /** Checks JSON results of upstreams before they are inserted into a response. */
   private static final MessageReader RESULTS =
       new MessageReader(new Limits(Answer.MAX_BODY, 62, 1));
 
@@ -56,8 +56,8 @@
   private final CallSettings settings;
   private final MessageReader reader;
   private final FrameDecoder decoder;
-  private final Map<Id, RpcCall> open = new HashMap<>();
-  /** All calls that have not ended, notifications too. */
+  private final Map<Id, RpcCall> callsById = new HashMap<>();
+  /** All calls that have not ended, including notifications. */
   private final Set<RpcCall> calls = new LinkedHashSet<>();
 
   private final Set<BatchAnswers<Reply>> batches = new LinkedHashSet<>();
@@ -67,9 +67,9 @@
   private boolean finishing;
   private boolean flushDue;
   private boolean resumeScheduled;
-  private int broken;
+  private int malformedMessages;
   private long busyAt;
-  /** When the first byte came of the message that has come in part; 0 where none has. */
+  /** When the first byte of a partial message arrived; 0 if there is none. */
   private long partialSince;
 
   private long unwritableSince;
@@ -94,11 +94,11 @@
     return front;
   }
 
-  int open() {
+  int openCalls() {
     return calls.size();
   }
 
-  /** Whether it may be closed to make room: one that was busy just now is likely to ask again this moment. */
+  /** Returns whether it may be closed to free capacity; one that was busy just now is likely to send another call. */
   boolean isEvictable(long now) {
     return idle() && now - busyAt > EVICTABLE_AFTER_NANOS;
   }
@@ -115,10 +115,10 @@
         && ctx.channel().isWritable();
   }
 
-  /** Reads while calls are taken, and a little further: a client that has gone is seen to have gone by a read alone. */
-  private void readOrPause(boolean takes) {
+  /** Reads while calls are accepted, and slightly ahead: only a read detects that a client has disconnected. */
+  private void readOrPause(boolean accepting) {
     boolean ahead = !readingStopped && decoder.bufferedBytes() < READ_AHEAD_BYTES;
-    ctx.channel().config().setAutoRead(takes || finishing || ahead);
+    ctx.channel().config().setAutoRead(accepting || finishing || ahead);
   }
 
   @Override
@@ -137,34 +137,34 @@
       return;
     }
     Message message = reader.read(((Frame.Complete) frame).bytes());
-    if (message instanceof Message.Malformed b) {
-      // Behind JSON that is none, the next value's beginning is a guess, unless something else
-      // tells it.
-      if (++broken >= MAX_MALFORMED_MESSAGES
-          || b.code() == ErrorCodes.PARSE && decoder.framing() == Framing.VALUES) {
-        rejectAndStopReading(b.code(), b.why());
+    if (message instanceof Message.Malformed malformed) {
+      // After malformed JSON the start of the next value is unknown, unless the framing delimits
+      // it.
+      if (++malformedMessages >= MAX_MALFORMED_MESSAGES
+          || malformed.code() == ErrorCodes.PARSE && decoder.framing() == Framing.VALUES) {
+        rejectAndStopReading(malformed.code(), malformed.why());
       } else {
-        refuseMessage(b.code(), b.why());
+        rejectMessage(malformed.code(), malformed.why());
       }
-    } else if (message instanceof Message.Single one) {
-      one(one.entry());
+    } else if (message instanceof Message.Single single) {
+      handleEntry(single.entry());
     } else if (message instanceof Message.Batch batch) {
-      batch(batch.entries());
+      handleBatch(batch.entries());
     }
   }
 
-  private void refuseMessage(int code, String why) {
+  private void rejectMessage(int code, String why) {
     write(Reply.errorWithReason(Id.NULL, code, why));
   }
 
-  private void one(Message.Entry entry) {
+  private void handleEntry(Message.Entry entry) {
     RpcCall call = begin(entry, null);
     if (call != null) {
-      take(call);
+      submit(call);
     }
   }
 
-  private void batch(List<Message.Entry> entries) {
+  private void handleBatch(List<Message.Entry> entries) {
     BatchAnswers<Reply> answers = new BatchAnswers<>(settings.batch(), entries.size());
     batches.add(answers);
     List<RpcCall> started = new ArrayList<>();
@@ -178,11 +178,11 @@
       long shortest = started.stream().mapToLong(RpcCall::leftNanos).min().orElse(0);
       started.forEach(c -> c.limitTime(shortest));
     }
-    started.forEach(RpcClientConnection::take);
+    started.forEach(RpcClientConnection::submit);
     flush(answers);
   }
 
-  /** What is to be taken of an entry; null where it has ended already. */
+  /** Returns the call of an entry to submit; null if it has already ended. */
   private RpcCall begin(Message.Entry entry, BatchAnswers<Reply> answers) {
     if (!(entry instanceof Message.Call call)) {
       Id id = entry instanceof Message.Invalid invalid ? invalid.id() : Id.NULL;
@@ -195,8 +195,8 @@
           call.id(), front.draining() ? ErrorCodes.DRAINING : ErrorCodes.UNKNOWN_METHOD, answers);
       return null;
     }
-    if (call.id() != null && open.containsKey(call.id())) {
-      // Under its own id the answer could be taken for that of the first.
+    if (call.id() != null && callsById.containsKey(call.id())) {
+      // With its own id the answer could be mistaken for that of the first call.
       end(
           answers,
           now -> MessageWriter.error(
@@ -211,7 +211,7 @@
     RpcCall next = new RpcCall(this, call, mapping, answers);
     calls.add(next);
     if (call.id() != null) {
-      open.put(call.id(), next);
+      callsById.put(call.id(), next);
     }
     try {
       next.prepare(now());
@@ -222,15 +222,15 @@
     }
   }
 
-  private static void take(RpcCall call) {
+  private static void submit(RpcCall call) {
     try {
-      call.take();
+      call.submit();
     } catch (RejectedException e) {
       call.reject(e);
     }
   }
 
-  /** Answers an entry that never became a call; {@code id} is null for a notification. */
+  /** Answers an entry that did not become a call; {@code id} is null for a notification. */
   private void reject(Id id, int code, BatchAnswers<Reply> answers) {
     end(
         answers,
@@ -238,10 +238,10 @@
         code == ErrorCodes.DRAINING ? EntryOutcome.REFUSED_OR_FAILED : EntryOutcome.INVALID);
   }
 
-  private void end(BatchAnswers<Reply> answers, Reply reply, EntryOutcome how) {
+  private void end(BatchAnswers<Reply> answers, Reply reply, EntryOutcome outcome) {
     if (answers != null) {
-      answers.ended(reply, how, 0);
-      // Sent with the rest once the whole batch has been looked at.
+      answers.ended(reply, outcome, 0);
+      // Sent with the rest once the whole batch has been processed.
     } else if (reply != null) {
       write(reply.at(now()));
     }
@@ -249,8 +249,8 @@
 
   // Ends
 
-  /** A call has ended; {@code reply} is null for a notification. */
-  void ended(RpcCall call, Reply reply, EntryOutcome how, long waitUntil) {
+  /** Called when a call has ended; {@code reply} is null for a notification. */
+  void ended(RpcCall call, Reply reply, EntryOutcome outcome, long waitUntil) {
     calls.remove(call);
     busyAt = now();
     if (call.batch() == null) {
@@ -259,7 +259,8 @@
         write(reply.at(busyAt));
       }
     } else {
-      call.batch().ended(reply == null ? null : new PendingReply(call.id(), reply), how, waitUntil);
+      call.batch()
+          .ended(reply == null ? null : new PendingReply(call.id(), reply), outcome, waitUntil);
       flush(call.batch());
     }
     front.markBusy(this);
@@ -267,10 +268,10 @@
   }
 
   private void forget(Id id) {
-    open.remove(id);
+    callsById.remove(id);
   }
 
-  /** An answer that waits in a batch: its id is open until it goes out. */
+  /** An answer waiting in a batch; its id stays in use until it is sent. */
   private record PendingReply(Id id, Reply reply) implements Reply {
     @Override
     public byte[] at(long now) {
@@ -304,7 +305,7 @@
     }
   }
 
-  /** An upstream's answer as raw JSON; null where there is no way to say it. */
+  /** Returns an upstream's answer as raw JSON; null if it can't be represented. */
   byte[] resultOf(Answer answer) {
     String type = answer.contentType() == null
         ? ""
@@ -353,24 +354,24 @@
     scheduleResume();
   }
 
-  // Going on, and the end
+  // Resuming and closing
 
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    boolean takes = acceptsCalls();
-    if (decoder.hasBufferedBytes() && takes) {
+    boolean accepting = acceptsCalls();
+    if (decoder.hasBufferedBytes() && accepting) {
       partialSince = partialSince == 0 ? now() : partialSince;
     } else {
       partialSince = 0;
     }
-    readOrPause(takes);
+    readOrPause(accepting);
     if (inputClosed) {
       scheduleResume();
     }
     finishIfDone();
   }
 
-  /** Not at once: an answer may come from within the reading of the call. */
+  /** Resumes in a later event loop task, as an answer may arrive while its call is being read. */
   private void scheduleResume() {
     if (!resumeScheduled) {
       resumeScheduled = true;
@@ -399,11 +400,11 @@
     finishIfDone();
   }
 
-  /** Answers what can't be read, and reads no more; what is open is still answered. */
+  /** Answers malformed input and stops reading; open calls are still answered. */
   private void rejectAndStopReading(int code, String why) {
     readingStopped = true;
     decoder.discard();
-    refuseMessage(code, why);
+    rejectMessage(code, why);
     finishIfDone();
   }
 
@@ -414,7 +415,7 @@
     }
   }
 
-  /** Takes no more; what is open is answered, then the connection is closed. */
+  /** Closes an idle connection after a quiet time; others close after their last answer. */
   void drain() {
     if (idle()) {
       closeIfQuiet();
@@ -429,7 +430,7 @@
     }
   }
 
-  /** Ends our side, and the connection once the other has ended its own, or a little later. */
+  /** Shuts down output, and closes once the client has shut down its own, or after a delay. */
   void finish() {
     if (finishing
         || !front.guard().mayClose(CloseReason.LAST_ANSWER, calls.isEmpty() ? null : "a call")) {
@@ -443,14 +444,14 @@
         ctx.close();
         return;
       }
-      // Where that fails the close that follows does it; one at once could reset what is still to
-      // be read.
+      // If the shutdown fails, the later close ends the connection; an immediate close could reset
+      // it before the client has read its answers.
       duplex.shutdownOutput();
       ctx.executor().schedule(() -> ctx.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
     });
   }
 
-  /** Time limits. */
+  /** Applies the time limits. */
   void checkTimeLimits(long now) {
     if (unwritableSince != 0 && now - unwritableSince > RpcFront.UNWRITABLE_TIMEOUT_NANOS) {
       ctx.close();
@@ -485,7 +486,7 @@
     readingStopped = true;
     List.copyOf(calls).forEach(RpcCall::clientClosed);
     calls.clear();
-    open.clear();
+    callsById.clear();
     batches.clear();
   }
 
@@ -495,7 +496,7 @@
       context.close();
       return;
     }
-    // A defect of one message's handling is no reason to leave the calls that are open unanswered.
+    // A defect in handling one message must not leave the open calls unanswered.
     Log.caused("client " + context.channel().remoteAddress() + ": " + cause);
     rejectAndStopReading(ErrorCodes.FAILED, "internal error");
   }
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcFront.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcFront.java
@@ -23,26 +23,26 @@
 import pumicekeel.runtime.Reactor;
 import pumicekeel.runtime.Repeated;
 
-/** A listener for JSON-RPC over TCP: its connections, their time limits, and its end. */
+/** A listener for JSON-RPC over TCP: its connections, their time limits and its shutdown. */
 public final class RpcFront implements Front {
 
   private static final int BACKLOG = 1024;
-  /** As with HTTP: one client that floods must not keep all others waiting. */
+  /** As with HTTP: one client with much input must not delay all others. */
   private static final int READ_BYTES = 4096;
 
   private static final int MAX_READS_PER_TURN = 2;
-  /** Answers of this many bytes that wait for a slow reader stop the reading of its calls. */
+  /** Water marks of unsent answers: reading of calls pauses above the high one and resumes below the low one. */
   private static final int WRITE_BUFFER_LOW_BYTES = 16 << 10;
 
   private static final int WRITE_BUFFER_HIGH_BYTES = 64 << 10;
   private static final long CHECK_INTERVAL_MILLIS = 50;
   private static final long NANOS_PER_MILLI = 1_000_000L;
-  /** From a message's first byte to its last. */
+  /** Time from the first byte of a message to its last. */
   static final long MESSAGE_TIMEOUT_NANOS = 2_300 * NANOS_PER_MILLI;
-  /** A client that does not take its answers for so long does not want them. */
+  /** Time after which a client that does not read its answers is disconnected. */
   static final long UNWRITABLE_TIMEOUT_NANOS = 5_000 * NANOS_PER_MILLI;
 
-  private final Reactor on;
+  private final Reactor reactor;
   private final EventLoop loop;
   private final String name;
   private final RequestRouter router;
@@ -56,19 +56,19 @@
   private boolean accepting;
   private boolean draining;
 
-  /** The listener of this name, with at most so many connections. */
+  /** Creates a listener with at most {@code maxConnections} connections. */
   public RpcFront(
-      Reactor on,
+      Reactor reactor,
       String name,
       RequestRouter router,
-      int most,
+      int maxConnections,
       CallSettings settings,
       RequestIds ids) {
-    this.on = on;
-    loop = on.loop();
+    this.reactor = reactor;
+    loop = reactor.loop();
     this.name = name;
     this.router = router;
-    accepts = new AcceptControl(most, 0);
+    accepts = new AcceptControl(maxConnections, 0);
     this.settings = settings;
     this.ids = ids;
   }
@@ -78,7 +78,7 @@
       throws InterruptedException {
     listener = new ServerBootstrap()
         .group(loop, loop)
-        .channelFactory(on.sockets()::listening)
+        .channelFactory(reactor.sockets()::listening)
         .handler(new AcceptFaults(name, this::acceptFailed, this::acceptAgain))
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
@@ -124,11 +124,11 @@
   }
 
   Clock clock() {
-    return on.clock();
+    return reactor.clock();
   }
 
   ServingGuard guard() {
-    return on.guard();
+    return reactor.guard();
   }
 
   RequestRouter router() {
@@ -143,7 +143,7 @@
     return draining;
   }
 
-  /** Other settings, for connections that are accepted from now on; mappings count for the next call of any. */
+  /** Replaces the settings for new connections; method mappings also apply to the next call of existing ones. */
   public void settings(CallSettings next) {
     settings = next;
   }
@@ -152,15 +152,15 @@
     return settings;
   }
 
-  /** Calls are turned away by the router until there is something to serve them. */
+  /** Does nothing: the router rejects calls until upstreams are available. */
   @Override
   public void setReady() {
-    // Nothing here asks for readiness.
+    // Readiness is not checked here.
   }
 
   @Override
-  public void resize(int connectionsAtMost) {
-    accepts.configure(connectionsAtMost);
+  public void resize(int maxConnections) {
+    accepts.configure(maxConnections);
   }
 
   private void opened(RpcClientConnection client) {
@@ -180,7 +180,7 @@
     listener.config().setAutoRead(false);
   }
 
-  /** Where the process has no descriptor left the longest idle connection gives way, as at the limit. */
+  /** If the process has no descriptor left, closes the longest idle connection, as at the connection limit. */
   private long acceptFailed(FailureScope scope) {
     long now = clock().now();
     long rest = accepts.failed(scope, connections.size(), now);
@@ -209,7 +209,7 @@
     }
   }
 
-  /** The one that was busy last comes last: at the limit the first one that is idle gives way. */
+  /** Moves the connection to the end, so that the longest idle one is closed first at the limit. */
   void markBusy(RpcClientConnection client) {
     if (connections.remove(client)) {
       connections.add(client);
@@ -246,10 +246,10 @@
     draining = false;
   }
 
-  /** A drain turns calls away already. */
+  /** Does nothing: a drain already rejects calls. */
   @Override
   public void lastAnswers() {
-    // Nothing to add.
+    // Handled by the drain.
   }
 
   @Override
@@ -262,13 +262,13 @@
   @Override
   public void stopListening() {
     accepting = false;
-    on.sockets().closeBehindLine(listener, Math.max(0, accepts.limit() - connections.size()));
+    reactor.sockets().closeBehindLine(listener, Math.max(0, accepts.limit() - connections.size()));
   }
 
   @Override
   public void closeUntaken() {
     List.copyOf(connections).stream()
-        .filter(c -> c.open() == 0)
+        .filter(c -> c.openCalls() == 0)
         .forEach(RpcClientConnection::finish);
   }
 
--- a/src/main/java/pumicekeel/jsonrpc/ErrorCodes.java
+++ b/src/main/java/pumicekeel/jsonrpc/ErrorCodes.java
@@ -18,7 +18,7 @@
   /** The balancer is about to stop: nothing ran; the client has to use another connection. */
   public static final int DRAINING = -32002;
   /** No capacity for the call: nothing ran; {@code data.retryAfterMs} is when there may be. */
-  public static final int NO_ROOM = -32003;
+  public static final int NO_CAPACITY = -32003;
   /** The method is configured but no route matches. Nothing ran. */
   public static final int NO_ROUTE = -32004;
 
@@ -38,7 +38,7 @@
       case FAILED -> "Failed: it may have run";
       case REFUSED -> "Refused: trying again is harmless";
       case DRAINING -> "About to stop: use another connection";
-      case NO_ROOM -> "No room";
+      case NO_CAPACITY -> "No room";
       case NO_ROUTE -> "No route";
       default -> "Error";
     };
--- a/src/main/java/pumicekeel/load/RpcRequestTemplate.java
+++ b/src/main/java/pumicekeel/load/RpcRequestTemplate.java
@@ -96,7 +96,7 @@
           number,
           code == ErrorCodes.FAILED
               ? Outcome.FAILED
-              : code <= ErrorCodes.REFUSED && code >= ErrorCodes.NO_ROOM
+              : code <= ErrorCodes.REFUSED && code >= ErrorCodes.NO_CAPACITY
                   ? Outcome.REFUSED
                   : Outcome.WRONG,
           new String(reply.error(), StandardCharsets.UTF_8));
--- a/src/main/java/pumicekeel/upstream/jsonrpc/HttpCallTranslator.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/HttpCallTranslator.java
@@ -16,12 +16,12 @@
 import pumicekeel.jsonrpc.MessageWriter;
 
 /**
- * Makes a call of an HTTP request. A GET's query becomes an object of strings, with what its path says behind the class as
- * the member {@code path}; a POST's body has to be an object or an array, or empty.
+ * Translates an HTTP request into a JSON-RPC call. The query of a GET becomes an object of strings, with the part of the path
+ * after the class as the member {@code path}; the body of a POST must be an object, an array or empty.
  */
 final class HttpCallTranslator {
 
-  /** What such a request can't say in a call. */
+  /** Thrown for a request that can't be expressed as a call. */
   static final class UntranslatableException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -36,7 +36,7 @@
 
   private HttpCallTranslator() {}
 
-  /** The call of a request, which may be one already. */
+  /** Returns the call for a request, which may already be a call. */
   static Message.Call toCall(ClientRequest request, ServerSettings settings)
       throws UntranslatableException {
     if (request.payload() instanceof Payload.Call call) {
@@ -98,7 +98,7 @@
     return body;
   }
 
-  /** The key has to reach the server, or it could not drop a repeat. */
+  /** Adds the idempotency key to the params: the server needs it to deduplicate repeats. */
   private static byte[] withKey(byte[] params, String member, String key)
       throws UntranslatableException {
     String added = MessageWriter.quoted(member) + ":" + MessageWriter.quoted(key);
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
@@ -5,15 +5,15 @@
 import pumicekeel.call.ClientRequest;
 import pumicekeel.upstream.UpstreamAttempt;
 
-/** A call on a connection that others share: when it ends early, the connection goes on without it. */
+/** A call on a shared connection, which stays open when the call ends early. */
 final class RpcAttempt extends UpstreamAttempt {
 
-  /** As with HTTP: a kept connection that breaks so soon was broken before. */
+  /** As with HTTP: a reused connection that breaks this soon after a send was already broken. */
   private static final long STALE_NANOS = 50_000_000L;
 
   private final RpcLink link;
   private RpcConnection connection;
-  /** Its id there; 0 while it has none. */
+  /** The id of the call on the connection; 0 before it is sent. */
   private long id;
 
   private long framesAtSend;
@@ -35,7 +35,7 @@
     assigned.send(this, request, maySend);
   }
 
-  /** It goes out now under this id. */
+  /** Records that the call is being sent under this id. */
   void sendStarted(long as) {
     id = as;
     framesAtSend = connection.frames();
@@ -68,8 +68,8 @@
         && connection.wasReusedAndSilent(id, framesAtSend)
         && sinceSent() < STALE_NANOS;
     if (how == Status.TIMEOUT || how == Status.CANCELLED) {
-      // By what came since it was sent, not by a clock: its time-out began before its connection
-      // did.
+      // Silence is judged by frames received since the send, not by time: the time-out may have
+      // started before the connection did.
       connection.abandon(this, how == Status.TIMEOUT && connection.frames() == framesAtSend);
     }
   }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
@@ -33,34 +33,34 @@
 import pumicekeel.runtime.Reactor;
 
 /**
- * A connection to a JSON-RPC server. Ids are counted up and never used again, so a late answer can't meet another call. As
- * soon as the server answers what nobody can have asked, ids may be mixed up, and nothing more on the connection is believed.
+ * A connection to a JSON-RPC server. Ids increase and are never reused, so a late answer can't match another call. An answer
+ * with an id that was never sent means that ids may be mixed up: the connection is closed and nothing more on it is trusted.
  */
 final class RpcConnection extends SimpleChannelInboundHandler<Frame> {
 
-  /** An answer of the protocol's limit and what stands around it. */
+  /** The largest answer of the protocol plus its envelope. */
   private static final int MAX_FRAME_BYTES = Answer.MAX_BODY + 1024;
 
   private static final Limits LIMITS = new Limits(MAX_FRAME_BYTES, Limits.MAX_DEPTH, 1);
   private static final MessageReader READER = new MessageReader(LIMITS);
-  /** From an answer's first byte to its last, as with HTTP. */
+  /** Time from the first byte of an answer to its last, as with HTTP. */
   private static final long ANSWER_TIMEOUT_MILLIS = 300;
-  /** What has not left for so long is with a server that does not read. It may not leave once the drain's grace is over:
-   * the core sends until 200 ms before that. */
+  /** A call that is not written within this time shows that the server does not read. No call may be sent after the drain
+   * grace, and the core sends until 200 ms before its end. */
   private static final long WRITE_TIMEOUT_MILLIS = 150;
 
   private record Waiting(RpcAttempt attempt, ClientRequest request, BooleanSupplier maySend) {}
 
   private final RpcLink link;
-  private final Reactor on;
+  private final Reactor reactor;
   private final ServerSettings settings;
   private final FrameDecoder decoder;
   private final Map<Long, RpcAttempt> open = new HashMap<>();
-  /** Ids whose calls were given up and may still be answered. */
+  /** Ids of abandoned calls that may still be answered. */
   private final Set<Long> abandoned = new HashSet<>();
 
   private final List<Waiting> waiting = new ArrayList<>(1);
-  /** Calls whose last byte has not gone out, the oldest first. */
+  /** Ids of calls whose last byte is not written yet, oldest first. */
   private final ArrayDeque<Long> unwritten = new ArrayDeque<>();
 
   private ChannelFuture connecting;
@@ -75,10 +75,10 @@
   private boolean retired;
   private boolean closed;
 
-  RpcConnection(RpcLink link, ServerSettings settings, Reactor on) {
+  RpcConnection(RpcLink link, ServerSettings settings, Reactor reactor) {
     this.link = link;
-    this.on = on;
-    idleSince = on.clock().now();
+    this.reactor = reactor;
+    idleSince = reactor.clock().now();
     this.settings = settings;
     decoder = new FrameDecoder(settings.framing(), LIMITS, () -> true);
   }
@@ -115,9 +115,9 @@
     closeIfRetired();
   }
 
-  // Room
+  // Capacity
 
-  int out() {
+  int callCount() {
     return open.size() + waiting.size();
   }
 
@@ -125,16 +125,16 @@
     return closed;
   }
 
-  /** Whether another call may go out on it: given-up ones count, for the server may still work on them. */
+  /** Returns whether another call may be sent; abandoned calls count, as the server may still be working on them. */
   boolean acceptsCalls() {
-    if (closed || retired || out() + abandoned.size() >= settings.callsPerConnection()) {
+    if (closed || retired || callCount() + abandoned.size() >= settings.callsPerConnection()) {
       return false;
     }
     if (channel == null) {
       return true;
     }
-    if (open.isEmpty() && abandoned.isEmpty() && !on.sockets().quiet(channel)) {
-      // Closed by the server, or it says something unasked: not seen yet by the loop.
+    if (open.isEmpty() && abandoned.isEmpty() && !reactor.sockets().quiet(channel)) {
+      // Closed by the server, or unsolicited input that the event loop has not processed yet.
       close();
       return false;
     }
@@ -153,12 +153,12 @@
     return frames;
   }
 
-  /** Whether it was there before this call, broke with no other out, and had said nothing since. */
+  /** Returns whether it had served earlier calls, had only this one open when it failed, and received nothing since its send. */
   boolean wasReusedAndSilent(long id, long framesAtSend) {
     return id > 1 && openCallsAtFailure == 1 && frames == framesAtSend;
   }
 
-  // Calls out
+  // Sending
 
   void send(RpcAttempt attempt, ClientRequest request, BooleanSupplier maySend) {
     if (closed) {
@@ -202,7 +202,7 @@
     }
   }
 
-  /** Told when the last byte of the message itself is out: with that the call may run, whatever follows. */
+  /** Returns the future of the message's own last byte: from then on the call may run, even if the suffix is missing. */
   private ChannelFuture writeOut(byte[] message) {
     ByteBuf prefix = MessageWriter.prefix(settings.framing(), message.length);
     if (prefix != null) {
@@ -220,8 +220,8 @@
     return body;
   }
 
-  /** Once for all calls of a turn of the loop. Netty's own handler for this flushes at a close, which would send calls
-   * that have just been told to have never gone out. */
+  /** Flushes once for all calls of one event loop iteration. Netty's FlushConsolidationHandler also flushes on close, which would
+   * send calls that were just reported as never sent. */
   private void flush() {
     flushScheduled = false;
     if (!closed) {
@@ -233,7 +233,7 @@
     if (!whole) {
       return;
     }
-    // In the order of their writing.
+    // Writes complete in their order.
     unwritten.removeFirstOccurrence(id);
     if (open.get(id) == attempt) {
       attempt.sendCompleted();
@@ -248,7 +248,7 @@
     RpcAttempt oldest = open.get(unwritten.peekFirst());
     if (oldest == null
         || oldest.nanosSinceSend() >= TimeUnit.MILLISECONDS.toNanos(WRITE_TIMEOUT_MILLIS)) {
-      fail("it does not read");
+      fail("upstream does not read its calls");
     } else {
       writeTimer = channel
           .eventLoop()
@@ -256,7 +256,7 @@
     }
   }
 
-  /** A call is not waited for any more; where nothing came in all its time ({@code silent}), no new one goes out here. */
+  /** Stops waiting for a call; if nothing was received during its time ({@code silent}), the connection takes no new calls. */
   void abandon(RpcAttempt attempt, boolean silent) {
     if (closed) {
       return;
@@ -272,8 +272,8 @@
       return;
     }
     if (unwritten.contains(id)) {
-      // It must not leave after its end.
-      fail("a call was given up before it was out");
+      // It must not be sent after its end.
+      fail("call abandoned before it was fully written");
       return;
     }
     abandoned.add(id);
@@ -286,7 +286,7 @@
 
   private void becameIdle() {
     if (open.isEmpty()) {
-      idleSince = on.clock().now();
+      idleSince = reactor.clock().now();
     }
   }
 
@@ -299,7 +299,7 @@
     }
     frames++;
     if (!(frame instanceof Frame.Complete whole)) {
-      fail("what it says is no message: " + ((Frame.Fault) frame).why());
+      fail("malformed frame: " + ((Frame.Fault) frame).why());
       return;
     }
     Message message = READER.read(whole.bytes());
@@ -308,8 +308,8 @@
     } else if (!(message instanceof Message.Single one
         && one.entry() instanceof Message.Call call
         && call.id() == null)) {
-      // A notification asks for nothing and is passed over; nothing else is due here.
-      fail("what it says is no answer");
+      // Notifications need no answer and are ignored; anything else is unexpected here.
+      fail("received a message that is not a response");
     }
   }
 
@@ -318,7 +318,7 @@
     RpcAttempt attempt = open.remove(id);
     if (attempt == null) {
       if (!abandoned.remove(id)) {
-        fail("an answer to a call that was never made, or a second one");
+        fail("response to an unknown id, or a second response to a call");
       }
       closeIfRetired();
       return;
@@ -326,7 +326,7 @@
     becameIdle();
     if (unwritten.contains(id)) {
       open.put(id, attempt);
-      fail("an answer to a call that is not out yet");
+      fail("response to a call that is not fully written yet");
       return;
     }
     byte[] body = reply.result() == null ? reply.error() : reply.result();
@@ -354,7 +354,7 @@
   private void closeIfStalled(long then) {
     answerTimer = null;
     if (!closed && decoder.hasBufferedBytes() && frames == then) {
-      fail("half an answer, then silence");
+      fail("incomplete response, no further bytes in time");
     } else if (!closed && decoder.hasBufferedBytes()) {
       long now = frames;
       answerTimer = channel
@@ -363,16 +363,16 @@
     }
   }
 
-  // The end
+  // Closing
 
-  /** Takes no more calls, and closes with its last one. */
+  /** Stops accepting calls and closes after the last open one. */
   void retire() {
     retired = true;
     closeIfRetired();
   }
 
   private void closeIfRetired() {
-    if (retired && out() == 0) {
+    if (retired && callCount() == 0) {
       close();
     }
   }
@@ -394,7 +394,7 @@
     fail(null);
   }
 
-  /** Of no use any more: a call whose last byte went out may have run, any other never did. */
+  /** Closes the connection and ends its calls: one whose last byte was written may have run, any other did not. */
   private void fail(String why) {
     if (closed) {
       return;
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLink.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLink.java
@@ -6,7 +6,7 @@
 import pumicekeel.upstream.UpstreamAttempt;
 import pumicekeel.upstream.UpstreamLink;
 
-/** The connections to one server: a call goes to the one with the fewest out, and to a new one only where all are full. */
+/** The connections to one server. A call uses the one with the fewest open calls, and a new one only if all are full. */
 final class RpcLink implements UpstreamLink {
 
   private final RpcLinks all;
@@ -34,11 +34,11 @@
     return all.settings();
   }
 
-  /** A connection that takes one more call, perhaps one that is still connecting; null where there is no room. */
+  /** Returns a connection with capacity for a call, possibly still connecting; null if none can be opened. */
   RpcConnection acquire() {
     RpcConnection best = null;
     for (RpcConnection c : List.copyOf(connections)) {
-      if (c.acceptsCalls() && (best == null || c.out() < best.out())) {
+      if (c.acceptsCalls() && (best == null || c.callCount() < best.callCount())) {
         best = c;
       }
     }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
@@ -18,15 +18,15 @@
 import pumicekeel.upstream.UpstreamLinks;
 import pumicekeel.upstream.UpstreamSockets;
 
-/** Connections to the JSON-RPC servers of one pool, each with many calls out. */
+/** The multiplexed connections to the JSON-RPC servers of one pool. */
 public final class RpcLinks implements UpstreamLinks, SocketUser {
 
-  /** As with HTTP: an idle connection goes before the server would close it. */
+  /** As with HTTP: idle connections are closed before the server would close them. */
   private static final double IDLE_FRACTION = 0.7;
 
   private static final int SWEEPS_PER_IDLE_TIME = 20;
 
-  private final Reactor on;
+  private final Reactor reactor;
   private final Bootstrap bootstrap;
   private final UpstreamSockets sockets;
   private final Shares.Owner share;
@@ -36,19 +36,19 @@
   private Future<?> sweep;
   private int perUpstream;
 
-  /** Connections that share a room; nothing of it is guaranteed to them yet. */
+  /** Creates connections that share the limit on sockets; no share is guaranteed yet. */
   public RpcLinks(
-      Reactor on,
+      Reactor reactor,
       long connectTimeoutNanos,
       long idleNanos,
       UpstreamSockets sockets,
       ServerSettings settings) {
-    this.on = on;
+    this.reactor = reactor;
     this.sockets = sockets;
     this.settings = settings;
     share = sockets.shares().add(0, 0);
     sockets.add(this);
-    bootstrap = new Bootstrap().group(on.loop());
+    bootstrap = new Bootstrap().group(reactor.loop());
     tune(connectTimeoutNanos, idleNanos);
   }
 
@@ -62,10 +62,10 @@
     }
     long periodMillis =
         Math.max(1, TimeUnit.NANOSECONDS.toMillis(this.idleNanos / SWEEPS_PER_IDLE_TIME));
-    sweep = Repeated.every(periodMillis, on.loop(), this::closeExpired);
+    sweep = Repeated.every(periodMillis, reactor.loop(), this::closeExpired);
   }
 
-  /** Why a request can't be sent to these servers; null where it can. */
+  /** Returns why a request can't be sent to these servers, or null if it can. */
   public String unsupportedReason(ClientRequest request) {
     try {
       HttpCallTranslator.toCall(request, settings);
@@ -86,17 +86,17 @@
     return settings;
   }
 
-  /** Opens a connection; null where the limit on sockets or the process's descriptors leave no room for one. */
+  /** Opens a connection; returns null if the socket limit or the process's descriptors are exhausted. */
   RpcConnection connect(RpcLink link) {
     if (!sockets.take(this, link.address())) {
       return null;
     }
-    Channel made = on.connecting();
+    Channel made = reactor.connecting();
     if (made == null) {
       sockets.release(this, link.address());
       return null;
     }
-    RpcConnection connection = new RpcConnection(link, settings, on);
+    RpcConnection connection = new RpcConnection(link, settings, reactor);
     var connecting = bootstrap
         .clone()
         .channelFactory(() -> made)
@@ -112,8 +112,8 @@
   }
 
   @Override
-  public void resize(long guaranteed, long most, int connectionsPerUpstream) {
-    share.resize(guaranteed, most);
+  public void resize(long guaranteed, long max, int connectionsPerUpstream) {
+    share.resize(guaranteed, max);
     perUpstream = connectionsPerUpstream;
   }
 
@@ -165,7 +165,7 @@
   }
 
   private void closeExpired() {
-    long before = on.clock().now() - idleNanos;
+    long before = reactor.clock().now() - idleNanos;
     links.forEach(l -> l.closeIdleSince(before));
   }
 }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/ServerSettings.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/ServerSettings.java
@@ -7,15 +7,15 @@
 import pumicekeel.jsonrpc.Framing;
 
 /**
- * How a pool's servers speak JSON-RPC, and what their error objects are worth.
+ * JSON-RPC settings of a pool's servers, and the meaning of their error codes.
  *
- * @param framing as the servers expect calls; not {@link Framing#DETECT}
- * @param callsPerConnection calls out on one connection at once
- * @param notRunCodes codes that prove that the call never ran
- * @param failureCodes codes beside the usual ones that say that the server failed
- * @param answerCodes codes that are the application's own answer although they lie in the range of server errors
- * @param methods the method for an HTTP request, by class; a class that is not named is its own method
- * @param keyMember the member of the params that an HTTP request's idempotency key goes into
+ * @param framing the framing that the servers expect; not {@link Framing#DETECT}
+ * @param callsPerConnection the maximum number of open calls on one connection
+ * @param notRunCodes codes that prove that the call did not run
+ * @param failureCodes additional codes that mean that the server failed
+ * @param answerCodes codes in the range of server errors that are answers of the application
+ * @param methods the method for HTTP requests, by class; by default the name of the class
+ * @param keyMember the member of the params that holds the idempotency key of an HTTP request
  */
 public record ServerSettings(
     Framing framing,
@@ -26,7 +26,7 @@
     Map<String, String> methods,
     String keyMember) {
 
-  /** What an error object says of the attempt. SERVED: it is the final answer and is passed on. */
+  /** Returns the status of an attempt that ended with this error code; SERVED means a final answer, which is forwarded. */
   public Status statusOf(int code) {
     if (notRunCodes.contains(code)) {
       return Status.FULL;
--- a/src/main/java/pumicekeel/upstream/jsonrpc/package-info.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/package-info.java
@@ -1,5 +1,5 @@
 /**
- * JSON-RPC connections to upstreams, many calls at a time on each, and the translation of HTTP
+ * Multiplexed JSON-RPC connections to upstreams, and the translation of HTTP
  * requests to calls.
  *
  * <p>Threads: Event loop only.
--- a/src/test/java/pumicekeel/front/jsonrpc/BatchAnswersTest.java
+++ b/src/test/java/pumicekeel/front/jsonrpc/BatchAnswersTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import pumicekeel.front.jsonrpc.BatchAnswers.EntryOutcome;
 
-/** When a batch's answers go out, in virtual time. */
+/** When the answers of a batch are sent, in virtual time. */
 class BatchAnswersTest {
 
   private static BatchAnswers<String> batch(BatchMode mode, int entries) {
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void oneArrayWhereAllEndBeforeAnyHasToGo() {
+  void oneArrayIfAllEndBeforeAnyIsDue() {
     BatchAnswers<String> b = batch(BatchMode.IN_TIME, 3);
     b.ended("a", EntryOutcome.ANSWERED, 100);
     assertEquals(List.of(), b.takeReady(10));
@@ -31,8 +31,8 @@
   }
 
   @Test
-  void lookupIsNotHeldForThePack() {
-    // A rate-lookup that is wanted within 400 and a contract-pack that takes until 5,000.
+  void fastAnswerIsNotDelayedByASlowOne() {
+    // A rate-lookup with an aim of 400 and a contract-pack that ends at 5,000.
     BatchAnswers<String> b = batch(BatchMode.IN_TIME, 2);
     b.ended("rate", EntryOutcome.ANSWERED, 400);
     assertEquals(List.of(), b.takeReady(399));
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void whatEndsLateGoesAtOnceAndTakesAlongWhatWaits() {
+  void lateAnswerIsSentAtOnceWithThoseWaiting() {
     BatchAnswers<String> b = batch(BatchMode.IN_TIME, 3);
     b.ended("soon", EntryOutcome.ANSWERED, 900);
     b.ended("late", EntryOutcome.ANSWERED, 400);
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void refusalAndFailureAreNotHeldButWhatIsNoCallIs() {
+  void refusalsAndFailuresAreNotDelayedButInvalidEntriesAre() {
     BatchAnswers<String> b = batch(BatchMode.IN_TIME, 4);
     b.ended("invalid", EntryOutcome.INVALID, 0);
     assertEquals(List.of(), b.takeReady(1));
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void togetherIsOneArrayAndApartAreAsManyAsAnswers() {
+  void togetherIsOneArrayAndApartIsOneForEachAnswer() {
     BatchAnswers<String> together = batch(BatchMode.TOGETHER, 2);
     together.ended("refused", EntryOutcome.REFUSED_OR_FAILED, 0);
     assertEquals(List.of(), together.takeReady(1_000_000));
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void notificationsAloneAreAnsweredWithNothing() {
+  void batchOfNotificationsGetsNoAnswer() {
     for (BatchMode mode : BatchMode.values()) {
       BatchAnswers<String> b = batch(mode, 2);
       b.ended(null, EntryOutcome.REFUSED_OR_FAILED, 0);
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void everyAnswerGoesOutOnceAndInItsTime() {
+  void everyAnswerIsSentOnceAndInTime() {
     long seed = System.nanoTime();
     SplittableRandom random = new SplittableRandom(seed);
     for (int run = 0; run < 2_000; run++) {
--- a/src/test/java/pumicekeel/front/jsonrpc/MethodMappingTest.java
+++ b/src/test/java/pumicekeel/front/jsonrpc/MethodMappingTest.java
@@ -19,7 +19,7 @@
 import pumicekeel.front.jsonrpc.MethodMapping.Value;
 import pumicekeel.jsonrpc.JsonPointer;
 
-/** What a call's params say of it. */
+/** Reading of request fields from the params of a call. */
 class MethodMappingTest {
 
   private static At at(String pointer) {
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void partsComeByPointerOrAsConstants() throws BadParams {
+  void fieldsComeFromPointersOrConstants() throws BadParams {
     assertEquals(
         new CallFields("a", "s", "k", 1_500, 70, "/quote-issue/7%2F%20%C3%A9?v=1"),
         read(
@@ -77,18 +77,18 @@
         "/id|{\"who\":{\"account\":\"a\"},\"key\":\"k\"}",
         "/id|{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"id\":\"..\"}"
       })
-  void whatIsMissingOrMistypedIsNamedByItsPointer(String pointer, String params) {
+  void missingOrMistypedValueIsNamedByItsPointer(String pointer, String params) {
     String why = assertThrows(BadParams.class, () -> read(params)).getMessage();
     assertTrue(why.startsWith(pointer + ": expected"), why);
   }
 
   @Test
-  void noParamsAtAllAreMissingParams() {
+  void absentParamsAreRejected() {
     assertThrows(BadParams.class, () -> mapping.read(null));
   }
 
   @Test
-  void hugeTimesAreNoOverflow() throws BadParams {
+  void hugeTimesDoNotOverflow() throws BadParams {
     assertEquals(
         MethodMapping.MAX_NUMBER,
         read("{\"who\":{\"account\":\"a\"},\"key\":\"k\",\"id\":1,\"left\":999999999999}")
--- a/src/test/java/pumicekeel/upstream/jsonrpc/HttpCallTranslatorTest.java
+++ b/src/test/java/pumicekeel/upstream/jsonrpc/HttpCallTranslatorTest.java
@@ -19,7 +19,7 @@
 import pumicekeel.jsonrpc.Framing;
 import pumicekeel.jsonrpc.Message;
 
-/** HTTP requests as calls, and what error objects are worth. */
+/** Translation of HTTP requests into calls, and the status for error codes. */
 class HttpCallTranslatorTest {
 
   private final ServerSettings settings = new ServerSettings(
@@ -89,21 +89,21 @@
         "{\"a\":[1]}|{\"key\":\"k1\",\"a\":[1]}",
         "{\"key\":\"k1\"}|{\"key\":\"k1\"}"
       })
-  void keyOfAPostReachesTheServer(String body, String params) throws Exception {
+  void keyOfAPostIsAddedToTheParams(String body, String params) throws Exception {
     assertEquals(
         params,
         new String(call("POST", "/quote-issue", body, "k1").params(), StandardCharsets.UTF_8));
   }
 
   @Test
-  void emptyPostCarriesItsKeyAlone() throws Exception {
+  void emptyPostHasOnlyItsKeyAsParams() throws Exception {
     Message.Call call = call("POST", "/quote-issue", "", "a\"b");
     assertEquals("quote-issue", call.method());
     assertEquals("{\"key\":\"a\\\"b\"}", new String(call.params(), StandardCharsets.UTF_8));
   }
 
   @Test
-  void whatACallCanNotSayIsToldBeforeAnythingIsSent() {
+  void untranslatableRequestIsRejectedBeforeSending() {
     for (String body : new String[] {
       "1",
       "\"x\"",
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void errorObjectsByCode() {
+  void statusByErrorCode() {
     assertEquals(Status.FULL, settings.statusOf(-32050));
     assertEquals(Status.FULL, settings.statusOf(77));
     assertEquals(Status.ERROR, settings.statusOf(78));
--- a/src/test/java/pumicekeel/upstream/jsonrpc/RpcConnectionTest.java
+++ b/src/test/java/pumicekeel/upstream/jsonrpc/RpcConnectionTest.java
@@ -37,7 +37,7 @@
 import pumicekeel.upstream.UpstreamLink;
 import pumicekeel.upstream.UpstreamSockets;
 
-/** Which calls may have run when a connection breaks while it is written to; a plain socket at the other end tells. */
+/** Which calls may have run when a connection breaks during a write, compared with what a plain server socket received. */
 class RpcConnectionTest {
 
   private static final long LONG = 60_000_000_000L;
@@ -106,24 +106,24 @@
   }
 
   /**
-   * A server that reads nothing: what its socket and ours hold was written, the last call only in part. The connection is
-   * given up; what arrives at the server after all is exactly what was called run or not.
+   * The server reads nothing, so socket buffers fill up and the last call is written only in part. After the balancer closes
+   * the connection, the calls that arrive completely must be exactly those reported as possibly run.
    */
   @Test
-  void callWhoseLastByteIsNotOutNeverRanAndEveryOtherMayHave() throws Exception {
+  void onlyCallsWithTheLastByteWrittenMayHaveRun() throws Exception {
     try (ServerSocket server = server(8 << 10)) {
       UpstreamLink link = link(address(server));
       String text = "x".repeat(60_000);
       List<UpstreamAttempt> sent = new ArrayList<>();
-      // Until the connection takes no more, and one call sees that there is no other.
+      // Until the connection accepts no more calls and one call gets no connection.
       for (int i = 0; i < 900 && outcomes.isEmpty(); i++) {
         sent.add(send(link, i, text, true, LONG));
         loop.submit(() -> {}).sync();
       }
       Set<Integer> may = new HashSet<>();
       Set<Integer> never = new HashSet<>();
-      // On a slow machine the last one may be on a connection after the broken one, where it has no
-      // outcome.
+      // On a slow machine the last call may use a new connection after the failed one, where it has
+      // no outcome.
       for (Map.Entry<Integer, Status> o = outcome();
           o != null;
           o = outcomes.poll(1, TimeUnit.SECONDS)) {
@@ -131,10 +131,10 @@
             o.getValue() == Status.RESET || o.getValue() == Status.CONNECT_FAILED, o.toString());
         (o.getValue() == Status.RESET ? may : never).add(o.getKey());
       }
-      assertFalse(may.isEmpty(), "some went out whole");
+      assertFalse(may.isEmpty(), "some calls were written completely");
       assertTrue(
           may.size() + never.size() >= sent.size() - 1 && !never.isEmpty(),
-          "some did not: " + never);
+          "some calls were not: " + never);
       Set<Integer> arrived = new HashSet<>();
       try (Socket socket = server.accept();
           BufferedReader in = new BufferedReader(
@@ -146,17 +146,17 @@
           }
         }
       }
-      assertEquals(may, arrived, "what arrived whole is what may have run");
+      assertEquals(may, arrived, "calls that arrived completely are those that may have run");
       sent.stream()
           .filter(a -> !a.out())
           .forEach(a -> assertEquals(may.contains(a.number), a.mayHaveRun()));
     }
   }
 
-  /** Reset as the last byte goes out: whatever side of it the reset falls, what the server had whole is not called unrun. */
+  /** A reset around the last byte: a call that the server received completely must never be reported as not run. */
   @Test
-  void resetAroundTheLastByteNeverCallsUnrunWhatArrived() throws Exception {
-    int wholes = 0;
+  void resetAroundTheLastByteNeverReportsAnArrivedCallAsNotRun() throws Exception {
+    int complete = 0;
     for (int round = 0; round < 40; round++) {
       try (ServerSocket server = server(4 << 10)) {
         UpstreamLink link = link(address(server));
@@ -170,7 +170,7 @@
             }
             socket.setSoLinger(true, 0);
           } catch (Exception e) {
-            // The balancer's side broke first.
+            // The balancer closed the connection first.
           }
         });
         reader.start();
@@ -178,19 +178,19 @@
         Map.Entry<Integer, Status> o = outcome();
         reader.join();
         if (whole.get()) {
-          wholes++;
-          assertEquals(Status.RESET, o.getValue(), "the server had all of it");
+          complete++;
+          assertEquals(Status.RESET, o.getValue(), "the server received the whole call");
         } else {
           assertTrue(
               o.getValue() == Status.RESET || o.getValue() == Status.CONNECT_FAILED, o.toString());
         }
       }
     }
-    assertTrue(wholes > 0 && wholes < 40, wholes + " of 40 arrived whole");
+    assertTrue(complete > 0 && complete < 40, complete + " of 40 arrived completely");
   }
 
   @Test
-  void callsThatWaitForTheConnectGoOutOnOneConnectionOrFailWithIt() throws Exception {
+  void callsWaitingForTheConnectAreSentOnOneConnectionOrFailWithIt() throws Exception {
     try (ServerSocket server = server(0)) {
       UpstreamLink link = link(address(server));
       for (int i = 0; i < 5; i++) {
@@ -200,7 +200,9 @@
           BufferedReader in = new BufferedReader(
               new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))) {
         assertEquals(
-            Map.entry(2, Status.NOT_SENT), outcome(), "asked again right before its first byte");
+            Map.entry(2, Status.NOT_SENT),
+            outcome(),
+            "permission is checked again right before the first byte");
         for (int i : new int[] {0, 1, 3, 4}) {
           assertTrue(in.readLine().contains("[" + i + ","));
         }
@@ -227,15 +229,15 @@
   }
 
   @Test
-  void timedOutCallsIdIsNotGivenAgainAndSilenceRetiresTheConnection() throws Exception {
+  void idOfATimedOutCallIsNotReusedAndSilenceRetiresTheConnection() throws Exception {
     try (ServerSocket server = server(0)) {
       UpstreamLink link = link(address(server));
       send(link, 1, "", true, 1_000_000_000L);
       assertEquals(Map.entry(1, Status.TIMEOUT), outcome());
       try (Socket silent = server.accept()) {
         assertEquals('{', silent.getInputStream().read());
-        // Nothing was heard on it for the whole time-out: the next call goes elsewhere, as the
-        // machine may be gone.
+        // Nothing was received during the whole time-out: the next call uses a new connection, as
+        // the machine may be down.
         send(link, 2, "", true, LONG);
         try (Socket next = server.accept();
             BufferedReader in = new BufferedReader(
@@ -251,7 +253,7 @@
   }
 
   @Test
-  void staleConnectionIsToldFromAServerThatBreaks() throws Exception {
+  void staleConnectionIsDistinguishedFromAFailingServer() throws Exception {
     try (ServerSocket server = server(0)) {
       UpstreamLink link = link(address(server));
       UpstreamAttempt first = send(link, 1, "", true, LONG);
@@ -265,13 +267,14 @@
               "{\"jsonrpc\":\"2.0\",\"result\":1,\"id\":1}\n".getBytes(StandardCharsets.US_ASCII));
       assertEquals(Map.entry(1, Status.SERVED), outcome());
       assertFalse(first.stale());
-      // The next one finds it kept; the server closes at its first byte.
+      // The next call reuses the connection; the server closes it at the first byte.
       UpstreamAttempt second = send(link, 2, "", true, LONG);
       assertTrue(in.readLine().contains("[2,"));
       socket.close();
       assertEquals(Map.entry(2, Status.RESET), outcome());
-      // Within 50 ms on an idle machine; a busy one may take longer and then calls the server at
-      // fault, which is safe.
+      // Takes less than 50 ms on an idle machine; on a busy one it may take longer and the server
+      // is
+      // then held responsible, which is safe.
       UpstreamAttempt third = send(link, 3, "", true, LONG);
       Socket again = server.accept();
       again.close();
