--- a/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
@@ -7,9 +7,9 @@
 import pumicekeel.call.Answer;
 import pumicekeel.call.Client;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.ClientRequest.Bad;
-import pumicekeel.call.Facts;
+import pumicekeel.call.ClientRequest.InvalidRequest;
 import pumicekeel.call.Payload;
+import pumicekeel.call.RequestAttributes;
 import pumicekeel.core.RequestHandle;
 import pumicekeel.front.jsonrpc.BatchAnswers.EntryOutcome;
 import pumicekeel.front.jsonrpc.MethodMapping.BadParams;
@@ -21,7 +21,7 @@
 import pumicekeel.jsonrpc.MessageWriter;
 
 /** A call from its arrival to its end; for a notification, no answer is sent. */
-final class RpcCall implements Client, Facts {
+final class RpcCall implements Client, RequestAttributes {
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private final RpcClientConnection connection;
@@ -80,17 +80,17 @@
       }
     } catch (BadParams e) {
       throw new RejectedException(ErrorCodes.INVALID_PARAMS, e.getMessage(), 0);
-    } catch (Bad e) {
+    } catch (InvalidRequest e) {
       throw new RejectedException(codeOf(e.status), e.getMessage(), e.retryAfterNanos);
     }
   }
 
   /** Returns the current settings, or the former ones if the class was just removed. */
   private Settings settings() {
-    boolean dropped = handle.formerSettings() != null
+    boolean dropped = handle.previousSettings() != null
         && handle.settings().classes().stream()
             .noneMatch(c -> c.name().equals(mapping.className()));
-    return dropped ? handle.formerSettings() : handle.settings();
+    return dropped ? handle.previousSettings() : handle.settings();
   }
 
   /** Returns the error code for a status of the platform's protocol. */
@@ -103,11 +103,11 @@
     };
   }
 
-  private ClientRequest request(Settings settings) throws Bad, RejectedException {
+  private ClientRequest request(Settings settings) throws InvalidRequest, RejectedException {
     RequestClass type = ClientRequest.classOf(mapping.className(), settings);
     try {
       ClientRequest.checkTenant(fields.tenant(), settings);
-    } catch (Bad e) {
+    } catch (InvalidRequest e) {
       throw new RejectedException(
           ErrorCodes.INVALID_PARAMS,
           mapping.describeSource(Part.TENANT) + ": expected a tenant that is known",
@@ -119,9 +119,11 @@
           mapping.describeSource(Part.IDEMPOTENCY_KEY) + ": expected an idempotency key",
           0);
     }
-    if (call.params() != null && call.params().length > Answer.MAX_BODY) {
+    if (call.params() != null && call.params().length > Answer.MAX_BUFFERED_BYTES) {
       throw new RejectedException(
-          ErrorCodes.INVALID_PARAMS, "params of more than " + Answer.MAX_BODY + " bytes", 0);
+          ErrorCodes.INVALID_PARAMS,
+          "params of more than " + Answer.MAX_BUFFERED_BYTES + " bytes",
+          0);
     }
     long left = fields.timeLeftMillis() < 0
         ? type.deadlineNanos()
@@ -145,7 +147,7 @@
 
   /** Limits the time left. */
   void limitTime(long nanos) {
-    request = request.withLeft(Math.min(nanos, request.leftNanos()));
+    request = request.withTimeLeft(Math.min(nanos, request.leftNanos()));
   }
 
   /** Submits the call; from now on its end will be reported. */
@@ -155,7 +157,7 @@
       if (!handle.submit(request, this)) {
         throw new RejectedException(ErrorCodes.NO_CAPACITY, "its request id is open", 0);
       }
-    } catch (Bad e) {
+    } catch (InvalidRequest e) {
       submitted = false;
       throw new RejectedException(codeOf(e.status), e.getMessage(), e.retryAfterNanos);
     } catch (RejectedException e) {
@@ -238,7 +240,7 @@
     }
     ended = true;
     if (submitted) {
-      handle.clientGone(request.id());
+      handle.clientDisconnected(request.id());
     }
     releaseHandle();
   }
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcFront.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcFront.java
@@ -14,14 +14,14 @@
 import java.util.concurrent.Future;
 import pumicekeel.core.RequestRouter;
 import pumicekeel.front.AcceptControl;
-import pumicekeel.front.AcceptFaults;
+import pumicekeel.front.AcceptErrorHandler;
 import pumicekeel.front.Front;
 import pumicekeel.guard.ServingGuard;
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.FailureScope;
 import pumicekeel.runtime.Log;
+import pumicekeel.runtime.PeriodicTask;
 import pumicekeel.runtime.Reactor;
-import pumicekeel.runtime.Repeated;
 
 /** A listener for JSON-RPC over TCP: its connections, their time limits and its shutdown. */
 public final class RpcFront implements Front {
@@ -78,8 +78,8 @@
       throws InterruptedException {
     listener = new ServerBootstrap()
         .group(loop, loop)
-        .channelFactory(reactor.sockets()::listening)
-        .handler(new AcceptFaults(name, this::acceptFailed, this::acceptAgain))
+        .channelFactory(reactor.sockets()::newListeningChannel)
+        .handler(new AcceptErrorHandler(name, this::acceptFailed, this::acceptAgain))
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .option(ChannelOption.AUTO_READ, accepting)
@@ -104,12 +104,12 @@
     address = (InetSocketAddress) listener.localAddress();
     this.accepting = accepting;
     loop.execute(
-        () -> checkTimer = Repeated.every(CHECK_INTERVAL_MILLIS, loop, this::checkTimeLimits));
+        () -> checkTimer = PeriodicTask.every(CHECK_INTERVAL_MILLIS, loop, this::checkTimeLimits));
     return address;
   }
 
   @Override
-  public void accept() {
+  public void startAccepting() {
     accepting = true;
     acceptAgain();
   }
@@ -159,7 +159,7 @@
   }
 
   @Override
-  public void resize(int maxConnections) {
+  public void setMaxConnections(int maxConnections) {
     accepts.configure(maxConnections);
   }
 
@@ -176,14 +176,14 @@
   }
 
   private void pause() {
-    accepts.reached(clock().now());
+    accepts.limitReached(clock().now());
     listener.config().setAutoRead(false);
   }
 
   /** If the process has no descriptor left, closes the longest idle connection, as at the connection limit. */
   private long acceptFailed(FailureScope scope) {
     long now = clock().now();
-    long rest = accepts.failed(scope, connections.size(), now);
+    long rest = accepts.acceptFailed(scope, connections.size(), now);
     if (scope == FailureScope.PROCESS) {
       connections.stream()
           .filter(c -> c.isEvictable(now))
@@ -204,7 +204,7 @@
         && listener != null
         && listener.isOpen()
         && accepts.mayAccept(connections.size(), now)) {
-      accepts.accepts(now);
+      accepts.accepting(now);
       listener.config().setAutoRead(true);
     }
   }
@@ -217,12 +217,12 @@
   }
 
   private void checkTimeLimits() {
-    if (ended()) {
+    if (isClosed()) {
       checkTimer.cancel(false);
       return;
     }
     long now = clock().now();
-    if (accepts.rise(connections.size(), now)) {
+    if (accepts.raiseLimit(connections.size(), now)) {
       Log.line(name + ": takes " + accepts.limit() + " connections again");
     }
     acceptAgain();
@@ -248,7 +248,7 @@
 
   /** Does nothing: a drain already rejects calls. */
   @Override
-  public void lastAnswers() {
+  public void closeAfterAnswers() {
     // Handled by the drain.
   }
 
@@ -262,23 +262,23 @@
   @Override
   public void stopListening() {
     accepting = false;
-    reactor.sockets().closeBehindLine(listener, Math.max(0, accepts.limit() - connections.size()));
+    reactor.sockets().drainBacklogAndClose(listener, Math.max(0, accepts.limit() - connections.size()));
   }
 
   @Override
-  public void closeUntaken() {
+  public void closeIncomplete() {
     List.copyOf(connections).stream()
         .filter(c -> c.openCalls() == 0)
         .forEach(RpcClientConnection::finish);
   }
 
   @Override
-  public boolean ended() {
+  public boolean isClosed() {
     return connections.isEmpty() && !listener.isOpen();
   }
 
   @Override
-  public int open() {
+  public int openConnections() {
     return connections.size();
   }
 }
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -19,11 +19,11 @@
 import pumicekeel.core.BalancerCore;
 import pumicekeel.discovery.HostList;
 import pumicekeel.discovery.UpstreamSource;
+import pumicekeel.pool.CapacityPlan;
 import pumicekeel.pool.FairQueue;
 import pumicekeel.pool.ResidenceTime;
-import pumicekeel.pool.RoomPlan;
+import pumicekeel.pool.SharedCapacity;
 import pumicekeel.pool.SharedUpstreams;
-import pumicekeel.pool.Shares;
 import pumicekeel.runtime.LoopLag;
 import pumicekeel.runtime.Reactor;
 import pumicekeel.upstream.UpstreamLinks;
@@ -35,7 +35,7 @@
  * A running pool of an operator file: its own module instance, upstream list, connections and part of the capacity. Its
  * name, its source and its selection identify the upstreams that remember its keyed requests.
  */
-final class ServicePool implements UpstreamSource.Follower {
+final class ServicePool implements UpstreamSource.Observer {
 
   /** Limit of the queue; each queued request is an open one, so the limit on open requests is the effective bound. */
   private static final int MAX_QUEUED = 1 << 16;
@@ -45,8 +45,8 @@
       Reactor on,
       LoopLag lag,
       UpstreamSockets sockets,
-      Shares open,
-      Shares body,
+      SharedCapacity open,
+      SharedCapacity body,
       FairQueue fairQueue,
       SharedUpstreams<InetSocketAddress> upstreams,
       Consumer<RuntimeException> defect) {}
@@ -60,8 +60,8 @@
   private final UpstreamLinks connections;
   private final BalancerCore core;
   private final ResidenceTime residenceTime = new ResidenceTime();
-  final Shares.Owner open;
-  final Shares.Owner body;
+  final SharedCapacity.Owner open;
+  final SharedCapacity.Owner body;
   final FairQueue.PoolQueue queue;
   /** The upstreams that this pool selects from the list, as the list has them. */
   private final Map<Long, HostList.Host> hosts = new LinkedHashMap<>();
@@ -91,7 +91,7 @@
         shared.lag(),
         connections,
         shared.defect());
-    core.currency(source.currency());
+    core.setListCurrency(source.currency());
   }
 
   private static UpstreamLinks links(Operator.Pool spec, Settings settings, Shared shared) {
@@ -142,13 +142,14 @@
 
   /** Applies changed settings. */
   void retune(Settings next) {
-    connections.tune(next.limits().connectTimeoutNanos(), next.limits().connectionIdleNanos());
-    core.retune(next);
+    connections.setTimeouts(
+        next.limits().connectTimeoutNanos(), next.limits().connectionIdleNanos());
+    core.applySettings(next);
   }
 
   /** Sets the exchange that lends and borrows tenants' quotas; null for even shares. */
   void lend(LentQuotas quotas) {
-    core.quotas(quotas == null ? null : quotas.of(name()));
+    core.setQuotaSource(quotas == null ? null : quotas.of(name()));
   }
 
   BalancerCore core() {
@@ -174,43 +175,46 @@
 
   /** Sets new limits; all else stays as the pool was created. */
   void resize(
-      RoomPlan.Part openPart, RoomPlan.Part socketPart, RoomPlan.Part bodyPart, int perUpstream) {
-    open.resize(openPart.guaranteed(), openPart.most());
-    body.resize(bodyPart.guaranteed(), bodyPart.most());
-    connections.resize(socketPart.guaranteed(), socketPart.most(), perUpstream);
+      CapacityPlan.Allocation openPart,
+      CapacityPlan.Allocation socketPart,
+      CapacityPlan.Allocation bodyPart,
+      int perUpstream) {
+    open.resize(openPart.guaranteed(), openPart.max());
+    body.resize(bodyPart.guaranteed(), bodyPart.max());
+    connections.resize(socketPart.guaranteed(), socketPart.max(), perUpstream);
   }
 
   /** Gives up the guarantees; capacity in use is kept until its requests have ended. */
-  void retire(RoomPlan.Part sockets) {
+  void retire(CapacityPlan.Allocation sockets) {
     open.resize(0, Long.MAX_VALUE);
     body.resize(0, Long.MAX_VALUE);
-    connections.resize(0, sockets.most(), spec.connectionsPerUpstream());
+    connections.resize(0, sockets.max(), spec.connectionsPerUpstream());
   }
 
   boolean finished() {
-    return core.empty() && open.used() == 0;
+    return core.isEmpty() && open.used() == 0;
   }
 
   // Upstream list
 
   void start() {
-    HostList initial = select(source.follow(this));
+    HostList initial = select(source.addObserver(this));
     core.start(initial, active -> source.watch(this, active));
   }
 
   @Override
-  public void news(HostList list) {
-    core.news(select(list));
+  public void listChanged(HostList list) {
+    core.updateList(select(list));
   }
 
   /** Closes a pool that has no open requests. */
   void close() {
-    source.unfollow(this);
+    source.removeObserver(this);
     connections.close();
-    open.leave();
-    body.leave();
+    open.close();
+    body.close();
     Map<ServicePool, Set<InetSocketAddress>> affected = new LinkedHashMap<>();
-    for (InetSocketAddress address : shared.upstreams().leave(this)) {
+    for (InetSocketAddress address : shared.upstreams().removePool(this)) {
       addAffected(affected, address, shared.upstreams().poolsAt(address));
     }
     onSharedChange.accept(affected);
@@ -224,26 +228,26 @@
       HostList.Host before = hosts.get(host.listed().upstream());
       if (spec.select().matches(host)) {
         mine.add(host);
-      } else if (before != null && !list.whole()) {
+      } else if (before != null && !list.snapshot()) {
         mine.add(departed(before));
       }
     }
-    if (list.whole()) {
+    if (list.snapshot()) {
       List<Long> listed = mine.stream().map(h -> h.listed().upstream()).toList();
       Set<Long> absent = new LinkedHashSet<>(hosts.keySet());
       absent.removeAll(Set.copyOf(listed));
       absent.forEach(id -> update(departed(hosts.get(id)), affected));
     }
     mine.forEach(h -> update(h, affected));
-    HostList selected =
-        new HostList(list.index(), list.whole(), mine.stream().map(this::viewOf).toList());
+    HostList selected = new HostList(
+        list.index(), list.snapshot(), mine.stream().map(this::viewOf).toList());
     onSharedChange.accept(affected);
     return selected;
   }
 
   private static HostList.Host departed(HostList.Host host) {
     Listed l = host.listed();
-    return host.as(
+    return host.withListed(
         new Listed(l.upstream(), l.zone(), l.cell(), State.GONE, l.startedNanos(), l.weight()));
   }
 
@@ -267,7 +271,7 @@
   }
 
   private HostList.Host viewOf(HostList.Host host) {
-    return host.as(shared.upstreams().seenBy(this, host.address(), host.listed()));
+    return host.withListed(shared.upstreams().withSharing(this, host.address(), host.listed()));
   }
 
   /** Reports the upstreams at these addresses to the module again after another pool has received an update of them. */
@@ -277,7 +281,7 @@
         .map(this::viewOf)
         .toList();
     if (!again.isEmpty()) {
-      core.news(new HostList(0, false, again));
+      core.updateList(new HostList(0, false, again));
     }
   }
 }
--- a/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
@@ -9,18 +9,21 @@
 import pumicekeel.call.AnswerStart;
 import pumicekeel.call.BodySink;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.call.Flow;
+import pumicekeel.call.FlowControl;
 import pumicekeel.runtime.Clock;
 
-/** One Send of the module: from the decision to exactly one outcome, over whatever protocol its upstream speaks. */
+/** One Send action of the module, from the decision to exactly one outcome, independent of the upstream's protocol. */
 public abstract class UpstreamAttempt {
 
-  /** Told how the attempt ended; the answer is null where none came whole. */
-  public interface Ending {
+  /** Receives the outcome of an attempt; the answer is null unless it arrived completely. */
+  public interface Observer {
     void ended(UpstreamAttempt attempt, Status status, Answer answer);
 
-    /** Asked when an answer begins that is not kept: where its pieces go, null for nowhere. The end is told as ever. */
-    default BodySink begins(UpstreamAttempt attempt, AnswerStart start, Flow source) {
+    /**
+     * Called when an answer starts that is not buffered; returns where its pieces go, or null to decline it. The outcome is reported as
+     * usual.
+     */
+    default BodySink answerStarted(UpstreamAttempt attempt, AnswerStart start, FlowControl source) {
       return null;
     }
   }
@@ -28,126 +31,133 @@
   public final int number;
   public final long upstream;
   public final long decidedAt;
-  private final Ending ending;
-  private ScheduledFuture<?> timeout;
+  private final Observer observer;
+  private ScheduledFuture<?> timeoutTask;
   private long timeoutNanos;
-  /** When its client's time is up. */
-  private long timeUpAt;
-  /** Its answer is large and may take longer than that, as long as it comes. */
-  private boolean untimed;
+  /** When the client's time limit passes. */
+  private long deadline;
+  /** Set for a large answer, which may take longer than that as long as data arrives. */
+  private boolean exemptFromTimeout;
 
   private boolean sent;
   private long sentAt;
   private Clock clock;
   private Status status;
-  private Runnable whenWritten;
-  /** A part of the request's body has not gone out: it can't have begun. */
+  private Runnable onWritten;
+  /** Part of the request's body has not been sent, so the upstream cannot have begun to process it. */
   private boolean bodyPending;
-  /** When its answer began to be passed on; 0 for not yet. */
-  private long begunAt;
+  /** When streaming of the answer to the client began; 0 for not yet. */
+  private long answerStartedAt;
 
-  protected UpstreamAttempt(int number, long upstream, long decidedAt, Ending ending) {
+  protected UpstreamAttempt(int number, long upstream, long decidedAt, Observer observer) {
     this.number = number;
     this.upstream = upstream;
     this.decidedAt = decidedAt;
-    this.ending = ending;
+    this.observer = observer;
   }
 
-  /** Sends on a connection that is there or a new one; {@code maySend} is asked again right before the first byte. */
+  /** Sends on an existing connection or a new one; {@code maySend} is checked again immediately before the first byte. */
   public final void start(
-      ClientRequest request, long nanos, BooleanSupplier maySend, Clock by, EventLoop loop) {
-    clock = by;
+      ClientRequest request,
+      long nanos,
+      BooleanSupplier maySend,
+      Clock clockSource,
+      EventLoop loop) {
+    clock = clockSource;
     arm(nanos, loop);
     begin(request, maySend);
   }
 
-  /** Finds a connection, asks {@code maySend}, and writes; whatever hinders it ends the attempt. */
+  /** Obtains a connection, checks {@code maySend}, and writes; any failure to do so ends the attempt. */
   protected abstract void begin(ClientRequest request, BooleanSupplier maySend);
 
-  /** The attempt has just ended like this, and nobody was told yet: its connection may have to go. */
-  protected abstract void over(Status how);
+  /** Called when the attempt has just ended, before the observer is notified; releases its connection if necessary. */
+  protected abstract void onEnded(Status how);
 
-  /** Whether the request found a kept connection broken, of which it could not know. */
+  /** Returns whether the attempt failed because a kept connection turned out to be broken, which could not be known before. */
   public abstract boolean stale();
 
-  /** The first byte goes out now; what is left of the time to wait, in whole milliseconds and at least one. */
-  protected final long sending() {
+  /** Records that the first byte is sent now; returns the remaining time limit in whole milliseconds, at least one. */
+  protected final long markSending() {
     sent = true;
     sentAt = clock.now();
     return Math.max(1, (timeoutNanos - (sentAt - decidedAt)) / 1_000_000);
   }
 
-  /** The request's body goes out while it comes, from now on. */
+  /** Records that the request's body is sent while it arrives. */
   protected final void bodyPending() {
     bodyPending = true;
   }
 
-  /** The last byte of the request has come: the time to wait, and the latency, begin now. */
-  public final void bodyCame(long nanos, EventLoop loop) {
+  /** Records that the last byte of the request has arrived: the time limit and the latency measurement start now. */
+  public final void bodyReceived(long nanos, EventLoop loop) {
     bodyPending = false;
-    if (status != null || timeout == null) {
+    if (status != null || timeoutTask == null) {
       return;
     }
-    timeout.cancel(false);
+    timeoutTask.cancel(false);
     sentAt = sent ? clock.now() : sentAt;
     arm(nanos, loop);
   }
 
   private void arm(long nanos, EventLoop loop) {
     timeoutNanos = nanos;
-    timeUpAt = clock.now() + nanos;
-    timeout = loop.schedule(this::timeIsUp, Math.max(0, nanos), TimeUnit.NANOSECONDS);
+    deadline = clock.now() + nanos;
+    timeoutTask = loop.schedule(this::onTimeout, Math.max(0, nanos), TimeUnit.NANOSECONDS);
   }
 
-  private void timeIsUp() {
-    if (!untimed) {
+  private void onTimeout() {
+    if (!exemptFromTimeout) {
       end(Status.TIMEOUT, null);
     }
   }
 
-  /** An answer begins that is passed on while it comes; its client's time limits it still, unless it is {@link #untimed}. */
-  public final BodySink begin(AnswerStart start, Flow source) {
-    BodySink sink = status != null ? null : ending.begins(this, start, source);
+  /**
+   * Starts an answer that is streamed to the client; the client's time limit still applies unless the answer is
+   * {@link #exemptFromTimeout}.
+   */
+  public final BodySink begin(AnswerStart start, FlowControl source) {
+    BodySink sink = status != null ? null : observer.answerStarted(this, start, source);
     if (sink != null) {
-      begunAt = clock.now();
+      answerStartedAt = clock.now();
     }
     return sink;
   }
 
-  /** The answer that is passed on is a large one: it may last for as long as it comes. */
-  public final void untimed() {
-    untimed = true;
+  /** Exempts a large streamed answer from the time limit: it may last as long as data arrives. */
+  public final void exemptFromTimeout() {
+    exemptFromTimeout = true;
   }
 
-  /** What is left of its client's time; 0 or less for nothing. */
-  public final long leftNanos() {
-    return timeUpAt - clock.now();
+  /** Returns what is left of the client's time limit; 0 or less once it has passed. */
+  public final long remainingNanos() {
+    return deadline - clock.now();
   }
 
-  /** The last byte has gone out. */
-  protected final void written() {
-    if (whenWritten != null) {
-      whenWritten.run();
+  /** Runs the callback for the last byte having been sent. */
+  protected final void notifyWritten() {
+    if (onWritten != null) {
+      onWritten.run();
     }
   }
 
-  protected final boolean recordsWriting() {
-    return whenWritten != null;
+  protected final boolean hasWriteCallback() {
+    return onWritten != null;
   }
 
   protected final long timeoutNanos() {
     return timeoutNanos;
   }
 
-  protected final long sinceSent() {
+  protected final long nanosSinceSent() {
     return clock.now() - sentAt;
   }
 
-  public final boolean out() {
+  public final boolean inFlight() {
     return status == null;
   }
 
-  /** Whether this attempt may have an effect by now. */
+  /** Returns whether this attempt may have had an effect by now. */
   public final boolean mayHaveRun() {
     return sent && !bodyPending && (status == null || !status.provesNotRun());
   }
@@ -157,29 +167,31 @@
   }
 
   /**
-   * From the first byte's writing to the time given, when the answer came; of one that was not sent, from the decision.
-   * What passes before the writing is a connect, which a slow loop makes long, and no upstream's work.
+   * Returns the time from writing the first byte until the given time, when the answer arrived; for an attempt that was not sent, from
+   * the decision. The time before the write is spent on connecting, which a slow event loop prolongs, and is not the upstream's work.
    */
   public final long latencyNanos(long until) {
     return Math.max(
-        0, (begunAt == 0 ? until : Math.min(begunAt, until)) - (sent ? sentAt : decidedAt));
+        0,
+        (answerStartedAt == 0 ? until : Math.min(answerStartedAt, until))
+            - (sent ? sentAt : decidedAt));
   }
 
-  /** Run once the attempt's last byte has gone out; to be set before the start. */
-  public final void whenWritten(Runnable then) {
-    whenWritten = then;
+  /** Sets a callback for when the attempt's last byte has been sent; to be called before the start. */
+  public final void onWritten(Runnable then) {
+    onWritten = then;
   }
 
-  /** Ends the attempt once. */
+  /** Ends the attempt; only the first call has an effect. */
   public final void end(Status how, Answer answer) {
     if (status != null) {
       return;
     }
     status = how;
-    if (timeout != null) {
-      timeout.cancel(false);
+    if (timeoutTask != null) {
+      timeoutTask.cancel(false);
     }
-    over(how);
-    ending.ended(this, how, answer);
+    onEnded(how);
+    observer.ended(this, how, answer);
   }
 }
--- a/src/main/java/pumicekeel/upstream/UpstreamTable.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamTable.java
@@ -9,23 +9,23 @@
 import pumicekeel.Balancer.State;
 import pumicekeel.discovery.HostList;
 
-/** The upstreams that the list names, and those that it named as long as attempts are out to them. */
+/** The upstreams that the list names, and removed ones for as long as attempts to them are in flight. */
 public final class UpstreamTable {
 
-  /** An upstream as the list last told of it, with its connections. */
+  /** An upstream as last listed, with its connections. */
   public static final class Entry {
     private final long id;
     private UpstreamLink link;
-    private boolean leaves;
-    private boolean gone;
-    private int out;
+    private boolean leaving;
+    private boolean removed;
+    private int inFlight;
     private HostList.Host host;
 
     private Entry(long id) {
       this.id = id;
     }
 
-    /** As the list last told of it. */
+    /** Returns the upstream as last listed. */
     public HostList.Host host() {
       return host;
     }
@@ -34,88 +34,88 @@
       return link;
     }
 
-    /** Whether the list says that it drains or is gone. */
-    public boolean leaves() {
-      return leaves;
+    /** Returns whether the list says that the upstream drains or is removed. */
+    public boolean leaving() {
+      return leaving;
     }
   }
 
   private final UpstreamLinks links;
   private final Map<Long, Entry> entries = new HashMap<>();
-  private int ready;
+  private int readyCount;
 
   public UpstreamTable(UpstreamLinks links) {
     this.links = links;
   }
 
-  /** The upstream of this id; null where the list never named it, or it is gone and nothing is out to it. */
+  /** Returns the upstream with this ID; null if the list never named it, or if it is removed and no attempts to it are in flight. */
   public Entry get(long id) {
     return entries.get(id);
   }
 
-  /** How many are ready, as the list tells. */
-  public int ready() {
-    return ready;
+  /** Returns how many upstreams are ready according to the list. */
+  public int readyCount() {
+    return readyCount;
   }
 
   public int size() {
     return entries.size();
   }
 
-  /** Takes in changes, or the whole list: one that is absent from that is gone. */
-  public void news(boolean whole, List<HostList.Host> hosts) {
+  /** Applies changes, or a snapshot of the list: upstreams absent from a snapshot are removed. */
+  public void applyList(boolean snapshot, List<HostList.Host> hosts) {
     Set<Long> named = new HashSet<>();
     for (HostList.Host host : hosts) {
       named.add(host.listed().upstream());
       update(host);
     }
-    if (whole) {
+    if (snapshot) {
       List.copyOf(entries.values()).stream()
           .filter(e -> !named.contains(e.id))
-          .forEach(e -> leave(e, true));
+          .forEach(e -> markLeaving(e, true));
     }
-    ready = (int) entries.values().stream().filter(e -> !e.leaves).count();
+    readyCount = (int) entries.values().stream().filter(e -> !e.leaving).count();
   }
 
   private void update(HostList.Host host) {
     Listed listed = host.listed();
     Entry e = entries.computeIfAbsent(listed.upstream(), Entry::new);
     e.host = host;
-    if (e.link == null || !e.link.address().equals(host.address()) || e.gone) {
+    if (e.link == null || !e.link.address().equals(host.address()) || e.removed) {
       if (e.link != null) {
         e.link.close();
       }
       e.link = links.of(host.address());
     }
     if (listed.state() == State.READY) {
-      e.leaves = false;
-      e.gone = false;
+      e.leaving = false;
+      e.removed = false;
     } else {
-      leave(e, listed.state() == State.GONE);
+      markLeaving(e, listed.state() == State.GONE);
     }
   }
 
-  private void leave(Entry e, boolean gone) {
-    e.leaves = true;
-    e.gone = gone;
+  private void markLeaving(Entry e, boolean gone) {
+    e.leaving = true;
+    e.removed = gone;
     if (gone) {
       e.link.close();
-      forgetIfOver(e);
+      removeIfUnused(e);
     }
   }
 
-  public void started(Entry e) {
-    e.out++;
+  public void attemptStarted(Entry e) {
+    e.inFlight++;
   }
 
-  public void ended(Entry e) {
-    e.out--;
-    forgetIfOver(e);
+  public void attemptEnded(Entry e) {
+    e.inFlight--;
+    removeIfUnused(e);
   }
 
-  /** Guards the memory where upstreams are replaced all day under new ids. */
-  private void forgetIfOver(Entry e) {
-    if (e.gone && e.out == 0) {
+  /** Bounds the memory where upstreams are continually replaced under new IDs. */
+  private void removeIfUnused(Entry e) {
+    if (e.removed && e.inFlight == 0) {
       entries.remove(e.id, e);
     }
   }
--- a/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
+++ b/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
@@ -17,22 +17,22 @@
 import pumicekeel.call.Payload;
 import pumicekeel.upstream.UpstreamAttempt;
 
-/** An attempt that has an HTTP connection for itself; one that ends otherwise than by an answer takes it along. */
+/** An attempt with exclusive use of an HTTP connection; if it ends without an answer, the connection is closed too. */
 final class HttpAttempt extends UpstreamAttempt {
 
-  /** A kept connection that breaks within so long of the request was broken before: no upstream answers as fast. */
-  private static final long STALE_NANOS = 50_000_000L;
+  /** A kept connection that breaks within this time of the request was broken before: no upstream answers as fast. */
+  private static final long STALE_RESET_NANOS = 50_000_000L;
 
   private final UpstreamPool pool;
   private UpstreamConnection connection;
   private ChannelFuture connecting;
   private boolean stale;
-  /** The kept connection that is waited for, and the end of that. */
-  private UpstreamConnection resting;
+  /** The kept connection whose reuse delay is awaited, and the timer for it. */
+  private UpstreamConnection awaitedConnection;
 
-  private ScheduledFuture<?> rested;
+  private ScheduledFuture<?> reuseTimer;
 
-  HttpAttempt(int number, long upstream, long decidedAt, UpstreamPool pool, Ending ending) {
+  HttpAttempt(int number, long upstream, long decidedAt, UpstreamPool pool, Observer ending) {
     super(number, upstream, decidedAt, ending);
     this.pool = pool;
   }
@@ -41,7 +41,7 @@
   protected void begin(ClientRequest request, BooleanSupplier maySend) {
     UpstreamConnection idle = pool.takeIdle();
     if (idle != null) {
-      onceRested(idle, request, maySend);
+      writeWhenReusable(idle, request, maySend);
       return;
     }
     connecting = pool.connect();
@@ -50,7 +50,7 @@
       return;
     }
     connecting.addListener(done -> {
-      if (!out()) {
+      if (!inFlight()) {
         connecting.channel().close();
       } else if (!done.isSuccess() || !connecting.channel().isActive()) {
         end(Status.CONNECT_FAILED, null);
@@ -60,38 +60,39 @@
     });
   }
 
-  private void onceRested(UpstreamConnection kept, ClientRequest request, BooleanSupplier maySend) {
-    long rest = kept.restLeft();
-    if (rest <= 0) {
+  private void writeWhenReusable(
+      UpstreamConnection kept, ClientRequest request, BooleanSupplier maySend) {
+    long delayNanos = kept.reuseDelayLeft();
+    if (delayNanos <= 0) {
       write(kept, request, maySend);
       return;
     }
-    resting = kept;
-    rested = pool.later(
+    awaitedConnection = kept;
+    reuseTimer = pool.schedule(
         () -> {
-          resting = null;
+          awaitedConnection = null;
           if (kept.usable()) {
-            onceRested(kept, request, maySend);
+            writeWhenReusable(kept, request, maySend);
           } else {
             kept.close();
             begin(request, maySend);
           }
         },
-        rest);
+        delayNanos);
   }
 
   private void write(UpstreamConnection to, ClientRequest request, BooleanSupplier maySend) {
     if (!maySend.getAsBoolean()) {
-      to.giveBack();
+      to.returnToPool();
       end(Status.NOT_SENT, null);
       return;
     }
     connection = to;
-    Payload.Http http = request.payload().http(request.type().effect());
+    Payload.Http http = request.payload().toHttp(request.type().effect());
     if (http.upload() == null) {
-      to.send(this, message(request, http, sending()));
+      to.send(this, message(request, http, markSending()));
     } else {
-      if (!http.upload().isWhole()) {
+      if (!http.upload().isComplete()) {
         bodyPending();
       }
       to.send(
@@ -101,12 +102,12 @@
               request,
               http,
               http.upload().length(),
-              sending()),
+              markSending()),
           http.upload(),
           request.leftNanos());
     }
-    if (recordsWriting()) {
-      to.whenWritten(this::written);
+    if (hasWriteCallback()) {
+      to.onWritten(this::notifyWritten);
     }
   }
 
@@ -118,7 +119,7 @@
     return message;
   }
 
-  /** What goes on of a request's head; a length of -1 is told by chunks. */
+  /** Sets the headers that are forwarded; a length of -1 means chunked encoding. */
   private static HttpMessage headers(
       HttpMessage message, ClientRequest request, Payload.Http http, long length, long leftMillis) {
     message
@@ -146,31 +147,31 @@
   }
 
   @Override
-  protected void over(Status how) {
-    if (resting != null) {
-      rested.cancel(false);
-      resting.giveBack();
-      resting = null;
+  protected void onEnded(Status status) {
+    if (awaitedConnection != null) {
+      reuseTimer.cancel(false);
+      awaitedConnection.returnToPool();
+      awaitedConnection = null;
     }
-    stale = how == Status.RESET
+    stale = status == Status.RESET
         && connecting == null
-        && connection.nothingHeard()
-        && sinceSent() < STALE_NANOS;
+        && connection.nothingReceived()
+        && nanosSinceSent() < STALE_RESET_NANOS;
     if (stale) {
-      // What was kept for longer has most likely gone the same way, and would cost an attempt each.
+      // Connections kept for longer have most likely broken too, and would cost an attempt each.
       pool.closeOlderThan(connection.idleSince);
     }
-    if (how == Status.TIMEOUT || how == Status.CANCELLED) {
+    if (status == Status.TIMEOUT || status == Status.CANCELLED) {
       if (connection != null) {
         connection.close();
       } else if (connecting != null) {
         connecting.channel().close();
       }
     }
-    if (how == Status.TIMEOUT && !pool.heardWithin(timeoutNanos())) {
-      // A machine that vanished keeps its connections open and silent: none of them is used again.
-      // One that still
-      // answers others was only slow, and closing all would cost it a storm of new connections.
+    if (status == Status.TIMEOUT && !pool.receivedWithin(timeoutNanos())) {
+      // A machine that vanished leaves its connections open and silent: none of them is used again.
+      // One that still answers other requests
+      // was only slow, and closing all its connections would cause a storm of new ones.
       pool.closeIdle();
     }
   }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
@@ -19,7 +19,7 @@
   private long framesAtSend;
   private boolean stale;
 
-  RpcAttempt(int number, long upstream, long decidedAt, RpcLink link, Ending ending) {
+  RpcAttempt(int number, long upstream, long decidedAt, RpcLink link, Observer ending) {
     super(number, upstream, decidedAt, ending);
     this.link = link;
   }
@@ -39,7 +39,7 @@
   void sendStarted(long as) {
     id = as;
     framesAtSend = connection.frames();
-    sending();
+    markSending();
   }
 
   long id() {
@@ -47,11 +47,11 @@
   }
 
   long nanosSinceSend() {
-    return sinceSent();
+    return nanosSinceSent();
   }
 
   void sendCompleted() {
-    written();
+    notifyWritten();
   }
 
   @Override
@@ -60,13 +60,13 @@
   }
 
   @Override
-  protected void over(Status how) {
+  protected void onEnded(Status how) {
     if (connection == null) {
       return;
     }
     stale = how == Status.RESET
         && connection.wasReusedAndSilent(id, framesAtSend)
-        && sinceSent() < STALE_NANOS;
+        && nanosSinceSent() < STALE_NANOS;
     if (how == Status.TIMEOUT || how == Status.CANCELLED) {
       // Silence is judged by frames received since the send, not by time: the time-out may have
       // started before the connection did.
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.call.ClientRequest;
-import pumicekeel.pool.Shares;
+import pumicekeel.pool.SharedCapacity;
+import pumicekeel.runtime.PeriodicTask;
 import pumicekeel.runtime.Reactor;
-import pumicekeel.runtime.Repeated;
 import pumicekeel.upstream.SocketUser;
 import pumicekeel.upstream.UpstreamLink;
 import pumicekeel.upstream.UpstreamLinks;
@@ -29,7 +29,7 @@
   private final Reactor reactor;
   private final Bootstrap bootstrap;
   private final UpstreamSockets sockets;
-  private final Shares.Owner share;
+  private final SharedCapacity.Owner share;
   private final ServerSettings settings;
   private long idleNanos;
   private final Set<RpcLink> links = new LinkedHashSet<>();
@@ -49,11 +49,11 @@
     share = sockets.shares().add(0, 0);
     sockets.add(this);
     bootstrap = new Bootstrap().group(reactor.loop());
-    tune(connectTimeoutNanos, idleNanos);
+    setTimeouts(connectTimeoutNanos, idleNanos);
   }
 
   @Override
-  public void tune(long connectTimeoutNanos, long idleNanos) {
+  public void setTimeouts(long connectTimeoutNanos, long idleNanos) {
     bootstrap.option(
         ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutNanos / 1_000_000));
     this.idleNanos = (long) (idleNanos * IDLE_FRACTION);
@@ -62,7 +62,7 @@
     }
     long periodMillis =
         Math.max(1, TimeUnit.NANOSECONDS.toMillis(this.idleNanos / SWEEPS_PER_IDLE_TIME));
-    sweep = Repeated.every(periodMillis, reactor.loop(), this::closeExpired);
+    sweep = PeriodicTask.every(periodMillis, reactor.loop(), this::closeExpired);
   }
 
   /** Returns why a request can't be sent to these servers, or null if it can. */
@@ -88,10 +88,10 @@
 
   /** Opens a connection; returns null if the socket limit or the process's descriptors are exhausted. */
   RpcConnection connect(RpcLink link) {
-    if (!sockets.take(this, link.address())) {
+    if (!sockets.acquire(this, link.address())) {
       return null;
     }
-    Channel made = reactor.connecting();
+    Channel made = reactor.newConnectingChannel();
     if (made == null) {
       sockets.release(this, link.address());
       return null;
@@ -122,16 +122,16 @@
     sweep.cancel(false);
     List.copyOf(links).forEach(RpcLink::close);
     sockets.remove(this);
-    share.leave();
+    share.close();
   }
 
   @Override
-  public Shares.Owner share() {
+  public SharedCapacity.Owner share() {
     return share;
   }
 
   @Override
-  public int perUpstream() {
+  public int maxPerAddress() {
     return perUpstream;
   }
 
@@ -141,7 +141,7 @@
   }
 
   @Override
-  public boolean closeOldest() {
+  public boolean closeLongestIdle() {
     return closed(oldest(null));
   }
 
--- a/src/test/java/pumicekeel/guard/NoViolations.java
+++ b/src/test/java/pumicekeel/guard/NoViolations.java
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.extension.BeforeEachCallback;
 import org.junit.jupiter.api.extension.ExtensionContext;
 
-/** Fails each test in whose time the program's guard counted a violation; registered for all tests by META-INF/services. */
+/** Fails each test during which the program's guard counted a violation; registered for all tests in META-INF/services. */
 public final class NoViolations implements BeforeEachCallback, AfterEachCallback {
 
   private long before;
 
   @Override
   public void beforeEach(ExtensionContext test) {
-    before = ServingGuard.violationsInProcess();
+    before = ServingGuard.violationCountInProcess();
   }
 
   @Override
@@ -21,8 +21,8 @@
     boolean wanted =
         test.getTestClass().filter(c -> c == ServingGuardTest.class).isPresent();
     assertEquals(
-        wanted ? ServingGuard.violationsInProcess() : before,
-        ServingGuard.violationsInProcess(),
+        wanted ? ServingGuard.violationCountInProcess() : before,
+        ServingGuard.violationCountInProcess(),
         "violations that the guard counted");
   }
 }
--- a/src/test/java/pumicekeel/node/UpstreamTableTest.java
+++ b/src/test/java/pumicekeel/node/UpstreamTableTest.java
@@ -22,7 +22,7 @@
 import pumicekeel.upstream.http.ConnectionPool;
 import pumicekeel.upstream.http.UpstreamPool;
 
-/** What is remembered of upstreams that come and go all day. */
+/** The state kept of upstreams while instances are continually replaced. */
 class UpstreamTableTest {
 
   private final EventLoop loop =
@@ -31,7 +31,7 @@
       new UpstreamTable(new ConnectionPool(Reactor.of(loop), 1_000_000_000L, 60_000_000_000L, 10));
 
   private static HostList.Host host(long id, State state) {
-    return new HostList.Host(TestNode.nowhere(), new Listed(id, "a", 1, state, 0, 1));
+    return new HostList.Host(TestNode.unusedAddress(), new Listed(id, "a", 1, state, 0, 1));
   }
 
   @AfterEach
@@ -41,47 +41,47 @@
 
   @Test
   void thousandReplacedUpstreamsLeaveNothingBehind() {
-    table.news(true, List.of(host(0, State.READY)));
+    table.applyList(true, List.of(host(0, State.READY)));
     for (int id = 1; id <= 1_000; id++) {
-      table.news(false, List.of(host(id, State.READY), host(id - 1, State.DRAINING)));
-      table.news(false, List.of(host(id - 1, State.GONE)));
+      table.applyList(false, List.of(host(id, State.READY), host(id - 1, State.DRAINING)));
+      table.applyList(false, List.of(host(id - 1, State.GONE)));
     }
     assertEquals(1, table.size());
     assertNotNull(table.get(1_000));
   }
 
   @Test
-  void oneThatIsGoneIsRememberedWhileAnAttemptIsOut() {
-    table.news(true, List.of(host(1, State.READY), host(2, State.READY)));
+  void removedUpstreamIsKeptWhileAnAttemptIsInFlight() {
+    table.applyList(true, List.of(host(1, State.READY), host(2, State.READY)));
     UpstreamTable.Entry first = table.get(1);
-    table.started(first);
-    table.news(true, List.of(host(2, State.READY)));
+    table.attemptStarted(first);
+    table.applyList(true, List.of(host(2, State.READY)));
     assertSame(first, table.get(1));
-    assertTrue(first.leaves(), "absent from a whole list");
-    table.ended(first);
+    assertTrue(first.leaving(), "absent from a snapshot");
+    table.attemptEnded(first);
     assertNull(table.get(1));
-    assertTrue(first.leaves(), "a send that is still to come may ask");
+    assertTrue(first.leaving(), "a send that is still pending may query it");
   }
 
   @Test
-  void successorAtTheSameAddressInheritsNothing() {
-    table.news(true, List.of(host(1, State.READY)));
-    table.news(false, List.of(host(1, State.DRAINING)));
+  void successorAtTheSameAddressInheritsNoState() {
+    table.applyList(true, List.of(host(1, State.READY)));
+    table.applyList(false, List.of(host(1, State.DRAINING)));
     UpstreamPool before = (UpstreamPool) table.get(1).link();
-    table.news(false, List.of(host(2, State.READY)));
+    table.applyList(false, List.of(host(2, State.READY)));
     UpstreamPool after = (UpstreamPool) table.get(2).link();
     assertEquals(before.address(), after.address());
     assertFalse(before == after);
-    assertFalse(table.get(2).leaves());
-    assertTrue(table.get(1).leaves());
+    assertFalse(table.get(2).leaving());
+    assertTrue(table.get(1).leaving());
   }
 
   @Test
-  void oneThatIsReadyAgainLeavesNoMore() {
-    table.news(true, List.of(host(1, State.READY)));
-    table.news(false, List.of(host(1, State.DRAINING)));
-    table.news(false, List.of(host(1, State.GONE)));
-    table.news(false, List.of(host(1, State.READY)));
-    assertFalse(table.get(1).leaves());
+  void upstreamThatIsReadyAgainIsNoLongerLeaving() {
+    table.applyList(true, List.of(host(1, State.READY)));
+    table.applyList(false, List.of(host(1, State.DRAINING)));
+    table.applyList(false, List.of(host(1, State.GONE)));
+    table.applyList(false, List.of(host(1, State.READY)));
+    assertFalse(table.get(1).leaving());
   }
 }
--- a/src/test/java/pumicekeel/upstream/jsonrpc/RpcConnectionTest.java
+++ b/src/test/java/pumicekeel/upstream/jsonrpc/RpcConnectionTest.java
@@ -148,7 +148,7 @@
       }
       assertEquals(may, arrived, "calls that arrived completely are those that may have run");
       sent.stream()
-          .filter(a -> !a.out())
+          .filter(a -> !a.inFlight())
           .forEach(a -> assertEquals(may.contains(a.number), a.mayHaveRun()));
     }
   }
