--- a/src/main/java/pumicekeel/AdaptiveBalancer.java
+++ b/src/main/java/pumicekeel/AdaptiveBalancer.java
@@ -12,199 +12,198 @@
 import pumicekeel.Window.Metric;
 
 /**
- * Every decision of a balancer; its interface is in Balancer.java. Ordinary path: {@link #admit} refuses what
- * exceeds the key's allowed rate, {@link #place} picks an upstream by bounded load, {@link #send} starts the
- * attempt, {@link #learn} takes its latency.
+ * Makes all decisions of a balancer (interface: {@link Balancer}). Common path: {@link #admit} rejects
+ * requests over the key's allowed rate, {@link #place} picks an upstream by bounded load, {@link #send}
+ * starts the attempt and {@link #recordOutcome} records its latency.
  */
 public final class AdaptiveBalancer implements Balancer {
 
-  private static final long MS = 1_000_000L;
-  private static final long SECOND = 1000 * MS;
-  /** The window in longest aims, a second at least: long enough for a mean, short enough to see it change. */
+  private static final long MILLI_NANOS = 1_000_000L;
+  private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
+  /** Window length in longest aims, at least 1 s: long enough for a mean, short enough to follow changes. */
   private static final double WINDOW_AIMS = 2;
-  /** The line, in parts of the class's aim: half an aim is healthy, one and a half critical. */
-  private static final double MIN_VALUE = 0.5;
-
-  private static final double MAX_VALUE = 1.5;
-  /** maxRate is what the key was offered in the window and a tenth more; minRate this part of it. */
-  private static final double HEADROOM = 1.1;
-
-  private static final double MIN_PART = 0.02;
-  /** The line of worthless excess lies at this part of the latencies: gone before in-share work suffers. */
-  private static final double EXCESS_EARLY = 0.2;
-  /** A key with fewer samples goes by its endpoint (class, tenant, inside or over the quota), that one by all
-   * work inside or over quotas, so many windows back: few samples would let every window's first one pass. */
-  private static final int ENOUGH = 10;
-
-  private static final int REACH = 5;
-  /** Requests that a tenant's bucket holds at least: chance alone would call a small share's work excess. */
-  private static final double QUOTA_LEAST = 3;
-  /** Keys kept; the one idle longest goes first. */
+  /** Latency thresholds as ratios of the class's aim: half an aim is healthy, one and a half critical. */
+  private static final double MIN_RATIO = 0.5;
+
+  private static final double MAX_RATIO = 1.5;
+  /** maxRate is the rate offered in the window plus a tenth; minRate is this part of maxRate. */
+  private static final double RATE_HEADROOM = 1.1;
+
+  private static final double MIN_RATE_PART = 0.02;
+  /** Thresholds of worthless excess work, as this part of the others: shed before others suffer. */
+  private static final double EXCESS_PART = 0.2;
+  /** With fewer samples a key uses its endpoint's window (class, tenant, inside or over quota), that one
+   * all work's inside or over quotas, looking this far back: else each window's first requests all pass. */
+  private static final int MIN_SAMPLES = 10;
+
+  private static final int MAX_WINDOWS_BACK = 5;
+  /** Minimum size of a tenant's bucket: chance bursts alone would make a small share's work excess. */
+  private static final double MIN_QUOTA_BURST = 3;
+  /** Maximum number of keys kept; the least recently used is evicted first. */
   private static final int MAX_KEYS = 20_000;
-  /** Windows that teach the usual in-flight (a crowd forms faster); step of usual latency and hint. */
-  private static final double USUAL_WINDOWS = 2;
+  /** Windows over which usual in-flight load is averaged (overload is faster); EWMA step of others. */
+  private static final double EWMA_WINDOWS = 2;
 
-  private static final double USUAL_STEP = 0.005;
+  private static final double EWMA_STEP = 0.005;
   /** Bounded load: an upstream may hold half more than the mean of in-flight requests. */
-  private static final double SLACK = 0.5;
-  /** Bounded load also counts in-flight time over this long: hundreds of balancers with hardly one request
-   * out each are bound by nothing, and all would crowd the same keys' upstreams. */
-  private static final long HISTORY = 10 * SECOND;
+  private static final double LOAD_SLACK = 0.5;
+  /** Bounded load also counts in-flight time over this period: with hundreds of balancers and hardly one
+   * request in flight at each, no bound applies, and all would overload the same keys' upstreams. */
+  private static final long HISTORY_NANOS = 10 * SECOND_NANOS;
 
   private static final double HISTORY_SLACK = 1;
-  /** Mean of in-flight requests an upstream under which the view is sparse and history counts. A failed or
-   * full attempt counts this many aims: a crowded upstream rests, a failing one does not look idle. */
-  private static final double SPARSE = 0.12;
-  /** With many balancers the view is sparse sooner: each may have one request at an upstream whatever the
-   * bound says, and all would have it at the same keys' ones. So much for each balancer, and the most. */
-  private static final double SPARSE_EACH = 0.05;
-
-  private static final double SPARSE_MOST = 1;
-  private static final double FAILED_AIMS = 4;
-  /** A key goes to this many upstreams, and to this many times its share of all as well. */
-  private static final int KEY_SPREAD = 2;
-
-  private static final double KEY_PARTS = 2;
-  /** Room: in-flight requests at which the mean latency would be this part of the aim (Little's law); never
-   * below the least, or no upstream could show that it is idle. */
-  private static final double ROOM_PART = 0.36;
-
-  private static final int ROOM_LEAST = 2;
-  /** Time out of a balancer's hands that is not the attempt's latency counts from so many ticks on. */
-  private static final int OURS_TICKS = 3;
-  /** A request without an upstream is held for this part of its aim, then refused: still early. And held ones
-   * tried in vain after an outcome and in a sweep: bounds the work where nothing has room, or a balancer that
-   * is asked too much has no time for its answers either. */
-  private static final double HOLD_PART = 0.3;
-
-  private static final int HELD_TRIES = 4;
+  /** Mean in-flight requests per upstream below which the view is sparse and history counts. A failed or FULL
+   * attempt counts as this many aims: a loaded upstream can recover, a failing one does not look idle. */
+  private static final double MIN_SPARSE = 0.12;
+  /** With many balancers the threshold is higher, by this much per balancer up to a maximum: each may have
+   * one request at an upstream whatever the bound is, and all would send it to the same keys' upstreams. */
+  private static final double SPARSE_PER_INSTANCE = 0.05;
+
+  private static final double MAX_SPARSE = 1;
+  private static final double FAILURE_AIMS = 4;
+  /** A key may use this many upstreams, plus this many times its share of all upstreams. */
+  private static final int MIN_KEY_UPSTREAMS = 2;
+
+  private static final double KEY_FACTOR = 2;
+  /** Capacity: in-flight requests at which the mean latency would be this part of the aim (Little's law); at
+   * least the minimum, or no upstream could show that it is idle. */
+  private static final double CAPACITY_PART = 0.36;
+
+  private static final int MIN_CAPACITY = 2;
+  /** Clock ticks from which time in this balancer, outside the attempt's latency, counts as overhead. */
+  private static final int MIN_OVERHEAD_TICKS = 3;
+  /** A request without an upstream is held for this part of its aim, then refused, which is early. Limits of
+   * unsuccessful tries of held requests per outcome and per sweep bound the work while nothing has capacity:
+   * an overloaded balancer would have no time left for answers. */
+  private static final double HOLD_AIMS = 0.3;
+
+  private static final int OUTCOME_TRIES = 4;
   private static final int SWEEP_TRIES = 64;
-  /** Silent: no answer for this many usual gaps between its answers and this part of the shortest aim. */
+  /** Silent: no answer for this many mean gaps between its answers and this part of the shortest aim. */
   private static final double SILENT_GAPS = 8;
 
-  private static final double SILENT_PART = 0.3;
-  /** And so many times what attempts at it usually spend in this balancer: pauses are seldom even. */
-  private static final double SILENT_OWN = 2;
-  /** Second copies earned by an admission and by a copy that wins, and the most saved: losing ones stop. */
-  private static final double HEDGE_SHARE = 0.01;
-
-  private static final double HEDGE_WIN = 1.3;
-  private static final double HEDGE_MOST = 20;
-  /** Retries earned by a request admitted: failures may add a fifth to the load. */
-  private static final double RETRY_SHARE = 0.2;
-  /** A hinted request counts for this many mean ones at most, and no less than its inverse. */
-  private static final double HINT_MOST = 4;
-  /** Ring points of an upstream of ordinary weight: within some 15% of an even spread, the bound does more.
-   * A weight counts for this many times the median at most, and no less than its inverse. */
-  private static final int POINTS = 50;
-
-  private static final double WEIGHT_MOST = 4;
-  /** Period of the sweep while requests are held: short against any aim, long against a tick. And while
-   * attempts are out, in parts of the shortest aim: a timer costs as much as a request. */
-  private static final long SWEEP = 10 * MS;
+  private static final double SILENT_AIMS = 0.3;
+  /** Plus this many times the mean overhead of its attempts in this balancer: pauses are seldom even. */
+  private static final double SILENT_OVERHEADS = 2;
+  /** Hedge tokens earned per admitted request and per winning copy, and the cap: losing ones end hedging. */
+  private static final double HEDGE_PER_REQUEST = 0.01;
+
+  private static final double HEDGE_PER_WIN = 1.3;
+  private static final double MAX_HEDGE_TOKENS = 20;
+  /** Retry tokens earned per admitted request: failures may add a fifth to the load. */
+  private static final double RETRY_PER_REQUEST = 0.2;
+  /** A hinted request counts as at most this many mean requests, and at least the inverse. */
+  private static final double MAX_HINT_RATIO = 4;
+  /** Ring points of an upstream of median weight: some 15% off an even spread; the load bound does more.
+   * A weight counts as at most this many times the median, and at least the inverse. */
+  private static final int RING_POINTS = 50;
+
+  private static final double MAX_WEIGHT = 4;
+  /** Sweep period while requests are held: short against any aim, long against a tick. While attempts are in
+   * flight, a part of the shortest aim: a timer costs as much as a request. */
+  private static final long SWEEP_NANOS = 10 * MILLI_NANOS;
 
   private static final int SWEEPS_PER_AIM = 8;
-  /** Failures in a row that eject an upstream, the first and the longest ejection. With more than this share
-   * of the ready upstreams ejected or silent, both are ignored (panic threshold). */
-  private static final int EJECT_AFTER = 3;
-
-  private static final long EJECT_FIRST = SECOND / 2;
-  private static final long EJECT_MOST = 8 * SECOND;
-  private static final double PANIC_SHARE = 0.5;
-  /** Back-off of calls for the list. */
-  private static final long ASK_FIRST = SECOND / 2;
-
-  private static final long ASK_MOST = 2 * SECOND;
-  /** Share of the cold budget's window that may be sent at once; sends a second that a cold upstream may
-   * always get from all balancers together; how long usual sends are kept: longer than most outages. */
-  private static final double COLD_BURST = 0.25;
-
-  private static final double COLD_TRICKLE = 2;
-  /** Under so many sends in the budget's window a balancer draws lots for a cold upstream instead of saving
-   * up; and none for one that has had so many more than its part. */
-  private static final double COLD_THIN = 1;
-
-  private static final double COLD_DEBT = 1;
-  private static final long SENDS_KEPT = 30 * SECOND;
-  /** With less than this part of the usual ready ones left, usual sends no longer grow by what is left. */
-  private static final double LEAST_READY = 0.5;
+  /** Consecutive failures that eject an upstream, and the ejection time's limits. With more than this part of
+   * the ready upstreams ejected or silent, both are ignored (panic threshold). */
+  private static final int EJECT_FAILURES = 3;
+
+  private static final long MIN_EJECTION_NANOS = SECOND_NANOS / 2;
+  private static final long MAX_EJECTION_NANOS = 8 * SECOND_NANOS;
+  private static final double PANIC_FRACTION = 0.5;
+  /** Limits of the exponential back-off between list requests. */
+  private static final long MIN_BACKOFF_NANOS = SECOND_NANOS / 2;
+
+  private static final long MAX_BACKOFF_NANOS = 2 * SECOND_NANOS;
+  /** Part of the cold budget's window that may be sent at once; sends per second that a cold upstream may
+   * always get from all balancers; how long the usual rate is remembered: longer than most outages. */
+  private static final double COLD_BURST_FRACTION = 0.25;
+
+  private static final double MIN_COLD_RATE = 2;
+  /** With fewer sends in the budget's window a balancer uses a lottery instead of saving for a cold upstream,
+   * and none for an upstream that is over its budget by more than this. */
+  private static final double COLD_LOTTERY_SENDS = 1;
+
+  private static final double MAX_COLD_DEBT = 1;
+  private static final long SEND_DECAY_NANOS = 30 * SECOND_NANOS;
+  /** Below this part of the usual ready upstreams, the usual send rate grows no more as upstreams depart. */
+  private static final double MIN_READY_PART = 0.5;
 
   private Settings settings;
   private final SplittableRandom random;
   private final long window;
   private long shortestAim;
   private final Map<String, RequestClass> classes = new HashMap<>();
-  private final Map<String, RequestClass> formerClasses = new HashMap<>();
+  private final Map<String, RequestClass> previousClasses = new HashMap<>();
   private final Map<String, Double> quotas = new HashMap<>();
   private final Map<String, TokenBucket> quotaTokens = new HashMap<>();
   private final Map<Long, Upstream> upstreams = new LinkedHashMap<>();
   private final Map<String, PendingRequest> open = new LinkedHashMap<>();
-  /** Requests without an attempt out, the most valuable first, then the oldest. */
+  /** Requests without an attempt in flight, by decreasing worth, then by age. */
   private final TreeSet<PendingRequest> held =
-      new TreeSet<>(Comparator.<PendingRequest>comparingDouble(r -> -value(r))
+      new TreeSet<>(Comparator.<PendingRequest>comparingDouble(r -> -requestWorth(r))
           .thenComparingLong(r -> r.arrived)
           .thenComparing(r -> r.request.id()));
 
   private final Map<String, Window> windows = new LinkedHashMap<>(64, 0.75f, true);
   private final Window fleet;
-  private final Window within;
-  private final Window over;
-  private final Window busy = new Window(HISTORY, 0);
-  private double usualLatency;
-  private double nearPart;
+  private final Window withinQuota;
+  private final Window overQuota;
+  private final Window inFlightTime = new Window(HISTORY_NANOS, 0);
+  private double meanLatency;
+  private double localFraction;
   private double usualInFlight = 1;
-  private double usualSends;
+  private double usualSendRate;
   private double usualReady;
   private Ring ring = new Ring(List.of(), u -> 0);
   private int ready;
   private double readyLoad;
-  private double usualHint;
+  private double meanHint;
   private double weightUnit;
-  private long visits;
-  /** In this event: no upstream has room for anything, and whether that was asked. */
-  private boolean full;
+  private long walks;
+  /** In this event: no upstream has capacity for any request, and whether that was checked. */
+  private boolean allAtCapacity;
 
-  private boolean looked;
-  /** In this event: whether a warm upstream is ready; null while that was not asked. */
-  private Boolean someWarm;
+  private boolean capacityChecked;
+  /** In this event: whether a warm upstream is ready; null until checked. */
+  private Boolean anyWarm;
 
   private double retryTokens = 1;
-  private double hedgeTokens = HEDGE_MOST;
+  private double hedgeTokens = MAX_HEDGE_TOKENS;
   private long sweepAt = Long.MAX_VALUE;
-  private long sweptAt;
+  private long lastSweepAt;
   private boolean panic;
-  private int askFailures;
-  private long askAt = Long.MAX_VALUE;
+  private int listFailures;
+  private long listRetryAt = Long.MAX_VALUE;
   private long now;
   private Consumer<Action> out;
 
-  /** Makes the decisions of one balancer; the seed is its only source of randomness. */
+  /** Creates the module of one balancer; the seed is its only source of randomness. */
   public AdaptiveBalancer(Settings settings, long seed) {
     random = new SplittableRandom(seed);
-    tune(settings);
+    applySettings(settings);
     long longest =
         settings.classes().stream().mapToLong(RequestClass::aimNanos).max().getAsLong();
-    window = Math.max(SECOND, (long) (WINDOW_AIMS * longest));
-    fleet = new Window(window, REACH, 0);
-    within = new Window(window, REACH, 0);
-    over = new Window(window, REACH, 0);
-    usualLatency = shortestAim / 2.0;
+    window = Math.max(SECOND_NANOS, (long) (WINDOW_AIMS * longest));
+    fleet = new Window(window, MAX_WINDOWS_BACK, 0);
+    withinQuota = new Window(window, MAX_WINDOWS_BACK, 0);
+    overQuota = new Window(window, MAX_WINDOWS_BACK, 0);
+    meanLatency = shortestAim / 2.0;
   }
 
   @Override
   public void handle(long nowNanos, Event event, Consumer<Action> actions) {
     now = nowNanos;
     out = actions;
-    full = false;
-    looked = false;
-    someWarm = null;
+    allAtCapacity = false;
+    capacityChecked = false;
+    anyWarm = null;
     if (event instanceof Request e) {
       onRequest(e);
     } else if (event instanceof Outcome e) {
       onOutcome(e);
-    } else if (event instanceof TimerFired && now >= sweepAt - MS) {
-      // A balancer's timers may be coarser than the clock; one fired a little early must not end
-      // the sweeps.
+    } else if (event instanceof TimerFired && now >= sweepAt - MILLI_NANOS) {
+      // Timers may be coarser than the clock: one that fires slightly early must not end sweeping.
       sweepAt = Long.MAX_VALUE;
       onSweep();
     } else if (event instanceof ListUpdate e) {
@@ -212,23 +211,23 @@
     } else if (event instanceof ClientDisconnected e
         && open.containsKey(e.id())
         && !open.get(e.id()).ended) {
-      release(open.get(e.id()));
+      endRequest(open.get(e.id()));
     } else if (event instanceof AnswerStarted e && open.get(e.id()) != null) {
-      started(open.get(e.id()), e.attempt());
+      onAnswerStarted(open.get(e.id()), e.attempt());
     } else if (event instanceof RequestBodyReceived e && open.get(e.id()) != null) {
-      came(open.get(e.id()), e.deadlineNanos());
+      onBodyReceived(open.get(e.id()), e.deadlineNanos());
     } else if (event instanceof SettingsChanged e) {
-      tune(e.settings());
+      applySettings(e.settings());
     } else if (event instanceof QuotaAllocation e) {
       quotas.putAll(e.perSecond());
     }
   }
 
-  /** Takes settings over. The window stays as it was made: it holds parts of each class's aim. */
-  private void tune(Settings next) {
+  /** Applies new settings. The window keeps its length: it stores latencies as ratios of each class's aim. */
+  private void applySettings(Settings next) {
     settings = next;
-    formerClasses.clear();
-    formerClasses.putAll(classes);
+    previousClasses.clear();
+    previousClasses.putAll(classes);
     classes.clear();
     quotas.clear();
     next.classes().forEach(c -> classes.put(c.name(), c));
@@ -241,22 +240,24 @@
     return Math.min(r.maxAttempts, settings.limits().maxAttempts());
   }
 
-  private void sweepBy(long at) {
+  private void scheduleSweep(long at) {
     if (at < sweepAt) {
       sweepAt = at;
       out.accept(new SetTimer("sweep", at));
     }
   }
 
-  /** The next look at a request with an attempt out: to see silence, and in time for its end. */
-  private void watch(PendingRequest r) {
+  /** Schedules the next check of a request in flight: for silence, and in time for its deadline. */
+  private void scheduleCheck(PendingRequest r) {
     long end = r.deadline + settings.contract().answerSlackNanos() / 2;
-    sweepBy(Math.max(now + MS, Math.min(end, now + Math.max(SWEEP, shortestAim / SWEEPS_PER_AIM))));
+    scheduleSweep(Math.max(
+        now + MILLI_NANOS,
+        Math.min(end, now + Math.max(SWEEP_NANOS, shortestAim / SWEEPS_PER_AIM))));
   }
 
-  // Admission: the straight line
+  // Admission: linear throttling by latency
 
-  /** The published line: from maxRate at or below minValue down to minRate at or above maxValue. */
+  /** Returns a rate falling linearly from maxRate at minValue or less to minRate at maxValue or more. */
   static double allowedRate(
       double mean, double minValue, double maxValue, double maxRate, double minRate) {
     double part = Math.min(1, Math.max(0, (mean - minValue) / (maxValue - minValue)));
@@ -265,50 +266,49 @@
 
   private void onRequest(Request request) {
     RequestClass type =
-        (request.usesPreviousSettings() ? formerClasses : classes).get(request.className());
+        (request.usesPreviousSettings() ? previousClasses : classes).get(request.className());
     if (type == null) {
       out.accept(new Log("refused a request of unknown class " + request.className()));
       out.accept(new Refuse(request.id(), retryAfter()));
       return;
     }
-    boolean excess = overQuota(request.tenant());
+    boolean excess = takeQuotaToken(request.tenant());
     String endpoint = request.className() + ' ' + request.tenant() + (excess ? " over" : "");
     PendingRequest r = new PendingRequest(
         request,
         type,
         now,
         excess,
-        excess ? over : within,
+        excess ? overQuota : withinQuota,
         windowOf(endpoint),
         windowOf(endpoint + ' ' + request.key()),
-        load(request.workHintNanos()),
+        hintedLoad(request.workHintNanos()),
         settings.limits().maxAttempts());
     if (open.size() >= settings.limits().maxOpen() || !admit(r)) {
       out.accept(new Refuse(request.id(), retryAfter()));
       return;
     }
     open.put(request.id(), r);
-    // No more saved than a window earns: a fixed number at hundreds of balancers would be the
-    // overload.
-    double saved = Math.max(1, RETRY_SHARE * fleet.total(now, Metric.OFFERED));
-    retryTokens = Math.min(saved, retryTokens + RETRY_SHARE);
-    hedgeTokens = Math.min(HEDGE_MOST, hedgeTokens + HEDGE_SHARE);
+    // The cap grows with traffic: a fixed one at hundreds of balancers would be the overload.
+    double saved = Math.max(1, RETRY_PER_REQUEST * fleet.total(now, Metric.OFFERED));
+    retryTokens = Math.min(saved, retryTokens + RETRY_PER_REQUEST);
+    hedgeTokens = Math.min(MAX_HEDGE_TOKENS, hedgeTokens + HEDGE_PER_REQUEST);
     advance(r);
   }
 
-  /** This balancer's part of a tenant's quota is a bucket of a second; what finds it empty is excess. */
-  private boolean overQuota(String tenant) {
+  /** Takes a token of this balancer's part of a tenant's quota, a bucket of a second; excess if empty. */
+  private boolean takeQuotaToken(String tenant) {
     double rate = tenant == null ? 0 : quotas.getOrDefault(tenant, 0.0);
     if (rate == 0) {
       return false;
     }
     TokenBucket quota = quotaTokens.computeIfAbsent(tenant, k -> new TokenBucket());
-    boolean over = quota.fill(now, rate, Math.max(QUOTA_LEAST, rate)) < 1;
+    boolean over = quota.fill(now, rate, Math.max(MIN_QUOTA_BURST, rate)) < 1;
     quota.tokens -= over ? 0 : 1;
     return over;
   }
 
-  /** Guards the memory where most keys are new: a window that has forgotten all it counted is dropped. */
+  /** Returns a key's window; drops empty and least recently used ones: bounds memory if most keys are new. */
   private Window windowOf(String name) {
     Window w = windows.computeIfAbsent(name, k -> new Window(window, now));
     Iterator<Window> idlest = windows.values().iterator();
@@ -324,22 +324,23 @@
     return windows.size();
   }
 
-  /** Refuses at the allowed rate. A fleet-wide overload is nobody's key: the worse of the key's and all means
-   * counts. Work over a quota is worth less, so its line falls sooner: a tenant throttles itself first. */
+  /** Admits up to the allowed rate. The worse of the key's and the overall mean counts: a fleet-wide overload
+   * belongs to no key. Work over quota is worth less, with lower thresholds: its tenant is shed first. */
   private boolean admit(PendingRequest r) {
     count(r, Metric.OFFERED, 1);
-    Window own = r.key.total(now, Metric.SAMPLES) >= ENOUGH
+    Window own = r.key.total(now, Metric.SAMPLES) >= MIN_SAMPLES
         ? r.key
-        : !sparse() || r.endpoint.total(now, Metric.SAMPLES) >= ENOUGH ? r.endpoint : r.share;
-    double mean = Math.max(own.mean(now, ENOUGH), fleet.mean(now, ENOUGH));
-    double maxRate = own.reach(now, Metric.OFFERED, ENOUGH) * HEADROOM;
-    double early = r.excess ? EXCESS_EARLY + (1 - EXCESS_EARLY) * settings.overShareWorth() : 1;
+        : !isSparse() || r.endpoint.total(now, Metric.SAMPLES) >= MIN_SAMPLES
+            ? r.endpoint
+            : r.quotaGroup;
+    double mean = Math.max(own.mean(now, MIN_SAMPLES), fleet.mean(now, MIN_SAMPLES));
+    double maxRate = own.totalOfSamples(now, Metric.OFFERED, MIN_SAMPLES) * RATE_HEADROOM;
+    double early = r.excess ? EXCESS_PART + (1 - EXCESS_PART) * settings.overShareWorth() : 1;
     double allowed =
-        allowedRate(mean, MIN_VALUE * early, MAX_VALUE * early, maxRate, maxRate * MIN_PART);
-    // Guards work inside a quota from what this balancer did not cause: no more is out than while
-    // healthy.
+        allowedRate(mean, MIN_RATIO * early, MAX_RATIO * early, maxRate, maxRate * MIN_RATE_PART);
+    // Work inside a quota passes while no more is in flight than usual: others caused the overload.
     boolean idle = quotaTokens.containsKey(r.request.tenant()) && readyLoad < usualInFlight * ready;
-    if (own.reach(now, Metric.ADMITTED, ENOUGH) >= allowed && (r.excess || !idle)) {
+    if (own.totalOfSamples(now, Metric.ADMITTED, MIN_SAMPLES) >= allowed && (r.excess || !idle)) {
       return false;
     }
     count(r, Metric.ADMITTED, 1);
@@ -349,18 +350,18 @@
   private void count(PendingRequest r, Metric metric, double amount) {
     r.key.add(now, metric, amount);
     r.endpoint.add(now, metric, amount);
-    r.share.add(now, metric, amount);
+    r.quotaGroup.add(now, metric, amount);
     fleet.add(now, metric, amount);
   }
 
-  private double value(PendingRequest r) {
+  private double requestWorth(PendingRequest r) {
     return r.type.worth() * (r.excess ? settings.overShareWorth() : 1);
   }
 
-  /** Load in mean requests by the hint: a few heavy ones fill an upstream that a count calls half empty. */
-  private double load(long hint) {
-    usualHint += hint <= 0 ? 0 : (hint - usualHint) * (usualHint == 0 ? 1 : USUAL_STEP);
-    return hint <= 0 ? 1 : Math.min(HINT_MOST, Math.max(1 / HINT_MOST, hint / usualHint));
+  /** Returns the hinted load in mean requests: a few heavy ones fill an upstream half empty by count. */
+  private double hintedLoad(long hint) {
+    meanHint += hint <= 0 ? 0 : (hint - meanHint) * (meanHint == 0 ? 1 : EWMA_STEP);
+    return hint <= 0 ? 1 : Math.min(MAX_HINT_RATIO, Math.max(1 / MAX_HINT_RATIO, hint / meanHint));
   }
 
   private long retryAfter() {
@@ -378,13 +379,12 @@
         .toList();
     ready = members.size();
     readyLoad = members.stream().mapToDouble(u -> u.load).sum();
-    // Guards a zone left with few upstreams: near ones get no more traffic than the zone is of the
-    // fleet.
-    long near = members.stream().filter(this::near).count();
+    // Local upstreams get at most their zone's share of traffic, for a zone with few of them left.
+    long localCount = members.stream().filter(this::isLocal).count();
     long zones = members.stream().map(u -> u.listed.zone()).distinct().count();
-    nearPart = Math.min(1.0 / Math.max(1, near), (double) zones / Math.max(1, ready));
+    localFraction = Math.min(1.0 / Math.max(1, localCount), (double) zones / Math.max(1, ready));
     if (weightUnit == 0 && ready > 0) {
-      // Kept for life, so that a change of the list moves the changed upstream's keys only.
+      // Fixed for the instance's life: a list change moves only the changed upstream's keys.
       weightUnit =
           members.stream().mapToDouble(u -> u.listed.weight()).sorted().toArray()[ready / 2];
     }
@@ -392,119 +392,122 @@
         settings.weightKind() == WeightKind.NOMINAL || settings.weightKind() == WeightKind.ROUGH;
     ring = new Ring(
         members,
-        u -> Math.round(POINTS
+        u -> Math.round(RING_POINTS
             * (!sized || weightUnit <= 0
                 ? 1
-                : Math.min(
-                    WEIGHT_MOST, Math.max(1 / WEIGHT_MOST, u.listed.weight() / weightUnit)))));
+                : Math.min(MAX_WEIGHT, Math.max(1 / MAX_WEIGHT, u.listed.weight() / weightUnit)))));
   }
 
-  /** The first upstream from the key's place on the ring that may take it, own zone first; or null. */
+  /** Returns the first suitable upstream from the key's position on the ring, own zone first, or null. */
   private Upstream place(PendingRequest r) {
-    Upstream lot = ready == 0 ? null : drawn(r);
-    if (lot != null || full) {
-      return lot;
-    }
-    int start = ring.placeOf(r.request.key() == null ? "" + random.nextLong() : r.request.key());
-    double all = busy.total(now, Metric.SUM) / usualLatency + 1;
-    double nearMost = Math.ceil((1 + HISTORY_SLACK) * all * nearPart);
-    double awayMost = Math.ceil((1 + HISTORY_SLACK) * all / Math.max(1, ready));
-    // Guards against keys that leave their warm upstreams in a crowd: each move is work, and so
-    // more crowd.
-    double part = r.key.total(now, Metric.OFFERED) / Math.max(1, fleet.total(now, Metric.OFFERED));
-    double most =
-        sparse() || !settings.warmKeys() ? ready : KEY_SPREAD + Math.ceil(KEY_PARTS * ready * part);
-    Upstream away = null;
-    Upstream crowded = null;
-    visits++;
-    for (int i = 0, seen = 0, tried = 0; seen < ready && tried < most; i++) {
+    Upstream drawn = ready == 0 ? null : drawColdUpstream(r);
+    if (drawn != null || allAtCapacity) {
+      return drawn;
+    }
+    int start = ring.positionOf(r.request.key() == null ? "" + random.nextLong() : r.request.key());
+    double totalHistory = inFlightTime.total(now, Metric.SUM) / meanLatency + 1;
+    double maxLocal = Math.ceil((1 + HISTORY_SLACK) * totalHistory * localFraction);
+    double maxRemote = Math.ceil((1 + HISTORY_SLACK) * totalHistory / Math.max(1, ready));
+    // Limits how far keys move off warm upstreams under load: each move costs work and adds load.
+    double keyShare =
+        r.key.total(now, Metric.OFFERED) / Math.max(1, fleet.total(now, Metric.OFFERED));
+    double maxTried = isSparse() || !settings.warmKeys()
+        ? ready
+        : MIN_KEY_UPSTREAMS + Math.ceil(KEY_FACTOR * ready * keyShare);
+    Upstream remote = null;
+    Upstream loaded = null;
+    walks++;
+    for (int i = 0, visited = 0, tried = 0; visited < ready && tried < maxTried; i++) {
       Upstream u = ring.owner(start + i);
-      boolean again = u.visit == visits;
-      u.visit = visits;
-      seen += again ? 0 : 1;
-      if (!again && mayGoTo(r, u) && usable(u)) {
-        boolean hasRoom = u.load < bound(u);
-        double taken = u.busy.total(now, Metric.SUM) / usualLatency + 0.5;
-        boolean fits = hasRoom && (!sparse() || taken < (near(u) ? nearMost : awayMost));
-        if (near(u) && fits) {
+      boolean again = u.lastWalk == walks;
+      u.lastWalk = walks;
+      visited += again ? 0 : 1;
+      if (!again && maySendTo(r, u) && isUsable(u)) {
+        boolean hasCapacity = u.load < loadBound(u);
+        double history = u.inFlightTime.total(now, Metric.SUM) / meanLatency + 0.5;
+        boolean fits =
+            hasCapacity && (!isSparse() || history < (isLocal(u) ? maxLocal : maxRemote));
+        if (isLocal(u) && fits) {
           return u;
         }
-        tried += near(u) ? 1 : 0;
-        away = away == null && fits ? u : away;
-        crowded = crowded == null && hasRoom ? u : crowded;
+        tried += isLocal(u) ? 1 : 0;
+        remote = remote == null && fits ? u : remote;
+        loaded = loaded == null && hasCapacity ? u : loaded;
       }
     }
-    Upstream found = away == null ? crowded : away;
-    if (found == null && !looked) {
-      // Only sends follow within one event, so what is full stays full: the rest of those held need
-      // no walk.
-      looked = true;
-      full = upstreams.values().stream()
-          .noneMatch(u -> u.listed.state() == State.READY && usable(u) && u.load < bound(u));
+    Upstream found = remote == null ? loaded : remote;
+    if (found == null && !capacityChecked) {
+      // Within one event load only grows, so the remaining held requests need no ring walk.
+      capacityChecked = true;
+      allAtCapacity = upstreams.values().stream()
+          .noneMatch(u -> u.listed.state() == State.READY && isUsable(u) && u.load < loadBound(u));
     }
     return found;
   }
 
   long walks() {
-    return visits;
+    return walks;
   }
 
-  private boolean sparse() {
-    double sparse = Math.min(SPARSE_MOST, Math.max(SPARSE, SPARSE_EACH * settings.groupSize()));
-    return busy.total(now, Metric.SUM) < sparse * ready * HISTORY;
+  private boolean isSparse() {
+    double sparse =
+        Math.min(MAX_SPARSE, Math.max(MIN_SPARSE, SPARSE_PER_INSTANCE * settings.groupSize()));
+    return inFlightTime.total(now, Metric.SUM) < sparse * ready * HISTORY_NANOS;
   }
 
-  private boolean near(Upstream u) {
+  private boolean isLocal(Upstream u) {
     return settings.prices().crossZone() == 0 || u.listed.zone().equals(settings.zone());
   }
 
-  private boolean usable(Upstream u) {
-    return well(u) && (warmth(u) >= 1 || !thin(u) && coldTokens(u) >= 1);
+  private boolean isUsable(Upstream u) {
+    return isHealthy(u) && (warmth(u) >= 1 || !usesLottery(u) && coldTokens(u) >= 1);
   }
 
-  private boolean well(Upstream u) {
-    return panic || u.ejectedUntil <= now && !u.onTrial && !silent(u);
+  private boolean isHealthy(Upstream u) {
+    return panic || u.ejectedUntil <= now && !u.onProbation && !isSilent(u);
   }
 
-  private double bound(Upstream u) {
-    return Math.min(Math.max(1, Math.ceil((1 + SLACK) * (readyLoad + 1) / ready)), room(u));
+  private double loadBound(Upstream u) {
+    return Math.min(
+        Math.max(1, Math.ceil((1 + LOAD_SLACK) * (readyLoad + 1) / ready)), capacity(u));
   }
 
-  /** Little's law: answers a second times the latency wanted and the time that they spend in this balancer.
-   * Guards against bursts that wait in a queue past their aim; no bound before enough answers, or a restarted
-   * balancer would starve itself; nor without its own time, or a slow balancer would. */
-  private double room(Upstream u) {
+  /** Little's law: answers per second times the latency wanted and the overhead in this balancer. Prevents
+   * queues longer than the aim. No limit before enough answers, or a restarted balancer would starve itself;
+   * overhead is added, or a slow balancer would. */
+  private double capacity(Upstream u) {
     if (u.firstServed == 0
-        || now - u.firstServed < window / 4 && u.window.total(now, Metric.SAMPLES) < ENOUGH) {
+        || now - u.firstServed < window / 4 && u.window.total(now, Metric.SAMPLES) < MIN_SAMPLES) {
       return Double.MAX_VALUE;
     }
-    long served = Math.min(window / 2, Math.max(SWEEP, now - u.firstServed));
+    long served = Math.min(window / 2, Math.max(SWEEP_NANOS, now - u.firstServed));
     return Math.max(
-        ROOM_LEAST,
-        (ROOM_PART * u.window.total(now, Metric.AIMS) * SECOND + u.window.total(now, Metric.OURS))
+        MIN_CAPACITY,
+        (CAPACITY_PART * u.window.total(now, Metric.AIMS) * SECOND_NANOS
+                + u.window.total(now, Metric.OVERHEAD))
             / served);
   }
 
-  /** Nothing heard for far longer than its answers usually lie apart: frozen or dead, before a time-out. What
-   * attempts spend in this balancer is its own silence: a slow one would copy and shut out what is well, and
-   * be slower still. Hurts where it is slow and an upstream dies at once: seen so much later. */
-  private boolean silent(Upstream u) {
+  /** Returns whether the upstream has been silent far longer than usual: frozen or dead, noticed before a
+   * time-out. The balancer's own overhead is allowed for: a slow one would hedge, shut out healthy upstreams
+   * and slow down further. The cost: a slow balancer notices a dead upstream that much later. */
+  private boolean isSilent(Upstream u) {
     if (u.inFlight == 0) {
-      // First, as most are: a sweep looks at all of them.
+      // Checked first, as it holds for most: a sweep checks all upstreams.
       return false;
     }
     double gap = u.window.mean(now, 1) / u.inFlight;
     double own =
-        u.window.total(now, Metric.OURS) / Math.max(1, u.window.total(now, Metric.SAMPLES));
+        u.window.total(now, Metric.OVERHEAD) / Math.max(1, u.window.total(now, Metric.SAMPLES));
     return gap > 0
-        && now - u.heardAt
-            > Math.max(SILENT_GAPS * gap, SILENT_PART * shortestAim) + SILENT_OWN * own;
+        && now - u.lastAnswerAt
+            > Math.max(SILENT_GAPS * gap, SILENT_AIMS * shortestAim) + SILENT_OVERHEADS * own;
   }
 
-  // Rule 2: where a request may still go
+  // Rule 2: where a request may still be sent
 
-  private boolean mayGoTo(PendingRequest r, Upstream u) {
-    if (!r.earlierAllows(u.listed, now + settings.tickNanos())) {
+  private boolean maySendTo(PendingRequest r, Upstream u) {
+    if (!r.priorAttemptsAllow(u.listed, now + settings.tickNanos())) {
       return false;
     }
     for (Attempt a : r.attempts) {
@@ -512,8 +515,7 @@
         return false;
       }
       if (a.mayHaveRun && r.type.effect() != Effect.SAFE) {
-        // The window is cut by a tick, against a balancer that carries the sending out a moment
-        // later.
+        // One tick of margin, for a balancer that sends slightly after the event.
         if (r.type.effect() == Effect.UNSAFE
             || !r.type.dedupScope().covers(a.upstream.listed, u.listed)
             || now - a.sentAt >= r.type.dedupWindowNanos() - settings.tickNanos()) {
@@ -532,63 +534,63 @@
 
   // Rule 4: cold upstreams
 
-  /** The part of its capacity that an upstream surely has: from cold-from, evenly, to the whole. */
+  /** Returns the capacity fraction of an upstream: it grows linearly from cold-from to 1 as it warms up. */
   private double warmth(Upstream u) {
     double part =
         Math.max(0, now - u.started) / (double) Math.max(1, settings.contract().warmWithinNanos());
     return u.started <= 0 || part >= 1 ? 1 : settings.contract().coldFrom() * (1 - part) + part;
   }
 
-  /** Sends that a cold upstream may still get: its warmth's part of what a warm one usually gets. The trickle
-   * guards against a fleet that is cold all at once and would wait for traffic to be allowed any. None beside
-   * a warm one: balancers that do not know how many they are would each send all of it. */
+  /** Returns the sends left to a cold upstream: its warmth times a warm one's usual rate. The minimum rate
+   * prevents a deadlock if the whole fleet is cold and waits for traffic; not beside a warm upstream, since
+   * balancers that do not know their number would each send all of it. */
   private double coldTokens(Upstream u) {
-    double trickle = someWarm() ? 0 : COLD_TRICKLE / settings.groupSize();
-    double rate = Math.max(trickle, warmth(u) * usualSends);
-    double seconds = COLD_BURST * settings.contract().fallWindowNanos() / SECOND;
-    return u.cold.fill(now, rate, Math.max(1, rate * seconds));
+    double trickle = anyWarm() ? 0 : MIN_COLD_RATE / settings.groupSize();
+    double rate = Math.max(trickle, warmth(u) * usualSendRate);
+    double seconds = COLD_BURST_FRACTION * settings.contract().fallWindowNanos() / SECOND_NANOS;
+    return u.coldBudget.fill(now, rate, Math.max(1, rate * seconds));
   }
 
-  private boolean someWarm() {
-    if (someWarm == null) {
-      someWarm = upstreams.values().stream()
+  private boolean anyWarm() {
+    if (anyWarm == null) {
+      anyWarm = upstreams.values().stream()
           .anyMatch(u -> u.listed.state() == State.READY && warmth(u) >= 1);
     }
-    return someWarm;
+    return anyWarm;
   }
 
-  /** A balancer with hardly a request for each upstream would save up for a send to a cold one until long
-   * after its warm-up, and all such together would leave it idle. Theirs is a lot: each request draws
-   * one upstream, whatever its key (a hot one's home would get too much), and a cold one takes its warmth's
-   * part of those. The same lot each time that the request is looked at. */
-  private Upstream drawn(PendingRequest r) {
-    Upstream u = ring.owner(ring.placeOf(r.request.id()));
-    double part = warmth(u) * ready / Math.max(ready, usualReady * LEAST_READY);
-    return thin(u)
-            && coldTokens(u) > -COLD_DEBT
+  /** With hardly a request per upstream, a balancer would save for a cold one until after its warm-up, and if
+   * all did so it would stay idle. Instead each request draws one upstream by its id, not its key (a hot
+   * key's home would get too much), and a cold one gets its warmth's part of those. The draw is fixed. */
+  private Upstream drawColdUpstream(PendingRequest r) {
+    Upstream u = ring.owner(ring.positionOf(r.request.id()));
+    double part = warmth(u) * ready / Math.max(ready, usualReady * MIN_READY_PART);
+    return usesLottery(u)
+            && coldTokens(u) > -MAX_COLD_DEBT
             && Ring.lot(r.request.id()) < part
-            && mayGoTo(r, u)
-            && well(u)
-            && u.load < bound(u)
+            && maySendTo(r, u)
+            && isHealthy(u)
+            && u.load < loadBound(u)
         ? u
         : null;
   }
 
-  private boolean thin(Upstream u) {
+  private boolean usesLottery(Upstream u) {
     double warmth = warmth(u);
     return warmth < 1
-        && warmth * usualSends * settings.contract().fallWindowNanos() / SECOND < COLD_THIN;
+        && warmth * usualSendRate * settings.contract().fallWindowNanos() / SECOND_NANOS
+            < COLD_LOTTERY_SENDS;
   }
 
   // Life of a request
 
-  /** Sends a request that has no attempt out, or ends it, or holds it; true if it was sent or ended. */
+  /** Sends a request without an attempt in flight, or ends or holds it; true if it was sent or ended. */
   private boolean advance(PendingRequest r) {
     boolean first = r.attempts.isEmpty();
     boolean over = r.attempts.size() >= maxAttempts(r)
-        || !first && (retryTokens < 1 || r.spent)
-        || r.mayNotRunAgain(now + settings.tickNanos())
-        || now >= r.deadline - 2 * SWEEP;
+        || !first && (retryTokens < 1 || r.bodyConsumed)
+        || r.mayNotBeSentAgain(now + settings.tickNanos())
+        || now >= r.deadline - 2 * SWEEP_NANOS;
     Upstream u = over ? null : place(r);
     if (u != null) {
       retryTokens -= first ? 0 : 1;
@@ -598,57 +600,57 @@
       finish(r);
     } else {
       held.add(r);
-      sweepBy(now + SWEEP);
+      scheduleSweep(now + SWEEP_NANOS);
       return false;
     }
     return true;
   }
 
   private static double heldUntil(PendingRequest r) {
-    return r.arrived + HOLD_PART * r.type.aimNanos();
+    return r.arrived + HOLD_AIMS * r.type.aimNanos();
   }
 
   private void send(PendingRequest r, Upstream u) {
     Attempt a = new Attempt(u, now);
     r.attempts.add(a);
     r.out++;
-    u.onTrial = u.ejections > 0;
-    u.cold.tokens -= warmth(u) < 1 ? 1 : 0;
-    if (!r.coming) {
-      begins(r, a);
+    u.onProbation = u.ejections > 0;
+    u.coldBudget.tokens -= warmth(u) < 1 ? 1 : 0;
+    if (!r.bodyPending) {
+      startWork(r, a);
     }
     out.accept(new Send(r.request.id(), u.id, r.deadline - now));
-    watch(r);
+    scheduleCheck(r);
   }
 
-  /** An upstream may work on an attempt from now on. */
-  private void begins(PendingRequest r, Attempt a) {
+  /** Marks an attempt as started: the upstream may work on it from now on. */
+  private void startWork(PendingRequest r, Attempt a) {
     Upstream u = a.upstream;
-    a.works = true;
+    a.started = true;
     a.mayHaveRun = true;
     a.sentAt = now;
-    a.charged = usualLatency * r.load;
-    u.busy.add(now, Metric.SUM, a.charged);
-    busy.add(now, Metric.SUM, a.charged);
-    u.heardAt = u.inFlight == 0 ? now : u.heardAt;
+    a.charged = meanLatency * r.load;
+    u.inFlightTime.add(now, Metric.SUM, a.charged);
+    inFlightTime.add(now, Metric.SUM, a.charged);
+    u.lastAnswerAt = u.inFlight == 0 ? now : u.lastAnswerAt;
     u.inFlight++;
     u.load += r.load;
     readyLoad += u.listed.state() == State.READY ? r.load : 0;
   }
 
-  /** A request that was taken at its head has come whole: its own time, and its upstream's, begin now. */
-  private void came(PendingRequest r, long deadline) {
-    r.coming = false;
+  /** The body of a request admitted at its headers is complete: latencies and its deadline count from now. */
+  private void onBodyReceived(PendingRequest r, long deadline) {
+    r.bodyPending = false;
     r.arrived = now;
     r.deadline = deadline;
-    r.attempts.stream().filter(a -> a.out).forEach(a -> begins(r, a));
+    r.attempts.stream().filter(a -> a.out).forEach(a -> startWork(r, a));
     if (r.out > 0 && !r.ended) {
-      watch(r);
+      scheduleCheck(r);
     }
   }
 
-  /** One answer has begun to go to the client: it is the only one. */
-  private void started(PendingRequest r, int attempt) {
+  /** An answer has started to reach the client: cancels all other attempts. */
+  private void onAnswerStarted(PendingRequest r, int attempt) {
     r.streaming = true;
     for (int i = 0; i < r.attempts.size() && settings.limits().cancel(); i++) {
       if (i != attempt && r.attempts.get(i).out) {
@@ -657,7 +659,7 @@
     }
   }
 
-  /** A second copy past a silent upstream; none with the fleet above minValue: they would be its overload. */
+  /** Sends a copy past a silent upstream; not while latencies exceed the threshold: copies add overload. */
   private void hedge(PendingRequest r) {
     boolean mayCopy = r.out == 1
         && !r.request.bodyPending()
@@ -665,9 +667,9 @@
         && settings.limits().cancel()
         && r.attempts.size() < maxAttempts(r)
         && hedgeTokens >= 1
-        && silent(r.attempts.get(r.attempts.size() - 1).upstream)
+        && isSilent(r.attempts.get(r.attempts.size() - 1).upstream)
         && now - r.arrived <= r.type.aimNanos()
-        && fleet.mean(now, ENOUGH) <= MIN_VALUE;
+        && fleet.mean(now, MIN_SAMPLES) <= MIN_RATIO;
     Upstream u = mayCopy ? place(r) : null;
     if (u != null) {
       hedgeTokens--;
@@ -677,11 +679,11 @@
 
   private void finish(PendingRequest r) {
     out.accept(mayRefuse(r) ? new Refuse(r.request.id(), retryAfter()) : new Fail(r.request.id()));
-    release(r);
+    endRequest(r);
   }
 
-  /** The request has its final answer: stops what it still has out, forgets it once nothing is. */
-  private void release(PendingRequest r) {
+  /** Ends a request that has its final answer: cancels its attempts, removes it when none is in flight. */
+  private void endRequest(PendingRequest r) {
     r.ended = true;
     held.remove(r);
     if (r.out == 0) {
@@ -702,154 +704,154 @@
     Attempt a = r.attempts.get(o.attempt());
     a.out = false;
     a.mayHaveRun &= !o.status().provesNotRun();
-    r.spent |= o.bodyConsumed();
+    r.bodyConsumed |= o.bodyConsumed();
     r.out--;
-    if (a.works) {
+    if (a.started) {
       a.upstream.inFlight--;
       a.upstream.load -= a.upstream.inFlight == 0 ? a.upstream.load : r.load;
-      a.upstream.heardAt = now;
+      a.upstream.lastAnswerAt = now;
       readyLoad -= a.upstream.listed.state() == State.READY ? r.load : 0;
     }
-    double least =
-        o.status() == Status.SERVED || o.staleConnection() ? 0 : FAILED_AIMS * r.type.aimNanos();
-    double taken = Math.max(least, a.works ? o.latencyNanos() : 0) - a.charged;
-    a.upstream.busy.add(now, Metric.SUM, taken);
-    busy.add(now, Metric.SUM, taken);
-    learn(r, a, o);
+    double minimum =
+        o.status() == Status.SERVED || o.staleConnection() ? 0 : FAILURE_AIMS * r.type.aimNanos();
+    double correction = Math.max(minimum, a.started ? o.latencyNanos() : 0) - a.charged;
+    a.upstream.inFlightTime.add(now, Metric.SUM, correction);
+    inFlightTime.add(now, Metric.SUM, correction);
+    recordOutcome(r, a, o);
     if (r.ended && r.out == 0) {
       open.remove(o.id());
     } else if (!r.ended && o.finished()) {
-      hedgeTokens =
-          Math.min(HEDGE_MOST, hedgeTokens + (r.out > 0 && o.attempt() > 0 ? HEDGE_WIN : 0));
-      release(r);
+      hedgeTokens = Math.min(
+          MAX_HEDGE_TOKENS, hedgeTokens + (r.out > 0 && o.attempt() > 0 ? HEDGE_PER_WIN : 0));
+      endRequest(r);
     } else if (!r.ended && r.out == 0) {
       advance(r);
     }
-    int tries = HELD_TRIES;
-    for (var h = held.isEmpty() ? null : held.first(); h != null && tries > 0; h = held.higher(h)) {
-      tries -= advance(h) ? 0 : 1;
+    int triesLeft = OUTCOME_TRIES;
+    for (var h = held.isEmpty() ? null : held.first();
+        h != null && triesLeft > 0;
+        h = held.higher(h)) {
+      triesLeft -= advance(h) ? 0 : 1;
     }
   }
 
-  private void learn(PendingRequest r, Attempt a, Outcome o) {
+  private void recordOutcome(PendingRequest r, Attempt a, Outcome o) {
     Upstream u = a.upstream;
-    u.onTrial = false;
-    long ours = ours(a, o);
+    u.onProbation = false;
+    long overhead = overhead(a, o);
     if (o.status() == Status.SERVED) {
       u.failures = 0;
       u.ejections = 0;
       u.firstServed = u.firstServed == 0 ? now : u.firstServed;
-      u.window.add(now, Metric.AIMS, r.load * r.type.aimNanos() / SECOND);
+      u.window.add(now, Metric.AIMS, r.load * r.type.aimNanos() / SECOND_NANOS);
       u.window.add(now, Metric.SAMPLES, 1);
       u.window.add(now, Metric.SUM, r.load * o.latencyNanos());
-      u.window.add(now, Metric.OURS, r.load * ours);
-      sample(r, (double) (now - r.arrived - ours) / r.type.aimNanos());
-      usualLatency += (o.latencyNanos() - usualLatency) * USUAL_STEP;
+      u.window.add(now, Metric.OVERHEAD, r.load * overhead);
+      addSample(r, (double) (now - r.arrived - overhead) / r.type.aimNanos());
+      meanLatency += (o.latencyNanos() - meanLatency) * EWMA_STEP;
     } else if (o.staleConnection()) {
-      // No sign of the upstream: kept connections break in a row, and three would eject one that is
-      // well.
-      // A crash breaks them too, but then the next connects are refused, which counts.
-      sample(r, (double) (now - r.arrived - ours) / r.type.aimNanos());
+      // Says nothing of the upstream: kept connections break in series, three would eject a
+      // healthy one. If it crashed, the next connects are refused, which counts.
+      addSample(r, (double) (now - r.arrived - overhead) / r.type.aimNanos());
     } else if (o.status() != Status.CANCELLED
         && o.status() != Status.NOT_SENT
         && o.status() != Status.FULL) {
-      if (!r.coming) {
-        // One whose body still came took its client's time so far, which tells of no load.
-        sampleFailure(r, o.status());
+      if (!r.bodyPending) {
+        // With the body still arriving, the elapsed time is the client's and says nothing of load.
+        addFailureSample(r, o.status());
       }
-      if (++u.failures >= EJECT_AFTER && u.ejectedUntil <= now) {
-        long backoff = Math.min(EJECT_MOST, EJECT_FIRST << Math.min(u.ejections++, 10));
+      if (++u.failures >= EJECT_FAILURES && u.ejectedUntil <= now) {
+        long backoff =
+            Math.min(MAX_EJECTION_NANOS, MIN_EJECTION_NANOS << Math.min(u.ejections++, 10));
         u.ejectedUntil = now + (long) (backoff * (0.5 + random.nextDouble() / 2));
       }
     }
   }
 
-  private void sampleFailure(PendingRequest r, Status status) {
+  private void addFailureSample(PendingRequest r, Status status) {
     if (status == Status.RESET || status == Status.ERROR) {
-      // Its latency, but no less than the aim that it missed, and for an error than what is
-      // critical. More
-      // would take connections that break, spoilt answers, or one upstream's errors for load.
-      double least = status == Status.RESET ? 1 : MAX_VALUE;
-      sample(r, Math.max(least, (double) (now - r.arrived) / r.type.aimNanos()));
+      // Its latency, at least one aim, for errors the critical ratio. More would treat broken
+      // connections, corrupt answers or one upstream's errors as load.
+      double minimum = status == Status.RESET ? 1 : MAX_RATIO;
+      addSample(r, Math.max(minimum, (double) (now - r.arrived) / r.type.aimNanos()));
     } else if (status != Status.CONNECT_FAILED) {
-      // A time-out is charged its class's limit.
-      sample(r, (double) r.type.deadlineNanos() / r.type.aimNanos());
+      // A time-out counts as its class's deadline.
+      addSample(r, (double) r.type.deadlineNanos() / r.type.aimNanos());
     }
   }
 
-  /** What an attempt spent in this balancer, beside its latency: no upstream's work, so neither the line nor
-   * the room may take it for that. A few ticks are the clock's own rounding. */
-  private long ours(Attempt a, Outcome o) {
+  /** Returns an attempt's time in this balancer outside its latency, no upstream's work: neither thresholds
+   * nor capacity may include it. A few ticks are clock rounding. */
+  private long overhead(Attempt a, Outcome o) {
     long rest = now - a.sentAt - o.latencyNanos();
-    return rest <= OURS_TICKS * settings.tickNanos() ? 0 : rest;
+    return rest <= MIN_OVERHEAD_TICKS * settings.tickNanos() ? 0 : rest;
   }
 
-  private void sample(PendingRequest r, double part) {
+  private void addSample(PendingRequest r, double part) {
     count(r, Metric.SAMPLES, 1);
     count(r, Metric.SUM, part);
   }
 
   private void onSweep() {
-    double past = Math.min(SECOND, now - sweptAt);
-    sweptAt = now;
-    if (fleet.mean(now, ENOUGH) <= MIN_VALUE) {
+    double elapsed = Math.min(SECOND_NANOS, now - lastSweepAt);
+    lastSweepAt = now;
+    if (fleet.mean(now, MIN_SAMPLES) <= MIN_RATIO) {
       usualInFlight +=
-          (readyLoad / Math.max(1, ready) - usualInFlight) * past / (USUAL_WINDOWS * window);
-    }
-    // By half of those ready a while ago at least: a release takes a part of them, but what was
-    // asked
-    // of many is no sign of what the last one can take.
-    usualReady = Math.max(ready, usualReady * (1 - past / SENDS_KEPT));
-    double among = Math.max(1, Math.max(ready, usualReady * LEAST_READY));
-    usualSends = Math.max(
-        usualSends * (1 - past / SENDS_KEPT),
-        fleet.total(now, Metric.ADMITTED) * SECOND / window / among);
-    long bad = upstreams.values().stream()
-        .filter(u -> u.listed.state() == State.READY && (u.ejectedUntil > now || silent(u)))
+          (readyLoad / Math.max(1, ready) - usualInFlight) * elapsed / (EWMA_WINDOWS * window);
+    }
+    // Divides by at least half of those recently ready: a release removes a part of them, but the
+    // rate of many does not show what the last one can handle.
+    usualReady = Math.max(ready, usualReady * (1 - elapsed / SEND_DECAY_NANOS));
+    double divisor = Math.max(1, Math.max(ready, usualReady * MIN_READY_PART));
+    usualSendRate = Math.max(
+        usualSendRate * (1 - elapsed / SEND_DECAY_NANOS),
+        fleet.total(now, Metric.ADMITTED) * SECOND_NANOS / window / divisor);
+    long unhealthy = upstreams.values().stream()
+        .filter(u -> u.listed.state() == State.READY && (u.ejectedUntil > now || isSilent(u)))
         .count();
-    panic = bad > PANIC_SHARE * ready;
+    panic = unhealthy > PANIC_FRACTION * ready;
     for (PendingRequest r : List.copyOf(open.values())) {
       if (r.out > 0 && !r.ended && !r.streaming) {
         if (now >= r.deadline + settings.contract().answerSlackNanos() / 2) {
           finish(r);
         } else {
           hedge(r);
-          watch(r);
+          scheduleCheck(r);
         }
       }
     }
-    int tries = SWEEP_TRIES;
+    int triesLeft = SWEEP_TRIES;
     for (PendingRequest r : List.copyOf(held)) {
-      if (tries > 0 || now >= Math.min(r.deadline - 2 * SWEEP, heldUntil(r))) {
-        tries -= advance(r) ? 0 : 1;
+      if (triesLeft > 0 || now >= Math.min(r.deadline - 2 * SWEEP_NANOS, heldUntil(r))) {
+        triesLeft -= advance(r) ? 0 : 1;
       }
     }
-    if (now >= askAt) {
-      askAt = Long.MAX_VALUE;
+    if (now >= listRetryAt) {
+      listRetryAt = Long.MAX_VALUE;
       out.accept(new Watch(true));
     }
-    sweepBy(askAt);
+    scheduleSweep(listRetryAt);
   }
 
-  // Following the list
+  // List updates
 
-  private void onList(ListUpdate news) {
-    if (news.kind() == ListKind.FAILED) {
-      // Full jitter, or all balancers would come back to the list service at once.
-      long backoff = Math.min(ASK_MOST, ASK_FIRST << Math.min(askFailures++, 10));
-      askAt = now + (long) (backoff * random.nextDouble());
-      sweepBy(askAt);
+  private void onList(ListUpdate update) {
+    if (update.kind() == ListKind.FAILED) {
+      // Full jitter: all balancers would otherwise return to the list service at the same time.
+      long backoff = Math.min(MAX_BACKOFF_NANOS, MIN_BACKOFF_NANOS << Math.min(listFailures++, 10));
+      listRetryAt = now + (long) (backoff * random.nextDouble());
+      scheduleSweep(listRetryAt);
       return;
     }
-    if (news.kind() != ListKind.CACHED) {
-      askFailures = 0;
+    if (update.kind() != ListKind.CACHED) {
+      listFailures = 0;
     } else if (settings.listOnRequest()) {
       out.accept(new Watch(true));
     }
     Map<Long, Listed> entries = new LinkedHashMap<>();
-    news.entries().forEach(e -> entries.put(e.upstream(), e));
-    if (news.kind() != ListKind.DELTA) {
-      // One that is absent from a full list is gone.
+    update.entries().forEach(e -> entries.put(e.upstream(), e));
+    if (update.kind() != ListKind.DELTA) {
+      // An upstream missing from a complete list has departed.
       upstreams.forEach((id, u) -> entries.putIfAbsent(
           id,
           new Listed(
@@ -858,16 +860,15 @@
     for (Listed e : entries.values()) {
       Upstream u = upstreams.computeIfAbsent(
           e.upstream(),
-          id -> new Upstream(id, new Window(window / 2, now), new Window(HISTORY, now)));
+          id -> new Upstream(id, new Window(window / 2, now), new Window(HISTORY_NANOS, now)));
       if (e.startedNanos() > u.started) {
         u.started = e.startedNanos();
         u.failures = 0;
         u.ejections = 0;
         u.ejectedUntil = 0;
-        // Not in step: all hear of it at once, and would all have saved up for their first send at
-        // once.
-        u.cold.tokens = -random.nextDouble();
-        u.cold.filledAt = now;
+        // Random: all balancers learn of it at once and would send their first request at once.
+        u.coldBudget.tokens = -random.nextDouble();
+        u.coldBudget.filledAt = now;
       }
       u.listed = e;
     }
--- a/src/main/java/pumicekeel/Attempt.java
+++ b/src/main/java/pumicekeel/Attempt.java
@@ -1,16 +1,16 @@
 package pumicekeel;
 
-/** One sending of a request. */
+/** One attempt of a request at an upstream. */
 final class Attempt {
   final Upstream upstream;
   long sentAt;
-  /** In-flight time charged in advance. */
+  /** In-flight time charged when the attempt started; corrected by its outcome. */
   double charged;
 
   boolean out = true;
   boolean mayHaveRun;
-  /** It counts as work of its upstream: not before the request's last byte. */
-  boolean works;
+  /** Whether the upstream may work on it: not before the last byte of the request. */
+  boolean started;
 
   Attempt(Upstream upstream, long sentAt) {
     this.upstream = upstream;
--- a/src/main/java/pumicekeel/Balancer.java
+++ b/src/main/java/pumicekeel/Balancer.java
@@ -5,41 +5,41 @@
 import java.util.function.Consumer;
 
 /**
- * The interface of the decision module: what a balancer tells it and what it asks the balancer to do.
+ * The interface of the decision module: the events it receives from a balancer and the actions it requests.
  *
  * <p>One instance decides for one balancer. It is single-threaded: call {@link #handle} from one thread at a time,
  * events in the order in which they happened. Times and durations are nanoseconds; a clock reading has no particular
  * origin and never goes back. The module reads no clock, no environment and no random source but its seed, so the same
  * calls give the same actions.
  *
- * <p>Actions are to be carried out in the order in which they are handed over, at the clock reading of their event.
- * Every {@link Send} is owed exactly one {@link Outcome}, every {@link SetTimer} one {@link TimerFired}, every
- * {@link Probe} one {@link ProbeResult}. An exception out of {@link #handle} is a defect: drop the instance.
+ * <p>Actions are carried out in the order in which they are emitted, at the clock reading of their event. Each
+ * {@link Send} is followed by exactly one {@link Outcome}, each {@link SetTimer} by one {@link TimerFired}, each
+ * {@link Probe} by one {@link ProbeResult}. An exception from {@link #handle} is a defect: discard the instance.
  */
 public interface Balancer {
 
   /** Handles one event at clock reading {@code nowNanos}; actions go to {@code out} in order. */
   void handle(long nowNanos, Event event, Consumer<Action> out);
 
-  /** May a request of a class run again. */
+  /** Whether a request of a class may run more than once. */
   enum Effect {
     SAFE,
     KEYED,
     UNSAFE
   }
 
-  /** The upstreams that drop a repeat of a keyed request. */
+  /** The upstreams that deduplicate repeats of a keyed request among each other. */
   enum DedupScope {
     ALL,
     ZONE,
     CELL;
 
-    /** Whether two upstreams drop each other's repeats. */
+    /** Returns whether two upstreams deduplicate each other's requests. */
     public boolean covers(Listed one, Listed other) {
       return covers(one.zone(), one.cell(), other);
     }
 
-    /** Whether an upstream drops the repeats of one that stands there. */
+    /** Returns whether an upstream deduplicates the requests of one in that zone and cell. */
     public boolean covers(String zone, int cell, Listed other) {
       return this == ALL || (this == ZONE ? zone.equals(other.zone()) : cell == other.cell());
     }
@@ -56,20 +56,20 @@
     CANCELLED,
     NOT_SENT;
 
-    /** Whether this outcome proves that the attempt never ran. */
+    /** Returns whether this outcome proves that the attempt never ran. */
     public boolean provesNotRun() {
       return this == FULL || this == CONNECT_FAILED || this == NOT_SENT;
     }
   }
 
-  /** What the list says of an upstream. */
+  /** The state of an upstream in the list. */
   enum State {
     READY,
     DRAINING,
     GONE
   }
 
-  /** Changes only, the complete list, the complete list as last held (maybe stale), or a failed call. */
+  /** Changes only, the complete list, the last known complete list (possibly stale), or a failed call. */
   enum ListKind {
     DELTA,
     FULL,
@@ -104,7 +104,7 @@
   /** A tenant; its quota (requests a second over all balancers) is 0 where none is stated. */
   record Tenant(String name, double share, double quotaPerSecond) {}
 
-  /** What the deployment allows. {@code maxOpen} is the most requests one balancer holds. */
+  /** The limits of the deployment. {@code maxOpen} is the maximum number of requests open at one balancer. */
   record Limits(
       boolean cancel,
       boolean probes,
@@ -118,7 +118,7 @@
       long connectTimeoutNanos,
       long connectionIdleNanos) {}
 
-  /** The figures of the four rules. {@code askWithinNanos} is 0 where the list is pushed. */
+  /** The parameters of the four rules. {@code askWithinNanos} is 0 if the list is pushed. */
   record Contract(
       long answerSlackNanos,
       long askWithinNanos,
@@ -128,10 +128,10 @@
       double fallMultiple,
       long fallWindowNanos) {}
 
-  /** Points of the result that a unit costs. */
+  /** The cost of a unit in points of the result. */
   record Prices(double crossZone, double waste, double lateFail) {}
 
-  /** A balancer's settings, handed over once when the instance is made. */
+  /** A balancer's settings, given to the constructor and replaced by {@link SettingsChanged}. */
   record Settings(
       int me,
       int groupSize,
@@ -147,7 +147,7 @@
       boolean warmKeys,
       long tickNanos) {
 
-    /** Checks what cannot make sense, naming the setting. */
+    /** Rejects invalid values with the name of the setting. */
     public Settings {
       check(groupSize > 0, "group size must be above 0");
       check(!classes.isEmpty(), "classes must not be empty");
@@ -189,8 +189,8 @@
   }
 
   /**
-   * One line of the list. {@code startedNanos} is 0 where it started long ago; weight compares upstreams. So many
-   * instances of this process ({@code sharers}, itself among them) send to it: its part of what a cold one may get.
+   * One entry of the list. {@code startedNanos} is 0 if it started long ago; weights are relative. {@code sharers} is the
+   * number of instances in this process, including this one, that send to it and divide a cold upstream's budget.
    */
   record Listed(
       long upstream,
@@ -201,14 +201,14 @@
       double weight,
       int sharers) {
 
-    /** One that no other instance of the process sends to. */
+    /** Creates an entry to which no other instance of the process sends. */
     public Listed(
         long upstream, String zone, int cell, State state, long startedNanos, double weight) {
       this(upstream, zone, cell, state, startedNanos, weight, 1);
     }
   }
 
-  /** What happened. */
+  /** An event reported by the balancer. */
   sealed interface Event
       permits ListUpdate,
           Request,
@@ -223,30 +223,30 @@
           QuotaAllocation {}
 
   /**
-   * The last byte of a request has come that was told of as {@code coming}: upstreams begin it now, and its time counts
-   * from now to {@code deadlineNanos}.
+   * The last byte of a request announced with {@code bodyPending} has arrived: upstreams start it now, and its latency counts
+   * from now; its deadline is {@code deadlineNanos}.
    */
   record RequestBodyReceived(String id, long deadlineNanos) implements Event {}
 
   /**
-   * Other settings from now on. What is open keeps its class, and no request may have more attempts than either allows.
+   * The settings changed. Open requests keep their class; the lower of the old and the new limit on attempts applies to them.
    */
   record SettingsChanged(Settings settings) implements Event {}
 
   /**
-   * What this instance may admit of tenants' quotas from now on, in requests a second; it takes the place of its even part until
-   * the next {@link SettingsChanged}.
+   * The rates that this instance may admit of tenants' quotas, in requests per second; they replace its even share until the
+   * next {@link SettingsChanged}.
    */
   record QuotaAllocation(Map<String, Double> perSecond) implements Event {}
 
-  /** News of the list of upstreams. An instance's first news is of kind CACHED. */
+  /** An update of the list of upstreams. An instance's first update is of kind CACHED. */
   record ListUpdate(ListKind kind, List<Listed> entries) implements Event {}
 
   /**
-   * A request came in and is owed one final answer by {@code deadlineNanos} (a clock reading). Tenant and key may be
-   * null; {@code workHintNanos} is 0 where no hint came. {@code former}: its class is as the settings before the last
-   * {@link SettingsChanged} have it. {@code coming}: its body is too large to be kept and still comes; it may be sent at once, to
-   * one upstream at a time, and {@link RequestBodyReceived} follows.
+   * A request arrived and needs one final answer by {@code deadlineNanos} (a clock reading). Tenant and key may be
+   * null; {@code workHintNanos} is 0 without a hint. {@code usesPreviousSettings}: its class is that of the settings before the last
+   * {@link SettingsChanged}. {@code bodyPending}: its body is too large to be kept and is still arriving; it may be sent at once,
+   * to one upstream at a time, and {@link RequestBodyReceived} follows.
    */
   record Request(
       String id,
@@ -261,7 +261,7 @@
       boolean bodyPending)
       implements Event {
 
-    /** One that has come whole. */
+    /** Creates a request that has arrived completely. */
     public Request(
         String id,
         String className,
@@ -285,7 +285,7 @@
           false);
     }
 
-    /** One of which nothing may have run before. */
+    /** Creates a request without prior attempts that may have run. */
     public Request(
         String id,
         String className,
@@ -299,19 +299,19 @@
   }
 
   /**
-   * An attempt of another request of the same key that may have run, in this process or in the one before it: where its
-   * upstream stands, and when it was sent by this balancer's clock.
+   * An attempt of another request of the same key that may have run, in this process or its predecessor: the location of its
+   * upstream, and when it was sent by this balancer's clock.
    */
   record PriorAttempt(String zone, int cell, long sentAtNanos) {}
 
-  /** A streamed answer has started: the request is this attempt's, without a deadline, until its outcome. */
+  /** A streamed answer has started: the request belongs to this attempt, without a deadline, until its outcome. */
   record AnswerStarted(String id, int attempt, long upstream, long latencyNanos) implements Event {}
 
   /**
    * An attempt ended. {@code finished}: the request is over (the first SERVED ends it by itself); otherwise a final
-   * answer is still owed. {@code load} is the upstream's report, empty where none came. {@code stale}: a kept
-   * connection was reset by the request with nothing heard, which tells of the connection and not of the upstream. {@code
-   * spent}: the request's body was not kept and can't be sent again.
+   * answer is still outstanding. {@code load} is the upstream's report, empty if there was none. {@code
+   * staleConnection}: a kept connection was reset by the request before any answer, which says nothing of the upstream.
+   * {@code bodyConsumed}: the request's body was not kept and cannot be sent again.
    */
   record Outcome(
       String id,
@@ -325,7 +325,7 @@
       boolean bodyConsumed)
       implements Event {
 
-    /** One of a request that can be sent again. */
+    /** Creates the outcome of an attempt whose request can be sent again. */
     public Outcome(
         String id,
         int attempt,
@@ -338,7 +338,7 @@
       this(id, attempt, upstream, status, latencyNanos, finished, load, staleConnection, false);
     }
 
-    /** One that says nothing of its connection. */
+    /** Creates the outcome of an attempt without a stale connection. */
     public Outcome(
         String id,
         int attempt,
@@ -351,10 +351,10 @@
     }
   }
 
-  /** The client left; no answer is owed any more. */
+  /** The client disconnected; no answer is needed any more. */
   record ClientDisconnected(String id) implements Event {}
 
-  /** A timer came due. */
+  /** A timer fired. */
   record TimerFired(String token) implements Event {}
 
   /** A probe ended. */
@@ -364,7 +364,7 @@
   /** Another balancer of the group sent a message. */
   record PeerMessage(int from, byte[] data) implements Event {}
 
-  /** What the balancer is asked to do. */
+  /** An action for the balancer to carry out. */
   sealed interface Action
       permits Send,
           Cancel,
@@ -384,19 +384,19 @@
   /** Stop waiting for an attempt; whether the upstream stops is up to it. */
   record Cancel(String id, int attempt) implements Action {}
 
-  /** Final answer: refused, trying again does no harm. {@code retryAfterNanos} 0: no advice. */
+  /** Final answer: refused, safe to retry. {@code retryAfterNanos} 0: no advice. */
   record Refuse(String id, long retryAfterNanos) implements Action {}
 
-  /** Final answer: failed, with no promise. */
+  /** Final answer: failed; the request may have run. */
   record Fail(String id) implements Action {}
 
-  /** Ask for {@link TimerFired} at a clock reading. */
+  /** Request {@link TimerFired} at a clock reading. */
   record SetTimer(String token, long atNanos) implements Action {}
 
-  /** Subscribe to changes of the list (or stop). One ListUpdate answers. */
+  /** Subscribe to changes of the list (or stop). Answered by one ListUpdate. */
   record Watch(boolean on) implements Action {}
 
-  /** Ask once for the complete list. */
+  /** Request the complete list once. */
   record FetchList() implements Action {}
 
   /** Probe an upstream. */
--- a/src/main/java/pumicekeel/PendingRequest.java
+++ b/src/main/java/pumicekeel/PendingRequest.java
@@ -3,27 +3,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request in hand: until it has its final answer and each of its attempts has ended. */
+/** A request that has no final answer yet or has attempts in flight. */
 final class PendingRequest {
   final Balancer.Request request;
   final Balancer.RequestClass type;
-  /** When it came; of one that still comes, when it was taken. */
+  /** When it arrived completely; until then, when it was admitted. */
   long arrived;
 
   long deadline;
-  /** Its body still comes: no upstream works on it. */
-  boolean coming;
-  /** Its body can't be sent again. */
-  boolean spent;
+  /** Whether its body is still arriving, so that no upstream works on it. */
+  boolean bodyPending;
+  /** Whether its body was not kept and cannot be sent again. */
+  boolean bodyConsumed;
 
   final boolean excess;
-  /** All work inside quotas, or all over them. */
-  final Window share;
+  /** The window of all work inside quotas, or of all work over quotas. */
+  final Window quotaGroup;
 
   final Window endpoint;
   final Window key;
   final double load;
-  /** As the settings had it when it came. */
+  /** The limit when it arrived. */
   final int maxAttempts;
 
   final List<Attempt> attempts = new ArrayList<>(1);
@@ -36,26 +36,26 @@
       Balancer.RequestClass type,
       long arrived,
       boolean excess,
-      Window share,
+      Window quotaGroup,
       Window endpoint,
       Window key,
       double load,
       int maxAttempts) {
     this.request = request;
     deadline = request.deadlineNanos();
-    coming = request.bodyPending();
+    bodyPending = request.bodyPending();
     this.type = type;
     this.arrived = arrived;
     this.excess = excess;
-    this.share = share;
+    this.quotaGroup = quotaGroup;
     this.endpoint = endpoint;
     this.key = key;
     this.load = load;
     this.maxAttempts = maxAttempts;
   }
 
-  /** Whether what may have run before this request came lets it go to an upstream: one of its group, in time. */
-  boolean earlierAllows(Balancer.Listed upstream, long now) {
+  /** Returns whether an upstream would deduplicate this request against all prior attempts that may have run. */
+  boolean priorAttemptsAllow(Balancer.Listed upstream, long now) {
     for (Balancer.PriorAttempt e : request.priorAttempts()) {
       if (!type.dedupScope().covers(e.zone(), e.cell(), upstream)
           || now - e.sentAtNanos() >= type.dedupWindowNanos()) {
@@ -65,8 +65,8 @@
     return true;
   }
 
-  /** Whether nothing more may be sent, wherever: it may run once, or nobody drops a repeat any more. */
-  boolean mayNotRunAgain(long now) {
+  /** Returns whether no upstream may receive it: an unsafe one may have run, or a deduplication window is over. */
+  boolean mayNotBeSentAgain(long now) {
     if (type.effect() == Balancer.Effect.UNSAFE) {
       return mayHaveRun();
     }
--- a/src/main/java/pumicekeel/Ring.java
+++ b/src/main/java/pumicekeel/Ring.java
@@ -4,28 +4,28 @@
 import java.util.List;
 import java.util.function.ToLongFunction;
 
-/** A hash ring: each member owns as many points as it was given; a walk goes on from a key's place. */
+/** A hash ring: each member owns a given number of points; a walk starts at a key's position. */
 final class Ring {
-  /** A point's low bits name its owner; more members than a list can hold. */
-  private static final long OWNERS = 1 << 20;
+  /** The low bits of a point hold its owner's index; exceeds the size of any list. */
+  private static final long MAX_OWNERS = 1 << 20;
 
   private final long[] points;
   private final Upstream[] owners;
 
-  /** Plain numbers, sorted: each news of a rolling deploy makes the ring anew at every balancer. */
+  /** Builds the ring as a sorted array of longs: each list update of a rolling deploy rebuilds it at every balancer. */
   Ring(List<Upstream> members, ToLongFunction<Upstream> pointsOf) {
     long[] unsorted = new long[(int) members.stream().mapToLong(pointsOf).sum()];
     int count = 0;
     for (int m = 0; m < members.size(); m++) {
       long end = count + pointsOf.applyAsLong(members.get(m));
       for (int i = 0; count < end; i++) {
-        unsorted[count++] = mix(mix(members.get(m).id) + i) & -OWNERS | m;
+        unsorted[count++] = mix(mix(members.get(m).id) + i) & -MAX_OWNERS | m;
       }
     }
     Arrays.sort(unsorted);
     points = unsorted;
     owners = Arrays.stream(points)
-        .mapToObj(p -> members.get((int) (p & OWNERS - 1)))
+        .mapToObj(p -> members.get((int) (p & MAX_OWNERS - 1)))
         .toArray(Upstream[]::new);
   }
 
@@ -35,19 +35,19 @@
     return z ^ (z >>> 31);
   }
 
-  /** A number from 0 to 1 for a request, the same each time; it has nothing to do with the place of its id. */
+  /** Returns a stable pseudo-random number from 0 to 1 for a request, independent of the position of its id. */
   static double lot(String request) {
     return (mix(~mix(request.hashCode())) >>> 11) * 0x1p-53;
   }
 
-  /** The place of a key. */
-  int placeOf(String key) {
-    int place = Arrays.binarySearch(points, mix(mix(key.hashCode())));
-    return place < 0 ? -place - 1 : place;
+  /** Returns the ring position of a key. */
+  int positionOf(String key) {
+    int position = Arrays.binarySearch(points, mix(mix(key.hashCode())));
+    return position < 0 ? -position - 1 : position;
   }
 
-  /** The owner of a point; counting goes around the ring. */
-  Upstream owner(int place) {
-    return owners[place % owners.length];
+  /** Returns the owner of a point; positions wrap around the ring. */
+  Upstream owner(int position) {
+    return owners[position % owners.length];
   }
 }
--- a/src/main/java/pumicekeel/TokenBucket.java
+++ b/src/main/java/pumicekeel/TokenBucket.java
@@ -1,12 +1,12 @@
 package pumicekeel;
 
-/** A token bucket; its rate and size may differ from one filling to the next. */
+/** A token bucket whose rate and capacity may change between refills. */
 class TokenBucket {
   double tokens;
   long filledAt;
 
-  double fill(long now, double perSecond, double most) {
-    tokens = Math.min(most, tokens + perSecond * (now - filledAt) / 1e9);
+  double fill(long now, double perSecond, double capacity) {
+    tokens = Math.min(capacity, tokens + perSecond * (now - filledAt) / 1e9);
     filledAt = now;
     return tokens;
   }
--- a/src/main/java/pumicekeel/Upstream.java
+++ b/src/main/java/pumicekeel/Upstream.java
@@ -1,35 +1,35 @@
 package pumicekeel;
 
-/** What a balancer knows of an upstream. */
+/** The state that a balancer keeps about an upstream. */
 final class Upstream {
   final long id;
   final Window window;
   /** In-flight time over the long window of bounded load. */
-  final Window busy;
-  /** What a cold upstream may still get from this instance: its part where others of the process send to it. */
-  final TokenBucket cold = new TokenBucket() {
+  final Window inFlightTime;
+  /** The sends that a cold upstream may still get from this instance, its part if instances of the process share it. */
+  final TokenBucket coldBudget = new TokenBucket() {
     @Override
-    double fill(long now, double perSecond, double most) {
+    double fill(long now, double perSecond, double capacity) {
       int sharers = listed.sharers();
-      return super.fill(now, perSecond / sharers, Math.max(1, most / sharers));
+      return super.fill(now, perSecond / sharers, Math.max(1, capacity / sharers));
     }
   };
 
   Balancer.Listed listed;
   long started;
   long firstServed;
-  long heardAt;
+  long lastAnswerAt;
   int inFlight;
   double load;
   int failures;
   int ejections;
   long ejectedUntil;
-  boolean onTrial;
-  long visit;
+  boolean onProbation;
+  long lastWalk;
 
-  Upstream(long id, Window window, Window busy) {
+  Upstream(long id, Window window, Window inFlightTime) {
     this.id = id;
     this.window = window;
-    this.busy = busy;
+    this.inFlightTime = inFlightTime;
   }
 }
--- a/src/main/java/pumicekeel/Window.java
+++ b/src/main/java/pumicekeel/Window.java
@@ -2,25 +2,25 @@
 
 import java.util.Arrays;
 
-/** Counts and sums over the last window, and further back where it holds too few samples. */
+/** Counts and sums over a sliding window, and further back if it holds too few samples. */
 final class Window {
 
-  /** What a window counts: offers, admissions, samples, the sum of their latencies, the sum of their aims,
-   * the time that they spent in the balancer. */
+  /** What a window counts: offered and admitted requests, latency samples, and the sums of the samples' latencies, aims and
+   * overheads in this balancer. */
   enum Metric {
     OFFERED,
     ADMITTED,
     SAMPLES,
     SUM,
     AIMS,
-    OURS
+    OVERHEAD
   }
 
-  /** A window forgets in steps of a twelfth. */
+  /** A window slides in steps of a twelfth. */
   private static final int SLOTS = 12;
 
   private final long slotNanos;
-  private final int kept;
+  private final int slotCount;
   private final double[][] slots;
   private final double[] totals = new double[Metric.values().length];
   private long slot;
@@ -29,38 +29,37 @@
     this(lengthNanos, 1, now);
   }
 
-  /** A window that remembers so many times its length. */
-  Window(long lengthNanos, int reach, long now) {
+  /** Creates a window that keeps {@code windowsBack} times its length. */
+  Window(long lengthNanos, int windowsBack, long now) {
     slotNanos = lengthNanos / SLOTS;
-    kept = SLOTS * reach;
-    slots = new double[Metric.values().length][kept];
+    slotCount = SLOTS * windowsBack;
+    slots = new double[Metric.values().length][slotCount];
     slot = now / slotNanos;
   }
 
-  /** Whether all that it counted lies further back than it remembers. */
+  /** Returns whether everything counted has expired. */
   boolean empty(long now) {
-    return now / slotNanos - slot >= kept;
+    return now / slotNanos - slot >= slotCount;
   }
 
   void add(long now, Metric metric, double amount) {
     totals[metric.ordinal()] = total(now, metric) + amount;
-    slots[metric.ordinal()][(int) (slot % kept)] += amount;
+    slots[metric.ordinal()][(int) (slot % slotCount)] += amount;
   }
 
-  /** The total of the last window. */
+  /** Returns the total of the last window. */
   double total(long now, Metric metric) {
     long current = now / slotNanos;
-    if (current - slot >= kept) {
-      // All lies further back. Turned slot by slot, some would be taken off that left the totals
-      // long ago, and the
-      // last ones never: the difference would count from then on.
+    if (current - slot >= slotCount) {
+      // Everything has expired. Advancing slot by slot would subtract slots that left the totals
+      // long ago and never the last ones, which leaves a permanent error.
       clear();
       slot = current;
     }
     for (long s = slot + 1; s <= current; s++) {
       for (int m = 0; m < totals.length; m++) {
-        totals[m] -= s >= SLOTS ? slots[m][(int) ((s - SLOTS) % kept)] : 0;
-        slots[m][(int) (s % kept)] = 0;
+        totals[m] -= s >= SLOTS ? slots[m][(int) ((s - SLOTS) % slotCount)] : 0;
+        slots[m][(int) (s % slotCount)] = 0;
       }
     }
     slot = current;
@@ -74,20 +73,20 @@
     }
   }
 
-  /** The total of the last window, reaching back for so many samples as far as the window remembers. */
-  double reach(long now, Metric metric, int enough) {
+  /** Returns the total of the last window, extended back until it has {@code minSamples} or no older slot is kept. */
+  double totalOfSamples(long now, Metric metric, int minSamples) {
     double sum = total(now, metric);
     double samples = totals[Metric.SAMPLES.ordinal()];
-    for (long s = slot - SLOTS; samples < enough && s > slot - kept && s >= 0; s--) {
-      samples += slots[Metric.SAMPLES.ordinal()][(int) (s % kept)];
-      sum += slots[metric.ordinal()][(int) (s % kept)];
+    for (long s = slot - SLOTS; samples < minSamples && s > slot - slotCount && s >= 0; s--) {
+      samples += slots[Metric.SAMPLES.ordinal()][(int) (s % slotCount)];
+      sum += slots[metric.ordinal()][(int) (s % slotCount)];
     }
     return sum;
   }
 
-  /** Mean of the samples, of so many at least where the window remembers them; 0, healthy, where there are none. */
-  double mean(long now, int enough) {
-    double samples = reach(now, Metric.SAMPLES, enough);
-    return samples < 0.5 ? 0 : reach(now, Metric.SUM, enough) / samples;
+  /** Returns the mean of at least {@code minSamples} samples if so many are kept; 0, which means healthy, without any. */
+  double mean(long now, int minSamples) {
+    double samples = totalOfSamples(now, Metric.SAMPLES, minSamples);
+    return samples < 0.5 ? 0 : totalOfSamples(now, Metric.SUM, minSamples) / samples;
   }
 }
