--- a/src/main/java/pumicekeel/discovery/Discovery.java
+++ b/src/main/java/pumicekeel/discovery/Discovery.java
@@ -65,7 +65,7 @@
   private ScheduledFuture<?> currencyCheck;
   private long callCount;
 
-  /** Creates a watch that is not started yet; {@code seed} spreads its calls, and {@code failed} runs after each call that failed. */
+  /** Creates a watch that is not started yet; {@code seed} spreads its calls, and {@code onFailure} runs after each call that failed. */
   public Discovery(
       Reactor on,
       InetSocketAddress address,
@@ -73,15 +73,15 @@
       WatchTerms terms,
       ListCurrency currency,
       long seed,
-      Consumer<HostList> news,
-      Runnable failed) {
+      Consumer<HostList> onList,
+      Runnable onFailure) {
     this.reactor = on;
     this.address = address;
     this.index = index;
     this.terms = terms;
     this.currency = currency;
-    this.onList = news;
-    this.onFailure = failed;
+    this.onList = onList;
+    this.onFailure = onFailure;
     plan = new CallPlan(seed);
   }
 
@@ -93,9 +93,9 @@
   }
 
   /** Changes the terms for calls made from now on. */
-  public void reconfigure(WatchTerms next, boolean followed) {
+  public void reconfigure(WatchTerms next, boolean hasObservers) {
     terms = next;
-    if (followed) {
+    if (hasObservers) {
       start();
     }
   }
--- a/src/main/java/pumicekeel/guard/ServingGuard.java
+++ b/src/main/java/pumicekeel/guard/ServingGuard.java
@@ -20,7 +20,7 @@
   private static final AtomicLong PROCESS_VIOLATIONS = new AtomicLong();
 
   private final Map<Denial, Long> denials = new EnumMap<>(Denial.class);
-  private final Map<Violation, Long> violationCount = new EnumMap<>(Violation.class);
+  private final Map<Violation, Long> violations = new EnumMap<>(Violation.class);
   private final Map<CloseReason, Long> closes = new EnumMap<>(CloseReason.class);
   private final Consumer<String> violationLog;
   private final Consumer<String> closeLog;
@@ -113,13 +113,13 @@
   /** Records that something forbidden was done, or was about to be done. */
   public void reportViolation(Violation violation, String detail) {
     PROCESS_VIOLATIONS.incrementAndGet();
-    violationCount.merge(violation, 1L, Long::sum);
+    violations.merge(violation, 1L, Long::sum);
     violationLog.accept("rule violated: " + violation + " " + detail);
   }
 
   /** Returns the number of violations of this balancer. */
   public long violationCount() {
-    return violationCount.values().stream().mapToLong(n -> n).sum();
+    return violations.values().stream().mapToLong(n -> n).sum();
   }
 
   /** Returns the number of violations of all balancers in this process. Thread-safe. */
@@ -129,7 +129,7 @@
 
   /** Returns all counters in one line. */
   public String summary() {
-    return "violations " + violationCount() + countsText(violationCount) + "; sent " + sent
+    return "violations " + violationCount() + countsText(violations) + "; sent " + sent
         + "; not sent" + countsText(denials) + "; closed" + countsText(closes);
   }
 
--- a/src/main/java/pumicekeel/upstream/UpstreamLink.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamLink.java
@@ -9,7 +9,7 @@
 
   /** Creates an attempt that has not started yet. */
   UpstreamAttempt attempt(
-      int number, long upstream, long decidedAt, UpstreamAttempt.Observer ending);
+      int number, long upstream, long decidedAt, UpstreamAttempt.Observer observer);
 
   /** Closes the link, since the upstream is removed or has moved: idle connections at once, the others when their attempts have ended. */
   void close();
--- a/src/main/java/pumicekeel/upstream/UpstreamTable.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamTable.java
@@ -95,10 +95,10 @@
     }
   }
 
-  private void markLeaving(Entry e, boolean gone) {
+  private void markLeaving(Entry e, boolean remove) {
     e.leaving = true;
-    e.removed = gone;
-    if (gone) {
+    e.removed = remove;
+    if (remove) {
       e.link.close();
       removeIfUnused(e);
     }
--- a/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
+++ b/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
@@ -32,8 +32,8 @@
 
   private ScheduledFuture<?> reuseTimer;
 
-  HttpAttempt(int number, long upstream, long decidedAt, UpstreamPool pool, Observer ending) {
-    super(number, upstream, decidedAt, ending);
+  HttpAttempt(int number, long upstream, long decidedAt, UpstreamPool pool, Observer observer) {
+    super(number, upstream, decidedAt, observer);
     this.pool = pool;
   }
 
--- a/src/main/java/pumicekeel/upstream/http/UpstreamPool.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamPool.java
@@ -41,8 +41,8 @@
 
   @Override
   public UpstreamAttempt attempt(
-      int number, long upstream, long decidedAt, UpstreamAttempt.Observer ending) {
-    return new HttpAttempt(number, upstream, decidedAt, this, ending);
+      int number, long upstream, long decidedAt, UpstreamAttempt.Observer observer) {
+    return new HttpAttempt(number, upstream, decidedAt, this, observer);
   }
 
   /**
