--- a/src/test/java/pumicekeel/front/AcceptControlTest.java
+++ b/src/test/java/pumicekeel/front/AcceptControlTest.java
@@ -94,7 +94,7 @@
     control.accepting(now);
     assertEquals(700 * MS, control.maxBacklogWaitNanos(now, true));
     now += 20 * MS;
-    assertEquals(720 * MS, control.maxBacklogWaitNanos(now, true), "it stands still");
+    assertEquals(720 * MS, control.maxBacklogWaitNanos(now, true), "the backlog still waits");
     control.backlogEmpty(now);
     assertEquals(0, control.maxBacklogWaitNanos(now + MS, true));
     assertFalse(control.mayHaveBacklog());
@@ -108,7 +108,7 @@
     now += 200 * MS;
     assertEquals(215 * MS, control.maxBacklogWaitNanos(now, true));
     control.backlogSince(now - 15 * MS);
-    assertEquals(215 * MS, control.maxBacklogWaitNanos(now, true), "the same line still");
+    assertEquals(215 * MS, control.maxBacklogWaitNanos(now, true), "the same backlog still");
     control.backlogEmpty(now);
     assertEquals(0, control.maxBacklogWaitNanos(now, true));
   }
@@ -118,7 +118,7 @@
     control.limitReached(now);
     now += 700 * MS;
     control.accepting(now);
-    assertEquals(300 * MS, control.maxBacklogWaitNanos(now, false), "room is made within that");
+    assertEquals(300 * MS, control.maxBacklogWaitNanos(now, false), "a connection is freed within that");
     assertEquals(0, control.maxBacklogWaitNanos(now + 6 * MS, false));
   }
 }
