--- a/src/main/java/pumicekeel/discovery/CallPlan.java
+++ b/src/main/java/pumicekeel/discovery/CallPlan.java
@@ -6,13 +6,15 @@
 /**
  * Schedules the next call to a polled discovery service after a failure. No I/O; time is passed in, and the seed is its only source of
  * randomness.
- * | <p>A call that fails at once is retried soon: the maximum pause shrinks with the time left until the list must no longer be used, and
+ *
+ * <p>A call that fails at once is retried soon: the maximum pause shrinks with the time left until the list must no longer be used, and
  * has a lower bound, so that a fleet makes a bounded number of calls. A call that was rejected after waiting in the service's queue has
  * already paused, and is repeated almost at once, in the order in which the callers were rejected. The exception is when such calls wait
  * for different lengths of time: then their rejections are queued as well and consume the service's time, so each caller pauses on
  * average for as long as it has waited, and twice as long after each further rejection, and all callers together demand less than the
  * service can handle.
- * | <p>The service counts as crowded if its responses take long or if calls were rejected after queueing. A call that a crowded service
+ *
+ * <p>The service counts as crowded if its responses take long or if calls were rejected after queueing. A call that a crowded service
  * rejects at once has found a full queue and pauses for one second on average; no second call is made beside one that waits; and a watch
  * that fell silent is reopened only when twice the response time is left.
  */
@@ -76,7 +78,8 @@
 
   /**
    * Returns the pause before the next call, in nanoseconds.
-   * | @param waitedNanos from the start of the failed call to its end
+   *
+   * @param waitedNanos from the start of the failed call to its end
    * @param leftNanos until the list must no longer be used
    * @param confirmedByPeer whether other balancers currently report departures, so that calls are left to balancers without such reports
    */
--- a/src/main/java/pumicekeel/discovery/DepartureExchange.java
+++ b/src/main/java/pumicekeel/discovery/DepartureExchange.java
@@ -16,11 +16,13 @@
  * Exchanges upstream departures among balancers in broadcast datagrams, so that a balancer that receives discovery's lists late, or not
  * at all, sends nothing to departed upstreams. No I/O; times are nanoseconds of one monotonic clock, and the seed is its only source of
  * randomness.
- * | <p>A report names the upstreams that departed, or were away for a while, between two versions of the list. An upstream that serves
+ *
+ * <p>A report names the upstreams that departed, or were away for a while, between two versions of the list. An upstream that serves
  * again may receive requests only once its return counts as announced here as well: when the own list says so, or 6 s after another
  * balancer's list did. A balancer whose list is old sends a query; one with a current list replies. A report that reaches back to the
  * version that is known here also confirms the list as of the time at which its sender last received data from discovery.
- * | <p>Reports and queries are broadcast after a random delay, and suppressed if an equal one was received meanwhile, so that their
+ *
+ * <p>Reports and queries are broadcast after a random delay, and suppressed if an equal one was received meanwhile, so that their
  * number does not grow with the fleet. Each change is reported twice, against loss. A reported departure that no list covers within
  * {@link #REPORT_RETENTION_NANOS} is dropped: then the versions here are unrelated to those of its sender.
  */
--- a/src/main/java/pumicekeel/discovery/DepartureMessage.java
+++ b/src/main/java/pumicekeel/discovery/DepartureMessage.java
@@ -8,7 +8,8 @@
  * One datagram between balancers about departed upstreams, at most {@link #MAX_BYTES} bytes. Big-endian: magic 2, version 1, kind 1, from
  * 8, to 8, age in ms 4, part 1, parts 1, count 1, then 12 bytes for each upstream: its ID 8, and how many ms ago the sender's list
  * reported that it serves again 4, -1 if it does not.
- * | @param kind a query or a report
+ *
+ * @param kind a query or a report
  * @param from the version of the list after which departures are requested or reported
  * @param to the version up to which they are reported; 0 in a query
  * @param ageMillis time since the sender last received data from discovery; 0 in a query
--- a/src/main/java/pumicekeel/discovery/ListCurrency.java
+++ b/src/main/java/pumicekeel/discovery/ListCurrency.java
@@ -5,10 +5,12 @@
 /**
  * How current a list of upstreams is, and whether requests may be sent by it. One instance for each source of lists. Times are
  * nanoseconds of one monotonic clock, passed in; no I/O.
- * | <p>What discovery had at {@link #asOf} is known here. A later change counts as announced 6 s after that at the earliest, and requests
+ *
+ * <p>What discovery had at {@link #asOf} is known here. A later change counts as announced 6 s after that at the earliest, and requests
  * to a departed upstream may be sent for the drain grace beyond. After both, a list that shows no departure proves nothing, unless
  * discovery cannot be reached: then nothing counts as announced.
- * | <p>A failed call does not distinguish an outage from overload: a service that is down and one that is crowded both answer 503. The
+ *
+ * <p>A failed call does not distinguish an outage from overload: a service that is down and one that is crowded both answer 503. The
  * following evidence is weighed, in this order: no outage if a response arrived in part or another balancer has a newer list; an outage
  * if other balancers query as well; no outage if a call was accepted and then not answered; an outage if calls cannot be made, so many in
  * a row that a service which answers three in ten would have answered one; an outage, for a while, if discovery has ended a working watch
@@ -63,7 +65,8 @@
 
   /**
    * Creates the state of a list that is current as of now, at start-up.
-   * | @param pushed an agent on this machine forwards the list, and is silent while discovery is down
+   *
+   * @param pushed an agent on this machine forwards the list, and is silent while discovery is down
    * @param graceNanos the drain grace
    */
   public ListCurrency(boolean pushed, long graceNanos, long now) {
--- a/src/main/java/pumicekeel/discovery/UpstreamSource.java
+++ b/src/main/java/pumicekeel/discovery/UpstreamSource.java
@@ -46,7 +46,8 @@
 
   /**
    * Creates a list that is watched at an address, starting with its last known content.
-   * | @param graceNanos the drain grace
+   *
+   * @param graceNanos the drain grace
    * @param seed spreads its calls among those of other balancers
    */
   public static UpstreamSource watched(
--- a/src/main/java/pumicekeel/discovery/WatchTerms.java
+++ b/src/main/java/pumicekeel/discovery/WatchTerms.java
@@ -4,12 +4,14 @@
 
 /**
  * Time limits of a watch on the list, in milliseconds.
- * | <p>A change that a watch misses counts as announced 6 s after discovery had it, and the shortest drain grace in use adds 1 s. Polled:
+ *
+ * <p>A change that a watch misses counts as announced 6 s after discovery had it, and the shortest drain grace in use adds 1 s. Polled:
  * a call whose list stops half way is given up after 1 s, and a second call is made in parallel after half of that; a call that gets no
  * response keeps its place in the service's queue for twice the time after which the second one is made. Pushed: 3 s of silence and 0.85
  * s for each try that stalls, so four tries before 6.5 s. A return of the agent counts as announced at once: one try is always in
  * progress or begins within 0.1 s, and one that stalls is given up within 0.75 s.
- * | @param pushed an agent on this machine forwards lists
+ *
+ * @param pushed an agent on this machine forwards lists
  * @param overlapsCalls whether a second call is made in parallel to one that has stalled
  * @param connectMillis time limit of a connect
  * @param answerMillis wait for the first response before the call counts as stalled
--- a/src/main/java/pumicekeel/guard/SendContext.java
+++ b/src/main/java/pumicekeel/guard/SendContext.java
@@ -2,7 +2,8 @@
 
 /**
  * State of a request and its upstream immediately before the first byte of an attempt is written.
- * | @param requestId ID of the request
+ *
+ * @param requestId ID of the request
  * @param requestEnded the request already has its final response
  * @param clientConnected the client is still connected, as far as its socket shows
  * @param upstreamLeaving the list says that the upstream drains or is removed
