--- a/src/main/java/pumicekeel/node/DepartureSharing.java
+++ b/src/main/java/pumicekeel/node/DepartureSharing.java
@@ -36,7 +36,7 @@
     loop = on.loop();
     clock = on.clock();
     seed = configuration.seed() ^ configuration.name().hashCode();
-    size = addresses.each().size();
+    size = addresses.members().size();
     peers = new PeerBroadcast(loop, addresses, configuration.settings().me(), this::onDatagram);
   }
 
--- a/src/main/java/pumicekeel/node/LentQuotas.java
+++ b/src/main/java/pumicekeel/node/LentQuotas.java
@@ -77,17 +77,17 @@
   // Datagrams
 
   @Override
-  public boolean speaks(byte[] bytes) {
+  public boolean accepts(byte[] bytes) {
     return QuotaExchange.isQuotaMessage(bytes);
   }
 
   @Override
-  public List<Membership.Out> receive(int from, byte[] bytes, long now) {
+  public List<Membership.OutgoingDatagram> receive(int from, byte[] bytes, long now) {
     return out(exchange.receive(from, bytes, now));
   }
 
   @Override
-  public List<Membership.Out> tick(long now, BitSet live) {
+  public List<Membership.OutgoingDatagram> tick(long now, BitSet live) {
     return out(exchange.tick(now, live));
   }
 
@@ -96,7 +96,7 @@
     return exchange.nextTickAt();
   }
 
-  private static List<Membership.Out> out(List<QuotaExchange.OutgoingDatagram> out) {
-    return out.stream().map(o -> new Membership.Out(o.to(), o.bytes())).toList();
+  private static List<Membership.OutgoingDatagram> out(List<QuotaExchange.OutgoingDatagram> out) {
+    return out.stream().map(o -> new Membership.OutgoingDatagram(o.to(), o.bytes())).toList();
   }
 }
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -314,7 +314,7 @@
         LentQuotas quotas = new LentQuotas(me, all.size(), epoch, configuration.seed() - me);
         loop.submit(() -> {
               services.lend(quotas);
-              peers.carry(quotas);
+              peers.attach(quotas);
             })
             .syncUninterruptibly();
       }
--- a/src/main/java/pumicekeel/peers/Membership.java
+++ b/src/main/java/pumicekeel/peers/Membership.java
@@ -15,7 +15,7 @@
 public final class Membership {
 
   /** A datagram to send to a member. */
-  public record Out(int to, byte[] bytes) {}
+  public record OutgoingDatagram(int to, byte[] bytes) {}
 
   /** The probe of this period, until it is acknowledged. */
   private static final class Probe {
@@ -55,7 +55,7 @@
   private long discarded;
   private long otherVersions;
   private long falseSuspicions;
-  private final List<Out> out = new ArrayList<>();
+  private final List<OutgoingDatagram> out = new ArrayList<>();
 
   /** The member of this number in a list of so many; {@code epoch}: the wall clock in milliseconds at the start. */
   public Membership(
@@ -150,7 +150,7 @@
   }
 
   /** Does what is due, and hands over what is to be sent. */
-  public List<Out> tick(long now) {
+  public List<OutgoingDatagram> tick(long now) {
     if (probe != null && !probe.helped && now - probe.sentAt >= probeTime()) {
       requestIndirectProbes();
     }
@@ -168,8 +168,8 @@
     return taken();
   }
 
-  private List<Out> taken() {
-    List<Out> taken = List.copyOf(out);
+  private List<OutgoingDatagram> taken() {
+    List<OutgoingDatagram> taken = List.copyOf(out);
     out.clear();
     return taken;
   }
@@ -256,7 +256,7 @@
   // Messages
 
   /** Takes a datagram that came from the address of a member, and hands over what is to be sent. */
-  public List<Out> receive(int from, byte[] bytes, long now) {
+  public List<OutgoingDatagram> receive(int from, byte[] bytes, long now) {
     Datagram d = Datagram.of(bytes, size);
     if (d == null && Datagram.isOtherVersion(bytes)) {
       otherVersions++;
@@ -381,7 +381,7 @@
     }
     broadcasts.fill(updates, table.live());
     GossipUpdate mine = table.get(self);
-    out.add(new Out(
+    out.add(new OutgoingDatagram(
         to,
         new Datagram(kind, self, mine.epoch(), mine.incarnation(), with, target, updates).bytes()));
   }
--- a/src/main/java/pumicekeel/peers/MembershipSettings.java
+++ b/src/main/java/pumicekeel/peers/MembershipSettings.java
@@ -25,6 +25,6 @@
     long syncNanos) {
 
   /** As Lifeguard was measured: a second, half a second, 3 helpers, alpha 5, beta 6, K 3, S 8. */
-  public static final MembershipSettings USUAL =
+  public static final MembershipSettings DEFAULTS =
       new MembershipSettings(1_000_000_000L, 500_000_000L, 3, 4, 5, 6, 3, 8, 2_000_000_000L);
 }
--- a/src/main/java/pumicekeel/peers/PeerAddresses.java
+++ b/src/main/java/pumicekeel/peers/PeerAddresses.java
@@ -14,10 +14,10 @@
  * @param each one for each balancer, in the order of their numbers, its own among them
  */
 public record PeerAddresses(
-    InetSocketAddress own, InetSocketAddress all, List<InetSocketAddress> each) {
+    InetSocketAddress own, InetSocketAddress broadcast, List<InetSocketAddress> members) {
 
   public PeerAddresses {
-    each = List.copyOf(each);
+    members = List.copyOf(members);
   }
 
   /** Those of a configuration; null where it names none. A bad one is an IllegalArgumentException that names it. */
--- a/src/main/java/pumicekeel/peers/PeerBroadcast.java
+++ b/src/main/java/pumicekeel/peers/PeerBroadcast.java
@@ -53,9 +53,9 @@
     this.addresses = addresses;
     this.self = self;
     this.receiver = receiver;
-    List<InetSocketAddress> each = addresses.each();
-    for (int i = 0; i < each.size(); i++) {
-      numbers.put(each.get(i), i);
+    List<InetSocketAddress> members = addresses.members();
+    for (int i = 0; i < members.size(); i++) {
+      numbers.put(members.get(i), i);
     }
   }
 
@@ -118,14 +118,14 @@
       return;
     }
     for (byte[] bytes : datagrams) {
-      if (addresses.all() != null) {
-        write(bytes, addresses.all());
+      if (addresses.broadcast() != null) {
+        write(bytes, addresses.broadcast());
         continue;
       }
-      List<InetSocketAddress> each = addresses.each();
-      for (int i = 0; i < each.size(); i++) {
+      List<InetSocketAddress> members = addresses.members();
+      for (int i = 0; i < members.size(); i++) {
         if (i != self) {
-          write(bytes, each.get(i));
+          write(bytes, members.get(i));
         }
       }
     }
--- a/src/main/java/pumicekeel/peers/PeerLink.java
+++ b/src/main/java/pumicekeel/peers/PeerLink.java
@@ -58,7 +58,7 @@
       numbers.put(peers.get(i), i);
     }
     membership = new Membership(
-        MembershipSettings.USUAL, self, peers.size(), epochMillis, seed, System.nanoTime());
+        MembershipSettings.DEFAULTS, self, peers.size(), epochMillis, seed, System.nanoTime());
     told = membership.live();
   }
 
@@ -88,7 +88,7 @@
       byte[] bytes = ByteBufUtil.getBytes(packet.content());
       long now = System.nanoTime();
       send(
-          service != null && service.speaks(bytes)
+          service != null && service.accepts(bytes)
               ? service.receive(from, bytes, now)
               : membership.receive(from, bytes, now));
       next();
@@ -100,8 +100,8 @@
     }
   }
 
-  private void send(List<Membership.Out> out) {
-    for (Membership.Out o : out) {
+  private void send(List<Membership.OutgoingDatagram> out) {
+    for (Membership.OutgoingDatagram o : out) {
       sentDatagrams++;
       sentBytes += o.bytes().length;
       channel.write(
@@ -144,7 +144,7 @@
   }
 
   /** Has another protocol spoken on this socket too; only on the loop. */
-  public void carry(PeerService other) {
+  public void attach(PeerService other) {
     service = other;
     next();
   }
--- a/src/main/java/pumicekeel/peers/PeerService.java
+++ b/src/main/java/pumicekeel/peers/PeerService.java
@@ -7,13 +7,13 @@
 public interface PeerService {
 
   /** Whether a datagram is of this protocol. */
-  boolean speaks(byte[] bytes);
+  boolean accepts(byte[] bytes);
 
   /** Takes one that came from the address of a member, and hands over what is to be sent. */
-  List<Membership.Out> receive(int from, byte[] bytes, long now);
+  List<Membership.OutgoingDatagram> receive(int from, byte[] bytes, long now);
 
   /** Does what is due, and hands over what is to be sent; {@code live} are the members that are there. */
-  List<Membership.Out> tick(long now, BitSet live);
+  List<Membership.OutgoingDatagram> tick(long now, BitSet live);
 
   /** When {@link #tick} has something to do, at the latest. */
   long nextAt();
--- a/src/main/java/pumicekeel/rig/scale/HollowFleet.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowFleet.java
@@ -124,7 +124,7 @@
   /** Has another protocol spoken on each member's socket. */
   void carry(Loops.NumberedCall<PeerService> service) {
     loops.callAll(i -> {
-      members.get(i).carry(service.call(i));
+      members.get(i).attach(service.call(i));
       return null;
     });
   }
--- a/src/main/java/pumicekeel/rig/scale/HollowQuotas.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowQuotas.java
@@ -55,17 +55,17 @@
   }
 
   @Override
-  public boolean speaks(byte[] bytes) {
+  public boolean accepts(byte[] bytes) {
     return QuotaExchange.isQuotaMessage(bytes);
   }
 
   @Override
-  public List<Membership.Out> receive(int from, byte[] bytes, long now) {
+  public List<Membership.OutgoingDatagram> receive(int from, byte[] bytes, long now) {
     return counted(exchange.receive(from, bytes, now));
   }
 
   @Override
-  public List<Membership.Out> tick(long now, BitSet live) {
+  public List<Membership.OutgoingDatagram> tick(long now, BitSet live) {
     demand(now);
     return counted(exchange.tick(now, live));
   }
@@ -81,12 +81,12 @@
     }
   }
 
-  private List<Membership.Out> counted(List<QuotaExchange.OutgoingDatagram> out) {
+  private List<Membership.OutgoingDatagram> counted(List<QuotaExchange.OutgoingDatagram> out) {
     for (QuotaExchange.OutgoingDatagram one : out) {
       sentDatagrams++;
       sentBytes += one.bytes().length;
     }
-    return out.stream().map(o -> new Membership.Out(o.to(), o.bytes())).toList();
+    return out.stream().map(o -> new Membership.OutgoingDatagram(o.to(), o.bytes())).toList();
   }
 
   @Override
--- a/src/main/java/pumicekeel/sim/FleetSim.java
+++ b/src/main/java/pumicekeel/sim/FleetSim.java
@@ -44,7 +44,7 @@
     }
   }
 
-  private final MembershipSettings settings = MembershipSettings.USUAL;
+  private final MembershipSettings settings = MembershipSettings.DEFAULTS;
   private final long seed;
   private final int size;
   private final SplittableRandom random;
@@ -300,7 +300,7 @@
     wakesAt[i] = Long.MAX_VALUE;
     if (pausedUntil[i] <= now && members[i].nextAt() <= now) {
       long from = System.nanoTime();
-      List<Membership.Out> out = members[i].tick(now);
+      List<Membership.OutgoingDatagram> out = members[i].tick(now);
       workNanos += System.nanoTime() - from;
       send(i, out);
     }
@@ -327,14 +327,14 @@
       return;
     }
     long from = System.nanoTime();
-    List<Membership.Out> out = members[to].receive(e.from(), e.bytes(), now);
+    List<Membership.OutgoingDatagram> out = members[to].receive(e.from(), e.bytes(), now);
     workNanos += System.nanoTime() - from;
     send(to, out);
     schedule(to);
   }
 
-  private void send(int from, List<Membership.Out> out) {
-    for (Membership.Out o : out) {
+  private void send(int from, List<Membership.OutgoingDatagram> out) {
+    for (Membership.OutgoingDatagram o : out) {
       datagrams++;
       bytes += o.bytes().length;
       if (o.bytes().length > Datagram.MAX_BYTES) {
--- a/src/test/java/pumicekeel/peers/MembershipTest.java
+++ b/src/test/java/pumicekeel/peers/MembershipTest.java
@@ -14,7 +14,7 @@
   private static final long SECOND = 1_000_000_000L;
   private static final long EPOCH = 1_000;
 
-  private final Membership m = new Membership(MembershipSettings.USUAL, 0, 8, EPOCH, 1, 0);
+  private final Membership m = new Membership(MembershipSettings.DEFAULTS, 0, 8, EPOCH, 1, 0);
   private long now;
 
   private List<Datagram> tickUntil(long end) {
@@ -111,7 +111,7 @@
   void independentSuspicionsShortenItAndRepeatsOfOneDoNot() {
     long[] ends = new long[3];
     for (int variant = 0; variant < 3; variant++) {
-      Membership one = new Membership(MembershipSettings.USUAL, 0, 8, EPOCH, 1, 0);
+      Membership one = new Membership(MembershipSettings.DEFAULTS, 0, 8, EPOCH, 1, 0);
       for (int i = 1; i < 8; i++) {
         one.receive(i, new Datagram(Kind.ACK, i, 500, 0, 9_999, i, List.of()).bytes(), 0);
       }
@@ -129,7 +129,7 @@
       while (one.stateOf(7) != State.DEAD) {
         // Its silence towards this one must not count here: nobody else is silent.
         at = one.nextAt();
-        for (Membership.Out o : one.tick(at)) {
+        for (Membership.OutgoingDatagram o : one.tick(at)) {
           Datagram d = Datagram.of(o.bytes(), 8);
           if (d.kind() == Kind.PING && o.to() != 7) {
             one.receive(
@@ -183,8 +183,8 @@
   /** Each holds the other's last life, which had a later clock, for dead. */
   @Test
   void twoWhoseClocksWereBothSetBackFindEachOther() {
-    Membership one = new Membership(MembershipSettings.USUAL, 0, 2, 100, 1, 0);
-    Membership other = new Membership(MembershipSettings.USUAL, 1, 2, 100, 2, 0);
+    Membership one = new Membership(MembershipSettings.DEFAULTS, 0, 2, 100, 1, 0);
+    Membership other = new Membership(MembershipSettings.DEFAULTS, 1, 2, 100, 2, 0);
     one.receive(1, new Datagram(Kind.ACK, 1, 900, 0, 1, 1, List.of()).bytes(), 0);
     other.receive(0, new Datagram(Kind.ACK, 0, 900, 0, 1, 0, List.of()).bytes(), 0);
     long at = 0;
@@ -192,13 +192,13 @@
         i < 1_000 && (one.updateOf(1).epoch() <= 900 || other.updateOf(0).epoch() <= 900);
         i++) {
       at = Math.min(one.nextAt(), other.nextAt());
-      for (Membership.Out o : one.nextAt() <= at ? one.tick(at) : List.<Membership.Out>of()) {
-        for (Membership.Out back : other.receive(0, o.bytes(), at)) {
+      for (Membership.OutgoingDatagram o : one.nextAt() <= at ? one.tick(at) : List.<Membership.OutgoingDatagram>of()) {
+        for (Membership.OutgoingDatagram back : other.receive(0, o.bytes(), at)) {
           one.receive(1, back.bytes(), at);
         }
       }
-      for (Membership.Out o : other.nextAt() <= at ? other.tick(at) : List.<Membership.Out>of()) {
-        for (Membership.Out back : one.receive(1, o.bytes(), at)) {
+      for (Membership.OutgoingDatagram o : other.nextAt() <= at ? other.tick(at) : List.<Membership.OutgoingDatagram>of()) {
+        for (Membership.OutgoingDatagram back : one.receive(1, o.bytes(), at)) {
           other.receive(0, back.bytes(), at);
         }
       }
--- a/src/test/java/pumicekeel/peers/PeerBroadcastTest.java
+++ b/src/test/java/pumicekeel/peers/PeerBroadcastTest.java
@@ -92,6 +92,6 @@
         List.of(new InetSocketAddress(LOOPBACK, 1), new InetSocketAddress(LOOPBACK, 2)),
         PeerAddresses.of(Map.of(
                 "peer_listen", "127.0.0.1:1", "peers", List.of("127.0.0.1:1", "127.0.0.1:2")))
-            .each());
+            .members());
   }
 }
