--- a/src/main/java/pumicekeel/cli/FleetCommand.java
+++ b/src/main/java/pumicekeel/cli/FleetCommand.java
@@ -162,7 +162,7 @@
         "stop");
     Runtime.getRuntime().addShutdownHook(hook);
     spec.commandLine().getOut().println("fleet of " + instances + " in " + directory);
-    daemon.awaitOver();
+    daemon.awaitStopped();
     daemon.close();
     return 0;
   }
@@ -175,7 +175,7 @@
       throw usage(e.getMessage());
     }
     if (instances < 1
-        || instances > Settings.MOST_INSTANCES
+        || instances > Settings.MAX_INSTANCES
         || directory == null
         || config == null
         || away < 1
@@ -183,7 +183,7 @@
         || watchMillis < 0
         || watchMillis > 600_000
         || hangMillis != 0 && (hangMillis < 1_000 || hangMillis > 600_000)) {
-      throw usage("expected --instances 1 to " + Settings.MOST_INSTANCES
+      throw usage("expected --instances 1 to " + Settings.MAX_INSTANCES
           + ", --run-dir, --config, --away 1 to N,"
           + " --watch-ms 0 to 600000, --hang-ms 0 or 1000 to 600000");
     }
@@ -238,7 +238,7 @@
       if (dir == null) {
         throw new ParameterException(spec.commandLine(), "expected --run-dir");
       }
-      return Control.ask(dir, what);
+      return Control.call(dir, what);
     }
 
     protected int tell(String answer) {
--- a/src/main/java/pumicekeel/fleet/Control.java
+++ b/src/main/java/pumicekeel/fleet/Control.java
@@ -15,7 +15,7 @@
   private Control() {}
 
   /** The daemon's answer, a JSON object; an IOException says in one line why there is none. */
-  public static String ask(Path directory, String command) throws IOException {
+  public static String call(Path directory, String command) throws IOException {
     Path socket = RunDirectory.socket(directory.toAbsolutePath().normalize());
     try (SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
       channel.write(ByteBuffer.wrap((command + "\n").getBytes(StandardCharsets.UTF_8)));
--- a/src/main/java/pumicekeel/fleet/Daemon.java
+++ b/src/main/java/pumicekeel/fleet/Daemon.java
@@ -351,11 +351,11 @@
       // Closed already: the process ends after a stop by the control socket.
       return;
     }
-    awaitOver();
+    awaitStopped();
   }
 
   /** Waits until a stop, by whatever way, is over. */
-  public void awaitOver() throws InterruptedException {
+  public void awaitStopped() throws InterruptedException {
     over.await();
   }
 
--- a/src/main/java/pumicekeel/fleet/RunDirectory.java
+++ b/src/main/java/pumicekeel/fleet/RunDirectory.java
@@ -51,7 +51,7 @@
     } catch (java.nio.file.FileSystemException e) {
       throw new IOException("run directory " + path + ": cannot be made or entered: " + reason(e));
     }
-    if (door(directory, Settings.MOST_INSTANCES - 1).toString().length() > MOST_SOCKET_PATH) {
+    if (door(directory, Settings.MAX_INSTANCES - 1).toString().length() > MOST_SOCKET_PATH) {
       throw new IOException("run directory " + path + ": expected a path of at most "
           + (MOST_SOCKET_PATH - 9) + " characters");
     }
--- a/src/main/java/pumicekeel/fleet/Settings.java
+++ b/src/main/java/pumicekeel/fleet/Settings.java
@@ -38,7 +38,7 @@
   }
 
   /** More than a machine has cores for; each costs some 60 MB. */
-  public static final int MOST_INSTANCES = 256;
+  public static final int MAX_INSTANCES = 256;
 
   InetSocketAddress addressOf(int instance) {
     return new InetSocketAddress(first.getAddress(), first.getPort() + instance);
--- a/src/main/java/pumicekeel/rig/FleetRig.java
+++ b/src/main/java/pumicekeel/rig/FleetRig.java
@@ -149,11 +149,11 @@
     add("cold", 9, System.currentTimeMillis());
     say("cold joins");
     watch(all, seconds * 0.5);
-    say("rolling restart: " + Control.ask(run, "restart"));
-    String status = Control.ask(run, "status");
+    say("rolling restart: " + Control.call(run, "restart"));
+    String status = Control.call(run, "status");
     while (!status.contains("\"work\":\"none\"")) {
       watch(all, 1);
-      status = Control.ask(run, "status");
+      status = Control.call(run, "status");
     }
     boolean through = status.contains("\"halted\":null");
     say(through ? "rolling restart done" : "rolling restart: " + status);
@@ -165,9 +165,9 @@
 
   static void until(Path run, int count, String what) throws Exception {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(120);
-    while (Control.ask(run, "status").split(what, -1).length - 1 < count) {
+    while (Control.call(run, "status").split(what, -1).length - 1 < count) {
       if (System.nanoTime() - end > 0) {
-        throw new IOException("the fleet did not become ready: " + Control.ask(run, "status"));
+        throw new IOException("the fleet did not become ready: " + Control.call(run, "status"));
       }
       TimeUnit.MILLISECONDS.sleep(50);
     }
--- a/src/test/java/pumicekeel/fleet/DaemonTest.java
+++ b/src/test/java/pumicekeel/fleet/DaemonTest.java
@@ -123,7 +123,7 @@
 
   private String status() {
     try {
-      return Control.ask(run, "status");
+      return Control.call(run, "status");
     } catch (IOException e) {
       return "";
     }
@@ -198,16 +198,16 @@
     assertEquals(first.get(1), pids().get(1));
     assertTrue(status().contains("\"crashes\":1"), status());
     List<Long> second = pids();
-    assertEquals("{\"ok\":true}", Control.ask(run, "restart"));
-    assertTrue(Control.ask(run, "restart").contains("under way"));
+    assertEquals("{\"ok\":true}", Control.call(run, "restart"));
+    assertTrue(Control.call(run, "restart").contains("under way"));
     until(() -> allReady(2) && status().contains("\"work\":\"none\""));
     assertTrue(status().contains("\"halted\":null"), status());
     assertTrue(pids().stream().noneMatch(second::contains), "each is another process");
-    assertEquals("{\"ok\":true}", Control.ask(run, "reload"));
+    assertEquals("{\"ok\":true}", Control.call(run, "reload"));
     until(() -> status().contains("\"work\":\"none\""));
     assertTrue(allReady(2));
-    assertEquals("{\"ok\":true}", Control.ask(run, "stop"));
-    daemon.awaitOver();
+    assertEquals("{\"ok\":true}", Control.call(run, "stop"));
+    daemon.awaitStopped();
     assertEquals(List.of(), processes());
   }
 
@@ -257,7 +257,7 @@
           .redirectOutput(folder.resolve("daemon.log").toFile())
           .start();
       until(() -> allReady(2));
-      Control.ask(run, "restart");
+      Control.call(run, "restart");
       until(
           () -> status().contains(round(0, "stopping")) || status().contains(round(0, "starting")));
       // The longer, the further: in the stop of the first, or the start that follows it.
@@ -283,7 +283,7 @@
     List<Long> before = pids();
     // What the next process is started with is no configuration.
     Files.writeString(config, "{");
-    Control.ask(run, "restart");
+    Control.call(run, "restart");
     until(() -> !status().contains("\"halted\":null"));
     assertTrue(status().contains("instance 0 ended with 2 after it was restarted"), status());
     assertTrue(status().contains("\"instance\":1,\"state\":\"ready\""), status());
@@ -306,12 +306,12 @@
     until(() -> allReady(2));
     List<Long> before = pids();
     Files.writeString(operator, good.replace("source = ", "sorce = "));
-    String answer = Control.ask(run, "reload");
+    String answer = Control.call(run, "reload");
     assertTrue(answer.contains("operator.toml:") && answer.contains("unknown key"), answer);
     assertTrue(
         status().contains("\"work\":\"none\"") && status().contains("\"halted\":null"), status());
     Files.writeString(operator, good.replace("\"p\"\n", "\"p\" # again\n"));
-    assertEquals("{\"ok\":true}", Control.ask(run, "reload"));
+    assertEquals("{\"ok\":true}", Control.call(run, "reload"));
     until(() -> status().contains("\"work\":\"none\""));
     assertTrue(allReady(2));
     assertEquals(before, pids());
@@ -337,7 +337,7 @@
     Files.createDirectory(lockIsADirectory.resolve("lock"));
     assertTrue(
         message(lockIsADirectory).contains("cannot be written to"), message(lockIsADirectory));
-    assertTrue(assertThrows(IOException.class, () -> Control.ask(folder, "status"))
+    assertTrue(assertThrows(IOException.class, () -> Control.call(folder, "status"))
         .getMessage()
         .contains("no daemon answers"));
   }
@@ -352,9 +352,9 @@
   @Test
   void commandsThatAreNoneAreTold() throws Exception {
     daemon(1);
-    assertTrue(Control.ask(run, "dance").contains("expected status, restart, reload or stop"));
-    assertTrue(Control.ask(run, "x".repeat(300)).contains("expected a line"));
-    assertTrue(Control.ask(run, "reload").contains("is not ready") || allReady(1));
+    assertTrue(Control.call(run, "dance").contains("expected status, restart, reload or stop"));
+    assertTrue(Control.call(run, "x".repeat(300)).contains("expected a line"));
+    assertTrue(Control.call(run, "reload").contains("is not ready") || allReady(1));
   }
 
   /** The kernel still takes its connections, so only an answer tells. */
--- a/src/test/java/pumicekeel/fleet/OneAddressTest.java
+++ b/src/test/java/pumicekeel/fleet/OneAddressTest.java
@@ -64,7 +64,7 @@
 
   private String status() {
     try {
-      return Control.ask(run, "status");
+      return Control.call(run, "status");
     } catch (IOException e) {
       return "";
     }
@@ -235,7 +235,7 @@
       }
       until(() -> served.get() > 100);
       String before = status();
-      assertEquals("{\"ok\":true}", Control.ask(run, "restart"));
+      assertEquals("{\"ok\":true}", Control.call(run, "restart"));
       until(() -> status().contains("\"work\":\"none\"") && ready(2));
       String after = status();
       assertTrue(after.contains("\"halted\":null"), after);
@@ -256,7 +256,7 @@
       assertTrue(
           refused.get() < served.get() / 10,
           refused.get() + " of " + served.get() + " were not answered with 200");
-      Control.ask(run, "stop");
+      Control.call(run, "stop");
       assertTrue(daemon.waitFor(60, TimeUnit.SECONDS));
       assertTrue(
           said.stream().noneMatch(l -> l.contains("Exception") || l.startsWith("\tat ")),
