--- a/src/main/java/pumicekeel/demo/Demo.java
+++ b/src/main/java/pumicekeel/demo/Demo.java
@@ -82,7 +82,7 @@
     upstreams.put(name, upstream);
     groups.put(name, cell);
     for (StandInDiscovery list : lists) {
-      list.tell(
+      list.announce(
           name,
           upstream.address(),
           cell,
@@ -165,7 +165,7 @@
       at(
           0.3,
           () -> {
-            quotes.tell("quote-0", upstreams.get("quote-0").address(), 0, "terminated", 0);
+            quotes.announce("quote-0", upstreams.get("quote-0").address(), 0, "terminated", 0);
             say("discovery says that quote-0 is gone");
           },
           quoting,
@@ -173,7 +173,7 @@
       at(
           0.4,
           () -> {
-            quotes.tell("shared", upstreams.get("shared").address(), 9, "terminating", 0);
+            quotes.announce("shared", upstreams.get("shared").address(), 9, "terminating", 0);
             say("shared drains from pool quotes, and stays in pool rates");
           },
           quoting,
@@ -249,8 +249,8 @@
     rows.forEach((name, c) -> verdict.noneLost(name, c.results()));
     verdict.noneTwice();
     verdict.drainKept(
-        "shared", "quote-issue", quotes.toldAt("shared", "terminating"), GRACE_MILLIS);
-    verdict.stillServes("shared", "rate-lookup", quotes.toldAt("shared", "terminating"));
+        "shared", "quote-issue", quotes.announcedAt("shared", "terminating"), GRACE_MILLIS);
+    verdict.stillServes("shared", "rate-lookup", quotes.announcedAt("shared", "terminating"));
     verdict.coldKept("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
--- a/src/main/java/pumicekeel/demo/RpcDemo.java
+++ b/src/main/java/pumicekeel/demo/RpcDemo.java
@@ -116,7 +116,7 @@
     StandInRpcServer server = new StandInRpcServer(standIns, Framing.NEWLINE);
     server.script(new StandInRpcFaults(seed + servers.size(), DELAY_MILLIS, faults));
     servers.put(name, server);
-    discovery.tell(
+    discovery.announce(
         name,
         server.address(),
         CELLS.get(name),
@@ -166,10 +166,10 @@
     servers.get("s0").kill();
     say("killed s0, of which discovery says nothing yet");
     wait(all, 0.3);
-    discovery.tell("s0", servers.get("s0").address(), CELLS.get("s0"), "terminated", 0);
+    discovery.announce("s0", servers.get("s0").address(), CELLS.get("s0"), "terminated", 0);
     say("discovery says that s0 is gone");
     wait(all, 0.4);
-    discovery.tell("s3", servers.get("s3").address(), CELLS.get("s3"), "terminating", 0);
+    discovery.announce("s3", servers.get("s3").address(), CELLS.get("s3"), "terminating", 0);
     say("s3 drains");
     wait(all, 0.55);
     coldAt = System.nanoTime();
@@ -223,8 +223,8 @@
     all.values().forEach(c -> verdict.servedWasSeen(c.results(), Verdict.Ran::name));
     verdict.refusedNeverRan(all.get("quotes, singly").results());
     verdict.noneTwice();
-    verdict.drainKept("s3", "quote.issue", discovery.toldAt("s3", "terminating"), GRACE_MILLIS);
-    verdict.drainKept("s3", "rate.lookup", discovery.toldAt("s3", "terminating"), GRACE_MILLIS);
+    verdict.drainKept("s3", "quote.issue", discovery.announcedAt("s3", "terminating"), GRACE_MILLIS);
+    verdict.drainKept("s3", "rate.lookup", discovery.announcedAt("s3", "terminating"), GRACE_MILLIS);
     verdict.coldKept("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
--- a/src/main/java/pumicekeel/lab/real/RealRun.java
+++ b/src/main/java/pumicekeel/lab/real/RealRun.java
@@ -138,7 +138,7 @@
       Deployment deployment, List<ServerSocketSide> sides, StandInDiscovery discovery) {
     int i = 0;
     for (Server s : deployment.servers().values()) {
-      discovery.tell("s" + s.id, sides.get(i++).address(), s.cellNumber, "in_service", 0);
+      discovery.announce("s" + s.id, sides.get(i++).address(), s.cellNumber, "in_service", 0);
     }
   }
 
--- a/src/main/java/pumicekeel/mesh/Fault.java
+++ b/src/main/java/pumicekeel/mesh/Fault.java
@@ -36,7 +36,7 @@
   }
 
   /** Late by so much, and up to as much again by chance. */
-  public static Fault late(long micros) {
+  public static Fault delayed(long micros) {
     return new Fault(false, micros, micros, 0, 0, 0);
   }
 
@@ -46,7 +46,7 @@
   }
 
   /** A trickle of so many bytes a second. */
-  public static Fault trickle(int bytesPerSecond) {
+  public static Fault throttled(int bytesPerSecond) {
     return new Fault(false, 0, 0, 0, 0, bytesPerSecond);
   }
 }
--- a/src/main/java/pumicekeel/mesh/Mesh.java
+++ b/src/main/java/pumicekeel/mesh/Mesh.java
@@ -147,21 +147,21 @@
     for (Map<String, TcpLink> ways : toUpstream) {
       ways.put(name, new TcpLink(links.next(), upstream.address(), seed + next++));
     }
-    tell(name, "in_service", sinceMillis);
+    announce(name, "in_service", sinceMillis);
   }
 
   /** Tells all of an upstream's state: in_service, terminating or terminated. */
-  public void tell(String name, String status, long sinceMillis) {
+  public void announce(String name, String status, long sinceMillis) {
     for (int i = 0; i < lists.size(); i++) {
       lists
           .get(i)
-          .tell(name, toUpstream.get(i).get(name).address(), cells.get(name), status, sinceMillis);
+          .announce(name, toUpstream.get(i).get(name).address(), cells.get(name), status, sinceMillis);
     }
     toldLast.put(name + ' ' + status, System.nanoTime());
   }
 
   /** When the last process's discovery was told so, by System.nanoTime. */
-  public long toldAt(String name, String status) {
+  public long announcedAt(String name, String status) {
     return toldLast.get(name + ' ' + status);
   }
 
--- a/src/main/java/pumicekeel/rig/FleetRig.java
+++ b/src/main/java/pumicekeel/rig/FleetRig.java
@@ -106,7 +106,7 @@
     StandInUpstream upstream = new StandInUpstream(name, standIns, DELAY_MICROS);
     upstreams.put(name, upstream);
     cells.put(name, cell);
-    discovery.tell(name, upstream.address(), cell, "in_service", sinceMillis);
+    discovery.announce(name, upstream.address(), cell, "in_service", sinceMillis);
   }
 
   static String configuration(int discoveryPort) {
@@ -142,7 +142,7 @@
     List<Load> all = new ArrayList<>(lookups);
     all.addAll(quotes);
     watch(all, seconds * 0.2);
-    discovery.tell("s1", upstreams.get("s1").address(), 0, "terminating", 0);
+    discovery.announce("s1", upstreams.get("s1").address(), 0, "terminating", 0);
     say("s1 drains");
     watch(all, seconds * 0.3);
     long coldAt = System.nanoTime();
@@ -195,8 +195,8 @@
     verdict.noneLost("lookups", lookups.stream().map(Load::results).toList());
     verdict.noneLost("quotes", quotes.stream().map(Load::results).toList());
     verdict.noneTwice();
-    verdict.drainKept("s1", "rate-lookup", discovery.toldAt("s1", "terminating"), GRACE_MILLIS);
-    verdict.drainKept("s1", "quote-issue", discovery.toldAt("s1", "terminating"), GRACE_MILLIS);
+    verdict.drainKept("s1", "rate-lookup", discovery.announcedAt("s1", "terminating"), GRACE_MILLIS);
+    verdict.drainKept("s1", "quote-issue", discovery.announcedAt("s1", "terminating"), GRACE_MILLIS);
     verdict.coldKept("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
--- a/src/main/java/pumicekeel/rig/FleetThroughput.java
+++ b/src/main/java/pumicekeel/rig/FleetThroughput.java
@@ -59,7 +59,7 @@
       for (int i = 0; i < UPSTREAMS; i++) {
         StandInUpstream upstream = new StandInUpstream("s" + i, standIns, 0);
         upstreams.add(upstream);
-        discovery.tell("s" + i, upstream.address(), i / 2, "in_service", 0);
+        discovery.announce("s" + i, upstream.address(), i / 2, "in_service", 0);
       }
       for (int round = 0; round < rounds; round++) {
         for (int s = 0; s < SIZES.length; s++) {
--- a/src/main/java/pumicekeel/rig/scale/ListWatchScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/ListWatchScenario.java
@@ -192,6 +192,6 @@
   private static void tell(StandInDiscovery discovery, int number, String status) {
     InetSocketAddress nowhere =
         new InetSocketAddress(InetAddress.getLoopbackAddress(), FIRST_PORT + number);
-    discovery.tell("upstream-" + number, nowhere, number / 25, status, 0);
+    discovery.announce("upstream-" + number, nowhere, number / 25, status, 0);
   }
 }
--- a/src/main/java/pumicekeel/rig/soak/ListTrouble.java
+++ b/src/main/java/pumicekeel/rig/soak/ListTrouble.java
@@ -6,7 +6,7 @@
 /** How lists of upstreams fail to arrive at balancers that ask for them. In all but one each watch falls silent after its first list. */
 public enum ListTrouble {
   /** Each call takes the service a quarter of a second. */
-  SLOW(250, 0, false, CallFate.TELL, 0),
+  SLOW(250, 0, false, CallFate.RESPOND, 0),
   /** Half of the lists stop half way, with the connection open. */
   CUT(5, 0, false, CallFate.CUT, 500),
   /** Six calls in ten are answered 503 at once. */
@@ -16,13 +16,13 @@
   /** The first balancer's calls are accepted and never answered. */
   IGNORED(5, 0, false, CallFate.IGNORE, 0),
   /** All balancers together could have a list every 5.6 s; calls that wait for over 2 s are answered 503. */
-  CROWDED(Figures.SHARED, Figures.PATIENCE_MILLIS, false, CallFate.TELL, 0),
+  CROWDED(Figures.SHARED, Figures.PATIENCE_MILLIS, false, CallFate.RESPOND, 0),
   /** The same, and a call waits for as long as its caller likes. */
-  CROWDED_PATIENT(Figures.SHARED, 0, false, CallFate.TELL, 0),
+  CROWDED_PATIENT(Figures.SHARED, 0, false, CallFate.RESPOND, 0),
   /** The same as the first, and a call that is turned away has taken the service its turn. */
-  CROWDED_COSTLY(Figures.SHARED, Figures.PATIENCE_MILLIS, true, CallFate.TELL, 0),
+  CROWDED_COSTLY(Figures.SHARED, Figures.PATIENCE_MILLIS, true, CallFate.RESPOND, 0),
   /** Watches live; discovery is down for a while and resets all calls. */
-  OUTAGE(5, 0, false, CallFate.TELL, 0);
+  OUTAGE(5, 0, false, CallFate.RESPOND, 0);
 
   private static final class Figures {
     /** The turn of a call is such that a list for each balancer takes discovery {@link #ALL_LISTS_MILLIS}. */
--- a/src/main/java/pumicekeel/rig/soak/SoakDisturbances.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakDisturbances.java
@@ -147,7 +147,7 @@
       switch (random.nextInt(4)) {
         case 0 -> one.discoveryLink().reset();
         case 1 -> one.discoveryLink().faults(Fault.CUT, Fault.CUT);
-        case 2 -> one.discoveryLink().faults(Fault.late(30_000), Fault.late(30_000));
+        case 2 -> one.discoveryLink().faults(Fault.delayed(30_000), Fault.delayed(30_000));
         default -> one.discoveryLink().refuse(true);
       }
       SoakRun.pause(300 + random.nextInt(1_500));
--- a/src/main/java/pumicekeel/rig/soak/SoakRun.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakRun.java
@@ -178,13 +178,13 @@
     upstreams.add(upstream);
     upstreamLinks.add(link);
     cells.put(name, cell);
-    discovery.tell(name, link.address(), cell, "in_service", sinceMillis);
+    discovery.announce(name, link.address(), cell, "in_service", sinceMillis);
   }
 
   /** An upstream's status is another from now on. */
   void change(int upstream, String status, long sinceMillis) {
     String name = upstreams.get(upstream).name();
-    discovery.tell(
+    discovery.announce(
         name, upstreamLinks.get(upstream).address(), cells.get(name), status, sinceMillis);
     told.changed(name, discovery.index(), System.nanoTime(), !status.equals("in_service"));
   }
--- a/src/main/java/pumicekeel/standin/CallFate.java
+++ b/src/main/java/pumicekeel/standin/CallFate.java
@@ -3,7 +3,7 @@
 /** What a stand-in discovery does with a call. */
 public enum CallFate {
   /** Tells the whole list. */
-  TELL,
+  RESPOND,
   /** Writes half of the list and leaves the connection open. */
   CUT,
   /** Answers 503 at once. */
@@ -15,6 +15,6 @@
 
   /** Whether it takes its turn as a served call does. */
   boolean queues() {
-    return this == TELL || this == CUT;
+    return this == RESPOND || this == CUT;
   }
 }
--- a/src/main/java/pumicekeel/standin/DiscoveryFaults.java
+++ b/src/main/java/pumicekeel/standin/DiscoveryFaults.java
@@ -46,7 +46,7 @@
 
   /** None at all. */
   public static DiscoveryFaults none() {
-    return new DiscoveryFaults(new Terms(0, 0, false, false, CallFate.TELL, 0, 0));
+    return new DiscoveryFaults(new Terms(0, 0, false, false, CallFate.RESPOND, 0, 0));
   }
 
   /** All calls of this caller, by its Host header, end so. */
@@ -88,7 +88,7 @@
     CallFate own = byCaller.get(caller);
     synchronized (random) {
       boolean fails = random.nextInt(1_000) < terms.perMille();
-      return own != null ? own : fails ? terms.failing() : CallFate.TELL;
+      return own != null ? own : fails ? terms.failing() : CallFate.RESPOND;
     }
   }
 }
--- a/src/main/java/pumicekeel/standin/StandInDiscovery.java
+++ b/src/main/java/pumicekeel/standin/StandInDiscovery.java
@@ -48,7 +48,7 @@
   }
 
   private final Map<String, Entry> entries = new LinkedHashMap<>();
-  private final Map<String, Long> toldAt = new ConcurrentHashMap<>();
+  private final Map<String, Long> announcedAt = new ConcurrentHashMap<>();
   /** Open watches, and whose they are. */
   private final Map<Channel, String> watches = new ConcurrentHashMap<>();
 
@@ -85,7 +85,7 @@
   }
 
   /** Tells of an upstream that is new or has another status: in_service, terminating or terminated. */
-  public synchronized void tell(
+  public synchronized void announce(
       String name, InetSocketAddress address, int group, String status, long sinceMillis) {
     Entry entry = new Entry(name, address, group, status, sinceMillis);
     index++;
@@ -100,7 +100,7 @@
       watch.writeAndFlush(chunk(line));
       faults.written(caller, index);
     });
-    toldAt.put(name + " " + status, System.nanoTime());
+    announcedAt.put(name + " " + status, System.nanoTime());
   }
 
   /** The version of the list as it stands. */
@@ -118,8 +118,8 @@
   }
 
   /** When a status was written to the watches, by System.nanoTime; null where it never was. */
-  public Long toldAt(String name, String status) {
-    return toldAt.get(name + " " + status);
+  public Long announcedAt(String name, String status) {
+    return announcedAt.get(name + " " + status);
   }
 
   public int watches() {
@@ -144,7 +144,7 @@
   /** A call whose turn has come. */
   private void serve(DiscoveryCall call) {
     switch (call.fate()) {
-      case TELL -> tellAll(call);
+      case RESPOND -> tellAll(call);
       case CUT -> cut(call);
       case REFUSE -> refuse(call.channel());
       case RESET -> reset(call.channel());
--- a/src/main/java/pumicekeel/standin/StandInUpstream.java
+++ b/src/main/java/pumicekeel/standin/StandInUpstream.java
@@ -52,7 +52,7 @@
   private final String name;
   private final List<Seen> seen = new ArrayList<>();
   private final Set<Channel> connections = ConcurrentHashMap.newKeySet();
-  private final AtomicInteger mostOpen = new AtomicInteger();
+  private final AtomicInteger maxOpen = new AtomicInteger();
   private final AtomicInteger opened = new AtomicInteger();
   private volatile Mode mode = Mode.SERVE;
   private volatile long delayMicros;
@@ -76,7 +76,7 @@
           protected void initChannel(Channel channel) {
             connections.add(channel);
             opened.incrementAndGet();
-            mostOpen.accumulateAndGet(connections.size(), Math::max);
+            maxOpen.accumulateAndGet(connections.size(), Math::max);
             channel.closeFuture().addListener(closed -> connections.remove(channel));
             channel
                 .pipeline()
@@ -147,8 +147,8 @@
     return connections.size();
   }
 
-  public int mostOpen() {
-    return mostOpen.get();
+  public int maxOpen() {
+    return maxOpen.get();
   }
 
   public int opened() {
--- a/src/test/java/pumicekeel/mesh/MeshTest.java
+++ b/src/test/java/pumicekeel/mesh/MeshTest.java
@@ -104,7 +104,7 @@
               && mesh.upstreams().get("s1").seen().size() > 3,
           "served before the drain");
       mesh.members().get(2).signal("STOP");
-      mesh.tell("s1", "terminating", 0);
+      mesh.announce("s1", "terminating", 0);
       Thread.sleep(3_500);
       long woken = System.nanoTime();
       mesh.members().get(2).signal("CONT");
--- a/src/test/java/pumicekeel/node/ServicesTest.java
+++ b/src/test/java/pumicekeel/node/ServicesTest.java
@@ -152,7 +152,7 @@
     StandInUpstream shared = t.upstream("shared0", 20_000);
     StandInUpstream other = t.upstream("other1", 1_000);
     for (String name : List.of("shared0", "other1")) {
-      t.discoveries.get("platform").tell(name, t.upstreams.get(name).address(), 0, "in_service", 0);
+      t.discoveries.get("platform").announce(name, t.upstreams.get(name).address(), 0, "in_service", 0);
     }
     t.start("[sources.rates]\nstatic = " + t.list("shared0") + "\n"
         + TWO_POOLS.formatted("").replace("source = \"quotes\"", ""));
@@ -169,8 +169,8 @@
     TestNode.until(() -> quotes.count(SERVED) > 100
         && rates.count(SERVED) > 100
         && shared.seen().stream().anyMatch(s -> s.className().equals("quote-issue")));
-    t.discoveries.get("platform").tell("shared0", shared.address(), 0, "terminating", 0);
-    long notifiedAt = t.discoveries.get("platform").toldAt("shared0", "terminating");
+    t.discoveries.get("platform").announce("shared0", shared.address(), 0, "terminating", 0);
+    long notifiedAt = t.discoveries.get("platform").announcedAt("shared0", "terminating");
     long ratesBefore = rates.count(SERVED);
     TestNode.until(() -> System.nanoTime() - notifiedAt > TimeUnit.SECONDS.toNanos(3)
         && rates.count(SERVED) > ratesBefore + 200);
@@ -243,7 +243,7 @@
     rates.stop();
     // The close of a replaced idle connection may be seen only after its successor was accepted;
     // without a cap 18 are busy.
-    assertTrue(shared.mostOpen() <= 6, "open at once: " + shared.mostOpen());
+    assertTrue(shared.maxOpen() <= 6, "open at once: " + shared.maxOpen());
     assertEquals(0, quotes.results().unended() + rates.results().unended());
   }
 
@@ -258,7 +258,7 @@
     for (int i = 0; i < 4; i++) {
       t.upstream("w" + i, 2_000);
       (i < 2 ? quoteList : rateList)
-          .tell("w" + i, t.upstreams.get("w" + i).address(), i, "in_service", 0);
+          .announce("w" + i, t.upstreams.get("w" + i).address(), i, "in_service", 0);
     }
     t.start("[sources.rates]\ndiscovery = \"" + TestServices.text(rateList.address()) + "\"\n"
         + TWO_POOLS.formatted("").replace("source = \"quotes\"", ""));
@@ -276,8 +276,8 @@
     StandInUpstream cold = t.upstream("cold", 2_000);
     long startedAt = System.nanoTime();
     // One list has its start time, the other treats it as an old one.
-    quoteList.tell("cold", cold.address(), 9, "in_service", System.currentTimeMillis());
-    rateList.tell("cold", cold.address(), 9, "in_service", 0);
+    quoteList.announce("cold", cold.address(), 9, "in_service", System.currentTimeMillis());
+    rateList.announce("cold", cold.address(), 9, "in_service", 0);
     TestNode.until(() -> cold.seen().stream().anyMatch(s -> s.id().startsWith("q"))
         && cold.seen().stream().anyMatch(s -> s.id().startsWith("r"))
         && System.nanoTime() - startedAt > TimeUnit.SECONDS.toNanos(4));
