--- a/src/main/java/pumicekeel/demo/RpcDemo.java
+++ b/src/main/java/pumicekeel/demo/RpcDemo.java
@@ -223,8 +223,10 @@
     all.values().forEach(c -> verdict.servedWasSeen(c.results(), Verdict.Ran::name));
     verdict.refusedNeverRan(all.get("quotes, singly").results());
     verdict.noneTwice();
-    verdict.drainKept("s3", "quote.issue", discovery.announcedAt("s3", "terminating"), GRACE_MILLIS);
-    verdict.drainKept("s3", "rate.lookup", discovery.announcedAt("s3", "terminating"), GRACE_MILLIS);
+    verdict.drainKept(
+        "s3", "quote.issue", discovery.announcedAt("s3", "terminating"), GRACE_MILLIS);
+    verdict.drainKept(
+        "s3", "rate.lookup", discovery.announcedAt("s3", "terminating"), GRACE_MILLIS);
     verdict.coldKept("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
--- a/src/main/java/pumicekeel/mesh/Mesh.java
+++ b/src/main/java/pumicekeel/mesh/Mesh.java
@@ -155,7 +155,8 @@
     for (int i = 0; i < lists.size(); i++) {
       lists
           .get(i)
-          .announce(name, toUpstream.get(i).get(name).address(), cells.get(name), status, sinceMillis);
+          .announce(
+              name, toUpstream.get(i).get(name).address(), cells.get(name), status, sinceMillis);
     }
     toldLast.put(name + ' ' + status, System.nanoTime());
   }
--- a/src/main/java/pumicekeel/node/LentQuotas.java
+++ b/src/main/java/pumicekeel/node/LentQuotas.java
@@ -97,6 +97,8 @@
   }
 
   private static List<Membership.OutgoingDatagram> out(List<QuotaExchange.OutgoingDatagram> out) {
-    return out.stream().map(o -> new Membership.OutgoingDatagram(o.to(), o.bytes())).toList();
+    return out.stream()
+        .map(o -> new Membership.OutgoingDatagram(o.to(), o.bytes()))
+        .toList();
   }
 }
--- a/src/main/java/pumicekeel/peers/Datagram.java
+++ b/src/main/java/pumicekeel/peers/Datagram.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * One message between members, at most {@link #MAX_BYTES} bytes, as the platform carries them. Big-endian: magic 2, version 1,
- * kind 1, sender 2, its epoch 8, its incarnation 4, sequence 4, target 2, count 1, then 15 bytes for each update (member 2,
+ * A message between members, of at most {@link #MAX_BYTES} bytes, the platform's limit. Field sizes in bytes, big-endian: magic 2, version
+ * 1, kind 1, sender 2, sender's epoch 8, sender's incarnation 4, sequence 4, target 2, count 1, then 15 bytes for each update (member 2,
  * state 1, epoch 8, incarnation 4).
  */
 public record Datagram(
@@ -18,7 +18,7 @@
     int target,
     List<GossipUpdate> updates) {
 
-  /** Message types: a probe, a request to probe another member, their answers, and a page of the table. */
+  /** Message types: a probe, a request to probe another member, their responses, and a page of the membership table. */
   public enum Kind {
     PING,
     PING_REQUEST,
@@ -27,28 +27,28 @@
     SYNC
   }
 
-  /** The largest datagram, a limit of the platform. */
+  /** Maximum size of a datagram, a limit of the platform. */
   public static final int MAX_BYTES = 256;
 
-  /** The most members of a list; a member's number takes two bytes. */
+  /** Maximum number of members of a list; the number of a member takes two bytes. */
   public static final int MAX_MEMBERS = 4_096;
 
   private static final short MAGIC = 0x4856;
   private static final byte VERSION = 1;
   private static final int HEADER_BYTES = 25;
   private static final int UPDATE_BYTES = 15;
-  /** Updates that fit in one datagram. */
+  /** Number of updates that fit into one datagram. */
   public static final int MAX_UPDATES = (MAX_BYTES - HEADER_BYTES) / UPDATE_BYTES;
 
   private static final long MAX_INCARNATION = 0xffffffffL;
-  /** Milliseconds since 1970 stay below this for ten thousand years; a forged one can't end the numbers. */
+  /** Milliseconds since 1970 stay below this for ten thousand years, so a forged epoch cannot exhaust the range. */
   static final long MAX_EPOCH = 1L << 50;
 
   public Datagram {
     updates = List.copyOf(updates);
   }
 
-  /** The wire format. */
+  /** Encodes the datagram. */
   public byte[] bytes() {
     ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + UPDATE_BYTES * updates.size());
     out.putShort(MAGIC)
@@ -60,16 +60,16 @@
         .putInt((int) sequence)
         .putShort((short) target)
         .put((byte) updates.size());
-    for (GossipUpdate r : updates) {
-      out.putShort((short) r.member())
-          .put((byte) r.state().ordinal())
-          .putLong(r.epoch())
-          .putInt((int) r.incarnation());
+    for (GossipUpdate update : updates) {
+      out.putShort((short) update.member())
+          .put((byte) update.state().ordinal())
+          .putLong(update.epoch())
+          .putInt((int) update.incarnation());
     }
     return out.array();
   }
 
-  /** Decodes a datagram of a list with so many members; null for bytes that are not exactly one valid datagram. */
+  /** Decodes a datagram for a list of {@code members} members; returns null unless the bytes are exactly one valid datagram. */
   public static Datagram of(byte[] bytes, int members) {
     if (bytes.length < HEADER_BYTES || bytes.length > MAX_BYTES) {
       return null;
@@ -89,7 +89,7 @@
         || kind >= Kind.values().length
         || from >= members
         || target >= members
-        || !sound(epoch)
+        || !isValidEpoch(epoch)
         || count < 0
         || bytes.length != HEADER_BYTES + count * UPDATE_BYTES) {
       return null;
@@ -98,17 +98,20 @@
     for (int i = 0; i < count; i++) {
       int member = in.getShort() & 0xffff;
       int state = in.get();
-      long of = in.getLong();
-      long its = in.getInt() & MAX_INCARNATION;
-      if (member >= members || state <= 0 || state >= State.values().length || !sound(of)) {
+      long memberEpoch = in.getLong();
+      long memberIncarnation = in.getInt() & MAX_INCARNATION;
+      if (member >= members
+          || state <= 0
+          || state >= State.values().length
+          || !isValidEpoch(memberEpoch)) {
         return null;
       }
-      updates.add(new GossipUpdate(member, State.values()[state], of, its));
+      updates.add(new GossipUpdate(member, State.values()[state], memberEpoch, memberIncarnation));
     }
     return new Datagram(Kind.values()[kind], from, epoch, incarnation, sequence, target, updates);
   }
 
-  /** Whether the bytes begin as a datagram of this protocol in a version that this build can't read. */
+  /** Returns whether the bytes start like a datagram of this protocol in a version that this build cannot decode. */
   static boolean isOtherVersion(byte[] bytes) {
     return bytes.length > 3
         && bytes.length <= MAX_BYTES
@@ -116,7 +119,7 @@
         && bytes[2] != VERSION;
   }
 
-  private static boolean sound(long epoch) {
+  private static boolean isValidEpoch(long epoch) {
     return epoch >= 0 && epoch < MAX_EPOCH;
   }
 }
--- a/src/main/java/pumicekeel/peers/GossipUpdate.java
+++ b/src/main/java/pumicekeel/peers/GossipUpdate.java
@@ -1,15 +1,15 @@
 package pumicekeel.peers;
 
 /**
- * One statement about a member, as gossip carries it: the state of a member in one of its lives and incarnations (SWIM, section 4.2).
+ * A gossiped update: the state of a member at one of its boot epochs and incarnations (SWIM, section 4.2).
  *
- * @param member its number in the list of peers
- * @param epoch the member's boot epoch: a later life has a higher one, whatever its clock says
- * @param incarnation raised by the member alone, to refute a suspicion
+ * @param member the member's number in the list of peers
+ * @param epoch the member's boot epoch: each restart has a higher one, even if its clock was set back
+ * @param incarnation raised only by the member itself, to refute a suspicion
  */
 public record GossipUpdate(int member, State state, long epoch, long incarnation) {
 
-  /** Whether this update replaces another one about the same member: later life, then higher incarnation, then worse state. */
+  /** Returns whether this update supersedes another one about the same member: by later epoch, then higher incarnation, then worse state. */
   public boolean overrides(GossipUpdate other) {
     if (epoch != other.epoch) {
       return epoch > other.epoch;
--- a/src/main/java/pumicekeel/peers/Membership.java
+++ b/src/main/java/pumicekeel/peers/Membership.java
@@ -10,20 +10,21 @@
 /**
  * Failure detection among a fixed list of peers: one member's side of SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar,
  * Phillips, Currey 2017). No I/O; times are readings of one monotonic clock in nanoseconds; all randomness comes from the seed. Members
- * are numbers of the list, so others can't join. A restart has a higher boot epoch, so updates about an earlier life are ignored.
+ * are identified by their position in the list, so others cannot join. A restart has a higher boot epoch, so updates about an earlier run
+ * of a member are ignored.
  */
 public final class Membership {
 
   /** A datagram to send to a member. */
   public record OutgoingDatagram(int to, byte[] bytes) {}
 
-  /** The probe of this period, until it is acknowledged. */
+  /** The probe of the current period, until it is acknowledged. */
   private static final class Probe {
     private final int target;
     private final long sequence;
     private final long sentAt;
-    private boolean helped;
-    private int nacksDue;
+    private boolean indirect;
+    private int pendingNacks;
 
     private Probe(int target, long sequence, long sentAt) {
       this.target = target;
@@ -32,8 +33,8 @@
     }
   }
 
-  /** The part of the probe time after which a helper says that it heard nothing (Lifeguard, section IV.A). */
-  private static final double NACK_AFTER_PART = 0.8;
+  /** Fraction of the probe timeout after which a relaying member reports that it got no response (Lifeguard, section IV.A). */
+  private static final double NACK_AFTER_FRACTION = 0.8;
   /** Sequence numbers take four bytes of a datagram. */
   private static final long MAX_SEQUENCE = 0xffffffffL;
 
@@ -47,17 +48,17 @@
   private final ProbeSchedule schedule;
   private final RelayedProbes relayedProbes = new RelayedProbes();
   private Probe probe;
-  private long periodEnds;
-  private long syncAt;
+  private long periodEndsAt;
+  private long nextSyncAt;
   private long sequence;
   private int health;
   private long received;
   private long discarded;
   private long otherVersions;
-  private long falseSuspicions;
-  private final List<OutgoingDatagram> out = new ArrayList<>();
+  private long refuted;
+  private final List<OutgoingDatagram> outgoing = new ArrayList<>();
 
-  /** The member of this number in a list of so many; {@code epoch}: the wall clock in milliseconds at the start. */
+  /** Creates member {@code self} of a list of {@code size}; {@code epoch} is the wall-clock time at start-up in milliseconds. */
   public Membership(
       MembershipSettings settings, int self, int size, long epoch, long seed, long now) {
     if (size < 1 || size > Datagram.MAX_MEMBERS || self < 0 || self >= size) {
@@ -74,69 +75,69 @@
     schedule = new ProbeSchedule(size, random);
     set(new GossipUpdate(
         self, State.ALIVE, Math.max(0, Math.min(epoch, Datagram.MAX_EPOCH - 1)), 0));
-    // Members that start together do not probe together.
-    periodEnds = now + random.nextLong(settings.periodNanos());
-    syncAt = now + random.nextLong(settings.syncNanos());
+    // Random offsets, so that members that start together do not probe at the same time.
+    periodEndsAt = now + random.nextLong(settings.periodNanos());
+    nextSyncAt = now + random.nextLong(settings.syncNanos());
   }
 
-  // What is known
+  // Current view
 
-  /** The state of a member, as far as this one knows. */
+  /** Returns the state of a member as known here. */
   public State stateOf(int member) {
     return table.stateOf(member);
   }
 
-  /** The newest update about a member. */
+  /** Returns the newest update about a member. */
   public GossipUpdate updateOf(int member) {
     return table.get(member);
   }
 
-  /** Members that are alive or suspected, this one among them: a suspicion is no proof. */
+  /** Returns the number of members that are alive or suspected, including this one: a suspicion does not prove a failure. */
   public int live() {
     return table.live();
   }
 
-  /** Members of which nothing was ever heard. */
+  /** Returns the number of members of which nothing has ever been received. */
   public int unknown() {
     return table.unknown();
   }
 
-  /** The numbers of those that are alive or suspected. */
+  /** Returns the numbers of the members that are alive or suspected. */
   public BitSet liveSet() {
     return table.liveSet();
   }
 
-  /** Lifeguard's score of this member's own health: 0 for well. */
+  /** Returns Lifeguard's local health score of this member: 0 is healthy. */
   public int health() {
     return health;
   }
 
-  /** Datagrams that were none, or came from another member's address. */
+  /** Returns the number of datagrams that were invalid, stale or sent from another member's address. */
   public long discarded() {
     return discarded;
   }
 
-  /** Those among them that a build of another version sent: a rolling deploy, or a member that was left out of it. */
+  /** Returns how many of the discarded datagrams have another protocol version: sent during a rolling deploy, or by a member it missed. */
   public long otherVersions() {
     return otherVersions;
   }
 
-  /** Suspicions of this member that it had to take back. */
+  /** Returns the number of suspicions of this member that it has refuted. */
   public long refuted() {
-    return falseSuspicions;
+    return refuted;
   }
 
   public long received() {
     return received;
   }
 
-  // Time
+  // Timers
 
-  /** When {@link #tick} has something to do, at the latest. */
+  /** Returns the time at which {@link #tick} is due at the latest. */
   public long nextAt() {
-    long next = Math.min(periodEnds, syncAt);
-    if (probe != null && !probe.helped) {
-      next = Math.min(next, probe.sentAt + probeTime());
+    long next = Math.min(periodEndsAt, nextSyncAt);
+    if (probe != null && !probe.indirect) {
+      next = Math.min(next, probe.sentAt + probeTimeoutNanos());
     }
     next = Math.min(next, relayedProbes.nextAt());
     if (!suspicions.isEmpty()) {
@@ -145,48 +146,49 @@
     return next;
   }
 
-  private long probeTime() {
+  private long probeTimeoutNanos() {
     return settings.probeNanos() * (health + 1);
   }
 
-  /** Does what is due, and hands over what is to be sent. */
+  /** Performs the actions that are due and returns the datagrams to send. */
   public List<OutgoingDatagram> tick(long now) {
-    if (probe != null && !probe.helped && now - probe.sentAt >= probeTime()) {
+    if (probe != null && !probe.indirect && now - probe.sentAt >= probeTimeoutNanos()) {
       requestIndirectProbes();
     }
     for (RelayedProbe expired : relayedProbes.takeExpired(now)) {
       send(expired.requester(), Kind.NACK, expired.requesterSequence(), expired.target());
     }
-    endSuspicions(now);
-    if (now - periodEnds >= 0) {
+    expireSuspicions(now);
+    if (now - periodEndsAt >= 0) {
       endPeriod(now);
     }
-    if (now - syncAt >= 0) {
-      syncAt = now + settings.syncNanos() / 2 + random.nextLong(settings.syncNanos());
+    if (now - nextSyncAt >= 0) {
+      nextSyncAt = now + settings.syncNanos() / 2 + random.nextLong(settings.syncNanos());
       sync();
     }
-    return taken();
+    return drainOutgoing();
   }
 
-  private List<OutgoingDatagram> taken() {
-    List<OutgoingDatagram> taken = List.copyOf(out);
-    out.clear();
-    return taken;
+  private List<OutgoingDatagram> drainOutgoing() {
+    List<OutgoingDatagram> drained = List.copyOf(outgoing);
+    outgoing.clear();
+    return drained;
   }
 
   private void endPeriod(long now) {
     if (probe != null) {
-      health = Math.min(settings.healthMost(), health + 1 + probe.nacksDue);
-      GossipUpdate of = table.get(probe.target);
+      health = Math.min(settings.maxHealthScore(), health + 1 + probe.pendingNacks);
+      GossipUpdate known = table.get(probe.target);
       if (table.isLive(probe.target)) {
         suspect(
-            new GossipUpdate(of.member(), State.SUSPECT, of.epoch(), of.incarnation()), self, now);
+            new GossipUpdate(known.member(), State.SUSPECT, known.epoch(), known.incarnation()),
+            self,
+            now);
       }
       probe = null;
     }
-    // A clock that jumped or a process that slept starts a new period now, and not as many as it
-    // missed.
-    periodEnds = now + settings.periodNanos() * (health + 1);
+    // After a clock jump or a suspension one new period starts now; missed periods are not made up.
+    periodEndsAt = now + settings.periodNanos() * (health + 1);
     int target = schedule.next(this::mayBeProbed);
     if (target >= 0) {
       probe = new Probe(target, nextSequence(), now);
@@ -194,13 +196,13 @@
     }
   }
 
-  /** All that are not dead; members never heard of are probed too, without a consequence. */
+  /** Returns true for all but dead members; unknown members are probed too, but a missing response has no consequence. */
   private boolean mayBeProbed(int member) {
     return member != self && table.stateOf(member) != State.DEAD;
   }
 
   private void requestIndirectProbes() {
-    probe.helped = true;
+    probe.indirect = true;
     List<Integer> helpers = new ArrayList<>();
     for (int i = 0; i < size && helpers.size() < settings.helpers(); i++) {
       int member = random.nextInt(size);
@@ -211,11 +213,11 @@
         helpers.add(member);
       }
     }
-    probe.nacksDue = helpers.size();
+    probe.pendingNacks = helpers.size();
     helpers.forEach(h -> send(h, Kind.PING_REQUEST, probe.sequence, probe.target));
   }
 
-  /** A page of the table goes to any member, dead and unknown ones too: so partitions heal and late ones catch up. */
+  /** Sends a page of the table to a random member, dead and unknown ones included, so that partitions heal and late starters catch up. */
   private void sync() {
     if (size == 1) {
       return;
@@ -226,7 +228,7 @@
 
   // Suspicion
 
-  private void endSuspicions(long now) {
+  private void expireSuspicions(long now) {
     if (suspicions.isEmpty()) {
       return;
     }
@@ -240,14 +242,15 @@
 
   private void suspect(GossipUpdate update, int by, long now) {
     int member = update.member();
-    GossipUpdate held = table.get(member);
-    boolean same = held.epoch() == update.epoch() && held.incarnation() == update.incarnation();
-    if (held.state() == State.SUSPECT && same && suspicions.isRunning(member)) {
-      // Sent again only while it adds something: the K first, as the paper has it.
+    GossipUpdate known = table.get(member);
+    boolean same = known.epoch() == update.epoch() && known.incarnation() == update.incarnation();
+    if (known.state() == State.SUSPECT && same && suspicions.isRunning(member)) {
+      // Only the first K confirmations are gossiped, as the paper specifies: later ones no longer
+      // shorten the timeout.
       if (suspicions.confirm(member, by)) {
         broadcasts.add(update);
       }
-    } else if (update.overrides(held)) {
+    } else if (update.overrides(known)) {
       suspicions.start(member, by, now);
       set(update);
     }
@@ -255,7 +258,7 @@
 
   // Messages
 
-  /** Takes a datagram that came from the address of a member, and hands over what is to be sent. */
+  /** Handles a datagram received from the address of a member and returns the datagrams to send. */
   public List<OutgoingDatagram> receive(int from, byte[] bytes, long now) {
     Datagram d = Datagram.of(bytes, size);
     if (d == null && Datagram.isOtherVersion(bytes)) {
@@ -265,34 +268,33 @@
       discarded++;
       return List.of();
     }
-    GossipUpdate held = table.get(from);
-    GossipUpdate says = new GossipUpdate(from, State.ALIVE, d.epoch(), d.incarnation());
-    if (d.epoch() < held.epoch()) {
-      // From an earlier life, or replayed: it says nothing of now, and nothing is done for it but
-      // to tell its writer. What it
-      // says of this member is heard all the same, as it can only raise this one's number: two
-      // whose clocks were both set
-      // back would else hold each other for dead for ever, each deaf to the word that would mend
-      // it.
+    GossipUpdate known = table.get(from);
+    GossipUpdate announced = new GossipUpdate(from, State.ALIVE, d.epoch(), d.incarnation());
+    if (d.epoch() < known.epoch()) {
+      // Sent before the sender's last restart, or replayed: it is outdated and only answered with
+      // the known epoch. Its updates about this member are applied all the same, as they can only
+      // raise this member's epoch or incarnation: otherwise two members whose clocks were both set
+      // back would consider each other dead permanently, as each would ignore the update that
+      // corrects it.
       discarded++;
       d.updates().stream().filter(r -> r.member() == self).forEach(this::refute);
       if (d.kind() == Kind.PING || d.kind() == Kind.SYNC) {
-        sendWith(from, Kind.NACK, d.sequence(), d.target(), List.of(held));
-        return taken();
+        sendWith(from, Kind.NACK, d.sequence(), d.target(), List.of(known));
+        return drainOutgoing();
       }
       return List.of();
     }
     received++;
-    if (says.overrides(held)) {
+    if (announced.overrides(known)) {
       suspicions.cancel(from);
-      set(says);
+      set(announced);
     }
-    d.updates().forEach(r -> hear(r, from, now));
-    answer(d, now);
-    return taken();
+    d.updates().forEach(r -> apply(r, from, now));
+    respond(d, now);
+    return drainOutgoing();
   }
 
-  private void hear(GossipUpdate r, int by, long now) {
+  private void apply(GossipUpdate r, int by, long now) {
     if (r.member() == self) {
       refute(r);
     } else if (r.state() == State.SUSPECT) {
@@ -303,23 +305,23 @@
     }
   }
 
-  /** Somebody holds this member for suspect or dead, or knows a later life of it: it says otherwise, above that. */
+  /** Refutes an update that declares this member suspect or dead, or has a later epoch of it, by one that supersedes it. */
   private void refute(GossipUpdate r) {
     GossipUpdate mine = table.get(self);
     if (r.epoch() > mine.epoch()) {
-      // A clock set back at the restart: the number of this life has to be the highest all the
-      // same.
+      // The clock was set back before the restart; the epoch of this run has to be the highest
+      // nevertheless.
       set(new GossipUpdate(self, State.ALIVE, Math.min(r.epoch() + 1, Datagram.MAX_EPOCH - 1), 0));
     } else if (r.epoch() == mine.epoch()
         && r.state() != State.ALIVE
         && r.incarnation() >= mine.incarnation()) {
-      falseSuspicions++;
-      health = Math.min(settings.healthMost(), health + 1);
+      refuted++;
+      health = Math.min(settings.maxHealthScore(), health + 1);
       set(new GossipUpdate(self, State.ALIVE, mine.epoch(), r.incarnation() + 1));
     }
   }
 
-  private void answer(Datagram d, long now) {
+  private void respond(Datagram d, long now) {
     switch (d.kind()) {
       case PING -> send(d.from(), Kind.ACK, d.sequence(), self);
       case PING_REQUEST -> {
@@ -327,10 +329,10 @@
           relay(d, now);
         }
       }
-      case ACK -> acknowledged(d);
+      case ACK -> acknowledge(d);
       case NACK -> {
-        if (probe != null && probe.sequence == d.sequence() && probe.nacksDue > 0) {
-          probe.nacksDue--;
+        if (probe != null && probe.sequence == d.sequence() && probe.pendingNacks > 0) {
+          probe.pendingNacks--;
         }
       }
       case SYNC -> sendWith(d.from(), Kind.NACK, 0, self, table.nextPage());
@@ -343,12 +345,12 @@
         request.sequence(),
         request.target(),
         nextSequence(),
-        now + (long) (NACK_AFTER_PART * settings.probeNanos()));
+        now + (long) (NACK_AFTER_FRACTION * settings.probeNanos()));
     relayedProbes.add(relayed);
     send(relayed.target(), Kind.PING, relayed.sequence(), relayed.target());
   }
 
-  private void acknowledged(Datagram d) {
+  private void acknowledge(Datagram d) {
     if (probe != null && probe.sequence == d.sequence() && probe.target == d.target()) {
       probe = null;
       health = Math.max(0, health - 1);
@@ -364,14 +366,15 @@
     return ++sequence & MAX_SEQUENCE;
   }
 
-  private void send(int to, Kind kind, long with, int target) {
-    sendWith(to, kind, with, target, kind == Kind.SYNC ? table.nextPage() : List.of());
+  private void send(int to, Kind kind, long sequenceNumber, int target) {
+    sendWith(to, kind, sequenceNumber, target, kind == Kind.SYNC ? table.nextPage() : List.of());
   }
 
-  private void sendWith(int to, Kind kind, long with, int target, List<GossipUpdate> first) {
+  private void sendWith(
+      int to, Kind kind, long sequenceNumber, int target, List<GossipUpdate> first) {
     List<GossipUpdate> updates = new ArrayList<>(first);
-    // The buddy system (Lifeguard, section IV.C): a suspected member is told of it by whoever
-    // probes it.
+    // The buddy system (Lifeguard, section IV.C): whoever probes a suspected member notifies it of
+    // the suspicion.
     GossipUpdate receiver = table.get(to);
     if (kind == Kind.PING
         && receiver.state() != State.ALIVE
@@ -381,9 +384,10 @@
     }
     broadcasts.fill(updates, table.live());
     GossipUpdate mine = table.get(self);
-    out.add(new OutgoingDatagram(
+    outgoing.add(new OutgoingDatagram(
         to,
-        new Datagram(kind, self, mine.epoch(), mine.incarnation(), with, target, updates).bytes()));
+        new Datagram(kind, self, mine.epoch(), mine.incarnation(), sequenceNumber, target, updates)
+            .bytes()));
   }
 
   private void set(GossipUpdate r) {
--- a/src/main/java/pumicekeel/peers/MembershipTable.java
+++ b/src/main/java/pumicekeel/peers/MembershipTable.java
@@ -5,13 +5,13 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** The newest update about each member of the list. No I/O and no clock; belongs to one {@link Membership}. */
+/** The newest update about each member of the list. No I/O and no clock; used by one {@link Membership}. */
 final class MembershipTable {
 
   private final GossipUpdate[] updates;
-  private int lastOfPage;
+  private int pagePosition;
 
-  /** So many members, of which nothing is known yet. */
+  /** Creates a table of {@code size} members, all of them unknown. */
   MembershipTable(int size) {
     updates = new GossipUpdate[size];
     for (int i = 0; i < size; i++) {
@@ -31,7 +31,7 @@
     updates[update.member()] = update;
   }
 
-  /** Whether the member counts as present: a suspicion is no proof of a failure. */
+  /** Returns whether the member counts as live: a suspicion does not prove a failure. */
   boolean isLive(int member) {
     return isLive(updates[member]);
   }
@@ -40,17 +40,17 @@
     return update.state() == State.ALIVE || update.state() == State.SUSPECT;
   }
 
-  /** The number of live members. */
+  /** Returns the number of live members. */
   int live() {
     return (int) Arrays.stream(updates).filter(MembershipTable::isLive).count();
   }
 
-  /** The number of members of which nothing was ever heard. */
+  /** Returns the number of members of which nothing has ever been received. */
   int unknown() {
     return (int) Arrays.stream(updates).filter(u -> u.state() == State.UNKNOWN).count();
   }
 
-  /** The numbers of the live members. */
+  /** Returns the numbers of the live members. */
   BitSet liveSet() {
     BitSet set = new BitSet(updates.length);
     for (GossipUpdate update : updates) {
@@ -59,13 +59,13 @@
     return set;
   }
 
-  /** The next updates in the order of the list, as many as fit in a datagram; members never heard of are left out. */
+  /** Returns the next updates in list order, as many as fit into a datagram; unknown members are skipped. */
   List<GossipUpdate> nextPage() {
     List<GossipUpdate> page = new ArrayList<>(Datagram.MAX_UPDATES);
     for (int i = 0; i < updates.length && page.size() < Datagram.MAX_UPDATES; i++) {
-      lastOfPage = (lastOfPage + 1) % updates.length;
-      if (stateOf(lastOfPage) != State.UNKNOWN) {
-        page.add(updates[lastOfPage]);
+      pagePosition = (pagePosition + 1) % updates.length;
+      if (stateOf(pagePosition) != State.UNKNOWN) {
+        page.add(updates[pagePosition]);
       }
     }
     return page;
--- a/src/main/java/pumicekeel/peers/PeerAddresses.java
+++ b/src/main/java/pumicekeel/peers/PeerAddresses.java
@@ -7,11 +7,11 @@
 import pumicekeel.runtime.Addresses;
 
 /**
- * Where the balancers of a tier reach each other by datagrams, as the platform's configuration names it.
+ * Datagram addresses of the balancers of a tier, from the platform's configuration.
  *
- * @param own where this one listens
- * @param all an address that reaches all of the tier; null for none
- * @param each one for each balancer, in the order of their numbers, its own among them
+ * @param own the address that this balancer binds to
+ * @param broadcast an address that reaches the whole tier, or null
+ * @param members the address of each balancer in the order of their numbers, this one's included
  */
 public record PeerAddresses(
     InetSocketAddress own, InetSocketAddress broadcast, List<InetSocketAddress> members) {
@@ -20,7 +20,7 @@
     members = List.copyOf(members);
   }
 
-  /** Those of a configuration; null where it names none. A bad one is an IllegalArgumentException that names it. */
+  /** Reads the addresses of a configuration; null if it has none. An invalid one fails with an IllegalArgumentException that names it. */
   public static PeerAddresses of(Map<?, ?> configuration) {
     Object own = configuration.get("peer_listen");
     Object all = configuration.get("peers_all");
--- a/src/main/java/pumicekeel/peers/PeerBroadcast.java
+++ b/src/main/java/pumicekeel/peers/PeerBroadcast.java
@@ -22,32 +22,32 @@
 import pumicekeel.runtime.Log;
 
 /**
- * A datagram socket on which balancers of a tier tell all others something. What does not come from the address of one of them is dropped
- * unread. Only on the loop.
+ * A datagram socket by which a balancer of a tier sends messages to all others. Datagrams from any other address are dropped unread. To be
+ * used on the event loop only.
  */
 public final class PeerBroadcast implements Closeable {
 
-  /** Told of a datagram. */
+  /** Receives datagrams of the tier. */
   public interface Receiver {
-    /** One came from the balancer of this number. */
+    /** Handles a datagram from the balancer of this number. */
     void received(int from, byte[] bytes);
   }
 
   private static final int READ_BYTES = Datagram.MAX_BYTES + 1;
   private static final int MAX_READS_PER_WAKEUP = 16;
-  private static final long OPEN_AGAIN_MILLIS = 1_000;
+  private static final long REOPEN_DELAY_MILLIS = 1_000;
 
   private final EventLoop loop;
   private final PeerAddresses addresses;
   private final int self;
   private final Receiver receiver;
-  private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+  private final Map<InetSocketAddress, Integer> memberByAddress = new HashMap<>();
   private Channel channel;
   private boolean failed;
   private boolean closed;
   private long strangers;
 
-  /** The balancer of this number's; not bound yet. */
+  /** Creates the unbound socket of balancer {@code self}. */
   public PeerBroadcast(EventLoop loop, PeerAddresses addresses, int self, Receiver receiver) {
     this.loop = loop;
     this.addresses = addresses;
@@ -55,11 +55,11 @@
     this.receiver = receiver;
     List<InetSocketAddress> members = addresses.members();
     for (int i = 0; i < members.size(); i++) {
-      numbers.put(members.get(i), i);
+      memberByAddress.put(members.get(i), i);
     }
   }
 
-  /** Binds to this balancer's own address, as soon as that is free: a process before this one may still hold it. */
+  /** Binds to this balancer's own address as soon as it is free: the previous process may still hold it. */
   public void open() {
     if (closed) {
       return;
@@ -78,11 +78,11 @@
   private void bound(ChannelFuture bound) {
     if (!bound.isSuccess()) {
       if (!failed) {
-        Log.line("peers: no socket at " + Addresses.text(addresses.own()) + " for now: "
+        Log.line("peers: cannot bind " + Addresses.text(addresses.own()) + ", retrying: "
             + bound.cause().getMessage());
       }
       failed = true;
-      loop.schedule(this::open, OPEN_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::open, REOPEN_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     } else if (closed) {
       bound.channel().close();
     } else {
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Whether datagrams can be sent. */
+  /** Returns whether datagrams can be sent. */
   public boolean isOpen() {
     return channel != null;
   }
@@ -98,7 +98,7 @@
   private final class Reader extends SimpleChannelInboundHandler<DatagramPacket> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-      Integer from = numbers.get(packet.sender());
+      Integer from = memberByAddress.get(packet.sender());
       if (from == null) {
         strangers++;
       } else if (from != self) {
@@ -108,11 +108,11 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // An unreachable peer is told of by its silence; the socket goes on.
+      // Raised for an unreachable peer, which is detected by its silence; the socket stays usable.
     }
   }
 
-  /** Sends these to all others, once each. */
+  /** Sends each datagram once to all other balancers. */
   public void send(List<byte[]> datagrams) {
     if (channel == null) {
       return;
@@ -138,7 +138,7 @@
     channel.write(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to), channel.voidPromise());
   }
 
-  /** Datagrams from addresses that are nobody's. */
+  /** Returns the number of datagrams received from addresses that are not in the list. */
   public long strangers() {
     return strangers;
   }
--- a/src/main/java/pumicekeel/peers/PeerLink.java
+++ b/src/main/java/pumicekeel/peers/PeerLink.java
@@ -20,10 +20,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A {@link Membership} on a datagram socket. What does not come from a listed address is dropped unread. Only on the loop. */
+/** Runs a {@link Membership} on a datagram socket. Datagrams from unlisted addresses are dropped unread. To be used on the loop only. */
 public final class PeerLink implements Closeable {
 
-  /** A larger datagram is cut to this by the kernel, and so is none. */
+  /** The kernel truncates larger datagrams to this size, which makes them invalid. */
   private static final int READ_BYTES = Datagram.MAX_BYTES + 1;
 
   private static final int MAX_READS_PER_WAKEUP = 16;
@@ -31,19 +31,19 @@
 
   private final EventLoop loop;
   private final List<InetSocketAddress> peers;
-  private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+  private final Map<InetSocketAddress, Integer> memberByAddress = new HashMap<>();
   private final Membership membership;
   private final Consumer<String> log;
   private Channel channel;
   private ScheduledFuture<?> timer;
-  private int told;
+  private int loggedLive;
   private long strangers;
   private long sentDatagrams;
   private long sentBytes;
   private boolean closed;
   private PeerService service;
 
-  /** The member of this number; {@code epochMillis} is the wall clock's reading at the start. */
+  /** Creates the link of member {@code self}; {@code epochMillis} is the wall-clock time at start-up. */
   public PeerLink(
       EventLoop loop,
       List<InetSocketAddress> peers,
@@ -55,14 +55,14 @@
     this.peers = List.copyOf(peers);
     this.log = log;
     for (int i = 0; i < peers.size(); i++) {
-      numbers.put(peers.get(i), i);
+      memberByAddress.put(peers.get(i), i);
     }
     membership = new Membership(
         MembershipSettings.DEFAULTS, self, peers.size(), epochMillis, seed, System.nanoTime());
-    told = membership.live();
+    loggedLive = membership.live();
   }
 
-  /** Binds to this member's own address; waits, so it is not to be called on the loop. */
+  /** Binds to this member's own address. Blocks, so it must not be called on the loop. */
   public void open(InetSocketAddress own) throws InterruptedException {
     channel = new Bootstrap()
         .group(loop)
@@ -74,13 +74,13 @@
         .bind(own)
         .sync()
         .channel();
-    loop.execute(this::next);
+    loop.execute(this::scheduleNextTick);
   }
 
   private final class Reader extends SimpleChannelInboundHandler<DatagramPacket> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-      Integer from = numbers.get(packet.sender());
+      Integer from = memberByAddress.get(packet.sender());
       if (from == null) {
         strangers++;
         return;
@@ -91,24 +91,24 @@
           service != null && service.accepts(bytes)
               ? service.receive(from, bytes, now)
               : membership.receive(from, bytes, now));
-      next();
+      scheduleNextTick();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // An unreachable peer is told of by its silence; the socket goes on.
+      // Raised for an unreachable peer, which is detected by its silence; the socket stays usable.
     }
   }
 
-  private void send(List<Membership.OutgoingDatagram> out) {
-    for (Membership.OutgoingDatagram o : out) {
+  private void send(List<Membership.OutgoingDatagram> datagrams) {
+    for (Membership.OutgoingDatagram datagram : datagrams) {
       sentDatagrams++;
-      sentBytes += o.bytes().length;
+      sentBytes += datagram.bytes().length;
       channel.write(
-          new DatagramPacket(Unpooled.wrappedBuffer(o.bytes()), peers.get(o.to())),
+          new DatagramPacket(Unpooled.wrappedBuffer(datagram.bytes()), peers.get(datagram.to())),
           channel.voidPromise());
     }
-    if (!out.isEmpty()) {
+    if (!datagrams.isEmpty()) {
       channel.flush();
     }
   }
@@ -120,19 +120,19 @@
     if (service != null) {
       send(service.tick(now, membership.liveSet()));
     }
-    next();
+    scheduleNextTick();
   }
 
-  /** One timer, for whatever is due next. */
-  private void next() {
+  /** Logs a change of the number of live members and schedules the only timer for the next deadline. */
+  private void scheduleNextTick() {
     if (closed) {
       return;
     }
     int live = membership.live();
-    if (live != told) {
-      told = live;
-      log.accept("peers: " + live + " of " + peers.size() + " are there, " + membership.unknown()
-          + " never heard of");
+    if (live != loggedLive) {
+      loggedLive = live;
+      log.accept("peers: " + live + " of " + peers.size() + " live, " + membership.unknown()
+          + " never seen");
     }
     if (timer != null) {
       timer.cancel(false);
@@ -143,13 +143,13 @@
         this::tick, Math.max(MIN_TIMER_NANOS, due - System.nanoTime()), TimeUnit.NANOSECONDS);
   }
 
-  /** Has another protocol spoken on this socket too; only on the loop. */
-  public void attach(PeerService other) {
-    service = other;
-    next();
+  /** Carries another protocol on this socket too, or none if null. */
+  public void attach(PeerService newService) {
+    service = newService;
+    scheduleNextTick();
   }
 
-  /** What this member holds of the others, a line of JSON. */
+  /** Returns this member's view of the others as a line of JSON. */
   public String view() {
     return new PeerView(membership, peers.size(), strangers).json();
   }
@@ -158,17 +158,17 @@
     return membership;
   }
 
-  /** Datagrams sent so far. Only on the loop. */
+  /** Returns the number of datagrams sent so far. */
   public long sentDatagrams() {
     return sentDatagrams;
   }
 
-  /** Bytes of all datagrams sent so far, without the network's own headers. Only on the loop. */
+  /** Returns the bytes of all datagrams sent so far, without network headers. */
   public long sentBytes() {
     return sentBytes;
   }
 
-  /** Datagrams from addresses that are nobody's. */
+  /** Returns the number of datagrams received from addresses that are not in the list. */
   public long strangers() {
     return strangers;
   }
--- a/src/main/java/pumicekeel/peers/PeerService.java
+++ b/src/main/java/pumicekeel/peers/PeerService.java
@@ -3,18 +3,18 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** Another protocol between members on the socket of {@link PeerLink}; told apart by how its datagrams begin. */
+/** Another protocol between members on the socket of {@link PeerLink}, distinguished by the first bytes of its datagrams. */
 public interface PeerService {
 
-  /** Whether a datagram is of this protocol. */
+  /** Returns whether a datagram belongs to this protocol. */
   boolean accepts(byte[] bytes);
 
-  /** Takes one that came from the address of a member, and hands over what is to be sent. */
+  /** Handles a datagram received from the address of a member and returns the datagrams to send. */
   List<Membership.OutgoingDatagram> receive(int from, byte[] bytes, long now);
 
-  /** Does what is due, and hands over what is to be sent; {@code live} are the members that are there. */
+  /** Performs the actions that are due and returns the datagrams to send; {@code live} are the live members. */
   List<Membership.OutgoingDatagram> tick(long now, BitSet live);
 
-  /** When {@link #tick} has something to do, at the latest. */
+  /** Returns the time at which {@link #tick} is due at the latest. */
   long nextAt();
 }
--- a/src/main/java/pumicekeel/peers/ProbeSchedule.java
+++ b/src/main/java/pumicekeel/peers/ProbeSchedule.java
@@ -22,9 +22,9 @@
     position = size;
   }
 
-  /** The next member that may be probed; -1 where there is none. */
+  /** Returns the next member that may be probed, or -1 if there is none. */
   int next(IntPredicate mayBeProbed) {
-    // In two rounds each member comes up at least once.
+    // Within two rounds each member comes up at least once.
     for (int tries = 0; tries < 2 * round.length; tries++) {
       if (position == round.length) {
         shuffle();
--- a/src/main/java/pumicekeel/peers/RelayedProbes.java
+++ b/src/main/java/pumicekeel/peers/RelayedProbes.java
@@ -4,20 +4,20 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** Probes that this member sends on behalf of others, each until its target answers or its time is over. */
+/** Indirect probes that this member sends on behalf of others, each until its target responds or it times out. */
 final class RelayedProbes {
 
   /**
-   * One of them.
+   * A relayed probe.
    *
-   * @param requester who asked for it, and gets an ACK or a NACK with {@code requesterSequence}
-   * @param sequence that of this member's own ping to {@code target}
+   * @param requester the member that requested it and gets an ACK or a NACK with {@code requesterSequence}
+   * @param sequence the sequence number of this member's own ping to {@code target}
    * @param until when the requester gets a NACK, by this member's clock in nanoseconds
    */
   record RelayedProbe(
       int requester, long requesterSequence, int target, long sequence, long until) {}
 
-  /** Probes at one time; a flood of requests must not become a flood of probes. */
+  /** Maximum number of concurrent probes; a flood of requests must not cause a flood of probes. */
   private static final int MAX_PROBES = 64;
 
   private final List<RelayedProbe> probes = new ArrayList<>();
@@ -30,7 +30,7 @@
     probes.add(probe);
   }
 
-  /** When the first one's time is over; {@link Long#MAX_VALUE} where there is none. */
+  /** Returns when the first probe times out; {@link Long#MAX_VALUE} if there is none. */
   long nextAt() {
     long next = Long.MAX_VALUE;
     for (RelayedProbe probe : probes) {
@@ -39,7 +39,7 @@
     return next;
   }
 
-  /** Removes those whose time is over, and returns them. */
+  /** Removes and returns the probes that have timed out. */
   List<RelayedProbe> takeExpired(long now) {
     List<RelayedProbe> expired = new ArrayList<>();
     for (RelayedProbe probe : probes) {
@@ -51,7 +51,7 @@
     return expired;
   }
 
-  /** Removes the first one that this answer belongs to, and returns it; null where there is none. */
+  /** Removes and returns the first probe that a response belongs to; null if there is none. */
   RelayedProbe takeAnswered(int target, long sequence) {
     for (Iterator<RelayedProbe> it = probes.iterator(); it.hasNext(); ) {
       RelayedProbe probe = it.next();
--- a/src/main/java/pumicekeel/peers/SuspicionTimers.java
+++ b/src/main/java/pumicekeel/peers/SuspicionTimers.java
@@ -8,19 +8,19 @@
 import java.util.Set;
 
 /**
- * How long each suspected member has to refute its suspicion before it is declared dead. The time shrinks as members confirm the
- * suspicion independently, and grows with the size of the fleet (Lifeguard, section IV.B). No I/O; times are readings of the owner's
- * clock in nanoseconds.
+ * Timeouts within which suspected members can refute the suspicion before they are declared dead. A timeout shrinks as members confirm the
+ * suspicion independently and grows with the size of the fleet (Lifeguard, section IV.B). No I/O; times are readings of the owner's clock
+ * in nanoseconds.
  */
 final class SuspicionTimers {
 
   private static final class Suspicion {
     private final long since;
-    private final Set<Integer> suspecting = new HashSet<>();
+    private final Set<Integer> suspectedBy = new HashSet<>();
 
     private Suspicion(long since, int by) {
       this.since = since;
-      suspecting.add(by);
+      suspectedBy.add(by);
     }
   }
 
@@ -35,7 +35,7 @@
     return suspicions.isEmpty();
   }
 
-  /** Starts the suspicion of a member, anew where there was one. */
+  /** Starts the timer of a member, or restarts it if it is running. */
   void start(int member, int by, long now) {
     suspicions.put(member, new Suspicion(now, by));
   }
@@ -44,17 +44,18 @@
     return suspicions.containsKey(member);
   }
 
-  /** Counts a confirmation; true where it is one of the first ones, from a member that had not confirmed before. */
+  /** Counts a confirmation; returns whether it is among the first ones and from a member that has not confirmed before. */
   boolean confirm(int member, int by) {
     Suspicion suspicion = suspicions.get(member);
-    return suspicion.suspecting.size() <= settings.confirmations() && suspicion.suspecting.add(by);
+    return suspicion.suspectedBy.size() <= settings.confirmations()
+        && suspicion.suspectedBy.add(by);
   }
 
   void cancel(int member) {
     suspicions.remove(member);
   }
 
-  /** When the first one expires, with so many live members; {@link Long#MAX_VALUE} where there is none. */
+  /** Returns when the first timer expires, given the number of live members; {@link Long#MAX_VALUE} if there is none. */
   long nextAt(int live) {
     long next = Long.MAX_VALUE;
     for (Suspicion suspicion : suspicions.values()) {
@@ -63,7 +64,7 @@
     return next;
   }
 
-  /** Removes the suspicions that have expired, and returns their members. */
+  /** Removes the timers that have expired and returns their members. */
   List<Integer> takeExpired(long now, int live) {
     List<Integer> expired = new ArrayList<>();
     suspicions.forEach((member, suspicion) -> {
@@ -77,13 +78,13 @@
 
   private long expiryOf(Suspicion suspicion, int live) {
     double scale = Math.max(1, Math.log10(Math.max(1, live)));
-    double min = settings.suspicionLeast() * scale * settings.periodNanos();
-    double max = settings.suspicionMost() * min;
-    // Only members beside the suspect, this one and the first suspecting one can confirm; where
-    // there is none, the minimum holds.
-    int wanted = Math.min(settings.confirmations(), live - 3);
-    int confirmed = Math.min(wanted, suspicion.suspecting.size() - 1);
-    double part = wanted <= 0 ? 1 : Math.log(confirmed + 1) / Math.log(wanted + 1);
-    return suspicion.since + (long) Math.max(min, max - (max - min) * part);
+    double min = settings.minSuspicion() * scale * settings.periodNanos();
+    double max = settings.maxSuspicionFactor() * min;
+    // Only members other than the suspect, this member and the first one to suspect it can confirm.
+    // If there are none, the minimum applies.
+    int expected = Math.min(settings.confirmations(), live - 3);
+    int confirmed = Math.min(expected, suspicion.suspectedBy.size() - 1);
+    double reduction = expected <= 0 ? 1 : Math.log(confirmed + 1) / Math.log(expected + 1);
+    return suspicion.since + (long) Math.max(min, max - (max - min) * reduction);
   }
 }
--- a/src/main/java/pumicekeel/rig/FleetRig.java
+++ b/src/main/java/pumicekeel/rig/FleetRig.java
@@ -195,8 +195,10 @@
     verdict.noneLost("lookups", lookups.stream().map(Load::results).toList());
     verdict.noneLost("quotes", quotes.stream().map(Load::results).toList());
     verdict.noneTwice();
-    verdict.drainKept("s1", "rate-lookup", discovery.announcedAt("s1", "terminating"), GRACE_MILLIS);
-    verdict.drainKept("s1", "quote-issue", discovery.announcedAt("s1", "terminating"), GRACE_MILLIS);
+    verdict.drainKept(
+        "s1", "rate-lookup", discovery.announcedAt("s1", "terminating"), GRACE_MILLIS);
+    verdict.drainKept(
+        "s1", "quote-issue", discovery.announcedAt("s1", "terminating"), GRACE_MILLIS);
     verdict.coldKept("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
--- a/src/main/java/pumicekeel/rig/scale/HollowQuotas.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowQuotas.java
@@ -86,7 +86,9 @@
       sentDatagrams++;
       sentBytes += one.bytes().length;
     }
-    return out.stream().map(o -> new Membership.OutgoingDatagram(o.to(), o.bytes())).toList();
+    return out.stream()
+        .map(o -> new Membership.OutgoingDatagram(o.to(), o.bytes()))
+        .toList();
   }
 
   @Override
--- a/src/test/java/pumicekeel/node/ServicesTest.java
+++ b/src/test/java/pumicekeel/node/ServicesTest.java
@@ -152,7 +152,9 @@
     StandInUpstream shared = t.upstream("shared0", 20_000);
     StandInUpstream other = t.upstream("other1", 1_000);
     for (String name : List.of("shared0", "other1")) {
-      t.discoveries.get("platform").announce(name, t.upstreams.get(name).address(), 0, "in_service", 0);
+      t.discoveries
+          .get("platform")
+          .announce(name, t.upstreams.get(name).address(), 0, "in_service", 0);
     }
     t.start("[sources.rates]\nstatic = " + t.list("shared0") + "\n"
         + TWO_POOLS.formatted("").replace("source = \"quotes\"", ""));
--- a/src/test/java/pumicekeel/peers/DatagramTest.java
+++ b/src/test/java/pumicekeel/peers/DatagramTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Messages between members, and what is none. */
+/** Tests of the encoding of messages between members and of the rejection of invalid ones. */
 class DatagramTest {
 
   private static Datagram full() {
@@ -24,20 +24,20 @@
   }
 
   @Test
-  void comesBackAsItWentOutWithinThePlatformsLimit() {
+  void decodesToWhatWasEncodedWithinThePlatformsLimit() {
     byte[] bytes = full().bytes();
     assertTrue(bytes.length <= 256 && bytes.length > 256 - 15, bytes.length + " bytes");
     assertEquals(full(), Datagram.of(bytes, 20));
   }
 
   @Test
-  void whatIsCutLongerFromAStrangerOrOutOfRangeIsNone() {
+  void truncatedOverlongForeignOrOutOfRangeDatagramIsRejected() {
     byte[] bytes = full().bytes();
     for (int i = 0; i < bytes.length; i++) {
-      assertNull(Datagram.of(Arrays.copyOf(bytes, i), 20), "cut at " + i);
+      assertNull(Datagram.of(Arrays.copyOf(bytes, i), 20), "truncated at " + i);
     }
     assertNull(Datagram.of(Arrays.copyOf(bytes, bytes.length + 1), 20));
-    assertNull(Datagram.of(bytes, 19), "a sender beyond the list");
+    assertNull(Datagram.of(bytes, 19), "a sender beyond the end of the list");
     assertNull(Datagram.of(new byte[257], 20));
     for (int[] change : new int[][] {
       {0, 0},
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void noiseIsNoneAndBreaksNothing() {
+  void randomBytesAreRejectedOrDecodeExactly() {
     SplittableRandom random = new SplittableRandom(5);
     byte[] good = full().bytes();
     for (int i = 0; i < 20_000; i++) {
--- a/src/test/java/pumicekeel/peers/PeerBroadcastTest.java
+++ b/src/test/java/pumicekeel/peers/PeerBroadcastTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The socket between balancers, on loopback. */
+/** Tests of the broadcast socket on loopback. */
 class PeerBroadcastTest {
 
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void addressThatTheProcessBeforeStillHoldsLeavesABalancerWithoutOthersWords() throws Exception {
+  void addressHeldByThePreviousProcessIsBoundOnceItIsFree() throws Exception {
     DatagramSocket before = new DatagramSocket(0, LOOPBACK);
     try (DatagramSocket other = new DatagramSocket(0, LOOPBACK)) {
       PeerBroadcast peers = broadcast(address(before), address(other));
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void strangersAreNotHeard() throws Exception {
+  void datagramsFromUnlistedAddressesAreDropped() throws Exception {
     try (DatagramSocket other = new DatagramSocket(0, LOOPBACK);
         DatagramSocket stranger = new DatagramSocket(0, LOOPBACK);
         DatagramSocket free = new DatagramSocket(0, LOOPBACK)) {
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void configurationWithoutPeersHasNoSocket() {
+  void configurationWithoutPeersHasNoAddresses() {
     assertEquals(null, PeerAddresses.of(Map.of("peers", List.of("127.0.0.1:1"))));
     assertEquals(
         List.of(new InetSocketAddress(LOOPBACK, 1), new InetSocketAddress(LOOPBACK, 2)),
