--- a/src/main/java/pumicekeel/fleet/Control.java
+++ b/src/main/java/pumicekeel/fleet/Control.java
@@ -7,27 +7,27 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 
-/** A command to a running daemon, by the socket in its run directory. */
+/** Sends commands to a running daemon through the control socket in its run directory. */
 public final class Control {
 
-  private static final int MOST_ANSWER = 1 << 20;
+  private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
   private Control() {}
 
-  /** The daemon's answer, a JSON object; an IOException says in one line why there is none. */
+  /** Returns the daemon's response, a JSON object. Fails with an IOException whose message is one line if there is none. */
   public static String call(Path directory, String command) throws IOException {
     Path socket = RunDirectory.socket(directory.toAbsolutePath().normalize());
     try (SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
       channel.write(ByteBuffer.wrap((command + "\n").getBytes(StandardCharsets.UTF_8)));
-      ByteBuffer in = ByteBuffer.allocate(MOST_ANSWER);
+      ByteBuffer in = ByteBuffer.allocate(MAX_RESPONSE_BYTES);
       while (in.hasRemaining() && channel.read(in) >= 0) {
-        // The daemon closes behind its answer.
+        // The daemon closes the connection after its response.
       }
-      String answer = new String(in.array(), 0, in.position(), StandardCharsets.UTF_8).strip();
-      if (answer.isEmpty()) {
+      String response = new String(in.array(), 0, in.position(), StandardCharsets.UTF_8).strip();
+      if (response.isEmpty()) {
         throw new IOException("the daemon gave no answer");
       }
-      return answer;
+      return response;
     } catch (java.net.SocketException | java.nio.file.FileSystemException e) {
       throw new IOException("no daemon answers in " + directory + ": " + e.getMessage());
     }
--- a/src/main/java/pumicekeel/fleet/Daemon.java
+++ b/src/main/java/pumicekeel/fleet/Daemon.java
@@ -28,23 +28,23 @@
 import pumicekeel.fleet.Supervisor.Work;
 
 /**
- * A fleet's daemon: carries out what the {@link Supervisor} decides, on one thread, and answers at the control socket. It
- * serves no request itself, and its instances outlive it: the next daemon of the same run directory takes them over.
+ * The daemon of a fleet: carries out the actions that the {@link Supervisor} decides on, on one thread, and answers commands at the control
+ * socket. It serves no requests itself. Its instances outlive it: the next daemon of the same run directory adopts them.
  */
 public final class Daemon implements Closeable {
 
   private static final long CHECK_INTERVAL_MILLIS = 50;
-  /** Between two checks of whether a ready instance still answers. */
-  private static final long READY_CHECK_NANOS = 1_000_000_000L;
+  /** Interval between two checks of whether a ready instance still responds. */
+  private static final long READY_CHECK_INTERVAL_NANOS = 1_000_000_000L;
 
-  private static final int CHECKERS = 4;
-  /** A command's line; a client that sends more or nothing is cut off. */
-  private static final int MOST_LINE = 256;
+  private static final int CHECK_THREADS = 4;
+  /** Maximum length of a command line; a client that sends more, or nothing, is disconnected. */
+  private static final int MAX_LINE_BYTES = 256;
 
-  private static final int MOST_DISCARDED = 8 << 10;
-  private static final int COMMAND_MILLIS = 2_000;
-  /** The exit status of one that was taken over: the kernel tells it to nobody but its parent, which is gone. */
-  private static final int UNKNOWN = -1;
+  private static final int MAX_READ_BYTES = 8 << 10;
+  private static final int COMMAND_TIMEOUT_MILLIS = 2_000;
+  /** Stands for the exit status of an adopted process: the kernel reports it only to the parent, which has ended. */
+  private static final int UNKNOWN_STATUS = -1;
 
   private final Settings settings;
   private final RunDirectory run;
@@ -53,18 +53,18 @@
   private final InstanceAdminClient admin;
   private final Consumer<String> log;
   private final ProcessHandle[] handles;
-  private final boolean[] asked;
-  private final long[] askedAt;
-  /** What each holds of the fleet, as it last said; null where it says nothing. */
+  private final boolean[] queryPending;
+  private final long[] queriedAt;
+  /** Each instance's last reported view of the fleet; null if it reported none. */
   private final String[] views;
 
   private final ScheduledExecutorService loop =
-      Executors.newSingleThreadScheduledExecutor(named("fleet"));
-  private final ExecutorService checkers = Executors.newFixedThreadPool(CHECKERS, named("look"));
-  private final CountDownLatch over = new CountDownLatch(1);
+      Executors.newSingleThreadScheduledExecutor(threadFactory("fleet"));
+  private final ExecutorService checkers = Executors.newFixedThreadPool(CHECK_THREADS, threadFactory("look"));
+  private final CountDownLatch stopped = new CountDownLatch(1);
   private ServerSocketChannel control;
 
-  private static java.util.concurrent.ThreadFactory named(String name) {
+  private static java.util.concurrent.ThreadFactory threadFactory(String name) {
     return work -> {
       Thread thread = new Thread(work, name);
       thread.setDaemon(true);
@@ -72,7 +72,7 @@
     };
   }
 
-  /** Takes the run directory; an IOException says in one line what is in the way. */
+  /** Locks the run directory; fails with an IOException whose message is one line if it cannot be used. */
   public Daemon(Settings settings, Consumer<String> log) throws IOException {
     this.settings = settings;
     this.log = log;
@@ -84,54 +84,54 @@
     admin = new InstanceAdminClient(settings, run);
     supervisor = new Supervisor(settings.instances(), settings.limits());
     handles = new ProcessHandle[settings.instances()];
-    asked = new boolean[settings.instances()];
-    askedAt = new long[settings.instances()];
+    queryPending = new boolean[settings.instances()];
+    queriedAt = new long[settings.instances()];
     views = new String[settings.instances()];
   }
 
-  /** The instances find out whether it listens; a file or a terminal would only make each of them end. */
+  /** Rejects a file or a terminal, with which every instance would exit; whether the socket listens is checked by the instances. */
   private static void checkSocket() throws IOException {
-    String what = Files.readSymbolicLink(Path.of("/proc/self/fd/0")).toString();
-    if (!what.startsWith("socket:")) {
+    String target = Files.readSymbolicLink(Path.of("/proc/self/fd/0")).toString();
+    if (!target.startsWith("socket:")) {
       throw new IOException(
-          "--one-address: expected a listening socket as descriptor 0, got " + what);
+          "--one-address: expected a listening socket as descriptor 0, got " + target);
     }
   }
 
-  /** Takes over what is there, starts the rest, and listens for commands. */
+  /** Adopts running instances, starts the others and listens for commands. */
   public void start() throws IOException {
     Path socket = RunDirectory.socket(run.path());
     try {
-      // Left by a daemon that was killed; the lock says that it is gone.
+      // Left by a daemon that was killed; holding the lock proves that it has ended.
       Files.deleteIfExists(socket);
       control = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
       control.bind(UnixDomainSocketAddress.of(socket));
     } catch (IOException e) {
       close();
       throw new IOException(
-          "run directory " + settings.directory() + ": no control socket: " + e.getMessage());
+          "run directory " + settings.directory() + ": cannot open the control socket: " + e.getMessage());
     }
-    Thread listener = named("control").newThread(this::listen);
-    loop.execute(this::takeOver);
+    Thread listener = threadFactory("control").newThread(this::listen);
+    loop.execute(this::adoptInstances);
     loop.scheduleWithFixedDelay(
         this::checkInstances, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     listener.start();
   }
 
-  private void takeOver() {
+  private void adoptInstances() {
     long now = System.nanoTime();
-    for (ProcessHandle p : processes.beyond()) {
-      log.accept("process " + p.pid() + " is of a larger fleet: ended");
+    for (ProcessHandle p : processes.ofLargerFleet()) {
+      log.accept("process " + p.pid() + " belongs to a larger fleet: terminated");
       p.destroy();
     }
     for (int i = 0; i < handles.length; i++) {
       List<ProcessHandle> found = processes.of(i);
       for (ProcessHandle p : found.subList(Math.min(1, found.size()), found.size())) {
-        log.accept("process " + p.pid() + " is a second instance " + i + ": ended");
+        log.accept("process " + p.pid() + " duplicates instance " + i + ": killed");
         p.destroyForcibly();
       }
       if (!found.isEmpty()) {
-        watch(i, found.get(0), () -> UNKNOWN);
+        watch(i, found.get(0), () -> UNKNOWN_STATUS);
         carryOut(supervisor.adopted(i, now));
       }
     }
@@ -140,7 +140,7 @@
 
   // Instances
 
-  private void watch(int i, ProcessHandle process, IntSupplier status) {
+  private void watch(int i, ProcessHandle process, IntSupplier exitStatus) {
     handles[i] = process;
     process
         .onExit()
@@ -148,7 +148,7 @@
           if (handles[i] == process) {
             handles[i] = null;
             views[i] = null;
-            carryOut(supervisor.exited(i, status.getAsInt(), System.nanoTime()));
+            carryOut(supervisor.exited(i, exitStatus.getAsInt(), System.nanoTime()));
           }
         }));
   }
@@ -157,33 +157,33 @@
     long now = System.nanoTime();
     carryOut(supervisor.tick(now));
     for (int i = 0; i < handles.length; i++) {
-      boolean starts = supervisor.stateOf(i) == State.STARTING;
+      boolean starting = supervisor.stateOf(i) == State.STARTING;
       boolean isDue =
-          starts || supervisor.stateOf(i) == State.READY && now - askedAt[i] >= READY_CHECK_NANOS;
-      if (isDue && handles[i] != null && !asked[i]) {
-        asked[i] = true;
-        askedAt[i] = now;
+          starting || supervisor.stateOf(i) == State.READY && now - queriedAt[i] >= READY_CHECK_INTERVAL_NANOS;
+      if (isDue && handles[i] != null && !queryPending[i]) {
+        queryPending[i] = true;
+        queriedAt[i] = now;
         int instance = i;
-        ProcessHandle of = handles[i];
+        ProcessHandle process = handles[i];
         checkers.execute(() -> {
-          InstanceStatus status = admin.query(instance, !starts);
-          loop.execute(() -> checked(instance, of, status));
+          InstanceStatus status = admin.query(instance, !starting);
+          loop.execute(() -> handleStatus(instance, process, status));
         });
       }
     }
-    if (supervisor.over()) {
-      over.countDown();
+    if (supervisor.isStopped()) {
+      stopped.countDown();
     }
   }
 
-  private void checked(int instance, ProcessHandle of, InstanceStatus status) {
-    asked[instance] = false;
-    if (handles[instance] != of) {
+  private void handleStatus(int instance, ProcessHandle process, InstanceStatus status) {
+    queryPending[instance] = false;
+    if (handles[instance] != process) {
       return;
     }
     views[instance] = status.view();
-    if (status.answered()) {
-      supervisor.heard(instance, System.nanoTime());
+    if (status.responded()) {
+      supervisor.responded(instance, System.nanoTime());
     }
     if (status.up()) {
       carryOut(supervisor.ready(instance, System.nanoTime()));
@@ -193,9 +193,9 @@
   private void carryOut(List<Action> actions) {
     for (Action action : actions) {
       if (action instanceof Supervisor.Start start) {
-        begin(start.instance());
-      } else if (action instanceof Supervisor.Say say) {
-        log.accept(say.text());
+        startProcess(start.instance());
+      } else if (action instanceof Supervisor.LogLine line) {
+        log.accept(line.text());
       } else if (action instanceof Supervisor.Terminate t && handles[t.instance()] != null) {
         handles[t.instance()].destroy();
       } else if (action instanceof Supervisor.Kill k && handles[k.instance()] != null) {
@@ -206,14 +206,15 @@
     }
   }
 
-  private void begin(int i) {
+  private void startProcess(int i) {
     try {
       Process process = processes.start(i);
       watch(i, process.toHandle(), process::exitValue);
     } catch (IOException e) {
       log.accept("instance " + i + " could not be started: " + e.getMessage());
-      // Later, as the exit of one that was: not from within the decision.
-      loop.execute(() -> carryOut(supervisor.exited(i, UNKNOWN, System.nanoTime())));
+      // Reported as an exit, in a later task: the supervisor must not be re-entered while its
+      // actions are carried out.
+      loop.execute(() -> carryOut(supervisor.exited(i, UNKNOWN_STATUS, System.nanoTime())));
     }
   }
 
@@ -230,60 +231,61 @@
   private void listen() {
     while (control.isOpen()) {
       try (SocketChannel client = control.accept()) {
-        Thread guard = named("command").newThread(() -> closeLater(client));
-        guard.start();
+        Thread timeout = threadFactory("command").newThread(() -> closeAfterTimeout(client));
+        timeout.start();
         String line = readLine(client);
-        String answer = line == null
-            ? "{\"error\":\"expected a line of at most " + MOST_LINE + " bytes\"}"
-            : loop.submit(() -> command(line)).get();
-        client.write(ByteBuffer.wrap((answer + "\n").getBytes(StandardCharsets.UTF_8)));
-        guard.interrupt();
+        String response = line == null
+            ? "{\"error\":\"expected a line of at most " + MAX_LINE_BYTES + " bytes\"}"
+            : loop.submit(() -> execute(line)).get();
+        client.write(ByteBuffer.wrap((response + "\n").getBytes(StandardCharsets.UTF_8)));
+        timeout.interrupt();
       } catch (IOException | ExecutionException | RejectedExecutionException e) {
-        // One client's trouble, or the end.
+        // Failure of one connection, or the daemon is closing.
       } catch (InterruptedException e) {
         return;
       }
     }
   }
 
-  private static void closeLater(SocketChannel client) {
+  private static void closeAfterTimeout(SocketChannel client) {
     try {
-      TimeUnit.MILLISECONDS.sleep(COMMAND_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(COMMAND_TIMEOUT_MILLIS);
       client.close();
     } catch (InterruptedException | IOException e) {
-      // Answered in time, or closed.
+      // Answered in time, or closed already.
     }
   }
 
   private static String readLine(SocketChannel client) throws IOException {
-    // Read some way beyond what is taken: with bytes unread the close would reset the answer away.
-    ByteBuffer in = ByteBuffer.allocate(MOST_DISCARDED);
+    // Reads more than the accepted length: closing with unread bytes would reset the connection and
+    // lose the response.
+    ByteBuffer in = ByteBuffer.allocate(MAX_READ_BYTES);
     while (in.hasRemaining() && client.read(in) >= 0) {
       String text = new String(in.array(), 0, in.position(), StandardCharsets.UTF_8);
       int end = text.indexOf('\n');
       if (end >= 0) {
-        return end > MOST_LINE ? null : text.substring(0, end).strip();
+        return end > MAX_LINE_BYTES ? null : text.substring(0, end).strip();
       }
     }
     return null;
   }
 
-  /** A command's answer, a JSON object; on the daemon's thread. */
-  private String command(String line) {
+  /** Executes a command and returns its response, a JSON object; on the daemon's thread. */
+  private String execute(String line) {
     return switch (line) {
       case "status" -> status();
-      case "restart" -> answer(supervisor.begin(Work.RESTART));
-      case "reload" -> answer(objection() == null ? supervisor.begin(Work.RELOAD) : objection());
+      case "restart" -> response(supervisor.begin(Work.RESTART));
+      case "reload" -> response(operatorFileError() == null ? supervisor.begin(Work.RELOAD) : operatorFileError());
       case "stop" -> {
         carryOut(supervisor.stop(System.nanoTime()));
-        yield answer(null);
+        yield response(null);
       }
-      default -> answer("expected status, restart, reload or stop");
+      default -> response("expected status, restart, reload or stop");
     };
   }
 
-  /** A file that no instance would take is not sent round. */
-  private String objection() {
+  /** Returns why the operator file is invalid, so that it is not sent to any instance; null if it is valid or there is none. */
+  private String operatorFileError() {
     try {
       if (settings.operator() != null) {
         OperatorLoader.load(settings.operator());
@@ -294,8 +296,8 @@
     }
   }
 
-  private static String answer(String objection) {
-    return objection == null ? "{\"ok\":true}" : "{\"error\":" + quoted(objection) + "}";
+  private static String response(String error) {
+    return error == null ? "{\"ok\":true}" : "{\"error\":" + quoted(error) + "}";
   }
 
   private static String quoted(String text) {
@@ -310,7 +312,7 @@
           .append("{\"instance\":")
           .append(i)
           .append(",\"state\":\"")
-          .append(word(supervisor.stateOf(i)))
+          .append(nameOf(supervisor.stateOf(i)))
           .append("\",\"for-ms\":")
           .append(TimeUnit.NANOSECONDS.toMillis(supervisor.inStateFor(i, now)))
           .append(",\"pid\":")
@@ -337,29 +339,29 @@
     return out.toString();
   }
 
-  private static String word(State state) {
+  private static String nameOf(State state) {
     return state.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  // The end
+  // Shutdown
 
-  /** Stops all instances in order; returns when they are down. */
+  /** Stops all instances in order and returns when they have ended. */
   public void stop() throws InterruptedException {
     try {
       loop.execute(() -> carryOut(supervisor.stop(System.nanoTime())));
     } catch (RejectedExecutionException e) {
-      // Closed already: the process ends after a stop by the control socket.
+      // Closed already: the process ends after a stop through the control socket.
       return;
     }
     awaitStopped();
   }
 
-  /** Waits until a stop, by whatever way, is over. */
+  /** Waits until a stop, requested by a command or by {@link #stop}, has completed. */
   public void awaitStopped() throws InterruptedException {
-    over.await();
+    stopped.await();
   }
 
-  /** Lets go of the run directory; the instances go on. */
+  /** Releases the run directory; the instances keep running. */
   @Override
   public void close() throws IOException {
     loop.shutdownNow();
--- a/src/main/java/pumicekeel/fleet/InstanceAdminClient.java
+++ b/src/main/java/pumicekeel/fleet/InstanceAdminClient.java
@@ -13,28 +13,28 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Asks an instance at its admin endpoint whether it is up, and for its view of the fleet. Blocks, so not on the daemon's thread. */
+/** Queries the admin endpoint of an instance for its readiness and its view of the fleet. Blocks, so not for the daemon's thread. */
 final class InstanceAdminClient {
 
   /**
-   * What an instance said.
+   * Status of an instance.
    *
-   * @param answered whether it said anything: its loop turns
-   * @param up whether it takes clients
-   * @param view what it holds of the fleet, JSON; null where it holds nothing or was not asked
+   * @param responded whether it responded at all, so that its event loop runs
+   * @param up whether it accepts clients
+   * @param view its view of the fleet as JSON; null if it has none or was not queried for it
    */
-  record InstanceStatus(boolean answered, boolean up, String view) {}
+  record InstanceStatus(boolean responded, boolean up, String view) {}
 
-  /** A query may not keep the others waiting: a hung instance takes connections, by the kernel, and says nothing. */
+  /** Bounds the delay of other queries: the kernel accepts connections for a hung instance, which then sends nothing. */
   private static final long QUERY_TIMEOUT_MILLIS = 250;
-  /** A view names members; beyond this it is none. */
-  private static final int MAX_ANSWER_BYTES = 8 << 10;
+  /** Maximum size of a response; a longer view is cut off. */
+  private static final int MAX_RESPONSE_BYTES = 8 << 10;
 
   private static final String YES = "YES";
 
   private final Settings settings;
   private final RunDirectory run;
-  private final ScheduledExecutorService guard =
+  private final ScheduledExecutorService timeouts =
       Executors.newSingleThreadScheduledExecutor(work -> {
         Thread thread = new Thread(work, "look-guard");
         thread.setDaemon(true);
@@ -46,54 +46,54 @@
     this.run = run;
   }
 
-  /** Asks whether it is up, and for its view where that is wanted. */
+  /** Queries an instance for its readiness and, if wanted, its view of the fleet. */
   InstanceStatus query(int instance, boolean wantsView) {
-    Path path = RunDirectory.door(run.path(), instance);
+    Path path = RunDirectory.adminSocket(run.path(), instance);
     if (!settings.oneAddress() && !Files.exists(path)) {
-      // One that an earlier build's daemon started.
-      String head = ask(
+      // Started by the daemon of an earlier build, which gave instances no admin socket.
+      String head = send(
           settings.addressOf(instance),
           "GET /up HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n");
       return new InstanceStatus(!head.isEmpty(), head.startsWith("HTTP/1.1 200"), null);
     }
-    SocketAddress door =
+    SocketAddress endpoint =
         settings.oneAddress() ? settings.addressOf(instance) : UnixDomainSocketAddress.of(path);
-    String ready = ask(door, "readyz\n");
-    String view = wantsView && !ready.isEmpty() ? ask(door, "peers\n") : "";
+    String ready = send(endpoint, "readyz\n");
+    String view = wantsView && !ready.isEmpty() ? send(endpoint, "peers\n") : "";
     return new InstanceStatus(
         !ready.isEmpty(),
         ready.startsWith(YES),
         view.startsWith(YES + " {") ? view.substring(YES.length()).strip() : null);
   }
 
-  /** The answer, as far as it came in time; empty for none. */
-  private String ask(SocketAddress at, String call) {
-    ByteBuffer in = ByteBuffer.allocate(MAX_ANSWER_BYTES);
+  /** Sends a request and returns the part of the response received in time; empty if there is none. */
+  private String send(SocketAddress endpoint, String request) {
+    ByteBuffer in = ByteBuffer.allocate(MAX_RESPONSE_BYTES);
     try (SocketChannel channel = SocketChannel.open(
-        at instanceof UnixDomainSocketAddress
+        endpoint instanceof UnixDomainSocketAddress
             ? java.net.StandardProtocolFamily.UNIX
             : java.net.StandardProtocolFamily.INET)) {
-      Future<?> late = guard.schedule(
+      Future<?> timeout = timeouts.schedule(
           () -> {
             channel.close();
             return null;
           },
           QUERY_TIMEOUT_MILLIS,
           TimeUnit.MILLISECONDS);
-      channel.connect(at);
-      channel.write(ByteBuffer.wrap(call.getBytes(StandardCharsets.US_ASCII)));
+      channel.connect(endpoint);
+      channel.write(ByteBuffer.wrap(request.getBytes(StandardCharsets.US_ASCII)));
       while (in.hasRemaining() && channel.read(in) >= 0) {
-        // It closes behind its answer.
+        // The instance closes the connection after its response.
       }
-      late.cancel(false);
+      timeout.cancel(false);
     } catch (IOException | java.util.concurrent.RejectedExecutionException e) {
-      // Not there, cut off as too late, or the daemon's own end.
+      // Not reachable, timed out, or the daemon is closing.
       return "";
     }
     return new String(in.array(), 0, in.position(), StandardCharsets.US_ASCII);
   }
 
   void close() {
-    guard.shutdownNow();
+    timeouts.shutdownNow();
   }
 }
--- a/src/main/java/pumicekeel/fleet/Limits.java
+++ b/src/main/java/pumicekeel/fleet/Limits.java
@@ -1,42 +1,42 @@
 package pumicekeel.fleet;
 
 /**
- * Times and bounds of a supervisor, in nanoseconds.
+ * Limits of a supervisor; times are in nanoseconds.
  *
- * @param mostAway instances that a rolling restart or a stop may have away at once
- * @param readyNanos from a start until it says that it is ready; then it is killed, which counts as a crash
- * @param stopNanos from SIGTERM to SIGKILL
- * @param watchNanos how long a restarted instance has to stay ready before the next one goes
- * @param backoffNanos the wait before the first restart after a crash; doubled for each further one
- * @param backoffMostNanos the longest
- * @param hangNanos a ready instance that has answered nothing for so long is killed, which counts as a crash; 0 for never
- * @param mostCrashes crashes within {@code crashWindowNanos} after which an instance is left down
+ * @param maxUnavailable maximum number of instances that a rolling restart or a stop may have down at once
+ * @param readyNanos time after a start within which an instance has to be ready; else it is killed, which counts as a crash
+ * @param stopNanos time from SIGTERM to SIGKILL
+ * @param watchNanos how long a restarted instance has to stay ready before the next one is restarted
+ * @param backoffNanos delay of the restart after a first crash; doubled for each further one
+ * @param maxBackoffNanos maximum delay of a restart
+ * @param hangNanos a ready instance that has not responded for this long is killed, which counts as a crash; 0 for never
+ * @param maxCrashes maximum number of crashes within {@code crashWindowNanos} after which an instance is left down
  */
 public record Limits(
-    int mostAway,
+    int maxUnavailable,
     long readyNanos,
     long stopNanos,
     long watchNanos,
     long backoffNanos,
-    long backoffMostNanos,
+    long maxBackoffNanos,
     long hangNanos,
-    int mostCrashes,
+    int maxCrashes,
     long crashWindowNanos) {
 
   private static final long MS = 1_000_000L;
 
-  /** Far beyond a pause of the collector or a machine that is short of processors; a fleet's clients have others meanwhile. */
+  /** Far longer than a garbage collection or a shortage of processors lasts; meanwhile clients use the other instances. */
   public static final long HANG_NANOS = 15_000 * MS;
 
-  /** For so many away at once and so long a watch. */
-  public static Limits of(int mostAway, long watchNanos) {
-    return of(mostAway, watchNanos, HANG_NANOS);
+  /** Returns the default limits with this number of unavailable instances and this time to stay ready. */
+  public static Limits of(int maxUnavailable, long watchNanos) {
+    return of(maxUnavailable, watchNanos, HANG_NANOS);
   }
 
-  /** The same with a bound on silence of its own. */
-  public static Limits of(int mostAway, long watchNanos, long hangNanos) {
+  /** Returns the default limits with another bound on how long a ready instance may not respond. */
+  public static Limits of(int maxUnavailable, long watchNanos, long hangNanos) {
     return new Limits(
-        mostAway,
+        maxUnavailable,
         30_000 * MS,
         10_000 * MS,
         watchNanos,
--- a/src/main/java/pumicekeel/fleet/Processes.java
+++ b/src/main/java/pumicekeel/fleet/Processes.java
@@ -14,31 +14,31 @@
 import pumicekeel.config.Configuration;
 
 /**
- * The instances' processes. Each carries its run directory and number on its command line, so that a daemon finds what an
- * earlier one left, whatever that had time to write down: nothing, if it was killed between a start and the next line.
+ * The processes of the instances. Each has its run directory and number on its command line, so that a daemon finds the processes of an
+ * earlier one without any stored state: a daemon killed right after a start could not have written any.
  */
 final class Processes {
 
-  private static final String MARK = "-Dhoneyvalve.fleet=";
+  private static final String MARKER_PROPERTY = "-Dhoneyvalve.fleet=";
 
   private final Settings settings;
   private final RunDirectory run;
-  private final String mark;
-  private final Consumer<String> say;
+  private final String marker;
+  private final Consumer<String> log;
 
-  Processes(Settings settings, RunDirectory run, Consumer<String> say) {
-    this.say = say;
+  Processes(Settings settings, RunDirectory run, Consumer<String> log) {
+    this.log = log;
     this.settings = settings;
     this.run = run;
-    mark =
-        MARK + UUID.nameUUIDFromBytes(run.path().toString().getBytes(StandardCharsets.UTF_8)) + ":";
+    marker =
+        MARKER_PROPERTY + UUID.nameUUIDFromBytes(run.path().toString().getBytes(StandardCharsets.UTF_8)) + ":";
   }
 
   /** Starts an instance. */
   Process start(int instance) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(settings.command().get(0));
-    command.add(mark + instance + ":");
+    command.add(marker + instance + ":");
     command.addAll(settings.command().subList(1, settings.command().size()));
     command.add("serve");
     if (settings.operator() != null) {
@@ -46,7 +46,7 @@
     }
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder
-        .redirectOutput(log(instance))
+        .redirectOutput(logOutput(instance))
         .redirectInput(
             settings.oneAddress()
                 ? ProcessBuilder.Redirect.INHERIT
@@ -65,41 +65,41 @@
       builder.environment().put("PROXY_LISTEN", address);
       builder
           .environment()
-          .put("PROXY_ADMIN", Configuration.UNIX_PREFIX + RunDirectory.door(run.path(), instance));
+          .put("PROXY_ADMIN", Configuration.UNIX_PREFIX + RunDirectory.adminSocket(run.path(), instance));
     }
     builder.environment().put("PROXY_GROUP", instance + "/" + settings.instances());
     return builder.start();
   }
 
-  /** Its log; where none can be written it runs without: better than an instance that does not start. */
-  private ProcessBuilder.Redirect log(int instance) {
-    File log = run.logOf(instance).toFile();
-    try (FileOutputStream probe = new FileOutputStream(log, true)) {
-      return ProcessBuilder.Redirect.appendTo(log);
+  /** Returns the log output of an instance; if none can be written the instance runs without one, which is better than not starting. */
+  private ProcessBuilder.Redirect logOutput(int instance) {
+    File file = run.logOf(instance).toFile();
+    try (FileOutputStream probe = new FileOutputStream(file, true)) {
+      return ProcessBuilder.Redirect.appendTo(file);
     } catch (IOException e) {
-      say.accept("instance " + instance + " runs without a log: " + e.getMessage());
+      log.accept("instance " + instance + " runs without a log: " + e.getMessage());
       return ProcessBuilder.Redirect.DISCARD;
     }
   }
 
-  /** Processes of this run directory that are alive, those of an instance the oldest first. */
+  /** Returns the live processes of an instance of this run directory, the oldest first. */
   List<ProcessHandle> of(int instance) {
     return all().stream()
-        .filter(p -> markOf(p).orElse("").equals(mark + instance + ":"))
+        .filter(p -> markerOf(p).orElse("").equals(marker + instance + ":"))
         .sorted(Comparator.comparing(
             (ProcessHandle p) -> p.info().startInstant().orElse(java.time.Instant.MAX)))
         .toList();
   }
 
-  /** Processes of instances that this daemon does not have: of a larger fleet before it. */
-  List<ProcessHandle> beyond() {
+  /** Returns processes with a number beyond this daemon's instances, started by the daemon of a larger fleet. */
+  List<ProcessHandle> ofLargerFleet() {
     return all().stream().filter(p -> number(p) >= settings.instances()).toList();
   }
 
   private int number(ProcessHandle p) {
-    String text = markOf(p).orElse("");
+    String text = markerOf(p).orElse("");
     try {
-      return Integer.parseInt(text.substring(mark.length(), text.length() - 1));
+      return Integer.parseInt(text.substring(marker.length(), text.length() - 1));
     } catch (NumberFormatException | IndexOutOfBoundsException e) {
       return -1;
     }
@@ -107,20 +107,20 @@
 
   private List<ProcessHandle> all() {
     return ProcessHandle.allProcesses()
-        .filter(p -> markOf(p).isPresent() && p.isAlive())
+        .filter(p -> markerOf(p).isPresent() && p.isAlive())
         .toList();
   }
 
-  private Optional<String> markOf(ProcessHandle p) {
+  private Optional<String> markerOf(ProcessHandle p) {
     for (String argument : p.info().arguments().orElse(new String[0])) {
-      if (argument.startsWith(mark)) {
+      if (argument.startsWith(marker)) {
         return Optional.of(argument);
       }
     }
     return Optional.empty();
   }
 
-  /** SIGHUP, which Java has no call for. */
+  /** Sends SIGHUP, for which Java has no API. */
   static void hangup(ProcessHandle process) throws IOException {
     try {
       Process kill = new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
--- a/src/main/java/pumicekeel/fleet/RunDirectory.java
+++ b/src/main/java/pumicekeel/fleet/RunDirectory.java
@@ -14,17 +14,17 @@
 import java.util.Set;
 
 /**
- * The directory that a daemon holds for itself: its lock, its control socket, its instances' logs. Whoever can open the
- * socket commands the fleet, so nobody but the owner may enter. The lock is the kernel's and ends with the process, however
- * that ends.
+ * The directory that a daemon locks for itself, with its lock file, its control socket and the logs of its instances. Whoever can open the
+ * socket controls the fleet, so only the owner may access the directory. The kernel releases the lock when the process ends, however it
+ * ends.
  */
 final class RunDirectory implements Closeable {
 
-  private static final long MOST_LOG = 16L << 20;
+  private static final long MAX_LOG_BYTES = 16L << 20;
   private static final Set<PosixFilePermission> OWNER =
       PosixFilePermissions.fromString("rwx------");
-  /** Of a Unix socket's path, less a zero byte: sun_path has 108 bytes. */
-  private static final int MOST_SOCKET_PATH = 107;
+  /** Maximum length of a Unix socket's path: sun_path has 108 bytes, one of them for the terminating zero. */
+  private static final int MAX_SOCKET_PATH_BYTES = 107;
 
   private final Path directory;
   private final FileChannel channel;
@@ -36,24 +36,24 @@
     this.lock = lock;
   }
 
-  /** Takes a directory, made where it is not there; an IOException says in one line what is in the way. */
+  /** Locks a directory, which is created if missing; fails with an IOException whose message is one line if it cannot be used. */
   static RunDirectory take(Path path) throws IOException {
     Path directory;
     try {
       Files.createDirectories(path, PosixFilePermissions.asFileAttribute(OWNER));
       directory = path.toRealPath();
-      Set<PosixFilePermission> has = Files.getPosixFilePermissions(directory);
-      if (!OWNER.containsAll(has)) {
+      Set<PosixFilePermission> permissions = Files.getPosixFilePermissions(directory);
+      if (!OWNER.containsAll(permissions)) {
         throw new IOException(
             "run directory " + path + ": expected it to be its owner's alone (mode 0700), got "
-                + PosixFilePermissions.toString(has));
+                + PosixFilePermissions.toString(permissions));
       }
     } catch (java.nio.file.FileSystemException e) {
       throw new IOException("run directory " + path + ": cannot be made or entered: " + reason(e));
     }
-    if (door(directory, Settings.MAX_INSTANCES - 1).toString().length() > MOST_SOCKET_PATH) {
+    if (adminSocket(directory, Settings.MAX_INSTANCES - 1).toString().length() > MAX_SOCKET_PATH_BYTES) {
       throw new IOException("run directory " + path + ": expected a path of at most "
-          + (MOST_SOCKET_PATH - 9) + " characters");
+          + (MAX_SOCKET_PATH_BYTES - 9) + " characters");
     }
     FileChannel channel;
     try {
@@ -68,7 +68,7 @@
         return new RunDirectory(directory, channel, lock);
       }
     } catch (OverlappingFileLockException e) {
-      // Held by this process.
+      // Locked by this process already.
     }
     channel.close();
     throw new IOException("run directory " + path + ": another daemon holds it");
@@ -82,8 +82,8 @@
     return directory.resolve("control");
   }
 
-  /** Where an instance has its operators' door. */
-  static Path door(Path directory, int instance) {
+  /** Returns the path of an instance's admin socket. */
+  static Path adminSocket(Path directory, int instance) {
     return directory.resolve("door-" + instance);
   }
 
@@ -91,18 +91,18 @@
     return directory;
   }
 
-  /** The log of an instance; one that has grown large is kept once as the one before. */
+  /** Returns the log file of an instance; a large one is rotated first, of which one previous file is kept. */
   Path logOf(int instance) {
     Path log = directory.resolve("instance-" + instance + ".log");
     try {
-      if (Files.exists(log) && Files.size(log) > MOST_LOG) {
+      if (Files.exists(log) && Files.size(log) > MAX_LOG_BYTES) {
         Files.move(
             log,
             directory.resolve("instance-" + instance + ".log.1"),
             StandardCopyOption.REPLACE_EXISTING);
       }
     } catch (IOException e) {
-      // It goes on growing: better than an instance that does not start.
+      // The log keeps growing, which is better than an instance that does not start.
     }
     return log;
   }
--- a/src/main/java/pumicekeel/fleet/Settings.java
+++ b/src/main/java/pumicekeel/fleet/Settings.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * What a daemon runs.
+ * Settings of a daemon.
  *
- * @param first where instance 0 listens; each further one at the next port. With one address, where its operators' door is
- * @param oneAddress whether all take clients from the listening socket that is the daemon's own descriptor 0
- * @param operator the operator file of all, or null
- * @param configuration the platform's configuration of all
- * @param command how a JVM is started, up to and without {@code serve}; the marker goes behind its first word
+ * @param first address of instance 0; each further instance uses the next port. With one address, those of the admin endpoints
+ * @param oneAddress whether all instances accept clients from the listening socket passed to the daemon as descriptor 0
+ * @param operator the operator file of all instances, or null
+ * @param configuration the platform's configuration of all instances
+ * @param command the command that starts a JVM, without {@code serve}; the marker is inserted after its first word
  */
 public record Settings(
     int instances,
@@ -24,7 +24,7 @@
     Limits limits,
     boolean oneAddress) {
 
-  /** Instances with an address each. */
+  /** Creates settings of instances with an address each. */
   public Settings(
       int instances,
       Path directory,
@@ -37,7 +37,7 @@
     this(instances, directory, first, operator, configuration, name, command, limits, false);
   }
 
-  /** More than a machine has cores for; each costs some 60 MB. */
+  /** Maximum number of instances, more than a machine has cores for; each takes about 60 MB. */
   public static final int MAX_INSTANCES = 256;
 
   InetSocketAddress addressOf(int instance) {
--- a/src/main/java/pumicekeel/fleet/Supervisor.java
+++ b/src/main/java/pumicekeel/fleet/Supervisor.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 
 /**
- * Decides what is done with the instances of a fleet: starts, restarts after crashes, rolling restarts and reloads, the stop.
- * No I/O; times are readings of one clock in nanoseconds. Each call hands over what is to be done, in order.
+ * Decides on the actions for the instances of a fleet: starts, restarts after crashes, rolling restarts and reloads, and the stop. No I/O;
+ * times are readings of one clock in nanoseconds. Each call returns the actions to carry out, in order.
  */
 public final class Supervisor {
 
-  /** Where an instance is. */
+  /** State of an instance. */
   public enum State {
     DOWN,
     STARTING,
@@ -22,25 +22,25 @@
     GIVEN_UP
   }
 
-  /** What is to be done. */
-  public sealed interface Action permits Start, Terminate, Kill, Hangup, Say {}
+  /** An action to carry out. */
+  public sealed interface Action permits Start, Terminate, Kill, Hangup, LogLine {}
 
-  /** Start a process for this instance. */
+  /** Starts a process for an instance. */
   public record Start(int instance) implements Action {}
 
-  /** Ask it to end (SIGTERM). */
+  /** Terminates an instance (SIGTERM). */
   public record Terminate(int instance) implements Action {}
 
-  /** End it (SIGKILL). */
+  /** Kills an instance (SIGKILL). */
   public record Kill(int instance) implements Action {}
 
-  /** Have it read its files again (SIGHUP). */
+  /** Makes an instance reload its files (SIGHUP). */
   public record Hangup(int instance) implements Action {}
 
-  /** A line for the log. */
-  public record Say(String text) implements Action {}
+  /** Writes a line to the log. */
+  public record LogLine(String text) implements Action {}
 
-  /** What goes through all instances, one after the other. */
+  /** A rolling operation on all instances. */
   public enum Work {
     NONE,
     RESTART,
@@ -50,34 +50,34 @@
   private static final class Instance {
     private State state = State.DOWN;
     private long since;
-    private long waitsUntil;
+    private long restartAt;
     private boolean killed;
-    /** Restarted by the work that goes on, so a crash of it halts that. */
-    private boolean fresh;
+    /** Restarted or reloaded by the current work, which a crash of it therefore halts. */
+    private boolean updated;
 
-    private long heardAt;
-    /** Killed since it answered nothing, and not ready again. */
+    private long respondedAt;
+    /** Killed because it did not respond, and not ready again yet. */
     private boolean hung;
 
     private final ArrayDeque<Long> crashes = new ArrayDeque<>();
   }
 
-  /** A daemon that did not come to look for this part of the bound on silence has slept. */
-  private static final int SLEPT_PART = 4;
+  /** A daemon whose last tick is more than the hang limit divided by this ago counts as suspended. */
+  private static final int SUSPENDED_DIVISOR = 4;
 
   private final Limits limits;
   private final List<Instance> instances = new ArrayList<>();
-  private final ArrayDeque<Integer> left = new ArrayDeque<>();
-  private final Set<Integer> away = new LinkedHashSet<>();
-  private List<Action> out = new ArrayList<>();
+  private final ArrayDeque<Integer> remaining = new ArrayDeque<>();
+  private final Set<Integer> inProgress = new LinkedHashSet<>();
+  private List<Action> actions = new ArrayList<>();
   private Work work = Work.NONE;
   private String halted;
   private boolean stopping;
   private long tickedAt;
 
   public Supervisor(int count, Limits limits) {
-    if (count < 1 || limits.mostAway() < 1) {
-      throw new IllegalArgumentException("expected at least one instance and one that may be away");
+    if (count < 1 || limits.maxUnavailable() < 1) {
+      throw new IllegalArgumentException("expected at least one instance and one that may be unavailable");
     }
     this.limits = limits;
     for (int i = 0; i < count; i++) {
@@ -85,7 +85,7 @@
     }
   }
 
-  // What is known
+  // Current state
 
   public int size() {
     return instances.size();
@@ -95,12 +95,12 @@
     return instances.get(instance).state;
   }
 
-  /** How long it has been there. */
+  /** Returns how long an instance has been in its state. */
   public long inStateFor(int instance, long now) {
     return now - instances.get(instance).since;
   }
 
-  /** Crashes that still count. */
+  /** Returns the number of crashes of an instance within the crash window. */
   public int crashesOf(int instance) {
     return instances.get(instance).crashes.size();
   }
@@ -109,84 +109,84 @@
     return work;
   }
 
-  /** Instances that the work has still to come to. */
+  /** Returns the number of instances on which the current work is not finished. */
   public int workLeft() {
-    return left.size() + away.size();
+    return remaining.size() + inProgress.size();
   }
 
-  /** Why the last work was halted; null where it was not. */
+  /** Returns why the last work was halted, or null if it was not. */
   public String halted() {
     return halted;
   }
 
-  /** Everything is down after a stop. */
-  public boolean over() {
+  /** Returns whether all instances are down after a stop. */
+  public boolean isStopped() {
     return stopping && instances.stream().allMatch(i -> i.state == State.DOWN);
   }
 
-  private List<Action> done() {
-    List<Action> done = out;
-    out = new ArrayList<>();
-    return done;
+  private List<Action> drainActions() {
+    List<Action> drained = actions;
+    actions = new ArrayList<>();
+    return drained;
   }
 
-  private void to(int i, State state, long now) {
+  private void setState(int i, State state, long now) {
     instances.get(i).state = state;
     instances.get(i).since = now;
   }
 
-  // What happens
+  // Events
 
   /** Starts every instance that is down. */
   public List<Action> start(long now) {
     for (int i = 0; i < size(); i++) {
       if (stateOf(i) == State.DOWN) {
-        begin(i, now);
+        startInstance(i, now);
       }
     }
-    return done();
+    return drainActions();
   }
 
-  /** A process of an earlier daemon was found for it: it is taken on as one that has to say that it is ready. */
+  /** Adopts a process started by an earlier daemon; it counts as starting until it reports that it is ready. */
   public List<Action> adopted(int i, long now) {
-    to(i, State.STARTING, now);
-    out.add(new Say("instance " + i + " runs already: taken over"));
-    return done();
+    setState(i, State.STARTING, now);
+    actions.add(new LogLine("instance " + i + " is running already: adopted"));
+    return drainActions();
   }
 
-  private void begin(int i, long now) {
+  private void startInstance(int i, long now) {
     instances.get(i).killed = false;
-    to(i, State.STARTING, now);
-    out.add(new Start(i));
+    setState(i, State.STARTING, now);
+    actions.add(new Start(i));
   }
 
-  /** It says that it is ready. */
+  /** Handles the report of an instance that it is ready. */
   public List<Action> ready(int i, long now) {
     if (stateOf(i) == State.STARTING) {
-      to(i, State.READY, now);
-      instances.get(i).heardAt = now;
+      setState(i, State.READY, now);
+      instances.get(i).respondedAt = now;
       instances.get(i).hung = false;
-      out.add(new Say("instance " + i + " is ready"));
+      actions.add(new LogLine("instance " + i + " is ready"));
     }
-    return done();
+    return drainActions();
   }
 
-  /** It has answered something, whatever: its loop turns. */
-  public void heard(int i, long now) {
-    instances.get(i).heardAt = now;
+  /** Records that an instance responded, whatever the response: its event loop runs. */
+  public void responded(int i, long now) {
+    instances.get(i).respondedAt = now;
   }
 
-  /** How long a ready one has answered nothing. */
+  /** Returns how long a ready instance has not responded; 0 for one that is not ready. */
   public long silentFor(int i, long now) {
-    return stateOf(i) == State.READY ? now - instances.get(i).heardAt : 0;
+    return stateOf(i) == State.READY ? now - instances.get(i).respondedAt : 0;
   }
 
   /**
-   * One that is ready and answers nothing is ended, as many at once as may be away: where more are silent, the machine may be at
-   * fault, and what still moves is not to be killed. Silence while this daemon itself slept is no one's.
+   * Kills ready instances that do not respond, at most as many at once as may be unavailable: if more are silent, the machine may be the
+   * cause, and instances that still work must not be killed. Silence while this daemon itself was suspended does not count.
    */
-  private void endHung(long now) {
-    boolean slept = now - tickedAt > limits.hangNanos() / SLEPT_PART;
+  private void killHung(long now) {
+    boolean suspended = now - tickedAt > limits.hangNanos() / SUSPENDED_DIVISOR;
     tickedAt = now;
     if (limits.hangNanos() == 0) {
       return;
@@ -194,93 +194,93 @@
     long ending = instances.stream().filter(it -> it.hung).count();
     for (int i = 0; i < size(); i++) {
       Instance it = instances.get(i);
-      it.heardAt = slept ? now : it.heardAt;
-      if (silentFor(i, now) > limits.hangNanos() && !it.hung && ending < limits.mostAway()) {
+      it.respondedAt = suspended ? now : it.respondedAt;
+      if (silentFor(i, now) > limits.hangNanos() && !it.hung && ending < limits.maxUnavailable()) {
         it.hung = true;
         ending++;
-        out.add(new Say("instance " + i + " has answered nothing for "
+        actions.add(new LogLine("instance " + i + " has not responded for "
             + silentFor(i, now) / 1_000_000 + " ms: killed"));
-        out.add(new Kill(i));
+        actions.add(new Kill(i));
       }
     }
   }
 
-  /** Its process has ended, or could not be started. */
+  /** Handles the exit of an instance's process, or the failure to start it. */
   public List<Action> exited(int i, int status, long now) {
     Instance it = instances.get(i);
     State was = it.state;
     if (was == State.STOPPING && stopping) {
-      to(i, State.DOWN, now);
+      setState(i, State.DOWN, now);
     } else if (was == State.STOPPING) {
-      begin(i, now);
-      it.fresh = true;
+      startInstance(i, now);
+      it.updated = true;
     } else if (was == State.STARTING || was == State.READY) {
-      crashed(i, it, status, now);
+      handleCrash(i, it, status, now);
     }
-    return done();
+    return drainActions();
   }
 
-  private void crashed(int i, Instance it, int status, long now) {
-    out.add(new Say("instance " + i + " ended with " + status + " while "
+  private void handleCrash(int i, Instance it, int status, long now) {
+    actions.add(new LogLine("instance " + i + " ended with " + status + " while "
         + (it.state == State.READY ? "ready" : "starting")));
     if (stopping) {
-      to(i, State.DOWN, now);
+      setState(i, State.DOWN, now);
       return;
     }
-    if (work != Work.NONE && (it.fresh || away.contains(i))) {
+    if (work != Work.NONE && (it.updated || inProgress.contains(i))) {
       halt("instance " + i + " ended with " + status + " after it was "
           + (work == Work.RESTART ? "restarted" : "reloaded"));
     }
     it.crashes.addLast(now);
-    forgetOldCrashes(it, now);
-    if (it.crashes.size() > limits.mostCrashes()) {
-      to(i, State.GIVEN_UP, now);
+    dropOldCrashes(it, now);
+    if (it.crashes.size() > limits.maxCrashes()) {
+      setState(i, State.GIVEN_UP, now);
       it.hung = false;
-      out.add(new Say("instance " + i + " is left down: " + it.crashes.size() + " crashes"));
+      actions.add(new LogLine("instance " + i + " stays down: " + it.crashes.size() + " crashes"));
       return;
     }
-    long wait = Math.min(
-        limits.backoffMostNanos(), limits.backoffNanos() << Math.min(20, it.crashes.size() - 1));
-    it.waitsUntil = now + wait;
-    to(i, State.WAITING, now);
+    long delay = Math.min(
+        limits.maxBackoffNanos(), limits.backoffNanos() << Math.min(20, it.crashes.size() - 1));
+    it.restartAt = now + delay;
+    setState(i, State.WAITING, now);
   }
 
-  private void forgetOldCrashes(Instance it, long now) {
+  private void dropOldCrashes(Instance it, long now) {
     while (!it.crashes.isEmpty() && now - it.crashes.peekFirst() > limits.crashWindowNanos()) {
       it.crashes.removeFirst();
     }
   }
 
-  /** Time has passed. */
+  /** Handles the passing of time. */
   public List<Action> tick(long now) {
-    endHung(now);
+    killHung(now);
     for (int i = 0; i < size(); i++) {
       Instance it = instances.get(i);
-      long been = now - it.since;
-      if (it.state == State.STARTING && been > limits.readyNanos() && !it.killed) {
+      long inState = now - it.since;
+      if (it.state == State.STARTING && inState > limits.readyNanos() && !it.killed) {
         it.killed = true;
-        out.add(new Say("instance " + i + " did not become ready in time"));
-        out.add(new Kill(i));
-      } else if (it.state == State.STOPPING && been > limits.stopNanos() && !it.killed) {
+        actions.add(new LogLine("instance " + i + " did not become ready in time"));
+        actions.add(new Kill(i));
+      } else if (it.state == State.STOPPING && inState > limits.stopNanos() && !it.killed) {
         it.killed = true;
-        out.add(new Kill(i));
-      } else if (it.state == State.WAITING && now - it.waitsUntil >= 0) {
-        begin(i, now);
+        actions.add(new Kill(i));
+      } else if (it.state == State.WAITING && now - it.restartAt >= 0) {
+        startInstance(i, now);
       }
-      forgetOldCrashes(it, now);
+      dropOldCrashes(it, now);
     }
     if (work != Work.NONE) {
-      goOn(now);
+      continueWork(now);
     }
     if (stopping) {
-      stopSome(now);
+      terminateNext(now);
     }
-    return done();
+    return drainActions();
   }
 
-  // Work through all instances
+  // Rolling work
 
-  /** Begins a rolling restart or reload; null where it has begun, else why not. */
+  /** Begins a rolling restart or reload; returns null, or why it cannot begin. */
   public String begin(Work next) {
     if (stopping) {
       return "the fleet is being stopped";
@@ -295,57 +295,57 @@
     }
     work = next;
     halted = null;
-    away.clear();
-    left.clear();
+    inProgress.clear();
+    remaining.clear();
     for (int i = 0; i < size(); i++) {
-      instances.get(i).fresh = false;
-      left.add(i);
+      instances.get(i).updated = false;
+      remaining.add(i);
     }
     return null;
   }
 
-  private void goOn(long now) {
-    away.removeIf(
+  private void continueWork(long now) {
+    inProgress.removeIf(
         i -> stateOf(i) == State.READY && now - instances.get(i).since >= limits.watchNanos());
-    for (int i : away) {
+    for (int i : inProgress) {
       if (stateOf(i) == State.STARTING && now - instances.get(i).since > limits.readyNanos()) {
         halt("instance " + i + " did not become ready after its restart");
         return;
       }
     }
-    while (!left.isEmpty() && away.size() < limits.mostAway() && othersReady()) {
-      int i = left.poll();
+    while (!remaining.isEmpty() && inProgress.size() < limits.maxUnavailable() && othersReady()) {
+      int i = remaining.poll();
       if (work == Work.RELOAD && stateOf(i) != State.READY) {
-        // Given up since the work began: it reads the file when it is started again.
+        // Given up since the work began: it reads the new file when it is started again.
         continue;
       }
-      away.add(i);
+      inProgress.add(i);
       Instance it = instances.get(i);
       if (work == Work.RELOAD) {
-        it.fresh = true;
-        to(i, State.READY, now);
-        out.add(new Hangup(i));
+        it.updated = true;
+        setState(i, State.READY, now);
+        actions.add(new Hangup(i));
       } else if (it.state == State.GIVEN_UP) {
         it.crashes.clear();
         it.hung = false;
-        it.fresh = true;
-        begin(i, now);
+        it.updated = true;
+        startInstance(i, now);
       } else {
         it.killed = false;
-        to(i, State.STOPPING, now);
-        out.add(new Terminate(i));
+        setState(i, State.STOPPING, now);
+        actions.add(new Terminate(i));
       }
     }
-    if (left.isEmpty() && away.isEmpty()) {
-      out.add(new Say("rolling " + work.name().toLowerCase(java.util.Locale.ROOT) + " is done"));
+    if (remaining.isEmpty() && inProgress.isEmpty()) {
+      actions.add(new LogLine("rolling " + work.name().toLowerCase(java.util.Locale.ROOT) + " is done"));
       work = Work.NONE;
     }
   }
 
-  /** Nobody beside those that are away on purpose is missing: a crash elsewhere makes the work wait. */
+  /** Returns whether all instances outside the current work are ready or given up: a crash of another instance delays the work. */
   private boolean othersReady() {
     for (int i = 0; i < size(); i++) {
-      if (!away.contains(i) && stateOf(i) != State.READY && stateOf(i) != State.GIVEN_UP) {
+      if (!inProgress.contains(i) && stateOf(i) != State.READY && stateOf(i) != State.GIVEN_UP) {
         return false;
       }
     }
@@ -354,16 +354,16 @@
 
   private void halt(String why) {
     halted = why;
-    out.add(new Say("rolling " + work.name().toLowerCase(java.util.Locale.ROOT) + " halted with "
-        + left.size() + " to go: " + why));
+    actions.add(new LogLine("rolling " + work.name().toLowerCase(java.util.Locale.ROOT) + " halted with "
+        + remaining.size() + " remaining: " + why));
     work = Work.NONE;
-    left.clear();
-    away.clear();
+    remaining.clear();
+    inProgress.clear();
   }
 
-  // The stop
+  // Stop
 
-  /** Ends all instances, the last first, so many at once as may be away. */
+  /** Terminates all instances, the last one first, at most as many at once as may be unavailable. */
   public List<Action> stop(long now) {
     if (!stopping) {
       if (work != Work.NONE) {
@@ -372,21 +372,21 @@
       stopping = true;
       for (int i = 0; i < size(); i++) {
         if (stateOf(i) == State.WAITING || stateOf(i) == State.GIVEN_UP) {
-          to(i, State.DOWN, now);
+          setState(i, State.DOWN, now);
         }
       }
-      stopSome(now);
+      terminateNext(now);
     }
-    return done();
+    return drainActions();
   }
 
-  private void stopSome(long now) {
+  private void terminateNext(long now) {
     long ending = instances.stream().filter(i -> i.state == State.STOPPING).count();
-    for (int i = size() - 1; i >= 0 && ending < limits.mostAway(); i--) {
+    for (int i = size() - 1; i >= 0 && ending < limits.maxUnavailable(); i--) {
       if (stateOf(i) == State.READY || stateOf(i) == State.STARTING) {
         instances.get(i).killed = false;
-        to(i, State.STOPPING, now);
-        out.add(new Terminate(i));
+        setState(i, State.STOPPING, now);
+        actions.add(new Terminate(i));
         ending++;
       }
     }
--- a/src/test/java/pumicekeel/fleet/DaemonTest.java
+++ b/src/test/java/pumicekeel/fleet/DaemonTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A daemon with real instances: what it starts, what it finds, and what it leaves when it is killed. */
+/** Tests of a daemon with real instances: starts, adoption of running instances, and what remains after it is killed. */
 class DaemonTest {
 
   private static final long GENEROUS_NANOS = 60_000_000_000L;
@@ -49,7 +49,7 @@
     port = freePorts(3);
   }
 
-  /** A block of free ports; another program may take one in between, which a test would then say. */
+  /** Returns the first of {@code count} consecutive free ports; if another program takes one meanwhile, the test fails. */
   private static int freePorts(int count) throws IOException {
     for (int tries = 0; tries < 100; tries++) {
       try (ServerSocket first = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -138,7 +138,7 @@
         && pids(status).size() == count;
   }
 
-  /** Both ready, and instance {@code changed} is another process: told by one answer, as the next may differ. */
+  /** Returns whether both are ready and instance {@code changed} is another process, from one response: the next one may differ. */
   private boolean bothReadyAndAnother(int changed, List<Long> before) {
     String now = status();
     return allReady(now, 2) && !pids(now).get(changed).equals(before.get(changed));
@@ -156,14 +156,14 @@
     return out;
   }
 
-  /** What of this run directory is alive, found without the daemon's help. */
+  /** Returns the live processes of this run directory, found without the daemon. */
   private List<ProcessHandle> processes() {
-    String mark = java.util
+    String marker = java.util
         .UUID
         .nameUUIDFromBytes(real().getBytes(java.nio.charset.StandardCharsets.UTF_8))
         .toString();
     return ProcessHandle.allProcesses()
-        .filter(p -> p.isAlive() && p.info().commandLine().orElse("").contains(mark))
+        .filter(p -> p.isAlive() && p.info().commandLine().orElse("").contains(marker))
         .toList();
   }
 
@@ -182,7 +182,7 @@
       TimeUnit.MILLISECONDS.sleep(20);
       holds = condition.getAsBoolean();
     }
-    assertTrue(holds, "a condition that was waited for");
+    assertTrue(holds, "condition not met in time");
   }
 
   // Tests
@@ -212,7 +212,7 @@
   }
 
   @Test
-  void daemonThatEndsLeavesItsInstancesToTheNextOne() throws Exception {
+  void daemonAdoptsTheInstancesOfAnEarlierOne() throws Exception {
     Daemon first = daemon(2);
     until(() -> allReady(2));
     List<Long> pids = pids();
@@ -220,19 +220,19 @@
         .getMessage()
         .contains("another daemon holds it"));
     first.close();
-    assertEquals(2, processes().size(), "they go on");
+    assertEquals(2, processes().size(), "instances keep running");
     daemon(2);
     until(() -> allReady(2));
     assertEquals(pids, pids());
-    // One that was taken over is watched like one's own.
+    // An adopted instance is monitored like any other.
     ProcessHandle.of(pids.get(1)).orElseThrow().destroyForcibly();
     until(() -> bothReadyAndAnother(1, pids));
     assertEquals(2, processes().size());
   }
 
-  /** Killed at any moment of a rolling restart: no orphan, no double. */
+  /** A daemon killed at any moment of a rolling restart leaves no orphaned and no duplicate instance. */
   @Test
-  void daemonKilledWhileItRestartsAnInstanceLeavesNeitherOrphanNorDouble() throws Exception {
+  void daemonKilledDuringARestartLeavesNeitherOrphanNorDuplicate() throws Exception {
     for (int round = 0; round < 2; round++) {
       ProcessBuilder builder = new ProcessBuilder(
           Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -259,8 +259,8 @@
       until(() -> allReady(2));
       Control.call(run, "restart");
       until(
-          () -> status().contains(round(0, "stopping")) || status().contains(round(0, "starting")));
-      // The longer, the further: in the stop of the first, or the start that follows it.
+          () -> status().contains(stateEntry(0, "stopping")) || status().contains(stateEntry(0, "starting")));
+      // Round 0 kills it during the stop of the first instance, round 1 about during its start.
       TimeUnit.MILLISECONDS.sleep(round * 700L);
       other.destroyForcibly().waitFor();
     }
@@ -272,16 +272,16 @@
         processes().stream().map(ProcessHandle::pid).sorted().toList());
   }
 
-  private static String round(int instance, String state) {
+  private static String stateEntry(int instance, String state) {
     return "\"instance\":" + instance + ",\"state\":\"" + state + "\"";
   }
 
   @Test
-  void buildThatDoesNotStartHaltsTheRollingRestartAndTheRestServes() throws Exception {
+  void buildThatDoesNotStartHaltsTheRollingRestartAndOtherInstancesServe() throws Exception {
     daemon(2);
     until(() -> allReady(2));
     List<Long> before = pids();
-    // What the next process is started with is no configuration.
+    // The next process is started with an invalid configuration.
     Files.writeString(config, "{");
     Control.call(run, "restart");
     until(() -> !status().contains("\"halted\":null"));
@@ -297,7 +297,7 @@
   }
 
   @Test
-  void operatorFileThatNoInstanceWouldTakeIsNotSentRound() throws Exception {
+  void invalidOperatorFileIsNotReloadedByAnyInstance() throws Exception {
     String good =
         "[sources.s]\nstatic = [{ name = \"u\", address = \"127.0.0.1:1\" }]\n[pools.p]\nsource = \"s\"\n[[routes]]\n"
             + "pool = \"p\"\n";
@@ -318,7 +318,7 @@
   }
 
   @Test
-  void runDirectoryThatIsNoGoodIsOneLine() throws Exception {
+  void unusableRunDirectoryIsReportedInOneLine() throws Exception {
     Path open = Files.createDirectory(
         folder.resolve("open"),
         PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwxr-xr-x")));
@@ -350,16 +350,16 @@
   }
 
   @Test
-  void commandsThatAreNoneAreTold() throws Exception {
+  void unknownCommandsAreReported() throws Exception {
     daemon(1);
     assertTrue(Control.call(run, "dance").contains("expected status, restart, reload or stop"));
     assertTrue(Control.call(run, "x".repeat(300)).contains("expected a line"));
     assertTrue(Control.call(run, "reload").contains("is not ready") || allReady(1));
   }
 
-  /** The kernel still takes its connections, so only an answer tells. */
+  /** The kernel still accepts connections for a stopped process, so only a response proves that it runs. */
   @Test
-  void instanceThatStandsStillIsReplacedAndTheOtherIsNot() throws Exception {
+  void stoppedInstanceIsReplacedAndTheOtherIsNot() throws Exception {
     daemon(2);
     until(() -> allReady(2));
     List<Long> before = pids();
@@ -368,12 +368,12 @@
     until(() -> bothReadyAndAnother(1, before));
     assertEquals(before.get(0), pids().get(0));
     assertTrue(
-        log.stream().anyMatch(l -> l.startsWith("instance 1 has answered nothing for ")),
+        log.stream().anyMatch(l -> l.startsWith("instance 1 has not responded for ")),
         log.toString());
   }
 
   @Test
-  void logThatCannotBeWrittenIsDoneWithout() throws Exception {
+  void instanceStartsWithoutALogThatCannotBeWritten() throws Exception {
     assertTrue(run.toFile().setExecutable(true));
     Files.createSymbolicLink(run.resolve("instance-0.log"), Path.of("/dev/full"));
     Files.createDirectory(run.resolve("instance-1.log"));
--- a/src/test/java/pumicekeel/fleet/OneAddressTest.java
+++ b/src/test/java/pumicekeel/fleet/OneAddressTest.java
@@ -24,11 +24,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A fleet behind one address, as a service manager passes it: a rolling restart in which no client finds a closed door. */
+/** Tests of a fleet on one listening socket passed by a service manager: a rolling restart refuses no client's connection. */
 class OneAddressTest {
 
   private static final long GENEROUS_NANOS = 90_000_000_000L;
-  /** The service manager: listens, and starts the daemon with the socket as its descriptor 0. */
+  /** Acts as the service manager: listens, and starts the daemon with the socket as descriptor 0. */
   private static final String MANAGER = """
       use Socket; $| = 1;
       socket(S, PF_INET, SOCK_STREAM, 0); bind(S, sockaddr_in(0, INADDR_LOOPBACK)); listen(S, 1024);
@@ -59,7 +59,7 @@
       TimeUnit.MILLISECONDS.sleep(20);
       holds = condition.getAsBoolean();
     }
-    assertTrue(holds, "a condition that was waited for");
+    assertTrue(holds, "condition not met in time");
   }
 
   private String status() {
@@ -74,7 +74,7 @@
     return status().split("\"state\":\"ready\"", -1).length - 1 == count;
   }
 
-  /** A message's head in lower case; its body is read and dropped. */
+  /** Returns the head of a message in lower case; reads and discards its body. */
   private static String readHead(DataInputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
@@ -91,7 +91,7 @@
     return lower;
   }
 
-  /** The status of an answer, below 0 where it is its connection's last. */
+  /** Returns the status of a response, negated if the connection closes after it. */
   private static int readStatus(DataInputStream in) throws IOException {
     String head = readHead(in);
     int status = Integer.parseInt(head.substring(9, 12));
@@ -119,7 +119,7 @@
                       .getBytes(StandardCharsets.US_ASCII));
             }
           } catch (IOException | RuntimeException e) {
-            // The balancer has closed it.
+            // The balancer has closed the connection.
           }
         });
       } catch (IOException e) {
@@ -164,7 +164,7 @@
     }
   }
 
-  private ProcessBuilder fleet(Path config, int door, String... before) throws IOException {
+  private ProcessBuilder fleet(Path config, int adminPort, String... before) throws IOException {
     List<String> command = new ArrayList<>(List.of(before));
     command.addAll(List.of(
         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -179,7 +179,7 @@
         "--config",
         config.toString(),
         "--listen",
-        "127.0.0.1:" + door,
+        "127.0.0.1:" + adminPort,
         "--one-address",
         "--watch-ms",
         "200",
@@ -188,22 +188,22 @@
     return new ProcessBuilder(command).redirectErrorStream(true);
   }
 
-  /** Two ports in a row that are free now: the doors of the two instances. */
-  private int freeDoors() throws IOException {
+  /** Returns the first of two consecutive free ports, for the admin endpoints of the two instances. */
+  private int freeAdminPorts() throws IOException {
     for (int tries = 0; tries < 100; tries++) {
       try (ServerSocket one = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
           ServerSocket two =
               new ServerSocket(one.getLocalPort() + 1, 1, InetAddress.getLoopbackAddress())) {
         return two.getLocalPort() - 1;
       } catch (IOException | IllegalArgumentException e) {
-        // The one behind it is taken: another pair.
+        // The next port is in use: tries another pair.
       }
     }
     throw new IOException("no two free ports in a row");
   }
 
   @Test
-  void rollingRestartOfOneAddressRefusesNobody() throws Exception {
+  void rollingRestartOfOneAddressRefusesNoClient() throws Exception {
     run = Files.createTempDirectory("hv");
     try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       daemonThread(() -> upstream(listener));
@@ -213,14 +213,14 @@
               .replace(
                   "\"address\":\"127.0.0.1:1\"",
                   "\"address\":\"127.0.0.1:" + listener.getLocalPort() + "\""));
-      daemon = fleet(config, freeDoors(), "perl", "-e", MANAGER).start();
+      daemon = fleet(config, freeAdminPorts(), "perl", "-e", MANAGER).start();
       BufferedReader lines = new BufferedReader(
           new InputStreamReader(daemon.getInputStream(), StandardCharsets.UTF_8));
       InetSocketAddress address = new InetSocketAddress(
           InetAddress.getLoopbackAddress(),
           Integer.parseInt(lines.readLine().substring("port ".length())));
-      List<String> said = java.util.Collections.synchronizedList(new ArrayList<>());
-      daemonThread(() -> lines.lines().forEach(said::add));
+      List<String> output = java.util.Collections.synchronizedList(new ArrayList<>());
+      daemonThread(() -> lines.lines().forEach(output::add));
       until(() -> ready(2));
       AtomicBoolean over = new AtomicBoolean();
       AtomicInteger served = new AtomicInteger();
@@ -241,7 +241,7 @@
       assertTrue(after.contains("\"halted\":null"), after);
       assertTrue(
           !after.replaceAll("\"for-ms\":\\d+", "").equals(before.replaceAll("\"for-ms\":\\d+", "")),
-          "other processes");
+          "instances are other processes");
       int then = served.get();
       until(() -> served.get() > then + 100);
       over.set(true);
@@ -252,27 +252,28 @@
           0,
           broken.get(),
           "of " + served.get() + " requests, these met a refused, reset or unread connection");
-      // With a grace of nothing every upstream was once held for drained, and all of them were.
+      // With a grace of zero every upstream was once treated as drained, and no request was answered
+      // with 200.
       assertTrue(
           refused.get() < served.get() / 10,
           refused.get() + " of " + served.get() + " were not answered with 200");
       Control.call(run, "stop");
       assertTrue(daemon.waitFor(60, TimeUnit.SECONDS));
       assertTrue(
-          said.stream().noneMatch(l -> l.contains("Exception") || l.startsWith("\tat ")),
-          said.toString());
+          output.stream().noneMatch(l -> l.contains("Exception") || l.startsWith("\tat ")),
+          output.toString());
     }
   }
 
   @Test
-  void descriptorThatIsNoSocketIsOneLine() throws Exception {
+  void descriptorThatIsNoSocketIsReportedInOneLine() throws Exception {
     run = Files.createTempDirectory("hv");
-    daemon = fleet(Path.of("deploy/rehearsal.json"), freeDoors())
+    daemon = fleet(Path.of("deploy/rehearsal.json"), freeAdminPorts())
         .redirectInput(Path.of("/dev/null").toFile())
         .start();
-    String said = new String(daemon.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    String output = new String(daemon.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertEquals(2, daemon.waitFor());
     assertEquals(
-        "--one-address: expected a listening socket as descriptor 0, got /dev/null", said.strip());
+        "--one-address: expected a listening socket as descriptor 0, got /dev/null", output.strip());
   }
 }
--- a/src/test/java/pumicekeel/fleet/SupervisorTest.java
+++ b/src/test/java/pumicekeel/fleet/SupervisorTest.java
@@ -13,7 +13,7 @@
 import pumicekeel.fleet.Supervisor.State;
 import pumicekeel.fleet.Supervisor.Work;
 
-/** What a daemon decides, in virtual time. */
+/** Tests of the supervisor's decisions in virtual time. */
 class SupervisorTest {
 
   private static final long SECOND = 1_000_000_000L;
@@ -22,19 +22,19 @@
   private long now;
   private final List<String> log = new ArrayList<>();
 
-  private Supervisor fleet(int count, int away) {
-    s = new Supervisor(count, Limits.of(away, 5 * SECOND));
-    take(s.start(now));
+  private Supervisor fleet(int count, int maxUnavailable) {
+    s = new Supervisor(count, Limits.of(maxUnavailable, 5 * SECOND));
+    record(s.start(now));
     for (int i = 0; i < count; i++) {
-      take(s.ready(i, now));
+      record(s.ready(i, now));
     }
     log.clear();
     return s;
   }
 
-  private void take(List<Action> actions) {
+  private void record(List<Action> actions) {
     for (Action a : actions) {
-      if (!(a instanceof Supervisor.Say)) {
+      if (!(a instanceof Supervisor.LogLine)) {
         log.add(a.getClass().getSimpleName() + " "
             + (a instanceof Supervisor.Start x
                 ? x.instance()
@@ -47,49 +47,49 @@
     }
   }
 
-  private List<String> taken() {
-    List<String> taken = List.copyOf(log);
+  private List<String> drainLog() {
+    List<String> drained = List.copyOf(log);
     log.clear();
-    return taken;
+    return drained;
   }
 
-  /** Time in which every instance that is there answers. */
+  /** Advances the time while every instance responds. */
   private void pass(long nanos) {
-    passHearing(nanos, java.util.stream.IntStream.range(0, s.size()).toArray());
+    passWithResponsesOf(nanos, java.util.stream.IntStream.range(0, s.size()).toArray());
   }
 
   @Test
-  void crashIsRestartedLaterEachTimeAndAtLastLeftDown() {
+  void crashedInstanceIsRestartedWithGrowingDelayAndFinallyGivenUp() {
     fleet(2, 1);
     long wait = SECOND / 2;
     for (int crash = 1; crash <= 5; crash++) {
-      take(s.exited(0, 1, now));
+      record(s.exited(0, 1, now));
       assertEquals(State.WAITING, s.stateOf(0));
       pass(wait - SECOND / 5);
-      assertEquals(List.of(), taken(), "not before its time");
+      assertEquals(List.of(), drainLog(), "not before its time");
       pass(SECOND / 5);
-      assertEquals(List.of("Start 0"), taken());
-      take(s.ready(0, now));
+      assertEquals(List.of("Start 0"), drainLog());
+      record(s.ready(0, now));
       wait *= 2;
     }
-    take(s.exited(0, 1, now));
+    record(s.exited(0, 1, now));
     assertEquals(State.GIVEN_UP, s.stateOf(0));
     pass(600 * SECOND);
-    assertEquals(List.of(), taken());
+    assertEquals(List.of(), drainLog());
     assertEquals(State.READY, s.stateOf(1));
-    // Somebody has mended it and says so.
+    // An operator has fixed the cause and requests a restart.
     assertNull(s.begin(Work.RESTART));
     pass(SECOND);
-    assertEquals(List.of("Start 0"), taken());
+    assertEquals(List.of("Start 0"), drainLog());
   }
 
   @Test
   void crashesFarApartAreForgotten() {
     fleet(1, 1);
     for (int i = 0; i < 20; i++) {
-      take(s.exited(0, 1, now));
+      record(s.exited(0, 1, now));
       pass(2 * SECOND);
-      take(s.ready(0, now));
+      record(s.ready(0, now));
       pass(60 * SECOND);
     }
     assertEquals(State.READY, s.stateOf(0));
@@ -98,158 +98,158 @@
   @Test
   void oneThatDoesNotBecomeReadyIsKilledOnce() {
     s = new Supervisor(1, Limits.of(1, SECOND));
-    take(s.start(now));
-    taken();
+    record(s.start(now));
+    drainLog();
     pass(29 * SECOND);
-    assertEquals(List.of(), taken());
+    assertEquals(List.of(), drainLog());
     pass(10 * SECOND);
-    assertEquals(List.of("Kill 0"), taken());
-    take(s.exited(0, 137, now));
+    assertEquals(List.of("Kill 0"), drainLog());
+    record(s.exited(0, 137, now));
     pass(SECOND);
-    assertEquals(List.of("Start 0"), taken());
+    assertEquals(List.of("Start 0"), drainLog());
   }
 
   @Test
-  void rollingRestartHasNoMoreAwayThanMayBeAndWaitsForEachToStayReady() {
+  void rollingRestartRespectsTheUnavailableLimitAndWaitsForEachToStayReady() {
     fleet(5, 2);
     assertNull(s.begin(Work.RESTART));
     assertNotNull(s.begin(Work.RELOAD), "one work at a time");
     pass(SECOND);
-    assertEquals(List.of("Terminate 0", "Terminate 1"), taken());
-    take(s.exited(1, 0, now));
-    take(s.ready(1, now));
-    assertEquals(List.of("Start 1"), taken());
+    assertEquals(List.of("Terminate 0", "Terminate 1"), drainLog());
+    record(s.exited(1, 0, now));
+    record(s.ready(1, now));
+    assertEquals(List.of("Start 1"), drainLog());
     pass(4 * SECOND);
-    assertEquals(List.of(), taken(), "watched first");
+    assertEquals(List.of(), drainLog(), "1 has to stay ready first");
     pass(2 * SECOND);
-    assertEquals(List.of("Terminate 2"), taken(), "0 is away still");
+    assertEquals(List.of("Terminate 2"), drainLog(), "0 is still down");
     pass(4 * SECOND);
-    assertEquals(List.of("Kill 0"), taken(), "it took too long to end");
-    take(s.exited(0, 137, now));
-    take(s.ready(0, now));
+    assertEquals(List.of("Kill 0"), drainLog(), "it took too long to end");
+    record(s.exited(0, 137, now));
+    record(s.ready(0, now));
     for (int i = 2; i < 5; i++) {
-      take(s.exited(i, 0, now));
-      take(s.ready(i, now));
+      record(s.exited(i, 0, now));
+      record(s.ready(i, now));
       pass(6 * SECOND);
     }
     assertEquals(Work.NONE, s.work());
     assertNull(s.halted());
     assertEquals(
-        List.of("Start 0", "Start 2", "Terminate 3", "Terminate 4", "Start 3", "Start 4"), taken());
+        List.of("Start 0", "Start 2", "Terminate 3", "Terminate 4", "Start 3", "Start 4"), drainLog());
   }
 
   @Test
-  void newBuildThatNeverBecomesReadyHaltsAndTheRestGoesOn() {
+  void newBuildThatNeverBecomesReadyHaltsAndOtherInstancesKeepRunning() {
     fleet(3, 1);
     s.begin(Work.RESTART);
     pass(SECOND);
-    take(s.exited(0, 0, now));
+    record(s.exited(0, 0, now));
     pass(31 * SECOND);
     assertEquals(Work.NONE, s.work());
     assertTrue(s.halted().contains("instance 0"), s.halted());
-    take(s.exited(0, 137, now));
+    record(s.exited(0, 137, now));
     pass(600 * SECOND);
     assertTrue(
-        taken().stream().noneMatch(a -> a.startsWith("Terminate") && !a.endsWith(" 0")),
-        "nobody else goes");
+        drainLog().stream().noneMatch(a -> a.startsWith("Terminate") && !a.endsWith(" 0")),
+        "no other instance is terminated");
     assertEquals(State.READY, s.stateOf(1));
     assertEquals(State.READY, s.stateOf(2));
   }
 
   @Test
-  void newBuildThatDiesAfterHalfAMinuteHaltsWhileOthersAreStillToGo() {
+  void newBuildThatCrashesAfterHalfAMinuteHaltsTheRemainingRestarts() {
     fleet(20, 1);
     s.begin(Work.RESTART);
     for (int i = 0; i < 4; i++) {
       pass(SECOND);
-      take(s.exited(i, 0, now));
-      take(s.ready(i, now));
+      record(s.exited(i, 0, now));
+      record(s.ready(i, now));
       pass(6 * SECOND);
     }
-    take(s.exited(0, 1, now));
+    record(s.exited(0, 1, now));
     assertEquals(Work.NONE, s.work());
     assertTrue(s.halted().contains("instance 0 ended with 1 after it was restarted"), s.halted());
-    taken();
+    drainLog();
     pass(60 * SECOND);
-    assertTrue(taken().stream().noneMatch(a -> a.startsWith("Terminate")));
+    assertTrue(drainLog().stream().noneMatch(a -> a.startsWith("Terminate")));
   }
 
   @Test
-  void crashOfOneThatWasNotRestartedYetMakesTheWorkWait() {
+  void crashOfAnInstanceNotYetRestartedDelaysTheWork() {
     fleet(4, 1);
     s.begin(Work.RESTART);
     pass(SECOND);
-    take(s.exited(0, 0, now));
-    take(s.ready(0, now));
-    taken();
-    take(s.exited(3, 1, now));
+    record(s.exited(0, 0, now));
+    record(s.ready(0, now));
+    drainLog();
+    record(s.exited(3, 1, now));
     pass(7 * SECOND);
-    assertEquals(List.of("Start 3"), taken(), "two would be away");
-    take(s.ready(3, now));
+    assertEquals(List.of("Start 3"), drainLog(), "two would be unavailable");
+    record(s.ready(3, now));
     pass(SECOND);
-    assertEquals(List.of("Terminate 1"), taken());
+    assertEquals(List.of("Terminate 1"), drainLog());
     assertNull(s.halted());
   }
 
   @Test
-  void reloadGoesRoundWithoutAProcessEnding() {
+  void reloadReachesAllInstancesWithoutEndingAProcess() {
     fleet(3, 1);
     assertNull(s.begin(Work.RELOAD));
     pass(20 * SECOND);
-    assertEquals(List.of("Hangup 0", "Hangup 1", "Hangup 2"), taken());
+    assertEquals(List.of("Hangup 0", "Hangup 1", "Hangup 2"), drainLog());
     assertEquals(Work.NONE, s.work());
     s.begin(Work.RELOAD);
     pass(SECOND);
-    take(s.exited(0, 1, now));
+    record(s.exited(0, 1, now));
     assertTrue(s.halted().contains("after it was reloaded"), s.halted());
   }
 
   @Test
-  void stopIsInOrderAndBoundedWhateverIsUnderWay() {
+  void stopIsOrderedAndBoundedDuringARollingRestart() {
     fleet(4, 2);
     s.begin(Work.RESTART);
     pass(SECOND);
-    take(s.exited(0, 0, now));
-    taken();
-    take(s.exited(2, 1, now));
-    take(s.stop(now));
-    assertEquals(List.of("Terminate 3"), taken(), "1 is ending already");
+    record(s.exited(0, 0, now));
+    drainLog();
+    record(s.exited(2, 1, now));
+    record(s.stop(now));
+    assertEquals(List.of("Terminate 3"), drainLog(), "1 is ending already");
     assertEquals("the fleet is being stopped", s.begin(Work.RESTART));
-    take(s.exited(1, 0, now));
+    record(s.exited(1, 0, now));
     pass(SECOND);
-    assertEquals(List.of("Terminate 0"), taken());
+    assertEquals(List.of("Terminate 0"), drainLog());
     pass(11 * SECOND);
     assertEquals(
         List.of("Kill 3", "Kill 0"),
-        taken().stream().sorted(java.util.Comparator.reverseOrder()).toList());
-    take(s.exited(3, 137, now));
-    take(s.exited(0, 137, now));
+        drainLog().stream().sorted(java.util.Comparator.reverseOrder()).toList());
+    record(s.exited(3, 137, now));
+    record(s.exited(0, 137, now));
     pass(SECOND);
-    assertTrue(s.over());
-    assertEquals(List.of(), taken());
+    assertTrue(s.isStopped());
+    assertEquals(List.of(), drainLog());
   }
 
   @Test
-  void adoptedOneHasToSayThatItIsReadyAndIsNotStartedAgain() {
+  void adoptedInstanceHasToReportReadyAndIsNotStartedAgain() {
     s = new Supervisor(2, Limits.of(1, SECOND));
-    take(s.adopted(1, now));
-    take(s.start(now));
-    assertEquals(List.of("Start 0"), taken());
-    take(s.ready(1, now));
+    record(s.adopted(1, now));
+    record(s.start(now));
+    assertEquals(List.of("Start 0"), drainLog());
+    record(s.ready(1, now));
     assertEquals(State.READY, s.stateOf(1));
   }
 
-  /** Whatever happens in whatever order: no instance twice, and never more away on purpose than may be. */
+  /** Random event orders never start an instance twice and never have more instances down on purpose than allowed. */
   @Test
-  void neverTwoProcessesOfOneAndNeverTooManyAwayOnPurpose() {
+  void noInstanceRunsTwiceAndNoMoreThanAllowedAreStopping() {
     for (long seed = 1; seed <= 300; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       int n = 1 + random.nextInt(6);
-      int away = 1 + random.nextInt(n);
-      s = new Supervisor(n, Limits.of(away, 2 * SECOND));
+      int maxUnavailable = 1 + random.nextInt(n);
+      s = new Supervisor(n, Limits.of(maxUnavailable, 2 * SECOND));
       boolean[] runs = new boolean[n];
       boolean[] ending = new boolean[n];
-      play(s.start(now), runs, ending, seed);
+      apply(s.start(now), runs, ending, seed);
       for (int step = 0; step < 400; step++) {
         now += random.nextLong(SECOND);
         int i = random.nextInt(n);
@@ -257,28 +257,28 @@
           case 0 -> s.begin(random.nextBoolean() ? Work.RESTART : Work.RELOAD);
           case 1, 2, 3 -> {
             if (runs[i]) {
-              play(s.ready(i, now), runs, ending, seed);
+              apply(s.ready(i, now), runs, ending, seed);
             }
           }
           case 4 -> {
             if (runs[i] && (ending[i] || random.nextInt(6) == 0)) {
               runs[i] = false;
               ending[i] = false;
-              play(s.exited(i, 1, now), runs, ending, seed);
+              apply(s.exited(i, 1, now), runs, ending, seed);
             }
           }
-          default -> play(s.tick(now), runs, ending, seed);
+          default -> apply(s.tick(now), runs, ending, seed);
         }
-        int gone = 0;
+        int stopped = 0;
         for (int k = 0; k < n; k++) {
-          gone += s.stateOf(k) == State.STOPPING ? 1 : 0;
+          stopped += s.stateOf(k) == State.STOPPING ? 1 : 0;
         }
-        assertTrue(gone <= away, "seed " + seed);
+        assertTrue(stopped <= maxUnavailable, "seed " + seed);
       }
     }
   }
 
-  private static void play(List<Action> actions, boolean[] runs, boolean[] ending, long seed) {
+  private static void apply(List<Action> actions, boolean[] runs, boolean[] ending, long seed) {
     for (Action a : actions) {
       if (a instanceof Supervisor.Start x) {
         assertTrue(!runs[x.instance()], "seed " + seed + ": started while it runs");
@@ -292,62 +292,62 @@
     }
   }
 
-  private void passHearing(long nanos, int... heard) {
+  private void passWithResponsesOf(long nanos, int... responding) {
     for (long end = now + nanos; now < end; ) {
       now = Math.min(end, now + SECOND / 10);
-      for (int i : heard) {
-        s.heard(i, now);
+      for (int i : responding) {
+        s.responded(i, now);
       }
-      take(s.tick(now));
+      record(s.tick(now));
     }
   }
 
   @Test
-  void instanceThatAnswersNothingIsKilledAndStartedAgain() {
+  void unresponsiveInstanceIsKilledAndRestarted() {
     fleet(2, 1);
-    passHearing(14 * SECOND, 1);
-    assertEquals(List.of(), taken(), "it may be short of a processor");
-    passHearing(2 * SECOND, 1);
-    assertEquals(List.of("Kill 0"), taken());
-    take(s.exited(0, 137, now));
-    passHearing(SECOND, 1);
-    assertEquals(List.of("Start 0"), taken());
-    take(s.ready(0, now));
-    passHearing(20 * SECOND, 0, 1);
-    assertEquals(List.of(), taken());
+    passWithResponsesOf(14 * SECOND, 1);
+    assertEquals(List.of(), drainLog(), "it may be short of processor time");
+    passWithResponsesOf(2 * SECOND, 1);
+    assertEquals(List.of("Kill 0"), drainLog());
+    record(s.exited(0, 137, now));
+    passWithResponsesOf(SECOND, 1);
+    assertEquals(List.of("Start 0"), drainLog());
+    record(s.ready(0, now));
+    passWithResponsesOf(20 * SECOND, 0, 1);
+    assertEquals(List.of(), drainLog());
   }
 
   @Test
-  void whereAllAreSilentNoMoreAreKilledThanMayBeAway() {
+  void ifAllAreUnresponsiveNoMoreAreKilledThanMayBeUnavailable() {
     fleet(5, 2);
-    passHearing(60 * SECOND);
-    assertEquals(List.of("Kill 0", "Kill 1"), taken(), "the machine may be at fault");
-    take(s.exited(0, 137, now));
-    passHearing(SECOND);
-    take(s.ready(0, now));
-    passHearing(SECOND, 0);
-    assertEquals(List.of("Start 0", "Kill 2"), taken());
+    passWithResponsesOf(60 * SECOND);
+    assertEquals(List.of("Kill 0", "Kill 1"), drainLog(), "the machine may be the cause");
+    record(s.exited(0, 137, now));
+    passWithResponsesOf(SECOND);
+    record(s.ready(0, now));
+    passWithResponsesOf(SECOND, 0);
+    assertEquals(List.of("Start 0", "Kill 2"), drainLog());
   }
 
   @Test
-  void daemonThatSleptItselfHoldsNobodyForHung() {
+  void instancesAreNotHungBecauseTheDaemonWasSuspended() {
     fleet(3, 3);
-    passHearing(SECOND, 0, 1, 2);
+    passWithResponsesOf(SECOND, 0, 1, 2);
     now += 3_600 * SECOND;
-    take(s.tick(now));
-    passHearing(14 * SECOND, 1);
-    assertEquals(List.of(), taken());
-    passHearing(2 * SECOND, 1);
-    assertEquals(List.of("Kill 0", "Kill 2"), taken());
+    record(s.tick(now));
+    passWithResponsesOf(14 * SECOND, 1);
+    assertEquals(List.of(), drainLog());
+    passWithResponsesOf(2 * SECOND, 1);
+    assertEquals(List.of("Kill 0", "Kill 2"), drainLog());
   }
 
   @Test
-  void withoutABoundOnSilenceNobodyIsKilled() {
+  void noUnresponsiveInstanceIsKilledWithoutALimit() {
     s = new Supervisor(1, Limits.of(1, 0, 0));
-    take(s.start(now));
-    take(s.ready(0, now));
-    taken();
-    passHearing(3_600 * SECOND);
-    assertEquals(List.of(), taken());
+    record(s.start(now));
+    record(s.ready(0, now));
+    drainLog();
+    passWithResponsesOf(3_600 * SECOND);
+    assertEquals(List.of(), drainLog());
   }
 }
