--- a/src/main/java/pumicekeel/mesh/DatagramMesh.java
+++ b/src/main/java/pumicekeel/mesh/DatagramMesh.java
@@ -19,55 +19,55 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Datagrams between members, each ordered pair by a way of its own: a member knows each other one by an address that nobody else
- * knows it by, and what it sends there comes out of the address by which the other one knows the sender. So either way of any pair
- * can be broken alone.
+ * Datagram links between members, one for each ordered pair: a member knows each other one by an address that is used by no one else, and
+ * what it sends there is forwarded from the address by which the receiver knows the sender. So each direction of each pair can be broken
+ * alone.
  */
 public final class DatagramMesh implements Closeable {
 
-  /** A socket for each ordered pair: 32 members have 992, within an ordinary limit on descriptors. */
-  public static final int MOST_MEMBERS = 32;
+  /** Maximum number of members: 32 need 992 sockets, one for each ordered pair, within the usual limit on descriptors. */
+  public static final int MAX_MEMBERS = 32;
 
   private final EventLoop loop;
   private final SplittableRandom random;
-  private final InetSocketAddress[] own;
-  private final Channel[][] seenBy;
+  private final InetSocketAddress[] memberAddresses;
+  private final Channel[][] links;
   private final Fault[][] faults;
   private long delivered;
 
-  /** Opens all sockets; waits, so it is not to be called on the loop. */
+  /** Opens all sockets. Blocks, so it must not be called on the loop. */
   public DatagramMesh(EventLoop loop, int members, long seed)
       throws IOException, InterruptedException {
-    if (members < 1 || members > MOST_MEMBERS) {
+    if (members < 1 || members > MAX_MEMBERS) {
       throw new IllegalArgumentException(
-          "expected 1 to " + MOST_MEMBERS + " members, got " + members);
+          "expected 1 to " + MAX_MEMBERS + " members, got " + members);
     }
     this.loop = loop;
     random = new SplittableRandom(seed);
-    own = freePorts(members);
-    seenBy = new Channel[members][members];
+    memberAddresses = freePorts(members);
+    links = new Channel[members][members];
     faults = new Fault[members][members];
     for (int a = 0; a < members; a++) {
       for (int b = 0; b < members; b++) {
         faults[a][b] = Fault.NONE;
         if (a != b) {
-          seenBy[a][b] = open(a, b);
+          links[a][b] = open(a, b);
         }
       }
     }
   }
 
   private static InetSocketAddress[] freePorts(int count) throws IOException {
-    List<DatagramSocket> held = new ArrayList<>();
+    List<DatagramSocket> reserved = new ArrayList<>();
     try {
       for (int i = 0; i < count; i++) {
-        held.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
+        reserved.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
       }
-      return held.stream()
+      return reserved.stream()
           .map(s -> (InetSocketAddress) s.getLocalSocketAddress())
           .toArray(InetSocketAddress[]::new);
     } finally {
-      held.forEach(DatagramSocket::close);
+      reserved.forEach(DatagramSocket::close);
     }
   }
 
@@ -78,14 +78,14 @@
         .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
           @Override
           protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            if (packet.sender().equals(own[a])) {
-              pass(a, b, packet.content());
+            if (packet.sender().equals(memberAddresses[a])) {
+              forward(a, b, packet.content());
             }
           }
 
           @Override
           public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Nobody listens there now: the datagram is lost, as it would be.
+            // No one listens at the target: the datagram is lost, as on a real network.
           }
         })
         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -93,49 +93,49 @@
         .channel();
   }
 
-  private void pass(int a, int b, ByteBuf bytes) {
-    Fault f = faults[a][b];
-    if (f.cut() || random.nextDouble() < f.loss()) {
+  private void forward(int a, int b, ByteBuf bytes) {
+    Fault fault = faults[a][b];
+    if (fault.cut() || random.nextDouble() < fault.loss()) {
       return;
     }
-    for (int copies = random.nextDouble() < f.repeats() ? 2 : 1; copies > 0; copies--) {
+    for (int copies = random.nextDouble() < fault.duplicates() ? 2 : 1; copies > 0; copies--) {
       ByteBuf copy = bytes.copy();
-      long late =
-          f.delayMicros() + (f.jitterMicros() == 0 ? 0 : random.nextLong(f.jitterMicros() + 1));
+      long delayMicros =
+          fault.delayMicros() + (fault.jitterMicros() == 0 ? 0 : random.nextLong(fault.jitterMicros() + 1));
       Runnable send = () -> {
         delivered++;
-        seenBy[b][a].writeAndFlush(new DatagramPacket(copy, own[b]));
+        links[b][a].writeAndFlush(new DatagramPacket(copy, memberAddresses[b]));
       };
-      if (late == 0) {
+      if (delayMicros == 0) {
         send.run();
       } else {
-        loop.schedule(send, late, TimeUnit.MICROSECONDS);
+        loop.schedule(send, delayMicros, TimeUnit.MICROSECONDS);
       }
     }
   }
 
-  /** The addresses by which a member knows all, its own among them. */
+  /** Returns the addresses by which a member knows all members, its own included. */
   public List<InetSocketAddress> addressesFor(int member) {
     List<InetSocketAddress> all = new ArrayList<>();
-    for (int b = 0; b < own.length; b++) {
-      all.add(b == member ? own[b] : (InetSocketAddress) seenBy[member][b].localAddress());
+    for (int b = 0; b < memberAddresses.length; b++) {
+      all.add(b == member ? memberAddresses[b] : (InetSocketAddress) links[member][b].localAddress());
     }
     return all;
   }
 
-  /** What becomes of what one member sends to another from now on. */
+  /** Sets the fault of the link from one member to another. */
   public void fault(int from, int to, Fault fault) {
     loop.submit(() -> faults[from][to] = fault).syncUninterruptibly();
   }
 
-  /** Datagrams that went through. */
+  /** Returns the number of datagrams delivered. */
   public long delivered() {
     return loop.submit(() -> delivered).syncUninterruptibly().getNow();
   }
 
   @Override
   public void close() {
-    for (Channel[] row : seenBy) {
+    for (Channel[] row : links) {
       for (Channel channel : row) {
         if (channel != null) {
           channel.close();
--- a/src/main/java/pumicekeel/mesh/Fault.java
+++ b/src/main/java/pumicekeel/mesh/Fault.java
@@ -1,51 +1,52 @@
 package pumicekeel.mesh;
 
 /**
- * What becomes of what one side of a link sends. Loss and repeats are of datagrams only: bytes of a connection are held back by a
- * cut, as TCP sends them again when it is over.
+ * A fault of one direction of a link. Loss and duplicates apply to datagrams only: a cut delays the bytes of a connection, as TCP
+ * retransmits them after it.
  *
- * @param cut nothing arrives; connections stay open and silent
- * @param delayMicros each piece is late by so much, and by chance up to {@code jitterMicros} more; datagrams overtake each other then
- * @param loss part of the datagrams that never arrive
- * @param repeats part of the datagrams that arrive twice
- * @param bytesPerSecond at most, of each connection; 0 for no limit
+ * @param cut whether nothing arrives; connections stay open and silent
+ * @param delayMicros minimum delay of each datagram or chunk
+ * @param jitterMicros maximum random delay added to it, which reorders datagrams
+ * @param loss fraction of datagrams that are lost
+ * @param duplicates fraction of datagrams that arrive twice
+ * @param bytesPerSecond maximum rate of each connection; 0 for no limit
  */
 public record Fault(
     boolean cut,
     long delayMicros,
     long jitterMicros,
     double loss,
-    double repeats,
+    double duplicates,
     int bytesPerSecond) {
 
-  /** All arrives, at once. */
+  /** No fault. */
   public static final Fault NONE = new Fault(false, 0, 0, 0, 0, 0);
-  /** Nothing arrives. */
+  /** A cut link. */
   public static final Fault CUT = new Fault(true, 0, 0, 0, 0, 0);
 
-  /** A fault needs parts of 0 to 1, and no figure under 0. */
+  /** Checks that fractions are from 0 to 1 and that no value is negative. */
   public Fault {
     if (delayMicros < 0
         || jitterMicros < 0
         || bytesPerSecond < 0
         || !(loss >= 0 && loss <= 1)
-        || !(repeats >= 0 && repeats <= 1)) {
+        || !(duplicates >= 0 && duplicates <= 1)) {
       throw new IllegalArgumentException(
-          "expected delays and a rate of 0 or more, and parts of 0 to 1");
+          "expected delays and a rate of 0 or more, and fractions of 0 to 1");
     }
   }
 
-  /** Late by so much, and up to as much again by chance. */
+  /** A delay with a random jitter of up to the same duration. */
   public static Fault delayed(long micros) {
     return new Fault(false, micros, micros, 0, 0, 0);
   }
 
-  /** A lossy way for datagrams. */
-  public static Fault lossy(double loss, double repeats, long jitterMicros) {
-    return new Fault(false, 0, jitterMicros, loss, repeats, 0);
+  /** Loss, duplicates and jitter of datagrams. */
+  public static Fault lossy(double loss, double duplicates, long jitterMicros) {
+    return new Fault(false, 0, jitterMicros, loss, duplicates, 0);
   }
 
-  /** A trickle of so many bytes a second. */
+  /** A limited rate in bytes per second. */
   public static Fault throttled(int bytesPerSecond) {
     return new Fault(false, 0, 0, 0, 0, bytesPerSecond);
   }
--- a/src/main/java/pumicekeel/mesh/Member.java
+++ b/src/main/java/pumicekeel/mesh/Member.java
@@ -15,19 +15,19 @@
 import pumicekeel.runtime.Addresses;
 
 /**
- * One process of the program. A shell stands beside it and kills it as soon as the shell's own input ends, so it does not outlive the
- * process that started it, however that one ends.
+ * A child process of the program. A guard shell kills it as soon as the shell's input ends, so that it does not outlive the process that
+ * started it, however that one ends.
  */
 public final class Member implements Closeable {
 
-  /** The shell says the child's number, waits for the end of its input beside the child, and ends as the child does. */
+  /** The guard shell: prints the child's pid, kills the child at the end of its input, and reports the child's exit status. */
   private static final String GUARD =
       "exec 3<&0; \"$@\" 3<&- </dev/null & child=$!; echo \"pid $child\"; "
           + "(cat <&3 >/dev/null; kill -9 $child) 2>/dev/null & wait $child; code=$?; kill $! 2>/dev/null; echo \"ended $code\"";
 
   private static final int LOG_LINES = 200;
-  private static final long READY_SECONDS = 60;
-  private static final long END_SECONDS = 20;
+  private static final long READY_TIMEOUT_SECONDS = 60;
+  private static final long END_TIMEOUT_SECONDS = 20;
 
   private final String name;
   private final List<String> command;
@@ -39,14 +39,14 @@
   private InetSocketAddress address;
   private boolean ended;
 
-  /** {@code command} starts the program; its configuration and operator file are kept in {@code folder}. */
+  /** Creates a member that is started by {@code command}; its configuration and operator file are written to {@code folder}. */
   Member(String name, List<String> command, Path folder) {
     this.name = name;
     this.command = command;
     this.folder = folder;
   }
 
-  /** Starts it, under the same name each time; {@link #awaitReady} tells when it serves. */
+  /** Starts the process, under the same name each time; {@link #awaitReady} waits until it serves. */
   synchronized void start(String configuration, String operator) throws IOException {
     Path config = Files.writeString(folder.resolve(name + ".json"), configuration);
     List<String> all = new ArrayList<>(List.of("/bin/sh", "-c", GUARD, "guard"));
@@ -63,8 +63,8 @@
     address = null;
     ended = false;
     guard = builder.start();
-    Process mine = guard;
-    reader = new Thread(() -> read(mine), "log-" + name);
+    Process started = guard;
+    reader = new Thread(() -> read(started), "log-" + name);
     reader.setDaemon(true);
     reader.start();
   }
@@ -73,15 +73,15 @@
     try (BufferedReader in =
         new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
       for (String line = in.readLine(); line != null; line = in.readLine()) {
-        heard(from, line);
+        handleLine(from, line);
       }
     } catch (IOException e) {
-      heard(from, "its output ended: " + e.getMessage());
+      handleLine(from, "reading its output failed: " + e.getMessage());
     }
-    heard(from, "ended");
+    handleLine(from, "ended");
   }
 
-  private synchronized void heard(Process from, String line) {
+  private synchronized void handleLine(Process from, String line) {
     if (log.size() == LOG_LINES) {
       log.poll();
     }
@@ -99,9 +99,9 @@
     notifyAll();
   }
 
-  /** Waits until it serves; where it does not, its last lines are told. */
+  /** Waits until it serves; on failure the exception contains its last log lines. */
   synchronized InetSocketAddress awaitReady() throws IOException, InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_SECONDS);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_SECONDS);
     while (address == null) {
       long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
       if (ended || left <= 0) {
@@ -116,17 +116,17 @@
     return name;
   }
 
-  /** Where its clients come; null while it does not serve. */
+  /** Returns its address for clients; null while it does not serve. */
   public synchronized InetSocketAddress address() {
     return address;
   }
 
-  /** The number of the process itself. */
+  /** Returns the pid of the program's process, not of the guard shell. */
   public synchronized long pid() {
     return pid;
   }
 
-  /** Its last lines. */
+  /** Returns its last log lines. */
   public synchronized List<String> log() {
     return List.copyOf(log);
   }
@@ -143,13 +143,13 @@
                 .start()
                 .waitFor()
             != 0) {
-      throw new IOException(name + ": no process that takes " + signal);
+      throw new IOException(name + ": no running process for signal " + signal);
     }
   }
 
-  /** Waits until it has ended. */
+  /** Waits until the process has ended. */
   public synchronized void awaitEnd() throws IOException, InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(END_SECONDS);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(END_TIMEOUT_SECONDS);
     while (!ended) {
       long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
       if (left <= 0) {
@@ -162,23 +162,23 @@
 
   @Override
   public void close() {
-    // The end of the guard's input; a process that is stopped is killed as well.
-    Process mine;
+    // Ends the guard's input, upon which it kills the child, even one that is stopped by a signal.
+    Process current;
     synchronized (this) {
-      mine = guard;
+      current = guard;
     }
-    if (mine == null) {
+    if (current == null) {
       return;
     }
     try {
-      mine.getOutputStream().close();
-      if (!mine.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
-        mine.destroyForcibly();
+      current.getOutputStream().close();
+      if (!current.waitFor(END_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+        current.destroyForcibly();
       }
     } catch (IOException e) {
-      mine.destroyForcibly();
+      current.destroyForcibly();
     } catch (InterruptedException e) {
-      mine.destroyForcibly();
+      current.destroyForcibly();
       Thread.currentThread().interrupt();
     }
   }
--- a/src/main/java/pumicekeel/mesh/Mesh.java
+++ b/src/main/java/pumicekeel/mesh/Mesh.java
@@ -20,39 +20,38 @@
 import pumicekeel.standin.StandInUpstream;
 
 /**
- * Real processes of the program with a fault on any way between them: each has an address of its own for every upstream, for
- * discovery and, where they are members of one fleet, for every other member. What the processes did is told by the logs of the
- * stand-ins alone.
+ * Child processes of the program with fault injection on each link: each process has its own address for every upstream, for discovery and,
+ * if they are members of one fleet, for every other member. What the processes did is judged by the logs of the stand-ins only.
  */
 public final class Mesh implements Closeable {
 
-  /** Started at once; more would wait for each other's processor time. */
-  private static final int WAVE = 16;
+  /** Processes started concurrently; more would compete for processor time. */
+  private static final int MAX_CONCURRENT_STARTS = 16;
 
-  private static final long DELAY_MICROS = 3_000;
-  private static final int CELL = 2;
+  private static final long UPSTREAM_DELAY_MICROS = 3_000;
+  private static final int UPSTREAMS_PER_CELL = 2;
 
   private final long seed;
   private final Path folder;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final EventLoopGroup links =
+  private final EventLoopGroup linkLoops =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final List<Member> members = new ArrayList<>();
-  private final List<StandInDiscovery> lists = new ArrayList<>();
+  private final List<StandInDiscovery> discoveries = new ArrayList<>();
   private final List<TcpLink> toDiscovery = new ArrayList<>();
   private final List<Map<String, TcpLink>> toUpstream = new ArrayList<>();
   private final Map<String, StandInUpstream> upstreams = new TreeMap<>();
   private final Map<String, Integer> cells = new TreeMap<>();
-  private final Map<String, Long> toldLast = new LinkedHashMap<>();
+  private final Map<String, Long> announcedLast = new LinkedHashMap<>();
   private final DatagramMesh datagrams;
-  private long next;
+  private long nextSeed;
 
   /**
-   * Starts so many processes and upstreams ({@code s0} and so on, two a cell) and waits until all serve.
+   * Starts the processes and upstreams ({@code s0} and so on, two in each cell) and waits until all serve.
    *
    * @param peers whether the processes are members of one fleet
-   * @param flags for their JVMs
+   * @param flags JVM flags of the processes
    */
   public Mesh(int processes, int upstreams, boolean peers, List<String> flags, long seed)
       throws IOException, InterruptedException {
@@ -60,7 +59,7 @@
     folder = Files.createTempDirectory("mesh");
     boolean up = false;
     try {
-      datagrams = peers ? new DatagramMesh(links.next(), processes, seed) : null;
+      datagrams = peers ? new DatagramMesh(linkLoops.next(), processes, seed) : null;
       List<String> command = new ArrayList<>(
           List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
       command.addAll(flags);
@@ -68,19 +67,19 @@
           List.of("-cp", System.getProperty("java.class.path"), "pumicekeel.cli.Main", "serve"));
       for (int i = 0; i < processes; i++) {
         members.add(new Member("n" + i, command, folder));
-        lists.add(new StandInDiscovery(group));
-        toDiscovery.add(new TcpLink(links.next(), lists.get(i).address(), seed + next++));
+        discoveries.add(new StandInDiscovery(group));
+        toDiscovery.add(new TcpLink(linkLoops.next(), discoveries.get(i).address(), seed + nextSeed++));
         toUpstream.add(new TreeMap<>());
       }
       for (int i = 0; i < upstreams; i++) {
         add("s" + i, 0);
       }
-      for (int from = 0; from < processes; from += WAVE) {
-        List<Member> wave = members.subList(from, Math.min(processes, from + WAVE));
-        for (Member m : wave) {
+      for (int from = 0; from < processes; from += MAX_CONCURRENT_STARTS) {
+        List<Member> batch = members.subList(from, Math.min(processes, from + MAX_CONCURRENT_STARTS));
+        for (Member m : batch) {
           start(m);
         }
-        for (Member m : wave) {
+        for (Member m : batch) {
           m.awaitReady();
         }
       }
@@ -100,7 +99,7 @@
     m.start(
         "{\"name\":\"" + m.name() + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
             + toDiscovery.get(i).address().getPort() + "\",\"seed\":\""
-            + Long.toHexString(seed + next++)
+            + Long.toHexString(seed + nextSeed++)
             + "\",\"limits\":{\"sockets\":512},\"known\":{\"index\":0,\"snapshot\":true,\"endpoints\":[]},\"settings\":"
             + settings + "}",
         datagrams == null
@@ -114,7 +113,7 @@
                 + "]\n[pools.p]\n[[routes]]\npool = \"p\"\n");
   }
 
-  // The parties
+  // Processes, upstreams and links
 
   public List<Member> members() {
     return members;
@@ -124,62 +123,62 @@
     return upstreams;
   }
 
-  /** The way from a process to an upstream. */
+  /** Returns the link from a process to an upstream. */
   public TcpLink link(int member, String upstream) {
     return toUpstream.get(member).get(upstream);
   }
 
-  /** The way from a process to discovery. */
+  /** Returns the link from a process to discovery. */
   public TcpLink discoveryLink(int member) {
     return toDiscovery.get(member);
   }
 
-  /** The ways between members of one fleet; null where they are none. */
+  /** Returns the links between the members; null if the processes are not members of one fleet. */
   public DatagramMesh datagrams() {
     return datagrams;
   }
 
-  /** A further upstream, told to all; {@code sinceMillis} is when it started by the wall clock, 0 for long ago. */
+  /** Adds an upstream and announces it to all; {@code sinceMillis} is its wall-clock start time, 0 for long ago. */
   public void add(String name, long sinceMillis) throws InterruptedException {
-    StandInUpstream upstream = new StandInUpstream(name, group, DELAY_MICROS);
-    cells.put(name, upstreams.size() / CELL);
+    StandInUpstream upstream = new StandInUpstream(name, group, UPSTREAM_DELAY_MICROS);
+    cells.put(name, upstreams.size() / UPSTREAMS_PER_CELL);
     upstreams.put(name, upstream);
-    for (Map<String, TcpLink> ways : toUpstream) {
-      ways.put(name, new TcpLink(links.next(), upstream.address(), seed + next++));
+    for (Map<String, TcpLink> links : toUpstream) {
+      links.put(name, new TcpLink(linkLoops.next(), upstream.address(), seed + nextSeed++));
     }
     announce(name, "in_service", sinceMillis);
   }
 
-  /** Tells all of an upstream's state: in_service, terminating or terminated. */
+  /** Announces the status of an upstream to all: in_service, terminating or terminated. */
   public void announce(String name, String status, long sinceMillis) {
-    for (int i = 0; i < lists.size(); i++) {
-      lists
+    for (int i = 0; i < discoveries.size(); i++) {
+      discoveries
           .get(i)
           .announce(
               name, toUpstream.get(i).get(name).address(), cells.get(name), status, sinceMillis);
     }
-    toldLast.put(name + ' ' + status, System.nanoTime());
+    announcedLast.put(name + ' ' + status, System.nanoTime());
   }
 
-  /** When the last process's discovery was told so, by System.nanoTime. */
+  /** Returns when the last of the discovery services announced a status, by System.nanoTime. */
   public long announcedAt(String name, String status) {
-    return toldLast.get(name + ' ' + status);
+    return announcedLast.get(name + ' ' + status);
   }
 
-  /** Ends a process outright and starts it again under its name, with nothing kept. */
-  public void killAndStart(int member) throws IOException, InterruptedException {
+  /** Kills a process and restarts it under its name, with no state kept. */
+  public void killAndRestart(int member) throws IOException, InterruptedException {
     members.get(member).signal("KILL");
-    killedStartsAgain(member);
+    restartKilled(member);
   }
 
-  /** The next life of a process that was ended, under its name and with nothing kept; does not wait until it serves. */
-  public void killedStartsAgain(int member) throws IOException, InterruptedException {
+  /** Restarts a process that was killed, under its name and with no state kept; does not wait until it serves. */
+  public void restartKilled(int member) throws IOException, InterruptedException {
     members.get(member).awaitEnd();
     members.get(member).close();
     start(members.get(member));
   }
 
-  /** All ways are whole again, and whoever was stopped goes on. */
+  /** Clears all faults and continues processes that were stopped. */
   public void heal() throws IOException, InterruptedException {
     for (int a = 0; a < members.size(); a++) {
       toDiscovery.get(a).faults(Fault.NONE, Fault.NONE);
@@ -197,7 +196,7 @@
     }
   }
 
-  /** The rules, to be held against what the upstreams saw of all processes together. */
+  /** Returns the rules to check against the requests that the upstreams received from all processes. */
   public Verdict verdict() {
     return Verdict.ofUpstreams(upstreams, cells);
   }
@@ -206,20 +205,20 @@
   public void close() {
     members.forEach(Member::close);
     toDiscovery.forEach(TcpLink::close);
-    toUpstream.forEach(ways -> ways.values().forEach(TcpLink::close));
+    toUpstream.forEach(byName -> byName.values().forEach(TcpLink::close));
     if (datagrams != null) {
       datagrams.close();
     }
     upstreams.values().forEach(StandInUpstream::close);
-    lists.forEach(StandInDiscovery::close);
+    discoveries.forEach(StandInDiscovery::close);
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
-    links.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+    linkLoops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     try (Stream<Path> files = Files.walk(folder)) {
       files
           .sorted(java.util.Comparator.reverseOrder())
           .forEach(path -> path.toFile().delete());
     } catch (IOException e) {
-      // A folder of the system's for what is temporary.
+      // The folder is in the system's temporary directory.
     }
   }
 }
--- a/src/main/java/pumicekeel/mesh/TcpLink.java
+++ b/src/main/java/pumicekeel/mesh/TcpLink.java
@@ -22,27 +22,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The way from one process to one address: a port of its own, whose connections go on to the target, each direction under a
- * {@link Fault}. Bytes stay in order. While the way there is cut a new connection is accepted by the kernel and stays silent; a real
- * network would not let it come up, so a caller's limit on connecting is not tried by this.
+ * A TCP link from one process to one address: a port whose connections are forwarded to the target, with a {@link Fault} for each
+ * direction. Bytes stay in order. While the forward direction is cut, the kernel still accepts new connections, which stay silent. A real
+ * network would not let them connect, so this does not exercise connect time-outs.
  */
 public final class TcpLink implements Closeable {
 
-  /** Held back in one direction of one connection; then its sender is not read any more. */
-  private static final int MOST_HELD = 64;
+  /** Maximum number of chunks queued in one direction of a connection; beyond it the sender is not read. */
+  private static final int MAX_QUEUED_CHUNKS = 64;
 
-  private static final long CUT_LOOK_MILLIS = 5;
+  private static final long CUT_CHECK_INTERVAL_MILLIS = 5;
 
   private final EventLoop loop;
   private final InetSocketAddress target;
   private final SplittableRandom random;
   private final Channel listener;
   private final Set<Channel> connections = ConcurrentHashMap.newKeySet();
-  private volatile Fault there = Fault.NONE;
-  private volatile Fault back = Fault.NONE;
+  private volatile Fault forward = Fault.NONE;
+  private volatile Fault backward = Fault.NONE;
   private volatile boolean refuses;
 
-  /** Listens on a free port; waits, so it is not to be called on the loop. */
+  /** Listens on a free port. Blocks, so it must not be called on the loop. */
   public TcpLink(EventLoop loop, InetSocketAddress target, long seed) throws InterruptedException {
     this.loop = loop;
     this.target = target;
@@ -63,23 +63,23 @@
         .channel();
   }
 
-  /** Where the process is told that the target is. */
+  /** Returns the address that the process uses for the target. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.localAddress();
   }
 
-  /** What becomes of what the process sends from now on, and of what it is answered. */
-  public void faults(Fault onTheWayThere, Fault onTheWayBack) {
-    there = onTheWayThere;
-    back = onTheWayBack;
+  /** Sets the faults of the direction to the target and of the direction back. */
+  public void faults(Fault newForward, Fault newBackward) {
+    forward = newForward;
+    backward = newBackward;
   }
 
-  /** Whether new connections are reset at once. */
+  /** Sets whether new connections are reset at once. */
   public void refuse(boolean on) {
     refuses = on;
   }
 
-  /** Resets every connection that is open now. */
+  /** Resets all open connections. */
   public void reset() {
     loop.execute(() -> connections.forEach(TcpLink::reset));
   }
@@ -132,70 +132,70 @@
   /** One direction of one connection. */
   private final class Direction extends ChannelInboundHandlerAdapter {
 
-    /** A piece and when it may go on; a null is the sender's end. */
-    private record Piece(ByteBuf bytes, long at) {}
+    /** Bytes and when they are to be forwarded; null bytes stand for the end of the sender's stream. */
+    private record Chunk(ByteBuf bytes, long at) {}
 
     private final Channel to;
-    private final boolean isThere;
-    private final ArrayDeque<Piece> held = new ArrayDeque<>();
-    private boolean waits;
+    private final boolean isForward;
+    private final ArrayDeque<Chunk> queue = new ArrayDeque<>();
+    private boolean scheduled;
     private boolean broken;
     private long freeAt;
 
-    private Direction(Channel to, boolean isThere) {
+    private Direction(Channel to, boolean isForward) {
       this.to = to;
-      this.isThere = isThere;
+      this.isForward = isForward;
     }
 
     private Fault fault() {
-      return isThere ? there : back;
+      return isForward ? forward : backward;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-      hold((ByteBuf) message);
-      if (held.size() < MOST_HELD) {
+      enqueue((ByteBuf) message);
+      if (queue.size() < MAX_QUEUED_CHUNKS) {
         ctx.read();
       }
-      goOn(ctx);
+      forwardDue(ctx);
     }
 
-    private void hold(ByteBuf bytes) {
-      Fault f = fault();
+    private void enqueue(ByteBuf bytes) {
+      Fault fault = fault();
       long now = System.nanoTime();
-      long late = TimeUnit.MICROSECONDS.toNanos(
-          f.delayMicros() + (f.jitterMicros() == 0 ? 0 : random.nextLong(f.jitterMicros() + 1)));
-      long sending = bytes == null || f.bytesPerSecond() == 0
+      long delay = TimeUnit.MICROSECONDS.toNanos(
+          fault.delayMicros() + (fault.jitterMicros() == 0 ? 0 : random.nextLong(fault.jitterMicros() + 1)));
+      long transmission = bytes == null || fault.bytesPerSecond() == 0
           ? 0
-          : bytes.readableBytes() * 1_000_000_000L / f.bytesPerSecond();
-      freeAt = Math.max(now + late, freeAt) + sending;
-      held.add(new Piece(bytes, freeAt));
+          : bytes.readableBytes() * 1_000_000_000L / fault.bytesPerSecond();
+      freeAt = Math.max(now + delay, freeAt) + transmission;
+      queue.add(new Chunk(bytes, freeAt));
     }
 
-    private void goOn(ChannelHandlerContext ctx) {
+    private void forwardDue(ChannelHandlerContext ctx) {
       boolean wrote = false;
-      while (!held.isEmpty() && !fault().cut() && held.peek().at() - System.nanoTime() <= 0) {
-        Piece piece = held.poll();
+      while (!queue.isEmpty() && !fault().cut() && queue.peek().at() - System.nanoTime() <= 0) {
+        Chunk chunk = queue.poll();
         wrote = true;
-        if (piece.bytes() == null) {
+        if (chunk.bytes() == null) {
           to.writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER).addListener(done -> to.close());
         } else {
-          to.write(piece.bytes());
+          to.write(chunk.bytes());
         }
       }
       if (wrote) {
         to.flush();
         ctx.read();
       }
-      if (!held.isEmpty() && !waits) {
-        waits = true;
+      if (!queue.isEmpty() && !scheduled) {
+        scheduled = true;
         long wait = fault().cut()
-            ? TimeUnit.MILLISECONDS.toNanos(CUT_LOOK_MILLIS)
-            : held.peek().at() - System.nanoTime();
+            ? TimeUnit.MILLISECONDS.toNanos(CUT_CHECK_INTERVAL_MILLIS)
+            : queue.peek().at() - System.nanoTime();
         loop.schedule(
             () -> {
-              waits = false;
-              goOn(ctx);
+              scheduled = false;
+              forwardDue(ctx);
             },
             Math.max(1, wait),
             TimeUnit.NANOSECONDS);
@@ -206,11 +206,11 @@
     public void channelInactive(ChannelHandlerContext ctx) {
       if (broken) {
         reset(to);
-        held.forEach(p -> ReferenceCountUtil.release(p.bytes()));
-        held.clear();
+        queue.forEach(p -> ReferenceCountUtil.release(p.bytes()));
+        queue.clear();
       } else {
-        hold(null);
-        goOn(ctx);
+        enqueue(null);
+        forwardDue(ctx);
       }
     }
 
--- a/src/test/java/pumicekeel/mesh/MeshTest.java
+++ b/src/test/java/pumicekeel/mesh/MeshTest.java
@@ -24,7 +24,7 @@
 import pumicekeel.load.LoadProfile;
 import pumicekeel.load.LoadResults.Outcome;
 
-/** Several processes of the program with faults between them; what the upstreams saw is the truth. */
+/** Tests of several processes with faults on their links; results are judged by what the upstreams received. */
 class MeshTest {
 
   private static final List<String> FLAGS =
@@ -56,9 +56,9 @@
         .start();
   }
 
-  /** One way only: requests reach the upstream and what it answers does not come back. */
+  /** A fault in one direction: requests reach the upstream and its responses do not return. */
   @Test
-  void requestsWhoseAnswersAreCutOffEndInTimeAndRunInNoOtherCell() throws Exception {
+  void requestsWhoseResponsesAreCutOffEndInTimeAndRunInNoOtherCell() throws Exception {
     try (Mesh mesh = new Mesh(3, 4, false, FLAGS, 1)) {
       List<Load> all = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
@@ -70,7 +70,7 @@
       mesh.link(0, "s0").faults(Fault.NONE, Fault.CUT);
       mesh.link(1, "s0").faults(Fault.CUT, Fault.NONE);
       long[] before = all.stream().mapToLong(l -> l.count(Outcome.SERVED)).toArray();
-      until(() -> grew(all, before, 60), "served past the cut");
+      until(() -> allGrew(all, before, 60), "served past the cut");
       mesh.heal();
       for (Load l : all) {
         l.stop();
@@ -82,7 +82,7 @@
     }
   }
 
-  private static boolean grew(List<Load> all, long[] before, long by) {
+  private static boolean allGrew(List<Load> all, long[] before, long by) {
     for (int i = 0; i < before.length; i++) {
       if (all.get(i).count(Outcome.SERVED) < before[i] + by) {
         return false;
@@ -91,7 +91,7 @@
     return true;
   }
 
-  /** The word of a drain comes while a process stands still; woken, it sends nothing to what has left, whatever it believed. */
+  /** A drain is announced while a process is stopped; once continued, it sends nothing to the upstream that has left. */
   @Test
   void processThatStoodStillAcrossADrainKeepsIt() throws Exception {
     try (Mesh mesh = new Mesh(3, 4, false, FLAGS, 2)) {
@@ -113,8 +113,8 @@
       for (Load l : all) {
         l.stop();
       }
-      // One read and its sends may lie in the same turn of the loop: what was decided before the
-      // stall goes out at once.
+      // A read and the sends it causes may be in the same iteration of the event loop: sends decided
+      // on before the stall go out at once.
       long late = mesh.upstreams().get("s1").seen().stream()
           .filter(s -> s.atNanos() - woken > 500_000_000L)
           .count();
@@ -125,28 +125,28 @@
     }
   }
 
-  /** a hears b and b does not hear a: nobody is held for dead, as others ask in their name. */
+  /** Member 1 receives nothing from member 0: neither is declared dead, as others send indirect probes. */
   @Test
-  void membersCutOffOneWayAreHeldForAliveByWayOfOthers() throws Exception {
+  void membersCutOffInOneDirectionStayAliveByIndirectProbes() throws Exception {
     try (Mesh mesh = new Mesh(4, 1, true, FLAGS, 3)) {
       until(
-          () -> mesh.members().stream().allMatch(m -> hears(m, 4)), "all members find each other");
+          () -> mesh.members().stream().allMatch(m -> seesLive(m, 4)), "all members discover each other");
       mesh.datagrams().fault(0, 1, Fault.CUT);
       long before = mesh.datagrams().delivered();
-      until(() -> mesh.datagrams().delivered() > before + 200, "datagrams go on");
+      until(() -> mesh.datagrams().delivered() > before + 200, "datagrams are still delivered");
       for (Member m : mesh.members()) {
-        assertTrue(hears(m, 4), m.name() + ": " + m.log());
+        assertTrue(seesLive(m, 4), m.name() + ": " + m.log());
       }
       mesh.members().get(3).signal("KILL");
       until(
-          () -> mesh.members().subList(0, 3).stream().allMatch(m -> hears(m, 3)),
-          "a death is seen");
-      mesh.killedStartsAgain(3);
-      until(() -> mesh.members().stream().allMatch(m -> hears(m, 4)), "its next life is seen");
+          () -> mesh.members().subList(0, 3).stream().allMatch(m -> seesLive(m, 3)),
+          "the failure is detected");
+      mesh.restartKilled(3);
+      until(() -> mesh.members().stream().allMatch(m -> seesLive(m, 4)), "the restart is detected");
     }
   }
 
-  private static boolean hears(Member m, int count) {
+  private static boolean seesLive(Member m, int count) {
     String last = null;
     for (String line : m.log()) {
       last = line.contains("peers: ") ? line : last;
@@ -154,14 +154,14 @@
     return last != null && last.contains("peers: " + count + " of ");
   }
 
-  /** The mesh's own process is killed while one of its processes stands still: nothing is left behind. */
+  /** The mesh's own process is killed while one of its child processes is stopped: no child remains. */
   @Test
   void noProcessOutlivesAMeshThatWasKilled() throws Exception {
     Process mesh = new ProcessBuilder(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-cp",
             System.getProperty("java.class.path"),
-            "pumicekeel.mesh.MeshTest$Alone")
+            "pumicekeel.mesh.MeshTest$StandaloneMesh")
         .redirectErrorStream(true)
         .start();
     List<ProcessHandle> children = new ArrayList<>();
@@ -182,8 +182,8 @@
     }
   }
 
-  /** What the test above starts and kills. */
-  static final class Alone {
+  /** The program that the test above starts and kills. */
+  static final class StandaloneMesh {
     public static void main(String[] args) throws Exception {
       Mesh mesh = new Mesh(2, 1, false, FLAGS, 4);
       mesh.members().get(1).signal("STOP");
