--- a/src/main/java/pumicekeel/peers/GossipUpdate.java
+++ b/src/main/java/pumicekeel/peers/GossipUpdate.java
@@ -9,7 +9,7 @@
  */
 public record GossipUpdate(int member, State state, long epoch, long incarnation) {
 
-  /** Returns whether this update supersedes another one about the same member: by later epoch, then higher incarnation, then worse state. */
+  /** Returns whether this update supersedes another one about the same member: later epoch, then higher incarnation, then worse state. */
   public boolean overrides(GossipUpdate other) {
     if (epoch != other.epoch) {
       return epoch > other.epoch;
--- a/src/main/java/pumicekeel/peers/MembershipSettings.java
+++ b/src/main/java/pumicekeel/peers/MembershipSettings.java
@@ -1,7 +1,7 @@
 package pumicekeel.peers;
 
 /**
- * Parameters of the protocol, named after those of the papers: SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2017).
+ * Parameters of the protocol, named as in the papers: SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2017).
  *
  * @param periodNanos interval between two probes by one member
  * @param probeNanos timeout of a direct probe, after which other members are asked to probe
--- a/src/main/java/pumicekeel/standin/CallFate.java
+++ b/src/main/java/pumicekeel/standin/CallFate.java
@@ -1,19 +1,19 @@
 package pumicekeel.standin;
 
-/** What a stand-in discovery does with a call. */
+/** How a stand-in discovery handles a call. */
 public enum CallFate {
-  /** Tells the whole list. */
+  /** Responds with the full list. */
   RESPOND,
-  /** Writes half of the list and leaves the connection open. */
+  /** Sends half of the list and leaves the connection open. */
   CUT,
-  /** Answers 503 at once. */
+  /** Responds with 503 at once. */
   REFUSE,
   /** Resets the connection at once. */
   RESET,
-  /** Accepts it and never answers. */
+  /** Accepts the call and never responds. */
   IGNORE;
 
-  /** Whether it takes its turn as a served call does. */
+  /** Returns whether the call is queued like a served one. */
   boolean queues() {
     return this == RESPOND || this == CUT;
   }
--- a/src/main/java/pumicekeel/standin/CallQueue.java
+++ b/src/main/java/pumicekeel/standin/CallQueue.java
@@ -5,15 +5,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Calls of a stand-in discovery that wait for their turn, each of which takes the service a while. Only on its loop. */
+/** The queue of a stand-in discovery, which serves one call at a time, each for a fixed time. Runs on its event loop. */
 final class CallQueue {
 
-  private record Waiting(DiscoveryCall call, long since) {}
+  private record WaitingCall(DiscoveryCall call, long since) {}
 
   private final EventLoop loop;
   private final DiscoveryFaults.Terms terms;
   private final Consumer<DiscoveryCall> serve;
-  private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
+  private final ArrayDeque<WaitingCall> waiting = new ArrayDeque<>();
   private boolean busy;
 
   CallQueue(EventLoop loop, DiscoveryFaults faults, Consumer<DiscoveryCall> serve) {
@@ -22,58 +22,58 @@
     this.serve = serve;
   }
 
-  /** A call has come. */
+  /** Queues a call, or serves it at once if it does not queue. */
   void add(DiscoveryCall call) {
-    if (!call.fate().queues() || terms.turnMillis() == 0) {
+    if (!call.fate().queues() || terms.serviceMillis() == 0) {
       serve.accept(call);
       return;
     }
     loop.execute(() -> {
-      Waiting one = new Waiting(call, System.nanoTime());
-      waiting.add(one);
-      if (terms.patienceMillis() > 0 && !terms.refusalsTakeTurns()) {
-        loop.schedule(() -> turnAway(one), terms.patienceMillis(), TimeUnit.MILLISECONDS);
+      WaitingCall entry = new WaitingCall(call, System.nanoTime());
+      waiting.add(entry);
+      if (terms.maxWaitMillis() > 0 && !terms.refusalsTakeTime()) {
+        loop.schedule(() -> reject(entry), terms.maxWaitMillis(), TimeUnit.MILLISECONDS);
       }
       next();
     });
   }
 
-  /** Resets all that wait. */
+  /** Closes the connections of all waiting calls. */
   void clear() {
     loop.execute(() -> {
-      waiting.forEach(one -> one.call().channel().close());
+      waiting.forEach(entry -> entry.call().channel().close());
       waiting.clear();
     });
   }
 
-  private void turnAway(Waiting one) {
-    if (waiting.remove(one)) {
-      StandInDiscovery.refuse(one.call().channel());
+  private void reject(WaitingCall entry) {
+    if (waiting.remove(entry)) {
+      StandInDiscovery.refuse(entry.call().channel());
     }
   }
 
   private void next() {
-    Waiting one = busy ? null : waiting.poll();
-    while (one != null && !one.call().channel().isActive()) {
-      one = waiting.poll();
+    WaitingCall entry = busy ? null : waiting.poll();
+    while (entry != null && !entry.call().channel().isActive()) {
+      entry = waiting.poll();
     }
-    if (one == null) {
+    if (entry == null) {
       return;
     }
     busy = true;
-    Waiting served = one;
-    loop.schedule(() -> ended(served), terms.turnMillis(), TimeUnit.MILLISECONDS);
+    WaitingCall served = entry;
+    loop.schedule(() -> finish(served), terms.serviceMillis(), TimeUnit.MILLISECONDS);
   }
 
-  private void ended(Waiting one) {
+  private void finish(WaitingCall entry) {
     busy = false;
-    long waited = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - one.since());
-    if (terms.refusalsTakeTurns()
-        && terms.patienceMillis() > 0
-        && waited - terms.turnMillis() > terms.patienceMillis()) {
-      StandInDiscovery.refuse(one.call().channel());
+    long waited = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - entry.since());
+    if (terms.refusalsTakeTime()
+        && terms.maxWaitMillis() > 0
+        && waited - terms.serviceMillis() > terms.maxWaitMillis()) {
+      StandInDiscovery.refuse(entry.call().channel());
     } else {
-      serve.accept(one.call());
+      serve.accept(entry.call());
     }
     next();
   }
--- a/src/main/java/pumicekeel/standin/DiscoveryCall.java
+++ b/src/main/java/pumicekeel/standin/DiscoveryCall.java
@@ -2,5 +2,5 @@
 
 import io.netty.channel.Channel;
 
-/** A call of the stand-in discovery: its connection, its caller's Host header, and what becomes of it. */
+/** A call to the stand-in discovery: its connection, the caller's Host header, and how it is handled. */
 record DiscoveryCall(Channel channel, String caller, CallFate fate) {}
--- a/src/main/java/pumicekeel/standin/DiscoveryFaults.java
+++ b/src/main/java/pumicekeel/standin/DiscoveryFaults.java
@@ -7,35 +7,36 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** How the calls and watches of a stand-in discovery fail, and what it has written to whom. For any thread. */
+/** Faults of the calls and watches of a stand-in discovery, and a log of the lists that it sent. Thread-safe. */
 public final class DiscoveryFaults {
 
   /**
-   * The terms on which it works.
+   * Timing and faults of the service.
    *
-   * @param turnMillis of the service that a call takes; calls wait in turn
-   * @param patienceMillis after which a waiting call is answered 503; 0 for never
-   * @param refusalsTakeTurns whether a call that has waited too long is refused in its turn, and takes the service's time
-   * @param quietAfterList whether each watch falls silent after its first list
-   * @param failing what becomes of calls that fail, and of how many of a thousand
-   * @param seed of the choice
+   * @param serviceMillis time for which a call occupies the service; calls are served one at a time
+   * @param maxWaitMillis time after which a waiting call is answered 503; 0 for never
+   * @param refusalsTakeTime whether a call that has waited too long is refused only when it is served, and takes service time too
+   * @param quietAfterList whether each watch is silent after its first list
+   * @param failing how failing calls are handled
+   * @param perMille how many calls of a thousand fail
+   * @param seed seed of the choice of failing calls
    */
   public record Terms(
-      int turnMillis,
-      int patienceMillis,
-      boolean refusalsTakeTurns,
+      int serviceMillis,
+      int maxWaitMillis,
+      boolean refusalsTakeTime,
       boolean quietAfterList,
       CallFate failing,
       int perMille,
       long seed) {}
 
-  /** A whole list that was written, by System.nanoTime. */
-  public record Written(String caller, long index, long atNanos) {}
+  /** A list update that was sent, with the time by System.nanoTime. */
+  public record SentList(String caller, long index, long atNanos) {}
 
   private final Terms terms;
   private final Random random;
   private final Map<String, CallFate> byCaller = new ConcurrentHashMap<>();
-  private final List<Written> written = new CopyOnWriteArrayList<>();
+  private final List<SentList> written = new CopyOnWriteArrayList<>();
   private final AtomicLong calls = new AtomicLong();
   private volatile boolean down;
 
@@ -44,18 +45,18 @@
     random = new Random(terms.seed());
   }
 
-  /** None at all. */
+  /** Returns no faults. */
   public static DiscoveryFaults none() {
     return new DiscoveryFaults(new Terms(0, 0, false, false, CallFate.RESPOND, 0, 0));
   }
 
-  /** All calls of this caller, by its Host header, end so. */
+  /** Handles all calls of a caller, identified by its Host header, in this way. */
   public void always(String caller, CallFate fate) {
     byCaller.put(caller, fate);
   }
 
-  /** The whole lists that were written. */
-  public List<Written> written() {
+  /** Returns the list updates that were sent. */
+  public List<SentList> written() {
     return written;
   }
 
@@ -72,10 +73,10 @@
   }
 
   void written(String caller, long index) {
-    written.add(new Written(caller, index, System.nanoTime()));
+    written.add(new SentList(caller, index, System.nanoTime()));
   }
 
-  /** Calls that came so far, whatever became of them. */
+  /** Returns the number of calls received so far, however they were handled. */
   public long calls() {
     return calls.get();
   }
--- a/src/main/java/pumicekeel/standin/StandInDiscovery.java
+++ b/src/main/java/pumicekeel/standin/StandInDiscovery.java
@@ -28,14 +28,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A discovery on loopback: whole lists at the start of a watch, changes after that, a heartbeat every 2 s. With
- * {@link DiscoveryFaults} it works through calls in turn, and calls and watches fail in the ways that those name.
+ * A discovery service on loopback: sends the full list at the start of a watch, then changes, and a heartbeat every 2 s. With
+ * {@link DiscoveryFaults} it serves calls one at a time, and calls and watches fail as specified.
  */
 public final class StandInDiscovery implements Closeable {
 
   private static final long HEARTBEAT_MILLIS = 2_000;
 
-  /** An upstream as the list names it. */
+  /** An upstream in the list. */
   private record Entry(
       String name, InetSocketAddress address, int group, String status, long sinceMillis) {
     private String json() {
@@ -49,7 +49,7 @@
 
   private final Map<String, Entry> entries = new LinkedHashMap<>();
   private final Map<String, Long> announcedAt = new ConcurrentHashMap<>();
-  /** Open watches, and whose they are. */
+  /** Open watches and their callers. */
   private final Map<Channel, String> watches = new ConcurrentHashMap<>();
 
   private final Channel listener;
@@ -61,7 +61,7 @@
     this(group, DiscoveryFaults.none());
   }
 
-  /** One whose calls and watches fail as {@code faults} say. */
+  /** Creates a service whose calls and watches fail as specified by {@code faults}. */
   public StandInDiscovery(EventLoopGroup group, DiscoveryFaults faults)
       throws InterruptedException {
     this.faults = faults;
@@ -84,7 +84,7 @@
     return (InetSocketAddress) listener.localAddress();
   }
 
-  /** Tells of an upstream that is new or has another status: in_service, terminating or terminated. */
+  /** Announces a new upstream or a change of status: in_service, terminating or terminated. */
   public synchronized void announce(
       String name, InetSocketAddress address, int group, String status, long sinceMillis) {
     Entry entry = new Entry(name, address, group, status, sinceMillis);
@@ -103,12 +103,12 @@
     announcedAt.put(name + " " + status, System.nanoTime());
   }
 
-  /** The version of the list as it stands. */
+  /** Returns the current version of the list. */
   public synchronized long index() {
     return index;
   }
 
-  /** Goes down, with all calls and watches, or comes back. */
+  /** Takes the service down, with all calls and watches, or brings it back. */
   public void down(boolean on) {
     faults.down(on);
     if (on) {
@@ -117,7 +117,7 @@
     }
   }
 
-  /** When a status was written to the watches, by System.nanoTime; null where it never was. */
+  /** Returns when a status was sent to the watches, by System.nanoTime; null if it never was. */
   public Long announcedAt(String name, String status) {
     return announcedAt.get(name + " " + status);
   }
@@ -130,7 +130,7 @@
     return new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
   }
 
-  private synchronized String whole() {
+  private synchronized String fullList() {
     StringBuilder list =
         new StringBuilder("{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[");
     String comma = "";
@@ -141,24 +141,24 @@
     return list + "]}\n";
   }
 
-  /** A call whose turn has come. */
+  /** Serves a call that has reached the head of the queue. */
   private void serve(DiscoveryCall call) {
     switch (call.fate()) {
-      case RESPOND -> tellAll(call);
-      case CUT -> cut(call);
+      case RESPOND -> sendList(call);
+      case CUT -> sendHalf(call);
       case REFUSE -> refuse(call.channel());
       case RESET -> reset(call.channel());
       case IGNORE -> {}
     }
   }
 
-  private synchronized void tellAll(DiscoveryCall call) {
+  private synchronized void sendList(DiscoveryCall call) {
     Channel channel = call.channel();
     if (!channel.isActive()) {
       return;
     }
     channel.write(head());
-    channel.writeAndFlush(chunk(whole()));
+    channel.writeAndFlush(chunk(fullList()));
     faults.written(call.caller(), index);
     if (faults.quietAfterList()) {
       return;
@@ -174,9 +174,9 @@
             TimeUnit.MILLISECONDS);
   }
 
-  /** Half of the list, and the connection stays open. */
-  private void cut(DiscoveryCall call) {
-    String list = whole();
+  /** Sends half of the list and leaves the connection open. */
+  private void sendHalf(DiscoveryCall call) {
+    String list = fullList();
     call.channel().write(head());
     call.channel().writeAndFlush(chunk(list.substring(0, list.length() / 2)));
   }
--- a/src/main/java/pumicekeel/standin/StandInRpcClient.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcClient.java
@@ -24,18 +24,18 @@
 import pumicekeel.jsonrpc.Limits;
 import pumicekeel.jsonrpc.MessageWriter;
 
-/** One connection of a JSON-RPC client: says what it is told, in whole messages or in bytes, and keeps what comes. */
+/** A connection of a JSON-RPC client: sends the given messages or raw bytes, and keeps the messages that it receives. */
 public final class StandInRpcClient implements Closeable {
 
   private static final Limits LIMITS = new Limits(64 << 20, Limits.MAX_DEPTH, 1_000_000);
-  private static final int MOST_KEPT = 1_000_000;
+  private static final int MAX_KEPT = 1_000_000;
 
   private final Framing framing;
   private final Channel channel;
-  private final BlockingQueue<String> messages = new LinkedBlockingQueue<>(MOST_KEPT);
+  private final BlockingQueue<String> messages = new LinkedBlockingQueue<>(MAX_KEPT);
   private final CountDownLatch ended = new CountDownLatch(1);
 
-  /** Connects; an exception where that fails. */
+  /** Connects; fails with an exception if that is not possible. */
   public StandInRpcClient(InetSocketAddress address, EventLoopGroup group, Framing framing)
       throws Exception {
     this.framing = framing;
@@ -88,13 +88,13 @@
     return this;
   }
 
-  /** Sends bytes as they are. */
+  /** Sends raw bytes. */
   public StandInRpcClient raw(byte[] bytes) {
     channel.writeAndFlush(Unpooled.wrappedBuffer(bytes));
     return this;
   }
 
-  /** The next message, or null where none came in time. */
+  /** Returns the next message, or null if none arrived in time. */
   public String next(long millis) throws InterruptedException {
     return messages.poll(millis, TimeUnit.MILLISECONDS);
   }
@@ -103,7 +103,7 @@
     return messages.size();
   }
 
-  /** Whether the other side has ended what it says, within the time. */
+  /** Returns whether the other side has closed its direction of the connection within the time. */
   public boolean awaitEnd(long millis) throws InterruptedException {
     return ended.await(millis, TimeUnit.MILLISECONDS);
   }
@@ -116,7 +116,7 @@
     ((DuplexChannel) channel).shutdownOutput().syncUninterruptibly();
   }
 
-  /** Leaves at once: what is on the way to it is lost. */
+  /** Resets the connection: data on the way to the client is lost. */
   public void reset() {
     channel.config().setOption(ChannelOption.SO_LINGER, 0);
     channel.close().syncUninterruptibly();
--- a/src/main/java/pumicekeel/standin/StandInRpcFaults.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcFaults.java
@@ -4,14 +4,14 @@
 import pumicekeel.standin.StandInRpcServer.Connection;
 import pumicekeel.standin.StandInRpcServer.Seen;
 
-/** A server's script that answers after a delay, and misbehaves now and then by a seed. */
+/** A server script that responds after a delay and injects random faults by a seed. */
 public final class StandInRpcFaults implements StandInRpcServer.Script {
 
   private final SplittableRandom random;
   private final long delayMillis;
   private final int perHundredThousand;
 
-  /** So many of a hundred thousand calls meet a fault. */
+  /** Creates a script that injects a fault into {@code perHundredThousand} of 100,000 calls on average. */
   public StandInRpcFaults(long seed, long delayMillis, int perHundredThousand) {
     random = new SplittableRandom(seed);
     this.delayMillis = delayMillis;
--- a/src/main/java/pumicekeel/standin/StandInRpcServer.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcServer.java
@@ -28,23 +28,23 @@
 import pumicekeel.jsonrpc.MessageReader;
 import pumicekeel.jsonrpc.MessageWriter;
 
-/** A JSON-RPC server on loopback that follows a script and keeps a log: the truth about which calls reached it, and when. */
+/** A JSON-RPC server on loopback that follows a script and logs which calls reached it and when; tests check against this log. */
 public final class StandInRpcServer implements Closeable {
 
-  /** A call that came whole; {@code params} is raw JSON, or null. */
+  /** A completely received call; {@code params} is raw JSON, or null. */
   public record Seen(int connection, long id, String method, String params, long atNanos) {}
 
-  /** What is done with a call; on the connection's loop. */
+  /** Handles calls, on the connection's event loop. */
   public interface Script {
     void on(Seen call, Connection connection);
   }
 
-  /** Answers with the params. */
+  /** Responds with the params. */
   public static final Script ECHO =
       (call, c) -> c.result(call.id(), call.params() == null ? "null" : call.params());
 
   private static final Limits LIMITS = new Limits(1 << 20, Limits.MAX_DEPTH, 1);
-  private static final int MOST_SEEN = 2_000_000;
+  private static final int MAX_SEEN = 2_000_000;
 
   private final Framing framing;
   private final List<Seen> seen = new ArrayList<>();
@@ -56,7 +56,7 @@
   private volatile Script script = ECHO;
   private volatile boolean reads = true;
 
-  /** Listens on a port of its own. */
+  /** Listens on a free port. */
   public StandInRpcServer(EventLoopGroup group, Framing framing) throws InterruptedException {
     this.framing = framing;
     bootstrap = new ServerBootstrap()
@@ -94,12 +94,12 @@
     return this;
   }
 
-  /** Whether connections that are accepted from now on are read. */
+  /** Sets whether connections accepted from now on are read. */
   public void reads(boolean next) {
     reads = next;
   }
 
-  /** What came so far, in order. */
+  /** Returns the calls received so far, in order. */
   public List<Seen> seen() {
     synchronized (seen) {
       return List.copyOf(seen);
@@ -114,13 +114,13 @@
     return connections.size();
   }
 
-  /** Dies: connections are reset and new ones refused. */
+  /** Stops the server: open connections are reset and new ones refused. */
   public void kill() {
     listener.close().syncUninterruptibly();
     connections.forEach(StandInRpcServer::reset);
   }
 
-  /** Comes back at the same address. */
+  /** Restarts the server at the same address. */
   public void revive() throws InterruptedException {
     listener = bootstrap.bind(address).sync().channel();
   }
@@ -170,7 +170,7 @@
           call.params() == null ? null : new String(call.params(), StandardCharsets.UTF_8),
           System.nanoTime());
       synchronized (seen) {
-        if (seen.size() < MOST_SEEN) {
+        if (seen.size() < MAX_SEEN) {
           seen.add(next);
         }
       }
@@ -181,7 +181,7 @@
       return number;
     }
 
-    /** Answers; {@code result} is raw JSON. */
+    /** Responds to a call; {@code result} is raw JSON. */
     public void result(long id, String result) {
       message(MessageWriter.result(Id.of(id), result.getBytes(StandardCharsets.UTF_8)));
     }
@@ -190,17 +190,17 @@
       message(MessageWriter.error(Id.of(id), MessageWriter.errorObject(code, text, null)));
     }
 
-    /** A message in the connection's framing. */
+    /** Sends a message in the connection's framing. */
     public void message(byte[] message) {
       ctx.writeAndFlush(MessageWriter.frame(framing, message));
     }
 
-    /** Bytes as they are. */
+    /** Sends raw text. */
     public void raw(String text) {
       ctx.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
-    /** So many bytes of nothing, without an end in sight. */
+    /** Sends at least this many bytes that never complete a message. */
     public void flood(long bytes) {
       byte[] chunk = new byte[64 << 10];
       java.util.Arrays.fill(chunk, (byte) 'a');
@@ -217,7 +217,7 @@
       ctx.executor().schedule(what, millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Closes once what was written has gone out. */
+    /** Closes the connection after pending data is written. */
     public void close() {
       ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> ctx.close());
     }
--- a/src/main/java/pumicekeel/standin/StandInUpstream.java
+++ b/src/main/java/pumicekeel/standin/StandInUpstream.java
@@ -27,10 +27,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An upstream on loopback that behaves as it is told and keeps a log: the truth about what reached it, and when. */
+/** An upstream on loopback with a settable behaviour that logs which requests reached it and when; tests check against this log. */
 public final class StandInUpstream implements Closeable {
 
-  /** How it answers from now on. */
+  /** How requests are answered. */
   public enum Mode {
     SERVE,
     ERROR,
@@ -40,14 +40,14 @@
     SPOILT
   }
 
-  /** One request that came whole. */
+  /** A completely received request. */
   public record Seen(
       String id, String key, String className, String body, long atNanos, Mode mode) {}
 
-  /** Bodies that the protocol allows. */
-  private static final int MOST_BODY = 64 << 10;
-  /** A run of some minutes at any rate that one machine makes; later requests are counted and not kept. */
-  private static final int MOST_SEEN = 2_000_000;
+  /** Maximum body size that the protocol allows. */
+  private static final int MAX_BODY_BYTES = 64 << 10;
+  /** Maximum number of logged requests, enough for some minutes at any rate that one machine reaches; later ones are not kept. */
+  private static final int MAX_SEEN = 2_000_000;
 
   private final String name;
   private final List<Seen> seen = new ArrayList<>();
@@ -60,7 +60,7 @@
   private final ServerBootstrap bootstrap;
   private InetSocketAddress address;
 
-  /** Listens on a port of its own. */
+  /** Listens on a free port. */
   public StandInUpstream(String name, EventLoopGroup group, long delayMicros)
       throws InterruptedException {
     this.name = name;
@@ -80,7 +80,7 @@
             channel.closeFuture().addListener(closed -> connections.remove(channel));
             channel
                 .pipeline()
-                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Handler());
+                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Handler());
           }
         });
     listener = bootstrap
@@ -106,14 +106,14 @@
     delayMicros = micros;
   }
 
-  /** Dies: connections are reset and new ones refused. */
+  /** Stops the upstream: open connections are reset and new ones refused. */
   public void kill() {
     listener.close().syncUninterruptibly();
     connections.forEach(StandInUpstream::reset);
   }
 
   private static void reset(Channel connection) {
-    // On its own loop: from elsewhere it may have closed between the two steps.
+    // On the connection's own loop: from another thread it may close between the two steps.
     connection.eventLoop().execute(() -> {
       if (connection.isActive()) {
         connection.config().setOption(ChannelOption.SO_LINGER, 0);
@@ -122,19 +122,19 @@
     });
   }
 
-  /** Comes back at the same address. */
+  /** Restarts the upstream at the same address. */
   public void revive() throws InterruptedException {
     listener = bootstrap.bind(address).sync().channel();
   }
 
-  /** What came so far, in order. */
+  /** Returns the requests received so far, in order. */
   public List<Seen> seen() {
     synchronized (seen) {
       return List.copyOf(seen);
     }
   }
 
-  /** What came since the last call, in order. */
+  /** Removes and returns the requests received since the last call, in order. */
   public List<Seen> takeSeen() {
     synchronized (seen) {
       List<Seen> taken = List.copyOf(seen);
@@ -175,7 +175,7 @@
           System.nanoTime(),
           now);
       synchronized (seen) {
-        if (seen.size() < MOST_SEEN) {
+        if (seen.size() < MAX_SEEN) {
           seen.add(one);
         }
       }
--- a/src/main/java/pumicekeel/standin/package-info.java
+++ b/src/main/java/pumicekeel/standin/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Stand-ins on loopback for upstreams, JSON-RPC servers and clients, and discovery. Their logs are
- * the truth that tests compare with.
+ * Stand-ins on loopback for upstreams, JSON-RPC servers and clients, and discovery. Tests check
+ * their results against the logs of the stand-ins.
  *
  * <p>Threads: Event loops that the caller provides; public methods may be called from any thread.
  *
