--- a/src/main/java/pumicekeel/pool/FairQueue.java
+++ b/src/main/java/pumicekeel/pool/FairQueue.java
@@ -5,28 +5,28 @@
 
 /**
  * A round-robin queue of tasks for the event loop, one sub-queue for each pool: at most one task of each other pool runs
- * before a pool's next one, however many those have waiting. Tasks are of like size (the admission of one request), so no
- * deficit is kept. A run ends after a quantum, and the rest follows after the loop has read its sockets again.
+ * before a pool's next one, however many are waiting. Tasks are of similar size (the admission of one request), so no
+ * deficit is kept. A run ends after a quantum; the rest runs after the loop has read its sockets again.
  */
 public final class FairQueue {
 
   /** The waiting tasks of one pool. */
   public final class PoolQueue {
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
-    private final int most;
+    private final int capacity;
 
-    private PoolQueue(int most) {
-      this.most = most;
+    private PoolQueue(int capacity) {
+      this.capacity = capacity;
     }
 
-    /** Lines work up; false where this queue is full, and nothing was done. */
+    /** Enqueues a task; returns false without effect if this queue is full. */
     public boolean offer(Runnable work) {
-      if (waiting.size() >= most) {
+      if (waiting.size() >= capacity) {
         return false;
       }
       waiting.add(work);
       if (waiting.size() == 1) {
-        turn.add(this);
+        readyQueues.add(this);
       }
       return true;
     }
@@ -36,26 +36,28 @@
     }
   }
 
-  private final ArrayDeque<PoolQueue> turn = new ArrayDeque<>();
+  private final ArrayDeque<PoolQueue> readyQueues = new ArrayDeque<>();
 
-  /** A queue that holds at most so many pieces. */
-  public PoolQueue queue(int most) {
-    return new PoolQueue(most);
+  /** Creates a queue that holds at most {@code capacity} tasks. */
+  public PoolQueue queue(int capacity) {
+    return new PoolQueue(capacity);
   }
 
   public boolean isIdle() {
-    return turn.isEmpty();
+    return readyQueues.isEmpty();
   }
 
-  /** Does work until none is left or so many nanoseconds have passed; at least one piece of each waiting queue. */
+  /** Runs tasks until none is left or the quantum has passed, but at least one of each non-empty queue. */
   public void run(long quantumNanos, LongSupplier clock) {
     long end = clock.getAsLong() + quantumNanos;
-    int first = turn.size();
-    for (int done = 0; !turn.isEmpty() && (done < first || clock.getAsLong() - end < 0); done++) {
-      PoolQueue queue = turn.poll();
+    int first = readyQueues.size();
+    for (int done = 0;
+        !readyQueues.isEmpty() && (done < first || clock.getAsLong() - end < 0);
+        done++) {
+      PoolQueue queue = readyQueues.poll();
       Runnable work = queue.waiting.poll();
       if (!queue.waiting.isEmpty()) {
-        turn.add(queue);
+        readyQueues.add(queue);
       }
       work.run();
     }
--- a/src/main/java/pumicekeel/pool/KeyAffinity.java
+++ b/src/main/java/pumicekeel/pool/KeyAffinity.java
@@ -11,47 +11,47 @@
  */
 public final class KeyAffinity {
 
-  /** Some 100 bytes each; at 1,000 keyed requests a second and windows of 4 s there is room to spare. */
+  /** About 100 bytes each; more than enough for 1,000 keyed requests per second and windows of 4 s. */
   public static final int MAX_KEYS = 20_000;
 
-  /** {@code takers}: requests of the key that ran there, or may have, or still may. */
-  private record Owner(String pool, long until, int takers) {}
+  /** {@code requests}: requests of the key that ran there, may have run or may still run. */
+  private record Owner(String pool, long until, int requests) {}
 
-  private final int most;
+  private final int maxKeys;
   private final Map<String, Owner> owners = new LinkedHashMap<>();
   private long evicted;
 
-  public KeyAffinity(int most) {
-    this.most = most;
+  public KeyAffinity(int maxKeys) {
+    this.maxKeys = maxKeys;
   }
 
-  /** The pool in which a request of this key may have run within its window, or null. */
+  /** Returns the pool in which a request of this key may have run within its window, or null. */
   public String poolOf(String key, long now) {
     Owner owner = owners.get(key);
     return owner == null || owner.until <= now ? null : owner.pool;
   }
 
-  /** A request of this key was taken by a pool, which may run it from now on. */
+  /** Records that a pool accepted a request of this key and may run it from now on. */
   public void recordAccepted(String key, String pool, long now, long windowNanos) {
     Owner before = owners.remove(key);
-    forget(now);
+    evictOldest(now);
     long until = before == null ? now + windowNanos : Math.max(before.until, now + windowNanos);
-    owners.put(key, new Owner(pool, until, before == null ? 1 : before.takers + 1));
+    owners.put(key, new Owner(pool, until, before == null ? 1 : before.requests + 1));
   }
 
-  /** Nothing of one request of this key ran after all: it may go anywhere again, unless another one of it was taken. */
+  /** Records that a request of this key did not run: the key is free again unless another request of it was accepted. */
   public void recordNotRun(String key) {
     owners.computeIfPresent(
-        key, (k, h) -> h.takers == 1 ? null : new Owner(h.pool, h.until, h.takers - 1));
+        key, (k, h) -> h.requests == 1 ? null : new Owner(h.pool, h.until, h.requests - 1));
   }
 
-  /** Oldest first: those whose time is up, and one more where there is no room. */
-  private void forget(long now) {
+  /** Removes expired entries, oldest first, and the oldest live one if the table is full. */
+  private void evictOldest(long now) {
     var oldest = owners.entrySet().iterator();
     while (oldest.hasNext()) {
       Owner owner = oldest.next().getValue();
       if (owner.until > now) {
-        if (owners.size() < most) {
+        if (owners.size() < maxKeys) {
           return;
         }
         evicted++;
@@ -64,7 +64,7 @@
     return owners.size();
   }
 
-  /** Entries given up before their time, for want of room. */
+  /** Returns the number of entries evicted before they expired because the table was full. */
   public long evicted() {
     return evicted;
   }
--- a/src/main/java/pumicekeel/pool/RequestCounters.java
+++ b/src/main/java/pumicekeel/pool/RequestCounters.java
@@ -25,17 +25,17 @@
         end.ordinal()]++;
   }
 
-  /** Turned away with 404. */
+  /** Rejected with 404. */
   public void countNoRoute() {
     noRoute++;
   }
 
-  /** Turned away with 400 for its host or path. */
+  /** Rejected with 400 for its host or path. */
   public void countMalformed() {
     malformed++;
   }
 
-  /** Turned away at its head since its pool was full. */
+  /** Rejected because its pool was full. */
   public void countPoolFull() {
     poolFull++;
   }
@@ -53,7 +53,7 @@
     return poolFull;
   }
 
-  /** A line for the log. */
+  /** Returns the counters as one log line. */
   public String logLine() {
     StringBuilder out = new StringBuilder(
         "no-route " + noRoute + " malformed " + malformed + " no-room " + poolFull);
--- a/src/main/java/pumicekeel/pool/ResidenceTime.java
+++ b/src/main/java/pumicekeel/pool/ResidenceTime.java
@@ -6,22 +6,22 @@
  */
 public final class ResidenceTime {
 
-  /** A sample counts a twentieth: some twenty requests tell, and one slow one does not. */
+  /** EWMA weight of a sample: averages some twenty requests, so that one slow request changes little. */
   private static final double STEP = 0.05;
-  /** Before any is known. */
-  private static final long FIRST_NANOS = 100_000_000L;
-  /** No advice below this: the client's own way here takes as long. */
-  private static final long LEAST_NANOS = 10_000_000L;
+  /** The initial mean, before the first sample. */
+  private static final long INITIAL_MEAN_NANOS = 100_000_000L;
+  /** Minimum advice: the client's network round trip takes as long. */
+  private static final long MIN_RETRY_AFTER_NANOS = 10_000_000L;
 
-  private double mean = FIRST_NANOS;
+  private double mean = INITIAL_MEAN_NANOS;
 
-  /** A request is over that came in so long ago. */
+  /** Records the residence time of a request that has ended. */
   public void record(long nanos) {
     mean += (Math.max(0, nanos) - mean) * STEP;
   }
 
-  /** When coming back is worth it, at most so much; 0 where no advice may be given. */
-  public long retryAfter(boolean allowed, long mostNanos) {
-    return allowed ? Math.min(mostNanos, Math.max(LEAST_NANOS, (long) mean)) : 0;
+  /** Returns the Retry-After in nanoseconds, at most {@code maxNanos}; 0 if no advice is allowed. */
+  public long retryAfter(boolean allowed, long maxNanos) {
+    return allowed ? Math.min(maxNanos, Math.max(MIN_RETRY_AFTER_NANOS, (long) mean)) : 0;
   }
 }
--- a/src/main/java/pumicekeel/pool/SharedCapacity.java
+++ b/src/main/java/pumicekeel/pool/SharedCapacity.java
@@ -1,55 +1,55 @@
 package pumicekeel.pool;
 
 /**
- * One kind of room (sockets, open requests, bytes of bodies) divided over owners. Each is guaranteed a part that is
- * there for it at any moment, since nobody else may have it; beyond that it borrows of what no guarantee holds back,
- * up to its own most. Nothing is ever taken back: a guarantee needs no reclaiming. All steps are O(1).
+ * The capacity of one kind of resource (sockets, open requests, bytes of bodies) divided between owners. Each owner's
+ * guaranteed part is reserved for it alone; beyond that it borrows unreserved capacity up to its own maximum. Guarantees
+ * need no reclaiming, so nothing is ever taken back. All operations are O(1).
  */
 public final class SharedCapacity {
 
-  /** One that has a share. */
+  /** An owner of a part of the capacity. */
   public final class Owner {
     private long guaranteed;
-    private long most;
+    private long max;
     private long used;
 
     private Owner() {}
 
-    /** Takes so much, all or nothing. */
+    /** Acquires an amount completely or not at all. */
     public boolean tryAcquire(long amount) {
-      if (amount > most - used || amount > total - reserved + Math.max(0, guaranteed - used)) {
+      if (amount > max - used || amount > total - reserved + Math.max(0, guaranteed - used)) {
         return false;
       }
       acquire(amount);
       return true;
     }
 
-    /** Takes what is there already, such as a socket that was accepted. */
+    /** Acquires without a check what is in use already, such as an accepted socket. */
     public void acquire(long amount) {
-      long before = held();
+      long before = reservedForOwner();
       used += amount;
-      reserved += held() - before;
+      reserved += reservedForOwner() - before;
     }
 
-    /** Gives so much back; at most what was taken. */
+    /** Releases an amount, at most what is in use. */
     public void release(long amount) {
       if (amount > used) {
         throw new IllegalStateException("gave back " + amount + " of " + used);
       }
-      long before = held();
+      long before = reservedForOwner();
       used -= amount;
-      reserved += held() - before;
+      reserved += reservedForOwner() - before;
     }
 
-    /** New figures; what is out beyond them stays out until it is given back. */
-    public void resize(long newGuaranteed, long newMost) {
-      long before = held();
+    /** Changes the limits; what is in use beyond them stays in use until it is released. */
+    public void resize(long newGuaranteed, long newMax) {
+      long before = reservedForOwner();
       guaranteed = newGuaranteed;
-      most = newMost;
-      reserved += held() - before;
+      max = newMax;
+      reserved += reservedForOwner() - before;
     }
 
-    /** Has more than is guaranteed to it. */
+    /** Returns whether it uses more than its guarantee. */
     public boolean isBorrowing() {
       return used > guaranteed;
     }
@@ -58,27 +58,27 @@
       return used;
     }
 
-    /** Ends this owner; what it still has out may be given back as ever. */
+    /** Removes the guarantee of this owner; what is still in use can be released later. */
     public void close() {
       resize(0, 0);
     }
 
-    private long held() {
+    private long reservedForOwner() {
       return Math.max(used, guaranteed);
     }
   }
 
   private long total;
-  /** The sum, over all owners, of what each has out or is guaranteed, whichever is more. */
+  /** The sum over all owners of the larger of usage and guarantee. */
   private long reserved;
 
   public SharedCapacity(long total) {
     this.total = total;
   }
 
-  public Owner add(long guaranteed, long most) {
+  public Owner add(long guaranteed, long max) {
     Owner owner = new Owner();
-    owner.resize(guaranteed, most);
+    owner.resize(guaranteed, max);
     return owner;
   }
 
--- a/src/main/java/pumicekeel/pool/SharedUpstreams.java
+++ b/src/main/java/pumicekeel/pool/SharedUpstreams.java
@@ -9,16 +9,16 @@
 import pumicekeel.Balancer.State;
 
 /**
- * The upstreams of all pools by where they listen. Lists may name one machine under several names and two machines
- * under one; the address is what connections and load arrive at, so it is what counts here. Each pool's module is told,
- * with an upstream's line, by how many pools of this process it is shared and when it last started as any pool's list
- * tells it, and takes its part of the cold upstream's budget: all of them together send it what one would.
+ * The upstreams of all pools by address. Lists may name one machine under several names and two machines under one;
+ * connections and load arrive at the address, so it identifies the upstream. Each pool's module receives, with an upstream's
+ * entry, the number of pools of this process that share it and its latest start in any pool's list, and uses its part of the
+ * cold upstream's budget: all pools together send what one would.
  *
  * @param <A> the address
  */
 public final class SharedUpstreams<A> {
 
-  private static final class Place {
+  private static final class AddressEntry {
     /** By pool, then by the id under which that pool's list names it. */
     private final Map<Object, Map<Long, Listed>> lines = new LinkedHashMap<>();
 
@@ -41,11 +41,11 @@
     }
   }
 
-  private final Map<A, Place> places = new HashMap<>();
-  /** Where each pool's ids listen, by its last word. */
+  private final Map<A, AddressEntry> entriesByAddress = new HashMap<>();
+  /** The address of each pool's ids, by its latest update. */
   private final Map<Object, Map<Long, A>> addresses = new HashMap<>();
 
-  /** Takes in a pool's line; the pools (without this one) whose modules have to hear of the address again. */
+  /** Applies a pool's entry; returns the other pools whose modules must be notified of the address again. */
   public Set<Object> update(Object pool, A address, Listed listed) {
     Set<Object> others = new HashSet<>();
     Map<Long, A> known = addresses.computeIfAbsent(pool, k -> new HashMap<>());
@@ -55,10 +55,10 @@
     }
     if (listed.state() != State.GONE) {
       known.put(listed.upstream(), address);
-      Place place = places.computeIfAbsent(address, k -> new Place());
-      place.lines.computeIfAbsent(pool, k -> new HashMap<>()).put(listed.upstream(), listed);
-      if (place.recount()) {
-        others.addAll(place.lines.keySet());
+      AddressEntry entry = entriesByAddress.computeIfAbsent(address, k -> new AddressEntry());
+      entry.lines.computeIfAbsent(pool, k -> new HashMap<>()).put(listed.upstream(), listed);
+      if (entry.recount()) {
+        others.addAll(entry.lines.keySet());
       }
     }
     others.remove(pool);
@@ -67,20 +67,20 @@
 
   private Set<Object> remove(Object pool, A address, long id) {
     addresses.get(pool).remove(id);
-    Place place = places.get(address);
-    Map<Long, Listed> lines = place.lines.get(pool);
+    AddressEntry entry = entriesByAddress.get(address);
+    Map<Long, Listed> lines = entry.lines.get(pool);
     lines.remove(id);
     if (lines.isEmpty()) {
-      place.lines.remove(pool);
+      entry.lines.remove(pool);
     }
-    if (place.lines.isEmpty()) {
-      places.remove(address);
+    if (entry.lines.isEmpty()) {
+      entriesByAddress.remove(address);
       return Set.of();
     }
-    return place.recount() ? Set.copyOf(place.lines.keySet()) : Set.of();
+    return entry.recount() ? Set.copyOf(entry.lines.keySet()) : Set.of();
   }
 
-  /** Forgets a pool that is over; the addresses of which other pools have to hear again. */
+  /** Removes a pool; returns the addresses that other pools must be notified of again. */
   public Set<A> removePool(Object pool) {
     Set<A> changed = new HashSet<>();
     for (Map.Entry<Long, A> e :
@@ -93,10 +93,10 @@
     return changed;
   }
 
-  /** A pool's line as its module is to see it. */
+  /** Returns a pool's entry with the sharing pools and the latest start, as its module sees it. */
   public Listed withSharing(Object pool, A address, Listed own) {
-    Place place = places.get(address);
-    if (place == null || own.state() == State.GONE) {
+    AddressEntry entry = entriesByAddress.get(address);
+    if (entry == null || own.state() == State.GONE) {
       return own;
     }
     return new Listed(
@@ -104,29 +104,29 @@
         own.zone(),
         own.cell(),
         own.state(),
-        Math.max(own.startedNanos(), place.started),
+        Math.max(own.startedNanos(), entry.started),
         own.weight(),
-        Math.max(1, place.sharers));
+        Math.max(1, entry.sharers));
   }
 
-  /** The lines of a pool at an address, for telling them again. */
+  /** Returns the entries of a pool at an address, to notify its module again. */
   public Set<Listed> linesOf(Object pool, A address) {
-    Place place = places.get(address);
+    AddressEntry entry = entriesByAddress.get(address);
     Set<Listed> out = new HashSet<>();
-    if (place != null) {
-      place.lines.getOrDefault(pool, Map.of()).values().forEach(out::add);
+    if (entry != null) {
+      entry.lines.getOrDefault(pool, Map.of()).values().forEach(out::add);
     }
     return out;
   }
 
-  /** Addresses known. */
+  /** Returns the number of known addresses. */
   public int size() {
-    return places.size();
+    return entriesByAddress.size();
   }
 
-  /** The pools that name an address. */
+  /** Returns the pools that list an address. */
   public Set<Object> poolsAt(A address) {
-    Place place = places.get(address);
-    return place == null ? Set.of() : Set.copyOf(place.lines.keySet());
+    AddressEntry entry = entriesByAddress.get(address);
+    return entry == null ? Set.of() : Set.copyOf(entry.lines.keySet());
   }
 }
--- a/src/main/java/pumicekeel/subset/SubsetBalancer.java
+++ b/src/main/java/pumicekeel/subset/SubsetBalancer.java
@@ -11,35 +11,35 @@
 import pumicekeel.Balancer;
 
 /**
- * A module that is told of its subset of the list alone. The module inside decides as ever; it is told of as many balancers as share one
- * upstream, since budgets of cold ones are divided by them. An upstream that leaves the subset is drained, not dropped. No I/O.
+ * Restricts a decision module to its subset of the list. Its group size is the number of balancers that share one upstream, since
+ * the budgets of cold upstreams are divided by it. An upstream that leaves the subset is drained, not dropped. Does no I/O.
  */
 public final class SubsetBalancer implements Balancer {
 
-  private final Subsets way;
+  private final Subsets method;
   private final int member;
   private final int members;
   private final int size;
-  private final Balancer inside;
-  /** The list as last told, and of it what the module has been told. */
+  private final Balancer delegate;
+  /** The latest list, and the entries that the module has received. */
   private final TreeMap<Long, Listed> known = new TreeMap<>();
 
-  private final Map<Long, Listed> told = new HashMap<>();
+  private final Map<Long, Listed> sent = new HashMap<>();
 
-  /** {@code inside} makes the module from its settings; so many upstreams it is to work with. */
+  /** {@code delegate} creates the module from its settings; {@code size} upstreams are in its subset. */
   public SubsetBalancer(
       Settings settings,
-      Subsets way,
+      Subsets method,
       int size,
       int upstreams,
-      Function<Settings, Balancer> inside) {
-    this.way = way;
+      Function<Settings, Balancer> delegate) {
+    this.method = method;
     this.size = size;
     member = settings.me();
     members = settings.groupSize();
     int sharers =
         Math.min(members, (int) Math.ceil((double) members * size / Math.max(1, upstreams)) + 1);
-    this.inside = inside.apply(new Settings(
+    this.delegate = delegate.apply(new Settings(
         Math.min(settings.me(), sharers - 1),
         sharers,
         settings.zone(),
@@ -59,18 +59,18 @@
 
   @Override
   public void handle(long now, Event event, Consumer<Action> out) {
-    if (event instanceof ListUpdate news && news.kind() != ListKind.FAILED) {
-      inside.handle(now, seen(news), out);
+    if (event instanceof ListUpdate update && update.kind() != ListKind.FAILED) {
+      delegate.handle(now, subsetOf(update), out);
     } else {
-      inside.handle(now, event, out);
+      delegate.handle(now, event, out);
     }
   }
 
-  private ListUpdate seen(ListUpdate news) {
-    if (news.kind() != ListKind.DELTA) {
+  private ListUpdate subsetOf(ListUpdate update) {
+    if (update.kind() != ListKind.DELTA) {
       known.clear();
     }
-    for (Listed l : news.entries()) {
+    for (Listed l : update.entries()) {
       if (l.state() == State.GONE) {
         known.remove(l.upstream());
       } else {
@@ -82,37 +82,37 @@
         .map(Listed::upstream)
         .toList();
     Set<Long> mine =
-        ready.isEmpty() ? Set.of() : way.of(member, members, ready, size).keySet();
+        ready.isEmpty() ? Set.of() : method.of(member, members, ready, size).keySet();
     List<Listed> entries = new ArrayList<>();
     for (Listed l : known.values()) {
       boolean own = mine.contains(l.upstream());
-      if (own || told.containsKey(l.upstream())) {
-        entries.add(own || l.state() != State.READY ? l : in(l, State.DRAINING));
+      if (own || sent.containsKey(l.upstream())) {
+        entries.add(own || l.state() != State.READY ? l : withState(l, State.DRAINING));
       }
     }
-    for (Listed before : told.values()) {
+    for (Listed before : sent.values()) {
       if (!known.containsKey(before.upstream())) {
-        entries.add(in(before, State.GONE));
+        entries.add(withState(before, State.GONE));
       }
     }
-    if (news.kind() == ListKind.DELTA) {
-      entries.removeIf(l -> l.equals(told.get(l.upstream())));
+    if (update.kind() == ListKind.DELTA) {
+      entries.removeIf(l -> l.equals(sent.get(l.upstream())));
     }
     for (Listed l : entries) {
       if (l.state() == State.GONE) {
-        told.remove(l.upstream());
+        sent.remove(l.upstream());
       } else {
-        told.put(l.upstream(), l);
+        sent.put(l.upstream(), l);
       }
     }
     return new ListUpdate(
-        news.kind(),
+        update.kind(),
         entries.stream()
-            .filter(l -> news.kind() == ListKind.DELTA || l.state() != State.GONE)
+            .filter(l -> update.kind() == ListKind.DELTA || l.state() != State.GONE)
             .toList());
   }
 
-  private static Listed in(Listed l, State state) {
+  private static Listed withState(Listed l, State state) {
     return new Listed(
         l.upstream(), l.zone(), l.cell(), state, l.startedNanos(), l.weight(), l.sharers());
   }
--- a/src/main/java/pumicekeel/subset/SubsetFigures.java
+++ b/src/main/java/pumicekeel/subset/SubsetFigures.java
@@ -7,14 +7,14 @@
 import java.util.stream.LongStream;
 
 /**
- * What a way of choosing subsets does to a fleet, computed: every balancer sends the same and spreads it over its subset by shares.
+ * The computed effect of a subsetting method on a fleet whose balancers all send the same load and spread it over their subsets.
  *
- * @param maxLoad the load of the busiest upstream, of the mean
- * @param minLoad that of the idlest
+ * @param maxLoad the load of the busiest upstream relative to the mean
+ * @param minLoad the load of the idlest upstream relative to the mean
  * @param loadDeviation the coefficient of variation of the upstreams' loads
- * @param maxConnections the most balancers that one upstream hears
- * @param movedByUpstream of subsetsOf pairs of balancer and upstream, the part that is new once an upstream has gone and another has come
- * @param movedByBalancer the same once a balancer more is there
+ * @param maxConnections the maximum number of balancers that send to one upstream
+ * @param movedByUpstream fraction of balancer-upstream pairs that are new after one upstream is replaced
+ * @param movedByBalancer fraction of pairs that are new after a balancer is added
  */
 public record SubsetFigures(
     double maxLoad,
@@ -24,10 +24,10 @@
     double movedByUpstream,
     double movedByBalancer) {
 
-  /** Computes them. */
-  public static SubsetFigures of(Subsets way, int balancers, int upstreams, int size) {
+  /** Computes the figures. */
+  public static SubsetFigures of(Subsets method, int balancers, int upstreams, int size) {
     List<Long> ids = LongStream.range(0, upstreams).boxed().toList();
-    List<Map<Long, Double>> before = subsetsOf(way, balancers, ids, size);
+    List<Map<Long, Double>> before = subsetsOf(method, balancers, ids, size);
     Map<Long, Double> load = new HashMap<>();
     Map<Long, Integer> connections = new HashMap<>();
     before.forEach(own -> {
@@ -55,15 +55,15 @@
         minLoad,
         Math.sqrt(square),
         connections.values().stream().mapToInt(Integer::intValue).max().orElse(0),
-        movedFraction(before, subsetsOf(way, balancers, replaced, size)),
-        movedFraction(before, subsetsOf(way, balancers + 1, ids, size).subList(0, balancers)));
+        movedFraction(before, subsetsOf(method, balancers, replaced, size)),
+        movedFraction(before, subsetsOf(method, balancers + 1, ids, size).subList(0, balancers)));
   }
 
   private static List<Map<Long, Double>> subsetsOf(
-      Subsets way, int balancers, List<Long> ids, int size) {
+      Subsets method, int balancers, List<Long> ids, int size) {
     List<Map<Long, Double>> out = new ArrayList<>();
     for (int m = 0; m < balancers; m++) {
-      out.add(way.of(m, balancers, ids, size));
+      out.add(method.of(m, balancers, ids, size));
     }
     return out;
   }
--- a/src/main/java/pumicekeel/subset/Subsets.java
+++ b/src/main/java/pumicekeel/subset/Subsets.java
@@ -8,12 +8,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Which upstreams each balancer of a fleet works with, by ids alone: the same answer at every balancer that knows the same list, without a
- * word between them. Pure; ids are given in ascending order.
+ * Chooses the upstreams that each balancer of a fleet uses, from ids alone: balancers with the same list get the same result without
+ * communication. Pure functions; ids are given in ascending order.
  */
 public enum Subsets {
 
-  /** Each balancer draws its own; nothing balances them. */
+  /** Each balancer draws a random subset; nothing balances the loads. */
   RANDOM {
     @Override
     public Map<Long, Double> of(int member, int members, List<Long> upstreams, int size) {
@@ -32,14 +32,14 @@
       int parts = Math.max(1, upstreams.size() / Math.max(1, size));
       List<Long> all = shuffled(upstreams, SEED + member / parts);
       int part = member % parts;
-      // What is left over goes to the parts, one each: nobody is in no part.
+      // The remainder is spread over the parts, one each, so that every upstream is in a part.
       int from = (int) ((long) upstreams.size() * part / parts);
       int to = (int) ((long) upstreams.size() * (part + 1) / parts);
       return even(all.subList(from, to));
     }
   },
 
-  /** Rendezvous hashing (Thaler and Ravishankar 1998): those that score highest for this balancer. */
+  /** Rendezvous hashing (Thaler and Ravishankar 1998): the upstreams that rank first by hash for this balancer. */
   RENDEZVOUS {
     @Override
     public Map<Long, Double> of(int member, int members, List<Long> upstreams, int size) {
@@ -51,8 +51,8 @@
   },
 
   /**
-   * Deterministic aperture (Finagle): balancers and upstreams stand at even distances on one ring; each balancer takes what its own part of the
-   * ring covers, and those at the ends by as much of them as it covers.
+   * Deterministic aperture (Finagle): balancers and upstreams are placed at even distances on one ring; each balancer uses what its own
+   * part of the ring covers, and the upstreams at the ends in proportion to the covered part.
    */
   APERTURE {
     @Override
@@ -78,11 +78,11 @@
   private static final double EDGE = 1e-9;
 
   /**
-   * The upstreams of one balancer, and how much of each in shares of one.
+   * Returns the upstreams of one balancer with the used fraction of each.
    *
    * @param member the balancer's number, from 0
    * @param upstreams all ids, ascending
-   * @param size how many are wanted, 1 on; all where there are no more
+   * @param size the wanted subset size, at least 1; all upstreams if there are no more
    */
   public abstract Map<Long, Double> of(int member, int members, List<Long> upstreams, int size);
 
@@ -93,7 +93,8 @@
   }
 
   private static List<Long> shuffled(List<Long> ids, long seed) {
-    // By hash and not by place: one that comes or goes leaves the others' order as it was.
+    // Ordered by hash, not by position: an added or removed upstream does not change the order of
+    // the others.
     List<Long> out = new ArrayList<>(ids);
     long by = new SplittableRandom(seed).nextLong();
     out.sort(Comparator.comparingLong(id -> mix(id ^ by)));
