--- a/src/test/java/pumicekeel/SizeTest.java
+++ b/src/test/java/pumicekeel/SizeTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The module is ported by hand one day and has to stay small. */
+/** The module will be ported by hand and has to stay small. */
 class SizeTest {
 
   @Test
--- a/src/test/java/pumicekeel/WindowTest.java
+++ b/src/test/java/pumicekeel/WindowTest.java
@@ -6,18 +6,18 @@
 import org.junit.jupiter.api.Test;
 import pumicekeel.Window.Metric;
 
-/** The counts of a window against the plain sum of what came in its time, whatever lies between. */
+/** Compares a window's totals with plain sums, for gaps of any length between events. */
 class WindowTest {
 
   private static final long SECOND = 1_000_000_000L;
 
   @Test
-  void whatCameBeforeALongQuietIsForgottenWhole() {
+  void everythingBeforeALongGapExpires() {
     for (int reach : new int[] {1, 5}) {
       Window w = new Window(SECOND, reach, 0);
       long now = 0;
-      // More and more, and then nothing for an hour: what is left over of the end would count for
-      // ever.
+      // Growing amounts, then an hour without any: a remainder of the last slots would never
+      // expire.
       for (int i = 0; i < 600; i++) {
         now += SECOND / 100;
         w.add(now, Metric.OFFERED, i);
--- a/src/test/java/pumicekeel/pool/FairQueueTest.java
+++ b/src/test/java/pumicekeel/pool/FairQueueTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A flood in one pool does not stand before another's work. */
+/** A flood of tasks in one pool must not delay another pool's tasks. */
 class FairQueueTest {
 
   private final StringBuilder done = new StringBuilder();
@@ -15,7 +15,7 @@
   private final FairQueue.PoolQueue a = fairQueue.queue(10_000);
   private final FairQueue.PoolQueue b = fairQueue.queue(2);
 
-  private Runnable piece(String name) {
+  private Runnable task(String name) {
     return () -> {
       done.append(name);
       clock += 10;
@@ -23,24 +23,24 @@
   }
 
   @Test
-  void oneThatComesBehindAFloodIsNextButOne() {
+  void taskBehindAFloodRunsNextButOne() {
     for (int i = 0; i < 1_000; i++) {
-      a.offer(piece("a"));
+      a.offer(task("a"));
     }
-    b.offer(piece("b"));
+    b.offer(task("b"));
     fairQueue.run(45, () -> clock);
     assertEquals("abaaa", done.toString());
     assertEquals(996, a.waiting());
-    b.offer(piece("b"));
+    b.offer(task("b"));
     fairQueue.run(15, () -> clock);
     assertEquals("abaaaab", done.toString());
   }
 
   @Test
-  void eachLaneHasOnePieceDoneHoweverShortTheQuantum() {
-    a.offer(piece("a"));
-    a.offer(piece("a"));
-    b.offer(piece("b"));
+  void eachQueueRunsOneTaskHoweverShortTheQuantum() {
+    a.offer(task("a"));
+    a.offer(task("a"));
+    b.offer(task("b"));
     fairQueue.run(0, () -> clock);
     assertEquals("ab", done.toString());
     assertFalse(fairQueue.isIdle());
@@ -49,10 +49,10 @@
   }
 
   @Test
-  void fullLaneTakesNothingAndWorkMayLineUpMore() {
-    assertTrue(b.offer(() -> b.offer(piece("c"))));
-    assertTrue(b.offer(piece("b")));
-    assertFalse(b.offer(piece("b")));
+  void fullQueueRejectsAndTasksMayEnqueueMore() {
+    assertTrue(b.offer(() -> b.offer(task("c"))));
+    assertTrue(b.offer(task("b")));
+    assertFalse(b.offer(task("b")));
     fairQueue.run(1_000, () -> clock);
     assertEquals("bc", done.toString());
     assertTrue(fairQueue.isIdle());
--- a/src/test/java/pumicekeel/pool/PoolCapacityTest.java
+++ b/src/test/java/pumicekeel/pool/PoolCapacityTest.java
@@ -10,28 +10,28 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Guaranteed and borrowed shares, their plan, and what a full pool tells its clients. */
+/** Guaranteed and borrowed capacity, the capacity plan, and the Retry-After of a full pool. */
 class PoolCapacityTest {
 
   @Test
-  void guaranteeIsThereWhateverTheOthersBorrow() {
+  void guaranteeIsAvailableWhateverTheOthersBorrow() {
     SharedCapacity shares = new SharedCapacity(10);
     SharedCapacity.Owner a = shares.add(2, 10);
     SharedCapacity.Owner b = shares.add(3, 10);
     for (int i = 0; i < 7; i++) {
       assertTrue(a.tryAcquire(1));
     }
-    assertFalse(a.tryAcquire(1), "three are kept for b");
+    assertFalse(a.tryAcquire(1), "three are reserved for b");
     assertTrue(a.isBorrowing());
     assertTrue(b.tryAcquire(3));
-    assertFalse(b.tryAcquire(1), "all is out");
+    assertFalse(b.tryAcquire(1), "all is in use");
     a.release(1);
-    assertTrue(b.tryAcquire(1), "b borrows what a gave back");
+    assertTrue(b.tryAcquire(1), "b borrows what a released");
     assertFalse(a.tryAcquire(1));
   }
 
   @Test
-  void mostHoldsThoughThereIsRoomAndAllOrNothingIsTaken() {
+  void maximumHoldsDespiteFreeCapacityAndAcquiringIsAllOrNothing() {
     SharedCapacity shares = new SharedCapacity(100);
     SharedCapacity.Owner a = shares.add(0, 5);
     assertFalse(a.tryAcquire(6));
@@ -41,24 +41,24 @@
   }
 
   @Test
-  void whatIsOutBeyondNewFiguresStaysOutUntilItIsGivenBack() {
+  void usageBeyondNewLimitsStaysUntilReleased() {
     SharedCapacity shares = new SharedCapacity(10);
     SharedCapacity.Owner a = shares.add(0, 10);
     assertTrue(a.tryAcquire(9));
     SharedCapacity.Owner b = shares.add(5, 10);
-    assertFalse(b.tryAcquire(2), "the room is not there yet");
+    assertFalse(b.tryAcquire(2), "the capacity is not free yet");
     a.resize(0, 3);
     assertFalse(a.tryAcquire(1));
     a.release(5);
     assertTrue(b.tryAcquire(5));
     a.close();
     a.release(4);
-    assertTrue(b.tryAcquire(5), "one that left holds nothing back");
+    assertTrue(b.tryAcquire(5), "a closed owner reserves nothing");
   }
 
-  /** In any order of taking, giving and resizing: never more than the total is out, and every guarantee can be had. */
+  /** In any order of acquiring and releasing, no more than the total is in use, and every guarantee can be acquired. */
   @Test
-  void sharesHoldInAnyOrder() {
+  void limitsHoldInAnyOrder() {
     long seed = new SplittableRandom().nextLong();
     SplittableRandom random = new SplittableRandom(seed);
     for (int round = 0; round < 500; round++) {
@@ -75,7 +75,7 @@
           long wanted = 1 + random.nextInt(5);
           boolean within = owners.get(i).used() + wanted <= guaranteed[i];
           boolean got = owners.get(i).tryAcquire(wanted);
-          assertTrue(got || !within, () -> "seed " + seed + ": a guarantee was not there");
+          assertTrue(got || !within, () -> "seed " + seed + ": a guarantee was not available");
         } else if (owners.get(i).used() > 0) {
           owners.get(i).release(1 + random.nextLong(owners.get(i).used()));
         }
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void poolsThatSayNothingGetHalfOfWhatIsLeftEvenly() {
+  void poolsWithoutAGuaranteeShareHalfOfTheRestEvenly() {
     List<CapacityPlan.Allocation> parts = CapacityPlan.of(
         "sockets",
         100,
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void fullPoolTellsHowLongItsRequestsStay() {
+  void fullPoolAdvisesItsMeanResidenceTime() {
     ResidenceTime residence = new ResidenceTime();
     for (int i = 0; i < 500; i++) {
       residence.record(400_000_000L);
--- a/src/test/java/pumicekeel/pool/SharedUpstreamsTest.java
+++ b/src/test/java/pumicekeel/pool/SharedUpstreamsTest.java
@@ -22,16 +22,16 @@
   }
 
   @Test
-  void eachPoolIsToldOfTheOthersAndOfTheNewestStart() {
+  void eachPoolReceivesTheSharerCountAndTheLatestStart() {
     assertEquals(Set.of(), shared.update("a", "h:1", line(1, State.READY, 0)));
     assertEquals(Set.of("a"), shared.update("b", "h:1", line(7, State.READY, 500)));
     assertEquals(2, seen("a", "h:1", 1).sharers());
-    assertEquals(500, seen("a", "h:1", 1).startedNanos(), "a's own list knows of no start");
+    assertEquals(500, seen("a", "h:1", 1).startedNanos(), "a's own list has no start");
     assertEquals(Set.of(), shared.update("b", "h:1", line(7, State.READY, 500)), "nothing new");
   }
 
   @Test
-  void oneThatDrainsInAPoolIsSharedNoMoreThere() {
+  void upstreamDrainingInAPoolIsNoLongerSharedThere() {
     shared.update("a", "h:1", line(1, State.READY, 0));
     shared.update("b", "h:1", line(1, State.READY, 0));
     assertEquals(Set.of("a"), shared.update("b", "h:1", line(1, State.DRAINING, 0)));
@@ -51,18 +51,18 @@
   }
 
   @Test
-  void twoIdsOfOnePoolAtOneAddressAreOneSharer() {
+  void twoIdsOfOnePoolAtOneAddressCountAsOneSharer() {
     shared.update("a", "h:1", line(1, State.READY, 0));
     shared.update("a", "h:1", line(2, State.READY, 0));
     assertEquals(1, seen("a", "h:1", 1).sharers());
   }
 
   @Test
-  void movedGoneAndRetiredLeaveNothingBehind() {
+  void movedDepartedAndRemovedEntriesLeaveNoState() {
     shared.update("a", "h:1", line(1, State.READY, 0));
     shared.update("b", "h:1", line(1, State.READY, 0));
     assertEquals(
-        Set.of("b"), shared.update("a", "h:2", line(1, State.READY, 0)), "a's one has moved");
+        Set.of("b"), shared.update("a", "h:2", line(1, State.READY, 0)), "a's upstream has moved");
     assertEquals(1, seen("b", "h:1", 1).sharers());
     shared.update("a", "h:2", line(1, State.GONE, 0));
     assertEquals(1, shared.size());
--- a/src/test/java/pumicekeel/quota/QuotaExchangeTest.java
+++ b/src/test/java/pumicekeel/quota/QuotaExchangeTest.java
@@ -41,7 +41,7 @@
     return m.rate("t", now);
   }
 
-  /** Work comes to the first at 150 a second until it asks; what it asks. */
+  /** Offers 150 requests per second to the busy member until it requests a loan; returns that message. */
   private byte[] ask() {
     for (int i = 0; i < 100; i++) {
       now += 50 * MS;
@@ -51,7 +51,7 @@
         return out.get(0).bytes();
       }
     }
-    throw new AssertionError("it did not ask");
+    throw new AssertionError("no loan was requested");
   }
 
   private byte[] lent(byte[] ask) {
@@ -73,14 +73,14 @@
     now += 500 * MS;
     busy.receive(1, lent(ask), now);
     now = askedAt + 3 * SECOND;
-    assertEquals(100, rate(busy), GRAIN, "three seconds from its asking");
+    assertEquals(100, rate(busy), GRAIN, "three seconds from its request");
     assertTrue(rate(idle) < 100);
     now += 600 * MS;
     assertEquals(100, rate(idle), GRAIN);
   }
 
   @Test
-  void answerThatComesAfterItsTimeOrTwiceOrToAnEarlierLifeIsNone() {
+  void lateRepeatedOrPreviousEpochReplyIsDiscarded() {
     byte[] late = lent(ask());
     QuotaExchange nextLife = member(0, 2, now);
     nextLife.receive(1, late, now);
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void askThatIsReplayedLendsNothing() {
+  void replayedRequestLendsNothing() {
     byte[] ask = ask();
     lent(ask);
     now += 4 * SECOND;
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void newLifeKeepsBackWhatItsEarlierOneMayHaveLent() {
+  void restartedMemberReservesWhatItMayHaveLentBefore() {
     busy.receive(1, lent(ask()), now);
     idle = member(1, 2, now);
     assertEquals(10, rate(idle), GRAIN);
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void whatIsReturnedCountsForItsLenderAtOnceAndAnOvertakenAskDoesNotLendItAgain() {
+  void returnedLoanIsUsableByItsLenderAtOnceAndAReorderedRequestDoesNotLendItAgain() {
     busy.receive(1, lent(ask()), now);
     byte[] overtaken = null;
     byte[] returned = null;
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void memberThatHasALittleGetsMoreOfTheSameLender() {
+  void borrowerGetsMoreFromTheSameLender() {
     for (int i = 0; i < 100; i++) {
       now += 50 * MS;
       busy.recordRequests("t", 4 + 0.1 * i, now);
@@ -154,7 +154,7 @@
   void smallerRenewalLeavesTheLargerLoanUntilItsEnd() {
     busy.receive(1, lent(ask()), now);
     double before = rate(busy);
-    // The lender is asked itself now: it lends less from the next time on.
+    // The lender now has demand of its own and lends less from the next request on.
     byte[] less = null;
     for (int i = 0; i < 40 && less == null; i++) {
       now += 50 * MS;
@@ -165,12 +165,12 @@
     }
     assertNotNull(less);
     busy.receive(1, less, now);
-    assertEquals(before, rate(busy), GRAIN, "it was lent for three seconds");
+    assertEquals(before, rate(busy), GRAIN, "the lease is three seconds long");
     assertTrue(rate(busy) + rate(idle) <= 200 + GRAIN);
   }
 
   @Test
-  void membersWithAnotherFigureDoNotLend() {
+  void membersWithAnotherQuotaDoNotLend() {
     byte[] ask = ask();
     idle.setQuotas(Map.of("t", 300.0), now);
     assertEquals(List.of(), idle.receive(0, ask, now));
@@ -178,7 +178,7 @@
   }
 
   @Test
-  void whatIsNoMessageIsNone() {
+  void malformedMessageIsRejected() {
     byte[] good = ask();
     assertNotNull(QuotaMessage.of(good));
     assertNull(QuotaMessage.of(java.util.Arrays.copyOf(good, 41)));
@@ -188,7 +188,7 @@
       java.nio.ByteBuffer.wrap(bad).putDouble(34, rate);
       assertNull(QuotaMessage.of(bad));
     }
-    assertEquals(List.of(), idle.receive(1, good, now), "its own name");
+    assertEquals(List.of(), idle.receive(1, good, now), "its own number as sender");
     assertEquals(1, idle.discarded());
   }
 }
--- a/src/test/java/pumicekeel/subset/SubsetsTest.java
+++ b/src/test/java/pumicekeel/subset/SubsetsTest.java
@@ -61,28 +61,30 @@
     assertEquals(0, f.movedByBalancer());
   }
 
-  /** What reaches the module is a subset, kept up as upstreams come and go; who leaves it is drained first. */
+  /** The module receives a subset that follows list changes; an upstream that leaves it is drained first. */
   @Test
-  void aModuleIsToldOfItsSubsetAlone() {
-    List<ListUpdate> heard = new ArrayList<>();
-    Balancer module = (now, event, out) -> heard.add((ListUpdate) event);
+  void moduleReceivesOnlyItsSubset() {
+    List<ListUpdate> received = new ArrayList<>();
+    Balancer module = (now, event, out) -> received.add((ListUpdate) event);
     Balancer own = new SubsetBalancer(settings(), Subsets.RENDEZVOUS, 5, 50, s -> module);
     List<Listed> lines =
         IDS.subList(0, 50).stream().map(id -> line(id, State.READY)).toList();
     own.handle(0, new ListUpdate(ListKind.FULL, lines), a -> {});
-    assertEquals(5, heard.get(0).entries().size());
-    Listed mine = heard.get(0).entries().get(0);
+    assertEquals(5, received.get(0).entries().size());
+    Listed mine = received.get(0).entries().get(0);
     own.handle(
         1, new ListUpdate(ListKind.DELTA, List.of(line(mine.upstream(), State.DRAINING))), a -> {});
-    List<Listed> then = heard.get(1).entries();
+    List<Listed> then = received.get(1).entries();
     assertEquals(2, then.size(), "the one that drains, and another in its place: " + then);
     own.handle(
         2, new ListUpdate(ListKind.DELTA, List.of(line(mine.upstream(), State.READY))), a -> {});
-    assertTrue(heard.get(2).entries().stream()
+    assertTrue(received.get(2).entries().stream()
         .anyMatch(l -> l.upstream() == mine.upstream() && l.state() == State.READY));
     assertEquals(
         1,
-        heard.get(2).entries().stream().filter(l -> l.state() == State.DRAINING).count());
+        received.get(2).entries().stream()
+            .filter(l -> l.state() == State.DRAINING)
+            .count());
   }
 
   private static Listed line(long id, State state) {
