--- a/src/main/java/pumicekeel/cli/JournalCommand.java
+++ b/src/main/java/pumicekeel/cli/JournalCommand.java
@@ -112,8 +112,8 @@
     History filtered() throws IOException {
       long first = millis("--from", from, Long.MIN_VALUE);
       long last = millis("--to", to, Long.MAX_VALUE);
-      return read(e -> (id == null || History.same(id, e.id()))
-          && (key == null || History.same(key, e.key()))
+      return read(e -> (id == null || History.matchesRecorded(id, e.id()))
+          && (key == null || History.matchesRecorded(key, e.key()))
           && (upstream == null || upstream.equals(e.upstream()))
           && (tenant == null || tenant.equals(e.tenant()))
           && e.wallMillis() >= first
@@ -226,14 +226,14 @@
     public Integer call() throws IOException {
       History history = filtered();
       for (Story story : history.stories()) {
-        String gap = history.gapOf(story);
+        String gap = history.gapFor(story);
         out().println(json ? json(story, gap) : line(story, gap));
       }
       if (history.tooMany()) {
         err().println("more requests than are kept: ask for less, by --from and --to");
       }
       if (history.stories().isEmpty() && !json) {
-        String gap = history.gapAtAll();
+        String gap = history.anyGap();
         out()
             .println("nothing on record from " + time(history.firstMillis()) + " to "
                 + time(history.lastMillis()) + ": "
@@ -261,14 +261,14 @@
               .println(h.file()
                   + (h.length() > 0 ? " at " + h.offset() + ", " + h.length() + " bytes" : "")
                   + ": " + h.why()));
-      history.refused().forEach(r -> out().println(r.file() + ": " + r.why()));
-      boolean good = history.holes().isEmpty() && history.refused().isEmpty();
+      history.unreadableFiles().forEach(r -> out().println(r.file() + ": " + r.why()));
+      boolean good = history.holes().isEmpty() && history.unreadableFiles().isEmpty();
       out()
           .println(history.segments().size() + " segments, "
               + (good
                   ? "all whole"
-                  : history.holes().size() + " holes, " + history.refused().size()
-                      + " unreadable"));
+                  : history.holes().size() + " holes, "
+                      + history.unreadableFiles().size() + " unreadable"));
       return good ? 0 : 1;
     }
   }
@@ -369,7 +369,7 @@
     public Integer call() throws IOException {
       History history = filtered();
       for (Story story : history.stories()) {
-        out().println(json(story, history.gapOf(story)));
+        out().println(json(story, history.gapFor(story)));
       }
       return 0;
     }
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcFront.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcFront.java
@@ -262,7 +262,9 @@
   @Override
   public void stopListening() {
     accepting = false;
-    reactor.sockets().drainBacklogAndClose(listener, Math.max(0, accepts.limit() - connections.size()));
+    reactor
+        .sockets()
+        .drainBacklogAndClose(listener, Math.max(0, accepts.limit() - connections.size()));
   }
 
   @Override
--- a/src/main/java/pumicekeel/journal/History.java
+++ b/src/main/java/pumicekeel/journal/History.java
@@ -24,7 +24,7 @@
       String file, long offset, long length, long fromMillis, long toMillis, String why) {}
 
   /** A file that can't be read. */
-  public record Refused(String file, String why) {}
+  public record UnreadableFile(String file, String why) {}
 
   /** One segment, for the statistics. */
   public record Segment(String file, long bytes, long records, String instance, long epoch) {}
@@ -32,7 +32,7 @@
   private final Predicate<Entry.Intent> asked;
   private final Map<String, Story> stories = new LinkedHashMap<>();
   private final List<Hole> holes = new ArrayList<>();
-  private final List<Refused> refused = new ArrayList<>();
+  private final List<UnreadableFile> refused = new ArrayList<>();
   private final List<Segment> segments = new ArrayList<>();
   private final Map<String, Long> kinds = new HashMap<>();
   private long firstMillis = Long.MAX_VALUE;
@@ -64,7 +64,7 @@
       } catch (NoSuchFileException e) {
         // Its time was up meanwhile, as that of all before it.
       } catch (SegmentReader.Unreadable e) {
-        refused.add(new Refused(from.resolve(file.name()).toString(), e.getMessage()));
+        refused.add(new UnreadableFile(from.resolve(file.name()).toString(), e.getMessage()));
       }
     }
     endOfEpoch();
@@ -144,12 +144,12 @@
       seen(e.wallMillis());
     } else if (entry instanceof Entry.Intent e) {
       seen(e.wallMillis());
-      Story story = stories.get(nameOf(e.id()));
+      Story story = stories.get(entryName(e.id()));
       if (story == null && asked.test(e)) {
         tooMany |= stories.size() >= MOST_STORIES;
         story = tooMany
             ? null
-            : stories.computeIfAbsent(nameOf(e.id()), k -> new Story(instance, epoch));
+            : stories.computeIfAbsent(entryName(e.id()), k -> new Story(instance, epoch));
       }
       if (story != null) {
         story.intent(e);
@@ -184,19 +184,19 @@
   }
 
   private void with(String id, java.util.function.Consumer<Story> change) {
-    Story story = stories.get(nameOf(id));
+    Story story = stories.get(entryName(id));
     if (story != null) {
       change.accept(story);
     }
   }
 
   /** Another epoch's request of the same id is another request. */
-  private String nameOf(String id) {
+  private String entryName(String id) {
     return folder + '|' + epoch + '|' + id;
   }
 
   /** Whether a text is the one on record, where very long ones are cut. */
-  public static boolean same(String asked, String recorded) {
+  public static boolean matchesRecorded(String asked, String recorded) {
     return Codec.cut(asked).equals(recorded);
   }
 
@@ -208,7 +208,7 @@
     return List.copyOf(holes);
   }
 
-  public List<Refused> refused() {
+  public List<UnreadableFile> unreadableFiles() {
     return List.copyOf(refused);
   }
 
@@ -235,7 +235,7 @@
   }
 
   /** The hole that may hold more of a story; null where none can. */
-  public String gapOf(Story story) {
+  public String gapFor(Story story) {
     long from = story.first().wallMillis();
     return holes.stream()
         .filter(h -> h.toMillis() == 0 || h.toMillis() >= from)
@@ -248,7 +248,7 @@
   }
 
   /** Why a request of which nothing is on record may have left all the same; null where it can't have. */
-  public String gapAtAll() {
+  public String anyGap() {
     return !holes.isEmpty()
         ? holes.get(0).why()
         : refused.isEmpty()
--- a/src/main/java/pumicekeel/journal/Journal.java
+++ b/src/main/java/pumicekeel/journal/Journal.java
@@ -98,7 +98,7 @@
       }
       read.add(0, s);
     }
-    Recovery recovery = new Recovery(KeyMemory.MOST);
+    Recovery recovery = new Recovery(KeyMemory.MAX_ENTRIES);
     for (Disk.Stored s : read) {
       try {
         SegmentReader.read(folder.resolve(s.name()), new SegmentReader.Sink() {
--- a/src/main/java/pumicekeel/journal/JournalCost.java
+++ b/src/main/java/pumicekeel/journal/JournalCost.java
@@ -32,7 +32,7 @@
         room.acquire();
         while (!journal
             .writer()
-            .intent(
+            .appendIntent(
                 new Entry.Intent(
                     id,
                     "key-" + id,
@@ -52,7 +52,7 @@
                 good -> room.release())) {
           Thread.onSpinWait();
         }
-        journal.writer().note(new Entry.Ended(id, 0, Status.SERVED, System.currentTimeMillis()));
+        journal.writer().append(new Entry.Ended(id, 0, Status.SERVED, System.currentTimeMillis()));
         records += 2;
       }
     }
--- a/src/main/java/pumicekeel/journal/JournalWriter.java
+++ b/src/main/java/pumicekeel/journal/JournalWriter.java
@@ -125,7 +125,7 @@
   // The loop's side
 
   /** Lines an intent up; {@code told} is called on the loop: true once it counts as written. False: no room now. */
-  public boolean intent(Entry.Intent entry, Consumer<Boolean> told) {
+  public boolean appendIntent(Entry.Intent entry, Consumer<Boolean> told) {
     if (waiting.get() >= MOST_WAITING / 2) {
       turnedAway.incrementAndGet();
       return false;
@@ -139,7 +139,7 @@
   }
 
   /** Lines up what belongs to a send that was made; where there is no room it is lost, and the gap is told. */
-  public void note(Entry entry) {
+  public void append(Entry entry) {
     if (waiting.get() >= MOST_WAITING) {
       turnedAway.incrementAndGet();
       return;
@@ -151,13 +151,13 @@
   }
 
   /** How long until another try, in nanoseconds, while the disk fails; 0 while it does not. */
-  public long troubleFor() {
+  public long retryDelayNanos() {
     long until = troubleUntil;
     return until == 0 ? 0 : Math.max(1, until - System.nanoTime());
   }
 
   /** What the trouble is; null while there is none. */
-  public String trouble() {
+  public String failureReason() {
     return trouble;
   }
 
--- a/src/main/java/pumicekeel/journal/KeyMemory.java
+++ b/src/main/java/pumicekeel/journal/KeyMemory.java
@@ -15,9 +15,9 @@
 public final class KeyMemory {
 
   /** Beyond the class's window: a repeat that comes then must not run at all, since nobody drops it any more. */
-  public static final long BEYOND_NANOS = 60_000_000_000L;
+  public static final long RETENTION_MARGIN_NANOS = 60_000_000_000L;
   /** Some 600 bytes each. */
-  public static final int MOST = 20_000;
+  public static final int MAX_ENTRIES = 20_000;
 
   /** What is remembered under a key, or under the id of an unsafe request. */
   private static final class Known {
@@ -39,7 +39,7 @@
   }
 
   /** The name under which a request is remembered: its key, or its id where it may not run again at all. */
-  public static String nameOf(Effect effect, String id, String key) {
+  public static String entryName(Effect effect, String id, String key) {
     // As the journal has it, or a long key would not be known again after a restart.
     return recorded(effect, Codec.cut(id), Codec.cut(key));
   }
@@ -50,7 +50,7 @@
   }
 
   /** An attempt was made, or may have been: from now on it may run. */
-  public void mayRun(
+  public void recordAttempt(
       String name,
       String home,
       String id,
@@ -65,11 +65,11 @@
       byName.put(name, known);
     }
     known.attempts.put(id + "#" + attempt, fact);
-    known.until = Math.max(known.until, fact.sentAtNanos() + windowNanos + BEYOND_NANOS);
+    known.until = Math.max(known.until, fact.sentAtNanos() + windowNanos + RETENTION_MARGIN_NANOS);
   }
 
   /** An attempt's outcome proves that it did not run. */
-  public void neverRan(String name, String id, int attempt) {
+  public void removeAttempt(String name, String id, int attempt) {
     Known known = byName.get(name);
     if (known != null) {
       known.attempts.remove(id + "#" + attempt);
@@ -80,7 +80,7 @@
   }
 
   /** The attempts of other requests of this name that may have run. */
-  public List<PriorAttempt> earlier(String name, String id, long now) {
+  public List<PriorAttempt> earlierAttempts(String name, String id, long now) {
     Known known = byName.get(name);
     if (known == null || known.until <= now) {
       return List.of();
@@ -95,7 +95,7 @@
   }
 
   /** The pool in which a request of this name may have run, or null. */
-  public String homeOf(String name, long now) {
+  public String poolOf(String name, long now) {
     Known known = byName.get(name);
     return known == null || known.until <= now ? null : known.home;
   }
--- a/src/main/java/pumicekeel/journal/Recovery.java
+++ b/src/main/java/pumicekeel/journal/Recovery.java
@@ -54,11 +54,11 @@
       boolean sameBoot = !sent.hostBoot().isEmpty() && sent.hostBoot().equals(thisHostBoot);
       long past = sameBoot ? monoNanos - e.monoNanos() : (wallMillis - e.wallMillis()) * 1_000_000L;
       past = past < 0 ? e.windowNanos() : past;
-      if (past > e.windowNanos() + KeyMemory.BEYOND_NANOS) {
+      if (past > e.windowNanos() + KeyMemory.RETENTION_MARGIN_NANOS) {
         continue;
       }
       String name = KeyMemory.recorded(e.effect(), e.id(), e.key());
-      memory.mayRun(
+      memory.recordAttempt(
           name,
           e.pool(),
           e.id(),
--- a/src/main/java/pumicekeel/measure/Torture.java
+++ b/src/main/java/pumicekeel/measure/Torture.java
@@ -217,7 +217,7 @@
       }
     });
     stories.forEach((id, story) -> {
-      Story.Verdict verdict = story.verdict(history.gapOf(story));
+      Story.Verdict verdict = story.verdict(history.gapFor(story));
       verdicts.merge(verdict, 1L, Long::sum);
       boolean really = seen.containsKey(id);
       boolean claimsRun = verdict == Story.Verdict.ANSWERED || verdict == Story.Verdict.NOT_TOLD;
--- a/src/main/java/pumicekeel/node/AttemptJournal.java
+++ b/src/main/java/pumicekeel/node/AttemptJournal.java
@@ -44,16 +44,16 @@
 
   /** Returns the retry-after advice while the disk fails; 0 if requests may be admitted. */
   long retryAfterNanos() {
-    long trouble = writer.refusesInTrouble() ? writer.troubleFor() : 0;
+    long trouble = writer.refusesInTrouble() ? writer.retryDelayNanos() : 0;
     return trouble == 0 ? 0 : Math.max(MIN_RETRY_NANOS, trouble);
   }
 
   private static String nameOf(ClientRequest request) {
-    return KeyMemory.nameOf(request.type().effect(), request.id(), request.idempotencyKey());
+    return KeyMemory.entryName(request.type().effect(), request.id(), request.idempotencyKey());
   }
 
   List<PriorAttempt> earlier(ClientRequest request) {
-    return memory.earlier(nameOf(request), request.id(), clock.now());
+    return memory.earlierAttempts(nameOf(request), request.id(), clock.now());
   }
 
   /** Runs {@code proceed} once the intent is on disk, or {@code cancel} if that takes longer than the maximum wait. */
@@ -84,7 +84,7 @@
     PendingIntent pending = new PendingIntent(
         () -> {
           long now = clock.now();
-          memory.mayRun(
+          memory.recordAttempt(
               nameOf(request),
               home,
               request.id(),
@@ -95,7 +95,7 @@
           proceed.run();
         },
         cancel);
-    if (!writer.intent(intent, pending::complete)) {
+    if (!writer.appendIntent(intent, pending::complete)) {
       pending.complete(false);
       return;
     }
@@ -143,24 +143,24 @@
 
     private void expire() {
       if (!done) {
-        Log.caused("journal: the disk did not confirm a write in time: " + writer.trouble());
+        Log.caused("journal: the disk did not confirm a write in time: " + writer.failureReason());
         complete(false);
       }
     }
   }
 
   void written(ClientRequest request, int attempt) {
-    writer.note(new Entry.Written(request.id(), attempt, System.nanoTime()));
+    writer.append(new Entry.Written(request.id(), attempt, System.nanoTime()));
   }
 
   void ended(ClientRequest request, int attempt, Status status) {
     if (status.provesNotRun()) {
-      memory.neverRan(nameOf(request), request.id(), attempt);
+      memory.removeAttempt(nameOf(request), request.id(), attempt);
     }
-    writer.note(new Entry.Ended(request.id(), attempt, status, System.currentTimeMillis()));
+    writer.append(new Entry.Ended(request.id(), attempt, status, System.currentTimeMillis()));
   }
 
   void answered(ClientRequest request, Entry.Told outcome) {
-    writer.note(new Entry.Answered(request.id(), outcome, System.currentTimeMillis()));
+    writer.append(new Entry.Answered(request.id(), outcome, System.currentTimeMillis()));
   }
 }
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -291,7 +291,7 @@
         loop,
         Log::line);
     Clock clock = services.clock();
-    KeyMemory memory = new KeyMemory(KeyMemory.MOST);
+    KeyMemory memory = new KeyMemory(KeyMemory.MAX_ENTRIES);
     int keys = journal.recover(memory, clock.now());
     Log.line(
         "journal in " + spec.directory() + ": " + keys + " keys may have run before this start");
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -500,7 +500,7 @@
     String key = noKeys ? null : head.header(ClientRequest.IDEMPOTENCY_KEY);
     String home = key == null ? null : keyAffinity.poolOf(key, clock.now());
     if (home == null && key != null && journal != null) {
-      home = journal.memory().homeOf(KeyMemory.nameOf(Effect.KEYED, "", key), clock.now());
+      home = journal.memory().poolOf(KeyMemory.entryName(Effect.KEYED, "", key), clock.now());
     }
     if (home == null) {
       return null;
--- a/src/test/java/pumicekeel/journal/HistoryTest.java
+++ b/src/test/java/pumicekeel/journal/HistoryTest.java
@@ -74,7 +74,7 @@
         .filter(s -> s.first().id().equals(id))
         .findFirst()
         .orElseThrow();
-    return story.verdict(history.gapOf(story));
+    return story.verdict(history.gapFor(story));
   }
 
   @BeforeEach
@@ -89,7 +89,7 @@
     History history = read();
     assertEquals(3, history.stories().size());
     assertTrue(history.holes().isEmpty(), history.holes().toString());
-    assertNull(history.gapAtAll());
+    assertNull(history.anyGap());
     assertEquals(3L, history.kinds().get("Intent"));
   }
 
@@ -101,7 +101,7 @@
         history.holes().get(0).why().contains("segments 1 to 1 of epoch 64 are missing"),
         "" + history.holes());
     assertEquals(Story.Verdict.ANSWERED, verdict(history, "r0"));
-    assertNotNull(history.gapAtAll());
+    assertNotNull(history.anyGap());
   }
 
   @Test
@@ -139,10 +139,11 @@
     bytes[9] = 9;
     Files.write(folder.resolve(name(100, 2)), bytes);
     History history = read();
-    assertEquals(1, history.refused().size());
+    assertEquals(1, history.unreadableFiles().size());
     assertTrue(
-        history.refused().get(0).why().contains("version 9"), history.refused().toString());
-    assertTrue(history.gapAtAll().contains("could not be read"));
+        history.unreadableFiles().get(0).why().contains("version 9"),
+        history.unreadableFiles().toString());
+    assertTrue(history.anyGap().contains("could not be read"));
   }
 
   @Test
@@ -155,7 +156,7 @@
         List.of(Story.Verdict.ANSWERED, Story.Verdict.MAY_HAVE_RUN),
         history.stories().stream()
             .filter(s -> s.first().id().equals("r0"))
-            .map(s -> s.verdict(history.gapOf(s)))
+            .map(s -> s.verdict(history.gapFor(s)))
             .toList());
   }
 
@@ -163,13 +164,13 @@
   @Test
   void deathOfAProcessThatSendsInTroubleIsAHoleAndItsOrderlyEndIsNone() throws Exception {
     write(200, 0, false, SegmentTest.intent("x", "k", 0));
-    assertTrue(read().gapAtAll().contains("did not end in order"), "" + read().gapAtAll());
+    assertTrue(read().anyGap().contains("did not end in order"), "" + read().anyGap());
     write(200, 0, false, SegmentTest.intent("x", "k", 0), new Entry.Closed(300));
-    assertNull(read().gapAtAll());
+    assertNull(read().anyGap());
     write(200, 0, false, new Entry.Gap(210, 220, 5), new Entry.Closed(300));
     assertTrue(
-        read().gapAtAll().contains("5 records were lost, sends may have been made"),
-        "" + read().gapAtAll());
+        read().anyGap().contains("5 records were lost, sends may have been made"),
+        "" + read().anyGap());
   }
 
   @Test
@@ -181,7 +182,7 @@
       History history = read();
       assertTrue(history.stories().size() >= 2);
       for (Story story : history.stories()) {
-        Story.Verdict verdict = story.verdict(history.gapOf(story));
+        Story.Verdict verdict = story.verdict(history.gapFor(story));
         assertTrue(
             verdict != Story.Verdict.NEVER_LEFT && verdict != Story.Verdict.NOT_TOLD,
             cut + " " + verdict);
--- a/src/test/java/pumicekeel/journal/JournalWriterTest.java
+++ b/src/test/java/pumicekeel/journal/JournalWriterTest.java
@@ -143,7 +143,7 @@
   }
 
   private Boolean ask(String id) throws InterruptedException {
-    assertTrue(writer.intent(SegmentTest.intent(id, "k" + id, 0), told::add));
+    assertTrue(writer.appendIntent(SegmentTest.intent(id, "k" + id, 0), told::add));
     return told.poll(30, TimeUnit.SECONDS);
   }
 
@@ -167,9 +167,9 @@
     start(Durability.PROCESS, true, 1 << 20, 1 << 30);
     int before = disk.writes;
     disk.mayWrite.drainPermits();
-    assertTrue(writer.intent(SegmentTest.intent("first", "k", 0), told::add));
+    assertTrue(writer.appendIntent(SegmentTest.intent("first", "k", 0), told::add));
     for (int i = 0; i < 200; i++) {
-      assertTrue(writer.intent(SegmentTest.intent("r" + i, "k", 0), told::add));
+      assertTrue(writer.appendIntent(SegmentTest.intent("r" + i, "k", 0), told::add));
     }
     disk.mayWrite.release(1 << 29);
     for (int i = 0; i <= 200; i++) {
@@ -186,12 +186,13 @@
     assertEquals(true, ask("good"));
     disk.syncFails = true;
     assertEquals(false, ask("bad"));
-    assertTrue(writer.troubleFor() > 0 && writer.trouble().contains("Input/output error"));
+    assertTrue(
+        writer.retryDelayNanos() > 0 && writer.failureReason().contains("Input/output error"));
     disk.syncFails = false;
     while (!ask("again")) {
       // Until the time for another try has come.
     }
-    assertEquals(0, writer.troubleFor());
+    assertEquals(0, writer.retryDelayNanos());
     assertEquals(1, intents(true, "good"));
     assertEquals(0, intents(true, "bad"));
     // Each of the three tries of the group gave its segment up; the fourth segment works.
@@ -207,7 +208,7 @@
     start(Durability.HOST, true, 1 << 20, 1 << 30);
     disk.syncsThatFail = 1;
     assertEquals(true, ask("kept"));
-    assertEquals(0, writer.troubleFor());
+    assertEquals(0, writer.retryDelayNanos());
     assertEquals(1, intents(true, "kept"));
     assertEquals(2, disk.files.size());
     assertTrue(disk.surviving(true).stream().noneMatch(e -> e instanceof Entry.Gap));
@@ -233,12 +234,12 @@
     start(Durability.HOST, true, 1 << 24, 1 << 30);
     disk.mayWrite.drainPermits();
     int taken = 0;
-    while (writer.intent(SegmentTest.intent("r" + taken, "k", 0), told::add)) {
+    while (writer.appendIntent(SegmentTest.intent("r" + taken, "k", 0), told::add)) {
       taken++;
       assertTrue(taken <= JournalWriter.MOST_WAITING, "bounded");
     }
     for (int i = 0; i < 2 * JournalWriter.MOST_WAITING; i++) {
-      writer.note(new Entry.Written("r" + i, 0, 1));
+      writer.append(new Entry.Written("r" + i, 0, 1));
     }
     assertTrue(told.isEmpty());
     disk.mayWrite.release(1 << 29);
@@ -256,7 +257,7 @@
     start(Durability.PROCESS, true, 2_000, 12_000);
     for (int i = 0; i < 200; i++) {
       assertEquals(true, ask("r" + i));
-      writer.note(new Entry.Ended("r" + i, 0, pumicekeel.Balancer.Status.SERVED, 1));
+      writer.append(new Entry.Ended("r" + i, 0, pumicekeel.Balancer.Status.SERVED, 1));
     }
     long bytes = disk.list().stream().mapToLong(Disk.Stored::bytes).sum();
     assertTrue(
@@ -293,13 +294,13 @@
     assertEquals(true, ask("out"));
     for (int i = 0; i < 100; i++) {
       assertEquals(true, ask("r" + i));
-      writer.note(new Entry.Ended("r" + i, 0, pumicekeel.Balancer.Status.SERVED, 1));
+      writer.append(new Entry.Ended("r" + i, 0, pumicekeel.Balancer.Status.SERVED, 1));
     }
     assertEquals(1, intents(false, "out"));
-    writer.note(new Entry.Ended("out", 0, pumicekeel.Balancer.Status.SERVED, 1));
+    writer.append(new Entry.Ended("out", 0, pumicekeel.Balancer.Status.SERVED, 1));
     for (int i = 0; i < 100; i++) {
       assertEquals(true, ask("s" + i));
-      writer.note(new Entry.Ended("s" + i, 0, pumicekeel.Balancer.Status.SERVED, 1));
+      writer.append(new Entry.Ended("s" + i, 0, pumicekeel.Balancer.Status.SERVED, 1));
     }
     assertEquals(0, intents(false, "out"));
   }
@@ -330,7 +331,7 @@
       IOException e =
           assertThrows(IOException.class, () -> Journal.open(folder, "n1", settings, loop));
       assertTrue(e.getMessage().contains("another one writes"), e.getMessage());
-      assertFalse(journal.writer().trouble() != null);
+      assertFalse(journal.writer().failureReason() != null);
     }
     Path file = Files.writeString(folder.resolve("file"), "x");
     assertThrows(IOException.class, () -> Journal.open(file, "n0", settings, loop));
--- a/src/test/java/pumicekeel/journal/RecoveryTest.java
+++ b/src/test/java/pumicekeel/journal/RecoveryTest.java
@@ -47,9 +47,9 @@
     recovery.take(sent("r1", "k1", 50_000, 10 * SECOND));
     // The wall clock was set back by 40 s meanwhile.
     assertEquals(1, recovery.into(memory, "b1", 10_500, 11 * SECOND, NOW));
-    assertEquals(NOW - SECOND, memory.earlier("kk1", "r2", NOW).get(0).sentAtNanos());
-    assertEquals("quotes", memory.homeOf("kk1", NOW));
-    assertEquals(3, memory.earlier("kk1", "r2", NOW).get(0).cell());
+    assertEquals(NOW - SECOND, memory.earlierAttempts("kk1", "r2", NOW).get(0).sentAtNanos());
+    assertEquals("quotes", memory.poolOf("kk1", NOW));
+    assertEquals(3, memory.earlierAttempts("kk1", "r2", NOW).get(0).cell());
   }
 
   @Test
@@ -58,12 +58,13 @@
     recovery.take(sent("r1", "k1", 50_000, 10 * SECOND));
     recovery.take(sent("r2", "k2", 50_000, 10 * SECOND));
     recovery.into(memory, "b2", 50_500, SECOND, NOW);
-    assertEquals(NOW - SECOND / 2, memory.earlier("kk1", "x", NOW).get(0).sentAtNanos());
+    assertEquals(
+        NOW - SECOND / 2, memory.earlierAttempts("kk1", "x", NOW).get(0).sentAtNanos());
     KeyMemory other = new KeyMemory(10);
     recovery.into(other, "b2", 40_000, SECOND, NOW);
     assertEquals(
         NOW - 2 * SECOND,
-        other.earlier("kk2", "x", NOW).get(0).sentAtNanos(),
+        other.earlierAttempts("kk2", "x", NOW).get(0).sentAtNanos(),
         "nobody knows: it is over");
   }
 
@@ -77,10 +78,11 @@
     recovery.take(sent("old", "k3", 1_000, SECOND));
     recovery.take(sent("r4", null, 50_000, 10 * SECOND));
     assertEquals(2, recovery.into(memory, "b1", 100_000, 73 * SECOND - 2 * SECOND, NOW));
-    assertNull(memory.homeOf("kk1", NOW));
-    assertEquals("quotes", memory.homeOf("kk2", NOW));
-    assertNull(memory.homeOf("kk3", NOW), "a minute past its window");
-    assertEquals(1, memory.earlier("ir4", "another", NOW).size(), "an unsafe one by its id");
+    assertNull(memory.poolOf("kk1", NOW));
+    assertEquals("quotes", memory.poolOf("kk2", NOW));
+    assertNull(memory.poolOf("kk3", NOW), "a minute past its window");
+    assertEquals(
+        1, memory.earlierAttempts("ir4", "another", NOW).size(), "an unsafe one by its id");
   }
 
   /** A key of 4 KB with any characters is known again from the record, where it is cut; another like it is another. */
@@ -91,9 +93,13 @@
     recovery.take(sent("r1", Codec.cut(key), 50_000, 10 * SECOND));
     recovery.into(memory, "b1", 50_000, 10 * SECOND, NOW);
     assertEquals(
-        1, memory.earlier(KeyMemory.nameOf(Effect.KEYED, "x", key), "x", NOW).size());
-    assertTrue(
-        memory.earlier(KeyMemory.nameOf(Effect.KEYED, "x", key + "c"), "x", NOW).isEmpty());
+        1,
+        memory
+            .earlierAttempts(KeyMemory.entryName(Effect.KEYED, "x", key), "x", NOW)
+            .size());
+    assertTrue(memory
+        .earlierAttempts(KeyMemory.entryName(Effect.KEYED, "x", key + "c"), "x", NOW)
+        .isEmpty());
     // Two texts that String.hashCode takes for one.
     assertTrue(!Codec.cut("x".repeat(400) + "Aa").equals(Codec.cut("x".repeat(400) + "BB")));
   }
@@ -101,16 +107,16 @@
   @Test
   void memoryIsBoundedAndARequestsOwnAttemptsAreNotEarlierOnes() {
     for (int i = 0; i < 30; i++) {
-      memory.mayRun(
+      memory.recordAttempt(
           "k" + i, "p", "r" + i, 0, new pumicekeel.Balancer.PriorAttempt("a", 1, NOW), SECOND, NOW);
     }
     assertEquals(10, memory.size());
     assertEquals(20, memory.dropped());
-    assertTrue(memory.earlier("k29", "r29", NOW).isEmpty());
-    assertEquals(1, memory.earlier("k29", "r30", NOW).size());
-    memory.neverRan("k29", "r29", 0);
-    assertTrue(memory.earlier("k29", "r30", NOW).isEmpty());
-    assertTrue(memory.earlier("k28", "x", NOW + 62 * SECOND).isEmpty(), "over");
+    assertTrue(memory.earlierAttempts("k29", "r29", NOW).isEmpty());
+    assertEquals(1, memory.earlierAttempts("k29", "r30", NOW).size());
+    memory.removeAttempt("k29", "r29", 0);
+    assertTrue(memory.earlierAttempts("k29", "r30", NOW).isEmpty());
+    assertTrue(memory.earlierAttempts("k28", "x", NOW + 62 * SECOND).isEmpty(), "over");
   }
 
   // What is said
--- a/src/test/java/pumicekeel/node/CrashTest.java
+++ b/src/test/java/pumicekeel/node/CrashTest.java
@@ -154,7 +154,7 @@
         .filter(s -> s.first().id().equals("first"))
         .findFirst()
         .get();
-    assertEquals(Story.Verdict.MAY_HAVE_RUN, first.verdict(history().gapOf(first)));
+    assertEquals(Story.Verdict.MAY_HAVE_RUN, first.verdict(history().gapFor(first)));
     assertEquals(
         List.of(upstream),
         first.attempts().stream().map(a -> a.intent().upstream()).toList());
@@ -198,7 +198,7 @@
         kill();
       }
       Story story = history().stories().get(0);
-      assertEquals(Story.Verdict.MAY_HAVE_RUN, story.verdict(history().gapOf(story)));
+      assertEquals(Story.Verdict.MAY_HAVE_RUN, story.verdict(history().gapFor(story)));
       assertTrue(story.attempts().stream().noneMatch(Story.Attempt::written));
       for (java.net.Socket filler : fillers) {
         filler.close();
--- a/src/test/java/pumicekeel/node/JournalFailureTest.java
+++ b/src/test/java/pumicekeel/node/JournalFailureTest.java
@@ -27,7 +27,7 @@
         t.node.loop(),
         t.node.services().clock(),
         journal.writer,
-        new KeyMemory(KeyMemory.MOST),
+        new KeyMemory(KeyMemory.MAX_ENTRIES),
         TimeUnit.MILLISECONDS.toNanos(maxWaitMillis));
     t.onLoop(() -> {
       t.node.services().journal(log);
@@ -83,7 +83,7 @@
     start(true, 5_000);
     journal.fail(true);
     call(ServicesTest.issue("1", "k1", "h"));
-    TestNode.until(() -> journal.writer.troubleFor() > 0);
+    TestNode.until(() -> journal.writer.retryDelayNanos() > 0);
     TestClient.Reply reply = call(ServicesTest.issue("2", "k2", "h"));
     assertEquals(429, reply.status());
     assertTrue(reply.head().contains("retry-after: 0."), reply.head());
@@ -123,7 +123,7 @@
         t.node.loop(),
         t.node.services().clock(),
         journal.writer,
-        new KeyMemory(KeyMemory.MOST),
+        new KeyMemory(KeyMemory.MAX_ENTRIES),
         TimeUnit.SECONDS.toNanos(5));
     t.onLoop(() -> {
       t.node.services().journal(log);
