--- a/src/main/java/pumicekeel/journal/Codec.java
+++ b/src/main/java/pumicekeel/journal/Codec.java
@@ -12,28 +12,28 @@
 import pumicekeel.journal.Entry.Told;
 
 /**
- * Bytes of segments and records; docs/design/0002-journal.md has them one by one. All numbers are big-endian. A record's
- * checksum begins with the segment's salt, which no client knows: a text from a client that looks like a record is not
- * taken for one after a damaged stretch.
+ * Encodes and decodes segments and records; docs/design/0002-journal.md specifies the layout. All numbers are big-endian. A
+ * record's checksum is seeded with the segment's salt, which no client knows: a client's text that looks like a record is not
+ * read as one when the reader resynchronizes after a damaged region.
  */
 final class Codec {
 
-  /** "HVJRNL" and two bytes that no text has. */
+  /** "HVJRNL" and two bytes that do not occur in text. */
   static final long MAGIC = 0x4856_4a52_4e4c_01f7L;
 
   static final int VERSION = 1;
   static final int HEADER_BYTES = 40;
   static final int FRAME_MAGIC = 0xF7A5;
-  /** Frame magic, type, reserved, length. */
-  static final int FRAME_HEAD = 8;
+  /** Frame magic, record type, reserved byte, payload length. */
+  static final int FRAME_HEAD_BYTES = 8;
 
-  static final int FRAME_TAIL = 4;
-  /** Texts come from heads of at most 8 KiB; a longer one is cut, and told apart from others by its digest. */
-  static final int MOST_TEXT = 1_024;
-  /** Three bytes of UTF-8 a character, and the digest. */
-  private static final int MOST_CHARS = (MOST_TEXT - 65) / 3;
+  static final int FRAME_TAIL_BYTES = 4;
+  /** Texts come from request heads of at most 8 KiB. A longer one is truncated and its digest appended to keep it distinct. */
+  static final int MAX_TEXT_BYTES = 1_024;
+  /** A character takes up to three bytes in UTF-8; 65 bytes are for the digest and its separator. */
+  private static final int MAX_TEXT_CHARS = (MAX_TEXT_BYTES - 65) / 3;
 
-  static final int MOST_PAYLOAD = 16 << 10;
+  static final int MAX_PAYLOAD_BYTES = 16 << 10;
 
   private static final int BOOT = 1;
   private static final int INTENT = 2;
@@ -45,7 +45,7 @@
 
   private Codec() {}
 
-  /** The start of a segment. */
+  /** Header of a segment. */
   record Header(int version, long epoch, int number, long salt) {}
 
   static void header(ByteBuffer out, Header h) {
@@ -60,7 +60,7 @@
     out.putInt(crc(0, out, start, HEADER_BYTES - 4));
   }
 
-  /** Reads a header; null where it is damaged. One of a newer version is read as far as its version. */
+  /** Reads a header; null if it is damaged. Of a newer format version, only the version number is read. */
   static Header header(ByteBuffer in) {
     if (in.remaining() < HEADER_BYTES || in.getLong(in.position()) != MAGIC) {
       return null;
@@ -90,14 +90,14 @@
 
   // Records
 
-  /** Writes a record as a frame; the buffer has to have room for the longest. */
+  /** Writes a record as a frame. The buffer must have space for the longest record. */
   static void frame(ByteBuffer out, long salt, Entry entry) {
     int start = out.position();
     out.putShort((short) FRAME_MAGIC).put((byte) type(entry)).put((byte) 0).putInt(0);
     payload(out, entry);
-    int length = out.position() - start - FRAME_HEAD;
+    int length = out.position() - start - FRAME_HEAD_BYTES;
     out.putInt(start + 4, length);
-    out.putInt(crc(salt, out, start, FRAME_HEAD + length));
+    out.putInt(crc(salt, out, start, FRAME_HEAD_BYTES + length));
   }
 
   private static int type(Entry e) {
@@ -148,7 +148,7 @@
     }
   }
 
-  /** What a frame's payload says; null for a type or a value that this version does not know. Surplus is skipped. */
+  /** Decodes a payload; null for a record type unknown to this version. Surplus bytes are ignored. */
   static Entry entry(int type, ByteBuffer in) {
     return switch (type) {
       case BOOT ->
@@ -199,14 +199,14 @@
     out.putShort((short) bytes.length).put(bytes);
   }
 
-  /** Texts as the journal has them: a query for a longer one has to be cut the same way. */
+  /** Truncates a text as the journal stores it. A text to be looked up must be truncated in the same way. */
   static String cut(String text) {
-    return text == null || text.length() <= MOST_CHARS
+    return text == null || text.length() <= MAX_TEXT_CHARS
         ? text
-        : text.substring(0, MOST_CHARS) + "~" + digest(text);
+        : text.substring(0, MAX_TEXT_CHARS) + "~" + digest(text);
   }
 
-  /** Keys come from clients: with a weaker digest one could be made to pass for another. */
+  /** Keys come from clients: with a weaker digest, a client could construct a key that collides with another one. */
   private static String digest(String text) {
     try {
       return HexFormat.of()
--- a/src/main/java/pumicekeel/journal/Disk.java
+++ b/src/main/java/pumicekeel/journal/Disk.java
@@ -5,22 +5,22 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** What the writer asks of a file system; tests have one that is slow, full or failing. Blocks. */
+/** File system operations of the writer. Blocks. Tests use slow, full and failing implementations. */
 interface Disk {
 
-  /** One segment that is being written. */
+  /** A segment that is being written. */
   interface Segment extends Closeable {
-    /** Writes all of it, or fails with some part written. */
+    /** Writes all bytes; after a failure a part of them may have been written. */
     void write(ByteBuffer bytes) throws IOException;
 
-    /** Returns once what was written survives the host. */
+    /** Returns once all bytes written survive a crash of the host. */
     void sync() throws IOException;
 
     @Override
     void close() throws IOException;
   }
 
-  /** A segment on disk; bytes may grow while it is written. */
+  /** A segment on disk; its size may grow while it is written. */
   record Stored(String name, long bytes, long modifiedMillis) {}
 
   Segment create(String name) throws IOException;
--- a/src/main/java/pumicekeel/journal/Durability.java
+++ b/src/main/java/pumicekeel/journal/Durability.java
@@ -1,9 +1,9 @@
 package pumicekeel.journal;
 
-/** What a record that counts as written survives. */
+/** Which failures a written record survives. */
 public enum Durability {
-  /** The end of the process, by whatever signal: the bytes are with the operating system. */
+  /** The end of the process, by any signal: the bytes have been passed to the operating system. */
   PROCESS,
-  /** The end of the host: the bytes were synced before the send. */
+  /** A crash of the host: the bytes are synced before the request is sent. */
   HOST
 }
--- a/src/main/java/pumicekeel/journal/Entry.java
+++ b/src/main/java/pumicekeel/journal/Entry.java
@@ -5,8 +5,8 @@
 import pumicekeel.Balancer.Status;
 
 /**
- * One record of the journal. Wall times are Unix milliseconds, for people; monotonic times are nanoseconds of the host
- * since it booted, for durations: the wall clock may be set.
+ * A record of the journal. Wall times are Unix milliseconds, for display; monotonic times are nanoseconds since the host
+ * booted, for durations, since the wall clock may be set.
  */
 public sealed interface Entry
     permits Entry.Boot,
@@ -17,7 +17,7 @@
         Entry.Gap,
         Entry.Closed {
 
-  /** The client's view of a request's end. */
+  /** How a request ended for the client. */
   enum Told {
     SERVED,
     REFUSED,
@@ -25,7 +25,7 @@
     LEFT
   }
 
-  /** A process began to write. {@code hostBoot} tells whether two monotonic times may be compared. */
+  /** A process began to write. Monotonic times are comparable only between records with the same {@code hostBoot}. */
   record Boot(
       long wallMillis,
       long monoNanos,
@@ -35,7 +35,7 @@
       boolean refusesInTrouble)
       implements Entry {}
 
-  /** An attempt is about to be made: on record before its first byte leaves. */
+  /** An attempt is about to be made: written before its first byte is sent. */
   record Intent(
       String id,
       String key,
@@ -60,12 +60,12 @@
   /** The attempt ended. */
   record Ended(String id, int attempt, Status status, long wallMillis) implements Entry {}
 
-  /** The client was given its final answer, or had left. */
+  /** The client received its final answer, or had disconnected. */
   record Answered(String id, Told told, long wallMillis) implements Entry {}
 
-  /** Records were lost between these times, or sends were made without one. */
+  /** Records were lost between these times, or requests were sent without a record. */
   record Gap(long fromWallMillis, long toWallMillis, long lost) implements Entry {}
 
-  /** The process ended and has written all. */
+  /** The process ended in order; all records were written. */
   record Closed(long wallMillis) implements Entry {}
 }
--- a/src/main/java/pumicekeel/journal/FolderDisk.java
+++ b/src/main/java/pumicekeel/journal/FolderDisk.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of segments, held by one process at a time. */
+/** Stores segments in a folder, which is locked by one process at a time. */
 final class FolderDisk implements Disk, Closeable {
 
   static final String SUFFIX = ".hvj";
@@ -22,7 +22,7 @@
   private final Path folder;
   private final FileChannel lockFile;
 
-  /** Makes and locks the folder; an IOException says in words what is wrong with it. */
+  /** Creates and locks the folder; the message of an IOException tells why it cannot be used. */
   FolderDisk(Path folder) throws IOException {
     this.folder = folder;
     Files.createDirectories(folder);
@@ -32,12 +32,12 @@
     try {
       lock = lockFile.tryLock();
     } catch (OverlappingFileLockException e) {
-      // Another one of this process: said below.
+      // Locked by another instance in this process: reported below.
     }
     if (lock == null) {
       lockFile.close();
       throw new IOException(
-          "expected a folder of this process alone, another one writes to " + folder);
+          "expected a folder that no other process uses, another one writes to " + folder);
     }
   }
 
@@ -59,7 +59,7 @@
       public void sync() throws IOException {
         channel.force(false);
         if (!folderSynced) {
-          // The file's name has to survive as well.
+          // The directory entry has to be durable as well.
           try (FileChannel parent = FileChannel.open(folder, StandardOpenOption.READ)) {
             parent.force(true);
           }
@@ -79,7 +79,7 @@
     return list(folder);
   }
 
-  /** The segments of a folder in the order in which they were written; reads without the lock. */
+  /** Lists the segments of a folder in the order in which they were written. Needs no lock. */
   static List<Stored> list(Path folder) throws IOException {
     List<Stored> out = new ArrayList<>();
     try (Stream<Path> files = Files.list(folder)) {
@@ -93,7 +93,7 @@
               Files.size(file),
               Files.getLastModifiedTime(file).toMillis()));
         } catch (java.nio.file.NoSuchFileException e) {
-          // Its time was up between the listing and the look at it.
+          // Deleted by retention after the directory was listed.
         }
       }
     }
--- a/src/main/java/pumicekeel/journal/History.java
+++ b/src/main/java/pumicekeel/journal/History.java
@@ -11,49 +11,49 @@
 import java.util.function.Predicate;
 
 /**
- * What the journals of one or several instances say, of live and of dead ones. Reads segments in the order in which they
- * were written and keeps the stories that are asked for, with every hole in the record.
+ * The contents of the journals of one or several instances, running or not. Reads segments in the order in which they were
+ * written and keeps the stories of matching requests, together with every hole in the journals.
  */
 public final class History {
 
-  /** Stories kept: some 500 MB at most. More is a question that is too wide. */
-  static final int MOST_STORIES = 1_000_000;
+  /** Limit of the stories kept, some 500 MB; a query that matches more is too wide. */
+  static final int MAX_STORIES = 1_000_000;
 
-  /** A hole: where in which file, or between which times; and what it means. */
+  /** A part of a journal that is missing or damaged: its place in a file or its time range, and the reason. */
   public record Hole(
       String file, long offset, long length, long fromMillis, long toMillis, String why) {}
 
-  /** A file that can't be read. */
+  /** A file that cannot be read, with the reason. */
   public record UnreadableFile(String file, String why) {}
 
-  /** One segment, for the statistics. */
+  /** Statistics of one segment. */
   public record Segment(String file, long bytes, long records, String instance, long epoch) {}
 
-  private final Predicate<Entry.Intent> asked;
+  private final Predicate<Entry.Intent> filter;
   private final Map<String, Story> stories = new LinkedHashMap<>();
   private final List<Hole> holes = new ArrayList<>();
-  private final List<UnreadableFile> refused = new ArrayList<>();
+  private final List<UnreadableFile> unreadableFiles = new ArrayList<>();
   private final List<Segment> segments = new ArrayList<>();
   private final Map<String, Long> kinds = new HashMap<>();
   private long firstMillis = Long.MAX_VALUE;
   private long lastMillis;
   private boolean tooMany;
-  /** Of the epoch that is being read. */
+  /** Folder, and below the state, of the epoch that is being read. */
   private String folder;
 
   private long epoch = -1;
   private String instance = "?";
   private boolean closed = true;
-  private boolean refuses = true;
+  private boolean refusesInTrouble = true;
   private int nextNumber;
   private long epochLast;
 
-  /** Keeps the stories of requests one of whose intents is asked for. */
-  public History(Predicate<Entry.Intent> asked) {
-    this.asked = asked;
+  /** Creates a history that keeps the stories of requests with an intent that matches the filter. */
+  public History(Predicate<Entry.Intent> filter) {
+    this.filter = filter;
   }
 
-  /** Reads a folder; one that is being written is read as far as it is. */
+  /** Reads a folder; of one that is in use, the records written so far are read. */
   public void read(Path from) throws IOException {
     folder = from.toString();
     epoch = -1;
@@ -62,40 +62,41 @@
       try {
         readSegment(from.resolve(file.name()));
       } catch (NoSuchFileException e) {
-        // Its time was up meanwhile, as that of all before it.
+        // Deleted by retention meanwhile, like all segments before it.
       } catch (SegmentReader.Unreadable e) {
-        refused.add(new UnreadableFile(from.resolve(file.name()).toString(), e.getMessage()));
+        unreadableFiles.add(
+            new UnreadableFile(from.resolve(file.name()).toString(), e.getMessage()));
       }
     }
-    endOfEpoch();
+    endEpoch();
   }
 
   private void readSegment(Path file) throws IOException {
     String name = file.toString();
     long[] records = new long[1];
-    List<Hole> found = new ArrayList<>();
+    List<Hole> damaged = new ArrayList<>();
     String base = file.getFileName().toString();
     begin(base);
     Codec.Header header = SegmentReader.read(file, new SegmentReader.Sink() {
       @Override
       public void entry(long offset, Entry entry) {
         records[0]++;
-        take(entry);
+        add(entry);
       }
 
       @Override
       public void damage(long offset, long length, boolean atEnd) {
-        found.add(new Hole(
-            name, offset, length, 0, 0, atEnd ? "cut short: nothing whole follows" : "damaged"));
+        damaged.add(new Hole(
+            name, offset, length, 0, 0, atEnd ? "truncated: no intact record follows" : "damaged"));
       }
     });
     long now = lastMillis;
-    found.forEach(h -> holes.add(new Hole(h.file(), h.offset(), h.length(), 0, now, h.why())));
+    damaged.forEach(h -> holes.add(new Hole(h.file(), h.offset(), h.length(), 0, now, h.why())));
     segments.add(new Segment(
         name, java.nio.file.Files.size(file), records[0], header == null ? "?" : instance, epoch));
   }
 
-  /** A new epoch, or the next segment of the same: one that is missing between two is a hole. */
+  /** Begins a new epoch or the next segment of the current one; a segment missing in between is a hole. */
   private void begin(String base) {
     long named = -1;
     int number = 0;
@@ -104,7 +105,7 @@
       number = Integer.parseInt(base.substring(17, 25));
     }
     if (named != epoch) {
-      endOfEpoch();
+      endEpoch();
       epoch = named;
       closed = false;
     } else if (number != nextNumber) {
@@ -120,9 +121,9 @@
     nextNumber = number + 1;
   }
 
-  /** An epoch that never closed and did not refuse in trouble may have sent what is not on record. */
-  private void endOfEpoch() {
-    if (epoch != -1 && !closed && !refuses) {
+  /** Ends an epoch. One that did not close and was not set to refuse in trouble may have sent requests without a record. */
+  private void endEpoch() {
+    if (epoch != -1 && !closed && !refusesInTrouble) {
       holes.add(new Hole(
           folder,
           0,
@@ -130,38 +131,38 @@
           epochLast,
           0,
           "epoch " + Long.toHexString(epoch)
-              + " did not end in order and was set to send without a record in trouble"));
+              + " did not end in order and was set to send without a record while the disk fails"));
     }
     epoch = -1;
     closed = true;
   }
 
-  private void take(Entry entry) {
+  private void add(Entry entry) {
     kinds.merge(entry.getClass().getSimpleName(), 1L, Long::sum);
     if (entry instanceof Entry.Boot e) {
       instance = e.instance();
-      refuses = e.refusesInTrouble();
-      seen(e.wallMillis());
+      refusesInTrouble = e.refusesInTrouble();
+      trackTime(e.wallMillis());
     } else if (entry instanceof Entry.Intent e) {
-      seen(e.wallMillis());
-      Story story = stories.get(entryName(e.id()));
-      if (story == null && asked.test(e)) {
-        tooMany |= stories.size() >= MOST_STORIES;
+      trackTime(e.wallMillis());
+      Story story = stories.get(storyKey(e.id()));
+      if (story == null && filter.test(e)) {
+        tooMany |= stories.size() >= MAX_STORIES;
         story = tooMany
             ? null
-            : stories.computeIfAbsent(entryName(e.id()), k -> new Story(instance, epoch));
+            : stories.computeIfAbsent(storyKey(e.id()), k -> new Story(instance, epoch));
       }
       if (story != null) {
         story.intent(e);
       }
     } else if (entry instanceof Entry.Written e) {
-      with(e.id(), s -> s.written(e.attempt()));
+      update(e.id(), s -> s.written(e.attempt()));
     } else if (entry instanceof Entry.Ended e) {
-      seen(e.wallMillis());
-      with(e.id(), s -> s.ended(e.attempt(), e.status()));
+      trackTime(e.wallMillis());
+      update(e.id(), s -> s.ended(e.attempt(), e.status()));
     } else if (entry instanceof Entry.Answered e) {
-      seen(e.wallMillis());
-      with(e.id(), s -> s.answered(e.told(), e.wallMillis()));
+      trackTime(e.wallMillis());
+      update(e.id(), s -> s.answered(e.told(), e.wallMillis()));
     } else if (entry instanceof Entry.Gap e) {
       holes.add(new Hole(
           folder,
@@ -170,34 +171,36 @@
           e.fromWallMillis(),
           e.toWallMillis(),
           e.lost() + " records were lost, "
-              + (refuses ? "no send without one" : "sends may have been made without one")));
+              + (refusesInTrouble
+                  ? "no request was sent without one"
+                  : "requests may have been sent without one")));
     } else if (entry instanceof Entry.Closed e) {
       closed = true;
-      seen(e.wallMillis());
+      trackTime(e.wallMillis());
     }
   }
 
-  private void seen(long millis) {
+  private void trackTime(long millis) {
     firstMillis = Math.min(firstMillis, millis);
     lastMillis = Math.max(lastMillis, millis);
     epochLast = millis;
   }
 
-  private void with(String id, java.util.function.Consumer<Story> change) {
-    Story story = stories.get(entryName(id));
+  private void update(String id, java.util.function.Consumer<Story> change) {
+    Story story = stories.get(storyKey(id));
     if (story != null) {
       change.accept(story);
     }
   }
 
-  /** Another epoch's request of the same id is another request. */
-  private String entryName(String id) {
+  /** Returns the map key of a story: requests of different epochs are different even with the same id. */
+  private String storyKey(String id) {
     return folder + '|' + epoch + '|' + id;
   }
 
-  /** Whether a text is the one on record, where very long ones are cut. */
-  public static boolean matchesRecorded(String asked, String recorded) {
-    return Codec.cut(asked).equals(recorded);
+  /** Whether a recorded text, which may be truncated, is this one. */
+  public static boolean matchesRecorded(String text, String recorded) {
+    return Codec.cut(text).equals(recorded);
   }
 
   public List<Story> stories() {
@@ -209,14 +212,14 @@
   }
 
   public List<UnreadableFile> unreadableFiles() {
-    return List.copyOf(refused);
+    return List.copyOf(unreadableFiles);
   }
 
   public List<Segment> segments() {
     return List.copyOf(segments);
   }
 
-  /** How many records of each kind. */
+  /** Returns the number of records by type. */
   public Map<String, Long> kinds() {
     return Map.copyOf(kinds);
   }
@@ -229,12 +232,12 @@
     return lastMillis;
   }
 
-  /** Whether there were more stories than are kept. */
+  /** Whether there were more stories than the limit. */
   public boolean tooMany() {
     return tooMany;
   }
 
-  /** The hole that may hold more of a story; null where none can. */
+  /** Returns the reason of a hole that may contain more records of a story; null if there is none. */
   public String gapFor(Story story) {
     long from = story.first().wallMillis();
     return holes.stream()
@@ -242,17 +245,17 @@
         .map(Hole::why)
         .findFirst()
         .orElse(
-            refused.isEmpty()
+            unreadableFiles.isEmpty()
                 ? null
-                : "a segment could not be read: " + refused.get(0).file());
+                : "a segment could not be read: " + unreadableFiles.get(0).file());
   }
 
-  /** Why a request of which nothing is on record may have left all the same; null where it can't have. */
+  /** Returns why a request without any record may have been sent nevertheless; null if it cannot have been. */
   public String anyGap() {
     return !holes.isEmpty()
         ? holes.get(0).why()
-        : refused.isEmpty()
+        : unreadableFiles.isEmpty()
             ? null
-            : "a segment could not be read: " + refused.get(0).file();
+            : "a segment could not be read: " + unreadableFiles.get(0).file();
   }
 }
--- a/src/main/java/pumicekeel/journal/Journal.java
+++ b/src/main/java/pumicekeel/journal/Journal.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 
-/** The journal of a process: opened before it serves, with what the processes before it left. */
+/** The journal of a process: opened before it serves, and read to recover the state left by its predecessors. */
 public final class Journal implements AutoCloseable {
 
-  /** What a start reads at most: the newest segments, and no more of them than may still matter. */
-  static final long MOST_TAIL_BYTES = 64L << 20;
+  /** Limit of the newest segments read at a start; older records no longer matter. */
+  static final long MAX_TAIL_BYTES = 64L << 20;
 
   private final FolderDisk disk;
   private final JournalWriter writer;
@@ -36,14 +36,14 @@
     this.unreadable = unreadable;
   }
 
-  /** The same with changes of state that nobody reads. */
+  /** Opens a journal that does not log. */
   public static Journal open(
       Path folder, String instance, JournalWriter.Settings settings, Executor loop)
       throws IOException {
     return open(folder, instance, settings, loop, line -> {});
   }
 
-  /** Locks the folder, reads its tail and begins a segment of a new epoch. Blocks. */
+  /** Locks the folder, reads the tail of the journal and begins a segment of a new epoch. Blocks. */
   public static Journal open(
       Path folder,
       String instance,
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Above every earlier one, also where the wall clock was set back. */
+  /** Returns an epoch above every earlier one, even if the wall clock was set back. */
   private static long nextEpoch(List<Disk.Stored> stored) {
     long highest = stored.stream()
         .map(Disk.Stored::name)
@@ -93,7 +93,7 @@
     long bytes = 0;
     for (Disk.Stored s : newest) {
       bytes += s.bytes();
-      if (bytes > MOST_TAIL_BYTES && !read.isEmpty()) {
+      if (bytes > MAX_TAIL_BYTES && !read.isEmpty()) {
         break;
       }
       read.add(0, s);
@@ -104,7 +104,7 @@
         SegmentReader.read(folder.resolve(s.name()), new SegmentReader.Sink() {
           @Override
           public void entry(long offset, Entry entry) {
-            recovery.take(entry);
+            recovery.add(entry);
           }
 
           @Override
@@ -121,7 +121,7 @@
     return recovery;
   }
 
-  /** What tells one boot of the host from another; empty where the system does not say. */
+  /** Returns an id of the host's current boot; empty if the system does not provide one. */
   static String hostBoot() throws IOException {
     try {
       return Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).strip();
@@ -134,14 +134,14 @@
     return writer;
   }
 
-  /** What could not be read of the tail; repeats of what it held can't be told. */
+  /** Returns the parts of the tail that could not be read. Repeats of requests recorded there cannot be recognized. */
   public List<String> unreadable() {
     return unreadable;
   }
 
-  /** Hands what may have run before this start to the memory; how many keys. */
+  /** Adds the requests that may have run before this start to the memory; returns the number of keys. */
   public int recover(KeyMemory memory, long now) {
-    return recovery.into(memory, hostBoot, System.currentTimeMillis(), System.nanoTime(), now);
+    return recovery.restoreTo(memory, hostBoot, System.currentTimeMillis(), System.nanoTime(), now);
   }
 
   @Override
--- a/src/main/java/pumicekeel/journal/JournalCost.java
+++ b/src/main/java/pumicekeel/journal/JournalCost.java
@@ -10,26 +10,26 @@
 import pumicekeel.Balancer.Effect;
 import pumicekeel.Balancer.Status;
 
-/** What the journal costs by itself: for the measuring command. */
+/** Measures the cost of the journal alone, for the measuring command. */
 public final class JournalCost {
 
-  private static final int AT_ONCE = 2_000;
+  private static final int MAX_UNCONFIRMED = 2_000;
 
   private JournalCost() {}
 
-  /** Writes so much, then reads it as a query and as a start do; the figures as text. */
+  /** Writes this amount, then reads it as a query and as a start do; returns the figures as text. */
   public static String measure(Path folder, int mebibytes)
       throws IOException, InterruptedException {
-    long wanted = (long) mebibytes << 20;
+    long targetBytes = (long) mebibytes << 20;
     JournalWriter.Settings settings = new JournalWriter.Settings(
         Durability.PROCESS, true, 64L << 20, Long.MAX_VALUE / 2, Long.MAX_VALUE / 2);
-    Semaphore room = new Semaphore(AT_ONCE);
+    Semaphore permits = new Semaphore(MAX_UNCONFIRMED);
     long records = 0;
     long start = System.nanoTime();
     try (Journal journal = Journal.open(folder.resolve("j"), "cost", settings, Runnable::run)) {
-      for (long i = 0; records * 150 < wanted; i++) {
+      for (long i = 0; records * 150 < targetBytes; i++) {
         String id = Long.toHexString(i * 0x9e3779b97f4a7c15L);
-        room.acquire();
+        permits.acquire();
         while (!journal
             .writer()
             .appendIntent(
@@ -49,7 +49,7 @@
                     3,
                     System.currentTimeMillis(),
                     System.nanoTime()),
-                good -> room.release())) {
+                success -> permits.release())) {
           Thread.onSpinWait();
         }
         journal.writer().append(new Entry.Ended(id, 0, Status.SERVED, System.currentTimeMillis()));
@@ -60,14 +60,14 @@
     long bytes = FolderDisk.list(folder.resolve("j")).stream()
         .mapToLong(Disk.Stored::bytes)
         .sum();
-    double plain = plainSeconds(folder.resolve("plain"), bytes);
-    long asked = System.nanoTime();
+    double plainWriteSeconds = plainSeconds(folder.resolve("plain"), bytes);
+    long queryStart = System.nanoTime();
     History history = new History(e -> e.id().equals("9e3779b97f4a7c15"));
     history.read(folder.resolve("j"));
-    double query = (System.nanoTime() - asked) / 1e9;
-    long opened = System.nanoTime();
+    double querySeconds = (System.nanoTime() - queryStart) / 1e9;
+    long openStart = System.nanoTime();
     Journal.open(folder.resolve("j"), "cost", settings, Runnable::run).close();
-    double start2 = (System.nanoTime() - opened) / 1e9;
+    double openSeconds = (System.nanoTime() - openStart) / 1e9;
     Runtime vm = Runtime.getRuntime();
     return String.format(
         "%d records, %.0f MiB in %.2f s: %.0f records/s, %.0f MiB/s; plain sequential write %.0f MiB/s%n"
@@ -77,10 +77,10 @@
         seconds,
         records / seconds,
         bytes / 1048576.0 / seconds,
-        bytes / 1048576.0 / plain,
-        query,
+        bytes / 1048576.0 / plainWriteSeconds,
+        querySeconds,
         history.stories().size(),
-        start2,
+        openSeconds,
         (vm.totalMemory() - vm.freeMemory()) / 1048576.0);
   }
 
--- a/src/main/java/pumicekeel/journal/JournalWriter.java
+++ b/src/main/java/pumicekeel/journal/JournalWriter.java
@@ -16,14 +16,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * Writes records on a thread of its own, those that wait as one group with one sync. The loop lines records up and is told
- * by its own queue once they count as written, or that they do not. Of a group that fails nothing counts: its segment is
- * given up for good, since after a failed sync the operating system may have dropped what it held (Rebello and others
- * 2020), and a new one is begun after a while.
+ * Writes records on its own thread, with group commit: all queued records are written together with one sync. The event loop
+ * enqueues records and receives the result of a write through its own task queue. If a group fails, none of its records count
+ * as written, and its segment is abandoned: after a failed sync the operating system may have dropped the dirty pages
+ * (Rebello et al. 2020). A new segment is begun after a delay.
  */
 public final class JournalWriter {
 
-  /** Settings; sizes in bytes, times in milliseconds. */
+  /** Settings; sizes are in bytes, times in milliseconds. */
   public record Settings(
       Durability durability,
       boolean refusesInTrouble,
@@ -31,25 +31,25 @@
       long keepBytes,
       long keepMillis) {}
 
-  /** Records that wait: some 2 MB. Beyond half of it no intent is taken, so that what belongs to sends has room. */
-  static final int MOST_WAITING = 8_192;
-  /** A group: bounds the buffer, and how long the first of it waits for the last. */
-  private static final int MOST_GROUP = 256;
-  /** After a failure that follows others on end; the first ones are tried again sooner. Short against an operator's patience. */
-  static final long AGAIN_MILLIS = 500;
-
-  private static final long FIRST_AGAIN_MILLIS = 10;
-  /** A group is tried so often on new segments before it counts as failed. */
-  private static final int GROUP_TRIES = 3;
-  /** A wall clock that stands wrong at the start must not take all segments for old: by age none goes before. */
-  private static final long LEAST_RUN_BEFORE_AGE_COUNTS_MILLIS = 3_600_000;
-  /** Between two looks at what nobody waits for: after work, and once there was none for so long. */
+  /** Queue capacity, some 2 MB. Intents are rejected beyond half of it, so that records of sent attempts still fit. */
+  static final int MAX_QUEUED_RECORDS = 8_192;
+  /** Size of a group: bounds the buffer and how long the first record of a group waits for the last. */
+  private static final int MAX_GROUP_RECORDS = 256;
+  /** Longest retry delay after consecutive failures; the first retries come sooner. Short, so that an operator sees the recovery soon. */
+  static final long MAX_RETRY_DELAY_MILLIS = 500;
+
+  private static final long FIRST_RETRY_DELAY_MILLIS = 10;
+  /** How many times a group is written, each time to a new segment, before it counts as failed. */
+  private static final int MAX_GROUP_TRIES = 3;
+  /** No segment is deleted by age before this run time: a wall clock that is wrong at the start must not expire all segments. */
+  private static final long MIN_RUN_BEFORE_AGE_RETENTION_MILLIS = 3_600_000;
+  /** Poll interval for records without a callback: after recent work, and after {@link #IDLE_AFTER_NANOS} without any. */
   private static final long PARK_NANOS = 2_000_000L;
 
   private static final long IDLE_PARK_NANOS = 50_000_000L;
   private static final long IDLE_AFTER_NANOS = 1_000_000_000L;
 
-  private record Waiting(Entry entry, Consumer<Boolean> told) {}
+  private record QueuedRecord(Entry entry, Consumer<Boolean> callback) {}
 
   private final Disk disk;
   private final Settings settings;
@@ -57,44 +57,44 @@
   private final long epoch;
   private final Executor loop;
   private final LongSupplier wall;
-  private final ConcurrentLinkedQueue<Waiting> queue = new ConcurrentLinkedQueue<>();
-  private final AtomicInteger waiting = new AtomicInteger();
-  private final ByteBuffer buffer = ByteBuffer.allocateDirect(MOST_GROUP * 4 << 10);
+  private final ConcurrentLinkedQueue<QueuedRecord> queue = new ConcurrentLinkedQueue<>();
+  private final AtomicInteger queued = new AtomicInteger();
+  private final ByteBuffer buffer = ByteBuffer.allocateDirect(MAX_GROUP_RECORDS * 4 << 10);
   private final SecureRandom random = new SecureRandom();
   private final Thread thread;
   private volatile boolean stopping;
   private volatile boolean parked;
   private long workedAt = System.nanoTime();
-  /** When a new segment may be tried after a failure, by System.nanoTime; 0 while all is well. */
-  private volatile long troubleUntil;
+  /** When a new segment may be tried after a failure, by System.nanoTime; 0 if the last write succeeded. */
+  private volatile long retryAtNanos;
 
-  private volatile String trouble;
+  private volatile String failureReason;
   private Disk.Segment segment;
   private long salt;
   private long written;
   private int number;
   private String name;
-  private final Map<String, String> open = new HashMap<>();
-  private final Map<String, Integer> openIn = new HashMap<>();
-  /** Records that were lost since, by the wall clock; only for the writer's thread but for the loop's own count. */
+  private final Map<String, String> segmentOfAttempt = new HashMap<>();
+  private final Map<String, Integer> openAttemptsBySegment = new HashMap<>();
+  /** Wall time since when records have been lost. Used by the writer thread only; the loop counts its own rejections. */
   private long lostFrom;
 
   private long lost;
   private final long startedAt = System.nanoTime();
   private final Consumer<String> log;
-  private int failuresOnEnd;
-  private long troubleSince;
-  private final AtomicInteger turnedAway = new AtomicInteger();
+  private int consecutiveFailures;
+  private long failingSince;
+  private final AtomicInteger rejected = new AtomicInteger();
 
-  /** One whose changes of state nobody reads. */
+  /** Creates a writer that does not log. */
   JournalWriter(
       Disk disk, Settings settings, Entry.Boot boot, long epoch, Executor loop, LongSupplier wall) {
     this(disk, settings, boot, epoch, loop, wall, line -> {});
   }
 
   /**
-   * {@code loop} runs what tells the loop; {@code wall} is Unix time in milliseconds; {@code log} gets a line when the disk begins to fail
-   * and when it works again.
+   * Creates a writer. {@code loop} runs the callbacks; {@code wall} is Unix time in milliseconds; {@code log} receives a line when
+   * the disk begins to fail and when it has recovered.
    */
   JournalWriter(
       Disk disk,
@@ -115,88 +115,89 @@
     thread.setDaemon(true);
   }
 
-  /** Writes the first segment's start, so that a folder that is no good is known before anything is served. */
+  /** Writes the header of the first segment, so that an unusable folder is detected before any request is served. */
   public void start() throws IOException {
-    begin();
+    beginSegment();
     write(List.of());
     thread.start();
   }
 
-  // The loop's side
+  // Called on the event loop
 
-  /** Lines an intent up; {@code told} is called on the loop: true once it counts as written. False: no room now. */
-  public boolean appendIntent(Entry.Intent entry, Consumer<Boolean> told) {
-    if (waiting.get() >= MOST_WAITING / 2) {
-      turnedAway.incrementAndGet();
+  /** Enqueues an intent; {@code callback} is called on the loop with true once it counts as written. Returns false if the queue is full. */
+  public boolean appendIntent(Entry.Intent entry, Consumer<Boolean> callback) {
+    if (queued.get() >= MAX_QUEUED_RECORDS / 2) {
+      rejected.incrementAndGet();
       return false;
     }
-    queue.add(new Waiting(entry, told));
-    waiting.incrementAndGet();
+    queue.add(new QueuedRecord(entry, callback));
+    queued.incrementAndGet();
     if (parked) {
       LockSupport.unpark(thread);
     }
     return true;
   }
 
-  /** Lines up what belongs to a send that was made; where there is no room it is lost, and the gap is told. */
+  /** Enqueues a record of an attempt that was sent. If the queue is full the record is lost, and a gap record is written later. */
   public void append(Entry entry) {
-    if (waiting.get() >= MOST_WAITING) {
-      turnedAway.incrementAndGet();
+    if (queued.get() >= MAX_QUEUED_RECORDS) {
+      rejected.incrementAndGet();
       return;
     }
-    // Nobody waits for it: it goes with the next intent or the next look, and costs the loop no
-    // wake-up.
-    queue.add(new Waiting(entry, null));
-    waiting.incrementAndGet();
+    // No callback waits for it: it is written with the next intent or at the next poll, which saves
+    // the
+    // loop a wake-up.
+    queue.add(new QueuedRecord(entry, null));
+    queued.incrementAndGet();
   }
 
-  /** How long until another try, in nanoseconds, while the disk fails; 0 while it does not. */
+  /** Returns the time until the next retry in nanoseconds while the disk fails, else 0. */
   public long retryDelayNanos() {
-    long until = troubleUntil;
+    long until = retryAtNanos;
     return until == 0 ? 0 : Math.max(1, until - System.nanoTime());
   }
 
-  /** What the trouble is; null while there is none. */
+  /** Returns the message of the last failure; null while the disk works. */
   public String failureReason() {
-    return trouble;
+    return failureReason;
   }
 
   public boolean refusesInTrouble() {
     return settings.refusesInTrouble();
   }
 
-  /** Writes what waits, and that all was written; waits for it, so it is not for the loop. */
+  /** Writes the queued records and a closing record. Blocks, so it must not be called on the loop. */
   public void close() throws InterruptedException {
     stopping = true;
     LockSupport.unpark(thread);
     thread.join(TimeUnit.SECONDS.toMillis(5));
   }
 
-  // The writer's thread
+  // Writer thread
 
   private void run() {
-    List<Waiting> group = new ArrayList<>(MOST_GROUP);
+    List<QueuedRecord> group = new ArrayList<>(MAX_GROUP_RECORDS);
     while (!stopping || !queue.isEmpty()) {
-      for (Waiting next = queue.poll();
+      for (QueuedRecord next = queue.poll();
           next != null;
-          next = group.size() < MOST_GROUP ? queue.poll() : null) {
+          next = group.size() < MAX_GROUP_RECORDS ? queue.poll() : null) {
         group.add(next);
       }
-      // In trouble nothing may be lined up any more, so it is tried again unasked.
-      boolean again = segment == null && troubleUntil - System.nanoTime() <= 0;
-      if (group.isEmpty() && turnedAway.get() == 0 && !again) {
+      // While the disk fails nothing may be enqueued, so a retry is made without a record.
+      boolean retryDue = segment == null && retryAtNanos - System.nanoTime() <= 0;
+      if (group.isEmpty() && rejected.get() == 0 && !retryDue) {
         park();
         continue;
       }
       workedAt = System.nanoTime();
-      waiting.addAndGet(-group.size());
-      tell(group, writeGroupOrLose(group));
+      queued.addAndGet(-group.size());
+      confirm(group, writeGroupOrFail(group));
       group.clear();
     }
     end();
   }
 
-  /** Looks soon again after work, seldom at rest; an intent that comes in between wakes it. */
+  /** Waits for the short poll interval after recent work, else for the long one. An intent ends the wait. */
   private void park() {
     parked = true;
     if (queue.isEmpty() && !stopping) {
@@ -206,85 +207,86 @@
     parked = false;
   }
 
-  private void tell(List<Waiting> group, boolean good) {
-    List<Consumer<Boolean>> told =
-        group.stream().map(Waiting::told).filter(t -> t != null).toList();
-    if (!told.isEmpty()) {
-      loop.execute(() -> told.forEach(t -> t.accept(good)));
+  private void confirm(List<QueuedRecord> group, boolean success) {
+    List<Consumer<Boolean>> callbacks =
+        group.stream().map(QueuedRecord::callback).filter(t -> t != null).toList();
+    if (!callbacks.isEmpty()) {
+      loop.execute(() -> callbacks.forEach(t -> t.accept(success)));
     }
   }
 
-  /** A defect of one group is no end of the thread, which nobody would start again. */
-  private boolean writeGroupOrLose(List<Waiting> group) {
+  /** Writes a group. An unexpected exception fails this group only: the writer thread would not be restarted. */
+  private boolean writeGroupOrFail(List<QueuedRecord> group) {
     try {
       return writeGroup(group);
     } catch (RuntimeException e) {
       fail(new IOException(e));
-      lose(group, wall.getAsLong());
+      recordLoss(group, wall.getAsLong());
       return false;
     }
   }
 
-  private boolean writeGroup(List<Waiting> group) {
+  private boolean writeGroup(List<QueuedRecord> group) {
     long now = wall.getAsLong();
-    int away = turnedAway.getAndSet(0);
-    lostFrom = away > 0 && lost == 0 ? now - AGAIN_MILLIS : lostFrom;
-    lost += away;
-    if (segment == null && troubleUntil != 0 && troubleUntil - System.nanoTime() > 0) {
-      lose(group, now);
+    int newlyRejected = rejected.getAndSet(0);
+    lostFrom = newlyRejected > 0 && lost == 0 ? now - MAX_RETRY_DELAY_MILLIS : lostFrom;
+    lost += newlyRejected;
+    if (segment == null && retryAtNanos != 0 && retryAtNanos - System.nanoTime() > 0) {
+      recordLoss(group, now);
       return false;
     }
-    // A failure that lasts is not tried at full speed.
-    int tries = failuresOnEnd == 0 ? GROUP_TRIES : 1;
+    // A persistent failure is retried at a lower rate.
+    int tries = consecutiveFailures == 0 ? MAX_GROUP_TRIES : 1;
     for (int i = 0; i < tries; i++) {
       try {
         if (segment == null) {
-          begin();
+          beginSegment();
         }
-        write(group.stream().map(Waiting::entry).toList());
+        write(group.stream().map(QueuedRecord::entry).toList());
         return true;
       } catch (IOException e) {
         fail(e);
       }
     }
-    lose(group, now);
+    recordLoss(group, now);
     return false;
   }
 
-  private void lose(List<Waiting> group, long now) {
+  private void recordLoss(List<QueuedRecord> group, long now) {
     lostFrom = lost == 0 ? now : lostFrom;
     lost += group.size();
   }
 
   private void fail(IOException e) {
-    failuresOnEnd++;
-    if (trouble == null) {
-      troubleSince = System.nanoTime();
+    consecutiveFailures++;
+    if (failureReason == null) {
+      failingSince = System.nanoTime();
     }
-    trouble = String.valueOf(e.getMessage());
-    long pause =
-        Math.min(AGAIN_MILLIS, FIRST_AGAIN_MILLIS << Math.min(failuresOnEnd - 1, Byte.SIZE));
-    if (failuresOnEnd == GROUP_TRIES) {
-      log.accept("journal: the disk fails, requests that go on record are "
-          + (settings.refusesInTrouble() ? "refused" : "sent without one") + ": " + trouble);
+    failureReason = String.valueOf(e.getMessage());
+    long pause = Math.min(
+        MAX_RETRY_DELAY_MILLIS,
+        FIRST_RETRY_DELAY_MILLIS << Math.min(consecutiveFailures - 1, Byte.SIZE));
+    if (consecutiveFailures == MAX_GROUP_TRIES) {
+      log.accept("journal: disk writes fail; requests that require a journal record are "
+          + (settings.refusesInTrouble() ? "refused" : "sent without one") + ": " + failureReason);
     }
-    troubleUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(pause);
+    retryAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(pause);
     try {
       if (segment != null) {
         segment.close();
       }
     } catch (IOException ignored) {
-      // It is given up in any case.
+      // The segment is abandoned in any case.
     }
     segment = null;
   }
 
-  /** Begins a segment, with what the process is: each segment tells it, since older ones are deleted. */
-  private void begin() throws IOException {
-    makeRoom();
+  /** Begins a segment with a boot record. Each segment holds one, since older segments are deleted. */
+  private void beginSegment() throws IOException {
+    applyRetention();
     salt = random.nextLong();
     int next = number;
-    // Also where it fails: the file may be there, and the name would never be free again.
+    // Also after a failure: the file may exist, and then its name could never be used again.
     number++;
     name = String.format("%016x-%08d%s", epoch, next, FolderDisk.SUFFIX);
     segment = disk.create(name);
@@ -294,24 +296,25 @@
     Codec.frame(buffer, salt, boot);
   }
 
-  /** Deletes what is too old or too much, the oldest first. */
-  private void makeRoom() {
+  /** Deletes segments beyond the limits of age and total size, oldest first. */
+  private void applyRetention() {
     try {
-      deleteOld();
+      deleteExpired();
     } catch (IOException e) {
-      log.accept("journal: an old segment stays: " + e);
+      log.accept("journal: an old segment could not be deleted: " + e);
     }
   }
 
-  private void deleteOld() throws IOException {
+  private void deleteExpired() throws IOException {
     long runMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
     boolean ageCounts =
-        runMillis >= Math.min(settings.keepMillis(), LEAST_RUN_BEFORE_AGE_COUNTS_MILLIS);
+        runMillis >= Math.min(settings.keepMillis(), MIN_RUN_BEFORE_AGE_RETENTION_MILLIS);
     List<Disk.Stored> stored = disk.list();
     long bytes = stored.stream().mapToLong(Disk.Stored::bytes).sum();
     for (Disk.Stored s : stored) {
-      if (openIn.getOrDefault(s.name(), 0) > 0) {
-        // An attempt in it has no outcome yet: without its intent nobody could tell that it may
+      if (openAttemptsBySegment.getOrDefault(s.name(), 0) > 0) {
+        // An attempt in it has no outcome yet: without its intent there would be no record that it
+        // may
         // have run.
         continue;
       }
@@ -320,7 +323,7 @@
         return;
       }
       disk.delete(s.name());
-      openIn.remove(s.name());
+      openAttemptsBySegment.remove(s.name());
       bytes -= s.bytes();
     }
   }
@@ -328,14 +331,14 @@
   private void write(List<Entry> entries) throws IOException {
     if (written > settings.segmentBytes()) {
       segment.close();
-      begin();
+      beginSegment();
     }
     if (lost > 0) {
       Codec.frame(buffer, salt, new Entry.Gap(lostFrom, wall.getAsLong(), lost));
     }
     for (Entry entry : entries) {
       track(entry);
-      if (buffer.remaining() < 2 * Codec.MOST_PAYLOAD) {
+      if (buffer.remaining() < 2 * Codec.MAX_PAYLOAD_BYTES) {
         flush();
       }
       Codec.frame(buffer, salt, entry);
@@ -344,30 +347,30 @@
     if (settings.durability() == Durability.HOST) {
       segment.sync();
     }
-    if (failuresOnEnd >= GROUP_TRIES) {
-      long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - troubleSince);
-      log.accept("journal: the disk works again after " + millis + " ms, " + lost
+    if (consecutiveFailures >= MAX_GROUP_TRIES) {
+      long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - failingSince);
+      log.accept("journal: disk writes work again after " + millis + " ms, " + lost
           + " records were not written");
     }
-    failuresOnEnd = 0;
+    consecutiveFailures = 0;
     lost = 0;
-    troubleUntil = 0;
-    trouble = null;
+    retryAtNanos = 0;
+    failureReason = null;
   }
 
-  /** Which segment holds the intent of an attempt that is still out; bounded by the attempts that are. */
+  /** Tracks which segment holds the intent of each attempt in flight; bounded by the number of these. */
   private void track(Entry entry) {
     if (entry instanceof Entry.Intent e) {
-      String before = open.put(e.id() + "#" + e.attempt(), name);
+      String before = segmentOfAttempt.put(e.id() + "#" + e.attempt(), name);
       if (before != null) {
-        // Written once already, to a segment that was given up.
-        openIn.computeIfPresent(before, (k, n) -> n == 1 ? null : n - 1);
+        // Written before, to a segment that was abandoned.
+        openAttemptsBySegment.computeIfPresent(before, (k, n) -> n == 1 ? null : n - 1);
       }
-      openIn.merge(name, 1, Integer::sum);
+      openAttemptsBySegment.merge(name, 1, Integer::sum);
     } else if (entry instanceof Entry.Ended e) {
-      String in = open.remove(e.id() + "#" + e.attempt());
+      String in = segmentOfAttempt.remove(e.id() + "#" + e.attempt());
       if (in != null) {
-        openIn.computeIfPresent(in, (k, n) -> n == 1 ? null : n - 1);
+        openAttemptsBySegment.computeIfPresent(in, (k, n) -> n == 1 ? null : n - 1);
       }
     }
   }
--- a/src/main/java/pumicekeel/journal/KeyMemory.java
+++ b/src/main/java/pumicekeel/journal/KeyMemory.java
@@ -8,85 +8,89 @@
 import pumicekeel.Balancer.PriorAttempt;
 
 /**
- * What is known of keyed and unsafe requests that may have run, from this process and from the tail of the journal of the
- * one before it: the facts that a repeat is decided by. Bounded; the oldest go first. No I/O, and the time is a
- * parameter, the balancer's clock in nanoseconds.
+ * Remembers the attempts of keyed and unsafe requests that may have run, from this process and from the tail of its
+ * predecessor's journal. Repeats are decided on these facts. Bounded; the oldest entries are evicted first. Does no I/O; the
+ * time is a parameter, in nanoseconds of the balancer's clock.
  */
 public final class KeyMemory {
 
-  /** Beyond the class's window: a repeat that comes then must not run at all, since nobody drops it any more. */
+  /**
+   * How long entries are kept beyond the class's deduplication window. A repeat in this time must not run at all, since the
+   * upstreams no longer drop it as a duplicate.
+   */
   public static final long RETENTION_MARGIN_NANOS = 60_000_000_000L;
-  /** Some 600 bytes each. */
+  /** Default capacity; an entry takes some 600 bytes. */
   public static final int MAX_ENTRIES = 20_000;
 
-  /** What is remembered under a key, or under the id of an unsafe request. */
-  private static final class Known {
-    private final String home;
+  /** Attempts under one key, or under the id of an unsafe request. */
+  private static final class Remembered {
+    private final String pool;
     private final Map<String, PriorAttempt> attempts = new LinkedHashMap<>(2);
-    private long until;
+    private long expiresAt;
 
-    private Known(String home) {
-      this.home = home;
+    private Remembered(String pool) {
+      this.pool = pool;
     }
   }
 
-  private final int most;
-  private final Map<String, Known> byName = new LinkedHashMap<>();
-  private long dropped;
+  private final int maxEntries;
+  private final Map<String, Remembered> byName = new LinkedHashMap<>();
+  private long evicted;
 
-  public KeyMemory(int most) {
-    this.most = most;
+  public KeyMemory(int maxEntries) {
+    this.maxEntries = maxEntries;
   }
 
-  /** The name under which a request is remembered: its key, or its id where it may not run again at all. */
+  /** Returns the entry name of a request: from its key, or from its id if it must not be repeated at all. */
   public static String entryName(Effect effect, String id, String key) {
-    // As the journal has it, or a long key would not be known again after a restart.
-    return recorded(effect, Codec.cut(id), Codec.cut(key));
+    // Truncated as in the journal; otherwise a long key would not be recognized after a restart.
+    return entryNameOfRecord(effect, Codec.cut(id), Codec.cut(key));
   }
 
-  /** The same of texts from the journal, which are cut already. */
-  static String recorded(Effect effect, String id, String key) {
+  /** Returns the entry name for texts from the journal, which are truncated already. */
+  static String entryNameOfRecord(Effect effect, String id, String key) {
     return effect == Effect.KEYED && key != null ? "k" + key : "i" + id;
   }
 
-  /** An attempt was made, or may have been: from now on it may run. */
+  /** Records an attempt that was made or may have been made: from now on it may run. */
   public void recordAttempt(
       String name,
-      String home,
+      String pool,
       String id,
       int attempt,
       PriorAttempt fact,
       long windowNanos,
       long now) {
-    forget(now);
-    Known known = byName.get(name);
-    if (known == null) {
-      known = new Known(home);
-      byName.put(name, known);
+    evictExpired(now);
+    Remembered entry = byName.get(name);
+    if (entry == null) {
+      entry = new Remembered(pool);
+      byName.put(name, entry);
     }
-    known.attempts.put(id + "#" + attempt, fact);
-    known.until = Math.max(known.until, fact.sentAtNanos() + windowNanos + RETENTION_MARGIN_NANOS);
+    entry.attempts.put(id + "#" + attempt, fact);
+    entry.expiresAt =
+        Math.max(entry.expiresAt, fact.sentAtNanos() + windowNanos + RETENTION_MARGIN_NANOS);
   }
 
-  /** An attempt's outcome proves that it did not run. */
+  /** Removes an attempt whose outcome proves that it did not run. */
   public void removeAttempt(String name, String id, int attempt) {
-    Known known = byName.get(name);
-    if (known != null) {
-      known.attempts.remove(id + "#" + attempt);
-      if (known.attempts.isEmpty()) {
+    Remembered entry = byName.get(name);
+    if (entry != null) {
+      entry.attempts.remove(id + "#" + attempt);
+      if (entry.attempts.isEmpty()) {
         byName.remove(name);
       }
     }
   }
 
-  /** The attempts of other requests of this name that may have run. */
+  /** Returns the attempts of other requests with this entry name that may have run. */
   public List<PriorAttempt> earlierAttempts(String name, String id, long now) {
-    Known known = byName.get(name);
-    if (known == null || known.until <= now) {
+    Remembered entry = byName.get(name);
+    if (entry == null || entry.expiresAt <= now) {
       return List.of();
     }
     List<PriorAttempt> out = new ArrayList<>(1);
-    known.attempts.forEach((of, fact) -> {
+    entry.attempts.forEach((of, fact) -> {
       if (!of.startsWith(id + "#")) {
         out.add(fact);
       }
@@ -94,21 +98,21 @@
     return out;
   }
 
-  /** The pool in which a request of this name may have run, or null. */
+  /** Returns the pool in which a request with this entry name may have run, or null. */
   public String poolOf(String name, long now) {
-    Known known = byName.get(name);
-    return known == null || known.until <= now ? null : known.home;
+    Remembered entry = byName.get(name);
+    return entry == null || entry.expiresAt <= now ? null : entry.pool;
   }
 
-  private void forget(long now) {
+  private void evictExpired(long now) {
     var oldest = byName.values().iterator();
     while (oldest.hasNext()) {
-      Known known = oldest.next();
-      if (known.until > now) {
-        if (byName.size() < most) {
+      Remembered entry = oldest.next();
+      if (entry.expiresAt > now) {
+        if (byName.size() < maxEntries) {
           return;
         }
-        dropped++;
+        evicted++;
       }
       oldest.remove();
     }
@@ -118,8 +122,8 @@
     return byName.size();
   }
 
-  /** Given up before their time, for want of room. */
-  public long dropped() {
-    return dropped;
+  /** Returns the number of entries evicted before they expired, because the capacity was reached. */
+  public long evicted() {
+    return evicted;
   }
 }
--- a/src/main/java/pumicekeel/journal/Recovery.java
+++ b/src/main/java/pumicekeel/journal/Recovery.java
@@ -6,30 +6,30 @@
 import pumicekeel.Balancer.PriorAttempt;
 
 /**
- * What the tail of the journal of earlier processes means for this one: which keyed and unsafe requests may have run, and
- * how long ago. No I/O; the times of this start are parameters.
+ * Determines from the tail of earlier processes' journals which keyed and unsafe requests may have run, and how long ago. Does
+ * no I/O; the times of this start are parameters.
  */
 public final class Recovery {
 
   private record Sent(Entry.Intent intent, String hostBoot) {}
 
   private final Map<String, Sent> open = new LinkedHashMap<>();
-  private final int most;
+  private final int maxOpen;
   private String hostBoot = "";
   private long records;
 
-  public Recovery(int most) {
-    this.most = most;
+  public Recovery(int maxOpen) {
+    this.maxOpen = maxOpen;
   }
 
-  /** The next record, in the order of the journal. */
-  public void take(Entry entry) {
+  /** Adds the next record, in journal order. */
+  public void add(Entry entry) {
     records++;
     if (entry instanceof Entry.Boot e) {
       hostBoot = e.hostBoot() == null ? "" : e.hostBoot();
     } else if (entry instanceof Entry.Intent e) {
       open.put(e.id() + "#" + e.attempt(), new Sent(e, hostBoot));
-      if (open.size() > most) {
+      if (open.size() > maxOpen) {
         open.remove(open.keySet().iterator().next());
       }
     } else if (entry instanceof Entry.Ended e && e.status().provesNotRun()) {
@@ -42,28 +42,29 @@
   }
 
   /**
-   * Hands what may have run to the memory. Time that passed is told by the host's monotonic clock, if the host has not
-   * booted since. Otherwise the wall clock has to do; if it stands before the record, nobody knows how long ago that was,
-   * and the window counts as over: a repeat is then failed and not sent.
+   * Adds the requests that may have run to the memory; returns the number of keys. Elapsed time is measured with the host's
+   * monotonic clock if the host has not rebooted since, else with the wall clock. If the wall clock is before the record, the
+   * elapsed time is unknown and the window counts as over: a repeat then fails and is not sent.
    */
-  public int into(
+  public int restoreTo(
       KeyMemory memory, String thisHostBoot, long wallMillis, long monoNanos, long now) {
     Map<String, Boolean> names = new HashMap<>();
     for (Sent sent : open.values()) {
       Entry.Intent e = sent.intent();
       boolean sameBoot = !sent.hostBoot().isEmpty() && sent.hostBoot().equals(thisHostBoot);
-      long past = sameBoot ? monoNanos - e.monoNanos() : (wallMillis - e.wallMillis()) * 1_000_000L;
-      past = past < 0 ? e.windowNanos() : past;
-      if (past > e.windowNanos() + KeyMemory.RETENTION_MARGIN_NANOS) {
+      long elapsedNanos =
+          sameBoot ? monoNanos - e.monoNanos() : (wallMillis - e.wallMillis()) * 1_000_000L;
+      elapsedNanos = elapsedNanos < 0 ? e.windowNanos() : elapsedNanos;
+      if (elapsedNanos > e.windowNanos() + KeyMemory.RETENTION_MARGIN_NANOS) {
         continue;
       }
-      String name = KeyMemory.recorded(e.effect(), e.id(), e.key());
+      String name = KeyMemory.entryNameOfRecord(e.effect(), e.id(), e.key());
       memory.recordAttempt(
           name,
           e.pool(),
           e.id(),
           e.attempt(),
-          new PriorAttempt(e.zone(), e.cell(), now - past),
+          new PriorAttempt(e.zone(), e.cell(), now - elapsedNanos),
           e.windowNanos(),
           now);
       names.put(name, true);
--- a/src/main/java/pumicekeel/journal/SegmentReader.java
+++ b/src/main/java/pumicekeel/journal/SegmentReader.java
@@ -8,12 +8,12 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Reads the records of one segment, dead or still being written. Where a stretch is damaged it goes on at the next
- * record that is whole, and tells of the stretch: nothing is passed over silently.
+ * Reads the records of one segment, which may still be being written. A damaged region is reported and reading goes on at the
+ * next intact record: nothing is skipped silently.
  */
 final class SegmentReader {
 
-  /** A segment that can't be read at all. */
+  /** Thrown for a segment that cannot be read at all. */
   static final class Unreadable extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -22,25 +22,26 @@
     }
   }
 
-  /** Told of what a segment holds. */
+  /** Receives the contents of a segment. */
   interface Sink {
     void entry(long offset, Entry entry);
 
-    /** A stretch that is no record, up to the next one or to the end; {@code atEnd}: nothing whole follows. */
+    /** A region that is not a record, up to the next record or to the end; {@code atEnd}: no intact record follows. */
     void damage(long offset, long length, boolean atEnd);
   }
 
-  /** Segments are written up to this size; a file beyond it is none of ours. */
-  static final long MOST_BYTES = 1L << 30;
+  /** Largest size of a segment; a larger file was not written by this program. */
+  static final long MAX_SEGMENT_BYTES = 1L << 30;
 
   private SegmentReader() {}
 
-  /** Reads a whole segment; the header says whose it is. */
+  /** Reads a whole segment; returns its header, null if that is damaged. */
   static Codec.Header read(Path file, Sink sink) throws IOException {
     try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
       long size = channel.size();
-      if (size > MOST_BYTES) {
-        throw new Unreadable("expected a segment of at most " + MOST_BYTES + " bytes, got " + size);
+      if (size > MAX_SEGMENT_BYTES) {
+        throw new Unreadable(
+            "expected a segment of at most " + MAX_SEGMENT_BYTES + " bytes, got " + size);
       }
       ByteBuffer bytes =
           size == 0 ? ByteBuffer.allocate(0) : channel.map(FileChannel.MapMode.READ_ONLY, 0, size);
@@ -56,7 +57,7 @@
               + header.version() + ": read it with the program that wrote it");
     }
     if (header == null) {
-      // Without the salt no record can be told from noise.
+      // Without the salt records cannot be verified.
       sink.damage(0, bytes.limit(), true);
       return null;
     }
@@ -76,7 +77,7 @@
         damagedFrom = -1;
       }
       if (entry == null) {
-        // Whole, and of a type that a later build of this version added.
+        // Intact, but of a record type or value that a later build of this version added.
         at += length;
         continue;
       }
@@ -89,27 +90,27 @@
     return header;
   }
 
-  /** The length of the whole frame that begins here; -1 where none does. */
+  /** Returns the length of the intact frame that begins here; -1 if there is none. */
   private static int frameLength(ByteBuffer bytes, int at, long salt) {
-    if (bytes.limit() - at < Codec.FRAME_HEAD + Codec.FRAME_TAIL
+    if (bytes.limit() - at < Codec.FRAME_HEAD_BYTES + Codec.FRAME_TAIL_BYTES
         || (bytes.getShort(at) & 0xffff) != Codec.FRAME_MAGIC) {
       return -1;
     }
     int payload = bytes.getInt(at + 4);
-    int rest = bytes.limit() - at - Codec.FRAME_HEAD - Codec.FRAME_TAIL;
+    int rest = bytes.limit() - at - Codec.FRAME_HEAD_BYTES - Codec.FRAME_TAIL_BYTES;
     if (payload < 0
-        || payload > Codec.MOST_PAYLOAD
+        || payload > Codec.MAX_PAYLOAD_BYTES
         || payload > rest
-        || bytes.getInt(at + Codec.FRAME_HEAD + payload)
-            != Codec.crc(salt, bytes, at, Codec.FRAME_HEAD + payload)) {
+        || bytes.getInt(at + Codec.FRAME_HEAD_BYTES + payload)
+            != Codec.crc(salt, bytes, at, Codec.FRAME_HEAD_BYTES + payload)) {
       return -1;
     }
-    return Codec.FRAME_HEAD + payload + Codec.FRAME_TAIL;
+    return Codec.FRAME_HEAD_BYTES + payload + Codec.FRAME_TAIL_BYTES;
   }
 
   private static Entry decode(ByteBuffer bytes, int at, int length) {
     ByteBuffer payload = bytes.duplicate();
-    payload.position(at + Codec.FRAME_HEAD).limit(at + length - Codec.FRAME_TAIL);
+    payload.position(at + Codec.FRAME_HEAD_BYTES).limit(at + length - Codec.FRAME_TAIL_BYTES);
     try {
       return Codec.entry(bytes.get(at + 2), payload);
     } catch (BufferUnderflowException | ArrayIndexOutOfBoundsException e) {
--- a/src/main/java/pumicekeel/journal/Story.java
+++ b/src/main/java/pumicekeel/journal/Story.java
@@ -5,20 +5,20 @@
 import pumicekeel.Balancer.Status;
 import pumicekeel.journal.Entry.Told;
 
-/** What the journal has of one request: all its attempts, and what can truthfully be said of it. No I/O. */
+/** The recorded attempts of one request and the conclusion that they prove. Does no I/O. */
 public final class Story {
 
-  /** What is said. Each holds whatever else happened that is not on record. */
+  /** Conclusion about a request. Each is true regardless of events that were not recorded. */
   public enum Verdict {
-    /** No attempt's first byte left, or each attempt's outcome proves that it did not run. */
+    /** No attempt's first byte was sent, or each attempt's outcome proves that it did not run. */
     NEVER_LEFT,
-    /** An attempt was about to be made or was made, and no outcome proves anything. */
+    /** An attempt was about to be made or was made, and no outcome proves whether it ran. */
     MAY_HAVE_RUN,
-    /** An upstream answered, and the client was given that answer. */
+    /** An upstream answered, and the client received that answer. */
     ANSWERED,
-    /** An upstream answered, and the client was given another answer, or had left. */
+    /** An upstream answered, and the client received another answer or had disconnected. */
     NOT_TOLD,
-    /** Something that would decide it is not on record. */
+    /** A record that would decide it is missing. */
     UNKNOWN
   }
 
@@ -40,7 +40,7 @@
       return written;
     }
 
-    /** How it ended; null where that is not on record. */
+    /** Returns how it ended; null if that was not recorded. */
     public Status status() {
       return status;
     }
@@ -90,7 +90,7 @@
     return List.copyOf(attempts);
   }
 
-  /** What the client was given; null where that is not on record. */
+  /** Returns how the request ended for the client; null if that was not recorded. */
   public Told told() {
     return told;
   }
@@ -104,8 +104,8 @@
   }
 
   /**
-   * What can be said; {@code gap} is a hole in the record that may hold more of this request, or null. What is missing
-   * can only add to what ran: that an attempt is not on record does not say that none was made where there is a hole.
+   * Returns the conclusion; {@code gap} is the reason of a hole that may contain more records of this request, or null. A missing
+   * record can only add an attempt: if there is a hole, a missing attempt does not prove that none was made.
    */
   public Verdict verdict(String gap) {
     boolean served = attempts.stream().anyMatch(a -> a.status == Status.SERVED);
@@ -113,7 +113,7 @@
       return Verdict.ANSWERED;
     }
     if (served) {
-      // Without a record of the client's answer it may have had it all the same.
+      // Without a record of the client's answer, the client may have received it nevertheless.
       return told == null ? Verdict.UNKNOWN : Verdict.NOT_TOLD;
     }
     if (attempts.stream().anyMatch(Attempt::mayHaveRun)) {
--- a/src/test/java/pumicekeel/journal/FaultyJournal.java
+++ b/src/test/java/pumicekeel/journal/FaultyJournal.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 
-/** A writer on a disk that tests of other packages can break. */
+/** A journal writer on a disk that tests of other packages can make fail or stall. */
 public final class FaultyJournal {
 
   private volatile boolean stalls;
@@ -32,7 +32,7 @@
 
           @Override
           public void close() {
-            // Nothing is held.
+            // Holds no resources.
           }
         };
       }
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Stands still until it is told otherwise. */
+  /** Blocks all disk operations until it is called with false. */
   public void stall(boolean now) {
     stalls = now;
   }
--- a/src/test/java/pumicekeel/journal/HistoryTest.java
+++ b/src/test/java/pumicekeel/journal/HistoryTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import pumicekeel.Balancer.Status;
 
-/** Folders of segments in every bad state: what can be said is said, and each hole is told. */
+/** Reads folders with missing, damaged and copied segments: intact records are used, and each hole is reported. */
 class HistoryTest {
 
   private static final long SALT = 99;
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void wholeFolderHasNoHoleAndADeadProcessThatRefusesMakesNone() throws Exception {
+  void completeFolderHasNoHoles() throws Exception {
     History history = read();
     assertEquals(3, history.stories().size());
     assertTrue(history.holes().isEmpty(), history.holes().toString());
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void oldestThatRetentionTookAreNoHoleForWhatCameLater() throws Exception {
+  void segmentsDeletedByRetentionAreNoHoleForLaterOnes() throws Exception {
     Files.delete(folder.resolve(name(100, 0)));
     History history = read();
     assertTrue(history.holes().isEmpty());
@@ -122,9 +122,9 @@
     assertTrue(history.holes().stream().anyMatch(h -> h.length() == 5_000));
   }
 
-  /** Copied under another name, a segment's records are there twice: they say the same, and no more. */
+  /** A segment copied under another name holds its records twice, which must not change any conclusion. */
   @Test
-  void doubledAndRenamedSegmentsAddNothing() throws Exception {
+  void copiedAndRenamedSegmentsAddNothing() throws Exception {
     Files.copy(folder.resolve(name(100, 1)), folder.resolve(name(100, 3)));
     History history = read();
     assertEquals(3, history.stories().size());
@@ -134,7 +134,7 @@
   }
 
   @Test
-  void newerSegmentIsRefusedByNameAndMakesTheRestUncertain() throws Exception {
+  void segmentOfANewerVersionIsReportedAndMakesTheRestUncertain() throws Exception {
     byte[] bytes = Files.readAllBytes(folder.resolve(name(100, 2)));
     bytes[9] = 9;
     Files.write(folder.resolve(name(100, 2)), bytes);
@@ -147,7 +147,7 @@
   }
 
   @Test
-  void anIdUsedAgainAfterARestartIsAnotherRequest() throws Exception {
+  void idReusedAfterARestartIsAnotherRequest() throws Exception {
     write(200, 0, true, SegmentTest.intent("r0", "other", 0));
     History history = read();
     assertEquals(
@@ -160,21 +160,21 @@
             .toList());
   }
 
-  /** A process that sends without a record in trouble, and died: what is not found may have left. */
+  /** A process that sends without a record while the disk fails and then crashes may have sent requests that are not found. */
   @Test
-  void deathOfAProcessThatSendsInTroubleIsAHoleAndItsOrderlyEndIsNone() throws Exception {
+  void crashOfAProcessThatSendsInTroubleIsAHoleAndItsOrderlyEndIsNot() throws Exception {
     write(200, 0, false, SegmentTest.intent("x", "k", 0));
     assertTrue(read().anyGap().contains("did not end in order"), "" + read().anyGap());
     write(200, 0, false, SegmentTest.intent("x", "k", 0), new Entry.Closed(300));
     assertNull(read().anyGap());
     write(200, 0, false, new Entry.Gap(210, 220, 5), new Entry.Closed(300));
     assertTrue(
-        read().anyGap().contains("5 records were lost, sends may have been made"),
+        read().anyGap().contains("5 records were lost, requests may have been sent"),
         "" + read().anyGap());
   }
 
   @Test
-  void journalOfALiveProcessIsReadAsFarAsItIs() throws Exception {
+  void journalOfARunningProcessIsReadAsFarAsWritten() throws Exception {
     Path file = folder.resolve(name(100, 2));
     byte[] bytes = Files.readAllBytes(file);
     for (int cut = 0; cut < bytes.length; cut += 5) {
--- a/src/test/java/pumicekeel/journal/JournalWriterTest.java
+++ b/src/test/java/pumicekeel/journal/JournalWriterTest.java
@@ -24,15 +24,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The writer on disks that are slow, full or failing: what counts as written is there, and what is not is told. */
+/** Runs the writer on slow, full and failing disks: confirmed records are readable, and lost ones are reported as a gap. */
 class JournalWriterTest {
 
-  /** A disk in memory; what was written and not synced is gone when the host dies. */
+  /** A disk in memory; bytes that were not synced are lost in a simulated host crash. */
   private static final class FaultyDisk implements Disk {
     final Map<String, ByteArrayOutputStream> files = new TreeMap<>();
     final Map<String, Integer> synced = new TreeMap<>();
-    final Semaphore mayWrite = new Semaphore(1 << 29);
-    volatile int room = Integer.MAX_VALUE;
+    final Semaphore writePermits = new Semaphore(1 << 29);
+    volatile int spaceLeft = Integer.MAX_VALUE;
     volatile boolean syncFails;
     volatile int syncsThatFail;
     volatile boolean createFails;
@@ -48,15 +48,15 @@
       return new Segment() {
         @Override
         public void write(ByteBuffer bytes) throws IOException {
-          mayWrite.acquireUninterruptibly();
-          mayWrite.release();
+          writePermits.acquireUninterruptibly();
+          writePermits.release();
           synchronized (FaultyDisk.this) {
             writes++;
             byte[] all = new byte[bytes.remaining()];
             bytes.get(all);
-            int part = Math.min(room, all.length);
+            int part = Math.min(spaceLeft, all.length);
             file.write(all, 0, part);
-            room -= part;
+            spaceLeft -= part;
             if (part < all.length) {
               throw new IOException("No space left on device");
             }
@@ -75,7 +75,7 @@
 
         @Override
         public void close() {
-          // Nothing is held.
+          // Holds no resources.
         }
       };
     }
@@ -93,7 +93,7 @@
       files.remove(name);
     }
 
-    /** All records that survive: of the process's end, or of the host's. */
+    /** Returns all records that survive the end of the process, or a crash of the host. */
     synchronized List<Entry> surviving(boolean host) throws Exception {
       List<Entry> out = new ArrayList<>();
       for (String name : files.keySet()) {
@@ -108,7 +108,7 @@
 
               @Override
               public void damage(long offset, long length, boolean atEnd) {
-                // Looked at elsewhere.
+                // Checked by other tests.
               }
             });
       }
@@ -118,7 +118,7 @@
 
   private final FaultyDisk disk = new FaultyDisk();
   private final ExecutorService loop = Executors.newSingleThreadExecutor();
-  private final BlockingQueue<Boolean> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Boolean> results = new LinkedBlockingQueue<>();
   private JournalWriter writer;
 
   private void start(Durability durability, boolean refuses, long segment, long keep)
@@ -135,16 +135,16 @@
 
   @AfterEach
   void stop() throws InterruptedException {
-    disk.mayWrite.release(1 << 29);
+    disk.writePermits.release(1 << 29);
     if (writer != null) {
       writer.close();
     }
     loop.shutdownNow();
   }
 
-  private Boolean ask(String id) throws InterruptedException {
-    assertTrue(writer.appendIntent(SegmentTest.intent(id, "k" + id, 0), told::add));
-    return told.poll(30, TimeUnit.SECONDS);
+  private Boolean writeIntent(String id) throws InterruptedException {
+    assertTrue(writer.appendIntent(SegmentTest.intent(id, "k" + id, 0), results::add));
+    return results.poll(30, TimeUnit.SECONDS);
   }
 
   private long intents(boolean host, String prefix) throws Exception {
@@ -154,11 +154,11 @@
   }
 
   @Test
-  void whatCountsAsWrittenSurvivesTheHostOnlyWhereThatWasPromised() throws Exception {
+  void confirmedIntentsAreSyncedWithHostDurability() throws Exception {
     start(Durability.HOST, true, 1 << 20, 1 << 30);
     for (int i = 0; i < 20; i++) {
-      assertEquals(true, ask("r" + i));
-      assertEquals(i + 1, intents(true, "r"), "synced before the word");
+      assertEquals(true, writeIntent("r" + i));
+      assertEquals(i + 1, intents(true, "r"), "synced before the confirmation");
     }
   }
 
@@ -166,48 +166,48 @@
   void groupsShareOneWrite() throws Exception {
     start(Durability.PROCESS, true, 1 << 20, 1 << 30);
     int before = disk.writes;
-    disk.mayWrite.drainPermits();
-    assertTrue(writer.appendIntent(SegmentTest.intent("first", "k", 0), told::add));
+    disk.writePermits.drainPermits();
+    assertTrue(writer.appendIntent(SegmentTest.intent("first", "k", 0), results::add));
     for (int i = 0; i < 200; i++) {
-      assertTrue(writer.appendIntent(SegmentTest.intent("r" + i, "k", 0), told::add));
+      assertTrue(writer.appendIntent(SegmentTest.intent("r" + i, "k", 0), results::add));
     }
-    disk.mayWrite.release(1 << 29);
+    disk.writePermits.release(1 << 29);
     for (int i = 0; i <= 200; i++) {
-      assertEquals(true, told.poll(30, TimeUnit.SECONDS));
+      assertEquals(true, results.poll(30, TimeUnit.SECONDS));
     }
     assertTrue(disk.writes - before < 20, "writes: " + (disk.writes - before));
     assertEquals(200, intents(false, "r"));
   }
 
-  /** After a failed sync nothing of that segment is trusted: what was told as written before is, in its own segment. */
+  /** After a failed sync its segment is abandoned; records confirmed before it must stay readable. */
   @Test
-  void failedSyncIsToldAndANewSegmentIsBegun() throws Exception {
+  void failedSyncIsReportedAndANewSegmentIsBegun() throws Exception {
     start(Durability.HOST, true, 1 << 20, 1 << 30);
-    assertEquals(true, ask("good"));
+    assertEquals(true, writeIntent("good"));
     disk.syncFails = true;
-    assertEquals(false, ask("bad"));
+    assertEquals(false, writeIntent("bad"));
     assertTrue(
         writer.retryDelayNanos() > 0 && writer.failureReason().contains("Input/output error"));
     disk.syncFails = false;
-    while (!ask("again")) {
-      // Until the time for another try has come.
+    while (!writeIntent("again")) {
+      // Until the retry delay is over.
     }
     assertEquals(0, writer.retryDelayNanos());
     assertEquals(1, intents(true, "good"));
     assertEquals(0, intents(true, "bad"));
-    // Each of the three tries of the group gave its segment up; the fourth segment works.
+    // Each of the three tries of the group abandoned its segment; the fourth segment works.
     assertEquals(4, disk.files.size());
     assertTrue(
         disk.surviving(true).stream().anyMatch(e -> e instanceof Entry.Gap g && g.lost() >= 1),
-        "the gap is told");
+        "the gap is recorded");
   }
 
-  /** What fails once is written to a new segment at once: nobody is turned away, and nothing is lost. */
+  /** After a single failure the group is written to a new segment at once: no request is rejected, no record lost. */
   @Test
-  void oneFailedSyncTurnsNobodyAway() throws Exception {
+  void singleFailedSyncRejectsNothing() throws Exception {
     start(Durability.HOST, true, 1 << 20, 1 << 30);
     disk.syncsThatFail = 1;
-    assertEquals(true, ask("kept"));
+    assertEquals(true, writeIntent("kept"));
     assertEquals(0, writer.retryDelayNanos());
     assertEquals(1, intents(true, "kept"));
     assertEquals(2, disk.files.size());
@@ -215,48 +215,48 @@
   }
 
   @Test
-  void fullDiskIsToldAndTheTornRecordIsNotRead() throws Exception {
+  void fullDiskIsReportedAndTheTornRecordIsNotRead() throws Exception {
     start(Durability.PROCESS, true, 1 << 20, 1 << 30);
-    assertEquals(true, ask("good"));
-    disk.room = 50;
-    assertEquals(false, ask("torn"));
+    assertEquals(true, writeIntent("good"));
+    disk.spaceLeft = 50;
+    assertEquals(false, writeIntent("torn"));
     assertEquals(0, intents(false, "torn"));
-    disk.room = Integer.MAX_VALUE;
-    while (!ask("again")) {
-      // Until the time for another try has come.
+    disk.spaceLeft = Integer.MAX_VALUE;
+    while (!writeIntent("again")) {
+      // Until the retry delay is over.
     }
     assertEquals(1, intents(false, "good"));
   }
 
-  /** The loop is never kept waiting: when the disk stands still the queue fills to its half and intents are turned away. */
+  /** A stalled disk must not block the loop: the queue fills to its half, then intents are rejected. */
   @Test
-  void queueBehindADiskThatStandsStillIsBounded() throws Exception {
+  void queueOfAStalledDiskIsBounded() throws Exception {
     start(Durability.HOST, true, 1 << 24, 1 << 30);
-    disk.mayWrite.drainPermits();
-    int taken = 0;
-    while (writer.appendIntent(SegmentTest.intent("r" + taken, "k", 0), told::add)) {
-      taken++;
-      assertTrue(taken <= JournalWriter.MOST_WAITING, "bounded");
+    disk.writePermits.drainPermits();
+    int accepted = 0;
+    while (writer.appendIntent(SegmentTest.intent("r" + accepted, "k", 0), results::add)) {
+      accepted++;
+      assertTrue(accepted <= JournalWriter.MAX_QUEUED_RECORDS, "bounded");
     }
-    for (int i = 0; i < 2 * JournalWriter.MOST_WAITING; i++) {
+    for (int i = 0; i < 2 * JournalWriter.MAX_QUEUED_RECORDS; i++) {
       writer.append(new Entry.Written("r" + i, 0, 1));
     }
-    assertTrue(told.isEmpty());
-    disk.mayWrite.release(1 << 29);
-    for (int i = 0; i < taken; i++) {
-      assertEquals(true, told.poll(30, TimeUnit.SECONDS));
+    assertTrue(results.isEmpty());
+    disk.writePermits.release(1 << 29);
+    for (int i = 0; i < accepted; i++) {
+      assertEquals(true, results.poll(30, TimeUnit.SECONDS));
     }
     writer.close();
     assertTrue(
         disk.surviving(true).stream().anyMatch(e -> e instanceof Entry.Gap),
-        "what was lost is told");
+        "the loss is recorded");
   }
 
   @Test
-  void segmentsRotateAndTheOldestGoFirst() throws Exception {
+  void segmentsRotateAndTheOldestAreDeletedFirst() throws Exception {
     start(Durability.PROCESS, true, 2_000, 12_000);
     for (int i = 0; i < 200; i++) {
-      assertEquals(true, ask("r" + i));
+      assertEquals(true, writeIntent("r" + i));
       writer.append(new Entry.Ended("r" + i, 0, pumicekeel.Balancer.Status.SERVED, 1));
     }
     long bytes = disk.list().stream().mapToLong(Disk.Stored::bytes).sum();
@@ -283,30 +283,30 @@
               throw new AssertionError("no damage");
             }
           });
-      assertTrue(first.get(0) instanceof Entry.Boot, "each segment tells who wrote it");
+      assertTrue(first.get(0) instanceof Entry.Boot, "each segment begins with a boot record");
     }
   }
 
-  /** Retention by size would take the first segment; an attempt in it is still out. */
+  /** Retention by size would delete the first segment, but an attempt in it has no outcome yet. */
   @Test
-  void segmentWithAnAttemptStillOutIsKept() throws Exception {
+  void segmentWithAnAttemptInFlightIsKept() throws Exception {
     start(Durability.PROCESS, true, 2_000, 8_000);
-    assertEquals(true, ask("out"));
+    assertEquals(true, writeIntent("out"));
     for (int i = 0; i < 100; i++) {
-      assertEquals(true, ask("r" + i));
+      assertEquals(true, writeIntent("r" + i));
       writer.append(new Entry.Ended("r" + i, 0, pumicekeel.Balancer.Status.SERVED, 1));
     }
     assertEquals(1, intents(false, "out"));
     writer.append(new Entry.Ended("out", 0, pumicekeel.Balancer.Status.SERVED, 1));
     for (int i = 0; i < 100; i++) {
-      assertEquals(true, ask("s" + i));
+      assertEquals(true, writeIntent("s" + i));
       writer.append(new Entry.Ended("s" + i, 0, pumicekeel.Balancer.Status.SERVED, 1));
     }
     assertEquals(0, intents(false, "out"));
   }
 
   @Test
-  void epochGoesUpThoughTheClockIsSetBack(@TempDir Path folder) throws Exception {
+  void epochIncreasesThoughTheClockIsSetBack(@TempDir Path folder) throws Exception {
     JournalWriter.Settings settings =
         new JournalWriter.Settings(Durability.PROCESS, true, 1 << 20, 1 << 30, 1L << 60);
     long ahead = System.currentTimeMillis() + 3_600_000L;
@@ -320,7 +320,7 @@
   }
 
   @Test
-  void folderThatIsNoGoodIsKnownAtTheStartAndHeldByOneProcess(@TempDir Path folder)
+  void unusableFolderIsReportedAtTheStartAndLockedByOneProcess(@TempDir Path folder)
       throws Exception {
     disk.createFails = true;
     assertThrows(IOException.class, () -> start(Durability.HOST, true, 1 << 20, 1 << 30));
--- a/src/test/java/pumicekeel/journal/RecoveryTest.java
+++ b/src/test/java/pumicekeel/journal/RecoveryTest.java
@@ -10,7 +10,7 @@
 import pumicekeel.Balancer.Effect;
 import pumicekeel.Balancer.Status;
 
-/** What the records of a dead process mean for the next one, and what is said of a request. */
+/** Recovery from the records of a crashed process, and the conclusions about single requests. */
 class RecoveryTest {
 
   private static final long SECOND = 1_000_000_000L;
@@ -38,60 +38,62 @@
   }
 
   private void boot(String host) {
-    recovery.take(new Entry.Boot(0, 0, "n0", host, Durability.HOST, true));
+    recovery.add(new Entry.Boot(0, 0, "n0", host, Durability.HOST, true));
   }
 
   @Test
-  void timeThatPassedIsTheMonotonicClocksWhereTheHostIsTheSame() {
+  void elapsedTimeIsFromTheMonotonicClockWithinOneHostBoot() {
     boot("b1");
-    recovery.take(sent("r1", "k1", 50_000, 10 * SECOND));
+    recovery.add(sent("r1", "k1", 50_000, 10 * SECOND));
     // The wall clock was set back by 40 s meanwhile.
-    assertEquals(1, recovery.into(memory, "b1", 10_500, 11 * SECOND, NOW));
+    assertEquals(1, recovery.restoreTo(memory, "b1", 10_500, 11 * SECOND, NOW));
     assertEquals(NOW - SECOND, memory.earlierAttempts("kk1", "r2", NOW).get(0).sentAtNanos());
     assertEquals("quotes", memory.poolOf("kk1", NOW));
     assertEquals(3, memory.earlierAttempts("kk1", "r2", NOW).get(0).cell());
   }
 
   @Test
-  void afterABootOfTheHostTheWallClockHasToDoAndOneSetBackEndsTheWindow() {
+  void wallClockIsUsedAfterAHostRebootAndOneSetBackEndsTheWindow() {
     boot("b1");
-    recovery.take(sent("r1", "k1", 50_000, 10 * SECOND));
-    recovery.take(sent("r2", "k2", 50_000, 10 * SECOND));
-    recovery.into(memory, "b2", 50_500, SECOND, NOW);
+    recovery.add(sent("r1", "k1", 50_000, 10 * SECOND));
+    recovery.add(sent("r2", "k2", 50_000, 10 * SECOND));
+    recovery.restoreTo(memory, "b2", 50_500, SECOND, NOW);
     assertEquals(
         NOW - SECOND / 2, memory.earlierAttempts("kk1", "x", NOW).get(0).sentAtNanos());
     KeyMemory other = new KeyMemory(10);
-    recovery.into(other, "b2", 40_000, SECOND, NOW);
+    recovery.restoreTo(other, "b2", 40_000, SECOND, NOW);
     assertEquals(
         NOW - 2 * SECOND,
         other.earlierAttempts("kk2", "x", NOW).get(0).sentAtNanos(),
-        "nobody knows: it is over");
+        "unknown elapsed time: the window is over");
   }
 
   @Test
-  void whatProvablyDidNotRunOrIsLongOverIsForgotten() {
+  void attemptsThatDidNotRunOrExpiredAreNotRestored() {
     boot("b1");
-    recovery.take(sent("r1", "k1", 50_000, 10 * SECOND));
-    recovery.take(new Entry.Ended("r1", 0, Status.CONNECT_FAILED, 50_001));
-    recovery.take(sent("r2", "k2", 50_000, 10 * SECOND));
-    recovery.take(new Entry.Ended("r2", 0, Status.TIMEOUT, 50_001));
-    recovery.take(sent("old", "k3", 1_000, SECOND));
-    recovery.take(sent("r4", null, 50_000, 10 * SECOND));
-    assertEquals(2, recovery.into(memory, "b1", 100_000, 73 * SECOND - 2 * SECOND, NOW));
+    recovery.add(sent("r1", "k1", 50_000, 10 * SECOND));
+    recovery.add(new Entry.Ended("r1", 0, Status.CONNECT_FAILED, 50_001));
+    recovery.add(sent("r2", "k2", 50_000, 10 * SECOND));
+    recovery.add(new Entry.Ended("r2", 0, Status.TIMEOUT, 50_001));
+    recovery.add(sent("old", "k3", 1_000, SECOND));
+    recovery.add(sent("r4", null, 50_000, 10 * SECOND));
+    assertEquals(2, recovery.restoreTo(memory, "b1", 100_000, 73 * SECOND - 2 * SECOND, NOW));
     assertNull(memory.poolOf("kk1", NOW));
     assertEquals("quotes", memory.poolOf("kk2", NOW));
     assertNull(memory.poolOf("kk3", NOW), "a minute past its window");
     assertEquals(
-        1, memory.earlierAttempts("ir4", "another", NOW).size(), "an unsafe one by its id");
+        1,
+        memory.earlierAttempts("ir4", "another", NOW).size(),
+        "an unsafe request is kept by its id");
   }
 
-  /** A key of 4 KB with any characters is known again from the record, where it is cut; another like it is another. */
+  /** A key of 4 KB is recognized from its truncated record; a key with the same beginning is a different one. */
   @Test
-  void longKeyIsKnownAgainAfterARestart() {
+  void longKeyIsRecognizedAfterARestart() {
     String key = "a\nb".repeat(1_400);
     boot("b1");
-    recovery.take(sent("r1", Codec.cut(key), 50_000, 10 * SECOND));
-    recovery.into(memory, "b1", 50_000, 10 * SECOND, NOW);
+    recovery.add(sent("r1", Codec.cut(key), 50_000, 10 * SECOND));
+    recovery.restoreTo(memory, "b1", 50_000, 10 * SECOND, NOW);
     assertEquals(
         1,
         memory
@@ -100,26 +102,26 @@
     assertTrue(memory
         .earlierAttempts(KeyMemory.entryName(Effect.KEYED, "x", key + "c"), "x", NOW)
         .isEmpty());
-    // Two texts that String.hashCode takes for one.
+    // Two texts with the same String.hashCode.
     assertTrue(!Codec.cut("x".repeat(400) + "Aa").equals(Codec.cut("x".repeat(400) + "BB")));
   }
 
   @Test
-  void memoryIsBoundedAndARequestsOwnAttemptsAreNotEarlierOnes() {
+  void memoryIsBoundedAndOmitsARequestsOwnAttempts() {
     for (int i = 0; i < 30; i++) {
       memory.recordAttempt(
           "k" + i, "p", "r" + i, 0, new pumicekeel.Balancer.PriorAttempt("a", 1, NOW), SECOND, NOW);
     }
     assertEquals(10, memory.size());
-    assertEquals(20, memory.dropped());
+    assertEquals(20, memory.evicted());
     assertTrue(memory.earlierAttempts("k29", "r29", NOW).isEmpty());
     assertEquals(1, memory.earlierAttempts("k29", "r30", NOW).size());
     memory.removeAttempt("k29", "r29", 0);
     assertTrue(memory.earlierAttempts("k29", "r30", NOW).isEmpty());
-    assertTrue(memory.earlierAttempts("k28", "x", NOW + 62 * SECOND).isEmpty(), "over");
+    assertTrue(memory.earlierAttempts("k28", "x", NOW + 62 * SECOND).isEmpty(), "expired");
   }
 
-  // What is said
+  // Conclusions
 
   private static Story story(Status status, Entry.Told told) {
     Story story = new Story("n0", 1);
@@ -134,7 +136,7 @@
   }
 
   @Test
-  void eachEndIsToldAsWhatItProves() {
+  void verdictFollowsFromTheRecordedOutcomes() {
     assertEquals(Story.Verdict.MAY_HAVE_RUN, story(null, null).verdict(null));
     assertEquals(
         Story.Verdict.MAY_HAVE_RUN, story(Status.RESET, Entry.Told.FAILED).verdict(null));
@@ -151,7 +153,7 @@
     assertEquals(
         Story.Verdict.UNKNOWN,
         story(Status.SERVED, null).verdict(null),
-        "it may have been told: no record");
+        "the client may have received it: no record");
     Story two = story(Status.TIMEOUT, null);
     two.intent(new Entry.Intent(
         "r", "k", "c", Effect.KEYED, DedupScope.CELL, 1, null, "p", 1, "s-1", "h:1", "a", 3, 9, 9));
--- a/src/test/java/pumicekeel/journal/SegmentTest.java
+++ b/src/test/java/pumicekeel/journal/SegmentTest.java
@@ -13,7 +13,7 @@
 import pumicekeel.Balancer.Effect;
 import pumicekeel.Balancer.Status;
 
-/** The format: what was written is read, and what was spoilt is told of and never taken for a record. */
+/** The segment format: records are read back, and damage is reported and never read as a record. */
 class SegmentTest {
 
   private static final long SALT = 0x1122334455667788L;
@@ -88,9 +88,9 @@
     assertTrue(read.damage().isEmpty());
   }
 
-  /** Cut at each byte: the whole records in front of the cut, and damage told unless the cut is between two. */
+  /** A segment truncated at each byte gives the records before the cut, and reports damage unless it is between two records. */
   @Test
-  void segmentCutAtAnyByteGivesWhatIsWholeAndTellsOfTheRest() throws Exception {
+  void truncatedSegmentGivesItsIntactRecordsAndReportsTheRest() throws Exception {
     ByteBuffer whole = segment(records());
     for (int cut = 0; cut < whole.limit(); cut++) {
       Read read = read(copy(whole).limit(cut).slice());
@@ -105,20 +105,19 @@
     }
   }
 
-  /** Each single bit turned: never a record that was not written, all others still there, and the damage told. */
+  /** A single flipped bit never yields a record that was not written; all other records are read, and the damage is reported. */
   @Test
-  void anyBitTurnedCostsOneRecordAtMostAndIsTold() throws Exception {
+  void flippedBitCostsOneRecordAtMostAndIsReported() throws Exception {
     ByteBuffer whole = segment(records());
     for (int bit = 0; bit < whole.limit() * 8; bit++) {
-      ByteBuffer spoilt = copy(whole);
-      spoilt.put(bit / 8, (byte) (spoilt.get(bit / 8) ^ 1 << bit % 8));
+      ByteBuffer damaged = copy(whole);
+      damaged.put(bit / 8, (byte) (damaged.get(bit / 8) ^ 1 << bit % 8));
       Read read;
       try {
-        read = read(spoilt);
+        read = read(damaged);
       } catch (SegmentReader.Unreadable e) {
         assertTrue(
-            bit / 8 == 8 || bit / 8 == 9,
-            "only the version's bits make it another version: " + bit);
+            bit / 8 == 8 || bit / 8 == 9, "only flipped bits of the version change it: " + bit);
         continue;
       }
       assertEquals(1, read.damage().size(), "bit " + bit);
@@ -129,9 +128,9 @@
     }
   }
 
-  /** A client sends a text that is a whole record by itself: after damage it is still only a text. */
+  /** A client sends a text that is a complete record: after damage it must not be read as one. */
   @Test
-  void recordPlantedInATextIsNotReadAsOne() throws Exception {
+  void recordEmbeddedInATextIsNotReadAsOne() throws Exception {
     for (long guess : new long[] {0, 1, -1}) {
       ByteBuffer planted = ByteBuffer.allocate(256);
       Codec.frame(planted, guess, new Entry.Answered("x", Entry.Told.SERVED, 1));
@@ -141,8 +140,9 @@
         text.append((char) (planted.get() & 0x7f));
       }
       ByteBuffer bytes = segment(List.of(intent(text.toString(), "k", 0), new Entry.Closed(1)));
-      // The same bytes as they are, in place of the record's payload: the strongest that a client
-      // could send.
+      // The exact bytes in place of the record's payload: stronger than any text that a client
+      // could
+      // send.
       ByteBuffer exact = copy(bytes);
       Codec.frame(
           exact.position(Codec.HEADER_BYTES + 20),
@@ -157,7 +157,7 @@
   }
 
   @Test
-  void newerVersionIsRefusedClearlyAndLaterFieldsAndKindsAreSkipped() throws Exception {
+  void newerVersionIsRejectedAndUnknownFieldsAndTypesAreSkipped() throws Exception {
     ByteBuffer newer = copy(segment(records()));
     newer.putShort(8, (short) (Codec.VERSION + 1));
     SegmentReader.Unreadable e = assertThrows(SegmentReader.Unreadable.class, () -> read(newer));
@@ -166,9 +166,9 @@
     Codec.header(out, new Codec.Header(Codec.VERSION, 1, 0, SALT));
     int start = out.position();
     Codec.frame(out, SALT, new Entry.Closed(5));
-    // A field more at the end of the record, as a later build of this version may write.
+    // One more field at the end of the record, as a later build of this version may write.
     out.position(out.position() - 4).putLong(99);
-    out.putInt(start + 4, 16).putInt(Codec.crc(SALT, out, start, Codec.FRAME_HEAD + 16));
+    out.putInt(start + 4, 16).putInt(Codec.crc(SALT, out, start, Codec.FRAME_HEAD_BYTES + 16));
     int unknown = out.position();
     Codec.frame(out, SALT, new Entry.Closed(6));
     out.put(unknown + 2, (byte) 99)
@@ -180,7 +180,7 @@
   }
 
   @Test
-  void noiseIsNoSegmentAndLongTextsAreCutWithoutMeetingOthers() throws Exception {
+  void noiseHasNoRecordsAndTruncatedTextsStayDistinct() throws Exception {
     long seed = new SplittableRandom().nextLong();
     SplittableRandom random = new SplittableRandom(seed);
     for (int i = 0; i < 500; i++) {
