--- a/src/main/java/pumicekeel/cli/RigSoakCommand.java
+++ b/src/main/java/pumicekeel/cli/RigSoakCommand.java
@@ -125,7 +125,7 @@
       List<Future<SoakRun.Result>> all = new ArrayList<>();
       for (long i = seed; i < seed + runs; i++) {
         SoakPlan plan = planOf(i);
-        all.add(players.submit(() -> show(new SoakRun(plan).play(), out)));
+        all.add(players.submit(() -> show(new SoakRun(plan).run(), out)));
       }
       return sum(all, out) ? 0 : 1;
     } finally {
@@ -145,7 +145,7 @@
 
   private SoakRun.Result show(SoakRun.Result result, PrintStream out) {
     synchronized (out) {
-      out.println(result.line());
+      out.println(result.summary());
       result.report().forEach(out::println);
       if (logs && result.report().isEmpty()) {
         result.logs().forEach(out::println);
@@ -163,7 +163,7 @@
       SoakRun.Result result = one.get();
       requests += result.requests();
       result.injected().forEach((kind, n) -> injected.merge(kind, n, Long::sum));
-      if (!result.held()) {
+      if (!result.passed()) {
         failed.add(result.plan().seed());
       }
     }
--- a/src/main/java/pumicekeel/rig/soak/SoakRun.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakRun.java
@@ -45,12 +45,12 @@
       List<String> logs) {
 
     /** Whether no rule was broken and every process came back. */
-    public boolean held() {
+    public boolean passed() {
       return broken.isEmpty() && problems.isEmpty();
     }
 
     /** A line of figures. */
-    public String line() {
+    public String summary() {
       return "seed " + plan.seed() + ": " + requests + " requests, " + served + " served, "
           + refused + " refused, " + failed + " failed, " + broken.size() + " broken, "
           + problems.size() + " problems; injected " + injected + "; calls to discovery "
@@ -100,7 +100,7 @@
   }
 
   /** Plays it and judges; all processes have ended when it returns. */
-  public Result play() throws IOException, InterruptedException {
+  public Result run() throws IOException, InterruptedException {
     folder = Files.createTempDirectory("soak");
     try {
       begin();
--- a/src/test/java/pumicekeel/rig/soak/CallFaultsTest.java
+++ b/src/test/java/pumicekeel/rig/soak/CallFaultsTest.java
@@ -15,14 +15,14 @@
   private static final int PER_MILLE = 300;
 
   private static void plays(SoakPlan plan) throws Exception {
-    SoakRun.Result result = new SoakRun(plan).play();
-    System.out.println(result.line());
+    SoakRun.Result result = new SoakRun(plan).run();
+    System.out.println(result.summary());
     for (CallKind kind : plan.rates().keySet()) {
       assertTrue(
           result.injected().getOrDefault(kind, 0L) > 0,
-          "the fault was injected: " + kind + ", " + result.line());
+          "the fault was injected: " + kind + ", " + result.summary());
     }
-    assertTrue(result.held(), () -> result.line() + "\n" + String.join("\n", result.report()));
+    assertTrue(result.passed(), () -> result.summary() + "\n" + String.join("\n", result.report()));
   }
 
   private static long seed() {
--- a/src/test/java/pumicekeel/rig/soak/LateListTest.java
+++ b/src/test/java/pumicekeel/rig/soak/LateListTest.java
@@ -21,17 +21,17 @@
       names = {"CUT", "IGNORED"})
   void requestsGoToServersThatLeftWhileListsFailToArrive(ListTrouble trouble) throws Exception {
     SoakRun.Result result =
-        new SoakRun(SoakPlan.lists(SEED, trouble, BALANCERS, SECONDS, false)).play();
-    System.out.println(trouble + ", " + result.line());
-    assertTrue(result.held(), () -> result.line() + "\n" + String.join("\n", result.report()));
+        new SoakRun(SoakPlan.lists(SEED, trouble, BALANCERS, SECONDS, false)).run();
+    System.out.println(trouble + ", " + result.summary());
+    assertTrue(result.passed(), () -> result.summary() + "\n" + String.join("\n", result.report()));
   }
 
   @Test
   void balancerWhoseCallsAreIgnoredRefusesAllThoughOthersKnowWhoLeft() throws Exception {
     SoakRun.Result result =
-        new SoakRun(SoakPlan.lists(SEED, ListTrouble.IGNORED, BALANCERS, SECONDS, true)).play();
-    System.out.println("with peers, " + result.line());
-    assertTrue(result.held(), () -> result.line() + "\n" + String.join("\n", result.report()));
+        new SoakRun(SoakPlan.lists(SEED, ListTrouble.IGNORED, BALANCERS, SECONDS, true)).run();
+    System.out.println("with peers, " + result.summary());
+    assertTrue(result.passed(), () -> result.summary() + "\n" + String.join("\n", result.report()));
     assertEquals(
         List.of(),
         result.logs().stream().filter(line -> line.contains("now OUTDATED")).toList());
--- a/src/test/java/pumicekeel/rig/soak/SoakTest.java
+++ b/src/test/java/pumicekeel/rig/soak/SoakTest.java
@@ -15,8 +15,8 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 5, 14})
   void rulesHoldUnderOverlappingFaults(long seed) throws Exception {
-    SoakRun.Result result = new SoakRun(SoakPlan.random(seed)).play();
-    System.out.println(result.line());
-    assertTrue(result.held(), () -> result.line() + "\n" + String.join("\n", result.report()));
+    SoakRun.Result result = new SoakRun(SoakPlan.random(seed)).run();
+    System.out.println(result.summary());
+    assertTrue(result.passed(), () -> result.summary() + "\n" + String.join("\n", result.report()));
   }
 }
