--- a/src/main/java/pumicekeel/demo/Demo.java
+++ b/src/main/java/pumicekeel/demo/Demo.java
@@ -211,11 +211,11 @@
           "%5.1f s  quotes %6d asked %6d served %4d refused %3d failed   rates %6d asked %6d served %4d refused"
               + " %3d failed%n",
           (System.nanoTime() - startedAt) / 1e9,
-          quoting.asked(),
+          quoting.sent(),
           quoting.count(Outcome.SERVED),
           quoting.count(Outcome.REFUSED),
           quoting.count(Outcome.FAILED),
-          rating.asked(),
+          rating.sent(),
           rating.count(Outcome.SERVED),
           rating.count(Outcome.REFUSED),
           rating.count(Outcome.FAILED));
@@ -238,7 +238,7 @@
     rows.forEach((name, c) -> out.printf(
         "%-20s %8d %7d %7d %7d  %8.1f %7.1f  %8d%n",
         name,
-        c.asked(),
+        c.sent(),
         c.count(Outcome.SERVED),
         c.count(Outcome.REFUSED),
         c.count(Outcome.FAILED),
@@ -246,15 +246,15 @@
         c.results().latency().getValueAtPercentile(99) / 1e3,
         seen(name.split(" ")[1])));
     Verdict verdict = Verdict.ofUpstreams(upstreams, groups);
-    rows.forEach((name, c) -> verdict.noneLost(name, c.results()));
-    verdict.noneTwice();
-    verdict.drainKept(
+    rows.forEach((name, c) -> verdict.checkAllAnswered(name, c.results()));
+    verdict.checkNoDuplicateEffect();
+    verdict.checkDrain(
         "shared", "quote-issue", quotes.toldAt("shared", "terminating"), GRACE_MILLIS);
-    verdict.stillServes("shared", "rate-lookup", quotes.toldAt("shared", "terminating"));
-    verdict.coldKept("cold", coldAt, 0.3, 8, 3, 3);
+    verdict.checkStillServing("shared", "rate-lookup", quotes.toldAt("shared", "terminating"));
+    verdict.checkColdBudget("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
-    return verdict.good();
+    return verdict.passed();
   }
 
   private long seen(String className) {
--- a/src/main/java/pumicekeel/demo/RpcDemo.java
+++ b/src/main/java/pumicekeel/demo/RpcDemo.java
@@ -193,7 +193,7 @@
       all.forEach((name, c) -> line.append(String.format(
           "  %s %d asked %d served %d refused %d failed",
           name,
-          c.asked(),
+          c.sent(),
           c.count(Outcome.SERVED),
           c.count(Outcome.REFUSED),
           c.count(Outcome.FAILED))));
@@ -211,7 +211,7 @@
     all.forEach((name, c) -> out.printf(
         "%-20s %8d %7d %7d %7d %7d  %8.1f %7.1f%n",
         name,
-        c.asked(),
+        c.sent(),
         c.count(Outcome.SERVED),
         c.count(Outcome.REFUSED),
         c.count(Outcome.FAILED),
@@ -219,16 +219,16 @@
         c.results().latency().getValueAtPercentile(50) / 1e3,
         c.results().latency().getValueAtPercentile(99) / 1e3));
     Verdict verdict = Verdict.ofServers(servers, CELLS, call -> nameIn(call));
-    all.forEach((name, c) -> verdict.noneLost(name, c.results()));
-    all.values().forEach(c -> verdict.servedWasSeen(c.results(), Verdict.Ran::name));
-    verdict.refusedNeverRan(all.get("quotes, singly").results());
-    verdict.noneTwice();
-    verdict.drainKept("s3", "quote.issue", discovery.toldAt("s3", "terminating"), GRACE_MILLIS);
-    verdict.drainKept("s3", "rate.lookup", discovery.toldAt("s3", "terminating"), GRACE_MILLIS);
-    verdict.coldKept("cold", coldAt, 0.3, 8, 3, 3);
+    all.forEach((name, c) -> verdict.checkAllAnswered(name, c.results()));
+    all.values().forEach(c -> verdict.checkServedWasReceived(c.results(), Verdict.Execution::name));
+    verdict.checkRefusedNeverRan(all.get("quotes, singly").results());
+    verdict.checkNoDuplicateEffect();
+    verdict.checkDrain("s3", "quote.issue", discovery.toldAt("s3", "terminating"), GRACE_MILLIS);
+    verdict.checkDrain("s3", "rate.lookup", discovery.toldAt("s3", "terminating"), GRACE_MILLIS);
+    verdict.checkColdBudget("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
-    return verdict.good();
+    return verdict.passed();
   }
 
   /** The name that the stand-in's client gave a call: the first member of its params. */
--- a/src/main/java/pumicekeel/demo/Verdict.java
+++ b/src/main/java/pumicekeel/demo/Verdict.java
@@ -18,14 +18,14 @@
 public final class Verdict {
 
   /** Something that an upstream ran, or may have run; {@code key} is null where it has none, or surely did not run. */
-  public record Ran(String name, String key, String className, long atNanos) {}
+  public record Execution(String name, String key, String className, long atNanos) {}
 
-  private final Map<String, Supplier<List<Ran>>> upstreams;
+  private final Map<String, Supplier<List<Execution>>> upstreams;
   private final Map<String, Integer> cells;
   private final List<String> lines = new ArrayList<>();
-  private boolean good = true;
+  private boolean passed = true;
 
-  private Verdict(Map<String, Integer> cells, Map<String, Supplier<List<Ran>>> upstreams) {
+  private Verdict(Map<String, Integer> cells, Map<String, Supplier<List<Execution>>> upstreams) {
     this.upstreams = upstreams;
     this.cells = cells;
   }
@@ -33,11 +33,11 @@
   /** HTTP upstreams by name, and the cell of each: those of one cell drop each other's repeats. */
   public static Verdict ofUpstreams(
       Map<String, StandInUpstream> upstreams, Map<String, Integer> cells) {
-    Map<String, Supplier<List<Ran>>> logs = new TreeMap<>();
+    Map<String, Supplier<List<Execution>>> logs = new TreeMap<>();
     upstreams.forEach((name, u) -> logs.put(
         name,
         () -> u.seen().stream()
-            .map(s -> new Ran(
+            .map(s -> new Execution(
                 s.id(),
                 s.mode() == StandInUpstream.Mode.FULL ? null : s.key(),
                 s.className(),
@@ -51,11 +51,11 @@
       Map<String, StandInRpcServer> servers,
       Map<String, Integer> cells,
       Function<StandInRpcServer.Seen, String> name) {
-    Map<String, Supplier<List<Ran>>> logs = new TreeMap<>();
+    Map<String, Supplier<List<Execution>>> logs = new TreeMap<>();
     servers.forEach((server, s) -> logs.put(
         server,
         () -> s.seen().stream()
-            .map(c -> new Ran(
+            .map(c -> new Execution(
                 name.apply(c),
                 c.method().equals("quote.issue") ? name.apply(c) : null,
                 c.method(),
@@ -64,8 +64,8 @@
     return new Verdict(cells, logs);
   }
 
-  public boolean good() {
-    return good;
+  public boolean passed() {
+    return passed;
   }
 
   public List<String> lines() {
@@ -73,35 +73,35 @@
   }
 
   private void rule(String what, boolean held, String detail) {
-    good &= held;
+    passed &= held;
     lines.add((held ? "held    " : "BROKEN  ") + what + ": " + detail);
   }
 
   /** Rule 1: each request or call got exactly one final answer in time, and the right one. */
-  public void noneLost(String what, LoadResults results) {
-    noneLost(what, List.of(results));
+  public void checkAllAnswered(String what, LoadResults results) {
+    checkAllAnswered(what, List.of(results));
   }
 
   /** Rule 1 for clients of many balancers together. */
-  public void noneLost(String what, List<LoadResults> all) {
-    long asked = all.stream().mapToLong(LoadResults::asked).sum();
+  public void checkAllAnswered(String what, List<LoadResults> all) {
+    long sent = all.stream().mapToLong(LoadResults::sent).sum();
     long left = all.stream().mapToLong(LoadResults::abandoned).sum();
-    long wrong = all.stream().mapToLong(LoadResults::wrong).sum();
-    long unended = all.stream().mapToLong(LoadResults::unended).sum();
+    long wrong = all.stream().mapToLong(LoadResults::violations).sum();
+    long pending = all.stream().mapToLong(LoadResults::pending).sum();
     List<String> faults =
         all.stream().flatMap(c -> c.faults().stream()).limit(5).toList();
     rule(
         "no request lost",
-        wrong == 0 && unended == 0 && asked > 0,
-        asked + " " + what + " asked"
+        wrong == 0 && pending == 0 && sent > 0,
+        sent + " " + what + " asked"
             + (all.size() == 1 ? "" : " at " + all.size() + " instances")
             + (left == 0 ? "" : ", " + left + " left by their clients") + ", " + wrong
-            + " lost, late or wrong, " + unended + " without an end"
+            + " lost, late or wrong, " + pending + " without an end"
             + (faults.isEmpty() ? "" : " " + faults));
   }
 
   /** Each call that its client holds for served was seen by a server. */
-  public void servedWasSeen(LoadResults clients, Function<Ran, String> name) {
+  public void checkServedWasReceived(LoadResults clients, Function<Execution, String> name) {
     Set<String> seen = new HashSet<>();
     upstreams.values().forEach(u -> u.get().forEach(r -> seen.add(name.apply(r))));
     long never = clients.served().stream().filter(n -> !seen.contains(n)).count();
@@ -112,7 +112,7 @@
   }
 
   /** A keyed call that its client was told to be refused, where only servers of one cell drop repeats, never ran. */
-  public void refusedNeverRan(LoadResults clients) {
+  public void checkRefusedNeverRan(LoadResults clients) {
     Set<String> ran = new HashSet<>();
     upstreams.values().forEach(u -> u.get().forEach(r -> ran.add(r.key())));
     long untrue = clients.refused().stream().filter(ran::contains).count();
@@ -123,11 +123,11 @@
   }
 
   /** Rule 2: no key ran in two cells, since only upstreams of one cell drop a repeat. */
-  public void noneTwice() {
+  public void checkNoDuplicateEffect() {
     Map<String, Set<Integer>> ran = new HashMap<>();
     long keyed = 0;
-    for (Map.Entry<String, Supplier<List<Ran>>> u : upstreams.entrySet()) {
-      for (Ran s : u.getValue().get()) {
+    for (Map.Entry<String, Supplier<List<Execution>>> u : upstreams.entrySet()) {
+      for (Execution s : u.getValue().get()) {
         if (s.key() != null) {
           keyed++;
           ran.computeIfAbsent(s.key(), k -> new HashSet<>()).add(cells.get(u.getKey()));
@@ -142,7 +142,7 @@
   }
 
   /** Rule 3: nothing of a class reaches a draining upstream so long after the word of it was written. */
-  public void drainKept(String upstream, String className, long toldAt, long graceMillis) {
+  public void checkDrain(String upstream, String className, long toldAt, long graceMillis) {
     long end = toldAt + TimeUnit.MILLISECONDS.toNanos(graceMillis);
     long late = of(upstream, className).filter(s -> s.atNanos() - end > 0).count();
     long before = of(upstream, className).filter(s -> s.atNanos() - end <= 0).count();
@@ -154,7 +154,7 @@
   }
 
   /** A drain in one pool leaves the other's work alone. */
-  public void stillServes(String upstream, String className, long toldAt) {
+  public void checkStillServing(String upstream, String className, long toldAt) {
     long after = of(upstream, className).filter(s -> s.atNanos() - toldAt > 0).count();
     rule(
         "a drain in one pool only",
@@ -166,7 +166,7 @@
    * Rule 4: in no window did all pools together send a cold upstream more than the multiple of its present part of what
    * a warm one got on average in the same window; a few requests more are chance.
    */
-  public void coldKept(
+  public void checkColdBudget(
       String cold,
       long startedAt,
       double coldFrom,
@@ -176,8 +176,8 @@
     long step = TimeUnit.MILLISECONDS.toNanos(100);
     long window = (long) (windowSeconds * 1e9);
     Map<String, long[]> times = new HashMap<>();
-    upstreams.forEach(
-        (name, u) -> times.put(name, u.get().stream().mapToLong(Ran::atNanos).toArray()));
+    upstreams.forEach((name, u) ->
+        times.put(name, u.get().stream().mapToLong(Execution::atNanos).toArray()));
     long last =
         times.values().stream().flatMapToLong(java.util.Arrays::stream).max().orElse(0);
     double worst = 0;
@@ -212,7 +212,7 @@
     return count;
   }
 
-  private java.util.stream.Stream<Ran> of(String upstream, String className) {
+  private java.util.stream.Stream<Execution> of(String upstream, String className) {
     return upstreams.get(upstream).get().stream().filter(s -> s.className().equals(className));
   }
 }
--- a/src/main/java/pumicekeel/load/Load.java
+++ b/src/main/java/pumicekeel/load/Load.java
@@ -91,8 +91,8 @@
   }
 
   /** Requests sent so far. */
-  public long asked() {
-    return results.asked();
+  public long sent() {
+    return results.sent();
   }
 
   /** Opens all connections; each sends as soon as it is up, and reconnects when it breaks. */
@@ -106,7 +106,7 @@
     stopped = true;
     long end = System.nanoTime()
         + TimeUnit.MILLISECONDS.toNanos(template.deadlineMillis() + 3 * GRACE_MILLIS);
-    while (results.unended() > 0 && System.nanoTime() - end < 0) {
+    while (results.pending() > 0 && System.nanoTime() - end < 0) {
       TimeUnit.MILLISECONDS.sleep(5);
     }
     all.forEach(Connection::close);
@@ -215,7 +215,7 @@
         asked.add(name);
         open.put(++lastNumber, new Sent(name, due, now));
       }
-      results.asked(profile.batch());
+      results.sent(profile.batch());
       ctx.write(session.encode(first, asked));
     }
 
--- a/src/main/java/pumicekeel/load/LoadResults.java
+++ b/src/main/java/pumicekeel/load/LoadResults.java
@@ -26,7 +26,7 @@
   private static final int MAX_FAULTS = 20;
   private static final long MAX_LATENCY_MICROS = 60_000_000L;
 
-  private final AtomicLong asked = new AtomicLong();
+  private final AtomicLong sent = new AtomicLong();
   private final AtomicLong abandoned = new AtomicLong();
   private final AtomicLongArray ends = new AtomicLongArray(Outcome.values().length);
   private final ConcurrentHistogram latency = new ConcurrentHistogram(MAX_LATENCY_MICROS, 3);
@@ -39,8 +39,8 @@
     this.keepsNames = keepsNames;
   }
 
-  void asked(int count) {
-    asked.addAndGet(count);
+  void sent(int count) {
+    sent.addAndGet(count);
   }
 
   /** Counts requests that were open when their client closed its connection on purpose. */
@@ -64,13 +64,13 @@
 
   /** Counts an answer that belongs to no open request, as a request that ended WRONG. */
   void unsolicited(String what) {
-    asked(1);
+    sent(1);
     ended(Outcome.WRONG, "?", 0, "an answer that nobody asked for: " + what);
   }
 
   /** Requests sent so far. */
-  public long asked() {
-    return asked.get();
+  public long sent() {
+    return sent.get();
   }
 
   /** Requests whose client closed its connection before they ended. */
@@ -84,17 +84,17 @@
   }
 
   /** Requests that ended in violation: lost, late, or with another's answer. */
-  public long wrong() {
+  public long violations() {
     return count(Outcome.LOST) + count(Outcome.LATE) + count(Outcome.WRONG);
   }
 
   /** Requests that are still open: neither ended nor abandoned. */
-  public long unended() {
+  public long pending() {
     long sum = abandoned.get();
     for (int i = 0; i < ends.length(); i++) {
       sum += ends.get(i);
     }
-    return asked() - sum;
+    return sent() - sum;
   }
 
   /** Latencies of served requests in microseconds, counted from when each was due. */
--- a/src/main/java/pumicekeel/measure/Measure.java
+++ b/src/main/java/pumicekeel/measure/Measure.java
@@ -84,7 +84,7 @@
     return new Rate(
         served / taken,
         results.latency().getValueAtPercentile(99) / 1e3,
-        results.asked() - results.abandoned() - results.count(Outcome.SERVED));
+        results.sent() - results.abandoned() - results.count(Outcome.SERVED));
   }
 
   static String median(List<Double> values) {
--- a/src/main/java/pumicekeel/measure/RpcMeasure.java
+++ b/src/main/java/pumicekeel/measure/RpcMeasure.java
@@ -219,7 +219,7 @@
     return new Rate(
         served / taken,
         results.latency().getValueAtPercentile(99) / 1e3,
-        results.asked() - results.abandoned() - results.count(Outcome.SERVED),
+        results.sent() - results.abandoned() - results.count(Outcome.SERVED),
         garbage);
   }
 }
--- a/src/main/java/pumicekeel/rig/FleetRig.java
+++ b/src/main/java/pumicekeel/rig/FleetRig.java
@@ -192,14 +192,14 @@
 
   private boolean report(List<Load> lookups, List<Load> quotes, long coldAt) {
     Verdict verdict = Verdict.ofUpstreams(upstreams, cells);
-    verdict.noneLost("lookups", lookups.stream().map(Load::results).toList());
-    verdict.noneLost("quotes", quotes.stream().map(Load::results).toList());
-    verdict.noneTwice();
-    verdict.drainKept("s1", "rate-lookup", discovery.toldAt("s1", "terminating"), GRACE_MILLIS);
-    verdict.drainKept("s1", "quote-issue", discovery.toldAt("s1", "terminating"), GRACE_MILLIS);
-    verdict.coldKept("cold", coldAt, 0.3, 8, 3, 3);
+    verdict.checkAllAnswered("lookups", lookups.stream().map(Load::results).toList());
+    verdict.checkAllAnswered("quotes", quotes.stream().map(Load::results).toList());
+    verdict.checkNoDuplicateEffect();
+    verdict.checkDrain("s1", "rate-lookup", discovery.toldAt("s1", "terminating"), GRACE_MILLIS);
+    verdict.checkDrain("s1", "quote-issue", discovery.toldAt("s1", "terminating"), GRACE_MILLIS);
+    verdict.checkColdBudget("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
-    return verdict.good();
+    return verdict.passed();
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/RequestPathScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/RequestPathScenario.java
@@ -189,7 +189,7 @@
     for (Load load : loads) {
       LoadResults results = load.stop();
       micros.add(results.latency());
-      asked += results.asked();
+      asked += results.sent();
       served += results.count(Outcome.SERVED);
     }
     double processor = (side.balancer().processorTime().toNanos() - processorBefore) / 1e3;
--- a/src/test/java/pumicekeel/front/AcceptControlTest.java
+++ b/src/test/java/pumicekeel/front/AcceptControlTest.java
@@ -118,7 +118,8 @@
     control.limitReached(now);
     now += 700 * MS;
     control.accepting(now);
-    assertEquals(300 * MS, control.maxBacklogWaitNanos(now, false), "a connection is freed within that");
+    assertEquals(
+        300 * MS, control.maxBacklogWaitNanos(now, false), "a connection is freed within that");
     assertEquals(0, control.maxBacklogWaitNanos(now + 6 * MS, false));
   }
 }
--- a/src/test/java/pumicekeel/mesh/MeshTest.java
+++ b/src/test/java/pumicekeel/mesh/MeshTest.java
@@ -76,9 +76,9 @@
         l.stop();
       }
       Verdict verdict = mesh.verdict();
-      verdict.noneLost("requests", all.stream().map(Load::results).toList());
-      verdict.noneTwice();
-      assertTrue(verdict.good(), verdict.lines().toString());
+      verdict.checkAllAnswered("requests", all.stream().map(Load::results).toList());
+      verdict.checkNoDuplicateEffect();
+      assertTrue(verdict.passed(), verdict.lines().toString());
     }
   }
 
@@ -120,8 +120,9 @@
           .count();
       assertEquals(0, late, "sent to an upstream that left, half a second after the process woke");
       Verdict verdict = mesh.verdict();
-      verdict.noneLost("requests", all.subList(0, 2).stream().map(Load::results).toList());
-      assertTrue(verdict.good(), verdict.lines().toString());
+      verdict.checkAllAnswered(
+          "requests", all.subList(0, 2).stream().map(Load::results).toList());
+      assertTrue(verdict.passed(), verdict.lines().toString());
     }
   }
 
--- a/src/test/java/pumicekeel/node/DeliveredConfigurationTest.java
+++ b/src/test/java/pumicekeel/node/DeliveredConfigurationTest.java
@@ -122,7 +122,7 @@
     TestNode.until(() -> quotes.count(Outcome.SERVED) > servedBefore + 50);
     for (Load load : List.of(quotes, rates)) {
       load.stop();
-      assertEquals(0, load.results().unended());
+      assertEquals(0, load.results().pending());
       assertEquals(
           0,
           load.count(Outcome.LOST) + load.count(Outcome.LATE) + load.count(Outcome.WRONG),
--- a/src/test/java/pumicekeel/node/GenerationsTest.java
+++ b/src/test/java/pumicekeel/node/GenerationsTest.java
@@ -61,7 +61,7 @@
   private static void assertNoneLost(Load clients, boolean mayHaveNoRoute)
       throws InterruptedException {
     clients.stop();
-    assertEquals(0, clients.results().unended());
+    assertEquals(0, clients.results().pending());
     assertEquals(
         0,
         clients.count(Outcome.LOST) + clients.count(Outcome.LATE),
--- a/src/test/java/pumicekeel/node/IsolationTest.java
+++ b/src/test/java/pumicekeel/node/IsolationTest.java
@@ -48,7 +48,7 @@
     TestNode.until(() -> b.count(Outcome.SERVED) >= servedBefore + 200);
     b.stop();
     assertEquals(
-        b.asked(),
+        b.sent(),
         b.count(Outcome.SERVED),
         "all of b is served: " + b.results().faults() + " refused " + b.count(Outcome.REFUSED));
     assertTrue(
@@ -75,7 +75,7 @@
     a.stop();
     assertEquals(
         0,
-        a.results().unended() + a.count(Outcome.LOST) + a.count(Outcome.WRONG),
+        a.results().pending() + a.count(Outcome.LOST) + a.count(Outcome.WRONG),
         a.results().faults().toString());
   }
 
@@ -95,7 +95,7 @@
     a.stop();
     assertEquals(
         0,
-        a.results().unended() + a.count(Outcome.LOST) + a.count(Outcome.WRONG),
+        a.results().pending() + a.count(Outcome.LOST) + a.count(Outcome.WRONG),
         a.results().faults().toString());
   }
 
@@ -116,7 +116,7 @@
     a.stop();
     assertEquals(
         0,
-        a.results().unended() + a.count(Outcome.LOST) + a.count(Outcome.WRONG),
+        a.results().pending() + a.count(Outcome.LOST) + a.count(Outcome.WRONG),
         a.results().faults().toString());
   }
 
--- a/src/test/java/pumicekeel/node/ServicesTest.java
+++ b/src/test/java/pumicekeel/node/ServicesTest.java
@@ -188,13 +188,13 @@
             .anyMatch(s -> s.className().equals("rate-lookup")
                 && s.atNanos() - notifiedAt > TimeUnit.SECONDS.toNanos(2)),
         "rates still uses it");
-    assertEquals(0, quotes.results().unended() + rates.results().unended());
+    assertEquals(0, quotes.results().pending() + rates.results().pending());
     assertEquals(
-        quotes.asked(),
+        quotes.sent(),
         quotes.count(SERVED) + quotes.count(REFUSED),
         quotes.results().faults().toString());
     assertEquals(
-        rates.asked(),
+        rates.sent(),
         rates.count(SERVED) + rates.count(REFUSED),
         rates.results().faults().toString());
     assertTrue(other.seen().stream().anyMatch(s -> s.atNanos() - notifiedAt > 0));
@@ -244,7 +244,7 @@
     // The close of a replaced idle connection may be seen only after its successor was accepted;
     // without a cap 18 are busy.
     assertTrue(shared.mostOpen() <= 6, "open at once: " + shared.mostOpen());
-    assertEquals(0, quotes.results().unended() + rates.results().unended());
+    assertEquals(0, quotes.results().pending() + rates.results().pending());
   }
 
   /**
@@ -284,8 +284,8 @@
     quotes.stop();
     rates.stop();
     var verdict = pumicekeel.demo.Verdict.ofUpstreams(t.upstreams, java.util.Map.of());
-    verdict.coldKept("cold", startedAt, 0.3, 8, 1.2, 3);
-    assertTrue(verdict.good(), verdict.lines().toString());
+    verdict.checkColdBudget("cold", startedAt, 0.3, 8, 1.2, 3);
+    assertTrue(verdict.passed(), verdict.lines().toString());
   }
 
   // Keyed requests and fallback pools
