--- a/src/main/java/pumicekeel/rig/soak/BalancerProcess.java
+++ b/src/main/java/pumicekeel/rig/soak/BalancerProcess.java
@@ -17,24 +17,24 @@
 import pumicekeel.rig.ProgramCommand;
 import pumicekeel.runtime.Addresses;
 
-/** A balancer as a real process: what {@code run} of the deploy file starts, with call faults loaded into it. */
+/** A balancer process, started by the {@code run} command of the deploy file with the system call faults preloaded. */
 public final class BalancerProcess implements Closeable {
 
   private static final Path DEPLOY_FILE = Path.of("deploy", "balancer.toml");
-  private static final String SERVES = " serves at /";
-  private static final long START_SECONDS = 60;
+  private static final String SERVING_MARKER = " serves at /";
+  private static final long START_TIMEOUT_SECONDS = 60;
 
   private final String name;
   private final RequestLog log;
   private final Process process;
   private final List<String> lines = Collections.synchronizedList(new ArrayList<>());
-  private final List<String> timed = Collections.synchronizedList(new ArrayList<>());
+  private final List<String> timedLines = Collections.synchronizedList(new ArrayList<>());
   private final CountDownLatch serving = new CountDownLatch(1);
   private final Thread reader;
-  private final Thread endWithThis;
+  private final Thread shutdownHook;
   private volatile InetSocketAddress address;
 
-  /** Starts one with a configuration file, and an operator file unless that is null. */
+  /** Starts a process with a configuration file and, unless it is null, an operator file. */
   public BalancerProcess(
       String name, Path configuration, Path operator, CallFaults faults, RequestLog log)
       throws IOException {
@@ -47,17 +47,17 @@
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().keySet().removeIf(key -> key.startsWith("PROXY_"));
     builder.environment().put("PROXY_CONFIG", configuration.toString());
-    faults.into(builder.environment());
+    faults.addTo(builder.environment());
     process = builder.start();
-    // None is left behind where this program is ended in the middle of a run.
-    endWithThis = new Thread(process::destroyForcibly);
-    Runtime.getRuntime().addShutdownHook(endWithThis);
-    reader = new Thread(this::read, name + " log");
+    // The process must not outlive this program when that is terminated during a run.
+    shutdownHook = new Thread(process::destroyForcibly);
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
+    reader = new Thread(this::readLog, name + " log");
     reader.setDaemon(true);
     reader.start();
   }
 
-  /** The flags of the deploy file's own line, with the classes of this process. */
+  /** Returns the command with the JVM flags of the deploy file and the class path of this process. */
   private static List<String> command() throws IOException {
     String run = Files.readAllLines(DEPLOY_FILE).stream()
         .filter(line -> line.startsWith("run = "))
@@ -72,14 +72,15 @@
     return command;
   }
 
-  private void read() {
-    try (BufferedReader from = new BufferedReader(
+  private void readLog() {
+    try (BufferedReader output = new BufferedReader(
         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
-      for (String line = from.readLine(); line != null; line = from.readLine()) {
+      for (String line = output.readLine(); line != null; line = output.readLine()) {
         lines.add(line);
-        log.balancerSaid(name, line);
-        timed.add(String.format("%.1f ms %s", (System.nanoTime() - log.startedAt()) / 1e6, line));
-        if (line.contains(SERVES)) {
+        log.addLogLine(name, line);
+        timedLines.add(
+            String.format("%.1f ms %s", (System.nanoTime() - log.startedAt()) / 1e6, line));
+        if (line.contains(SERVING_MARKER)) {
           address = Addresses.parse("log", line.substring(line.indexOf('/') + 1));
           serving.countDown();
         }
@@ -91,24 +92,24 @@
     }
   }
 
-  /** Waits until it serves. */
+  /** Waits until the process reports that it serves; fails after {@link #START_TIMEOUT_SECONDS}. */
   public InetSocketAddress awaitServing() throws IOException, InterruptedException {
-    boolean in = serving.await(START_SECONDS, TimeUnit.SECONDS);
-    if (!in || address == null) {
+    boolean reported = serving.await(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    if (!reported || address == null) {
       throw new IOException(name + " did not start: " + lines());
     }
     return address;
   }
 
-  /** Whether it has said that it serves. */
-  public boolean serves() {
+  /** Returns whether the process runs and has reported that it serves. */
+  public boolean isServing() {
     return address != null && process.isAlive();
   }
 
-  /** Sends a signal, by its name without SIG; nothing where it has ended. */
+  /** Sends a signal, named without the prefix SIG; does nothing if the process has exited. */
   public void signal(String signal) throws IOException, InterruptedException {
     if (process.isAlive()) {
-      timed.add(String.format(
+      timedLines.add(String.format(
           "%.1f ms SIG%s is sent", (System.nanoTime() - log.startedAt()) / 1e6, signal));
       new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
           .start()
@@ -116,42 +117,40 @@
     }
   }
 
-  /** The process's number. */
   long pid() {
     return process.pid();
   }
 
-  /** Whether it runs. */
-  public boolean runs() {
+  public boolean isRunning() {
     return process.isAlive();
   }
 
-  /** Waits for its end; the exit status, or -1 where it goes on for too long. */
-  public int awaitEnd(long millis) throws InterruptedException {
+  /** Waits for the process to exit; returns its exit status, or -1 if it still runs after the time-out. */
+  public int awaitExit(long millis) throws InterruptedException {
     return process.waitFor(millis, TimeUnit.MILLISECONDS) ? process.exitValue() : -1;
   }
 
-  /** How many descriptors it holds; 0 where it has ended. */
-  public int descriptors() throws IOException {
+  /** Returns the number of open file descriptors; 0 if the process has exited. */
+  public int openDescriptors() throws IOException {
     Path folder = Path.of("/proc", Long.toString(process.pid()), "fd");
-    try (Stream<Path> all = Files.list(folder)) {
-      return (int) all.count();
+    try (Stream<Path> descriptors = Files.list(folder)) {
+      return (int) descriptors.count();
     } catch (java.nio.file.NoSuchFileException e) {
       return 0;
     }
   }
 
-  /** The lines of its log so far. */
+  /** Returns the log lines so far. */
   public List<String> lines() {
     synchronized (lines) {
       return List.copyOf(lines);
     }
   }
 
-  /** The same, each with its time since the beginning of the requests' log. */
+  /** Returns the log lines so far and the signals sent, each with the time since the request log began. */
   public List<String> timedLines() {
-    synchronized (timed) {
-      return List.copyOf(timed);
+    synchronized (timedLines) {
+      return List.copyOf(timedLines);
     }
   }
 
@@ -160,9 +159,9 @@
     process.destroyForcibly();
     try {
       process.waitFor();
-      Runtime.getRuntime().removeShutdownHook(endWithThis);
+      Runtime.getRuntime().removeShutdownHook(shutdownHook);
     } catch (IllegalStateException e) {
-      // This program ends already.
+      // This program is already shutting down.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/pumicekeel/rig/soak/CallFaults.java
+++ b/src/main/java/pumicekeel/rig/soak/CallFaults.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes system calls of child processes fail by a preloaded library, whose source is a resource of this package and which the C
- * compiler {@code cc} builds at first use. One instance controls one process at a time, while that runs, through a mapped page.
+ * Injects system call failures into child processes through a preloaded library. Its source is a resource of this package; the C
+ * compiler {@code cc} builds it at first use. One instance controls one running process at a time through a memory-mapped page.
  */
 public final class CallFaults implements Closeable {
 
   private static final String SOURCE = "call_faults.c";
   private static final int SLOT_BYTES = 32;
-  private static final int INJECTED_AT = 8;
-  private static final int ARGUMENT_AT = 24;
-  private static final long BUILD_SECONDS = 60;
+  private static final int INJECTED_OFFSET = 8;
+  private static final int ARGUMENT_OFFSET = 24;
+  private static final long BUILD_TIMEOUT_SECONDS = 60;
   private static Path library;
 
   private final Path page;
@@ -31,12 +31,12 @@
   private final long seed;
   private final MappedByteBuffer slots;
 
-  /** Faults by this seed; those of files strike only below {@code folder}, which also holds the control page. */
+  /** Creates an injector with this seed; file faults affect only files below {@code folder}. */
   public CallFaults(Path folder, long seed) throws IOException, InterruptedException {
     build();
     this.folder = folder;
     this.seed = seed;
-    // Beside the folder, or the faults would strike the page itself.
+    // Outside the folder, or the faults would affect the page itself.
     page = Files.createTempFile("call-faults", ".page");
     int bytes = SLOT_BYTES * CallKind.values().length;
     Files.write(page, new byte[bytes]);
@@ -51,55 +51,55 @@
     if (library != null) {
       return library;
     }
-    Path built = Files.createTempDirectory("call-faults");
-    Path source = built.resolve(SOURCE);
-    try (InputStream from = CallFaults.class.getResourceAsStream(SOURCE)) {
-      Files.copy(from, source);
+    Path directory = Files.createTempDirectory("call-faults");
+    Path source = directory.resolve(SOURCE);
+    try (InputStream resource = CallFaults.class.getResourceAsStream(SOURCE)) {
+      Files.copy(resource, source);
     }
-    Path made = built.resolve("call_faults.so");
+    Path output = directory.resolve("call_faults.so");
     Process compiler = new ProcessBuilder(
-            "cc", "-shared", "-fPIC", "-O2", "-o", made.toString(), source.toString(), "-ldl")
+            "cc", "-shared", "-fPIC", "-O2", "-o", output.toString(), source.toString(), "-ldl")
         .redirectErrorStream(true)
         .start();
-    String said = new String(compiler.getInputStream().readAllBytes());
-    if (!compiler.waitFor(BUILD_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-      throw new IOException("cc could not build " + SOURCE + ": " + said);
+    String compilerOutput = new String(compiler.getInputStream().readAllBytes());
+    if (!compiler.waitFor(BUILD_TIMEOUT_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
+      throw new IOException("cc failed to build " + SOURCE + ": " + compilerOutput);
     }
-    library = made;
-    return made;
+    library = output;
+    return output;
   }
 
-  /** Loads the library into a process that is to be started with this environment. */
-  public void into(Map<String, String> environment) {
+  /** Adds the variables that load and configure the library to the environment of a process to be started. */
+  public void addTo(Map<String, String> environment) {
     environment.put("LD_PRELOAD", library.toString());
     environment.put("CALL_FAULTS_PAGE", page.toString());
     environment.put("CALL_FAULTS_FOLDER", folder.toString());
     environment.put("CALL_FAULTS_SEED", Long.toString(seed));
   }
 
-  /** Calls of this kind fail from now on, so many in a thousand; 0 for none. */
-  public void rate(CallKind kind, int perMille) {
+  /** Sets how many calls of this kind fail from now on, per thousand; 0 for none. */
+  public void setRate(CallKind kind, int perMille) {
     slots.putInt(kind.ordinal() * SLOT_BYTES, perMille);
   }
 
-  /** The wall clock is ahead by so much from now on; negative for behind. */
-  public void wallClockAhead(long nanos) {
-    slots.putLong(CallKind.WALL_CLOCK.ordinal() * SLOT_BYTES + ARGUMENT_AT, nanos);
+  /** Sets the offset of the wall clock from the true time; negative if it is behind. */
+  public void setWallClockOffset(long nanos) {
+    slots.putLong(CallKind.WALL_CLOCK.ordinal() * SLOT_BYTES + ARGUMENT_OFFSET, nanos);
   }
 
-  /** No call fails any more; the wall clock stays as it is. */
+  /** Stops all call failures; the offset of the wall clock stays. */
   public void stop() {
     for (CallKind kind : CallKind.values()) {
-      rate(kind, 0);
+      setRate(kind, 0);
     }
   }
 
-  /** How many calls of this kind were made to fail so far. */
+  /** Returns how many failures of this kind have been injected so far. */
   public long injected(CallKind kind) {
-    return slots.getLong(kind.ordinal() * SLOT_BYTES + INJECTED_AT);
+    return slots.getLong(kind.ordinal() * SLOT_BYTES + INJECTED_OFFSET);
   }
 
-  /** The same of all kinds. */
+  /** Returns the failures injected so far, for all kinds. */
   public Map<CallKind, Long> injected() {
     Map<CallKind, Long> all = new EnumMap<>(CallKind.class);
     for (CallKind kind : CallKind.values()) {
--- a/src/main/java/pumicekeel/rig/soak/ToldChanges.java
+++ b/src/main/java/pumicekeel/rig/soak/ChangeNotifications.java
@@ -7,13 +7,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When each balancer counts as told that an upstream leaves or is back: when a whole list with the change was written to it, and 6 s after
- * the change at the latest, or after discovery could be reached again. Without I/O; filled by any thread, read at the end.
+ * Determines when each balancer counts as notified that an upstream leaves or has returned: when a complete list with the change was
+ * written to it, but at the latest 6 s after the change or, in an outage, after discovery became reachable again. Does no I/O; filled by
+ * any thread and read at the end of a run.
  */
-public final class ToldChanges {
+public final class ChangeNotifications {
 
-  /** A change counts as told so long after discovery had it and could be reached, whether or not it arrived. */
-  static final long TOLD_NANOS = TimeUnit.SECONDS.toNanos(6);
+  /** Time after which a change in a reachable discovery counts as notified, whether or not it arrived. */
+  static final long MAX_NOTIFICATION_NANOS = TimeUnit.SECONDS.toNanos(6);
 
   private record Change(long index, long atNanos, boolean leaves) {}
 
@@ -21,48 +22,53 @@
 
   private record Outage(long from, long to) {}
 
-  /** By upstream, in order. */
+  /** Changes of each upstream, in order. */
   private final Map<String, List<Change>> changes = new HashMap<>();
-  /** By balancer, in order. */
+  /** Complete lists written to each balancer, in order. */
   private final Map<String, List<WrittenList>> lists = new HashMap<>();
 
   private final List<Outage> outages = new ArrayList<>();
 
-  /** Discovery has a change since this moment. */
+  /** Records that discovery has had a change since this time. */
   public synchronized void changed(String upstream, long index, long atNanos, boolean leaves) {
     changes
         .computeIfAbsent(upstream, k -> new ArrayList<>())
         .add(new Change(index, atNanos, leaves));
   }
 
-  /** A whole list was written to a balancer. */
+  /** Records that a complete list was written to a balancer. */
   public synchronized void written(String balancer, long index, long atNanos) {
     lists.computeIfAbsent(balancer, k -> new ArrayList<>()).add(new WrittenList(index, atNanos));
   }
 
-  /** Discovery could not be reached between these moments. */
+  /** Records that discovery was not reachable between these times. */
   public synchronized void outage(long from, long to) {
     outages.add(new Outage(from, to));
   }
 
-  /** How long ago this balancer was told that the upstream leaves, in nanoseconds; -1 where by its last word it serves. */
+  /**
+   * Returns how many nanoseconds ago the balancer was notified that the upstream leaves; -1 if its latest notification says that the
+   * upstream serves.
+   */
   public synchronized long leavingFor(String balancer, String upstream, long atNanos) {
     Change last = null;
-    long lastTold = 0;
+    long lastNotifiedAt = 0;
     for (Change change : changes.getOrDefault(upstream, List.of())) {
-      long told = toldAt(balancer, change);
-      if (told <= atNanos && (last == null || change.index() > last.index())) {
-        // What was told of it before stays told: a second word of the same adds no grace.
-        lastTold =
-            last != null && last.leaves() && change.leaves() ? Math.min(lastTold, told) : told;
+      long notifiedAt = notifiedAt(balancer, change);
+      if (notifiedAt <= atNanos && (last == null || change.index() > last.index())) {
+        // The earliest notification of the leaving counts: a repeated one does not extend the
+        // grace.
+        lastNotifiedAt = last != null && last.leaves() && change.leaves()
+            ? Math.min(lastNotifiedAt, notifiedAt)
+            : notifiedAt;
         last = change;
       }
     }
-    return last == null || !last.leaves() ? -1 : atNanos - lastTold;
+    return last == null || !last.leaves() ? -1 : atNanos - lastNotifiedAt;
   }
 
-  private long toldAt(String balancer, Change change) {
-    long latest = reachable(change.atNanos()) + TOLD_NANOS;
+  private long notifiedAt(String balancer, Change change) {
+    long latest = reachableAt(change.atNanos()) + MAX_NOTIFICATION_NANOS;
     return lists.getOrDefault(balancer, List.of()).stream()
         .filter(list -> list.index() >= change.index())
         .mapToLong(WrittenList::atNanos)
@@ -73,7 +79,7 @@
         .orElse(latest);
   }
 
-  private long reachable(long atNanos) {
+  private long reachableAt(long atNanos) {
     return outages.stream()
         .filter(outage -> outage.from() <= atNanos && atNanos < outage.to())
         .mapToLong(Outage::to)
--- a/src/main/java/pumicekeel/rig/soak/ListTrouble.java
+++ b/src/main/java/pumicekeel/rig/soak/ListTrouble.java
@@ -3,58 +3,60 @@
 import pumicekeel.standin.CallFate;
 import pumicekeel.standin.DiscoveryFaults.Terms;
 
-/** How lists of upstreams fail to arrive at balancers that ask for them. In all but one each watch falls silent after its first list. */
+/** How upstream lists fail to reach balancers that request them. In all cases but OUTAGE each watch goes silent after its first list. */
 public enum ListTrouble {
-  /** Each call takes the service a quarter of a second. */
+  /** Discovery takes a quarter of a second for each call. */
   SLOW(250, 0, false, CallFate.TELL, 0),
-  /** Half of the lists stop half way, with the connection open. */
+  /** Half of the lists stop half-way while the connection stays open. */
   CUT(5, 0, false, CallFate.CUT, 500),
-  /** Six calls in ten are answered 503 at once. */
+  /** Six in ten calls are answered 503 at once. */
   REFUSED(5, 0, false, CallFate.REFUSE, 600),
-  /** Seven calls in ten are reset. */
+  /** Seven in ten calls are reset. */
   RESET(5, 0, false, CallFate.RESET, 700),
   /** The first balancer's calls are accepted and never answered. */
   IGNORED(5, 0, false, CallFate.IGNORE, 0),
-  /** All balancers together could have a list every 5.6 s; calls that wait for over 2 s are answered 503. */
-  CROWDED(Figures.SHARED, Figures.PATIENCE_MILLIS, false, CallFate.TELL, 0),
-  /** The same, and a call waits for as long as its caller likes. */
-  CROWDED_PATIENT(Figures.SHARED, 0, false, CallFate.TELL, 0),
-  /** The same as the first, and a call that is turned away has taken the service its turn. */
-  CROWDED_COSTLY(Figures.SHARED, Figures.PATIENCE_MILLIS, true, CallFate.TELL, 0),
-  /** Watches live; discovery is down for a while and resets all calls. */
+  /** Discovery can serve one list to every balancer in 5.6 s; calls that wait for more than 2 s are answered 503. */
+  CROWDED(Constants.SHARED_CAPACITY, Constants.MAX_WAIT_MILLIS, false, CallFate.TELL, 0),
+  /** The same capacity, but a call waits until its caller gives up. */
+  CROWDED_PATIENT(Constants.SHARED_CAPACITY, 0, false, CallFate.TELL, 0),
+  /** Like CROWDED, but a rejected call takes the same service time as a served one. */
+  CROWDED_COSTLY(Constants.SHARED_CAPACITY, Constants.MAX_WAIT_MILLIS, true, CallFate.TELL, 0),
+  /** Watches work; discovery is down for some time and resets all calls. */
   OUTAGE(5, 0, false, CallFate.TELL, 0);
 
-  private static final class Figures {
-    /** The turn of a call is such that a list for each balancer takes discovery {@link #ALL_LISTS_MILLIS}. */
-    private static final int SHARED = -1;
+  private static final class Constants {
+    /** Derives the service time of a call from {@link #ALL_LISTS_MILLIS}, which is the time for one list to each balancer. */
+    private static final int SHARED_CAPACITY = -1;
 
     private static final int ALL_LISTS_MILLIS = 5_600;
-    private static final int PATIENCE_MILLIS = 2_000;
+    private static final int MAX_WAIT_MILLIS = 2_000;
   }
 
-  private final int turnMillis;
-  private final int patienceMillis;
-  private final boolean refusalsTakeTurns;
-  private final CallFate failing;
+  private final int serviceMillis;
+  private final int maxWaitMillis;
+  private final boolean rejectionsTakeServiceTime;
+  private final CallFate failure;
   private final int perMille;
 
   ListTrouble(
-      int turnMillis,
-      int patienceMillis,
-      boolean refusalsTakeTurns,
-      CallFate failing,
+      int serviceMillis,
+      int maxWaitMillis,
+      boolean rejectionsTakeServiceTime,
+      CallFate failure,
       int perMille) {
-    this.turnMillis = turnMillis;
-    this.patienceMillis = patienceMillis;
-    this.refusalsTakeTurns = refusalsTakeTurns;
-    this.failing = failing;
+    this.serviceMillis = serviceMillis;
+    this.maxWaitMillis = maxWaitMillis;
+    this.rejectionsTakeServiceTime = rejectionsTakeServiceTime;
+    this.failure = failure;
     this.perMille = perMille;
   }
 
-  /** The terms of a discovery that so many balancers ask. */
+  /** Returns the terms of a discovery service that is used by this number of balancers. */
   Terms terms(int balancers, long seed) {
-    int turn = turnMillis == Figures.SHARED ? Figures.ALL_LISTS_MILLIS / balancers : turnMillis;
+    int millis = serviceMillis == Constants.SHARED_CAPACITY
+        ? Constants.ALL_LISTS_MILLIS / balancers
+        : serviceMillis;
     return new Terms(
-        turn, patienceMillis, refusalsTakeTurns, this != OUTAGE, failing, perMille, seed);
+        millis, maxWaitMillis, rejectionsTakeServiceTime, this != OUTAGE, failure, perMille, seed);
   }
 }
--- a/src/main/java/pumicekeel/rig/soak/SoakBalancer.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakBalancer.java
@@ -16,23 +16,23 @@
 import pumicekeel.rig.FreePorts;
 import pumicekeel.rig.soak.SoakPlan.Disturbance;
 
-/** One balancer of a run over all of its processes: its files, its faults, its clients, its way to discovery. */
+/** One balancer of a run across its successive processes, with its files, faults, clients and link to discovery. */
 final class SoakBalancer implements Closeable {
 
-  /** SIGKILL may come so long after SIGTERM, beside the longest deadline. */
-  private static final long KILL_EXTRA_MILLIS = 700;
-  /** New clients come for so long after SIGTERM. */
-  private static final long STILL_NEW_MILLIS = 300;
+  /** Time from SIGTERM to the earliest allowed SIGKILL, in addition to the longest deadline. */
+  private static final long KILL_DELAY_MILLIS = 700;
+  /** Clients open new connections for this time after SIGTERM. */
+  private static final long NEW_CONNECTIONS_MILLIS = 300;
 
   private static final int PROBES = 40;
-  private static final int PROBE_MILLIS = 2_000;
-  private static final int SOCKETS = 512;
-  private static final int CROWDED_SOCKETS = 160;
-  /** Connections to upstreams, a watch and files that may be open at rest. */
-  private static final int MOST_DESCRIPTORS_MORE = 60;
+  private static final int PROBE_TIMEOUT_MILLIS = 2_000;
+  private static final int SOCKET_LIMIT = 512;
+  private static final int CROWDED_SOCKET_LIMIT = 160;
+  /** Allows for connections to upstreams, a watch and files that are open without load. */
+  private static final int MAX_EXTRA_DESCRIPTORS = 60;
 
-  private static final int LAST_LINES = 60;
-  private static final int START_MILLIS = 20_000;
+  private static final int MAX_LOG_LINES = 60;
+  private static final int EXIT_TIMEOUT_MILLIS = 20_000;
 
   private final SoakRun run;
   private final String name;
@@ -42,9 +42,9 @@
   private final Path files;
   private final int port;
   private final int peerPort;
-  private final List<String> earlierLines = new ArrayList<>();
+  private final List<String> previousLines = new ArrayList<>();
   private volatile BalancerProcess process;
-  private int descriptors;
+  private int descriptorsAtStart;
 
   SoakBalancer(SoakRun run, String name, int number) throws IOException, InterruptedException {
     this.run = run;
@@ -55,14 +55,14 @@
     discoveryLink = new TcpLink(run.standIns.next(), run.discovery.address(), plan.seed() + number);
     port = FreePorts.block(1);
     peerPort = FreePorts.block(1);
-    boolean leaving = plan.has(Disturbance.LEAVING_CLIENTS);
+    boolean manyAbandon = plan.has(Disturbance.LEAVING_CLIENTS);
     clients = new SoakClients(
         name + "c",
         run.clientLoops.next(),
         run.log,
         plan.settings(),
-        new SoakClients.Habits(
-            plan.perSecond() / plan.balancers(), 0.15, leaving ? 0.15 : 0.02, 0.2),
+        new SoakClients.Profile(
+            plan.perSecond() / plan.balancers(), 0.15, manyAbandon ? 0.15 : 0.02, 0.2),
         run::lateness,
         plan.seed() * 17 + number);
   }
@@ -83,22 +83,22 @@
     return discoveryLink;
   }
 
-  /** Starts the first process; its clients come once it serves. */
+  /** Starts the first process; clients start in {@link #awaitServing}. */
   void start() throws IOException {
-    write();
+    writeConfiguration();
     process = new BalancerProcess(name, files.resolve("config.json"), operator(), faults, run.log);
-    run.waits.watch(name + "c", process.pid());
+    run.runQueueWaits.watch(name + "c", process.pid());
   }
 
   void awaitServing() throws IOException, InterruptedException {
     process.awaitServing();
-    descriptors = process.descriptors();
+    descriptorsAtStart = process.openDescriptors();
     clients.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
   }
 
-  /** Writes the configuration file, as it is now or with another way to discovery. */
-  void write() throws IOException {
-    int sockets = run.plan.has(Disturbance.CROWD) ? CROWDED_SOCKETS : SOCKETS;
+  /** Writes the configuration file with the current address of discovery. */
+  void writeConfiguration() throws IOException {
+    int sockets = run.plan.has(Disturbance.CROWD) ? CROWDED_SOCKET_LIMIT : SOCKET_LIMIT;
     Files.writeString(
         files.resolve("config.json"),
         "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:" + port
@@ -136,9 +136,9 @@
     return file;
   }
 
-  /** SIGHUP, but to one that is just being started: until its program runs, no handler of its own can be there. */
-  void hangUp() throws IOException, InterruptedException {
-    if (process.serves()) {
+  /** Sends SIGHUP unless the process is still starting: before the JVM has installed its handler, the signal would end it. */
+  void sendHangup() throws IOException, InterruptedException {
+    if (process.isServing()) {
       process.signal("HUP");
     }
   }
@@ -147,40 +147,40 @@
     process.signal(signal);
   }
 
-  /** SIGTERM, clients go on using what is open, SIGKILL at the earliest, and a start. */
+  /** Sends SIGTERM while clients keep using open connections, then SIGKILL as early as allowed, and starts a new process. */
   void restart() throws IOException, InterruptedException {
     process.signal("TERM");
-    SoakRun.pause(STILL_NEW_MILLIS);
-    clients.openNew(false);
+    SoakRun.pause(NEW_CONNECTIONS_MILLIS);
+    clients.setOpenNewConnections(false);
     long deadline = run.plan.settings().longMillis();
-    process.awaitEnd(deadline + KILL_EXTRA_MILLIS - STILL_NEW_MILLIS);
-    startAnew();
+    process.awaitExit(deadline + KILL_DELAY_MILLIS - NEW_CONNECTIONS_MILLIS);
+    startProcessAgain();
   }
 
-  /** SIGKILL out of the blue, and a start. */
+  /** Sends SIGKILL without SIGTERM and starts a new process. */
   void kill() throws IOException, InterruptedException {
-    clients.openNew(false);
+    clients.setOpenNewConnections(false);
     run.killed.add(new SoakJudge.Killed(name + "c", System.nanoTime()));
-    startAnew();
+    startProcessAgain();
   }
 
-  private void startAnew() throws IOException, InterruptedException {
+  private void startProcessAgain() throws IOException, InterruptedException {
     process.close();
-    earlierLines.addAll(process.timedLines());
+    previousLines.addAll(process.timedLines());
     process = new BalancerProcess(name, files.resolve("config.json"), operator(), faults, run.log);
-    run.waits.watch(name + "c", process.pid());
+    run.runQueueWaits.watch(name + "c", process.pid());
     try {
       process.awaitServing();
-      clients.openNew(true);
+      clients.setOpenNewConnections(true);
     } catch (IOException e) {
       run.problems.add(name + " did not start again: " + e.getMessage());
     }
   }
 
-  /** Many new connections at once are accepted and answered: no limit was left lowered. */
+  /** Checks that many simultaneous new connections are accepted and answered, so that no limit stayed lowered. */
   void checkServes() throws InterruptedException {
-    if (!process.runs()) {
-      run.problems.add(name + " has ended with status " + process.awaitEnd(START_MILLIS));
+    if (!process.isRunning()) {
+      run.problems.add(name + " exited with status " + process.awaitExit(EXIT_TIMEOUT_MILLIS));
       return;
     }
     int answered = 0;
@@ -188,7 +188,7 @@
     try {
       for (int i = 0; i < PROBES; i++) {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout(PROBE_MILLIS);
+        socket.setSoTimeout(PROBE_TIMEOUT_MILLIS);
         sockets.add(socket);
         socket.getOutputStream().write("GET /up HTTP/1.1\r\nHost: soak\r\n\r\n".getBytes());
       }
@@ -207,32 +207,33 @@
     try {
       socket.close();
     } catch (IOException ignored) {
-      // Its end is all that is wanted.
+      // Only the close matters.
     }
   }
 
-  /** Descriptors return to about what they were. */
+  /** Checks that the number of open descriptors is back near its value at the start. */
   void checkDescriptors() throws IOException {
-    int now = process.descriptors();
-    if (now > descriptors + MOST_DESCRIPTORS_MORE) {
-      run.problems.add(name + " holds " + now + " descriptors, " + descriptors + " at the start");
+    int now = process.openDescriptors();
+    if (now > descriptorsAtStart + MAX_EXTRA_DESCRIPTORS) {
+      run.problems.add(
+          name + " holds " + now + " descriptors, " + descriptorsAtStart + " at the start");
     }
   }
 
-  /** The program's own guard found nothing that must never be. */
+  /** Checks that the log has neither a violation reported by the program's guard nor a defect. */
   void checkGuard() {
-    List<String> lines = new ArrayList<>(earlierLines);
+    List<String> lines = new ArrayList<>(previousLines);
     lines.addAll(process.timedLines());
     lines.stream()
         .filter(line -> line.contains(" rule violated") || line.contains(" defect"))
         .forEach(line -> run.problems.add(name + ": " + line));
   }
 
-  /** What its processes logged last. */
+  /** Returns the last log lines of its processes. */
   List<String> lastLines() {
-    List<String> lines = new ArrayList<>(earlierLines);
+    List<String> lines = new ArrayList<>(previousLines);
     lines.addAll(process.timedLines());
-    return lines.subList(Math.max(0, lines.size() - LAST_LINES), lines.size()).stream()
+    return lines.subList(Math.max(0, lines.size() - MAX_LOG_LINES), lines.size()).stream()
         .map(line -> name + " log: " + line)
         .toList();
   }
@@ -247,8 +248,8 @@
     faults.close();
   }
 
-  /** How long a restart takes at most, ms. */
-  static long longestRestart(SoakSettings settings) {
-    return settings.longMillis() + KILL_EXTRA_MILLIS + TimeUnit.SECONDS.toMillis(5);
+  /** Returns the maximum duration of a restart in milliseconds. */
+  static long maxRestartMillis(SoakSettings settings) {
+    return settings.longMillis() + KILL_DELAY_MILLIS + TimeUnit.SECONDS.toMillis(5);
   }
 }
--- a/src/main/java/pumicekeel/rig/soak/SoakClients.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakClients.java
@@ -24,27 +24,31 @@
 import java.util.Set;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import pumicekeel.rig.soak.RequestLog.Happening;
+import pumicekeel.rig.soak.RequestLog.EventType;
 import pumicekeel.rig.soak.SoakSettings.Effect;
 import pumicekeel.rig.soak.SoakSettings.RequestClass;
 
 /**
- * Clients of one balancer: requests at a steady rate on kept connections, new ones where all are busy or by chance. They use open
- * connections for as long as those stay open, until they are told to stop. Only on their loop, but for the public methods.
+ * Clients of one balancer, which send requests at a steady average rate. They reuse kept connections, and open new ones at random or when
+ * all are busy. State is confined to their event loop; methods that other classes call may run on any thread.
  */
 final class SoakClients implements Closeable {
 
-  /** What they do, by parts of all requests. */
-  record Habits(double perSecond, double freshPart, double leavePart, double halvedTimePart) {}
+  /** Request rate, and the shares of requests that use a new connection, are abandoned, or have half the usual time left. */
+  record Profile(
+      double perSecond,
+      double newConnectionShare,
+      double abandonShare,
+      double halvedTimeLeftShare) {}
 
-  /** A request on a kept connection that ends so soon after it was sent may have crossed the connection's end. */
+  /** When a kept connection closes within this time of a request, the request and the close may have crossed on the network. */
   static final long CROSSING_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** What the machine took of the time until now is known so much later. */
-  private static final long LATENESS_KNOWN_MILLIS = 50;
+  /** Delay after which the lateness of the machine up to a given time is known. */
+  private static final long LATENESS_DELAY_MILLIS = 50;
 
-  private static final int MOST_KEPT = 24;
-  private static final int CONNECT_MILLIS = 3_000;
+  private static final int MAX_KEPT_CONNECTIONS = 24;
+  private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
 
   private final String name;
   private final EventLoop loop;
@@ -54,91 +58,92 @@
   private final SoakJudge.Lateness lateness;
   private final Bootstrap bootstrap;
   private final ArrayDeque<Connection> kept = new ArrayDeque<>();
-  private final Set<Channel> crowd = new HashSet<>();
+  private final Set<Channel> idleConnections = new HashSet<>();
   private volatile InetSocketAddress address;
-  private volatile boolean newOnes = true;
-  private Habits habits;
+  private volatile boolean opensNewConnections = true;
+  private Profile profile;
   private ScheduledFuture<?> next;
-  private int number;
+  private int requestCount;
 
   SoakClients(
       String name,
       EventLoop loop,
       RequestLog log,
       SoakSettings settings,
-      Habits habits,
+      Profile profile,
       SoakJudge.Lateness lateness,
       long seed) {
     this.lateness = lateness;
     this.name = name;
     this.loop = loop;
     this.log = log;
-    this.habits = habits;
+    this.profile = profile;
     classes = settings.classes();
     random = new Random(seed);
     bootstrap = new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
   }
 
-  /** Asks the balancer at this address from now on. */
+  /** Starts sending requests to the balancer at this address. */
   void start(InetSocketAddress at) {
     address = at;
-    loop.execute(this::tick);
+    loop.execute(this::scheduleNext);
   }
 
-  /** Opens new connections, or goes on with those that are open. */
-  void openNew(boolean on) {
-    newOnes = on;
+  /** Sets whether new connections may be opened; otherwise only open ones are used. */
+  void setOpenNewConnections(boolean on) {
+    opensNewConnections = on;
   }
 
-  /** So many clients connect and say nothing. */
-  void crowd(int count) {
+  /** Opens connections that send nothing. */
+  void openIdleConnections(int count) {
     for (int i = 0; i < count; i++) {
       bootstrap
           .clone()
           .handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
-              crowd.add(channel);
-              channel.pipeline().addLast(new Silent());
-              channel.closeFuture().addListener(closed -> crowd.remove(channel));
+              idleConnections.add(channel);
+              channel.pipeline().addLast(new IgnoringHandler());
+              channel.closeFuture().addListener(closed -> idleConnections.remove(channel));
             }
           })
           .connect(address);
     }
   }
 
-  private void tick() {
-    double wait = -Math.log(1 - random.nextDouble()) / habits.perSecond();
+  private void scheduleNext() {
+    double wait = -Math.log(1 - random.nextDouble()) / profile.perSecond();
     next = loop.schedule(
         () -> {
-          ask();
-          tick();
+          send();
+          scheduleNext();
         },
         (long) (wait * 1e9),
         TimeUnit.NANOSECONDS);
   }
 
-  private void ask() {
-    boolean fresh = random.nextDouble() < habits.freshPart();
-    boolean leaves = random.nextDouble() < habits.leavePart();
-    RequestClass type = classes.get(random.nextInt(classes.size()));
-    long left = random.nextDouble() < habits.halvedTimePart()
-        ? type.deadlineMillis() / 2
-        : type.deadlineMillis();
-    Request request = new Request(name + "-" + number++, type, left, leaves);
-    Connection idle = fresh ? null : kept.pollLast();
-    if (idle != null) {
-      idle.send(request, Happening.SENT);
-    } else if (newOnes) {
-      connect(request, Happening.SENT);
+  private void send() {
+    boolean newConnection = random.nextDouble() < profile.newConnectionShare();
+    boolean abandons = random.nextDouble() < profile.abandonShare();
+    RequestClass requestClass = classes.get(random.nextInt(classes.size()));
+    long timeLeftMillis = random.nextDouble() < profile.halvedTimeLeftShare()
+        ? requestClass.deadlineMillis() / 2
+        : requestClass.deadlineMillis();
+    Request request =
+        new Request(name + "-" + requestCount++, requestClass, timeLeftMillis, abandons);
+    Connection reused = newConnection ? null : kept.pollLast();
+    if (reused != null) {
+      reused.send(request, EventType.SENT);
+    } else if (opensNewConnections) {
+      connect(request, EventType.SENT);
     }
   }
 
-  private void connect(Request request, Happening as) {
+  private void connect(Request request, EventType type) {
     Connection connection = new Connection();
     bootstrap
         .clone()
@@ -153,9 +158,9 @@
         .connect(address)
         .addListener(done -> {
           if (done.isSuccess()) {
-            connection.send(request, as);
-          } else if (as == Happening.SENT_AGAIN) {
-            log.add(request.id(), name, Happening.UNREACHABLE, 0, "");
+            connection.send(request, type);
+          } else if (type == EventType.SENT_AGAIN) {
+            log.add(request.id(), name, EventType.UNREACHABLE, 0, "");
           }
         });
   }
@@ -167,13 +172,13 @@
             next.cancel(false);
           }
           kept.forEach(c -> c.ctx.close());
-          Set.copyOf(crowd).forEach(Channel::close);
+          Set.copyOf(idleConnections).forEach(Channel::close);
         })
         .syncUninterruptibly();
   }
 
-  /** Asks nothing new from now on; what is open goes on. */
-  void rest() {
+  /** Stops sending new requests; those in flight continue. */
+  void stopSending() {
     loop.submit(() -> {
           if (next != null) {
             next.cancel(false);
@@ -182,63 +187,66 @@
         .syncUninterruptibly();
   }
 
-  /** One that says nothing, whatever comes. */
-  private static final class Silent extends ChannelInboundHandlerAdapter {
+  /** Sends nothing and ignores all input. */
+  private static final class IgnoringHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       ctx.close();
     }
   }
 
-  private record Request(String id, RequestClass type, long leftMillis, boolean leaves) {
+  private record Request(
+      String id, RequestClass requestClass, long timeLeftMillis, boolean abandons) {
     private String text() {
-      boolean get = type.effect() == Effect.SAFE;
-      boolean keyed = type.effect() == Effect.KEYED_BY_ALL || type.effect() == Effect.KEYED_BY_CELL;
-      return (get ? "GET /" : "POST /") + type.name() + "/x HTTP/1.1\r\nHost: soak\r\n"
-          + "X-Correlation-Id: " + id + "\r\nX-Service-Class: " + type.name()
+      boolean get = requestClass.effect() == Effect.SAFE;
+      boolean keyed = requestClass.effect() == Effect.KEYED_BY_ALL
+          || requestClass.effect() == Effect.KEYED_BY_CELL;
+      return (get ? "GET /" : "POST /") + requestClass.name() + "/x HTTP/1.1\r\nHost: soak\r\n"
+          + "X-Correlation-Id: " + id + "\r\nX-Service-Class: " + requestClass.name()
           + "\r\nX-Account: demo\r\nX-Session-Key: k" + Math.floorMod(id.hashCode(), 64)
-          + "\r\nX-Time-Left-Ms: " + leftMillis + "\r\n"
+          + "\r\nX-Time-Left-Ms: " + timeLeftMillis + "\r\n"
           + (keyed ? "Idempotency-Key: key-" + id + "\r\n" : "")
           + (get ? "\r\n" : "Content-Length: 4\r\n\r\nbody");
     }
   }
 
-  /** One connection: a request at a time. */
+  /** A connection that carries one request at a time. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private ChannelHandlerContext ctx;
     private Request open;
     private long sentAt;
-    private int asked;
-    private String why = "end of stream";
+    private int requestsSent;
+    private String closeReason = "end of stream";
 
     @Override
     public void handlerAdded(ChannelHandlerContext context) {
       ctx = context;
     }
 
-    private void send(Request request, Happening as) {
+    private void send(Request request, EventType type) {
       open = request;
-      asked++;
+      requestsSent++;
       sentAt = System.nanoTime();
       log.add(
           request.id(),
           name,
-          as,
-          request.leftMillis(),
-          request.type().name() + (asked == 1 ? " new connection" : " kept connection"));
+          type,
+          request.timeLeftMillis(),
+          request.requestClass().name()
+              + (requestsSent == 1 ? " new connection" : " kept connection"));
       ctx.channel()
           .pipeline()
           .firstContext()
           .writeAndFlush(Unpooled.copiedBuffer(request.text(), StandardCharsets.US_ASCII));
-      if (request.leaves()) {
-        loop.schedule(() -> leave(request), random.nextInt(60), TimeUnit.MILLISECONDS);
+      if (request.abandons()) {
+        loop.schedule(() -> abandon(request), random.nextInt(60), TimeUnit.MILLISECONDS);
       }
     }
 
-    private void leave(Request request) {
+    private void abandon(Request request) {
       if (open == request) {
         open = null;
-        log.add(request.id(), name, Happening.LEFT, 0, "");
+        log.add(request.id(), name, EventType.LEFT, 0, "");
         ctx.close();
       }
     }
@@ -253,10 +261,10 @@
       log.add(
           ended.id(),
           name,
-          Happening.ANSWERED,
+          EventType.ANSWERED,
           answer.status().code(),
           answer.content().toString(StandardCharsets.UTF_8));
-      if (HttpUtil.isKeepAlive(answer) && kept.size() < MOST_KEPT) {
+      if (HttpUtil.isKeepAlive(answer) && kept.size() < MAX_KEPT_CONNECTIONS) {
         kept.addLast(this);
       } else {
         ctx.close();
@@ -269,38 +277,41 @@
       if (open == null) {
         return;
       }
-      Request cut = open;
+      Request interrupted = open;
       open = null;
       long endedAt = System.nanoTime();
-      if (crossed(endedAt)) {
-        connect(cut, Happening.SENT_AGAIN);
+      if (closeCrossedRequest(endedAt)) {
+        connect(interrupted, EventType.SENT_AGAIN);
         return;
       }
-      // The machine may have held up this thread or the balancer's just now, between its look and
-      // its close.
-      loop.schedule(() -> decide(cut, endedAt), LATENESS_KNOWN_MILLIS, TimeUnit.MILLISECONDS);
+      // The machine may just have delayed this thread, or the balancer's between its check for
+      // input
+      // and its close.
+      loop.schedule(
+          () -> recordClose(interrupted, endedAt), LATENESS_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private boolean crossed(long endedAt) {
-      return asked > 1 && endedAt - sentAt < CROSSING_NANOS + lateness.nanos(name, sentAt, endedAt);
+    private boolean closeCrossedRequest(long endedAt) {
+      return requestsSent > 1
+          && endedAt - sentAt < CROSSING_NANOS + lateness.nanos(name, sentAt, endedAt);
     }
 
-    private void decide(Request cut, long endedAt) {
-      if (crossed(endedAt)) {
-        connect(cut, Happening.SENT_AGAIN);
+    private void recordClose(Request interrupted, long endedAt) {
+      if (closeCrossedRequest(endedAt)) {
+        connect(interrupted, EventType.SENT_AGAIN);
         return;
       }
       log.add(
-          cut.id(),
+          interrupted.id(),
           name,
-          Happening.CLOSED,
+          EventType.CLOSED,
           0,
-          (asked == 1 ? "new connection, " : "kept connection, ") + why);
+          (requestsSent == 1 ? "new connection, " : "kept connection, ") + closeReason);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      why = String.valueOf(cause.getMessage());
+      closeReason = String.valueOf(cause.getMessage());
       context.close();
     }
   }
--- a/src/main/java/pumicekeel/rig/soak/SoakDisturbances.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakDisturbances.java
@@ -8,15 +8,17 @@
 import pumicekeel.rig.soak.SoakPlan.Disturbance;
 import pumicekeel.rig.soak.SoakUpstream.Behaviour;
 
-/** What happens in a run beside failing calls: one thread for each kind, at moments that the seed chooses. */
+/** Runs the disturbances of a plan other than failing calls: one thread for each kind, at times derived from the seed. */
 final class SoakDisturbances {
 
   private static final long HOUR_NANOS = 3_600_000_000_000L;
-  /** With what the signals take, under the 0.1 s within which a client's leaving has to be noticed: between that look and a write
-   * nobody can guard against a longer one. */
-  private static final int LONGEST_STAND_STILL_MILLIS = 70;
+  /**
+   * Together with the time that the signals take, less than the 0.1 s within which a client's disconnect has to be detected. A longer
+   * suspension between that check and the next write cannot be guarded against.
+   */
+  private static final int MAX_SUSPENSION_MILLIS = 70;
 
-  private static final int CROWD = 90;
+  private static final int IDLE_CLIENTS = 90;
 
   private final SoakRun run;
   private final SoakPlan plan;
@@ -29,73 +31,73 @@
     endAt = System.nanoTime() + plan.seconds() * 1_000_000_000L;
   }
 
-  /** One kind, played by a thread of its own with random numbers of its own. */
-  private interface Play {
+  /** The steps of one kind of disturbance, run on its own thread with its own random numbers. */
+  private interface Action {
     void play(Random random) throws IOException, InterruptedException;
   }
 
   void start() {
-    begin(Disturbance.RESTART, r -> {
+    startIfPlanned(Disturbance.RESTART, r -> {
       SoakRun.pause(r.nextInt(2_500));
       for (SoakBalancer balancer : run.balancers) {
         balancer.restart();
       }
     });
     if (!plan.has(Disturbance.RESTART)) {
-      begin(Disturbance.KILL, r -> {
+      startIfPlanned(Disturbance.KILL, r -> {
         SoakRun.pause(1_000 + r.nextInt(3_000));
         run.balancers.get(r.nextInt(run.balancers.size())).kill();
       });
     }
-    begin(Disturbance.HANGUP, this::hangUp);
-    begin(Disturbance.STAND_STILL, this::standStill);
-    begin(Disturbance.UPSTREAM_TROUBLE, this::upstreamTrouble);
-    begin(Disturbance.LEAVING_UPSTREAM, r -> {
+    startIfPlanned(Disturbance.HANGUP, this::sendHangups);
+    startIfPlanned(Disturbance.STAND_STILL, this::suspendProcesses);
+    startIfPlanned(Disturbance.UPSTREAM_TROUBLE, this::disturbUpstreams);
+    startIfPlanned(Disturbance.LEAVING_UPSTREAM, r -> {
       SoakRun.pause(r.nextInt(3_000));
-      run.change(0, "terminating", 0);
+      run.changeStatus(0, "terminating", 0);
     });
-    begin(Disturbance.COLD_UPSTREAM, r -> {
+    startIfPlanned(Disturbance.COLD_UPSTREAM, r -> {
       SoakRun.pause(1_000 + r.nextInt(2_000));
       run.cold.put("cold", System.nanoTime());
-      run.add("cold", 2, System.currentTimeMillis());
+      run.addUpstream("cold", 2, System.currentTimeMillis());
     });
-    begin(Disturbance.DISCOVERY_TROUBLE, this::discoveryTrouble);
-    begin(Disturbance.RESETS, r -> {
-      while (goesOn()) {
+    startIfPlanned(Disturbance.DISCOVERY_TROUBLE, this::disturbDiscovery);
+    startIfPlanned(Disturbance.RESETS, r -> {
+      while (isRunning()) {
         SoakRun.pause(200 + r.nextInt(1_500));
         run.upstreams.get(r.nextInt(SoakRun.UPSTREAMS)).resetConnections();
       }
     });
-    begin(Disturbance.WALL_CLOCK, r -> {
-      while (goesOn()) {
+    startIfPlanned(Disturbance.WALL_CLOCK, r -> {
+      while (isRunning()) {
         SoakRun.pause(500 + r.nextInt(2_000));
         long step = r.nextBoolean() ? HOUR_NANOS : 1_000_000_000L * r.nextInt(10);
         run.balancers
             .get(r.nextInt(run.balancers.size()))
             .faults()
-            .wallClockAhead(r.nextBoolean() ? step : -step);
+            .setWallClockOffset(r.nextBoolean() ? step : -step);
       }
     });
-    begin(Disturbance.CROWD, r -> {
-      while (goesOn()) {
-        run.balancers.forEach(b -> b.clients().crowd(CROWD));
+    startIfPlanned(Disturbance.CROWD, r -> {
+      while (isRunning()) {
+        run.balancers.forEach(b -> b.clients().openIdleConnections(IDLE_CLIENTS));
         SoakRun.pause(1_500 + r.nextInt(1_500));
       }
     });
   }
 
-  private boolean goesOn() {
+  private boolean isRunning() {
     return System.nanoTime() - endAt < 0;
   }
 
-  private void begin(Disturbance kind, Play play) {
+  private void startIfPlanned(Disturbance kind, Action action) {
     if (!plan.has(kind)) {
       return;
     }
     Thread thread = new Thread(
         () -> {
           try {
-            play.play(new Random(plan.seed() * 131 + kind.ordinal()));
+            action.play(new Random(plan.seed() * 131 + kind.ordinal()));
           } catch (IOException e) {
             run.problems.add(kind + ": " + e);
           } catch (InterruptedException e) {
@@ -107,59 +109,59 @@
     thread.start();
   }
 
-  private void hangUp(Random random) throws IOException, InterruptedException {
-    while (goesOn()) {
+  private void sendHangups(Random random) throws IOException, InterruptedException {
+    while (isRunning()) {
       SoakRun.pause(500 + random.nextInt(2_000));
       for (SoakBalancer balancer : run.balancers) {
-        balancer.hangUp();
+        balancer.sendHangup();
         SoakRun.pause(random.nextInt(40));
-        balancer.hangUp();
+        balancer.sendHangup();
       }
     }
   }
 
-  private void standStill(Random random) throws IOException, InterruptedException {
-    while (goesOn()) {
+  private void suspendProcesses(Random random) throws IOException, InterruptedException {
+    while (isRunning()) {
       SoakRun.pause(300 + random.nextInt(1_200));
-      SoakBalancer one = run.balancers.get(random.nextInt(run.balancers.size()));
-      one.signal("STOP");
-      SoakRun.pause(random.nextInt(LONGEST_STAND_STILL_MILLIS));
-      one.signal("CONT");
+      SoakBalancer target = run.balancers.get(random.nextInt(run.balancers.size()));
+      target.signal("STOP");
+      SoakRun.pause(random.nextInt(MAX_SUSPENSION_MILLIS));
+      target.signal("CONT");
     }
   }
 
-  private void upstreamTrouble(Random random) throws InterruptedException {
-    Behaviour[] all = Behaviour.values();
-    while (goesOn()) {
-      SoakUpstream one = run.upstreams.get(random.nextInt(SoakRun.UPSTREAMS));
-      one.behave(all[random.nextInt(all.length)]);
-      one.delay(random.nextInt(80));
+  private void disturbUpstreams(Random random) throws InterruptedException {
+    Behaviour[] behaviours = Behaviour.values();
+    while (isRunning()) {
+      SoakUpstream target = run.upstreams.get(random.nextInt(SoakRun.UPSTREAMS));
+      target.setBehaviour(behaviours[random.nextInt(behaviours.length)]);
+      target.setDelay(random.nextInt(80));
       SoakRun.pause(300 + random.nextInt(900));
-      one.behave(Behaviour.SERVE);
-      one.delay(4);
+      target.setBehaviour(Behaviour.SERVE);
+      target.setDelay(4);
     }
   }
 
-  private void discoveryTrouble(Random random) throws InterruptedException {
-    while (goesOn()) {
+  private void disturbDiscovery(Random random) throws InterruptedException {
+    while (isRunning()) {
       SoakRun.pause(300 + random.nextInt(900));
-      SoakBalancer one = run.balancers.get(random.nextInt(run.balancers.size()));
+      SoakBalancer target = run.balancers.get(random.nextInt(run.balancers.size()));
       switch (random.nextInt(4)) {
-        case 0 -> one.discoveryLink().reset();
-        case 1 -> one.discoveryLink().faults(Fault.CUT, Fault.CUT);
-        case 2 -> one.discoveryLink().faults(Fault.late(30_000), Fault.late(30_000));
-        default -> one.discoveryLink().refuse(true);
+        case 0 -> target.discoveryLink().reset();
+        case 1 -> target.discoveryLink().faults(Fault.CUT, Fault.CUT);
+        case 2 -> target.discoveryLink().faults(Fault.late(30_000), Fault.late(30_000));
+        default -> target.discoveryLink().refuse(true);
       }
       SoakRun.pause(300 + random.nextInt(1_500));
-      one.discoveryLink().faults(Fault.NONE, Fault.NONE);
-      one.discoveryLink().refuse(false);
+      target.discoveryLink().faults(Fault.NONE, Fault.NONE);
+      target.discoveryLink().refuse(false);
     }
   }
 
-  /** Waits until all have played, and puts right what they left. */
+  /** Waits for each disturbance to end, at most as long as restarts of all balancers take. */
   void awaitEnd() throws InterruptedException {
     for (Thread thread : threads) {
-      thread.join(run.balancers.size() * SoakBalancer.longestRestart(plan.settings()));
+      thread.join(run.balancers.size() * SoakBalancer.maxRestartMillis(plan.settings()));
     }
   }
 }
--- a/src/main/java/pumicekeel/rig/soak/SoakOperatorFile.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakOperatorFile.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 
-/** The operator file of a run with a journal. */
+/** Builds the operator file of a run with a journal. */
 final class SoakOperatorFile {
 
   private SoakOperatorFile() {}
--- a/src/main/java/pumicekeel/rig/soak/SoakPlan.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakPlan.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 
 /**
- * What one run plays: which calls fail and how often, and what else happens. A random plan follows from its seed alone.
+ * The plan of one run: which calls fail, how often, and which other disturbances occur. A random plan is determined by its seed.
  *
- * @param seconds of load under faults; some more follow without
- * @param rates of each kind of call, in a thousand, in the windows in which calls fail
+ * @param seconds of load under faults; a few more seconds without faults follow
+ * @param rates failures per thousand calls of each kind, in the windows in which calls fail
  * @param settings deadlines and windows
- * @param lists how lists of upstreams fail to arrive while upstreams drain, end and return; null where that is not played
+ * @param lists how upstream lists fail to arrive while upstreams drain, stop and return; null for no such trouble
  * @param peers whether balancers may send each other datagrams
  */
 public record SoakPlan(
@@ -27,88 +27,89 @@
     ListTrouble lists,
     boolean peers) {
 
-  /** What happens beside failing calls. */
+  /** A disturbance other than failing calls. */
   public enum Disturbance {
-    /** SIGTERM, SIGKILL at the earliest moment that is allowed, and a start under the old name. */
+    /** SIGTERM, SIGKILL at the earliest allowed time, and a start under the same name. */
     RESTART,
-    /** SIGKILL with no word before, and a start. */
+    /** SIGKILL without a SIGTERM before, and a start. */
     KILL,
     /** SIGHUP, twice in quick succession, also during a restart. */
     HANGUP,
-    /** SIGSTOP for some 0.1 s. */
+    /** SIGSTOP for less than 0.1 s, then SIGCONT. */
     STAND_STILL,
-    /** Upstreams fail, turn away, hang and reset by turns. */
+    /** Upstreams in turn fail, reject requests, hang and reset connections. */
     UPSTREAM_TROUBLE,
-    /** An upstream is told to leave. */
+    /** An upstream drains. */
     LEAVING_UPSTREAM,
-    /** An upstream starts. */
+    /** A cold upstream joins. */
     COLD_UPSTREAM,
-    /** Discovery is cut off, late or reset. */
+    /** Connections to discovery are cut, delayed, reset or refused. */
     DISCOVERY_TROUBLE,
     /** Connections to upstreams are reset. */
     RESETS,
     /** The wall clock is stepped. */
     WALL_CLOCK,
-    /** Idle clients connect and say nothing. */
+    /** Many clients connect and send nothing. */
     CROWD,
-    /** Unsafe and keyed requests go on record in a journal, on a disk that fails. */
+    /** Unsafe and keyed requests are recorded in a journal on a disk that fails. */
     JOURNAL,
-    /** Lists are pushed by an agent, not asked for. */
+    /** Lists are pushed by an agent instead of requested. */
     PUSHED,
-    /** Many clients leave before their answer. */
+    /** Many clients disconnect before their answer. */
     LEAVING_CLIENTS
   }
 
-  private static final double REQUESTS_PER_BALANCER = 25;
-  /** What the threads of one test program send and judge. */
-  private static final double MOST_REQUESTS = 500;
+  private static final double REQUESTS_PER_SECOND_PER_BALANCER = 25;
+  /** Limit of what the threads of one test program can send and check. */
+  private static final double MAX_REQUESTS_PER_SECOND = 500;
 
-  private static final SoakSettings SHORT = new SoakSettings(500, 900, 600);
-  /** Kinds that end a connection or the word of it: they strike seldom, or nothing else would happen. */
-  private static final Set<CallKind> RARE = EnumSet.of(
+  private static final SoakSettings SHORT_DEADLINES = new SoakSettings(500, 900, 600);
+  /** Kinds that end a connection or its setup; at usual rates nothing else would be exercised. */
+  private static final Set<CallKind> RARE_KINDS = EnumSet.of(
       CallKind.CONNECTION_ERROR, CallKind.SOCKET_ERROR, CallKind.THREAD, CallKind.SHUTDOWN);
 
   private static final List<CallKind> KINDS = List.of(CallKind.values());
 
-  /** A copy of what is given. */
+  /** Copies the collections. */
   public SoakPlan {
     rates = Map.copyOf(rates);
     disturbances = Set.copyOf(disturbances);
   }
 
-  /** One balancer under failing calls of these kinds and nothing else. */
+  /** Returns a plan for one balancer with failing calls of these kinds and no other disturbance. */
   public static SoakPlan calls(long seed, int perMille, CallKind... kinds) {
     Map<CallKind, Integer> rates = new EnumMap<>(CallKind.class);
     for (CallKind kind : kinds) {
       rates.put(kind, perMille);
     }
-    return new SoakPlan(seed, 1, 5, 150, rates, Set.of(), SoakSettings.USUAL, null, false);
+    return new SoakPlan(seed, 1, 5, 150, rates, Set.of(), SoakSettings.DEFAULT, null, false);
   }
 
-  /** The same with more that happens. */
-  public SoakPlan with(Disturbance... more) {
+  /** Returns this plan with disturbances added. */
+  public SoakPlan with(Disturbance... added) {
     Set<Disturbance> all = EnumSet.noneOf(Disturbance.class);
     all.addAll(disturbances);
-    all.addAll(List.of(more));
+    all.addAll(List.of(added));
     return new SoakPlan(seed, balancers, seconds, perSecond, rates, all, settings, lists, peers);
   }
 
-  /** A plan by its seed. */
+  /** Returns the random plan of a seed. */
   public static SoakPlan random(long seed) {
     Random random = new Random(seed);
     Map<CallKind, Integer> rates = new EnumMap<>(CallKind.class);
     for (CallKind kind : KINDS) {
       if (kind != CallKind.WALL_CLOCK && random.nextDouble() < 0.35) {
-        rates.put(kind, RARE.contains(kind) ? 10 + random.nextInt(40) : 50 + random.nextInt(300));
+        rates.put(
+            kind, RARE_KINDS.contains(kind) ? 10 + random.nextInt(40) : 50 + random.nextInt(300));
       }
     }
     Set<Disturbance> disturbances = EnumSet.noneOf(Disturbance.class);
-    for (Disturbance one : Disturbance.values()) {
+    for (Disturbance disturbance : Disturbance.values()) {
       if (random.nextDouble() < 0.4) {
-        disturbances.add(one);
+        disturbances.add(disturbance);
       }
     }
-    SoakSettings settings = random.nextDouble() < 0.3 ? SHORT : SoakSettings.USUAL;
+    SoakSettings settings = random.nextDouble() < 0.3 ? SHORT_DEADLINES : SoakSettings.DEFAULT;
     return new SoakPlan(
         seed,
         2 + random.nextInt(2),
@@ -121,10 +122,11 @@
         false);
   }
 
-  /** Balancers whose lists fail to arrive in one way, while upstreams drain, end and return. */
+  /** Returns a plan in which lists fail to arrive in one way while upstreams drain, stop and return. */
   public static SoakPlan lists(
       long seed, ListTrouble trouble, int balancers, int seconds, boolean peers) {
-    double perSecond = Math.min(MOST_REQUESTS, REQUESTS_PER_BALANCER * balancers);
+    double perSecond =
+        Math.min(MAX_REQUESTS_PER_SECOND, REQUESTS_PER_SECOND_PER_BALANCER * balancers);
     return new SoakPlan(
         seed,
         balancers,
@@ -132,13 +134,13 @@
         perSecond,
         Map.of(),
         Set.of(),
-        SoakSettings.USUAL,
+        SoakSettings.DEFAULT,
         trouble,
         peers);
   }
 
-  /** Whether it is in the plan. */
-  public boolean has(Disturbance one) {
-    return disturbances.contains(one);
+  /** Returns whether the plan has this disturbance. */
+  public boolean has(Disturbance disturbance) {
+    return disturbances.contains(disturbance);
   }
 }
--- a/src/main/java/pumicekeel/rig/soak/SoakRun.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakRun.java
@@ -20,23 +20,23 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.Stream;
 import pumicekeel.mesh.TcpLink;
-import pumicekeel.rig.soak.SoakJudge.Broken;
+import pumicekeel.rig.soak.SoakJudge.Violation;
 import pumicekeel.rig.soak.SoakPlan.Disturbance;
 import pumicekeel.standin.CallFate;
 import pumicekeel.standin.DiscoveryFaults;
 import pumicekeel.standin.StandInDiscovery;
 
-/** Plays one plan: processes, upstreams, clients and faults, and the judgement of what was seen. One use. */
+/** Runs one plan with processes, upstreams, clients and faults, then checks the logged events. For a single use. */
 public final class SoakRun {
 
-  /** What came of it. */
+  /** The counts, violations and logs of a run. */
   public record Result(
       SoakPlan plan,
       int requests,
       int served,
       int refused,
       int failed,
-      List<Broken> broken,
+      List<Violation> violations,
       List<String> problems,
       Map<CallKind, Long> injected,
       long discoveryCalls,
@@ -44,34 +44,34 @@
       List<String> report,
       List<String> logs) {
 
-    /** Whether no rule was broken and every process came back. */
+    /** Returns whether no rule was violated and no other problem was found. */
     public boolean passed() {
-      return broken.isEmpty() && problems.isEmpty();
+      return violations.isEmpty() && problems.isEmpty();
     }
 
-    /** A line of figures. */
+    /** Returns the counts of the run in one line. */
     public String summary() {
       return "seed " + plan.seed() + ": " + requests + " requests, " + served + " served, "
-          + refused + " refused, " + failed + " failed, " + broken.size() + " broken, "
+          + refused + " refused, " + failed + " failed, " + violations.size() + " broken, "
           + problems.size() + " problems; injected " + injected + "; calls to discovery "
           + discoveryCalls + ", lists written whole " + wholeLists;
     }
   }
 
   static final int UPSTREAMS = 6;
-  /** Where lists are in trouble, so that some always serve while others drain, are gone or cold. */
-  private static final int REPLACED_UPSTREAMS = 16;
+  /** Number of upstreams in runs with list trouble, so that some always serve while others drain, are stopped or are cold. */
+  private static final int LIST_TROUBLE_UPSTREAMS = 16;
 
-  private static final long MS = 1_000_000L;
-  /** Calls fail in the first part of each period. */
-  private static final long PERIOD_MILLIS = 2_000;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  /** Calls fail in the first part of each period of this length. */
+  private static final long FAULT_PERIOD_MILLIS = 2_000;
 
-  private static final int LEAST_FAULT_MILLIS = 500;
-  /** After the faults' end, before each process is asked whether it serves again. */
+  private static final int MIN_FAULT_MILLIS = 500;
+  /** Time between the end of the faults and the check that each process serves again. */
   private static final long RECOVERY_MILLIS = 2_500;
 
-  private static final int MOST_TIMELINES = 6;
-  private static final int LAG_PERIOD_MILLIS = 5;
+  private static final int MAX_TIMELINES = 6;
+  private static final int LATENESS_SAMPLE_MILLIS = 5;
 
   final SoakPlan plan;
   final RequestLog log = new RequestLog();
@@ -82,31 +82,31 @@
   final List<SoakUpstream> upstreams = new CopyOnWriteArrayList<>();
   final List<TcpLink> upstreamLinks = new CopyOnWriteArrayList<>();
   final Map<String, Integer> cells = new ConcurrentHashMap<>();
-  final ToldChanges told = new ToldChanges();
+  final ChangeNotifications notifications = new ChangeNotifications();
   final Map<String, Long> cold = new ConcurrentHashMap<>();
   final List<SoakJudge.Killed> killed = new CopyOnWriteArrayList<>();
   final List<String> problems = new CopyOnWriteArrayList<>();
-  final AtomicLong ownLag = new AtomicLong();
-  final ProcessorWaits waits = new ProcessorWaits();
+  final AtomicLong ownLateness = new AtomicLong();
+  final RunQueueWaits runQueueWaits = new RunQueueWaits();
   StandInDiscovery discovery;
   private DiscoveryFaults discoveryFaults = DiscoveryFaults.none();
   Path folder;
   private final Map<CallKind, Long> injected = new EnumMap<>(CallKind.class);
 
-  /** A run of this plan. */
+  /** Creates a run of this plan. */
   public SoakRun(SoakPlan plan) {
     this.plan = plan;
     random = new Random(plan.seed() ^ 0x5deece66dL);
   }
 
-  /** Plays it and judges; all processes have ended when it returns. */
+  /** Runs the plan and checks the result; all processes have exited when it returns. */
   public Result run() throws IOException, InterruptedException {
     folder = Files.createTempDirectory("soak");
     try {
-      begin();
-      faults();
-      recover();
-      end();
+      startAll();
+      runFaults();
+      checkRecovery();
+      finish();
       return judge();
     } finally {
       for (SoakBalancer balancer : balancers) {
@@ -131,30 +131,30 @@
     }
   }
 
-  /** The test's own lateness widens every limit, or a busy machine would be told as a broken rule. */
-  private void watchOwnLag(EventExecutor loop) {
-    long due = System.nanoTime() + LAG_PERIOD_MILLIS * MS;
+  /** Samples the lateness of the test's own threads, which widens every limit: else a busy machine would appear as a violation. */
+  private void sampleOwnLateness(EventExecutor loop) {
+    long due = System.nanoTime() + LATENESS_SAMPLE_MILLIS * NANOS_PER_MILLI;
     loop.schedule(
         () -> {
-          ownLag.accumulateAndGet(System.nanoTime() - due, Math::max);
-          watchOwnLag(loop);
+          ownLateness.accumulateAndGet(System.nanoTime() - due, Math::max);
+          sampleOwnLateness(loop);
         },
-        LAG_PERIOD_MILLIS,
+        LATENESS_SAMPLE_MILLIS,
         TimeUnit.MILLISECONDS);
   }
 
-  /** What the machine took: of this program's threads, and of the balancer's loop that these clients ask. */
+  /** Returns the delay caused by the machine: of this program's threads, and of the event loop of these clients' balancer. */
   long lateness(String clients, long from, long to) {
-    return ownLag.get() + waits.between(clients, from, to);
+    return ownLateness.get() + runQueueWaits.between(clients, from, to);
   }
 
-  private void begin() throws IOException, InterruptedException {
+  private void startAll() throws IOException, InterruptedException {
     if (plan.lists() != null) {
       discoveryFaults = new DiscoveryFaults(plan.lists().terms(plan.balancers(), plan.seed()));
     }
     discovery = new StandInDiscovery(standIns, discoveryFaults);
-    for (int i = 0; i < (plan.lists() == null ? UPSTREAMS : REPLACED_UPSTREAMS); i++) {
-      add("s" + i, i / 2, 0);
+    for (int i = 0; i < (plan.lists() == null ? UPSTREAMS : LIST_TROUBLE_UPSTREAMS); i++) {
+      addUpstream("s" + i, i / 2, 0);
     }
     for (int i = 0; i < plan.balancers(); i++) {
       balancers.add(new SoakBalancer(this, "n" + i, i));
@@ -165,14 +165,14 @@
     for (SoakBalancer balancer : balancers) {
       balancer.awaitServing();
     }
-    // Warm code and connections first: what is judged is what faults do.
+    // Lets code and connections warm up first, so that only the effects of faults are checked.
     pause(1_000);
-    standIns.forEach(this::watchOwnLag);
-    clientLoops.forEach(this::watchOwnLag);
+    standIns.forEach(this::sampleOwnLateness);
+    clientLoops.forEach(this::sampleOwnLateness);
   }
 
-  /** An upstream joins, behind a link of its own. */
-  void add(String name, int cell, long sinceMillis) throws InterruptedException {
+  /** Adds an upstream behind its own link. */
+  void addUpstream(String name, int cell, long sinceMillis) throws InterruptedException {
     SoakUpstream upstream = new SoakUpstream(name, standIns, log);
     TcpLink link = new TcpLink(standIns.next(), upstream.address(), plan.seed() + cell);
     upstreams.add(upstream);
@@ -181,16 +181,16 @@
     discovery.tell(name, link.address(), cell, "in_service", sinceMillis);
   }
 
-  /** An upstream's status is another from now on. */
-  void change(int upstream, String status, long sinceMillis) {
+  /** Changes the status of an upstream in discovery. */
+  void changeStatus(int upstream, String status, long sinceMillis) {
     String name = upstreams.get(upstream).name();
     discovery.tell(
         name, upstreamLinks.get(upstream).address(), cells.get(name), status, sinceMillis);
-    told.changed(name, discovery.index(), System.nanoTime(), !status.equals("in_service"));
+    notifications.changed(name, discovery.index(), System.nanoTime(), !status.equals("in_service"));
   }
 
-  /** All calls of the first balancer end so from now on. */
-  void ignoreFirstBalancer() {
+  /** Makes discovery accept all calls of the first balancer and never answer them. */
+  void ignoreCallsOfFirstBalancer() {
     discoveryFaults.always(caller(balancers.get(0)), CallFate.IGNORE);
   }
 
@@ -198,17 +198,20 @@
     return "127.0.0.1:" + balancer.discoveryLink().address().getPort();
   }
 
-  private void faults() throws InterruptedException {
+  private void runFaults() throws InterruptedException {
     SoakDisturbances disturbances = new SoakDisturbances(this);
     disturbances.start();
     UpstreamReplacement replacement = plan.lists() == null ? null : new UpstreamReplacement(this);
-    long end = System.nanoTime() + plan.seconds() * 1_000 * MS;
+    long end = System.nanoTime() + plan.seconds() * 1_000 * NANOS_PER_MILLI;
     while (System.nanoTime() - end < 0) {
-      int on = LEAST_FAULT_MILLIS + random.nextInt((int) PERIOD_MILLIS - LEAST_FAULT_MILLIS);
-      balancers.forEach(b -> plan.rates().forEach(b.faults()::rate));
-      pause(on);
+      int faultMillis =
+          MIN_FAULT_MILLIS + random.nextInt((int) FAULT_PERIOD_MILLIS - MIN_FAULT_MILLIS);
+      balancers.forEach(b -> plan.rates().forEach(b.faults()::setRate));
+      pause(faultMillis);
       balancers.forEach(b -> b.faults().stop());
-      pause(Math.min(PERIOD_MILLIS - on, Math.max(0, (end - System.nanoTime()) / MS)));
+      pause(Math.min(
+          FAULT_PERIOD_MILLIS - faultMillis,
+          Math.max(0, (end - System.nanoTime()) / NANOS_PER_MILLI)));
     }
     disturbances.awaitEnd();
     if (replacement != null) {
@@ -216,18 +219,18 @@
     }
   }
 
-  private void recover() throws IOException, InterruptedException {
+  private void checkRecovery() throws IOException, InterruptedException {
     balancers.forEach(b -> b.faults().stop());
-    upstreams.forEach(u -> u.behave(SoakUpstream.Behaviour.SERVE));
+    upstreams.forEach(u -> u.setBehaviour(SoakUpstream.Behaviour.SERVE));
     pause(RECOVERY_MILLIS);
     for (SoakBalancer balancer : balancers) {
       balancer.checkServes();
     }
   }
 
-  private void end() throws IOException, InterruptedException {
-    balancers.forEach(b -> b.clients().rest());
-    pause(plan.settings().longMillis() + SoakJudge.LATE_NANOS / MS + 100);
+  private void finish() throws IOException, InterruptedException {
+    balancers.forEach(b -> b.clients().stopSending());
+    pause(plan.settings().longMillis() + SoakJudge.ANSWER_SLACK_NANOS / NANOS_PER_MILLI + 100);
     for (SoakBalancer balancer : balancers) {
       balancer.checkDescriptors();
       balancer.checkGuard();
@@ -244,12 +247,13 @@
     balancers.forEach(b -> callers.put(caller(b), b.name()));
     discoveryFaults
         .written()
-        .forEach(w -> told.written(callers.getOrDefault(w.caller(), ""), w.index(), w.atNanos()));
-    List<Broken> broken = new SoakJudge(
+        .forEach(w ->
+            notifications.written(callers.getOrDefault(w.caller(), ""), w.index(), w.atNanos()));
+    List<Violation> violations = new SoakJudge(
             log,
             plan.settings(),
             cells,
-            told,
+            notifications,
             cold,
             killed,
             plan.has(Disturbance.CROWD),
@@ -260,25 +264,25 @@
     for (String id : log.ids()) {
       requests++;
       log.of(id).stream()
-          .filter(e -> e.what() == RequestLog.Happening.ANSWERED)
+          .filter(e -> e.type() == RequestLog.EventType.ANSWERED)
           .forEach(e -> answers.merge((int) e.value(), 1, Integer::sum));
     }
     int served = answers.getOrDefault(200, 0);
     int refused = answers.getOrDefault(429, 0) + answers.getOrDefault(503, 0);
-    int all = answers.values().stream().mapToInt(n -> n).sum();
+    int answered = answers.values().stream().mapToInt(n -> n).sum();
     injected.values().removeIf(n -> n == 0);
     return new Result(
         plan,
         requests,
         served,
         refused,
-        all - served - refused,
-        broken,
+        answered - served - refused,
+        violations,
         List.copyOf(problems),
         injected,
         discoveryFaults.calls(),
         discoveryFaults.written().size(),
-        report(broken),
+        report(violations),
         lastLines());
   }
 
@@ -286,24 +290,25 @@
     return balancers.stream().flatMap(b -> b.lastLines().stream()).toList();
   }
 
-  private List<String> report(List<Broken> broken) {
+  private List<String> report(List<Violation> violations) {
     List<String> lines = new ArrayList<>();
-    if (broken.isEmpty() && problems.isEmpty()) {
+    if (violations.isEmpty() && problems.isEmpty()) {
       return lines;
     }
     String lists = plan.lists() == null
         ? ""
         : " --lists " + plan.lists() + " --balancers " + plan.balancers() + " --seconds "
             + plan.seconds() + (plan.peers() ? " --peers" : "");
-    lines.add("repeat by: rig soak --seed " + plan.seed() + " --runs 1" + lists + "; plan " + plan);
-    lines.add("own lag at most " + ownLag.get() / MS + " ms");
+    lines.add(
+        "reproduce with: rig soak --seed " + plan.seed() + " --runs 1" + lists + "; plan " + plan);
+    lines.add("own lateness at most " + ownLateness.get() / NANOS_PER_MILLI + " ms");
     problems.forEach(p -> lines.add("problem: " + p));
-    broken.stream().limit(MOST_TIMELINES).forEach(b -> {
+    violations.stream().limit(MAX_TIMELINES).forEach(b -> {
       lines.add(b.rule() + " " + b.id() + ": " + b.detail());
       lines.addAll(log.timeline(b.id()));
     });
     Map<SoakJudge.Rule, Integer> counts = new EnumMap<>(SoakJudge.Rule.class);
-    broken.forEach(b -> counts.merge(b.rule(), 1, Integer::sum));
+    violations.forEach(b -> counts.merge(b.rule(), 1, Integer::sum));
     lines.add("broken: " + counts);
     lines.addAll(lastLines());
     return lines;
--- a/src/main/java/pumicekeel/rig/soak/SoakSettings.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakSettings.java
@@ -2,39 +2,40 @@
 
 import java.util.List;
 
-/** The settings that a soak is played with: a class of each effect, with deadlines that the run chooses. */
+/** The settings of a soak run: one class of each effect, with deadlines that the plan chooses. */
 public record SoakSettings(long shortMillis, long longMillis, long windowMillis) {
 
-  /** How a class may be repeated. */
+  /** Whether and where requests of a class may be repeated. */
   public enum Effect {
     /** Safe to repeat: GET. */
     SAFE,
-    /** Repeats are dropped at all upstreams of a cell: POST with a key. */
+    /** The upstreams of a cell drop repeats among them: POST with a key. */
     KEYED_BY_CELL,
-    /** Repeats are dropped at all upstreams: POST with a key. */
+    /** All upstreams drop repeats among them: POST with a key. */
     KEYED_BY_ALL,
     /** Never repeated once it may have run: POST without a key. */
     UNSAFE
   }
 
-  /** A class of requests; the deadline in ms. */
+  /** A class of requests. */
   public record RequestClass(String name, Effect effect, long deadlineMillis) {}
 
-  /** The deadlines that clients use when the run asks for none that are short. */
-  public static final SoakSettings USUAL = new SoakSettings(1_500, 2_500, 2_000);
+  /** The deadlines and window of plans that do not use short ones. */
+  public static final SoakSettings DEFAULT = new SoakSettings(1_500, 2_500, 2_000);
 
-  /** The grace in which sends to a leaving upstream end, ms. */
+  /** Grace after which nothing may be sent to a draining upstream. */
   public static final long DRAIN_GRACE_MILLIS = 2_000;
-  /** The window of a cold upstream's budget, ms. */
+  /** Window of the cold budget. */
   public static final long COLD_WINDOW_MILLIS = 3_000;
-  /** What a cold upstream bears of its capacity, at the start, and how many times of that may come. */
+  /** Share of its capacity that a cold upstream can serve at the start. */
   public static final double COLD_FROM = 0.3;
 
+  /** How many times that share a cold upstream may receive. */
   public static final double COLD_MULTIPLE = 3;
-  /** Until an upstream counts as warm, ms. */
+  /** Time until an upstream counts as warm. */
   public static final long WARM_WITHIN_MILLIS = 8_000;
 
-  /** The four classes. */
+  /** Returns one class for each effect. */
   public List<RequestClass> classes() {
     return List.of(
         new RequestClass("rate-lookup", Effect.SAFE, shortMillis),
@@ -43,12 +44,12 @@
         new RequestClass("order-place", Effect.UNSAFE, longMillis));
   }
 
-  /** As the platform writes settings; lists are pushed or asked for. */
+  /** Returns the settings in the platform's format; lists are pushed or requested. */
   public String json(boolean pushed) {
     return json(pushed, "");
   }
 
-  /** The same for the balancer of a number in a tier of a size, which may send datagrams to the others. */
+  /** Returns the settings of one balancer of a group that may exchange datagrams, given its number and the group's size. */
   public String jsonForPeer(boolean pushed, int me, int size) {
     return json(pushed, "\"me\":" + me + ",\"group-size\":" + size + ",");
   }
--- a/src/main/java/pumicekeel/rig/soak/SoakUpstream.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakUpstream.java
@@ -24,24 +24,24 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
-import pumicekeel.rig.soak.RequestLog.Happening;
+import pumicekeel.rig.soak.RequestLog.EventType;
 
-/** An upstream that notes each request that comes whole, the time it was told, and whether its answer was still wanted. */
+/** An upstream that logs each complete request with its announced time left, and each connection closed before the answer. */
 final class SoakUpstream implements Closeable {
 
-  /** How it behaves from now on. */
+  /** How the upstream handles requests. */
   enum Behaviour {
     SERVE,
     ERROR,
-    /** Turns requests away, with the word that they never ran. */
+    /** Rejects requests with the header that says that they never ran. */
     FULL,
-    /** Answers nothing. */
+    /** Does not answer. */
     HANG,
-    /** Resets the connection under a request. */
+    /** Resets the connection after receiving a request. */
     RESET
   }
 
-  private static final int MOST_BODY = 64 << 10;
+  private static final int MAX_BODY_BYTES = 64 << 10;
   private static final int BACKLOG = 1024;
 
   private final String name;
@@ -66,7 +66,8 @@
             channel.closeFuture().addListener(closed -> connections.remove(channel));
             channel
                 .pipeline()
-                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Handler());
+                .addLast(
+                    new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Handler());
           }
         })
         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -82,16 +83,16 @@
     return (InetSocketAddress) listener.localAddress();
   }
 
-  void behave(Behaviour next) {
+  void setBehaviour(Behaviour next) {
     behaviour = next;
   }
 
-  /** Its work on each request takes about so long. */
-  void delay(int millis) {
+  /** Sets the average time in which a request is answered. */
+  void setDelay(int millis) {
     delayMillis = millis;
   }
 
-  /** Resets all of its connections. */
+  /** Resets all open connections. */
   void resetConnections() {
     connections.forEach(SoakUpstream::reset);
   }
@@ -112,32 +113,32 @@
   }
 
   private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private String open;
+    private String pendingId;
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
       String id = request.headers().get("X-Correlation-Id", "");
-      long told = Long.parseLong(request.headers().get("X-Time-Left-Ms", "-1"));
-      log.add(id, name, Happening.RECEIVED, told, request.uri());
-      open = id;
-      Behaviour now = behaviour;
-      if (now == Behaviour.RESET) {
+      long timeLeftMillis = Long.parseLong(request.headers().get("X-Time-Left-Ms", "-1"));
+      log.add(id, name, EventType.RECEIVED, timeLeftMillis, request.uri());
+      pendingId = id;
+      Behaviour current = behaviour;
+      if (current == Behaviour.RESET) {
         reset(ctx.channel());
-      } else if (now != Behaviour.HANG) {
-        int most = 1 + 2 * delayMillis;
+      } else if (current != Behaviour.HANG) {
+        int maxDelayMillis = 1 + 2 * delayMillis;
         ctx.executor()
             .schedule(
-                () -> answer(ctx, id, now),
-                ThreadLocalRandom.current().nextInt(most),
+                () -> answer(ctx, id, current),
+                ThreadLocalRandom.current().nextInt(maxDelayMillis),
                 TimeUnit.MILLISECONDS);
       }
     }
 
-    private void answer(ChannelHandlerContext ctx, String id, Behaviour how) {
+    private void answer(ChannelHandlerContext ctx, String id, Behaviour mode) {
       if (!ctx.channel().isActive()) {
         return;
       }
-      HttpResponseStatus status = switch (how) {
+      HttpResponseStatus status = switch (mode) {
         case SERVE -> HttpResponseStatus.OK;
         case FULL -> HttpResponseStatus.SERVICE_UNAVAILABLE;
         default -> HttpResponseStatus.INTERNAL_SERVER_ERROR;
@@ -145,18 +146,19 @@
       var answer = new DefaultFullHttpResponse(
           HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(id, StandardCharsets.UTF_8));
       answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
-      if (how == Behaviour.FULL) {
+      if (mode == Behaviour.FULL) {
         answer.headers().set("X-Unprocessed", "1");
       }
-      open = null;
-      log.add(id, name, Happening.REPLIED, status.code(), how == Behaviour.FULL ? "never ran" : "");
+      pendingId = null;
+      log.add(
+          id, name, EventType.REPLIED, status.code(), mode == Behaviour.FULL ? "never ran" : "");
       ctx.writeAndFlush(answer);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      if (open != null) {
-        log.add(open, name, Happening.GIVEN_UP, 0, "");
+      if (pendingId != null) {
+        log.add(pendingId, name, EventType.GIVEN_UP, 0, "");
       }
     }
 
--- a/src/main/java/pumicekeel/rig/soak/package-info.java
+++ b/src/main/java/pumicekeel/rig/soak/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Soak test of real processes under overlapping faults: calls of the system that fail (a preloaded library), signals, restarts, faults
- * on the ways between processes. What clients and upstreams logged is held against the serving rules.
+ * Soak test of real processes under overlapping faults: system calls that fail (by a preloaded library), signals, restarts, and faults
+ * on the links between processes. The events that clients and upstreams logged are checked against the serving rules.
  *
- * <p>Threads: Own event loops for clients and stand-ins; the balancers are child processes.
+ * <p>Threads: clients and stand-ins have their own event loops; the balancers are child processes.
  *
  * <p>May depend on: {@code rig}, {@code mesh}, {@code standin}; serving code never depends on it.
  */
--- a/src/main/resources/pumicekeel/rig/soak/call_faults.c
+++ b/src/main/resources/pumicekeel/rig/soak/call_faults.c
@@ -1,11 +1,11 @@
 /*
- * Fault injection for system calls: a library for LD_PRELOAD. It makes calls of the C library fail as the Linux manual pages
- * document, by chance, as a control page tells it that the test program has mapped as well.
+ * Fault injection for system calls: a library for LD_PRELOAD. It makes calls of the C library fail at random, with the errors that the
+ * Linux manual pages document, at rates in a control page that the test program also maps.
  *
  * The page (CALL_FAULTS_PAGE, a file) holds one slot of 32 bytes for each kind of call:
- *   uint32 per mille of calls that fail, uint32 set of errors (bit i: the i-th of the kind's list; 0: all),
+ *   uint32 failures per thousand calls, uint32 set of errors (bit i: the i-th of the kind's list; 0: all),
  *   uint64 failures injected, uint64 calls seen, int64 argument (clock: nanoseconds that the wall clock is ahead).
- * CALL_FAULTS_SEED seeds the choice; file calls fail only below CALL_FAULTS_FOLDER.
+ * CALL_FAULTS_SEED seeds the random choice; calls on files fail only below CALL_FAULTS_FOLDER.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -46,10 +46,11 @@
 static struct slot *page;
 static uint64_t seed;
 static char folder[PATH_MAX];
-static _Atomic uint64_t threads;
-/* Descriptors that have connected: errors that end a connection strike only these, or the client's own end would be forged. */
+static _Atomic uint64_t thread_count;
+/* Descriptors that connected outward. Errors that break a connection are injected only here: on an accepted connection they would
+ * pretend that the client had closed it. */
 static _Atomic unsigned char connected[65536];
-static __thread uint64_t state;
+static __thread uint64_t random_state;
 
 static const int ACCEPT_ERRORS[] = {EMFILE, ENFILE, ENOBUFS, ENOMEM, EPERM, EINTR, EAGAIN};
 static const int ACCEPT_CONNECTION_ERRORS[] = {ECONNABORTED, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH,
@@ -61,7 +62,7 @@
 static const int INTERRUPTED[] = {EINTR};
 static const int SOCKET_ERRORS[] = {EMFILE, ENFILE, ENOBUFS, ENOMEM};
 static const int CONNECT_ERRORS[] = {EADDRNOTAVAIL, ENETUNREACH, EAGAIN, EINTR};
-static const int LATER_ERRORS[] = {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH};
+static const int CONNECT_RESULT_ERRORS[] = {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH};
 static const int OPTION_ERRORS[] = {ENOBUFS, ENOMEM, EINVAL};
 static const int SHUTDOWN_ERRORS[] = {ENOBUFS, ENOMEM, ENOTCONN};
 static const int DESCRIPTOR_ERRORS[] = {EMFILE, ENFILE, ENOMEM};
@@ -75,13 +76,13 @@
 static const int CONNECTION_ERRORS[] = {ECONNRESET, ETIMEDOUT, EHOSTUNREACH};
 static const int STANDARD_ERROR_ERRORS[] = {EAGAIN, EPIPE, ENOSPC};
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void initialize(void) {
   const char *file = getenv("CALL_FAULTS_PAGE");
-  const char *below = getenv("CALL_FAULTS_FOLDER");
-  const char *chosen = getenv("CALL_FAULTS_SEED");
-  seed = chosen == NULL ? 1 : strtoull(chosen, NULL, 10);
-  if (below != NULL) {
-    strncpy(folder, below, sizeof folder - 1);
+  const char *folder_path = getenv("CALL_FAULTS_FOLDER");
+  const char *seed_text = getenv("CALL_FAULTS_SEED");
+  seed = seed_text == NULL ? 1 : strtoull(seed_text, NULL, 10);
+  if (folder_path != NULL) {
+    strncpy(folder, folder_path, sizeof folder - 1);
   }
   if (file == NULL) {
     return;
@@ -95,20 +96,20 @@
   page = at == MAP_FAILED ? NULL : at;
 }
 
-static uint64_t draw(void) {
-  if (state == 0) {
-    uint64_t z = seed + 0x9e3779b97f4a7c15ULL * (1 + atomic_fetch_add(&threads, 1));
+static uint64_t next_random(void) {
+  if (random_state == 0) {
+    uint64_t z = seed + 0x9e3779b97f4a7c15ULL * (1 + atomic_fetch_add(&thread_count, 1));
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
-    state = (z ^ (z >> 31)) | 1;
+    random_state = (z ^ (z >> 31)) | 1;
   }
-  state ^= state << 13;
-  state ^= state >> 7;
-  state ^= state << 17;
-  return state * 0x2545f4914f6cdd1dULL;
+  random_state ^= random_state << 13;
+  random_state ^= random_state >> 7;
+  random_state ^= random_state << 17;
+  return random_state * 0x2545f4914f6cdd1dULL;
 }
 
-static int strikes(enum kind k) {
+static int should_fail(enum kind k) {
   if (page == NULL) {
     return 0;
   }
@@ -117,17 +118,17 @@
     return 0;
   }
   atomic_fetch_add_explicit(&page[k].seen, 1, memory_order_relaxed);
-  if ((draw() >> 33) % 1000 >= rate) {
+  if ((next_random() >> 33) % 1000 >= rate) {
     return 0;
   }
   atomic_fetch_add_explicit(&page[k].injected, 1, memory_order_relaxed);
   return 1;
 }
 
-static int one_of(enum kind k, const int *errors, int count) {
+static int choose_error(enum kind k, const int *errors, int count) {
   uint32_t set = atomic_load_explicit(&page[k].set, memory_order_relaxed);
   for (int tries = 0; tries < 64; tries++) {
-    int i = (int) ((draw() >> 33) % (uint64_t) count);
+    int i = (int) ((next_random() >> 33) % (uint64_t) count);
     if (set == 0 || (set >> i & 1) != 0) {
       return errors[i];
     }
@@ -135,11 +136,11 @@
   return errors[0];
 }
 
-#define ONE_OF(kind, errors) one_of(kind, errors, (int) (sizeof(errors) / sizeof(errors[0])))
+#define CHOOSE_ERROR(kind, errors) choose_error(kind, errors, (int) (sizeof(errors) / sizeof(errors[0])))
 #define FAIL(kind, errors)          \
   do {                              \
-    if (strikes(kind)) {            \
-      errno = ONE_OF(kind, errors); \
+    if (should_fail(kind)) {            \
+      errno = CHOOSE_ERROR(kind, errors); \
       return -1;                    \
     }                               \
   } while (0)
@@ -153,34 +154,34 @@
   return syscall(SYS_getsockopt, fd, SOL_SOCKET, SO_TYPE, &type, &length) == 0 && type == SOCK_STREAM;
 }
 
-/* A regular file below the folder. */
-static int is_stored(int fd) {
-  struct stat about;
+/* Whether the descriptor is a file or directory below the folder. */
+static int is_file_below_folder(int fd) {
+  struct stat status;
   char link[64];
   char path[PATH_MAX];
-  if (folder[0] == 0 || syscall(SYS_fstat, fd, &about) != 0 || !(S_ISREG(about.st_mode) || S_ISDIR(about.st_mode))) {
+  if (folder[0] == 0 || syscall(SYS_fstat, fd, &status) != 0 || !(S_ISREG(status.st_mode) || S_ISDIR(status.st_mode))) {
     return 0;
   }
   static const char prefix[] = "/proc/self/fd/";
   memcpy(link, prefix, sizeof prefix);
-  int at = sizeof prefix - 1, digits = 0;
+  int position = sizeof prefix - 1, digits = 0;
   char reversed[16];
   for (int n = fd; n > 0 || digits == 0; n /= 10) {
     reversed[digits++] = (char) ('0' + n % 10);
   }
   while (digits > 0) {
-    link[at++] = reversed[--digits];
+    link[position++] = reversed[--digits];
   }
-  link[at] = 0;
+  link[position] = 0;
   ssize_t length = syscall(SYS_readlinkat, AT_FDCWD, link, path, sizeof path - 1);
   return length > 0 && strncmp(path, folder, strlen(folder)) == 0;
 }
 
-static int is_below(const char *path) {
+static int is_path_below_folder(const char *path) {
   return path != NULL && folder[0] != 0 && strncmp(path, folder, strlen(folder)) == 0;
 }
 
-static int accepted(int fd) {
+static int mark_accepted(int fd) {
   if (fd >= 0 && fd < (int) sizeof connected) {
     connected[fd] = 0;
   }
@@ -191,14 +192,14 @@
   REAL(accept);
   FAIL(ACCEPT, ACCEPT_ERRORS);
   FAIL(ACCEPT_CONNECTION, ACCEPT_CONNECTION_ERRORS);
-  return accepted(real(fd, address, length));
+  return mark_accepted(real(fd, address, length));
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
   REAL(accept4);
   FAIL(ACCEPT, ACCEPT_ERRORS);
   FAIL(ACCEPT_CONNECTION, ACCEPT_CONNECTION_ERRORS);
-  return accepted(real(fd, address, length, flags));
+  return mark_accepted(real(fd, address, length, flags));
 }
 
 int getsockname(int fd, struct sockaddr *address, socklen_t *length) {
@@ -220,10 +221,10 @@
     if (fd < (int) sizeof connected && connected[fd]) {
       FAIL(CONNECTION_ERROR, CONNECTION_ERRORS);
     }
-    if (count > 1 && strikes(READ_SHORT)) {
-      count = 1 + (draw() >> 33) % (count < 64 ? count - 1 : 63);
+    if (count > 1 && should_fail(READ_SHORT)) {
+      count = 1 + (next_random() >> 33) % (count < 64 ? count - 1 : 63);
     }
-  } else if (page != NULL && is_stored(fd)) {
+  } else if (page != NULL && is_file_below_folder(fd)) {
     FAIL(FILE_READ, FILE_READ_ERRORS);
   }
   return real(fd, buffer, count);
@@ -238,11 +239,11 @@
 }
 
 static ssize_t write_stored(int fd, const void *buffer, size_t count) {
-  if (strikes(FILE_WRITE)) {
-    if (count > 1 && (draw() >> 33) % 2 == 0) {
-      return syscall(SYS_write, fd, buffer, 1 + (draw() >> 33) % (count - 1));
+  if (should_fail(FILE_WRITE)) {
+    if (count > 1 && (next_random() >> 33) % 2 == 0) {
+      return syscall(SYS_write, fd, buffer, 1 + (next_random() >> 33) % (count - 1));
     }
-    errno = ONE_OF(FILE_WRITE, FILE_WRITE_ERRORS);
+    errno = CHOOSE_ERROR(FILE_WRITE, FILE_WRITE_ERRORS);
     return -1;
   }
   return syscall(SYS_write, fd, buffer, count);
@@ -257,10 +258,10 @@
     FAIL(STANDARD_ERROR, STANDARD_ERROR_ERRORS);
   } else if (is_stream(fd)) {
     FAIL(WRITE_ERROR, WRITE_ERRORS);
-    if (count > 1 && strikes(WRITE_SHORT)) {
-      count = 1 + (draw() >> 33) % (count - 1);
+    if (count > 1 && should_fail(WRITE_SHORT)) {
+      count = 1 + (next_random() >> 33) % (count - 1);
     }
-  } else if (is_stored(fd)) {
+  } else if (is_file_below_folder(fd)) {
     return write_stored(fd, buffer, count);
   }
   return real(fd, buffer, count);
@@ -270,8 +271,8 @@
   REAL(send);
   if (page != NULL && is_stream(fd)) {
     FAIL(WRITE_ERROR, WRITE_ERRORS);
-    if (count > 1 && strikes(WRITE_SHORT)) {
-      count = 1 + (draw() >> 33) % (count - 1);
+    if (count > 1 && should_fail(WRITE_SHORT)) {
+      count = 1 + (next_random() >> 33) % (count - 1);
     }
   }
   return real(fd, buffer, count, flags);
@@ -281,13 +282,13 @@
   REAL(writev);
   if (page != NULL && is_stream(fd)) {
     FAIL(WRITE_ERROR, WRITE_ERRORS);
-    if (count > 0 && parts[0].iov_len > 1 && strikes(WRITE_SHORT)) {
+    if (count > 0 && parts[0].iov_len > 1 && should_fail(WRITE_SHORT)) {
       struct iovec first = parts[0];
-      first.iov_len = 1 + (draw() >> 33) % (first.iov_len - 1);
+      first.iov_len = 1 + (next_random() >> 33) % (first.iov_len - 1);
       return real(fd, &first, 1);
     }
-  } else if (page != NULL && count > 0 && is_stored(fd) && strikes(FILE_WRITE)) {
-    errno = ONE_OF(FILE_WRITE, FILE_WRITE_ERRORS);
+  } else if (page != NULL && count > 0 && is_file_below_folder(fd) && should_fail(FILE_WRITE)) {
+    errno = CHOOSE_ERROR(FILE_WRITE, FILE_WRITE_ERRORS);
     return -1;
   }
   return real(fd, parts, count);
@@ -295,7 +296,7 @@
 
 ssize_t pwrite64(int fd, const void *buffer, size_t count, off64_t at) {
   REAL(pwrite64);
-  if (page != NULL && is_stored(fd)) {
+  if (page != NULL && is_file_below_folder(fd)) {
     FAIL(FILE_WRITE, FILE_WRITE_ERRORS);
   }
   return real(fd, buffer, count, at);
@@ -356,8 +357,8 @@
   if (fd >= 0 && fd < (int) sizeof connected) {
     connected[fd] = 1;
   }
-  if (address != NULL && address->sa_family != AF_UNIX && strikes(CONNECT)) {
-    int error = ONE_OF(CONNECT, CONNECT_ERRORS);
+  if (address != NULL && address->sa_family != AF_UNIX && should_fail(CONNECT)) {
+    int error = CHOOSE_ERROR(CONNECT, CONNECT_ERRORS);
     if (error == EINTR && real(fd, address, length) != 0 && errno != EINPROGRESS) {
       return -1;
     }
@@ -370,8 +371,8 @@
 int getsockopt(int fd, int level, int name, void *value, socklen_t *length) {
   REAL(getsockopt);
   int result = real(fd, level, name, value, length);
-  if (result == 0 && level == SOL_SOCKET && name == SO_ERROR && *length >= sizeof(int) && strikes(SOCKET_ERROR)) {
-    *(int *) value = ONE_OF(SOCKET_ERROR, LATER_ERRORS);
+  if (result == 0 && level == SOL_SOCKET && name == SO_ERROR && *length >= sizeof(int) && should_fail(SOCKET_ERROR)) {
+    *(int *) value = CHOOSE_ERROR(SOCKET_ERROR, CONNECT_RESULT_ERRORS);
   }
   return result;
 }
@@ -411,7 +412,7 @@
     va_start(rest, flags);                                    \
     int mode = va_arg(rest, int);                             \
     va_end(rest);                                             \
-    if (is_below(path)) {                                     \
+    if (is_path_below_folder(path)) {                                     \
       FAIL(FILE_OPEN, OPEN_ERRORS);                           \
     }                                                         \
     return real(path, flags, mode);                           \
@@ -427,7 +428,7 @@
     va_start(rest, flags);                                    \
     int mode = va_arg(rest, int);                             \
     va_end(rest);                                             \
-    if (is_below(path)) {                                     \
+    if (is_path_below_folder(path)) {                                     \
       FAIL(FILE_OPEN, OPEN_ERRORS);                           \
     }                                                         \
     return real(at, path, flags, mode);                       \
@@ -438,7 +439,7 @@
 
 int rename(const char *from, const char *to) {
   REAL(rename);
-  if (is_below(to)) {
+  if (is_path_below_folder(to)) {
     FAIL(FILE_NAME, FILE_NAME_ERRORS);
   }
   return real(from, to);
@@ -446,7 +447,7 @@
 
 int unlink(const char *path) {
   REAL(unlink);
-  if (is_below(path)) {
+  if (is_path_below_folder(path)) {
     FAIL(FILE_NAME, FILE_NAME_ERRORS);
   }
   return real(path);
@@ -454,7 +455,7 @@
 
 int mkdir(const char *path, mode_t mode) {
   REAL(mkdir);
-  if (is_below(path)) {
+  if (is_path_below_folder(path)) {
     FAIL(FILE_NAME, FILE_NAME_ERRORS);
   }
   return real(path, mode);
@@ -462,7 +463,7 @@
 
 int ftruncate64(int fd, off64_t length) {
   REAL(ftruncate64);
-  if (page != NULL && is_stored(fd)) {
+  if (page != NULL && is_file_below_folder(fd)) {
     FAIL(FILE_WRITE, FILE_WRITE_ERRORS);
   }
   return real(fd, length);
@@ -470,8 +471,8 @@
 
 int pthread_create(pthread_t *thread, const pthread_attr_t *with, void *(*run)(void *), void *argument) {
   REAL(pthread_create);
-  if (strikes(THREAD)) {
-    return ONE_OF(THREAD, THREAD_ERRORS);
+  if (should_fail(THREAD)) {
+    return CHOOSE_ERROR(THREAD, THREAD_ERRORS);
   }
   return real(thread, with, run, argument);
 }
--- a/src/test/java/pumicekeel/rig/soak/CallFaultsTest.java
+++ b/src/test/java/pumicekeel/rig/soak/CallFaultsTest.java
@@ -7,14 +7,14 @@
 import pumicekeel.rig.soak.SoakPlan.Disturbance;
 
 /**
- * One real process under load while calls of the system fail, 3 in 10 in the first part of each 2 s: each request gets its answer, and
- * new clients are served once the calls work again.
+ * One real process under load while three in ten system calls fail in the first part of each 2 s period. Each request must be answered,
+ * and new clients must be served once the calls succeed again.
  */
 class CallFaultsTest {
 
   private static final int PER_MILLE = 300;
 
-  private static void plays(SoakPlan plan) throws Exception {
+  private static void runAndCheck(SoakPlan plan) throws Exception {
     SoakRun.Result result = new SoakRun(plan).run();
     System.out.println(result.summary());
     for (CallKind kind : plan.rates().keySet()) {
@@ -31,13 +31,13 @@
 
   @Test
   void requestsAreAnsweredWhileAcceptingFails() throws Exception {
-    plays(SoakPlan.calls(
+    runAndCheck(SoakPlan.calls(
         seed(), PER_MILLE, CallKind.ACCEPT, CallKind.ACCEPT_CONNECTION, CallKind.SOCKET_NAME));
   }
 
   @Test
   void requestsAreAnsweredWhileReadingAndWritingFail() throws Exception {
-    plays(SoakPlan.calls(
+    runAndCheck(SoakPlan.calls(
         seed(),
         PER_MILLE,
         CallKind.READ_ERROR,
@@ -50,12 +50,12 @@
 
   @Test
   void requestsAreAnsweredWhileInterestInEventsCannotBeRegistered() throws Exception {
-    plays(SoakPlan.calls(seed(), PER_MILLE, CallKind.EPOLL_CTL, CallKind.EPOLL_WAIT));
+    runAndCheck(SoakPlan.calls(seed(), PER_MILLE, CallKind.EPOLL_CTL, CallKind.EPOLL_WAIT));
   }
 
   @Test
   void requestsAreAnsweredWhileConnectingFails() throws Exception {
-    plays(SoakPlan.calls(
+    runAndCheck(SoakPlan.calls(
             seed(),
             PER_MILLE,
             CallKind.SOCKET,
--- a/src/test/java/pumicekeel/rig/soak/LateListTest.java
+++ b/src/test/java/pumicekeel/rig/soak/LateListTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Real processes whose lists of upstreams fail to arrive. More kinds, processes and seeds by hand: {@code rig soak --lists}. */
+/** Real processes whose upstream lists fail to arrive. {@code rig soak --lists} runs other kinds, sizes and seeds manually. */
 class LateListTest {
 
   private static final long SEED = 1;
@@ -19,7 +19,7 @@
   @EnumSource(
       value = ListTrouble.class,
       names = {"CUT", "IGNORED"})
-  void requestsGoToServersThatLeftWhileListsFailToArrive(ListTrouble trouble) throws Exception {
+  void rulesHoldWhileListsFailToArrive(ListTrouble trouble) throws Exception {
     SoakRun.Result result =
         new SoakRun(SoakPlan.lists(SEED, trouble, BALANCERS, SECONDS, false)).run();
     System.out.println(trouble + ", " + result.summary());
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void balancerWhoseCallsAreIgnoredRefusesAllThoughOthersKnowWhoLeft() throws Exception {
+  void balancerWithIgnoredCallsStaysCurrentThroughItsPeers() throws Exception {
     SoakRun.Result result =
         new SoakRun(SoakPlan.lists(SEED, ListTrouble.IGNORED, BALANCERS, SECONDS, true)).run();
     System.out.println("with peers, " + result.summary());
--- a/src/test/java/pumicekeel/rig/soak/SoakClientsTest.java
+++ b/src/test/java/pumicekeel/rig/soak/SoakClientsTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import pumicekeel.rig.soak.RequestLog.Event;
-import pumicekeel.rig.soak.RequestLog.Happening;
+import pumicekeel.rig.soak.RequestLog.EventType;
 
-/** Clients of a server that answers the first request of each connection and closes it some time after it had the second. */
+/** Clients of a server that answers the first request on each connection and closes it some time after receiving the second. */
 class SoakClientsTest {
 
-  private static final long MS = 1_000_000L;
-  /** Past what a crossing may take, and short of it with a machine that is late by as much. */
-  private static final long CLOSES_AFTER_MILLIS = SoakClients.CROSSING_NANOS / MS + 100;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  /** Longer than a close may take to cross a request, and shorter than that plus the lateness that the first test reports. */
+  private static final long CLOSE_DELAY_MILLIS = SoakClients.CROSSING_NANOS / NANOS_PER_MILLI + 100;
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -43,22 +43,22 @@
           .write(
               "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       in.read(new byte[4_096]);
-      TimeUnit.MILLISECONDS.sleep(CLOSES_AFTER_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(CLOSE_DELAY_MILLIS);
     } catch (java.io.IOException | InterruptedException e) {
-      // Its client has gone.
+      // The client has disconnected.
     }
   }
 
-  /** What became of the first request whose kept connection was ended under it. */
-  private Happening fate(long machineTookNanos) throws Exception {
+  /** Returns how the first request whose kept connection was closed before its answer ended. */
+  private EventType outcome(long latenessNanos) throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         SoakClients clients = new SoakClients(
             "c",
             loop,
             log,
-            SoakSettings.USUAL,
-            new SoakClients.Habits(20, 0, 0, 0),
-            (who, from, to) -> machineTookNanos,
+            SoakSettings.DEFAULT,
+            new SoakClients.Profile(20, 0, 0, 0),
+            (who, from, to) -> latenessNanos,
             1)) {
       Thread accepting = new Thread(() -> {
         try {
@@ -67,7 +67,7 @@
             new Thread(() -> serve(connection)).start();
           }
         } catch (java.io.IOException e) {
-          // It is over.
+          // The server socket was closed at the end of the test.
         }
       });
       accepting.start();
@@ -76,8 +76,8 @@
         for (String id : log.ids()) {
           List<Event> events = log.of(id);
           Event last = events.get(events.size() - 1);
-          if (last.what() == Happening.SENT_AGAIN || last.what() == Happening.CLOSED) {
-            return last.what();
+          if (last.type() == EventType.SENT_AGAIN || last.type() == EventType.CLOSED) {
+            return last.type();
           }
         }
         TimeUnit.MILLISECONDS.sleep(5);
@@ -86,12 +86,12 @@
   }
 
   @Test
-  void closeThatCrossedARequestWhileTheMachineHeldUpTheBalancerIsTakenForALoss() throws Exception {
-    assertEquals(Happening.SENT_AGAIN, fate(10_000 * MS));
+  void closeThatMachineLatenessExplainsCausesAResend() throws Exception {
+    assertEquals(EventType.SENT_AGAIN, outcome(10_000 * NANOS_PER_MILLI));
   }
 
   @Test
-  void closeUnderARequestThatTheMachineDoesNotExplainIsALoss() throws Exception {
-    assertEquals(Happening.CLOSED, fate(0));
+  void closeThatMachineLatenessDoesNotExplainIsALoss() throws Exception {
+    assertEquals(EventType.CLOSED, outcome(0));
   }
 }
--- a/src/test/java/pumicekeel/rig/soak/SoakJudgeTest.java
+++ b/src/test/java/pumicekeel/rig/soak/SoakJudgeTest.java
@@ -7,48 +7,58 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import pumicekeel.rig.soak.RequestLog.Event;
-import pumicekeel.rig.soak.RequestLog.Happening;
-import pumicekeel.rig.soak.SoakJudge.Broken;
+import pumicekeel.rig.soak.RequestLog.EventType;
 import pumicekeel.rig.soak.SoakJudge.Rule;
+import pumicekeel.rig.soak.SoakJudge.Violation;
 
-/** Each rule of the soak is broken by a log that breaks it, and by no other. */
+/** Each rule of the soak test is reported for logs that violate it, and for no others. */
 class SoakJudgeTest {
 
-  private static final long MS = 1_000_000L;
-  private static final long SENT = 1_000 * MS;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final long SENT = 1_000 * NANOS_PER_MILLI;
 
   private final RequestLog log = new RequestLog();
   private final Map<String, Integer> cells = Map.of("s0", 0, "s1", 0, "s2", 1, "cold", 1);
 
-  private void at(long millis, String id, String who, Happening what, long value, String text) {
-    log.add(id, new Event(SENT + millis * MS, who, what, value, text));
+  private void at(long millis, String id, String who, EventType type, long value, String text) {
+    log.add(id, new Event(SENT + millis * NANOS_PER_MILLI, who, type, value, text));
   }
 
   private void sent(String id, String type, long left) {
-    at(0, id, "c", Happening.SENT, left, type + " new connection");
+    at(0, id, "c", EventType.SENT, left, type + " new connection");
   }
 
   private void received(long millis, String id, String at, long told) {
-    at(millis, id, at, Happening.RECEIVED, told, "");
+    at(millis, id, at, EventType.RECEIVED, told, "");
   }
 
   private void replied(long millis, String id, String at) {
-    at(millis, id, at, Happening.REPLIED, 200, "");
+    at(millis, id, at, EventType.REPLIED, 200, "");
   }
 
   private void answered(long millis, String id, int status) {
-    at(millis, id, "c", Happening.ANSWERED, status, id);
+    at(millis, id, "c", EventType.ANSWERED, status, id);
   }
 
-  private List<Rule> broken(
-      ToldChanges leaving, Map<String, Long> cold, List<SoakJudge.Killed> killed, boolean crowded) {
+  private List<Rule> violatedRules(
+      ChangeNotifications notifications,
+      Map<String, Long> cold,
+      List<SoakJudge.Killed> killed,
+      boolean crowded) {
     return new SoakJudge(
-            log, SoakSettings.USUAL, cells, leaving, cold, killed, crowded, (who, from, to) -> 0)
-        .judge().stream().map(Broken::rule).toList();
+            log,
+            SoakSettings.DEFAULT,
+            cells,
+            notifications,
+            cold,
+            killed,
+            crowded,
+            (who, from, to) -> 0)
+        .judge().stream().map(Violation::rule).toList();
   }
 
-  private List<Rule> broken() {
-    return broken(new ToldChanges(), Map.of(), List.of(), false);
+  private List<Rule> violatedRules() {
+    return violatedRules(new ChangeNotifications(), Map.of(), List.of(), false);
   }
 
   @Test
@@ -57,7 +67,7 @@
     received(10, "r", "s0", 900);
     replied(20, "r", "s0");
     answered(30, "r", 200);
-    assertEquals(List.of(), broken());
+    assertEquals(List.of(), violatedRules());
   }
 
   @Test
@@ -65,25 +75,26 @@
     sent("r", "rate-lookup", 1_000);
     sent("late", "rate-lookup", 1_000);
     answered(1_501, "late", 502);
-    assertEquals(List.of(Rule.NEVER_ANSWERED, Rule.NEVER_ANSWERED), broken());
+    assertEquals(List.of(Rule.NEVER_ANSWERED, Rule.NEVER_ANSWERED), violatedRules());
   }
 
   @Test
   void closedConnectionButNotByAKillNorInACrowdUnread() {
     sent("r", "rate-lookup", 1_000);
-    at(40, "r", "c", Happening.CLOSED, 0, "new connection, end of stream");
-    assertEquals(List.of(Rule.CLOSED_UNANSWERED), broken());
+    at(40, "r", "c", EventType.CLOSED, 0, "new connection, end of stream");
+    assertEquals(List.of(Rule.CLOSED_UNANSWERED), violatedRules());
     assertEquals(
         List.of(),
-        broken(
-            new ToldChanges(),
+        violatedRules(
+            new ChangeNotifications(),
             Map.of(),
-            List.of(new SoakJudge.Killed("c", SENT + 39 * MS)),
+            List.of(new SoakJudge.Killed("c", SENT + 39 * NANOS_PER_MILLI)),
             false));
-    assertEquals(List.of(), broken(new ToldChanges(), Map.of(), List.of(), true));
+    assertEquals(List.of(), violatedRules(new ChangeNotifications(), Map.of(), List.of(), true));
     received(10, "r", "s0", 900);
     assertEquals(
-        List.of(Rule.CLOSED_UNANSWERED), broken(new ToldChanges(), Map.of(), List.of(), true));
+        List.of(Rule.CLOSED_UNANSWERED),
+        violatedRules(new ChangeNotifications(), Map.of(), List.of(), true));
   }
 
   @Test
@@ -91,21 +102,21 @@
     sent("r", "rate-lookup", 1_000);
     received(10, "r", "s0", 900);
     answered(30, "r", 200);
-    assertEquals(List.of(Rule.WRONG_ANSWER), broken());
+    assertEquals(List.of(Rule.WRONG_ANSWER), violatedRules());
   }
 
   @Test
   void attemptAfterTheClientLeftOrHadItsAnswer() {
     sent("left", "rate-lookup", 1_000);
-    at(20, "left", "c", Happening.LEFT, 0, "");
+    at(20, "left", "c", EventType.LEFT, 0, "");
     received(119, "left", "s0", 800);
-    assertEquals(List.of(), broken());
+    assertEquals(List.of(), violatedRules());
     received(121, "left", "s1", 800);
-    assertEquals(List.of(Rule.BEGUN_AFTER_END), broken());
+    assertEquals(List.of(Rule.BEGUN_AFTER_END), violatedRules());
     sent("answered", "rate-lookup", 1_000);
     answered(30, "answered", 502);
     received(131, "answered", "s0", 700);
-    assertEquals(List.of(Rule.BEGUN_AFTER_END, Rule.BEGUN_AFTER_END), broken());
+    assertEquals(List.of(Rule.BEGUN_AFTER_END, Rule.BEGUN_AFTER_END), violatedRules());
   }
 
   @Test
@@ -114,9 +125,9 @@
     received(300, "r", "s0", 850);
     replied(310, "r", "s0");
     answered(320, "r", 200);
-    assertEquals(List.of(), broken());
+    assertEquals(List.of(), violatedRules());
     received(301, "r", "s1", 850);
-    assertEquals(List.of(Rule.TOLD_TOO_MUCH), broken());
+    assertEquals(List.of(Rule.TOLD_TOO_MUCH), violatedRules());
   }
 
   @Test
@@ -125,16 +136,16 @@
     received(10, "twice", "s0", 900);
     received(50, "twice", "s1", 900);
     answered(60, "twice", 502);
-    assertEquals(List.of(Rule.REPEATED_EFFECT), broken());
+    assertEquals(List.of(Rule.REPEATED_EFFECT), violatedRules());
     sent("refused", "order-place", 1_000);
     received(10, "refused", "s0", 900);
     answered(60, "refused", 429);
-    assertEquals(List.of(Rule.REPEATED_EFFECT, Rule.REPEATED_EFFECT), broken());
+    assertEquals(List.of(Rule.REPEATED_EFFECT, Rule.REPEATED_EFFECT), violatedRules());
     sent("full", "order-place", 1_000);
     received(10, "full", "s0", 900);
-    at(11, "full", "s0", Happening.REPLIED, 503, "never ran");
+    at(11, "full", "s0", EventType.REPLIED, 503, "never ran");
     answered(60, "full", 429);
-    assertEquals(2, broken().size(), "what never ran may be refused");
+    assertEquals(2, violatedRules().size(), "what never ran may be refused");
   }
 
   @Test
@@ -143,19 +154,20 @@
     received(10, "cell", "s0", 900);
     received(50, "cell", "s1", 900);
     answered(60, "cell", 502);
-    assertEquals(List.of(), broken());
+    assertEquals(List.of(), violatedRules());
     received(55, "cell", "s2", 900);
-    assertEquals(List.of(Rule.REPEATED_EFFECT), broken());
+    assertEquals(List.of(Rule.REPEATED_EFFECT), violatedRules());
     sent("window", "draft-save", 2_500);
     received(10, "window", "s0", 900);
     received(2_061, "window", "s2", 100);
     answered(2_100, "window", 502);
-    assertEquals(List.of(Rule.REPEATED_EFFECT, Rule.REPEATED_EFFECT), broken());
+    assertEquals(List.of(Rule.REPEATED_EFFECT, Rule.REPEATED_EFFECT), violatedRules());
   }
 
-  /** A change of s0 that discovery has since so many ms before the request was sent. */
-  private static ToldChanges changed(ToldChanges told, long index, long before, boolean leaves) {
-    told.changed("s0", index, SENT - before * MS, leaves);
+  /** Records a change of s0 that discovery has had since the given number of ms before the request was sent. */
+  private static ChangeNotifications changed(
+      ChangeNotifications told, long index, long before, boolean leaves) {
+    told.changed("s0", index, SENT - before * NANOS_PER_MILLI, leaves);
     return told;
   }
 
@@ -166,46 +178,49 @@
     answered(60, "r", 200);
   }
 
-  private List<Rule> broken(ToldChanges told) {
-    return broken(told, Map.of(), List.of(), false);
+  private List<Rule> violatedRules(ChangeNotifications told) {
+    return violatedRules(told, Map.of(), List.of(), false);
   }
 
   @Test
   void sendToALeavingUpstreamAfterItsLeavingWasWritten() {
     requestAtS0();
-    ToldChanges inTime = changed(new ToldChanges(), 2, 3_000, true);
-    inTime.written("", 2, SENT - 2_000 * MS);
-    assertEquals(List.of(), broken(inTime));
-    ToldChanges late = changed(new ToldChanges(), 2, 3_000, true);
-    late.written("", 2, SENT - 2_001 * MS);
-    assertEquals(List.of(Rule.SENT_TO_LEAVING), broken(late));
+    ChangeNotifications inTime = changed(new ChangeNotifications(), 2, 3_000, true);
+    inTime.written("", 2, SENT - 2_000 * NANOS_PER_MILLI);
+    assertEquals(List.of(), violatedRules(inTime));
+    ChangeNotifications late = changed(new ChangeNotifications(), 2, 3_000, true);
+    late.written("", 2, SENT - 2_001 * NANOS_PER_MILLI);
+    assertEquals(List.of(Rule.SENT_TO_LEAVING), violatedRules(late));
   }
 
   @Test
   void sendToALeavingUpstreamSixSecondsAndTheGraceAfterItsLeaving() {
     requestAtS0();
-    assertEquals(List.of(), broken(changed(new ToldChanges(), 2, 8_000, true)));
-    assertEquals(List.of(Rule.SENT_TO_LEAVING), broken(changed(new ToldChanges(), 2, 8_001, true)));
+    assertEquals(List.of(), violatedRules(changed(new ChangeNotifications(), 2, 8_000, true)));
+    assertEquals(
+        List.of(Rule.SENT_TO_LEAVING),
+        violatedRules(changed(new ChangeNotifications(), 2, 8_001, true)));
   }
 
   @Test
   void sendToAReturnedUpstreamCountsUntilItsReturnIsTold() {
     requestAtS0();
-    ToldChanges untold = changed(changed(new ToldChanges(), 2, 9_000, true), 3, 5_000, false);
-    assertEquals(List.of(Rule.SENT_TO_LEAVING), broken(untold));
-    untold.written("", 3, SENT);
-    assertEquals(List.of(), broken(untold));
+    ChangeNotifications returned =
+        changed(changed(new ChangeNotifications(), 2, 9_000, true), 3, 5_000, false);
+    assertEquals(List.of(Rule.SENT_TO_LEAVING), violatedRules(returned));
+    returned.written("", 3, SENT);
+    assertEquals(List.of(), violatedRules(returned));
   }
 
   @Test
   void whatDiscoveryHadInAnOutageCountsFromItsEnd() {
     requestAtS0();
-    ToldChanges told = changed(new ToldChanges(), 2, 9_000, true);
-    told.outage(SENT - 20_000 * MS, SENT - 8_000 * MS);
-    assertEquals(List.of(), broken(told));
+    ChangeNotifications told = changed(new ChangeNotifications(), 2, 9_000, true);
+    told.outage(SENT - 20_000 * NANOS_PER_MILLI, SENT - 8_000 * NANOS_PER_MILLI);
+    assertEquals(List.of(), violatedRules(told));
   }
 
-  private void usual(String upstream, int count) {
+  private void servedRequests(String upstream, int count) {
     for (int i = 0; i < count; i++) {
       String id = upstream + i;
       sent(id, "rate-lookup", 1_000);
@@ -217,13 +232,15 @@
 
   @Test
   void coldUpstreamBeyondItsBudget() {
-    // 0.9 x 100 + 2 x root of that + 2.
-    usual("s0", 100);
-    usual("cold", 110);
-    assertEquals(List.of(), broken(new ToldChanges(), Map.of("cold", SENT), List.of(), false));
-    usual("cold", 112);
-    List<Rule> all =
-        new ArrayList<>(broken(new ToldChanges(), Map.of("cold", SENT), List.of(), false));
+    // The limit is 0.9 x 100 requests plus twice the square root of that plus 2: 110.
+    servedRequests("s0", 100);
+    servedRequests("cold", 110);
+    assertEquals(
+        List.of(),
+        violatedRules(new ChangeNotifications(), Map.of("cold", SENT), List.of(), false));
+    servedRequests("cold", 112);
+    List<Rule> all = new ArrayList<>(
+        violatedRules(new ChangeNotifications(), Map.of("cold", SENT), List.of(), false));
     assertEquals(List.of(Rule.COLD_OVERLOADED), all);
   }
 }
--- a/src/test/java/pumicekeel/rig/soak/SoakTest.java
+++ b/src/test/java/pumicekeel/rig/soak/SoakTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A short soak: real processes under overlapping faults of some seeds. More of them by hand, {@code rig soak}; each that found something
- * stays here or as a test of its own.
+ * A short soak test: real processes under the overlapping faults of some seeds. {@code rig soak} runs others manually; a seed that found
+ * a fault is kept here or as a test of its own.
  */
 class SoakTest {
 
-  /** 1: a crowd, restarts, a stepped clock; 5: interest in events, restarts, short deadlines; 14: the most kinds at once. */
+  /** 1: idle clients, restarts, a stepped clock; 5: epoll registration, restarts, short deadlines; 14: most kinds at once. */
   @ParameterizedTest
   @ValueSource(longs = {1, 5, 14})
   void rulesHoldUnderOverlappingFaults(long seed) throws Exception {
