--- a/src/main/java/pumicekeel/cli/CheckCommand.java
+++ b/src/main/java/pumicekeel/cli/CheckCommand.java
@@ -13,13 +13,13 @@
 import pumicekeel.config.OperatorLoader;
 import pumicekeel.node.Node;
 
-/** Checks an operator file as a start or a reload would. */
+/** Checks an operator file in the same way as a start or a reload. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
     description =
-        "Check an operator file: each fault is one line FILE:LINE: KEY: what was expected.",
-    footer = {"Exit status: 0 for a good file, 2 for a faulty one."})
+        "Check an operator file; each error is printed as one line, FILE:LINE: KEY: what was expected.",
+    footer = {"Exit status: 0 for a valid file, 2 for an invalid one."})
 final class CheckCommand implements Callable<Integer> {
 
   @Parameters(index = "0", paramLabel = "FILE", description = "The operator file.")
@@ -29,7 +29,7 @@
       names = "--config",
       paramLabel = "FILE",
       description =
-          "The platform's configuration: whether the rooms that the file asks for fit is checked as well.")
+          "The platform's configuration. Also checks that the capacity that the file requests fits into it.")
   private Path config;
 
   @Spec
--- a/src/main/java/pumicekeel/cli/Commands.java
+++ b/src/main/java/pumicekeel/cli/Commands.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command that holds all others. */
+/** The root command. */
 @Command(
     name = "pumicekeel",
     mixinStandardHelpOptions = true,
@@ -32,7 +32,7 @@
     })
 final class Commands implements Callable<Integer> {
 
-  /** As in pom.xml; a test holds the two together. */
+  /** Equals the version in pom.xml; a test compares the two. */
   static final String VERSION = "pumicekeel 0.2.0";
 
   @Spec
@@ -43,11 +43,11 @@
     throw new ParameterException(spec.commandLine(), "expected a command");
   }
 
-  /** Only described here: the platform's line never comes through the library. */
+  /** Declared for the help text; {@link Main} runs the platform's own start line without the command-line library. */
   @Command(
       name = "rehearse",
       mixinStandardHelpOptions = true,
-      description = "Start like serve and end once ready: for making a class-data archive.")
+      description = "Start like serve and exit once ready; used to create a class-data archive.")
   static final class Rehearse implements Callable<Integer> {
     @Override
     public Integer call() throws Exception {
@@ -55,11 +55,12 @@
     }
   }
 
-  /** Described here for the help; {@link Main} runs it. */
+  /** Declared for the help text; {@link Main} runs it. */
   @Command(
       name = "adapter",
       mixinStandardHelpOptions = true,
-      description = "Read batches of events from standard input, write actions to standard output.")
+      description =
+          "Read batches of events from standard input and write actions to standard output.")
   static final class Adapter implements Callable<Integer> {
     @Override
     public Integer call() throws Exception {
--- a/src/main/java/pumicekeel/cli/ConfigCommand.java
+++ b/src/main/java/pumicekeel/cli/ConfigCommand.java
@@ -6,11 +6,12 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Commands of a writer and of operators to the control machines. */
+/** Commands with which writers and operators call the control machines. */
 @Command(
     name = "config",
     mixinStandardHelpOptions = true,
-    description = "Publish a configuration to the control machines, and see who has which.",
+    description =
+        "Publish a configuration to the control machines, and show which version is where.",
     subcommands = {ConfigPublish.class, ConfigStatus.class, ConfigDiff.class})
 final class ConfigCommand implements Callable<Integer> {
 
--- a/src/main/java/pumicekeel/cli/ConfigDiff.java
+++ b/src/main/java/pumicekeel/cli/ConfigDiff.java
@@ -21,37 +21,39 @@
 import pumicekeel.delivery.StoredConfiguration;
 import pumicekeel.delivery.client.ControlApi;
 
-/** Shows what publishing a file would change. */
+/** Shows the entries that publishing a file would change. */
 @Command(
     name = "diff",
     mixinStandardHelpOptions = true,
     description =
-        "The entries in which a file differs from the version that a control machine has.",
-    footer = {"Exit status: 0 for no difference, 1 for one, 2 for a faulty file or option."})
+        "Show the entries in which a file differs from the version that a control machine has.",
+    footer = {
+      "Exit status: 0 if nothing differs, 1 if an entry does, 2 for an invalid file or option."
+    })
 final class ConfigDiff implements Callable<Integer> {
 
-  @Parameters(index = "0", paramLabel = "FILE", description = "The file.")
+  @Parameters(index = "0", paramLabel = "FILE", description = "The file to compare.")
   private Path file;
 
   @Option(
       names = "--to",
       paramLabel = "HOST:PORT",
       required = true,
-      description = "A control machine.")
+      description = "The control machine to compare with.")
   private String to;
 
-  @Option(names = "--json", description = "One JSON object on standard output.")
+  @Option(names = "--json", description = "Print one JSON object on standard output.")
   private boolean json;
 
   @Spec
   private CommandSpec spec;
 
-  /** A change of one entry: {@code +} new, {@code -} gone, {@code ~} altered or moved. */
+  /** A change of one entry: {@code +} added, {@code -} removed, {@code ~} changed or moved. */
   private record Change(char kind, String key) {}
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    ControlApi machine = new ControlApi(ControlAddresses.one(spec, "--to", to));
+    ControlApi machine = new ControlApi(ControlAddresses.parse(spec, "--to", to));
     String text = ConfigFile.read(file, spec.commandLine().getErr());
     if (text == null) {
       return 2;
@@ -63,13 +65,13 @@
       JsonOutput.print(spec, out -> write(out, version, changes));
     } else {
       PrintWriter out = spec.commandLine().getOut();
-      out.println("against version " + version + ": " + changes.size() + " entries differ");
-      changes.forEach(c -> out.println(c.kind() + " " + name(c.key())));
+      out.println("compared with version " + version + ": " + changes.size() + " entries differ");
+      changes.forEach(c -> out.println(c.kind() + " " + displayName(c.key())));
     }
     return changes.isEmpty() ? 0 : 1;
   }
 
-  private static String name(String key) {
+  private static String displayName(String key) {
     return key.isEmpty() ? "(before the first header)" : key;
   }
 
@@ -77,12 +79,12 @@
     ConfigurationDocument base = ConfigurationDocument.parse(before);
     ConfigurationDelta delta = ConfigurationDocument.parse(after)
         .deltaFrom(base, ConfigurationVersion.NONE, ConfigurationVersion.of(1, 1, after));
-    Set<String> known = base.entries().stream().map(Entry::key).collect(Collectors.toSet());
+    Set<String> existingKeys = base.entries().stream().map(Entry::key).collect(Collectors.toSet());
     List<Change> changes = new ArrayList<>();
     delta.removed().stream().sorted().forEach(key -> changes.add(new Change('-', key)));
     delta
         .upserted()
-        .forEach(u -> changes.add(new Change(known.contains(u.key()) ? '~' : '+', u.key())));
+        .forEach(u -> changes.add(new Change(existingKeys.contains(u.key()) ? '~' : '+', u.key())));
     return changes;
   }
 
--- a/src/main/java/pumicekeel/cli/ConfigFile.java
+++ b/src/main/java/pumicekeel/cli/ConfigFile.java
@@ -6,12 +6,12 @@
 import pumicekeel.config.OperatorFile;
 import pumicekeel.node.DeliveredOperator;
 
-/** A file that is to be published: read whole and checked as a control machine does. */
+/** Reads a file for publication and checks it like a control machine does. */
 final class ConfigFile {
 
   private ConfigFile() {}
 
-  /** The text, or null once its faults have been printed. */
+  /** Returns the text, or null if it is invalid, after printing its faults. */
   static String read(Path file, PrintWriter err) {
     String text;
     try {
--- a/src/main/java/pumicekeel/cli/ConfigPublish.java
+++ b/src/main/java/pumicekeel/cli/ConfigPublish.java
@@ -21,17 +21,18 @@
 @Command(
     name = "publish",
     mixinStandardHelpOptions = true,
-    description = "Check a file and publish it as the next version; a majority has to keep it.",
+    description =
+        "Check a file and publish it as the next version; a majority of the machines has to keep it.",
     footer = {
-      "The same file again is the same version: a publish that got no majority can be repeated.",
-      "Exit status: 0 where a majority keeps it, 1 where not, 2 for a faulty file or option."
+      "Publishing the same file again gives the same version, so a publish without a majority can be repeated.",
+      "Exit status: 0 if a majority keeps it, 1 if not, 2 for an invalid file or option."
     })
 final class ConfigPublish implements Callable<Integer> {
 
   @Parameters(
       index = "0",
       paramLabel = "FILE",
-      description = "An operator file without [process]," + " [journal], [peers] and [control].")
+      description = "An operator file without [process], [journal], [peers] and [control].")
   private Path file;
 
   @Option(
@@ -39,20 +40,21 @@
       paramLabel = "HOST:PORT",
       split = ",",
       required = true,
-      description = "All control machines; the majority is counted of these.")
+      description = "All control machines; the majority is counted among these.")
   private List<String> to;
 
   @Option(
       names = "--epoch",
       paramLabel = "N",
       required = true,
-      description = "The writer's epoch, from 1. Who takes over as a writer uses a higher one.")
+      description =
+          "The writer's epoch, 1 or more. A writer that takes over from another uses a higher one.")
   private long epoch;
 
-  @Option(names = "--dry-run", description = "Ask whether it would be kept; change nothing.")
+  @Option(names = "--dry-run", description = "Check whether it would be kept; change nothing.")
   private boolean dryRun;
 
-  @Option(names = "--json", description = "One JSON object on standard output.")
+  @Option(names = "--json", description = "Print one JSON object on standard output.")
   private boolean json;
 
   @Spec
@@ -63,39 +65,41 @@
     if (epoch < 1) {
       throw new ParameterException(spec.commandLine(), "--epoch: expected 1 or more");
     }
-    List<InetSocketAddress> machines = ControlAddresses.all(spec, "--to", to);
+    List<InetSocketAddress> machines = ControlAddresses.parseAll(spec, "--to", to);
     String text = ConfigFile.read(file, spec.commandLine().getErr());
     if (text == null) {
       return 2;
     }
-    ControlCluster.Publication done = new ControlCluster(machines).publish(epoch, dryRun, text);
+    ControlCluster.Publication publication =
+        new ControlCluster(machines).publish(epoch, dryRun, text);
     if (json) {
-      JsonOutput.print(spec, out -> write(out, done));
+      JsonOutput.print(spec, out -> write(out, publication));
     } else {
-      print(done);
+      print(publication);
     }
-    return done.isAcknowledged() ? 0 : 1;
+    return publication.isAcknowledged() ? 0 : 1;
   }
 
-  private void print(ControlCluster.Publication done) {
+  private void print(ControlCluster.Publication publication) {
     PrintWriter out = spec.commandLine().getOut();
     PrintWriter err = spec.commandLine().getErr();
-    if (done.refusal() != null) {
-      err.println("not published: " + done.refusal());
+    if (publication.refusal() != null) {
+      err.println("not published: " + publication.refusal());
       return;
     }
-    for (ControlCluster.Answer<ControlApi.Published> answer : done.answers()) {
+    for (ControlCluster.Answer<ControlApi.Published> answer : publication.answers()) {
       out.println(Addresses.text(answer.address()) + ": " + resultOf(answer));
       if (answer.value() != null) {
         answer.value().lines().forEach(line -> out.println("  " + line));
       }
     }
-    if (done.isAcknowledged()) {
-      out.println(
-          "version " + done.version() + (dryRun ? " would be" : " is") + " kept by a majority");
+    if (publication.isAcknowledged()) {
+      out.println("version " + publication.version() + (dryRun ? " would be" : " is")
+          + " kept by a majority");
     } else {
-      err.println("version " + done.version() + " is not kept by a majority; it may still come in"
-          + " force: publish it again, or another one");
+      err.println(
+          "version " + publication.version() + " is not kept by a majority; it may still take"
+              + " effect: publish it again, or publish another one");
     }
   }
 
@@ -105,13 +109,14 @@
         : answer.value().result().replace('_', ' ');
   }
 
-  private static void write(JsonGenerator out, ControlCluster.Publication done) throws IOException {
-    out.writeBooleanField("acknowledged", done.isAcknowledged());
+  private static void write(JsonGenerator out, ControlCluster.Publication publication)
+      throws IOException {
+    out.writeBooleanField("acknowledged", publication.isAcknowledged());
     out.writeStringField(
-        "version", done.version() == null ? null : done.version().text());
-    out.writeStringField("refusal", done.refusal());
+        "version", publication.version() == null ? null : publication.version().text());
+    out.writeStringField("refusal", publication.refusal());
     out.writeArrayFieldStart("machines");
-    for (ControlCluster.Answer<ControlApi.Published> answer : done.answers()) {
+    for (ControlCluster.Answer<ControlApi.Published> answer : publication.answers()) {
       out.writeStartObject();
       out.writeStringField("address", Addresses.text(answer.address()));
       out.writeStringField(
--- a/src/main/java/pumicekeel/cli/ConfigStatus.java
+++ b/src/main/java/pumicekeel/cli/ConfigStatus.java
@@ -17,12 +17,12 @@
 import pumicekeel.delivery.client.ControlCluster;
 import pumicekeel.runtime.Addresses;
 
-/** Shows which control machine and which balancer has which version. */
+/** Shows which version each control machine and each balancer has. */
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
-    description = "Who has which version, who is behind, by how much and why.",
-    footer = {"Exit status: 0 where all have the newest version, 1 where not, 2 for an option."})
+    description = "Show which version is where, who is behind, by how much and why.",
+    footer = {"Exit status: 0 if all have the newest version, 1 if not, 2 for an invalid option."})
 final class ConfigStatus implements Callable<Integer> {
 
   @Option(
@@ -33,10 +33,12 @@
       description = "All control machines.")
   private List<String> to;
 
-  @Option(names = "--all", description = "All balancers, not only those that are behind.")
+  @Option(names = "--all", description = "Show all balancers, not only those that are behind.")
   private boolean all;
 
-  @Option(names = "--json", description = "One JSON object on standard output, with all balancers.")
+  @Option(
+      names = "--json",
+      description = "Print one JSON object on standard output, with all balancers.")
   private boolean json;
 
   @Spec
@@ -45,9 +47,9 @@
   @Override
   public Integer call() throws IOException, InterruptedException {
     List<ControlCluster.Answer<ControlApi.Status>> machines =
-        new ControlCluster(ControlAddresses.all(spec, "--to", to)).statuses();
+        new ControlCluster(ControlAddresses.parseAll(spec, "--to", to)).statuses();
     ConfigurationVersion newest = ControlCluster.newest(machines);
-    Collection<ControlApi.Replica> replicas = lastHeard(machines);
+    Collection<ControlApi.Replica> replicas = latestReports(machines);
     if (json) {
       JsonOutput.print(spec, out -> write(out, machines, newest, replicas));
     } else {
@@ -55,11 +57,11 @@
     }
     boolean machinesUpToDate =
         machines.stream().allMatch(m -> m.value() != null && m.value().current().equals(newest));
-    return machinesUpToDate && replicas.stream().allMatch(r -> has(r, newest)) ? 0 : 1;
+    return machinesUpToDate && replicas.stream().allMatch(r -> isCurrent(r, newest)) ? 0 : 1;
   }
 
-  /** Each balancer calls the machines in turn: what counts is the call that was heard last. */
-  private static Collection<ControlApi.Replica> lastHeard(
+  /** Returns each balancer's latest report; a balancer calls the machines in turn, so several may know it. */
+  private static Collection<ControlApi.Replica> latestReports(
       List<ControlCluster.Answer<ControlApi.Status>> machines) {
     Map<String, ControlApi.Replica> byName = new TreeMap<>();
     for (ControlCluster.Answer<ControlApi.Status> machine : machines) {
@@ -75,11 +77,11 @@
     return byName.values();
   }
 
-  private static boolean has(ControlApi.Replica replica, ConfigurationVersion newest) {
+  private static boolean isCurrent(ControlApi.Replica replica, ConfigurationVersion newest) {
     return replica.report().inForce().equals(newest);
   }
 
-  private static String behind(ControlApi.Replica replica, ConfigurationVersion newest) {
+  private static String versionsBehind(ControlApi.Replica replica, ConfigurationVersion newest) {
     ConfigurationVersion inForce = replica.report().inForce();
     return inForce.epoch() == newest.epoch()
         ? Long.toString(newest.sequence() - inForce.sequence())
@@ -97,13 +99,13 @@
               ? "no answer: " + machine.error()
               : "version " + machine.value().current()));
     }
-    long behind = replicas.stream().filter(r -> !has(r, newest)).count();
+    long behind = replicas.stream().filter(r -> !isCurrent(r, newest)).count();
     out.println("newest version " + newest + ", " + replicas.size() + " subscribers, " + behind
-        + " without it");
+        + " of them behind");
     for (ControlApi.Replica replica : replicas) {
-      if (all || !has(replica, newest)) {
+      if (all || !isCurrent(replica, newest)) {
         out.println(replica.report().name() + ": version " + replica.report().inForce()
-            + ", behind: " + behind(replica, newest) + ", heard "
+            + ", behind: " + versionsBehind(replica, newest) + ", last report "
             + replica.heardMillisAgo() + " ms ago"
             + (replica.report().trouble().isEmpty()
                 ? ""
@@ -135,7 +137,7 @@
       out.writeStringField("name", replica.report().name());
       out.writeStringField("in-force", replica.report().inForce().text());
       out.writeStringField("refused", replica.report().refused().text());
-      out.writeStringField("behind", behind(replica, newest));
+      out.writeStringField("behind", versionsBehind(replica, newest));
       out.writeStringField("trouble", replica.report().trouble());
       out.writeNumberField("heard-ms-ago", replica.heardMillisAgo());
       out.writeEndObject();
--- a/src/main/java/pumicekeel/cli/ControlAddresses.java
+++ b/src/main/java/pumicekeel/cli/ControlAddresses.java
@@ -7,12 +7,12 @@
 import picocli.CommandLine.ParameterException;
 import pumicekeel.runtime.Addresses;
 
-/** Addresses of control machines as options; one that is none ends the command with one line. */
+/** Parses addresses of control machines given as options; an invalid one ends the command with a usage error. */
 final class ControlAddresses {
 
   private ControlAddresses() {}
 
-  static InetSocketAddress one(CommandSpec spec, String option, String text) {
+  static InetSocketAddress parse(CommandSpec spec, String option, String text) {
     try {
       return Addresses.parse(option, text);
     } catch (IllegalArgumentException e) {
@@ -20,14 +20,14 @@
     }
   }
 
-  static List<InetSocketAddress> all(CommandSpec spec, String option, List<String> texts) {
-    List<InetSocketAddress> out = new ArrayList<>();
+  static List<InetSocketAddress> parseAll(CommandSpec spec, String option, List<String> texts) {
+    List<InetSocketAddress> addresses = new ArrayList<>();
     for (String text : texts) {
-      InetSocketAddress address = one(spec, option, text);
-      if (!out.contains(address)) {
-        out.add(address);
+      InetSocketAddress address = parse(spec, option, text);
+      if (!addresses.contains(address)) {
+        addresses.add(address);
       }
     }
-    return out;
+    return addresses;
   }
 }
--- a/src/main/java/pumicekeel/cli/ControlCommand.java
+++ b/src/main/java/pumicekeel/cli/ControlCommand.java
@@ -14,11 +14,12 @@
 import pumicekeel.node.DeliveredOperator;
 import pumicekeel.runtime.Log;
 
-/** Control machines, which hand configurations to balancers. */
+/** Runs control machines, which deliver configurations to balancers. */
 @Command(
     name = "control",
     mixinStandardHelpOptions = true,
-    description = "Run a control machine, which keeps configurations and hands them to balancers.",
+    description =
+        "Run a control machine, which stores configurations and delivers them to balancers.",
     subcommands = {ControlCommand.Serve.class})
 final class ControlCommand implements Callable<Integer> {
 
@@ -30,34 +31,35 @@
     throw new ParameterException(spec.commandLine(), "expected a command: serve");
   }
 
-  /** Runs one until SIGTERM. */
+  /** Runs a control machine until SIGTERM. */
   @Command(
       name = "serve",
       mixinStandardHelpOptions = true,
       description =
-          "Keep what is published, hand it on and catch up with the peers; until SIGTERM.",
-      footer = {"Exit status: 0 after SIGTERM, 2 for an address or a directory that is no good."})
+          "Store published configurations, deliver them and synchronize with the peers, until SIGTERM.",
+      footer = {"Exit status: 0 after SIGTERM, 2 for an invalid address or directory."})
   static final class Serve implements Callable<Integer> {
 
     @Option(
         names = "--listen",
         paramLabel = "HOST:PORT",
         required = true,
-        description = "Where balancers and writers call. Nothing is authenticated: keep it inside.")
+        description =
+            "Address for balancers and writers. Calls are not authenticated: use an internal network.")
     private String listen;
 
     @Option(
         names = "--directory",
         paramLabel = "DIR",
         required = true,
-        description = "Where versions are kept; of this process alone, made if absent.")
+        description = "Where versions are stored; for this process alone, created if absent.")
     private Path directory;
 
     @Option(
         names = "--peers",
         paramLabel = "HOST:PORT",
         split = ",",
-        description = "The control machines; its own address among them is passed over.")
+        description = "All control machines; its own address in the list is ignored.")
     private List<String> peers = List.of();
 
     @Spec
@@ -66,9 +68,9 @@
     @Override
     public Integer call() throws InterruptedException {
       ControlServer.Settings settings = new ControlServer.Settings(
-          ControlAddresses.one(spec, "--listen", listen),
+          ControlAddresses.parse(spec, "--listen", listen),
           directory,
-          ControlAddresses.all(spec, "--peers", peers));
+          ControlAddresses.parseAll(spec, "--peers", peers));
       ControlServer server;
       try {
         server = ControlServer.start(
@@ -77,21 +79,21 @@
         spec.commandLine().getErr().println("control: " + e.getMessage());
         return 2;
       }
-      CountDownLatch ended = new CountDownLatch(1);
-      Runtime.getRuntime().addShutdownHook(new Thread(() -> close(server, ended), "stop"));
-      ended.await();
+      CountDownLatch closed = new CountDownLatch(1);
+      Runtime.getRuntime().addShutdownHook(new Thread(() -> close(server, closed), "stop"));
+      closed.await();
       return 0;
     }
 
-    /** Java's own status after SIGTERM would be 143. */
-    private static void close(ControlServer server, CountDownLatch ended) {
+    /** Closes the server and halts with status 0; Java's own exit status after SIGTERM would be 143. */
+    private static void close(ControlServer server, CountDownLatch closed) {
       try {
         server.close();
-        Log.line("control machine ends");
+        Log.line("control machine stopped");
       } catch (IOException e) {
-        Log.line("control machine: " + e.getMessage());
+        Log.line("control machine did not close cleanly: " + e.getMessage());
       }
-      ended.countDown();
+      closed.countDown();
       Runtime.getRuntime().halt(0);
     }
   }
--- a/src/main/java/pumicekeel/cli/FleetCommand.java
+++ b/src/main/java/pumicekeel/cli/FleetCommand.java
@@ -30,21 +30,19 @@
     name = "fleet",
     mixinStandardHelpOptions = true,
     description =
-        "Start, watch and stop many instances. Runs until SIGTERM or fleet stop; instances outlive a daemon that is"
-            + " killed, and the next one takes them over.",
+        "Start, monitor and stop many instances. Runs until SIGTERM or fleet stop; instances keep running when the daemon"
+            + " is killed, and the next daemon takes them over.",
     subcommands = {
       FleetCommand.Status.class,
       FleetCommand.Restart.class,
       FleetCommand.Reload.class,
       FleetCommand.Stop.class
     },
-    footer = {
-      "Exit status: 0 after a stop, 2 for a setting, a file or a run directory that is no good."
-    })
+    footer = {"Exit status: 0 after a stop, 2 for an invalid setting, file or run directory."})
 final class FleetCommand implements Callable<Integer> {
 
-  /** As the run line of service has it, for half a core each. */
-  private static final List<String> FLAGS = List.of(
+  /** The JVM flags of the service's run line, which gives each instance half a core. */
+  private static final List<String> DEFAULT_JVM_FLAGS = List.of(
       "-XX:+UseSerialGC",
       "-XX:TieredStopAtLevel=1",
       "-Xms48m",
@@ -54,27 +52,27 @@
       "-XX:MaxDirectMemorySize=16m",
       "-Xss512k");
 
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  @Option(names = "--instances", paramLabel = "N", description = "How many, 1 to 256.")
+  @Option(names = "--instances", paramLabel = "N", description = "Number of instances, 1 to 256.")
   private int instances;
 
   @Option(
       names = "--run-dir",
       paramLabel = "DIR",
-      description = "The daemon's own directory, of mode 0700; made if absent.")
+      description = "The daemon's own directory, of mode 0700; created if absent.")
   private Path directory;
 
   @Option(
       names = "--config",
       paramLabel = "FILE",
-      description = "The platform's configuration, of all instances.")
+      description = "The platform's configuration for all instances.")
   private Path config;
 
   @Option(
       names = "--operator",
       paramLabel = "FILE",
-      description = "The operator file of all instances. Default: none.")
+      description = "The operator file for all instances. Default: none.")
   private Path operator;
 
   @Option(
@@ -82,20 +80,20 @@
       paramLabel = "HOST:PORT",
       defaultValue = "127.0.0.1:7000",
       description =
-          "Of instance 0; each further one takes the next port. Default: ${DEFAULT-VALUE}.")
+          "Address of instance 0; each further instance uses the next port. Default: ${DEFAULT-VALUE}.")
   private String listen;
 
   @Option(
       names = "--one-address",
-      description = "All instances take clients from the listening socket that is this process's"
-          + " descriptor 0; --listen then says where their operators' doors are.")
+      description = "All instances accept clients from the listening socket that is this process's"
+          + " descriptor 0; --listen then gives the addresses of their admin endpoints.")
   private boolean oneAddress;
 
   @Option(
       names = "--name",
       paramLabel = "NAME",
       defaultValue = "fleet",
-      description = "Default: ${DEFAULT-VALUE}.")
+      description = "Name of the fleet. Default: ${DEFAULT-VALUE}.")
   private String name;
 
   @Option(
@@ -103,7 +101,7 @@
       paramLabel = "K",
       defaultValue = "1",
       description =
-          "Instances that may be away at once on purpose, 1 to N. Default: ${DEFAULT-VALUE}.")
+          "How many instances may be intentionally unavailable at once, 1 to N. Default: ${DEFAULT-VALUE}.")
   private int away;
 
   @Option(
@@ -111,7 +109,7 @@
       paramLabel = "N",
       defaultValue = "5000",
       description =
-          "How long a restarted instance has to stay ready before the next goes, 0 to 600000. Default: ${DEFAULT-VALUE}.")
+          "How long a restarted instance has to stay ready before the next is restarted, 0 to 600000. Default: ${DEFAULT-VALUE}.")
   private long watchMillis;
 
   @Option(
@@ -119,14 +117,14 @@
       paramLabel = "N",
       defaultValue = "15000",
       description =
-          "A ready instance that has answered nothing"
-              + " for so long is killed and started again; 0 for never, else 1000 to 600000. Default: ${DEFAULT-VALUE}.")
+          "A ready instance that has not answered"
+              + " for this long is killed and started again; 0 disables this, else 1000 to 600000. Default: ${DEFAULT-VALUE}.")
   private long hangMillis;
 
   @Option(
       names = "--flag",
       paramLabel = "FLAG",
-      description = "A JVM flag instead of those of service; any number.")
+      description = "A JVM flag that replaces the service's own flags; may be repeated.")
   private List<String> flags;
 
   @Spec
@@ -155,7 +153,7 @@
             daemon.stop();
             daemon.close();
           } catch (IOException | InterruptedException e) {
-            // The process ends either way.
+            // The process halts in either case.
           }
           Runtime.getRuntime().halt(0);
         },
@@ -172,7 +170,7 @@
     try {
       first = Addresses.parse("--listen", listen);
     } catch (IllegalArgumentException e) {
-      throw usage(e.getMessage());
+      throw usageError(e.getMessage());
     }
     if (instances < 1
         || instances > Settings.MOST_INSTANCES
@@ -183,16 +181,16 @@
         || watchMillis < 0
         || watchMillis > 600_000
         || hangMillis != 0 && (hangMillis < 1_000 || hangMillis > 600_000)) {
-      throw usage("expected --instances 1 to " + Settings.MOST_INSTANCES
+      throw usageError("expected --instances 1 to " + Settings.MOST_INSTANCES
           + ", --run-dir, --config, --away 1 to N,"
           + " --watch-ms 0 to 600000, --hang-ms 0 or 1000 to 600000");
     }
     if (first.getPort() < 1 || first.getPort() + instances > 65_536) {
-      throw usage(
-          "--listen: expected a port with " + instances + " from it on, got " + first.getPort());
+      throw usageError("--listen: expected the first of " + instances + " consecutive ports, got "
+          + first.getPort());
     }
     if (!Files.isReadable(config)) {
-      throw usage("--config: expected a file that can be read, got " + config);
+      throw usageError("--config: expected a file that can be read, got " + config);
     }
     return new Settings(
         instances,
@@ -201,12 +199,12 @@
         operator == null ? null : operator.toAbsolutePath(),
         config.toAbsolutePath(),
         name,
-        command(flags == null ? FLAGS : flags),
-        Limits.of(away, watchMillis * MS, hangMillis * MS),
+        command(flags == null ? DEFAULT_JVM_FLAGS : flags),
+        Limits.of(away, watchMillis * NANOS_PER_MILLI, hangMillis * NANOS_PER_MILLI),
         oneAddress);
   }
 
-  /** The JVM and program that this command itself is. */
+  /** Returns the command that starts an instance with this process's own JVM and class path. */
   private static List<String> command(List<String> flags) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -215,54 +213,54 @@
     return command;
   }
 
-  private ParameterException usage(String what) {
-    return new ParameterException(spec.commandLine(), what);
+  private ParameterException usageError(String message) {
+    return new ParameterException(spec.commandLine(), message);
   }
 
-  /** A command to the daemon. */
-  private abstract static class Order implements Callable<Integer> {
+  /** Base of the commands that call a running daemon. */
+  private abstract static class DaemonCommand implements Callable<Integer> {
     @ParentCommand
     private FleetCommand fleet;
 
     @Option(
         names = "--run-dir",
         paramLabel = "DIR",
-        description = "The daemon's directory; may stand before the command too.")
+        description = "The daemon's directory; may also be given before the command.")
     private Path directory;
 
     @Spec
     protected CommandSpec spec;
 
-    protected String ask(String what) throws IOException {
-      Path dir = directory == null ? fleet.directory : directory;
-      if (dir == null) {
+    protected String callDaemon(String call) throws IOException {
+      Path runDirectory = directory == null ? fleet.directory : directory;
+      if (runDirectory == null) {
         throw new ParameterException(spec.commandLine(), "expected --run-dir");
       }
-      return Control.ask(dir, what);
+      return Control.ask(runDirectory, call);
     }
 
-    protected int tell(String answer) {
-      boolean good = answer.equals("{\"ok\":true}");
-      (good ? spec.commandLine().getOut() : spec.commandLine().getErr())
-          .println(good ? "begun" : answer);
-      return good ? 0 : 1;
+    protected int printOutcome(String answer) {
+      boolean accepted = answer.equals("{\"ok\":true}");
+      (accepted ? spec.commandLine().getOut() : spec.commandLine().getErr())
+          .println(accepted ? "started" : answer);
+      return accepted ? 0 : 1;
     }
   }
 
-  /** Where the instances are. */
+  /** Prints the state of each instance. */
   @Command(
       name = "status",
       mixinStandardHelpOptions = true,
-      description = "Where each instance is, and what goes on.",
-      footer = {"Exit status: 0 where all are ready, 1 where one is not, or no daemon answers."})
-  static final class Status extends Order {
+      description = "Show the state of each instance, and the work in progress.",
+      footer = {"Exit status: 0 if all are ready, 1 if one is not or no daemon answers."})
+  static final class Status extends DaemonCommand {
 
-    @Option(names = "--json", description = "The daemon's answer as it is.")
+    @Option(names = "--json", description = "Print the daemon's answer unchanged.")
     private boolean json;
 
     @Override
     public Integer call() throws Exception {
-      String answer = ask("status");
+      String answer = callDaemon("status");
       PrintWriter out = spec.commandLine().getOut();
       if (json) {
         out.println(answer);
@@ -278,9 +276,9 @@
     private static void print(String answer, PrintWriter out) throws IOException {
       Map<?, ?> status = Fields.parse("status", answer).values();
       out.println(
-          "instance state      for s   pid      listens at (or door)   crashes  silent s  sees");
-      for (Object each : (List<?>) status.get("instances")) {
-        Map<?, ?> i = (Map<?, ?>) each;
+          "instance state      for s   pid      address (or door)      crashes  silent s  peers");
+      for (Object entry : (List<?>) status.get("instances")) {
+        Map<?, ?> i = (Map<?, ?>) entry;
         out.printf(
             "%8s %-10s %6.1f  %-8s %-22s %7s  %8.1f  %s%n",
             i.get("instance"),
@@ -290,7 +288,7 @@
             i.get(i.containsKey("door") ? "door" : "listen"),
             i.get("crashes"),
             seconds(i.get("silent-ms")),
-            i.get("peers") instanceof Map<?, ?> view ? seen(view) : "-");
+            i.get("peers") instanceof Map<?, ?> view ? peerSummary(view) : "-");
       }
       out.println("work " + status.get("work") + ", left " + status.get("left") + ", halted "
           + status.get("halted"));
@@ -300,38 +298,39 @@
       return Double.parseDouble(String.valueOf(millis)) / 1e3;
     }
 
-    /** One instance's view of the fleet, in a few words. */
-    private static String seen(Map<?, ?> view) {
-      return view.get("live") + " of " + view.get("size") + members(view, "suspect")
-          + members(view, "dead") + members(view, "unknown")
-          + ("0".equals(String.valueOf(view.get("health"))) ? "" : ", itself late");
+    /** Summarizes one instance's view of its peers. */
+    private static String peerSummary(Map<?, ?> view) {
+      return view.get("live") + " of " + view.get("size") + memberList(view, "suspect")
+          + memberList(view, "dead") + memberList(view, "unknown")
+          + ("0".equals(String.valueOf(view.get("health"))) ? "" : ", local health degraded");
     }
 
-    private static String members(Map<?, ?> view, String state) {
-      return view.get(state) instanceof List<?> some && !some.isEmpty()
-          ? ", " + state + " " + some
+    private static String memberList(Map<?, ?> view, String state) {
+      return view.get(state) instanceof List<?> names && !names.isEmpty()
+          ? ", " + state + " " + names
           : "";
     }
   }
 
-  /** One after the other. */
+  /** Restarts the instances one after the other. */
   @Command(
       name = "restart",
       mixinStandardHelpOptions = true,
       description = "Restart the instances one after the other.",
       footer = {
-        "Exit status: 0 where it has begun (with --wait: is done), 1 where it has not, or was halted."
+        "Exit status: 0 if the restart has started (with --wait: is done), 1 if it has not, or was halted."
       })
-  static final class Restart extends Order {
+  static final class Restart extends DaemonCommand {
 
     @Option(
         names = "--rolling",
-        description = "At most as many away as the daemon was told; there is no other way.")
+        description =
+            "Restart at most as many at once as the daemon's --away allows; required, the only mode.")
     private boolean rolling;
 
     @Option(
         names = "--wait",
-        description = "Until it is done or halted, with a line for each step.")
+        description = "Wait until the restart is done or halted, and print a line for each step.")
     private boolean wait;
 
     @Override
@@ -339,11 +338,11 @@
       if (!rolling) {
         throw new ParameterException(spec.commandLine(), "expected --rolling");
       }
-      int status = tell(ask("restart"));
+      int status = printOutcome(callDaemon("restart"));
       String last = "";
       while (status == 0 && wait) {
-        String now = ask("status");
-        String work = now.substring(now.indexOf("],") + 2);
+        String answer = callDaemon("status");
+        String work = answer.substring(answer.indexOf("],") + 2);
         if (!work.equals(last)) {
           spec.commandLine().getOut().println(work.substring(0, work.length() - 1));
           spec.commandLine().getOut().flush();
@@ -358,27 +357,28 @@
     }
   }
 
-  /** The operator file, one after the other. */
+  /** Reloads the operator file, one instance after the other. */
   @Command(
       name = "reload",
       mixinStandardHelpOptions = true,
-      description = "Check the operator file, then have the instances read it one after the other.")
-  static final class Reload extends Order {
+      description =
+          "Check the operator file, then make the instances reload it one after the other.")
+  static final class Reload extends DaemonCommand {
     @Override
     public Integer call() throws Exception {
-      return tell(ask("reload"));
+      return printOutcome(callDaemon("reload"));
     }
   }
 
-  /** All of them. */
+  /** Stops all instances and the daemon. */
   @Command(
       name = "stop",
       mixinStandardHelpOptions = true,
-      description = "Stop the instances in order, and the daemon.")
-  static final class Stop extends Order {
+      description = "Stop the instances in order, then the daemon.")
+  static final class Stop extends DaemonCommand {
     @Override
     public Integer call() throws Exception {
-      return tell(ask("stop"));
+      return printOutcome(callDaemon("stop"));
     }
   }
 }
--- a/src/main/java/pumicekeel/cli/JournalCommand.java
+++ b/src/main/java/pumicekeel/cli/JournalCommand.java
@@ -25,18 +25,18 @@
 import pumicekeel.journal.Story;
 import pumicekeel.measure.Torture;
 
-/** Asks journals of requests that must not run twice, of live and of dead processes. */
+/** Queries the journals of requests that must not run twice, of running and of terminated processes. */
 @Command(
     name = "journal",
     mixinStandardHelpOptions = true,
     description =
-        "Ask the journals of keyed and unsafe requests: which reached which upstream, and when.",
+        "Query the journals of keyed and unsafe requests: which reached which upstream, and when.",
     subcommands = {
       JournalCommand.Ask.class,
       JournalCommand.Verify.class,
       JournalCommand.Stats.class,
       JournalCommand.Export.class,
-      JournalCommand.TortureIt.class
+      JournalCommand.TortureCommand.class
     })
 final class JournalCommand implements Callable<Integer> {
 
@@ -48,12 +48,12 @@
     throw new ParameterException(spec.commandLine(), "expected ask, verify, stats or export");
   }
 
-  /** What all of them share. */
-  abstract static class OnFolders implements Callable<Integer> {
+  /** Base of the commands that read journal folders. */
+  abstract static class FolderCommand implements Callable<Integer> {
     @Parameters(
         arity = "1..*",
         paramLabel = "DIR",
-        description = "Journal folders, of several instances at once.")
+        description = "Journal folders, of one or more instances.")
     private List<Path> folders;
 
     @Spec
@@ -67,15 +67,15 @@
       return spec.commandLine().getErr();
     }
 
-    ParameterException wrong(String what) {
-      return new ParameterException(spec.commandLine(), what);
+    ParameterException usageError(String message) {
+      return new ParameterException(spec.commandLine(), message);
     }
 
-    History read(Predicate<Entry.Intent> asked) throws IOException {
-      History history = new History(asked);
+    History read(Predicate<Entry.Intent> filter) throws IOException {
+      History history = new History(filter);
       for (Path folder : folders) {
         if (!Files.isDirectory(folder)) {
-          throw wrong("expected a folder, got " + folder);
+          throw usageError("expected a folder, got " + folder);
         }
         history.read(folder);
       }
@@ -83,35 +83,35 @@
     }
   }
 
-  /** What may be asked for: all that is given has to hold. */
-  abstract static class Filtered extends OnFolders {
-    @Option(names = "--id", paramLabel = "ID", description = "The request's id.")
+  /** Base of the commands that select requests: an attempt has to match every given option. */
+  abstract static class FilteredCommand extends FolderCommand {
+    @Option(names = "--id", paramLabel = "ID", description = "The request's ID.")
     private String id;
 
-    @Option(names = "--key", paramLabel = "KEY", description = "Its idempotency key.")
+    @Option(names = "--key", paramLabel = "KEY", description = "The request's idempotency key.")
     private String key;
 
     @Option(
         names = "--upstream",
         paramLabel = "NAME",
-        description = "An upstream that an attempt was for.")
+        description = "The upstream of at least one of the request's attempts.")
     private String upstream;
 
-    @Option(names = "--tenant", paramLabel = "NAME", description = "Its tenant.")
+    @Option(names = "--tenant", paramLabel = "NAME", description = "The request's tenant.")
     private String tenant;
 
     @Option(
         names = "--from",
         paramLabel = "TIME",
-        description = "Not before, such as 2026-12-01T10:00:00Z.")
+        description = "Earliest time, such as 2026-12-01T10:00:00Z.")
     private String from;
 
-    @Option(names = "--to", paramLabel = "TIME", description = "Not after.")
+    @Option(names = "--to", paramLabel = "TIME", description = "Latest time.")
     private String to;
 
     History filtered() throws IOException {
-      long first = millis("--from", from, Long.MIN_VALUE);
-      long last = millis("--to", to, Long.MAX_VALUE);
+      long first = parseMillis("--from", from, Long.MIN_VALUE);
+      long last = parseMillis("--to", to, Long.MAX_VALUE);
       return read(e -> (id == null || History.same(id, e.id()))
           && (key == null || History.same(key, e.key()))
           && (upstream == null || upstream.equals(e.upstream()))
@@ -120,11 +120,12 @@
           && e.wallMillis() <= last);
     }
 
-    private long millis(String option, String text, long absent) {
+    private long parseMillis(String option, String text, long defaultMillis) {
       try {
-        return text == null ? absent : Instant.parse(text).toEpochMilli();
+        return text == null ? defaultMillis : Instant.parse(text).toEpochMilli();
       } catch (DateTimeException e) {
-        throw wrong(option + ": expected a time such as 2026-12-01T10:00:00Z, got '" + text + "'");
+        throw usageError(
+            option + ": expected a time such as 2026-12-01T10:00:00Z, got '" + text + "'");
       }
     }
   }
@@ -133,30 +134,32 @@
     return Instant.ofEpochMilli(millis).toString();
   }
 
-  /** A line for people: the verdict, then all attempts. */
+  /** Returns readable text: a line with the verdict, then a line for each attempt. */
   static String line(Story story, String gap) {
     Story.Verdict verdict = story.verdict(gap);
-    Story.Attempt last = null;
+    Story.Attempt lastRun = null;
     for (Story.Attempt a : story.attempts()) {
-      last = a.mayHaveRun() ? a : last;
+      lastRun = a.mayHaveRun() ? a : lastRun;
     }
-    String where = last == null
+    String location = lastRun == null
         ? ""
-        : last.intent().upstream() + " (" + last.intent().address() + ") since "
-            + time(last.intent().wallMillis());
-    String what = switch (verdict) {
-      case NEVER_LEFT -> "never left";
-      case MAY_HAVE_RUN -> "may have run at " + where;
-      case ANSWERED -> "ran at " + where + " and was answered " + time(story.toldMillis());
-      case NOT_TOLD -> "ran at " + where + ", and the client was not told: " + story.told();
+        : lastRun.intent().upstream() + " (" + lastRun.intent().address() + ") since "
+            + time(lastRun.intent().wallMillis());
+    String outcome = switch (verdict) {
+      case NEVER_LEFT -> "never sent to an upstream";
+      case MAY_HAVE_RUN -> "may have run at " + location;
+      case ANSWERED -> "ran at " + location + " and was answered at " + time(story.toldMillis());
+      case NOT_TOLD ->
+        "ran at " + location + ", but the client did not receive the answer: " + story.told();
       case UNKNOWN ->
         story.attempts().stream().anyMatch(a -> a.status() == pumicekeel.Balancer.Status.SERVED)
-            ? "ran at " + where + ", unknown whether the client was told: no record of its answer"
+            ? "ran at " + location
+                + ", unknown whether the client received the answer: no record of it"
             : "unknown: " + gap;
     };
     StringBuilder text =
         new StringBuilder(story.first().id() + " key " + story.first().key() + " "
-            + story.first().className() + " " + story.instance() + ": " + what);
+            + story.first().className() + " " + story.instance() + ": " + outcome);
     for (Story.Attempt a : story.attempts()) {
       text.append("\n    attempt ")
           .append(a.intent().attempt())
@@ -168,9 +171,9 @@
           .append(a.intent().cell())
           .append(' ')
           .append(time(a.intent().wallMillis()))
-          .append(a.written() ? " written whole" : "")
+          .append(a.written() ? " fully written" : "")
           .append(", ")
-          .append(a.status() == null ? "no outcome on record" : a.status());
+          .append(a.status() == null ? "no recorded outcome" : a.status());
     }
     return text.toString();
   }
@@ -208,18 +211,17 @@
     return text.toString();
   }
 
-  /** What became of requests. */
+  /** Reports what happened to requests. */
   @Command(
       name = "ask",
       mixinStandardHelpOptions = true,
       description =
-          "Say of each request whether it never left, may have run, ran and was answered, ran and the client was"
-              + " not told, or why that is unknown.",
-      footer = {
-        "Exit status: 0 where requests were found, 1 where none was, 2 for a wrong command line."
+          "Report for each request whether it was never sent, may have run, ran and was answered, ran but the client"
+              + " did not receive the answer, or why that is unknown.",
+      footer = {"Exit status: 0 if requests were found, 1 if none was, 2 for a wrong command line."
       })
-  static final class Ask extends Filtered {
-    @Option(names = "--json", description = "Print a JSON object a line.")
+  static final class Ask extends FilteredCommand {
+    @Option(names = "--json", description = "Print one JSON object per line.")
     private boolean json;
 
     @Override
@@ -230,28 +232,28 @@
         out().println(json ? json(story, gap) : line(story, gap));
       }
       if (history.tooMany()) {
-        err().println("more requests than are kept: ask for less, by --from and --to");
+        err().println("too many matching requests: narrow the query with --from and --to");
       }
       if (history.stories().isEmpty() && !json) {
         String gap = history.gapAtAll();
         out()
-            .println("nothing on record from " + time(history.firstMillis()) + " to "
+            .println("no record from " + time(history.firstMillis()) + " to "
                 + time(history.lastMillis()) + ": "
                 + (gap == null
-                    ? "a request of that time never left"
-                    : "unknown, because of this gap: " + gap));
+                    ? "no request of that period was sent to an upstream"
+                    : "unknown because of this gap: " + gap));
       }
       return history.stories().isEmpty() ? 1 : 0;
     }
   }
 
-  /** Damage by segment and offset. */
+  /** Lists damage by segment and offset. */
   @Command(
       name = "verify",
       mixinStandardHelpOptions = true,
-      description = "Name every hole and damage.",
-      footer = {"Exit status: 0 where all is whole, 1 where something is not."})
-  static final class Verify extends OnFolders {
+      description = "List every gap and every damaged place in the journals.",
+      footer = {"Exit status: 0 if all journals are complete and undamaged, 1 if not."})
+  static final class Verify extends FolderCommand {
     @Override
     public Integer call() throws IOException {
       History history = read(e -> false);
@@ -266,19 +268,19 @@
       out()
           .println(history.segments().size() + " segments, "
               + (good
-                  ? "all whole"
+                  ? "all complete"
                   : history.holes().size() + " holes, " + history.refused().size()
                       + " unreadable"));
       return good ? 0 : 1;
     }
   }
 
-  /** What is in it. */
+  /** Prints the number of segments and records. */
   @Command(
       name = "stats",
       mixinStandardHelpOptions = true,
       description = "Count segments and records.")
-  static final class Stats extends OnFolders {
+  static final class Stats extends FolderCommand {
     @Override
     public Integer call() throws IOException {
       History history = read(e -> false);
@@ -296,33 +298,33 @@
     }
   }
 
-  /** Kills and asks. */
+  /** Kills balancers under load and verifies their journals. */
   @Command(
       name = "torture",
       mixinStandardHelpOptions = true,
       description =
-          "Kill balancers under load at random moments, and hold every answer of their journals against what"
-              + " stand-in upstreams and clients saw.",
-      footer = {"Exit status: 0 where every answer was true, 1 where one was not."})
-  static final class TortureIt implements Callable<Integer> {
+          "Kill balancers under load at random moments, and compare every answer of their journals with what"
+              + " stand-in upstreams and clients recorded.",
+      footer = {"Exit status: 0 if every answer was correct, 1 if one was not."})
+  static final class TortureCommand implements Callable<Integer> {
     @Option(
         names = "--kills",
         paramLabel = "N",
         defaultValue = "100",
-        description = "Default: ${DEFAULT-VALUE}.")
+        description = "Number of kills. Default: ${DEFAULT-VALUE}.")
     private int kills;
 
     @Option(
         names = "--seed",
         paramLabel = "S",
-        description = "Default: a new one, which is printed.")
+        description = "Seed of all random choices. Default: a new one, which is printed.")
     private Long seed;
 
     @Option(
         names = "--durability",
         paramLabel = "D",
         defaultValue = "process",
-        description = "process or host. Default: ${DEFAULT-VALUE}.")
+        description = "Durability of the journals, process or host. Default: ${DEFAULT-VALUE}.")
     private String durability;
 
     @Spec
@@ -359,12 +361,12 @@
     }
   }
 
-  /** All stories as JSON lines. */
+  /** Prints all matching requests as JSON lines. */
   @Command(
       name = "export",
       mixinStandardHelpOptions = true,
-      description = "Print every request as a line of JSON.")
-  static final class Export extends Filtered {
+      description = "Print every matching request as one JSON object per line.")
+  static final class Export extends FilteredCommand {
     @Override
     public Integer call() throws IOException {
       History history = filtered();
--- a/src/main/java/pumicekeel/cli/Main.java
+++ b/src/main/java/pumicekeel/cli/Main.java
@@ -15,8 +15,9 @@
   private Main() {}
 
   /**
-   * The platform's own lines, {@code serve}, {@code rehearse} and {@code adapter} without anything more, start without
-   * the command-line library: it would cost a restarted balancer on half a core a tenth of its time to readiness.
+   * Runs the command line. The platform's own commands, {@code serve}, {@code rehearse} and {@code adapter} without
+   * further arguments, bypass the command-line library: it would take a tenth of the time to readiness of a balancer that
+   * is restarted on half a core.
    */
   public static void main(String[] args) throws IOException, InterruptedException {
     if (args.length == 1 && args[0].equals("serve") && System.getenv("PROXY_OPERATOR") == null) {
@@ -28,7 +29,7 @@
     System.exit(run(args, System.in, System.out, System.err));
   }
 
-  /** The exit status: 0 for success, 1 where the work itself failed, 2 for a wrong command line or a faulty file. */
+  /** Returns the exit status: 0 for success, 1 if the operation failed, 2 for a wrong command line or an invalid file. */
   static int run(String[] args, InputStream in, PrintStream out, PrintStream err)
       throws IOException {
     if (args.length == 1 && args[0].equals("adapter")) {
--- a/src/main/java/pumicekeel/cli/RoutesCommand.java
+++ b/src/main/java/pumicekeel/cli/RoutesCommand.java
@@ -23,13 +23,13 @@
 import pumicekeel.route.Route;
 import pumicekeel.route.RouteTable;
 
-/** Says which route and pool take a request, and why each earlier route did not. */
+/** Reports which route and pool a request matches, and why each earlier route did not match. */
 @Command(
     name = "routes",
     mixinStandardHelpOptions = true,
-    description = "List the routes of an operator file, or explain which one takes a request.",
+    description = "List the routes of an operator file, or explain which one a request matches.",
     footer = {
-      "Exit status: 0 where a route takes the request, 1 where none does, 2 for a faulty file or request."
+      "Exit status: 0 if a route matches the request, 1 if none does, 2 for an invalid file or request."
     })
 final class RoutesCommand implements Callable<Integer> {
 
@@ -39,20 +39,20 @@
   @Option(
       names = "--explain",
       paramLabel = "REQUEST",
-      description = "Method and address, such as 'GET http://quote.example.org/quote-issue/7'.")
+      description = "Method and URL, such as 'GET http://quote.example.org/quote-issue/7'.")
   private String request;
 
   @Option(
       names = "--header",
       paramLabel = "'NAME: VALUE'",
-      description = "A header of the request; any number.")
+      description = "A request header; may be repeated.")
   private List<String> headers = List.of();
 
   @Option(
       names = "--listener",
       paramLabel = "NAME",
       defaultValue = Operator.PLATFORM,
-      description = "The listener that it comes in at. Default: ${DEFAULT-VALUE}.")
+      description = "The listener that receives the request. Default: ${DEFAULT-VALUE}.")
   private String listener;
 
   @Option(names = "--json", description = "Print JSON.")
@@ -61,17 +61,17 @@
   @Spec
   private CommandSpec spec;
 
-  /** A request as the command line gives it. */
-  private record Asked(
+  /** A request described on the command line. */
+  private record ExplainedRequest(
       String listener, String method, String host, String path, Map<String, String> headers)
       implements RequestAttributes {
     @Override
     public String className() {
-      String named = headers.get("x-service-class");
+      String explicit = headers.get("x-service-class");
       int end = path.indexOf('/', 1);
-      // By the protocol the class is the first part of the path as well.
-      return named != null
-          ? named
+      // Without the header, the protocol takes the class from the first segment of the path.
+      return explicit != null
+          ? explicit
           : path.length() < 2 ? null : path.substring(1, end < 0 ? path.length() : end);
     }
 
@@ -96,59 +96,59 @@
       list(out, table);
       return 0;
     }
-    Asked asked = asked();
-    RouteTable.MatchResult found = table.match(asked);
-    if (found instanceof RouteTable.Malformed malformed) {
-      spec.commandLine().getErr().println("answered 400: " + malformed.why());
+    ExplainedRequest parsed = parseRequest();
+    RouteTable.MatchResult result = table.match(parsed);
+    if (result instanceof RouteTable.Malformed malformed) {
+      spec.commandLine().getErr().println("rejected with status 400: " + malformed.why());
       return 2;
     }
-    Route taken = found instanceof RouteTable.Matched t ? t.route() : null;
-    String pool = taken == null ? null : taken.split().poolOf(splitKey(asked));
+    Route matched = result instanceof RouteTable.Matched t ? t.route() : null;
+    String pool = matched == null ? null : matched.split().poolOf(splitKey(parsed));
     if (json) {
-      out.println(asJson(table.explain(asked), taken, pool));
+      out.println(asJson(table.explain(parsed), matched, pool));
     } else {
-      explain(out, table.explain(asked), taken, pool);
+      explain(out, table.explain(parsed), matched, pool);
     }
-    return taken == null ? 1 : 0;
+    return matched == null ? 1 : 0;
   }
 
-  private static String splitKey(Asked asked) {
+  private static String splitKey(ExplainedRequest request) {
     for (String name : List.of("x-session-key", "idempotency-key", "x-correlation-id")) {
-      if (asked.header(name) != null) {
-        return asked.header(name);
+      if (request.header(name) != null) {
+        return request.header(name);
       }
     }
     return "";
   }
 
-  private Asked asked() {
-    String[] words = request.trim().split(" +");
-    String rest =
-        words.length == 2 && words[1].startsWith("http://") ? words[1].substring(7) : null;
-    if (rest == null) {
+  private ExplainedRequest parseRequest() {
+    String[] parts = request.trim().split(" +");
+    String authorityAndPath =
+        parts.length == 2 && parts[1].startsWith("http://") ? parts[1].substring(7) : null;
+    if (authorityAndPath == null) {
       throw new ParameterException(
           spec.commandLine(),
           "--explain: expected 'METHOD http://HOST/PATH', got '" + request + "'");
     }
-    int slash = rest.indexOf('/');
-    String target = slash < 0 ? "/" : rest.substring(slash);
-    Map<String, String> named = new TreeMap<>();
+    int slash = authorityAndPath.indexOf('/');
+    String target = slash < 0 ? "/" : authorityAndPath.substring(slash);
+    Map<String, String> headersByName = new TreeMap<>();
     for (String header : headers) {
       int colon = header.indexOf(':');
       if (colon < 1) {
         throw new ParameterException(
             spec.commandLine(), "--header: expected 'NAME: VALUE', got '" + header + "'");
       }
-      named.put(
+      headersByName.put(
           header.substring(0, colon).trim().toLowerCase(Locale.ROOT),
           header.substring(colon + 1).trim());
     }
-    return new Asked(
+    return new ExplainedRequest(
         listener,
-        words[0],
-        slash < 0 ? rest : rest.substring(0, slash),
+        parts[0],
+        slash < 0 ? authorityAndPath : authorityAndPath.substring(0, slash),
         target.split("\\?", 2)[0],
-        named);
+        headersByName);
   }
 
   private static void list(PrintWriter out, RouteTable table) {
@@ -164,37 +164,37 @@
         r.split().parts().stream()
             .map(p -> r.split().parts().size() == 1 ? p.pool() : p.pool() + " (" + p.weight() + ")")
             .toList());
-    return text + (r.fallback() == null ? "" : ", else " + r.fallback());
+    return text + (r.fallback() == null ? "" : ", fallback " + r.fallback());
   }
 
   private static void explain(
-      PrintWriter out, List<RouteTable.Explanation> verdicts, Route taken, String pool) {
-    for (RouteTable.Explanation v : verdicts) {
+      PrintWriter out, List<RouteTable.Explanation> explanations, Route matched, String pool) {
+    for (RouteTable.Explanation v : explanations) {
       out.println(v.route().order() + 1 + " " + v.route().name() + ": "
           + (v.objection() == null ? "takes it" : "no: " + v.objection()));
     }
     out.println(
-        taken == null
-            ? "no route: answered 404"
-            : "route " + taken.name() + ", pool " + pool
-                + (taken.fallback() == null
+        matched == null
+            ? "no route matches: rejected with status 404"
+            : "route " + matched.name() + ", pool " + pool
+                + (matched.fallback() == null
                     ? ""
-                    : ", pool " + taken.fallback() + " while that has no ready upstream")
-                + (taken.split().parts().size() > 1
-                    ? " (by the session key; weights " + parts(taken) + ")"
+                    : ", pool " + matched.fallback() + " while that pool has no ready upstream")
+                + (matched.split().parts().size() > 1
+                    ? " (chosen by the session key; weights " + parts(matched) + ")"
                     : ""));
   }
 
-  private static String asJson(List<RouteTable.Explanation> verdicts, Route taken, String pool)
-      throws IOException {
+  private static String asJson(
+      List<RouteTable.Explanation> explanations, Route matched, String pool) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
       g.writeStartObject();
-      g.writeStringField("route", taken == null ? null : taken.name());
+      g.writeStringField("route", matched == null ? null : matched.name());
       g.writeStringField("pool", pool);
-      g.writeStringField("fallback", taken == null ? null : taken.fallback());
+      g.writeStringField("fallback", matched == null ? null : matched.fallback());
       g.writeArrayFieldStart("tried");
-      for (RouteTable.Explanation v : verdicts) {
+      for (RouteTable.Explanation v : explanations) {
         g.writeStartObject();
         g.writeNumberField("order", v.route().order() + 1);
         g.writeStringField("name", v.route().name());
--- a/src/main/java/pumicekeel/cli/ServeCommand.java
+++ b/src/main/java/pumicekeel/cli/ServeCommand.java
@@ -6,13 +6,14 @@
 import picocli.CommandLine.Option;
 import pumicekeel.node.Node;
 
-/** Serves until SIGTERM. */
+/** Runs the balancer until SIGTERM. */
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
-    description = "Balance on sockets as the PROXY_ variables and their configuration file say.",
+    description =
+        "Run the balancer as configured by the PROXY_ variables and their configuration file.",
     footer = {
-      "Exit status: 0 after SIGTERM, 1 after a defect, 2 for a file or an address that is no good."
+      "Exit status: 0 after SIGTERM, 1 after an internal error, 2 for an invalid file or address."
     })
 final class ServeCommand implements Callable<Integer> {
 
@@ -20,7 +21,7 @@
       names = "--operator",
       paramLabel = "FILE",
       description =
-          "Routes, pools and listeners (TOML). Default: PROXY_OPERATOR; without either, one pool.")
+          "Routes, pools and listeners (TOML). Default: PROXY_OPERATOR; without either, a single pool.")
   private Path operator;
 
   @Override
