--- a/src/main/java/pumicekeel/cli/ConfigStatus.java
+++ b/src/main/java/pumicekeel/cli/ConfigStatus.java
@@ -69,7 +69,7 @@
         byName.merge(
             replica.report().name(),
             replica,
-            (a, b) -> a.heardMillisAgo() <= b.heardMillisAgo() ? a : b);
+            (a, b) -> a.lastReportMillisAgo() <= b.lastReportMillisAgo() ? a : b);
       }
     }
     return byName.values();
@@ -104,7 +104,7 @@
       if (all || !has(replica, newest)) {
         out.println(replica.report().name() + ": version " + replica.report().inForce()
             + ", behind: " + behind(replica, newest) + ", heard "
-            + replica.heardMillisAgo() + " ms ago"
+            + replica.lastReportMillisAgo() + " ms ago"
             + (replica.report().trouble().isEmpty()
                 ? ""
                 : ": " + replica.report().trouble()));
@@ -137,7 +137,7 @@
       out.writeStringField("refused", replica.report().refused().text());
       out.writeStringField("behind", behind(replica, newest));
       out.writeStringField("trouble", replica.report().trouble());
-      out.writeNumberField("heard-ms-ago", replica.heardMillisAgo());
+      out.writeNumberField("heard-ms-ago", replica.lastReportMillisAgo());
       out.writeEndObject();
     }
     out.writeEndArray();
--- a/src/main/java/pumicekeel/delivery/Candidate.java
+++ b/src/main/java/pumicekeel/delivery/Candidate.java
@@ -8,14 +8,15 @@
   ConfigurationVersion version();
 
   /** The whole text, its hash checked; takes time by its length, so it is not for an event loop. */
-  String text(String heldText) throws ConfigurationDelta.Refused;
+  String text(String heldText) throws ConfigurationDelta.NotApplicableException;
 
   /** A whole text, as it came in parts. */
   record Snapshot(ConfigurationVersion version, byte[] bytes) implements Candidate {
     @Override
-    public String text(String heldText) throws ConfigurationDelta.Refused {
+    public String text(String heldText) throws ConfigurationDelta.NotApplicableException {
       if (!version.isOf(bytes)) {
-        throw new ConfigurationDelta.Refused("the snapshot is not the text of version " + version);
+        throw new ConfigurationDelta.NotApplicableException(
+            "the snapshot is not the text of version " + version);
       }
       return new String(bytes, StandardCharsets.UTF_8);
     }
@@ -29,7 +30,7 @@
     }
 
     @Override
-    public String text(String heldText) throws ConfigurationDelta.Refused {
+    public String text(String heldText) throws ConfigurationDelta.NotApplicableException {
       return ConfigurationDocument.parse(heldText).apply(delta);
     }
   }
--- a/src/main/java/pumicekeel/delivery/ConfigurationDelta.java
+++ b/src/main/java/pumicekeel/delivery/ConfigurationDelta.java
@@ -22,10 +22,10 @@
   public record Upsert(String after, String key, String text) {}
 
   /** A delta that does not lead from the text at hand to the version that it names; a snapshot is needed instead. */
-  public static final class Refused extends Exception {
+  public static final class NotApplicableException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Refused(String why) {
+    NotApplicableException(String why) {
       super(why);
     }
   }
--- a/src/main/java/pumicekeel/delivery/ConfigurationDocument.java
+++ b/src/main/java/pumicekeel/delivery/ConfigurationDocument.java
@@ -80,13 +80,14 @@
    *
    * @return the text of the target, whose hash has been checked
    */
-  public String apply(ConfigurationDelta delta) throws ConfigurationDelta.Refused {
+  public String apply(ConfigurationDelta delta) throws ConfigurationDelta.NotApplicableException {
     Map<String, ConfigurationDelta.Upsert> byPredecessor = new HashMap<>();
     Set<String> dropped = new HashSet<>(delta.removed());
     for (ConfigurationDelta.Upsert upsert : delta.upserted()) {
       dropped.add(upsert.key());
       if (byPredecessor.put(upsert.after(), upsert) != null) {
-        throw new ConfigurationDelta.Refused("two entries come after " + upsert.after());
+        throw new ConfigurationDelta.NotApplicableException(
+            "two entries come after " + upsert.after());
       }
     }
     StringBuilder out = new StringBuilder();
@@ -98,11 +99,12 @@
       }
     }
     if (!byPredecessor.isEmpty()) {
-      throw new ConfigurationDelta.Refused("an entry comes after one that is not there");
+      throw new ConfigurationDelta.NotApplicableException(
+          "an entry comes after one that is not there");
     }
     String text = out.toString();
     if (!delta.target().isOf(text.getBytes(StandardCharsets.UTF_8))) {
-      throw new ConfigurationDelta.Refused(
+      throw new ConfigurationDelta.NotApplicableException(
           "the result is not the text of version " + delta.target());
     }
     return text;
--- a/src/main/java/pumicekeel/delivery/FileConfigurationStore.java
+++ b/src/main/java/pumicekeel/delivery/FileConfigurationStore.java
@@ -25,7 +25,7 @@
   /** The version in force, and the one before it for the case that the newest file is damaged. */
   private static final int KEPT_VERSIONS = 2;
   /** Far above any configuration; a larger file is none. */
-  static final long MOST_BYTES = 64L << 20;
+  static final long MAX_BYTES = 64L << 20;
 
   private static final String SUFFIX = ".configuration";
   private static final String TEMPORARY_SUFFIX = ".partial";
@@ -104,7 +104,7 @@
     for (Path file : files()) {
       String name = file.getFileName().toString();
       if (name.endsWith(TEMPORARY_SUFFIX)) {
-        deleteLeftOver(file);
+        deleteTemporary(file);
       } else if (name.endsWith(SUFFIX)) {
         readInto(whole, file);
       }
@@ -115,7 +115,7 @@
   }
 
   /** It is in the way of nothing. */
-  private void deleteLeftOver(Path file) {
+  private void deleteTemporary(Path file) {
     try {
       Files.deleteIfExists(file);
     } catch (IOException e) {
@@ -125,7 +125,7 @@
 
   /** A file that can't be read at this moment is none that is damaged: the whole look is to be repeated. */
   private void readInto(List<StoredConfiguration> whole, Path file) throws IOException {
-    boolean tooLarge = Files.size(file) > MOST_BYTES;
+    boolean tooLarge = Files.size(file) > MAX_BYTES;
     byte[] bytes = tooLarge ? new byte[0] : reader.read(file);
     try {
       if (tooLarge) {
@@ -137,8 +137,8 @@
       }
       whole.add(stored);
     } catch (IOException | IllegalArgumentException e) {
-      Path aside = file.resolveSibling(file.getFileName() + DAMAGED_SUFFIX);
-      Files.move(file, aside, StandardCopyOption.REPLACE_EXISTING);
+      Path damaged = file.resolveSibling(file.getFileName() + DAMAGED_SUFFIX);
+      Files.move(file, damaged, StandardCopyOption.REPLACE_EXISTING);
       log.accept("configuration store: " + file + " is damaged and put aside: " + e.getMessage());
     }
   }
@@ -156,7 +156,7 @@
       syncDirectory();
     } catch (IOException e) {
       // Told as not stored, it may not come back at the next start as if it were.
-      deleteLeftOver(moved ? file : temporary);
+      deleteTemporary(moved ? file : temporary);
       throw e;
     }
     deleteOld(configuration.version());
--- a/src/main/java/pumicekeel/delivery/ReplicaReport.java
+++ b/src/main/java/pumicekeel/delivery/ReplicaReport.java
@@ -11,16 +11,16 @@
 public record ReplicaReport(
     String name, ConfigurationVersion inForce, ConfigurationVersion refused, String trouble) {
 
-  private static final int MOST_NAME = 128;
-  private static final int MOST_TROUBLE = 400;
+  private static final int MAX_NAME_CHARS = 128;
+  private static final int MAX_TROUBLE_CHARS = 400;
 
   public ReplicaReport {
-    name = oneLine(name, MOST_NAME);
-    trouble = oneLine(trouble, MOST_TROUBLE);
+    name = oneLine(name, MAX_NAME_CHARS);
+    trouble = oneLine(trouble, MAX_TROUBLE_CHARS);
   }
 
-  private static String oneLine(String text, int most) {
+  private static String oneLine(String text, int maxChars) {
     String line = text.replaceAll("\\p{Cntrl}", " ");
-    return line.length() > most ? line.substring(0, most) : line;
+    return line.length() > maxChars ? line.substring(0, maxChars) : line;
   }
 }
--- a/src/main/java/pumicekeel/delivery/SnapshotTransfer.java
+++ b/src/main/java/pumicekeel/delivery/SnapshotTransfer.java
@@ -29,17 +29,17 @@
   }
 
   /** Takes a part; false where it is not the next one of this text, and then nothing has changed. */
-  boolean take(SnapshotPart part) {
-    boolean fits = part.version().equals(version)
+  boolean append(SnapshotPart part) {
+    boolean isNext = part.version().equals(version)
         && part.total() == text.length
         && part.offset() == received
         && part.bytes().length <= text.length - received
         && part.bytes().length > 0;
-    if (fits) {
+    if (isNext) {
       System.arraycopy(part.bytes(), 0, text, received, part.bytes().length);
       received += part.bytes().length;
     }
-    return fits;
+    return isNext;
   }
 
   /** The whole text; its hash has not been checked. */
--- a/src/main/java/pumicekeel/delivery/StoredConfiguration.java
+++ b/src/main/java/pumicekeel/delivery/StoredConfiguration.java
@@ -3,6 +3,6 @@
 /**
  * A version with its whole text, as it is kept.
  *
- * @param takenAtMillis when it was kept here, in Unix time
+ * @param storedAtMillis when it was kept here, in Unix time
  */
-public record StoredConfiguration(ConfigurationVersion version, long takenAtMillis, String text) {}
+public record StoredConfiguration(ConfigurationVersion version, long storedAtMillis, String text) {}
--- a/src/main/java/pumicekeel/delivery/StoredFormat.java
+++ b/src/main/java/pumicekeel/delivery/StoredFormat.java
@@ -14,14 +14,14 @@
   private static final String MAGIC = "honeyvalve-configuration 1";
   private static final int FIELDS = 6;
   /** Longer than any header, so that a file of other contents is not searched whole. */
-  private static final int MOST_HEADER_BYTES = 256;
+  private static final int MAX_HEADER_BYTES = 256;
 
   private StoredFormat() {}
 
   static ByteBuffer encode(StoredConfiguration configuration) {
     byte[] text = configuration.text().getBytes(StandardCharsets.UTF_8);
     String fields = MAGIC + " " + configuration.version().text() + " "
-        + configuration.takenAtMillis() + " " + text.length;
+        + configuration.storedAtMillis() + " " + text.length;
     byte[] header = (fields + " " + checksum(fields) + "\n").getBytes(StandardCharsets.US_ASCII);
     return ByteBuffer.allocate(header.length + text.length)
         .put(header)
@@ -32,7 +32,7 @@
   /** An IOException says in which way the bytes are not what was written. */
   static StoredConfiguration decode(byte[] bytes) throws IOException {
     int end = 0;
-    while (end < Math.min(bytes.length, MOST_HEADER_BYTES) && bytes[end] != '\n') {
+    while (end < Math.min(bytes.length, MAX_HEADER_BYTES) && bytes[end] != '\n') {
       end++;
     }
     String header = new String(bytes, 0, end, StandardCharsets.US_ASCII);
--- a/src/main/java/pumicekeel/delivery/Subscription.java
+++ b/src/main/java/pumicekeel/delivery/Subscription.java
@@ -17,17 +17,17 @@
 
   private static final long FIRST_BACK_OFF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
   /** With the check of the text it has to stay under the seven seconds within which a change is in force. */
-  private static final long MOST_BACK_OFF_NANOS = TimeUnit.SECONDS.toNanos(4);
+  private static final long MAX_BACK_OFF_NANOS = TimeUnit.SECONDS.toNanos(4);
   /** Processes that start together ask spread over this time. */
   private static final long START_SPREAD_NANOS = TimeUnit.SECONDS.toNanos(1);
   /** Far above any configuration; a machine that says more is not believed. */
-  static final long MOST_TEXT_BYTES = 32L << 20;
+  static final long MAX_TEXT_BYTES = 32L << 20;
 
   /** A machine that answers at once instead of waiting is not asked more often than this. */
-  private static final long LEAST_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long MIN_POLL_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   /** Each try checks a whole text, a second of a core at the largest known size: seldom against what control may cost. */
-  private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(30);
+  private static final long POSTPONED_RETRY_NANOS = TimeUnit.SECONDS.toNanos(30);
 
   /** What is to be done now. */
   public sealed interface Step {}
@@ -40,43 +40,43 @@
    * @param held the base of a delta; NONE for a snapshot
    * @param known nothing up to this one is wanted: the later of what is held and what was refused
    */
-  public record Ask(
+  public record Poll(
       long call, int server, ConfigurationVersion held, ConfigurationVersion known, long waitMillis)
       implements Step {}
 
   /** Ask a control machine for the next part of a snapshot. */
-  public record AskPart(long call, int server, ConfigurationVersion version, long offset)
+  public record FetchPart(long call, int server, ConfigurationVersion version, long offset)
       implements Step {}
 
   /** Check a version and put it in force; what came of it is told by {@link #taken} and its like. */
-  public record Take(long call, Candidate candidate) implements Step {}
+  public record Apply(long call, Candidate candidate) implements Step {}
 
   /** Nothing before this time. */
-  public record Rest(long untilNanos) implements Step {}
+  public record Wait(long untilNanos) implements Step {}
 
   /** A step that was given before has not ended. */
   public record Pending() implements Step {}
 
   private enum State {
-    /** Nothing under way until {@code restUntil}. */
-    RESTING,
+    /** Nothing under way until {@code waitUntil}. */
+    WAITING,
     /** A call to a control machine is out. */
-    ASKING,
+    CALLING,
     /** A version has come and is to be handed on. */
     ARRIVED,
     /** A version is being checked and put in force. */
-    TAKING
+    APPLYING
   }
 
   private final int servers;
   private final SplittableRandom random;
   private final BackOff backOff;
-  private State state = State.RESTING;
+  private State state = State.WAITING;
   private int server;
-  private long restUntil;
-  private long askedAt;
+  private long waitUntil;
+  private long calledAt;
   private long call;
-  private long heardAt;
+  private long lastReplyAt;
   private ConfigurationVersion held;
   private ConfigurationVersion refused = ConfigurationVersion.NONE;
   private boolean needsSnapshot;
@@ -97,10 +97,10 @@
     this.servers = servers;
     this.held = held;
     random = new SplittableRandom(seed);
-    backOff = new BackOff(FIRST_BACK_OFF_NANOS, MOST_BACK_OFF_NANOS, random);
+    backOff = new BackOff(FIRST_BACK_OFF_NANOS, MAX_BACK_OFF_NANOS, random);
     server = random.nextInt(servers);
-    restUntil = now + random.nextLong(START_SPREAD_NANOS);
-    heardAt = now;
+    waitUntil = now + random.nextLong(START_SPREAD_NANOS);
+    lastReplyAt = now;
   }
 
   /** The version in force. */
@@ -114,8 +114,8 @@
   }
 
   /** When a control machine last answered with sense, or when this began. */
-  public long heardAt() {
-    return heardAt;
+  public long lastReplyAt() {
+    return lastReplyAt;
   }
 
   /** Why the newest version is not in force: what it was refused for, or what went wrong since the last success; else empty. */
@@ -126,28 +126,28 @@
   /** The next step; where it is not a rest or pending, it counts as begun. */
   public Step next(long now) {
     return switch (state) {
-      case ASKING, TAKING -> new Pending();
+      case CALLING, APPLYING -> new Pending();
       case ARRIVED -> {
-        state = State.TAKING;
-        yield new Take(++call, candidate);
+        state = State.APPLYING;
+        yield new Apply(++call, candidate);
       }
-      case RESTING -> now < restUntil ? new Rest(restUntil) : ask(now);
+      case WAITING -> now < waitUntil ? new Wait(waitUntil) : poll(now);
     };
   }
 
-  private Step ask(long now) {
+  private Step poll(long now) {
     if (now >= retryRefusedAt) {
       retryRefusedAt = Long.MAX_VALUE;
       refused = ConfigurationVersion.NONE;
     }
-    state = State.ASKING;
-    askedAt = now;
+    state = State.CALLING;
+    calledAt = now;
     call++;
     if (transfer != null) {
-      return new AskPart(call, server, transfer.version(), transfer.received());
+      return new FetchPart(call, server, transfer.version(), transfer.received());
     }
     ConfigurationVersion base = needsSnapshot ? ConfigurationVersion.NONE : held;
-    return new Ask(call, server, base, known(), WAIT_MILLIS);
+    return new Poll(call, server, base, known(), WAIT_MILLIS);
   }
 
   private ConfigurationVersion known() {
@@ -156,22 +156,22 @@
 
   /** A call has been answered. A reply to any other call than the one that is out comes too late and counts for nothing. */
   public void replied(long repliedCall, Reply reply, long now) {
-    if (state != State.ASKING || repliedCall != call) {
+    if (state != State.CALLING || repliedCall != call) {
       return;
     }
     if (!(reply instanceof Reply.Failed)) {
-      heardAt = now;
+      lastReplyAt = now;
     }
     if (reply instanceof Reply.Unchanged) {
       succeeded();
       server = (server + 1) % servers;
-      rest(now, Math.max(0, askedAt + LEAST_PERIOD_NANOS - now));
+      waitFor(now, Math.max(0, calledAt + MIN_POLL_PERIOD_NANOS - now));
     } else if (reply instanceof Reply.Delta d) {
-      arrivedDelta(d.delta(), now);
+      handleDelta(d.delta(), now);
     } else if (reply instanceof Reply.Part p) {
-      arrivedPart(p.part(), now);
+      handlePart(p.part(), now);
     } else if (reply instanceof Reply.Busy busy) {
-      rest(now, busy.retryAfterNanos() + random.nextLong(START_SPREAD_NANOS));
+      waitFor(now, busy.retryAfterNanos() + random.nextLong(START_SPREAD_NANOS));
     } else if (reply instanceof Reply.Gone) {
       transfer = null;
       failed("the control machine has no such version any more", now);
@@ -180,7 +180,7 @@
     }
   }
 
-  private void arrivedDelta(ConfigurationDelta delta, long now) {
+  private void handleDelta(ConfigurationDelta delta, long now) {
     if (!delta.target().isNewerThan(known())) {
       failed("a delta to " + delta.target() + ", which is not newer", now);
     } else if (!delta.base().equals(held)) {
@@ -191,16 +191,16 @@
     }
   }
 
-  private void arrivedPart(SnapshotPart part, long now) {
+  private void handlePart(SnapshotPart part, long now) {
     if (!part.version().isNewerThan(known())) {
       transfer = null;
       failed("a snapshot of " + part.version() + ", which is not newer", now);
       return;
     }
-    if (part.offset() == 0 && part.total() > 0 && part.total() <= MOST_TEXT_BYTES) {
+    if (part.offset() == 0 && part.total() > 0 && part.total() <= MAX_TEXT_BYTES) {
       transfer = new SnapshotTransfer(part);
     }
-    if (transfer == null || !transfer.take(part)) {
+    if (transfer == null || !transfer.append(part)) {
       failed("a part of a snapshot that is not the next one", now);
     } else if (transfer.isComplete()) {
       Candidate whole = new Candidate.Snapshot(transfer.version(), transfer.text());
@@ -208,7 +208,7 @@
       arrived(whole);
     } else {
       succeeded();
-      rest(now, 0);
+      waitFor(now, 0);
     }
   }
 
@@ -218,39 +218,39 @@
   }
 
   /** The version that was to be taken is in force. */
-  public void taken(long takenCall, long now) {
-    if (ends(takenCall)) {
+  public void applied(long appliedCall, long now) {
+    if (endsApply(appliedCall)) {
       held = candidate.version();
       needsSnapshot = false;
       succeeded();
-      rest(now, 0);
+      waitFor(now, 0);
     }
   }
 
   /** It is not what its version says: the text that is held or what came is damaged, so a whole one is asked for. */
-  public void damaged(long takenCall, String reason, long now) {
-    if (ends(takenCall)) {
+  public void damaged(long appliedCall, String reason, long now) {
+    if (endsApply(appliedCall)) {
       needsSnapshot = true;
       failed(reason, now);
     }
   }
 
   /** This build or this platform can't have it: it is not asked for again, a newer one is. */
-  public void refused(long takenCall, String reason, long now) {
-    if (ends(takenCall)) {
+  public void refused(long appliedCall, String reason, long now) {
+    if (endsApply(appliedCall)) {
       refused = ConfigurationVersion.later(refused, candidate.version());
       refusal = reason;
       retryRefusedAt = Long.MAX_VALUE;
       succeeded();
-      rest(now, 0);
+      waitFor(now, 0);
     }
   }
 
   /** It can't be taken just now: it is tried again after a while, and a newer one at any time. */
-  public void postponed(long takenCall, String reason, long now) {
-    if (ends(takenCall)) {
-      refused(takenCall, reason, now);
-      retryRefusedAt = now + RETRY_NANOS + random.nextLong(RETRY_NANOS);
+  public void postponed(long appliedCall, String reason, long now) {
+    if (endsApply(appliedCall)) {
+      refused(appliedCall, reason, now);
+      retryRefusedAt = now + POSTPONED_RETRY_NANOS + random.nextLong(POSTPONED_RETRY_NANOS);
     }
   }
 
@@ -261,12 +261,12 @@
       transfer = null;
       needsSnapshot = false;
       call++;
-      rest(now, 0);
+      waitFor(now, 0);
     }
   }
 
-  private boolean ends(long takenCall) {
-    return state == State.TAKING && takenCall == call;
+  private boolean endsApply(long appliedCall) {
+    return state == State.APPLYING && appliedCall == call;
   }
 
   private void succeeded() {
@@ -277,12 +277,12 @@
   private void failed(String reason, long now) {
     trouble = reason;
     server = (server + 1) % servers;
-    rest(now, backOff.next());
+    waitFor(now, backOff.next());
   }
 
-  private void rest(long now, long nanos) {
-    state = State.RESTING;
+  private void waitFor(long now, long nanos) {
+    state = State.WAITING;
     candidate = null;
-    restUntil = now + nanos;
+    waitUntil = now + nanos;
   }
 }
--- a/src/main/java/pumicekeel/delivery/client/ConfigurationSubscriber.java
+++ b/src/main/java/pumicekeel/delivery/client/ConfigurationSubscriber.java
@@ -23,13 +23,13 @@
   /** Beyond the wait that the control machine was asked for. */
   private static final long REPLY_TIMEOUT_MILLIS = 3_000;
   /** Control machines that are silent for this long are told of in the log; each call takes less. */
-  private static final long SILENCE_NANOS = TimeUnit.SECONDS.toNanos(30);
+  private static final long SILENCE_LOG_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  private final Reactor on;
+  private final Reactor reactor;
   private final String name;
   private final List<InetSocketAddress> addresses;
   private final Executor worker;
-  private final VersionTaker taker;
+  private final VersionApplier applier;
   private final Subscription subscription;
   private ScheduledFuture<?> wakeUp;
   private boolean closed;
@@ -42,29 +42,30 @@
    * @param worker runs the taker; may block
    */
   public ConfigurationSubscriber(
-      Reactor on,
+      Reactor reactor,
       String name,
       List<InetSocketAddress> addresses,
       ConfigurationVersion held,
       long seed,
       Executor worker,
-      VersionTaker taker) {
-    this.on = on;
+      VersionApplier applier) {
+    this.reactor = reactor;
     this.name = name;
     this.addresses = List.copyOf(addresses);
     this.worker = worker;
-    this.taker = taker;
-    subscription = new Subscription(addresses.size(), held, seed, on.clock().now());
+    this.applier = applier;
+    subscription =
+        new Subscription(addresses.size(), held, seed, reactor.clock().now());
   }
 
   /** Begins to follow the control machines; for any thread. */
   public void start() {
-    on.loop().execute(this::run);
+    reactor.loop().execute(this::run);
   }
 
   /** Asks nobody any more; for any thread. */
   public void close() {
-    on.loop().execute(() -> closed = true);
+    reactor.loop().execute(() -> closed = true);
   }
 
   /** A newer version has been put in force in another way; only on the loop. */
@@ -74,26 +75,26 @@
   }
 
   private long now() {
-    return on.clock().now();
+    return reactor.clock().now();
   }
 
   private void run() {
     if (closed) {
       return;
     }
-    tellOfSilence();
+    logSilence();
     Subscription.Step step = subscription.next(now());
-    if (step instanceof Subscription.Rest rest) {
-      wakeAt(rest.untilNanos());
-    } else if (step instanceof Subscription.Ask ask) {
+    if (step instanceof Subscription.Wait wait) {
+      wakeAt(wait.untilNanos());
+    } else if (step instanceof Subscription.Poll next) {
       ConfigurationRequest request =
-          new ConfigurationRequest(report(), ask.held(), ask.known(), ask.waitMillis());
-      call(ask.server(), DeliveryPaths.target(request), ask.waitMillis(), ask.call());
-    } else if (step instanceof Subscription.AskPart ask) {
-      PartRequest request = new PartRequest(name, ask.version(), ask.offset());
-      call(ask.server(), DeliveryPaths.target(request), 0, ask.call());
-    } else if (step instanceof Subscription.Take take) {
-      take(take.call(), take.candidate());
+          new ConfigurationRequest(report(), next.held(), next.known(), next.waitMillis());
+      call(next.server(), DeliveryPaths.target(request), next.waitMillis(), next.call());
+    } else if (step instanceof Subscription.FetchPart next) {
+      PartRequest request = new PartRequest(name, next.version(), next.offset());
+      call(next.server(), DeliveryPaths.target(request), 0, next.call());
+    } else if (step instanceof Subscription.Apply apply) {
+      apply(apply.call(), apply.candidate());
     }
   }
 
@@ -101,7 +102,7 @@
     if (wakeUp != null) {
       wakeUp.cancel(false);
     }
-    wakeUp = on.loop().schedule(this::run, nanos - now(), TimeUnit.NANOSECONDS);
+    wakeUp = reactor.loop().schedule(this::run, nanos - now(), TimeUnit.NANOSECONDS);
   }
 
   private ReplicaReport report() {
@@ -110,8 +111,8 @@
   }
 
   private void call(int server, String target, long waitMillis, long call) {
-    ControlCall.begin(
-        on, addresses.get(server), target, waitMillis + REPLY_TIMEOUT_MILLIS, reply -> {
+    ControlCall.start(
+        reactor, addresses.get(server), target, waitMillis + REPLY_TIMEOUT_MILLIS, reply -> {
           if (reply instanceof Reply.Failed failed) {
             Log.caused("configuration: " + failed.reason());
           }
@@ -120,11 +121,11 @@
         });
   }
 
-  private void take(long call, Candidate candidate) {
+  private void apply(long call, Candidate candidate) {
     try {
       worker.execute(() -> {
-        VersionTaker.Outcome outcome = outcomeOf(candidate);
-        on.loop().execute(() -> ended(call, outcome));
+        VersionApplier.Outcome outcome = outcomeOf(candidate);
+        reactor.loop().execute(() -> finishApply(call, outcome));
       });
     } catch (RejectedExecutionException e) {
       closed = true;
@@ -132,39 +133,39 @@
   }
 
   /** A defect in the taker, or a text that is too much for the memory, must not end the subscription. */
-  private VersionTaker.Outcome outcomeOf(Candidate candidate) {
+  private VersionApplier.Outcome outcomeOf(Candidate candidate) {
     try {
-      return taker.take(candidate);
+      return applier.apply(candidate);
     } catch (RuntimeException e) {
-      return new VersionTaker.Refused(e.toString());
+      return new VersionApplier.Refused(e.toString());
     } catch (Error e) {
       Log.line("configuration: version " + candidate.version() + " could not be taken: " + e);
-      return new VersionTaker.Postponed(e.toString());
+      return new VersionApplier.Postponed(e.toString());
     }
   }
 
-  private void ended(long call, VersionTaker.Outcome outcome) {
-    if (outcome instanceof VersionTaker.InForce) {
-      subscription.taken(call, now());
-    } else if (outcome instanceof VersionTaker.Damaged damaged) {
+  private void finishApply(long call, VersionApplier.Outcome outcome) {
+    if (outcome instanceof VersionApplier.InForce) {
+      subscription.applied(call, now());
+    } else if (outcome instanceof VersionApplier.Damaged damaged) {
       subscription.damaged(call, damaged.reason(), now());
-    } else if (outcome instanceof VersionTaker.Refused refused) {
+    } else if (outcome instanceof VersionApplier.Refused refused) {
       subscription.refused(call, refused.reason(), now());
-    } else if (outcome instanceof VersionTaker.Postponed postponed) {
+    } else if (outcome instanceof VersionApplier.Postponed postponed) {
       subscription.postponed(call, postponed.reason(), now());
     }
     run();
   }
 
   /** One line when nobody has answered for a while, and one when somebody does again. */
-  private void tellOfSilence() {
-    long quiet = now() - subscription.heardAt();
-    if (!silent && quiet > SILENCE_NANOS) {
+  private void logSilence() {
+    long silentNanos = now() - subscription.lastReplyAt();
+    if (!silent && silentNanos > SILENCE_LOG_NANOS) {
       silent = true;
       Log.line("configuration: no control machine answers since "
-          + TimeUnit.NANOSECONDS.toSeconds(quiet) + " s; version " + subscription.held()
+          + TimeUnit.NANOSECONDS.toSeconds(silentNanos) + " s; version " + subscription.held()
           + " stays in force");
-    } else if (silent && quiet < SILENCE_NANOS) {
+    } else if (silent && silentNanos < SILENCE_LOG_NANOS) {
       silent = false;
       Log.line("configuration: control machines answer again");
     }
--- a/src/main/java/pumicekeel/delivery/client/ControlApi.java
+++ b/src/main/java/pumicekeel/delivery/client/ControlApi.java
@@ -34,7 +34,7 @@
   /** All else is answered at once; a machine that stands still must not hold the others up. */
   private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(5);
   /** A machine that has all its snapshots under way is asked again this often. */
-  private static final int MOST_BUSY_REPLIES = 10;
+  private static final int MAX_BUSY_REPLIES = 10;
 
   /** A command is no replica: it has no name. */
   private static final String NO_NAME = "";
@@ -54,7 +54,7 @@
   public record Status(ConfigurationVersion current, List<Replica> replicas) {}
 
   /** What one subscriber told, and how long ago; {@code behind} counts versions, null for another epoch. */
-  public record Replica(ReplicaReport report, Long behind, long heardMillisAgo) {}
+  public record Replica(ReplicaReport report, Long behind, long lastReportMillisAgo) {}
 
   private final InetSocketAddress address;
   private final HttpClient client = HttpClient.newBuilder()
@@ -121,12 +121,12 @@
     Subscription subscription =
         new Subscription(1, ConfigurationVersion.NONE, System.nanoTime(), System.nanoTime());
     int busy = 0;
-    while (busy < MOST_BUSY_REPLIES) {
+    while (busy < MAX_BUSY_REPLIES) {
       Subscription.Step step = subscription.next(System.nanoTime());
-      if (step instanceof Subscription.Rest rest) {
-        TimeUnit.NANOSECONDS.sleep(rest.untilNanos() - System.nanoTime());
-      } else if (step instanceof Subscription.Take take) {
-        return stored(take.candidate());
+      if (step instanceof Subscription.Wait wait) {
+        TimeUnit.NANOSECONDS.sleep(wait.untilNanos() - System.nanoTime());
+      } else if (step instanceof Subscription.Apply apply) {
+        return stored(apply.candidate());
       } else {
         Reply reply = reply(step, before);
         if (reply instanceof Reply.Failed failed) {
@@ -140,15 +140,17 @@
   }
 
   private static long callOf(Subscription.Step step) {
-    return step instanceof Subscription.Ask ask ? ask.call() : ((Subscription.AskPart) step).call();
+    return step instanceof Subscription.Poll next
+        ? next.call()
+        : ((Subscription.FetchPart) step).call();
   }
 
   private Reply reply(Subscription.Step step, ConfigurationVersion known)
       throws IOException, InterruptedException {
     ReplicaReport report =
         new ReplicaReport(NO_NAME, ConfigurationVersion.NONE, ConfigurationVersion.NONE, "");
-    String target = step instanceof Subscription.AskPart ask
-        ? DeliveryPaths.target(new PartRequest(NO_NAME, ask.version(), ask.offset()))
+    String target = step instanceof Subscription.FetchPart next
+        ? DeliveryPaths.target(new PartRequest(NO_NAME, next.version(), next.offset()))
         : DeliveryPaths.target(
             new ConfigurationRequest(report, ConfigurationVersion.NONE, known, 0));
     HttpResponse<byte[]> response = send(request(target).GET());
@@ -162,7 +164,7 @@
     try {
       return new StoredConfiguration(
           candidate.version(), System.currentTimeMillis(), candidate.text(""));
-    } catch (ConfigurationDelta.Refused e) {
+    } catch (ConfigurationDelta.NotApplicableException e) {
       throw new IOException(e.getMessage(), e);
     }
   }
--- a/src/main/java/pumicekeel/delivery/client/ControlCall.java
+++ b/src/main/java/pumicekeel/delivery/client/ControlCall.java
@@ -28,7 +28,7 @@
 
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
   /** Over the largest delta and the largest part. */
-  private static final int MOST_RESPONSE_BYTES = 4 << 20;
+  private static final int MAX_RESPONSE_BYTES = 4 << 20;
 
   private final InetSocketAddress address;
   private final Consumer<Reply> done;
@@ -39,21 +39,22 @@
   private boolean ended;
 
   private ControlCall(
-      Reactor on,
+      Reactor reactor,
       InetSocketAddress address,
       String target,
       long timeoutMillis,
       Consumer<Reply> done) {
     this.address = address;
     this.done = done;
-    timeout = on.loop()
+    timeout = reactor
+        .loop()
         .schedule(
             () -> end(new Reply.Failed("no answer within " + timeoutMillis + " ms")),
             timeoutMillis,
             TimeUnit.MILLISECONDS);
     channel = new Bootstrap()
-        .group(on.loop())
-        .channelFactory(on.sockets()::newConnectingChannel)
+        .group(reactor.loop())
+        .channelFactory(reactor.sockets()::newConnectingChannel)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
         .handler(new ChannelInitializer<Channel>() {
           @Override
@@ -62,7 +63,7 @@
                 .pipeline()
                 .addLast(
                     new HttpClientCodec(),
-                    new HttpObjectAggregator(MOST_RESPONSE_BYTES),
+                    new HttpObjectAggregator(MAX_RESPONSE_BYTES),
                     new ResponseHandler(target));
           }
         })
@@ -76,13 +77,13 @@
   }
 
   /** Begins a call; its reply comes later, on the loop. */
-  static void begin(
-      Reactor on,
+  static void start(
+      Reactor reactor,
       InetSocketAddress address,
       String target,
       long timeoutMillis,
       Consumer<Reply> done) {
-    new ControlCall(on, address, target, timeoutMillis, done);
+    new ControlCall(reactor, address, target, timeoutMillis, done);
   }
 
   private void end(Reply reply) {
--- a/src/main/java/pumicekeel/delivery/client/ControlCluster.java
+++ b/src/main/java/pumicekeel/delivery/client/ControlCluster.java
@@ -61,7 +61,7 @@
 
   /** What each machine knows. */
   public List<Answer<ControlApi.Status>> statuses() throws InterruptedException {
-    return ask(addresses, ControlApi::status);
+    return callAll(addresses, ControlApi::status);
   }
 
   /** The newest version that a machine keeps, of those that answered. */
@@ -110,7 +110,7 @@
       boolean dryRun,
       String text)
       throws InterruptedException {
-    List<Answer<ControlApi.Published>> answers = new ArrayList<>(ask(
+    List<Answer<ControlApi.Published>> answers = new ArrayList<>(callAll(
         statuses.stream().filter(s -> s.value() != null).map(Answer::address).toList(),
         api -> api.publish(version, dryRun, text)));
     statuses.stream()
@@ -129,7 +129,7 @@
     long end = System.nanoTime() + CATCH_UP_NANOS;
     while (answers.stream().anyMatch(a -> isCatchingUp(a, version)) && System.nanoTime() < end) {
       TimeUnit.MILLISECONDS.sleep(CATCH_UP_PERIOD_MILLIS);
-      answers = again(answers, version, dryRun, text);
+      answers = retryCatchingUp(answers, version, dryRun, text);
     }
     return answers;
   }
@@ -143,7 +143,7 @@
         && version.isNewerThan(answer.value().current());
   }
 
-  private static List<Answer<ControlApi.Published>> again(
+  private static List<Answer<ControlApi.Published>> retryCatchingUp(
       List<Answer<ControlApi.Published>> answers,
       ConfigurationVersion version,
       boolean dryRun,
@@ -153,7 +153,7 @@
     for (Answer<ControlApi.Published> answer : answers) {
       out.add(
           isCatchingUp(answer, version)
-              ? ask(List.of(answer.address()), api -> api.publish(version, dryRun, text))
+              ? callAll(List.of(answer.address()), api -> api.publish(version, dryRun, text))
                   .get(0)
               : answer);
     }
@@ -161,17 +161,17 @@
   }
 
   /** Asks machines at once, so that one that is silent holds up no other. */
-  private static <T> List<Answer<T>> ask(List<InetSocketAddress> whom, Call<T> call)
+  private static <T> List<Answer<T>> callAll(List<InetSocketAddress> targets, Call<T> call)
       throws InterruptedException {
-    ExecutorService threads = Executors.newFixedThreadPool(whom.size());
+    ExecutorService threads = Executors.newFixedThreadPool(targets.size());
     try {
       List<Future<T>> pending = new ArrayList<>();
-      for (InetSocketAddress address : whom) {
+      for (InetSocketAddress address : targets) {
         pending.add(threads.submit(() -> call.on(new ControlApi(address))));
       }
       List<Answer<T>> answers = new ArrayList<>();
-      for (int i = 0; i < whom.size(); i++) {
-        answers.add(answerOf(whom.get(i), pending.get(i)));
+      for (int i = 0; i < targets.size(); i++) {
+        answers.add(answerOf(targets.get(i), pending.get(i)));
       }
       return answers;
     } finally {
--- a/src/main/java/pumicekeel/delivery/client/VersionTaker.java
+++ b/src/main/java/pumicekeel/delivery/client/VersionApplier.java
@@ -4,7 +4,7 @@
 
 /** Checks a version and puts it in force; called on a thread that may block, one call at a time. */
 @FunctionalInterface
-public interface VersionTaker {
+public interface VersionApplier {
 
   /** What became of a version. */
   sealed interface Outcome {}
@@ -21,5 +21,5 @@
   /** It can't be had just now. */
   record Postponed(String reason) implements Outcome {}
 
-  Outcome take(Candidate candidate);
+  Outcome apply(Candidate candidate);
 }
--- a/src/main/java/pumicekeel/delivery/control/ConfigurationHistory.java
+++ b/src/main/java/pumicekeel/delivery/control/ConfigurationHistory.java
@@ -16,11 +16,11 @@
 final class ConfigurationHistory {
 
   /** Bases of deltas; each costs a reference an entry, some 0.2 MB at the largest known size. */
-  static final int MOST_VERSIONS = 64;
+  static final int MAX_VERSIONS = 64;
   /** Snapshots that are handed out, the newest last: a transfer ends with the version with which it began. */
-  private static final int MOST_SNAPSHOTS = 2;
+  private static final int MAX_SNAPSHOTS = 2;
   /** Under changes without end a snapshot is kept for this long, so that transfers of it can end. */
-  private static final long SNAPSHOT_NANOS = TimeUnit.SECONDS.toNanos(10);
+  private static final long SNAPSHOT_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   /** A whole text that is handed out in parts. */
   record Snapshot(ConfigurationVersion version, byte[] text, long madeAt) {}
@@ -44,7 +44,7 @@
     current = version;
     deltas.clear();
     Iterator<ConfigurationVersion> oldest = documents.keySet().iterator();
-    while (documents.size() > MOST_VERSIONS && oldest.hasNext()) {
+    while (documents.size() > MAX_VERSIONS && oldest.hasNext()) {
       ConfigurationVersion candidate = oldest.next();
       if (snapshots.stream().noneMatch(s -> s.version().equals(candidate))) {
         oldest.remove();
@@ -66,7 +66,7 @@
     Snapshot last = snapshots.peekLast();
     boolean serves = last != null
         && last.version().isNewerThan(known)
-        && (last.version().equals(current) || now - last.madeAt() < SNAPSHOT_NANOS);
+        && (last.version().equals(current) || now - last.madeAt() < SNAPSHOT_RETENTION_NANOS);
     return serves ? last : snapshotOfCurrent(now);
   }
 
@@ -74,7 +74,7 @@
     byte[] text = documents.get(current).text().getBytes(StandardCharsets.UTF_8);
     Snapshot made = new Snapshot(current, text, now);
     snapshots.addLast(made);
-    if (snapshots.size() > MOST_SNAPSHOTS) {
+    if (snapshots.size() > MAX_SNAPSHOTS) {
       snapshots.removeFirst();
     }
     return made;
--- a/src/main/java/pumicekeel/delivery/control/ControlHandler.java
+++ b/src/main/java/pumicekeel/delivery/control/ControlHandler.java
@@ -11,7 +11,7 @@
 final class ControlHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
   private final ControlServer server;
-  private boolean called;
+  private boolean requestReceived;
 
   ControlHandler(ControlServer server) {
     this.server = server;
@@ -19,18 +19,18 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-    if (called) {
+    if (requestReceived) {
       return;
     }
-    called = true;
+    requestReceived = true;
     if (request.decoderResult().isFailure()) {
-      server.refused(ctx.channel(), HttpResponseStatus.BAD_REQUEST, "a malformed request");
+      server.reject(ctx.channel(), HttpResponseStatus.BAD_REQUEST, "a malformed request");
       return;
     }
     try {
-      server.called(ctx.channel(), request);
+      server.handle(ctx.channel(), request);
     } catch (IllegalArgumentException e) {
-      server.refused(ctx.channel(), HttpResponseStatus.BAD_REQUEST, String.valueOf(e.getMessage()));
+      server.reject(ctx.channel(), HttpResponseStatus.BAD_REQUEST, String.valueOf(e.getMessage()));
     }
   }
 
--- a/src/main/java/pumicekeel/delivery/control/ControlServer.java
+++ b/src/main/java/pumicekeel/delivery/control/ControlServer.java
@@ -45,16 +45,16 @@
 public final class ControlServer implements Closeable {
 
   /** Twice the largest operator file that is read. */
-  static final int MOST_BODY_BYTES = 8 << 20;
+  static final int MAX_BODY_BYTES = 8 << 20;
 
-  private static final int MOST_HEADER_BYTES = 8 << 10;
-  private static final int MOST_CHUNK_BYTES = 64 << 10;
+  private static final int MAX_HEADER_BYTES = 8 << 10;
+  private static final int MAX_CHUNK_BYTES = 64 << 10;
   /** A call has come whole within this. */
   private static final int REQUEST_TIMEOUT_SECONDS = 10;
   /** A caller reads a part of a snapshot within this. */
   private static final int WRITE_TIMEOUT_SECONDS = 30;
   /** Waiting calls, and as many that are being answered. */
-  private static final int MOST_CONNECTIONS = 2 * WaitingCalls.MOST;
+  private static final int MAX_CONNECTIONS = 2 * WaitingCalls.MAX_CALLS;
 
   /**
    * What a control machine is started with.
@@ -63,7 +63,7 @@
    */
   public record Settings(InetSocketAddress listen, Path directory, List<InetSocketAddress> peers) {}
 
-  private final Reactor on = Reactor.start();
+  private final Reactor reactor = Reactor.start();
   private final ExecutorService worker =
       Executors.newSingleThreadExecutor(work -> new Thread(work, "configuration"));
   private final Settings settings;
@@ -74,7 +74,7 @@
   private final UploadLimit.Count uploads = new UploadLimit.Count();
   private InetSocketAddress address;
   /** What fails for a moment is tried again for so long. */
-  private static final long START_MILLIS = 15_000;
+  private static final long START_RETRY_MILLIS = 15_000;
 
   private ConfigurationSubscriber peers;
   private int connections;
@@ -82,7 +82,7 @@
   private ControlServer(Settings settings, FileConfigurationStore store, TextCheck check) {
     this.settings = settings;
     this.store = store;
-    keeper = new VersionKeeper(store, check, on.clock()::millis, this::kept);
+    keeper = new VersionKeeper(store, check, reactor.clock()::millis, this::versionKept);
   }
 
   /** Reads the store, listens and follows the peers; an IOException says in words why it can't. */
@@ -90,7 +90,7 @@
       throws IOException, InterruptedException {
     FileConfigurationStore store = Retry.call(
         "configuration store",
-        START_MILLIS,
+        START_RETRY_MILLIS,
         () -> FileConfigurationStore.exclusive(settings.directory(), Log::line));
     ControlServer server = new ControlServer(settings, store, check);
     try {
@@ -103,13 +103,13 @@
   }
 
   private void start() throws IOException, InterruptedException {
-    Retry.call("configuration store", START_MILLIS, () -> {
+    Retry.call("configuration store", START_RETRY_MILLIS, () -> {
       keeper.load();
       return keeper;
     });
     ChannelFuture bound = new ServerBootstrap()
-        .group(on.loop())
-        .channelFactory(on.sockets()::newListeningChannel)
+        .group(reactor.loop())
+        .channelFactory(reactor.sockets()::newListeningChannel)
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
@@ -122,7 +122,7 @@
       throw new IOException("cannot listen at " + Addresses.text(settings.listen()), bound.cause());
     }
     address = (InetSocketAddress) bound.channel().localAddress();
-    on.loop().submit(this::follow).sync();
+    reactor.loop().submit(this::followPeers).sync();
   }
 
   /** Where it listens. */
@@ -131,14 +131,14 @@
   }
 
   /** Peers have the same versions: one that was away catches up with them. */
-  private void follow() {
+  private void followPeers() {
     List<InetSocketAddress> others =
         settings.peers().stream().filter(p -> !p.equals(address)).toList();
     Log.line("control machine at " + Addresses.text(address) + ", version " + state.current() + ", "
         + others.size() + " peers");
     if (!others.isEmpty()) {
       peers = new ConfigurationSubscriber(
-          on,
+          reactor,
           "control " + Addresses.text(address),
           others,
           state.current(),
@@ -150,19 +150,19 @@
   }
 
   /** On the worker: a version is kept. Its first ones come before the loop has anything to do. */
-  private void kept(ConfigurationVersion version, ConfigurationDocument document) {
-    on.loop().execute(() -> {
+  private void versionKept(ConfigurationVersion version, ConfigurationDocument document) {
+    reactor.loop().execute(() -> {
       state.advance(version, document);
       Log.line("control machine: version " + version);
       if (peers != null) {
         peers.superseded(version);
       }
-      waiting.release(this::ask);
+      waiting.release(this::handleRequest);
     });
   }
 
   private void accept(Channel channel) {
-    if (connections >= MOST_CONNECTIONS) {
+    if (connections >= MAX_CONNECTIONS) {
       channel.close();
       return;
     }
@@ -173,15 +173,14 @@
         .addLast(
             new ReadTimeoutHandler(REQUEST_TIMEOUT_SECONDS),
             new WriteTimeoutHandler(WRITE_TIMEOUT_SECONDS),
-            new HttpServerCodec(
-                DeliveryPaths.MOST_TARGET_BYTES, MOST_HEADER_BYTES, MOST_CHUNK_BYTES),
+            new HttpServerCodec(DeliveryPaths.MAX_TARGET_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES),
             new UploadLimit(uploads),
-            new HttpObjectAggregator(MOST_BODY_BYTES, true),
+            new HttpObjectAggregator(MAX_BODY_BYTES, true),
             new ControlHandler(this));
   }
 
   /** A call has come whole. */
-  void called(Channel channel, FullHttpRequest request) {
+  void handle(Channel channel, FullHttpRequest request) {
     // What comes next is the caller's end; until then it is the machine that takes its time.
     channel.pipeline().remove(ReadTimeoutHandler.class);
     QueryStringDecoder query = new QueryStringDecoder(request.uri());
@@ -191,7 +190,7 @@
     } else if (!request.method().equals(HttpMethod.GET)) {
       send(channel, ReplyFormat.response(HttpResponseStatus.METHOD_NOT_ALLOWED, new byte[0]));
     } else if (path.equals(DeliveryPaths.CONFIGURATION)) {
-      ask(channel, DeliveryPaths.request(query));
+      handleRequest(channel, DeliveryPaths.request(query));
     } else if (path.startsWith(DeliveryPaths.PARTS)) {
       answer(channel, state.answer(DeliveryPaths.partRequest(query), now()));
     } else if (path.equals(DeliveryPaths.REPLICAS)) {
@@ -202,11 +201,11 @@
   }
 
   /** A call that can't be read; the connection ends with it. */
-  void refused(Channel channel, HttpResponseStatus status, String why) {
-    send(channel, ReplyFormat.response(status, why.getBytes(StandardCharsets.UTF_8)));
+  void reject(Channel channel, HttpResponseStatus status, String reason) {
+    send(channel, ReplyFormat.response(status, reason.getBytes(StandardCharsets.UTF_8)));
   }
 
-  private void ask(Channel channel, ConfigurationRequest request) {
+  private void handleRequest(Channel channel, ConfigurationRequest request) {
     Reply reply = state.answer(request, now());
     if (reply == null && !waiting.isFull()) {
       waiting.add(channel, request);
@@ -221,7 +220,7 @@
     worker.execute(() -> {
       PublishResult result = publishOrFail(publication, body);
       HttpResponseStatus status = HttpResponseStatus.valueOf(result.kind().status());
-      on.loop().execute(() -> json(channel, status, StatusJson.of(result)));
+      reactor.loop().execute(() -> json(channel, status, StatusJson.of(result)));
     });
   }
 
@@ -250,7 +249,7 @@
   }
 
   private long now() {
-    return on.clock().now();
+    return reactor.clock().now();
   }
 
   /** Ends the machine; what it has acknowledged is stored. */
@@ -259,7 +258,7 @@
     if (peers != null) {
       peers.close();
     }
-    on.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
+    reactor.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     worker.shutdown();
     try {
       worker.awaitTermination(REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
--- a/src/main/java/pumicekeel/delivery/control/ControlState.java
+++ b/src/main/java/pumicekeel/delivery/control/ControlState.java
@@ -16,7 +16,7 @@
   /** A part is sent in one go: small against the memory for all of them, large against the cost of a call. */
   static final int PART_BYTES = 256 << 10;
   /** Beyond this a delta costs as much as a snapshot, which is bounded and goes on where it broke off. */
-  private static final long MOST_DELTA_CHARS = 512 << 10;
+  private static final long MAX_DELTA_CHARS = 512 << 10;
 
   private final ConfigurationHistory history = new ConfigurationHistory();
   private final ReplicaRegistry replicas = new ReplicaRegistry();
@@ -30,11 +30,11 @@
     return history.current();
   }
 
-  Collection<ReplicaRegistry.Heard> replicas() {
+  Collection<ReplicaRegistry.ReceivedReport> replicas() {
     return replicas.all();
   }
 
-  int snapshotsUnderWay() {
+  int snapshotsInProgress() {
     return slots.used();
   }
 
@@ -45,7 +45,7 @@
 
   /** The reply to a call, or null where there is nothing newer and the call waits. */
   Reply answer(ConfigurationRequest request, long now) {
-    replicas.heard(request.replica(), now);
+    replicas.record(request.replica(), now);
     ConfigurationVersion current = history.current();
     if (request.known().isNewerThan(current)) {
       return new Reply.Failed("the control machine is behind, at version " + current);
@@ -54,12 +54,12 @@
       return null;
     }
     ConfigurationDelta delta = history.deltaFrom(request.held());
-    return delta != null && charsOf(delta) <= MOST_DELTA_CHARS
+    return delta != null && sizeOf(delta) <= MAX_DELTA_CHARS
         ? new Reply.Delta(delta)
         : firstPart(request, now);
   }
 
-  private static long charsOf(ConfigurationDelta delta) {
+  private static long sizeOf(ConfigurationDelta delta) {
     return delta.upserted().stream()
             .mapToLong(u -> u.key().length() + u.text().length())
             .sum()
@@ -68,7 +68,7 @@
 
   private Reply firstPart(ConfigurationRequest request, long now) {
     String name = request.replica().name();
-    return slots.use(name, now)
+    return slots.acquire(name, now)
         ? part(name, history.snapshotFor(request.known(), now), 0)
         : new Reply.Busy(slots.retryAfterNanos());
   }
@@ -79,7 +79,7 @@
     if (snapshot == null || request.offset() < 0 || request.offset() >= snapshot.text().length) {
       return new Reply.Gone();
     }
-    return slots.use(request.replica(), now)
+    return slots.acquire(request.replica(), now)
         ? part(request.replica(), snapshot, (int) request.offset())
         : new Reply.Busy(slots.retryAfterNanos());
   }
--- a/src/main/java/pumicekeel/delivery/control/ReplicaRegistry.java
+++ b/src/main/java/pumicekeel/delivery/control/ReplicaRegistry.java
@@ -10,27 +10,27 @@
 final class ReplicaRegistry {
 
   /** Far above any known fleet. */
-  static final int MOST = 4_000;
+  static final int MAX_REPLICAS = 4_000;
 
   /** A report and when it came, in nanoseconds of the machine's clock. */
-  record Heard(ReplicaReport report, long at) {}
+  record ReceivedReport(ReplicaReport report, long at) {}
 
-  private final Map<String, Heard> replicas = new LinkedHashMap<>();
+  private final Map<String, ReceivedReport> replicas = new LinkedHashMap<>();
 
   /** Notes a report; a caller without a name is no replica. */
-  void heard(ReplicaReport report, long now) {
+  void record(ReplicaReport report, long now) {
     if (report.name().isEmpty()) {
       return;
     }
     replicas.remove(report.name());
-    replicas.put(report.name(), new Heard(report, now));
-    if (replicas.size() > MOST) {
+    replicas.put(report.name(), new ReceivedReport(report, now));
+    if (replicas.size() > MAX_REPLICAS) {
       replicas.remove(replicas.keySet().iterator().next());
     }
   }
 
   /** All, by name. */
-  Collection<Heard> all() {
+  Collection<ReceivedReport> all() {
     return new TreeMap<>(replicas).values();
   }
 }
--- a/src/main/java/pumicekeel/delivery/control/SnapshotSlots.java
+++ b/src/main/java/pumicekeel/delivery/control/SnapshotSlots.java
@@ -9,11 +9,11 @@
 final class SnapshotSlots {
 
   /** With parts of 256 KiB some 4 MiB are on their way at once, whoever asks. */
-  static final int MOST = 16;
+  static final int MAX_SLOTS = 16;
   /** A subscriber that is gone keeps its slot for this long. */
   private static final long LEASE_NANOS = TimeUnit.SECONDS.toNanos(5);
   /** Those turned away come back spread over this time, in whole seconds as the protocol has them. */
-  private static final int MOST_RETRY_SECONDS = 4;
+  private static final int MAX_RETRY_SECONDS = 4;
 
   private final Map<String, Long> leases = new HashMap<>();
   private final SplittableRandom random;
@@ -23,9 +23,9 @@
   }
 
   /** Takes a slot or goes on using the one that this subscriber has; false where all are taken. */
-  boolean use(String replica, long now) {
+  boolean acquire(String replica, long now) {
     leases.values().removeIf(until -> until <= now);
-    if (leases.size() >= MOST && !leases.containsKey(replica)) {
+    if (leases.size() >= MAX_SLOTS && !leases.containsKey(replica)) {
       return false;
     }
     leases.put(replica, now + LEASE_NANOS);
@@ -38,7 +38,7 @@
 
   /** When one that was turned away may come back. */
   long retryAfterNanos() {
-    return TimeUnit.SECONDS.toNanos(1 + random.nextInt(MOST_RETRY_SECONDS));
+    return TimeUnit.SECONDS.toNanos(1 + random.nextInt(MAX_RETRY_SECONDS));
   }
 
   int used() {
--- a/src/main/java/pumicekeel/delivery/control/StatusJson.java
+++ b/src/main/java/pumicekeel/delivery/control/StatusJson.java
@@ -38,32 +38,35 @@
    * versions and is null where the one in force is of another epoch.
    */
   static byte[] of(
-      ConfigurationVersion current, Collection<ReplicaRegistry.Heard> replicas, long now) {
+      ConfigurationVersion current, Collection<ReplicaRegistry.ReceivedReport> replicas, long now) {
     return object(out -> {
       out.writeStringField("version", current.text());
       out.writeArrayFieldStart("replicas");
-      for (ReplicaRegistry.Heard heard : replicas) {
-        write(out, heard, current, now);
+      for (ReplicaRegistry.ReceivedReport received : replicas) {
+        write(out, received, current, now);
       }
       out.writeEndArray();
     });
   }
 
   private static void write(
-      JsonGenerator out, ReplicaRegistry.Heard heard, ConfigurationVersion current, long now)
+      JsonGenerator out,
+      ReplicaRegistry.ReceivedReport received,
+      ConfigurationVersion current,
+      long now)
       throws IOException {
-    ConfigurationVersion inForce = heard.report().inForce();
+    ConfigurationVersion inForce = received.report().inForce();
     out.writeStartObject();
-    out.writeStringField("name", heard.report().name());
+    out.writeStringField("name", received.report().name());
     out.writeStringField("in-force", inForce.text());
-    out.writeStringField("refused", heard.report().refused().text());
+    out.writeStringField("refused", received.report().refused().text());
     if (inForce.epoch() == current.epoch()) {
       out.writeNumberField("behind", current.sequence() - inForce.sequence());
     } else {
       out.writeNullField("behind");
     }
-    out.writeStringField("trouble", heard.report().trouble());
-    out.writeNumberField("heard-ms-ago", TimeUnit.NANOSECONDS.toMillis(now - heard.at()));
+    out.writeStringField("trouble", received.report().trouble());
+    out.writeNumberField("heard-ms-ago", TimeUnit.NANOSECONDS.toMillis(now - received.at()));
     out.writeEndObject();
   }
 
--- a/src/main/java/pumicekeel/delivery/control/UploadLimit.java
+++ b/src/main/java/pumicekeel/delivery/control/UploadLimit.java
@@ -14,7 +14,7 @@
 final class UploadLimit extends ChannelInboundHandlerAdapter {
 
   /** There is one writer; a second one and a repeated call do no harm. */
-  private static final int MOST_UPLOADS = 4;
+  private static final int MAX_UPLOADS = 4;
 
   /** Uploads of one server that are under way; only on its loop. */
   static final class Count {
@@ -23,7 +23,7 @@
 
   private final Count count;
   private boolean counted;
-  private boolean refused;
+  private boolean rejected;
 
   UploadLimit(Count count) {
     this.count = count;
@@ -31,28 +31,28 @@
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-    if (message instanceof HttpRequest request && !refused) {
+    if (message instanceof HttpRequest request && !rejected) {
       boolean hasBody =
           HttpUtil.isTransferEncodingChunked(request) || HttpUtil.getContentLength(request, 0L) > 0;
-      boolean tooLarge = HttpUtil.getContentLength(request, 0L) > ControlServer.MOST_BODY_BYTES;
+      boolean tooLarge = HttpUtil.getContentLength(request, 0L) > ControlServer.MAX_BODY_BYTES;
       if (tooLarge || hasBody && !request.method().equals(HttpMethod.POST)) {
-        refuse(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-      } else if (hasBody && count.open >= MOST_UPLOADS) {
-        refuse(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE);
+        reject(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+      } else if (hasBody && count.open >= MAX_UPLOADS) {
+        reject(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE);
       } else if (hasBody) {
         counted = true;
         count.open++;
       }
     }
-    if (refused) {
+    if (rejected) {
       ReferenceCountUtil.release(message);
     } else {
       super.channelRead(ctx, message);
     }
   }
 
-  private void refuse(ChannelHandlerContext ctx, HttpResponseStatus status) {
-    refused = true;
+  private void reject(ChannelHandlerContext ctx, HttpResponseStatus status) {
+    rejected = true;
     ctx.writeAndFlush(ReplyFormat.response(status, new byte[0]))
         .addListener(ChannelFutureListener.CLOSE);
   }
--- a/src/main/java/pumicekeel/delivery/control/VersionKeeper.java
+++ b/src/main/java/pumicekeel/delivery/control/VersionKeeper.java
@@ -13,7 +13,7 @@
 import pumicekeel.delivery.ConfigurationVersion;
 import pumicekeel.delivery.StoredConfiguration;
 import pumicekeel.delivery.VersionAcceptance;
-import pumicekeel.delivery.client.VersionTaker;
+import pumicekeel.delivery.client.VersionApplier;
 import pumicekeel.delivery.control.PublishResult.Kind;
 import pumicekeel.delivery.wire.DeliveryPaths.Publication;
 
@@ -21,9 +21,9 @@
  * Decides what a control machine keeps: versions that a writer publishes and versions that peers have already. All on one thread, which
  * may block, so that two never decide at once. A version is handed on only after the store has it.
  */
-final class VersionKeeper implements VersionTaker {
+final class VersionKeeper implements VersionApplier {
 
-  private static final int MOST_LINES = 50;
+  private static final int MAX_LINES = 50;
 
   /** Hears of each version once it is kept. */
   @FunctionalInterface
@@ -74,7 +74,7 @@
     String published = decode(body);
     List<String> faults = published == null ? List.of("expected UTF-8") : check.faults(published);
     if (!faults.isEmpty()) {
-      return result(Kind.FAULTY, faults.subList(0, Math.min(MOST_LINES, faults.size())));
+      return result(Kind.FAULTY, faults.subList(0, Math.min(MAX_LINES, faults.size())));
     }
     return publication.dryRun() ? result(Kind.WOULD_BE_KEPT, List.of()) : keep(version, published);
   }
@@ -108,7 +108,7 @@
 
   /** A version that a peer has: it was checked there, and by a newer build maybe, so only its order and its hash count. */
   @Override
-  public Outcome take(Candidate candidate) {
+  public Outcome apply(Candidate candidate) {
     if (!candidate.version().isNewerThan(current)) {
       return new Postponed("version " + current + " is kept already");
     }
@@ -117,7 +117,7 @@
       store.save(new StoredConfiguration(candidate.version(), unixMillis.getAsLong(), whole));
       advance(candidate.version(), whole);
       return new InForce();
-    } catch (ConfigurationDelta.Refused e) {
+    } catch (ConfigurationDelta.NotApplicableException e) {
       return new Damaged(e.getMessage());
     } catch (IOException e) {
       return new Postponed("the version could not be stored: " + e);
--- a/src/main/java/pumicekeel/delivery/control/WaitingCalls.java
+++ b/src/main/java/pumicekeel/delivery/control/WaitingCalls.java
@@ -15,9 +15,9 @@
 final class WaitingCalls {
 
   /** Far above any known fleet; each costs a connection. */
-  static final int MOST = 2_000;
+  static final int MAX_CALLS = 2_000;
   /** A caller that wants to wait longer has to call again. */
-  private static final long MOST_WAIT_MILLIS = 30_000;
+  private static final long MAX_WAIT_MILLIS = 30_000;
 
   private record Waiting(ConfigurationRequest request, ScheduledFuture<?> end) {}
 
@@ -29,18 +29,18 @@
   }
 
   boolean isFull() {
-    return calls.size() >= MOST;
+    return calls.size() >= MAX_CALLS;
   }
 
   void add(Channel channel, ConfigurationRequest request) {
-    long wait = Math.max(0, Math.min(MOST_WAIT_MILLIS, request.waitMillis()));
+    long wait = Math.max(0, Math.min(MAX_WAIT_MILLIS, request.waitMillis()));
     ScheduledFuture<?> end =
-        channel.eventLoop().schedule(() -> timeIsUp(channel), wait, TimeUnit.MILLISECONDS);
+        channel.eventLoop().schedule(() -> expire(channel), wait, TimeUnit.MILLISECONDS);
     calls.put(channel, new Waiting(request, end));
     channel.closeFuture().addListener(closed -> remove(channel));
   }
 
-  private void timeIsUp(Channel channel) {
+  private void expire(Channel channel) {
     if (remove(channel) != null) {
       answer.accept(channel, new Reply.Unchanged());
     }
@@ -55,12 +55,12 @@
   }
 
   /** Ends all waits: each call is to be answered anew. */
-  void release(BiConsumer<Channel, ConfigurationRequest> again) {
+  void release(BiConsumer<Channel, ConfigurationRequest> handler) {
     List<Channel> channels = new ArrayList<>(calls.keySet());
     for (Channel channel : channels) {
       Waiting call = remove(channel);
       if (call != null) {
-        again.accept(channel, call.request());
+        handler.accept(channel, call.request());
       }
     }
   }
--- a/src/main/java/pumicekeel/delivery/wire/DeliveryPaths.java
+++ b/src/main/java/pumicekeel/delivery/wire/DeliveryPaths.java
@@ -16,7 +16,7 @@
   public static final String REPLICAS = "/v1/replicas";
 
   /** Longer than any call is; a control machine reads no longer request line. */
-  public static final int MOST_TARGET_BYTES = 4 << 10;
+  public static final int MAX_TARGET_BYTES = 4 << 10;
 
   private static final String NONE = ConfigurationVersion.NONE.text();
 
--- a/src/main/java/pumicekeel/delivery/wire/ReplyFormat.java
+++ b/src/main/java/pumicekeel/delivery/wire/ReplyFormat.java
@@ -32,7 +32,7 @@
   /** A response that turns away without saying until when. */
   private static final long DEFAULT_RETRY_SECONDS = 1;
 
-  private static final int MOST_REASON_CHARS = 300;
+  private static final int MAX_REASON_CHARS = 300;
 
   private ReplyFormat() {}
 
@@ -116,7 +116,7 @@
 
   private static String reason(int status, byte[] body) {
     String text = new String(body, StandardCharsets.UTF_8);
-    String shown = text.substring(0, Math.min(MOST_REASON_CHARS, text.length()));
+    String shown = text.substring(0, Math.min(MAX_REASON_CHARS, text.length()));
     return "answer " + status + (shown.isEmpty() ? "" : ": " + shown);
   }
 
--- a/src/main/java/pumicekeel/node/DeliveredConfiguration.java
+++ b/src/main/java/pumicekeel/node/DeliveredConfiguration.java
@@ -14,7 +14,7 @@
 import pumicekeel.delivery.FileConfigurationStore;
 import pumicekeel.delivery.StoredConfiguration;
 import pumicekeel.delivery.client.ConfigurationSubscriber;
-import pumicekeel.delivery.client.VersionTaker;
+import pumicekeel.delivery.client.VersionApplier;
 import pumicekeel.runtime.Log;
 import pumicekeel.runtime.Reactor;
 
@@ -23,7 +23,7 @@
  * on disk and used at the next start, whether or not a control machine answers; until the first delivery the operator file is in force.
  * Texts are checked on the thread {@code reload}, like the operator file.
  */
-final class DeliveredConfiguration implements VersionTaker {
+final class DeliveredConfiguration implements VersionApplier {
 
   /** Limit on the faults reported to the control machines and in the log; {@code check} shows all. */
   private static final int MAX_SHOWN_FAULTS = 3;
@@ -66,7 +66,7 @@
         text = stored.text();
         inForce = stored.version();
         Duration age =
-            Duration.ofMillis(Math.max(0, System.currentTimeMillis() - stored.takenAtMillis()));
+            Duration.ofMillis(Math.max(0, System.currentTimeMillis() - stored.storedAtMillis()));
         Log.line("configuration: version " + inForce + ", taken " + age.toSeconds()
             + " s ago, is in force until the control machines deliver a newer one");
         return;
@@ -125,11 +125,11 @@
   }
 
   @Override
-  public Outcome take(Candidate candidate) {
+  public Outcome apply(Candidate candidate) {
     String next;
     try {
       next = candidate.text(text);
-    } catch (ConfigurationDelta.Refused e) {
+    } catch (ConfigurationDelta.NotApplicableException e) {
       return new Damaged(e.getMessage());
     }
     DeliveredOperator.Result result = DeliveredOperator.read(next, local);
--- a/src/main/java/pumicekeel/rig/scale/HollowSubscriber.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowSubscriber.java
@@ -10,7 +10,7 @@
 import pumicekeel.delivery.ConfigurationDelta;
 import pumicekeel.delivery.ConfigurationVersion;
 import pumicekeel.delivery.client.ConfigurationSubscriber;
-import pumicekeel.delivery.client.VersionTaker;
+import pumicekeel.delivery.client.VersionApplier;
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.Reactor;
 import pumicekeel.runtime.Sockets;
@@ -29,7 +29,7 @@
     private final Map<ConfigurationVersion, String> byVersion = new ConcurrentHashMap<>();
 
     private String of(Candidate candidate, ConfigurationVersion held)
-        throws ConfigurationDelta.Refused {
+        throws ConfigurationDelta.NotApplicableException {
       synchronized (this) {
         String known = byVersion.get(candidate.version());
         if (known == null) {
@@ -67,15 +67,15 @@
         this::take);
   }
 
-  private VersionTaker.Outcome take(Candidate candidate) {
+  private VersionApplier.Outcome take(Candidate candidate) {
     try {
       texts.of(candidate, held);
-    } catch (ConfigurationDelta.Refused e) {
-      return new VersionTaker.Damaged(e.getMessage());
+    } catch (ConfigurationDelta.NotApplicableException e) {
+      return new VersionApplier.Damaged(e.getMessage());
     }
     heldAt = System.nanoTime();
     held = candidate.version();
-    return new VersionTaker.InForce();
+    return new VersionApplier.InForce();
   }
 
   void start() {
--- a/src/test/java/pumicekeel/delivery/ConfigurationDocumentTest.java
+++ b/src/test/java/pumicekeel/delivery/ConfigurationDocumentTest.java
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void anyTextIsItsEntriesInARow() {
+  void entriesOfAnyTextConcatenateToIt() {
     long seed = 20261;
     System.out.println("seed " + seed);
     Random random = new Random(seed);
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void oneChangeIsOneEntryAndAMoveIsOne() {
+  void singleChangeOrMoveIsOneEntry() {
     String a = "[a]\nx = 1\n";
     String b = "[b]\nx = 1\n";
     String c = "[c]\nx = 1\n";
@@ -115,10 +115,10 @@
     String base = "[a]\nx = 1\n[b]\nx = 1\n";
     ConfigurationDelta delta = delta(base, base + "[c]\nx = 1\n");
     ConfigurationDocument other = ConfigurationDocument.parse("[a]\nx = 9\n[b]\nx = 1\n");
-    assertThrows(ConfigurationDelta.Refused.class, () -> other.apply(delta));
+    assertThrows(ConfigurationDelta.NotApplicableException.class, () -> other.apply(delta));
     ConfigurationDocument without = ConfigurationDocument.parse("[a]\nx = 1\n");
-    assertThrows(ConfigurationDelta.Refused.class, () -> without.apply(delta));
-    ConfigurationDelta circle = new ConfigurationDelta(
+    assertThrows(ConfigurationDelta.NotApplicableException.class, () -> without.apply(delta));
+    ConfigurationDelta cycle = new ConfigurationDelta(
         delta.base(),
         delta.target(),
         List.of(),
@@ -126,7 +126,7 @@
             new ConfigurationDelta.Upsert("[y]", "[x]", "x"),
             new ConfigurationDelta.Upsert("[x]", "[y]", "y")));
     ConfigurationDocument document = ConfigurationDocument.parse(base);
-    assertThrows(ConfigurationDelta.Refused.class, () -> document.apply(circle));
+    assertThrows(ConfigurationDelta.NotApplicableException.class, () -> document.apply(cycle));
   }
 
   /** Twice the entries take twice the steps: at the largest known size this has to end within a test's time. */
--- a/src/test/java/pumicekeel/delivery/FileConfigurationStoreTest.java
+++ b/src/test/java/pumicekeel/delivery/FileConfigurationStoreTest.java
@@ -63,7 +63,7 @@
 
   /** A file that is cut at any byte, or has any one bit flipped, is told of and the version before it is there. */
   @Test
-  void tornOrFlippedFileIsPutAsideAndTheVersionBeforeItIsUsed() throws IOException {
+  void damagedFileIsSetAsideAndThePreviousVersionIsUsed() throws IOException {
     saveThenLoad(1, 2);
     byte[] whole = Files.readAllBytes(fileOf(2));
     for (int i = 0; i < whole.length; i++) {
@@ -82,7 +82,7 @@
 
   /** What can't be read at this moment is there at the next look, and not taken for damaged. */
   @Test
-  void aReadThatFailsForAMomentPutsNoVersionAside() throws IOException {
+  void transientReadFailureSetsNoVersionAside() throws IOException {
     saveThenLoad(1, 2);
     int[] failures = {1};
     FileConfigurationStore.WholeReader once = file -> {
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void fullDiskRefusesTheVersionAndKeepsTheOld() throws IOException {
+  void fullDiskFailsTheSaveAndKeepsThePreviousVersion() throws IOException {
     saveThenLoad(1);
     try (var store =
         FileConfigurationStore.shared(directory, FULL, Files::readAllBytes, lines::add)) {
@@ -113,7 +113,7 @@
 
   /** Instances that share a directory store the same version: one that fails leaves the file of the other whole. */
   @Test
-  void failedSaveOfAVersionThatIsThereLeavesItWhole() throws IOException {
+  void failedSaveOfAStoredVersionLeavesItIntact() throws IOException {
     saveThenLoad(1, 2);
     try (var store =
         FileConfigurationStore.shared(directory, FULL, Files::readAllBytes, lines::add)) {
@@ -124,7 +124,7 @@
 
   /** A process that is killed between writing and renaming leaves a part that counts for nothing. */
   @Test
-  void partOfAFileThatHasNoNameYetIsDropped() throws IOException {
+  void temporaryFileIsDeleted() throws IOException {
     saveThenLoad(1);
     Files.write(directory.resolve("1-2.configuration.partial"), new byte[] {1});
     assertEquals(List.of(configuration(1)), load());
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void directoryIsHeldByOne() throws IOException {
+  void directoryIsLockedByOneProcess() throws IOException {
     try (FileConfigurationStore store = open()) {
       assertTrue(store.load().isEmpty());
       assertTrue(assertThrows(IOException.class, this::open).getMessage().contains("alone"));
--- a/src/test/java/pumicekeel/delivery/SubscriptionTest.java
+++ b/src/test/java/pumicekeel/delivery/SubscriptionTest.java
@@ -9,12 +9,12 @@
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pumicekeel.delivery.Subscription.Ask;
-import pumicekeel.delivery.Subscription.AskPart;
+import pumicekeel.delivery.Subscription.Apply;
+import pumicekeel.delivery.Subscription.FetchPart;
 import pumicekeel.delivery.Subscription.Pending;
-import pumicekeel.delivery.Subscription.Rest;
+import pumicekeel.delivery.Subscription.Poll;
 import pumicekeel.delivery.Subscription.Step;
-import pumicekeel.delivery.Subscription.Take;
+import pumicekeel.delivery.Subscription.Wait;
 
 /** The subscriber's steps, one reply at a time, in made-up time. */
 class SubscriptionTest {
@@ -33,15 +33,15 @@
   /** The next step that is no rest; time passes up to it. */
   private Step step() {
     Step step = subscription.next(now);
-    while (step instanceof Rest rest) {
-      now = Math.max(now, rest.untilNanos());
+    while (step instanceof Wait wait) {
+      now = Math.max(now, wait.untilNanos());
       step = subscription.next(now);
     }
     return step;
   }
 
-  private Ask ask() {
-    return assertInstanceOf(Ask.class, step());
+  private Poll poll() {
+    return assertInstanceOf(Poll.class, step());
   }
 
   private void reply(long call, Reply reply) {
@@ -59,102 +59,102 @@
         new SnapshotPart(version(sequence), from, text.length, Arrays.copyOfRange(text, from, to)));
   }
 
-  private void take(Reply delta) {
-    reply(ask().call(), delta);
-    subscription.taken(assertInstanceOf(Take.class, step()).call(), now);
+  private void apply(Reply delta) {
+    reply(poll().call(), delta);
+    subscription.applied(assertInstanceOf(Apply.class, step()).call(), now);
   }
 
   @Test
-  void machinesAreAskedInTurnAndOneThatAnswersAtOnceNotWithoutEnd() {
-    Ask first = ask();
+  void machinesAreCalledInTurnAndNotMoreOftenThanThePollPeriod() {
+    Poll first = poll();
     long began = now;
     reply(first.call(), new Reply.Unchanged());
-    Ask second = ask();
+    Poll second = poll();
     assertEquals((first.server() + 1) % SERVERS, second.server());
     assertTrue(now - began >= 500_000_000L);
   }
 
   @Test
-  void lateOrDoubledReplyCountsForNothing() {
-    Ask first = ask();
+  void lateOrDuplicateReplyIsIgnored() {
+    Poll first = poll();
     reply(first.call(), new Reply.Failed("silent"));
-    Ask second = ask();
+    Poll second = poll();
     reply(first.call(), delta(5, 6));
     assertInstanceOf(Pending.class, subscription.next(now));
     reply(second.call(), delta(5, 6));
-    Take take = assertInstanceOf(Take.class, step());
+    Apply apply = assertInstanceOf(Apply.class, step());
     reply(second.call(), delta(5, 7));
-    subscription.taken(take.call(), now);
-    subscription.taken(take.call(), now);
+    subscription.applied(apply.call(), now);
+    subscription.applied(apply.call(), now);
     assertEquals(version(6), subscription.held());
   }
 
   @Test
-  void versionsMayBeSkippedAndNeverGoBack() {
-    take(delta(5, 9));
-    reply(ask().call(), delta(9, 8));
-    Ask again = ask();
+  void versionsMayBeSkippedAndNeverDecrease() {
+    apply(delta(5, 9));
+    reply(poll().call(), delta(9, 8));
+    Poll again = poll();
     assertEquals(version(9), again.held());
     reply(again.call(), part(9, 0, 5));
-    assertInstanceOf(Ask.class, step(), "a snapshot of what is held is not begun");
+    assertInstanceOf(Poll.class, step(), "a snapshot of what is held is not begun");
   }
 
   @Test
-  void deltaOnAnotherBaseIsAnsweredByASnapshotInParts() {
-    reply(ask().call(), delta(4, 6));
-    Ask whole = ask();
+  void deltaOnAnotherBaseIsFollowedByASnapshotInParts() {
+    reply(poll().call(), delta(4, 6));
+    Poll whole = poll();
     assertEquals(ConfigurationVersion.NONE, whole.held());
     assertEquals(HELD, whole.known());
     reply(whole.call(), part(6, 0, 10));
-    AskPart next = assertInstanceOf(AskPart.class, step());
+    FetchPart next = assertInstanceOf(FetchPart.class, step());
     assertEquals(10, next.offset());
     reply(next.call(), part(6, 12, 20));
-    AskPart cutOff = assertInstanceOf(AskPart.class, step());
+    FetchPart cutOff = assertInstanceOf(FetchPart.class, step());
     assertEquals(10, cutOff.offset(), "a part that is not the next one changes nothing");
     assertTrue(cutOff.server() != next.server(), "the transfer goes on at another machine");
     reply(cutOff.call(), new Reply.Failed("connection ended"));
-    reply(assertInstanceOf(AskPart.class, step()).call(), part(6, 10, TEXT.length()));
-    Take take = assertInstanceOf(Take.class, step());
+    reply(assertInstanceOf(FetchPart.class, step()).call(), part(6, 10, TEXT.length()));
+    Apply apply = assertInstanceOf(Apply.class, step());
     assertArrayEquals(
         TEXT.getBytes(StandardCharsets.UTF_8),
-        assertInstanceOf(Candidate.Snapshot.class, take.candidate()).bytes());
+        assertInstanceOf(Candidate.Snapshot.class, apply.candidate()).bytes());
   }
 
   @Test
-  void transferWhoseVersionIsGoneStartsAnew() {
-    reply(ask().call(), delta(4, 6));
-    reply(ask().call(), part(6, 0, 10));
-    reply(assertInstanceOf(AskPart.class, step()).call(), new Reply.Gone());
-    assertEquals(ConfigurationVersion.NONE, ask().held());
+  void transferOfARemovedVersionStartsAnew() {
+    reply(poll().call(), delta(4, 6));
+    reply(poll().call(), part(6, 0, 10));
+    reply(assertInstanceOf(FetchPart.class, step()).call(), new Reply.Gone());
+    assertEquals(ConfigurationVersion.NONE, poll().held());
   }
 
   @Test
-  void refusedVersionIsNotAskedForAgainAndANewerOneIsTried() {
-    reply(ask().call(), delta(5, 6));
-    subscription.refused(assertInstanceOf(Take.class, step()).call(), "unknown key", now);
-    Ask next = ask();
+  void refusedVersionIsNotRequestedAgainAndANewerOneIsApplied() {
+    reply(poll().call(), delta(5, 6));
+    subscription.refused(assertInstanceOf(Apply.class, step()).call(), "unknown key", now);
+    Poll next = poll();
     assertEquals(HELD, next.held());
     assertEquals(version(6), next.known());
     assertEquals("unknown key", subscription.trouble());
     reply(next.call(), delta(5, 7));
-    subscription.taken(assertInstanceOf(Take.class, step()).call(), now);
+    subscription.applied(assertInstanceOf(Apply.class, step()).call(), now);
     assertEquals(version(7), subscription.held());
   }
 
   @Test
-  void postponedVersionIsTriedAgainAndADamagedOneIsFetchedWhole() {
-    reply(ask().call(), delta(5, 6));
-    subscription.postponed(assertInstanceOf(Take.class, step()).call(), "drains", now);
-    Ask meanwhile = ask();
+  void postponedVersionIsRetriedAndADamagedOneIsFetchedAsASnapshot() {
+    reply(poll().call(), delta(5, 6));
+    subscription.postponed(assertInstanceOf(Apply.class, step()).call(), "drains", now);
+    Poll meanwhile = poll();
     assertEquals(version(6), meanwhile.known());
     assertEquals("drains", subscription.trouble());
     now += 60_000_000_000L;
     reply(meanwhile.call(), new Reply.Unchanged());
-    Ask again = ask();
+    Poll again = poll();
     assertEquals(HELD, again.known());
     reply(again.call(), delta(5, 6));
-    subscription.damaged(assertInstanceOf(Take.class, step()).call(), "hash", now);
-    assertEquals(ConfigurationVersion.NONE, ask().held());
+    subscription.damaged(assertInstanceOf(Apply.class, step()).call(), "hash", now);
+    assertEquals(ConfigurationVersion.NONE, poll().held());
   }
 
   /** Failures in a row are answered by rests that grow, stay under the bound and differ by seed. */
@@ -167,10 +167,10 @@
       subscription = new Subscription(SERVERS, HELD, seed, 0);
       now = 0;
       for (int i = 0; i < 8; i++) {
-        reply(ask().call(), new Reply.Failed("refused"));
+        reply(poll().call(), new Reply.Failed("refused"));
       }
-      Rest rest = assertInstanceOf(Rest.class, subscription.next(now));
-      times[seed] = rest.untilNanos() - now;
+      Wait wait = assertInstanceOf(Wait.class, subscription.next(now));
+      times[seed] = wait.untilNanos() - now;
     }
     Arrays.sort(times);
     assertTrue(times[seeds - 1] <= 4_000_000_000L);
--- a/src/test/java/pumicekeel/delivery/control/ControlServerTest.java
+++ b/src/test/java/pumicekeel/delivery/control/ControlServerTest.java
@@ -27,13 +27,13 @@
 import pumicekeel.delivery.ConfigurationVersion;
 import pumicekeel.delivery.client.ConfigurationSubscriber;
 import pumicekeel.delivery.client.ControlApi;
-import pumicekeel.delivery.client.VersionTaker;
+import pumicekeel.delivery.client.VersionApplier;
 import pumicekeel.runtime.Reactor;
 
 /** Control machines and subscribers over loopback. */
 class ControlServerTest {
 
-  private static final long GENEROUS_SECONDS = 30;
+  private static final long TIMEOUT_SECONDS = 30;
   private static final String TEXT = "[pools.a]\nx = 1\n";
 
   @TempDir
@@ -74,7 +74,7 @@
   }
 
   /** A subscriber whose texts can be waited for. */
-  private final class Subscriber implements Closeable, VersionTaker {
+  private final class Subscriber implements Closeable, VersionApplier {
     private final BlockingQueue<String> texts = new LinkedBlockingQueue<>();
     private final Reactor on = Reactor.start();
     private final ExecutorService worker = Executors.newSingleThreadExecutor();
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public Outcome take(Candidate candidate) {
+    public Outcome apply(Candidate candidate) {
       try {
         String text = candidate.text(held);
         if (text.contains("too much")) {
@@ -100,13 +100,13 @@
         held = text;
         texts.add(held);
         return new InForce();
-      } catch (ConfigurationDelta.Refused e) {
+      } catch (ConfigurationDelta.NotApplicableException e) {
         return new Damaged(e.getMessage());
       }
     }
 
     private void awaitText(String expected) throws InterruptedException {
-      String text = texts.poll(GENEROUS_SECONDS, TimeUnit.SECONDS);
+      String text = texts.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       assertTrue(
           expected.equals(text), text == null ? "no text came" : text.length() + " characters");
     }
@@ -132,7 +132,7 @@
   }
 
   @Test
-  void refusalsSayWhyAndChangeNothing() throws Exception {
+  void refusalsHaveAReasonAndChangeNothing() throws Exception {
     ControlServer machine = machine("c0");
     ControlApi api = new ControlApi(machine.address());
     assertNull(api.fetch());
@@ -146,7 +146,7 @@
 
   /** One of three is away, comes back under its old state and has what it missed from the others. */
   @Test
-  void machineThatWasAwayCatchesUpWithItsPeersAndKeepsItOverARestart() throws Exception {
+  void machineThatWasDownCatchesUpWithItsPeersAndKeepsTheVersionOverARestart() throws Exception {
     ControlServer first = machine("c0");
     publish(first, 1, TEXT);
     publish(first, 2, TEXT + "[pools.b]\n");
@@ -162,7 +162,7 @@
   private static void awaitVersion(ControlServer machine, ConfigurationVersion version)
       throws Exception {
     ControlApi api = new ControlApi(machine.address());
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GENEROUS_SECONDS);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     while (!api.status().current().equals(version) && System.nanoTime() < end) {
       Thread.sleep(5);
     }
@@ -170,12 +170,12 @@
   }
 
   @Test
-  void statusSaysWhoHasWhat() throws Exception {
+  void statusListsTheVersionOfEachReplica() throws Exception {
     ControlServer machine = machine("c0");
     publish(machine, 1, TEXT);
     new Subscriber("n0", machine).awaitText(TEXT);
     ControlApi api = new ControlApi(machine.address());
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GENEROUS_SECONDS);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     ControlApi.Replica replica = api.status().replicas().get(0);
     while (!Long.valueOf(0).equals(replica.behind()) && System.nanoTime() < end) {
       replica = api.status().replicas().get(0);
@@ -186,7 +186,7 @@
 
   /** A text on which the taker ends with an error is tried again later; the subscription goes on. */
   @Test
-  void errorOfTheTakerEndsNoSubscription() throws Exception {
+  void errorWhileApplyingDoesNotEndTheSubscription() throws Exception {
     ControlServer machine = machine("c0");
     publish(machine, 1, TEXT);
     Subscriber subscriber = new Subscriber("n0", machine);
@@ -194,7 +194,7 @@
     ConfigurationVersion heavy = ConfigurationVersion.of(1, 2, TEXT + "# too much\n");
     publish(machine, 2, TEXT + "# too much\n");
     ControlApi api = new ControlApi(machine.address());
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GENEROUS_SECONDS);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     while (!api.status().replicas().get(0).report().refused().equals(heavy)
         && System.nanoTime() < end) {
       Thread.sleep(5);
@@ -207,7 +207,7 @@
   private static String statusLine(ControlServer machine, String request) throws IOException {
     try (Socket socket =
         new Socket(machine.address().getAddress(), machine.address().getPort())) {
-      socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(GENEROUS_SECONDS));
+      socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
       socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
       String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
       return answer.isEmpty() ? "" : answer.substring(9, 12);
@@ -215,7 +215,7 @@
   }
 
   @Test
-  void badCallsAreRefusedAndTheNextIsAnswered() throws Exception {
+  void invalidCallsAreRejectedAndTheNextIsAnswered() throws Exception {
     ControlServer machine = machine("c0");
     String end = " HTTP/1.1\r\nHost: h\r\n\r\n";
     assertEquals("404", statusLine(machine, "GET /other" + end));
--- a/src/test/java/pumicekeel/delivery/control/SnapshotSlotsTest.java
+++ b/src/test/java/pumicekeel/delivery/control/SnapshotSlotsTest.java
@@ -17,21 +17,21 @@
   private final SnapshotSlots slots = new SnapshotSlots(5);
 
   @Test
-  void slotIsFreeOnceItsTransferHasEndedOrIsNotHeardOf() {
-    for (int i = 0; i < SnapshotSlots.MOST; i++) {
-      assertTrue(slots.use("n" + i, 0));
+  void slotIsReleasedByTheEndOrTheSilenceOfItsTransfer() {
+    for (int i = 0; i < SnapshotSlots.MAX_SLOTS; i++) {
+      assertTrue(slots.acquire("n" + i, 0));
     }
-    assertFalse(slots.use("late", 0));
-    assertTrue(slots.use("n0", 4 * SECOND), "one that is under way goes on");
+    assertFalse(slots.acquire("late", 0));
+    assertTrue(slots.acquire("n0", 4 * SECOND), "one that is under way goes on");
     slots.release("n1");
-    assertTrue(slots.use("late", 4 * SECOND));
-    assertFalse(slots.use("later", 4 * SECOND));
-    assertTrue(slots.use("later", 6 * SECOND), "the others have not been heard of for 6 s");
+    assertTrue(slots.acquire("late", 4 * SECOND));
+    assertFalse(slots.acquire("later", 4 * SECOND));
+    assertTrue(slots.acquire("later", 6 * SECOND), "the others have not been heard of for 6 s");
     assertEquals(3, slots.used());
   }
 
   @Test
-  void thoseTurnedAwayComeBackAtDifferentSeconds() {
+  void retryTimesOfRejectedTransfersAreSpread() {
     Set<Long> seconds = IntStream.range(0, 200)
         .mapToObj(i -> slots.retryAfterNanos() / SECOND)
         .collect(Collectors.toSet());
--- a/src/test/java/pumicekeel/delivery/control/VersionKeeperTest.java
+++ b/src/test/java/pumicekeel/delivery/control/VersionKeeperTest.java
@@ -12,7 +12,7 @@
 import pumicekeel.delivery.ConfigurationStore;
 import pumicekeel.delivery.ConfigurationVersion;
 import pumicekeel.delivery.StoredConfiguration;
-import pumicekeel.delivery.client.VersionTaker;
+import pumicekeel.delivery.client.VersionApplier;
 import pumicekeel.delivery.control.PublishResult.Kind;
 import pumicekeel.delivery.wire.DeliveryPaths.Publication;
 
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void ofTwoWritersTheOneOfTheOlderEpochIsRefused() {
+  void writerOfTheOlderEpochIsRefused() {
     assertEquals(Kind.KEPT, publish(1, 1, "a"));
     assertEquals(Kind.KEPT, publish(2, 1, "b"));
     assertEquals(Kind.OUT_OF_ORDER, publish(1, 2, "c"));
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void whatIsNotStoredIsNotHandedOnAndMayBePublishedAgain() throws IOException {
+  void versionThatIsNotStoredIsNotAnnouncedAndMayBePublishedAgain() throws IOException {
     publish(1, 1, "a");
     store.full = true;
     assertEquals(Kind.NOT_STORED, publish(1, 2, "b"));
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void faultyTextAndTextOfAnotherVersionAreRefusedWhole() {
+  void faultyTextAndTextOfAnotherVersionAreRefused() {
     assertEquals(Kind.FAULTY, publish(1, 1, "bad = 1"));
     byte[] other = "x".getBytes(StandardCharsets.UTF_8);
     Publication cut = new Publication(ConfigurationVersion.of(1, 1, "xy"), false);
@@ -98,14 +98,14 @@
   }
 
   @Test
-  void versionsOfPeersAreTakenForwardOnlyAndWhole() {
+  void versionsOfPeersAreAppliedOnlyIfNewerAndIntact() {
     publish(1, 1, "a");
     ConfigurationVersion four = ConfigurationVersion.of(1, 4, "d");
     Candidate whole = new Candidate.Snapshot(four, "d".getBytes(StandardCharsets.UTF_8));
     Candidate cut = new Candidate.Snapshot(four, new byte[0]);
-    assertInstanceOf(VersionTaker.Damaged.class, keeper.take(cut));
-    assertInstanceOf(VersionTaker.InForce.class, keeper.take(whole));
-    assertInstanceOf(VersionTaker.Postponed.class, keeper.take(whole));
+    assertInstanceOf(VersionApplier.Damaged.class, keeper.apply(cut));
+    assertInstanceOf(VersionApplier.InForce.class, keeper.apply(whole));
+    assertInstanceOf(VersionApplier.Postponed.class, keeper.apply(whole));
     assertEquals(four, kept.get(1));
   }
 }
--- a/src/test/java/pumicekeel/delivery/control/VirtualFleet.java
+++ b/src/test/java/pumicekeel/delivery/control/VirtualFleet.java
@@ -19,7 +19,7 @@
 final class VirtualFleet {
 
   static final long MS = 1_000_000L;
-  private static final long TIMEOUT = 5_500 * MS;
+  private static final long TIMEOUT_NANOS = 5_500 * MS;
 
   /** A control machine that may be down. */
   final class Machine {
@@ -27,7 +27,7 @@
     final TreeMap<Long, Integer> callsByTenth = new TreeMap<>();
     final List<Runnable> waiting = new ArrayList<>();
     boolean up = true;
-    int mostSnapshots;
+    int maxSnapshots;
 
     void advance(ConfigurationVersion version, String text) {
       state.advance(version, ConfigurationDocument.parse(text));
@@ -45,7 +45,7 @@
           : request instanceof PartRequest part
               ? state.answer(part, now)
               : state.answer((ConfigurationRequest) request, now);
-      mostSnapshots = Math.max(mostSnapshots, state.snapshotsUnderWay());
+      maxSnapshots = Math.max(maxSnapshots, state.snapshotsInProgress());
       if (reply != null) {
         send(from, call, reply);
         return;
@@ -64,11 +64,11 @@
   final class Replica {
     final String name;
     final Subscription subscription;
-    final List<ConfigurationVersion> taken = new ArrayList<>();
+    final List<ConfigurationVersion> applied = new ArrayList<>();
     String text;
-    long lastTakenAt;
+    long lastAppliedAt;
     int parts;
-    boolean understandsAll = true;
+    boolean supportsAllKeys = true;
 
     private Replica(String name, ConfigurationVersion held, String text) {
       this.name = name;
@@ -79,25 +79,25 @@
 
     private void run() {
       Subscription.Step step = subscription.next(now);
-      if (step instanceof Subscription.Rest rest) {
-        at(rest.untilNanos(), this::run);
-      } else if (step instanceof Subscription.Ask ask) {
+      if (step instanceof Subscription.Wait wait) {
+        at(wait.untilNanos(), this::run);
+      } else if (step instanceof Subscription.Poll next) {
         ReplicaReport report = new ReplicaReport(
             name, subscription.held(), subscription.refused(), subscription.trouble());
         Object request =
-            new ConfigurationRequest(report, ask.held(), ask.known(), ask.waitMillis());
-        call(ask.server(), request, ask.call());
-      } else if (step instanceof Subscription.AskPart ask) {
+            new ConfigurationRequest(report, next.held(), next.known(), next.waitMillis());
+        call(next.server(), request, next.call());
+      } else if (step instanceof Subscription.FetchPart next) {
         parts++;
-        call(ask.server(), new PartRequest(name, ask.version(), ask.offset()), ask.call());
-      } else if (step instanceof Subscription.Take take) {
-        at(now + 20 * MS, () -> take(take.call(), take.candidate()));
+        call(next.server(), new PartRequest(name, next.version(), next.offset()), next.call());
+      } else if (step instanceof Subscription.Apply apply) {
+        at(now + 20 * MS, () -> apply(apply.call(), apply.candidate()));
       }
     }
 
     private void call(int server, Object request, long call) {
       at(now + latency(), () -> machines.get(server).call(this, request, call, false));
-      at(now + TIMEOUT, () -> replied(call, new Reply.Failed("silent")));
+      at(now + TIMEOUT_NANOS, () -> replied(call, new Reply.Failed("silent")));
     }
 
     private void replied(long call, Reply reply) {
@@ -105,18 +105,18 @@
       run();
     }
 
-    private void take(long call, Candidate candidate) {
+    private void apply(long call, Candidate candidate) {
       try {
         String next = candidate.text(text);
-        if (!understandsAll && next.contains("unknown-key")) {
+        if (!supportsAllKeys && next.contains("unknown-key")) {
           subscription.refused(call, "unknown-key: expected a known key", now);
         } else {
           text = next;
-          taken.add(candidate.version());
-          lastTakenAt = now;
-          subscription.taken(call, now);
+          applied.add(candidate.version());
+          lastAppliedAt = now;
+          subscription.applied(call, now);
         }
-      } catch (ConfigurationDelta.Refused e) {
+      } catch (ConfigurationDelta.NotApplicableException e) {
         subscription.damaged(call, e.getMessage(), now);
       }
       run();
@@ -132,10 +132,10 @@
       java.util.Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
   long now = 1_000 * MS;
   /** Parts of a hundred. */
-  int lost;
+  int lostPercent;
 
-  int doubled;
-  long mostLatency = 10 * MS;
+  int duplicatedPercent;
+  long maxLatencyNanos = 10 * MS;
   private long order;
 
   VirtualFleet(int machineCount, long seed) {
@@ -175,15 +175,15 @@
   }
 
   private void send(Replica to, long call, Reply reply) {
-    if (random.nextInt(100) >= lost) {
+    if (random.nextInt(100) >= lostPercent) {
       at(now + latency(), () -> to.replied(call, reply));
     }
-    if (random.nextInt(100) < doubled) {
+    if (random.nextInt(100) < duplicatedPercent) {
       at(now + 100 * latency(), () -> to.replied(call, reply));
     }
   }
 
   private long latency() {
-    return MS + random.nextLong(mostLatency);
+    return MS + random.nextLong(maxLatencyNanos);
   }
 }
--- a/src/test/java/pumicekeel/delivery/control/VirtualFleetTest.java
+++ b/src/test/java/pumicekeel/delivery/control/VirtualFleetTest.java
@@ -45,24 +45,24 @@
     return fleet.replicas(replicas, ONE, FIRST);
   }
 
-  private static void allHold(VirtualFleet fleet, ConfigurationVersion version) {
+  private static void assertAllHold(VirtualFleet fleet, ConfigurationVersion version) {
     for (VirtualFleet.Replica replica : fleet.replicas) {
       assertEquals(version, replica.subscription.held(), replica.name);
       ConfigurationVersion before = ConfigurationVersion.NONE;
-      for (ConfigurationVersion taken : replica.taken) {
-        assertTrue(taken.isNewerThan(before), replica.name + " took " + replica.taken);
-        before = taken;
+      for (ConfigurationVersion applied : replica.applied) {
+        assertTrue(applied.isNewerThan(before), replica.name + " took " + replica.applied);
+        before = applied;
       }
       assertEquals(
           version, ConfigurationVersion.of(version.epoch(), version.sequence(), replica.text));
     }
   }
 
-  private static long lastTakenAt(VirtualFleet fleet) {
-    return fleet.replicas.stream().mapToLong(r -> r.lastTakenAt).max().orElseThrow();
+  private static long lastAppliedAt(VirtualFleet fleet) {
+    return fleet.replicas.stream().mapToLong(r -> r.lastAppliedAt).max().orElseThrow();
   }
 
-  private static int mostCallsInATenth(VirtualFleet fleet) {
+  private static int maxCallsInATenth(VirtualFleet fleet) {
     return fleet.machines.stream()
         .flatMap(m -> m.callsByTenth.values().stream())
         .mapToInt(n -> n)
@@ -77,45 +77,45 @@
     long published = fleet.now;
     ConfigurationVersion two = fleet.publish(1, 2, text(2));
     fleet.runFor(1_000 * MS);
-    allHold(fleet, two);
-    assertTrue(lastTakenAt(fleet) - published < 100 * MS);
+    assertAllHold(fleet, two);
+    assertTrue(lastAppliedAt(fleet) - published < 100 * MS);
     assertEquals(0, fleet.replicas.stream().mapToInt(r -> r.parts).sum());
   }
 
   /** Those that have nothing ask at once: snapshots are bounded at each machine, and those turned away come back spread. */
   @Test
-  void fleetThatStartsWithNothingIsServedInTurns() {
+  void snapshotsForAFleetWithoutAVersionAreLimited() {
     VirtualFleet fleet = new VirtualFleet(4, 12);
-    fleet.mostLatency = 100 * MS;
+    fleet.maxLatencyNanos = 100 * MS;
     ConfigurationVersion one = fleet.publish(1, 1, LARGE);
     fleet.replicas(FLEET, ConfigurationVersion.NONE, "");
     fleet.runFor(30_000 * MS);
-    allHold(fleet, one);
+    assertAllHold(fleet, one);
     for (VirtualFleet.Machine machine : fleet.machines) {
-      assertEquals(SnapshotSlots.MOST, machine.mostSnapshots, "the bound was met");
+      assertEquals(SnapshotSlots.MAX_SLOTS, machine.maxSnapshots, "the bound was met");
     }
-    assertTrue(mostCallsInATenth(fleet) < FLEET / 8, "calls in 0.1 s " + mostCallsInATenth(fleet));
+    assertTrue(maxCallsInATenth(fleet) < FLEET / 8, "calls in 0.1 s " + maxCallsInATenth(fleet));
   }
 
   @Test
-  void returnOfAllControlMachinesIsNoStorm() {
+  void recoveryOfAllControlMachinesCausesNoCallStorm() {
     VirtualFleet fleet = fleet(4, FLEET, 13);
     fleet.runFor(3_000 * MS);
     fleet.machines.forEach(m -> m.up = false);
     fleet.runFor(60_000 * MS);
-    fleet.replicas.forEach(r -> assertTrue(fleet.now - r.subscription.heardAt() > 50_000 * MS));
+    fleet.replicas.forEach(r -> assertTrue(fleet.now - r.subscription.lastReplyAt() > 50_000 * MS));
     fleet.machines.forEach(m -> m.callsByTenth.clear());
     fleet.machines.forEach(m -> m.up = true);
     long back = fleet.now;
     ConfigurationVersion two = fleet.publish(1, 2, text(2));
     fleet.runFor(10_000 * MS);
-    allHold(fleet, two);
-    assertTrue(lastTakenAt(fleet) - back < 7_000 * MS);
-    assertTrue(mostCallsInATenth(fleet) < FLEET / 12, "calls in 0.1 s " + mostCallsInATenth(fleet));
+    assertAllHold(fleet, two);
+    assertTrue(lastAppliedAt(fleet) - back < 7_000 * MS);
+    assertTrue(maxCallsInATenth(fleet) < FLEET / 12, "calls in 0.1 s " + maxCallsInATenth(fleet));
   }
 
   @Test
-  void changesEveryFiftyMillisecondsAreTakenInOrderAndTheLastOneByAll() {
+  void frequentChangesAreAppliedInOrderAndTheLastOneByAll() {
     VirtualFleet fleet = fleet(4, 40, 14);
     fleet.replicas(1, ConfigurationVersion.NONE, "");
     ConfigurationVersion last = ONE;
@@ -124,44 +124,44 @@
       fleet.runFor(50 * MS);
     }
     fleet.runFor(3_000 * MS);
-    allHold(fleet, last);
-    int taken = fleet.replicas.get(0).taken.size();
-    assertTrue(taken > 50 && taken <= 199, "versions taken " + taken);
+    assertAllHold(fleet, last);
+    int applied = fleet.replicas.get(0).applied.size();
+    assertTrue(applied > 50 && applied <= 199, "versions taken " + applied);
   }
 
   /** One that stood still while more versions came than the machines keep as bases has the newest by a snapshot. */
   @Test
-  void subscriberWhoseVersionIsNoBaseAnyMoreTakesTheNewestWhole() {
+  void subscriberWithoutADeltaBaseAppliesASnapshot() {
     VirtualFleet fleet = fleet(2, 0, 19);
     ConfigurationVersion last = ONE;
-    for (int sequence = 2; sequence <= 2 * ConfigurationHistory.MOST_VERSIONS; sequence++) {
+    for (int sequence = 2; sequence <= 2 * ConfigurationHistory.MAX_VERSIONS; sequence++) {
       last = fleet.publish(1, sequence, text(sequence));
     }
     fleet.replicas(1, ONE, FIRST);
     fleet.runFor(5_000 * MS);
-    allHold(fleet, last);
-    assertEquals(List.of(last), fleet.replicas.get(0).taken);
+    assertAllHold(fleet, last);
+    assertEquals(List.of(last), fleet.replicas.get(0).applied);
   }
 
   /** Lost and doubled replies, some of them late by a second and behind newer ones. */
   @Test
-  void badNetworkBreaksNoOrder() {
+  void lostAndDuplicateRepliesBreakNoOrder() {
     VirtualFleet fleet = fleet(3, 30, 15);
-    fleet.lost = 20;
-    fleet.doubled = 30;
+    fleet.lostPercent = 20;
+    fleet.duplicatedPercent = 30;
     fleet.replicas(10, ConfigurationVersion.NONE, "");
     ConfigurationVersion last = ONE;
     for (int sequence = 2; sequence <= 30; sequence++) {
       last = fleet.publish(1, sequence, text(sequence));
       fleet.runFor(fleet.random.nextLong(1_500 * MS));
     }
-    fleet.lost = 0;
+    fleet.lostPercent = 0;
     fleet.runFor(30_000 * MS);
-    allHold(fleet, last);
+    assertAllHold(fleet, last);
   }
 
   @Test
-  void snapshotThatIsCutOffGoesOnAtAnotherMachine() {
+  void interruptedSnapshotContinuesAtAnotherMachine() {
     VirtualFleet fleet = new VirtualFleet(2, 16);
     ConfigurationVersion one = fleet.publish(1, 1, LARGE);
     fleet.replicas(1, ConfigurationVersion.NONE, "");
@@ -169,16 +169,16 @@
     while (replica.parts == 0) {
       fleet.runFor(MS);
     }
-    VirtualFleet.Machine asked =
+    VirtualFleet.Machine called =
         fleet.machines.get(fleet.machines.get(0).callsByTenth.isEmpty() ? 1 : 0);
-    asked.up = false;
+    called.up = false;
     fleet.runFor(10_000 * MS);
-    allHold(fleet, one);
+    assertAllHold(fleet, one);
     assertEquals(3, replica.parts, "the first part came with the ask, one call was cut off");
   }
 
   @Test
-  void machineThatReturnsWithAnOldVersionTurnsNobodyBack() {
+  void machineThatReturnsWithAnOldVersionRevertsNoSubscriber() {
     VirtualFleet fleet = fleet(2, 20, 17);
     fleet.machines.get(1).up = false;
     ConfigurationVersion two = fleet.publish(1, 2, text(2));
@@ -186,7 +186,7 @@
     fleet.machines.get(1).up = true;
     fleet.machines.get(0).up = false;
     fleet.runFor(20_000 * MS);
-    allHold(fleet, two);
+    assertAllHold(fleet, two);
     // Told at once, so that the next machine is asked; a call that is held would cost its wait.
     ReplicaReport report = new ReplicaReport("n", two, ConfigurationVersion.NONE, "");
     Reply reply = fleet
@@ -198,14 +198,14 @@
     fleet.machines.get(0).up = true;
     ConfigurationVersion three = fleet.publish(1, 3, text(3));
     fleet.runFor(10_000 * MS);
-    allHold(fleet, three);
+    assertAllHold(fleet, three);
   }
 
   @Test
-  void versionThatSomeBuildsDoNotUnderstandIsPassedOverByThose() {
+  void versionThatSomeBuildsDoNotSupportIsSkippedByThese() {
     VirtualFleet fleet = fleet(2, 10, 18);
     List<VirtualFleet.Replica> old = fleet.replicas.subList(0, 4);
-    old.forEach(r -> r.understandsAll = false);
+    old.forEach(r -> r.supportsAllKeys = false);
     ConfigurationVersion two = fleet.publish(1, 2, FIRST + "unknown-key = 1\n");
     fleet.runFor(10_000 * MS);
     old.forEach(r -> assertEquals(ONE, r.subscription.held()));
@@ -218,6 +218,6 @@
             .count());
     ConfigurationVersion three = fleet.publish(1, 3, text(3));
     fleet.runFor(10_000 * MS);
-    allHold(fleet, three);
+    assertAllHold(fleet, three);
   }
 }
