--- a/src/main/java/pumicekeel/load/HttpRequestTemplate.java
+++ b/src/main/java/pumicekeel/load/HttpRequestTemplate.java
@@ -14,16 +14,16 @@
 import pumicekeel.load.LoadResults.Outcome;
 
 /**
- * HTTP requests of one class, as the platform's clients send them.
+ * Template of HTTP requests of one class, in the form that the platform's clients send.
  *
- * @param keyed whether each is a POST with an idempotency key of its own; else a GET
- * @param deadlineMillis how long the client waits, told to the balancer
+ * @param keyed whether each request is a POST with its own idempotency key; otherwise a GET
+ * @param deadlineMillis how long the client waits; sent to the balancer as the time left
  */
 public record HttpRequestTemplate(
     String host, String className, boolean keyed, String tenant, long deadlineMillis)
     implements RequestTemplate {
 
-  private static final int MAX_BODY = 1 << 20;
+  private static final int MAX_BODY_BYTES = 1 << 20;
   private static final int PATHS = 1_000;
   private static final int SESSIONS = 500;
 
@@ -32,11 +32,11 @@
     return new Connection(random);
   }
 
-  /** One request at a time; the body of an answer is its request's id. */
+  /** Sends one request at a time; the body of a correct answer is the request's id. */
   private final class Connection implements ClientSession {
     private final SplittableRandom random;
     private long number;
-    private String waiting;
+    private String pendingName;
 
     private Connection(SplittableRandom random) {
       this.random = random;
@@ -49,24 +49,24 @@
         protected void initChannel(Channel channel) {
           channel
               .pipeline()
-              .addFirst(new HttpResponseDecoder(), new HttpObjectAggregator(MAX_BODY));
+              .addFirst(new HttpResponseDecoder(), new HttpObjectAggregator(MAX_BODY_BYTES));
         }
       };
     }
 
     @Override
-    public ByteBuf encode(long first, List<String> names) {
-      number = first;
-      waiting = names.get(0);
-      String body = keyed ? "order " + waiting : "";
+    public ByteBuf encode(long firstNumber, List<String> names) {
+      number = firstNumber;
+      pendingName = names.get(0);
+      String body = keyed ? "order " + pendingName : "";
       String text = (keyed ? "POST /" : "GET /") + className + "/" + random.nextInt(PATHS)
           + " HTTP/1.1\r\nHost: " + host
-          + "\r\nX-Correlation-Id: " + waiting + "\r\nX-Service-Class: " + className
+          + "\r\nX-Correlation-Id: " + pendingName + "\r\nX-Service-Class: " + className
           + "\r\nX-Account: " + tenant
           + "\r\nX-Session-Key: k" + random.nextInt(SESSIONS) + "\r\nX-Time-Left-Ms: "
           + deadlineMillis
           + (keyed
-              ? "\r\nIdempotency-Key: " + waiting + "\r\nContent-Length: " + body.length()
+              ? "\r\nIdempotency-Key: " + pendingName + "\r\nContent-Length: " + body.length()
               : "")
           + "\r\n\r\n" + body;
       return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
@@ -76,23 +76,23 @@
     public List<Reply> decode(Object message) {
       FullHttpResponse answer = (FullHttpResponse) message;
       int status = answer.status().code();
-      if (waiting == null) {
+      if (pendingName == null) {
         return List.of(new Reply(-1, Outcome.WRONG, "answer " + status));
       }
       String body = answer.content().toString(StandardCharsets.UTF_8);
-      boolean own = body.equals(waiting);
-      waiting = null;
-      Outcome how = status == 200
-          ? own ? Outcome.SERVED : Outcome.WRONG
+      boolean matches = body.equals(pendingName);
+      pendingName = null;
+      Outcome outcome = status == 200
+          ? matches ? Outcome.SERVED : Outcome.WRONG
           : status == 429 || status == 503
               ? Outcome.REFUSED
               : status == 502 ? Outcome.FAILED : Outcome.WRONG;
       return List.of(
-          new Reply(number, how, "answer " + status + (status == 200 ? ", body " + body : "")));
+          new Reply(number, outcome, "answer " + status + (status == 200 ? ", body " + body : "")));
     }
 
     @Override
-    public boolean inOrder() {
+    public boolean repliesInOrder() {
       return true;
     }
   }
--- a/src/main/java/pumicekeel/load/Load.java
+++ b/src/main/java/pumicekeel/load/Load.java
@@ -20,17 +20,17 @@
 import pumicekeel.load.LoadResults.Outcome;
 
 /**
- * A load generator on real sockets for any of the protocols, with an open or a closed loop. Each request has a time at which it is due,
- * and its latency counts from then: a balancer that keeps a client waiting is charged for the requests that the client could not send
- * meanwhile (no coordinated omission; Tene 2013). Methods may be called from any thread; each connection belongs to its event loop.
+ * A load generator on real sockets for each protocol, open or closed loop. Latency counts from the time at which a request is due, not
+ * from when it was sent: time for which a slow answer keeps the client from sending the next requests counts as well, which avoids
+ * coordinated omission (Tene 2013). Methods may be called from any thread; each connection is confined to its event loop.
  */
 public final class Load {
 
-  /** Added to a client's own deadline before its request counts as late or lost, for a machine that is busy. */
+  /** Time after a client's deadline before a request counts as late or lost, to allow for a busy machine. */
   private static final long GRACE_MILLIS = 250;
 
   private static final long RECONNECT_DELAY_MILLIS = 20;
-  /** A connection's schedule lags by this at most: a client that waited longer does not send all that it missed at once. */
+  /** Maximum lag of a connection's schedule, so that a client that was blocked for longer does not send all missed requests at once. */
   private static final long MAX_LAG_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final InetSocketAddress balancer;
@@ -40,13 +40,13 @@
   private final String prefix;
   private final LoadResults results;
   private final AtomicLong names = new AtomicLong();
-  private final List<Connection> all = new ArrayList<>();
+  private final List<Connection> connections = new ArrayList<>();
   private volatile boolean stopped;
 
   /**
-   * A load that is not started yet.
+   * Creates a load; {@link #start} starts it.
    *
-   * @param prefix begins the names of its requests, which makes them unique among several loads
+   * @param prefix of the names of its requests, which makes them unique among several loads
    * @param keepsNames whether the names of served and refused requests are kept in the results
    */
   public Load(
@@ -65,11 +65,11 @@
     results = new LoadResults(keepsNames);
     SplittableRandom random = new SplittableRandom(seed);
     for (int i = 0; i < profile.connections(); i++) {
-      all.add(new Connection(random.split()));
+      connections.add(new Connection(random.split()));
     }
   }
 
-  /** A load that keeps no names. */
+  /** Creates a load that keeps no names. */
   public Load(
       InetSocketAddress balancer,
       EventLoopGroup group,
@@ -80,28 +80,28 @@
     this(balancer, group, template, profile, prefix, seed, false);
   }
 
-  /** The results so far, which go on changing until the load has stopped. */
+  /** Returns the results so far; they change until the load has stopped. */
   public LoadResults results() {
     return results;
   }
 
-  /** Requests that ended in this way so far. */
+  /** Returns the number of requests with this outcome so far. */
   public long count(Outcome outcome) {
     return results.count(outcome);
   }
 
-  /** Requests sent so far. */
+  /** Returns the number of requests sent so far. */
   public long sent() {
     return results.sent();
   }
 
-  /** Opens all connections; each sends as soon as it is up, and reconnects when it breaks. */
+  /** Opens all connections; each starts sending when connected, and reconnects when it breaks. */
   public Load start() {
-    all.forEach(Connection::connect);
+    connections.forEach(Connection::connect);
     return this;
   }
 
-  /** Sends nothing more and waits until all open requests have ended, for a deadline and its grace at most. */
+  /** Stops sending and waits until all pending requests have ended, at most for the deadline plus three times the grace. */
   public LoadResults stop() throws InterruptedException {
     stopped = true;
     long end = System.nanoTime()
@@ -109,27 +109,27 @@
     while (results.pending() > 0 && System.nanoTime() - end < 0) {
       TimeUnit.MILLISECONDS.sleep(5);
     }
-    all.forEach(Connection::close);
+    connections.forEach(Connection::close);
     return results;
   }
 
-  /** A request that is open; times are readings of {@link System#nanoTime}. */
-  private record Sent(String name, long dueAt, long atNanos) {}
+  /** A pending request; times are from {@link System#nanoTime}. */
+  private record PendingRequest(String name, long dueAt, long sentAtNanos) {}
 
-  /** One client: its connection, and those that replace it when it breaks. Only on its event loop. */
+  /** One client with its current connection, which is replaced when it breaks. Confined to the event loop. */
   private final class Connection extends SimpleChannelInboundHandler<Object> {
-    private final SplittableRandom own;
-    private final Map<Long, Sent> open = new LinkedHashMap<>();
+    private final SplittableRandom random;
+    private final Map<Long, PendingRequest> open = new LinkedHashMap<>();
     private volatile Channel channel;
     private ClientSession session;
-    private Future<?> next;
+    private Future<?> nextSend;
     private long dueAt;
     private long lastNumber;
     private boolean abandoning;
 
-    private Connection(SplittableRandom own) {
-      this.own = own;
-      dueAt = System.nanoTime() + own.nextLong(Math.max(1, profile.gapNanos()));
+    private Connection(SplittableRandom random) {
+      this.random = random;
+      dueAt = System.nanoTime() + random.nextLong(Math.max(1, profile.gapNanos()));
     }
 
     @Override
@@ -145,7 +145,7 @@
           .handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel c) {
-              session = template.openSession(own);
+              session = template.openSession(random);
               c.pipeline().addLast(session.codec(), Connection.this);
             }
           })
@@ -163,37 +163,37 @@
       lastNumber = 0;
       abandoning = false;
       sendDue(ctx);
-      ctx.executor().schedule(() -> lookForLost(ctx), GRACE_MILLIS, TimeUnit.MILLISECONDS);
+      ctx.executor().schedule(() -> checkLost(ctx), GRACE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Sends the requests that are due, as far as there is room, and schedules the next. */
+    /** Sends the requests that are due, up to the maximum depth, and schedules the next. */
     private void sendDue(ChannelHandlerContext ctx) {
-      if (next != null) {
-        next.cancel(false);
-        next = null;
+      if (nextSend != null) {
+        nextSend.cancel(false);
+        nextSend = null;
       }
       long now = System.nanoTime();
-      while (mayAsk(ctx) && dueAt - now <= 0) {
+      while (maySend(ctx) && dueAt - now <= 0) {
         if (profile.abandonsPerThousand() > 0
             && !open.isEmpty()
-            && own.nextInt(1_000) < profile.abandonsPerThousand()) {
+            && random.nextInt(1_000) < profile.abandonsPerThousand()) {
           abandon(ctx);
           return;
         }
-        ask(ctx, profile.gapNanos() == 0 ? now : dueAt);
+        send(ctx, profile.gapNanos() == 0 ? now : dueAt);
         dueAt = profile.gapNanos() == 0
             ? now
             : Math.max(dueAt + profile.gapNanos(), now - MAX_LAG_NANOS);
       }
       ctx.flush();
-      if (mayAsk(ctx)) {
-        next = ctx.executor()
+      if (maySend(ctx)) {
+        nextSend = ctx.executor()
             .schedule(
                 () -> sendDue(ctx), Math.max(0, dueAt - System.nanoTime()), TimeUnit.NANOSECONDS);
       }
     }
 
-    private boolean mayAsk(ChannelHandlerContext ctx) {
+    private boolean maySend(ChannelHandlerContext ctx) {
       return !stopped
           && ctx.channel().isActive()
           && ctx.channel() == channel
@@ -201,27 +201,27 @@
     }
 
     private void abandon(ChannelHandlerContext ctx) {
-      ctx.channel().config().setOption(ChannelOption.SO_LINGER, own.nextBoolean() ? 0 : -1);
+      ctx.channel().config().setOption(ChannelOption.SO_LINGER, random.nextBoolean() ? 0 : -1);
       abandoning = true;
       ctx.close();
     }
 
-    private void ask(ChannelHandlerContext ctx, long due) {
-      List<String> asked = new ArrayList<>();
+    private void send(ChannelHandlerContext ctx, long dueAtNanos) {
+      List<String> batchNames = new ArrayList<>();
       long now = System.nanoTime();
       long first = lastNumber + 1;
       for (int i = 0; i < profile.batch(); i++) {
         String name = prefix + "-" + names.incrementAndGet();
-        asked.add(name);
-        open.put(++lastNumber, new Sent(name, due, now));
+        batchNames.add(name);
+        open.put(++lastNumber, new PendingRequest(name, dueAtNanos, now));
       }
       results.sent(profile.batch());
-      ctx.write(session.encode(first, asked));
+      ctx.write(session.encode(first, batchNames));
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Object message) {
-      session.decode(message).forEach(this::replied);
+      session.decode(message).forEach(this::onReply);
     }
 
     @Override
@@ -231,39 +231,39 @@
       }
     }
 
-    private void replied(ClientSession.Reply reply) {
-      Sent sent = open.remove(reply.number());
-      if (sent == null) {
-        results.unsolicited(reply.what());
+    private void onReply(ClientSession.Reply reply) {
+      PendingRequest request = open.remove(reply.number());
+      if (request == null) {
+        results.unsolicited(reply.description());
         return;
       }
-      long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sent.atNanos());
+      long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - request.sentAtNanos());
       boolean late = millis > template.deadlineMillis() + GRACE_MILLIS;
       results.ended(
-          late ? Outcome.LATE : reply.how(),
-          sent.name(),
-          sent.dueAt(),
-          late ? "after " + millis + " ms" : reply.what());
+          late ? Outcome.LATE : reply.outcome(),
+          request.name(),
+          request.dueAt(),
+          late ? "after " + millis + " ms" : reply.description());
     }
 
-    private void lookForLost(ChannelHandlerContext ctx) {
-      long latest = System.nanoTime()
+    private void checkLost(ChannelHandlerContext ctx) {
+      long latestSent = System.nanoTime()
           - TimeUnit.MILLISECONDS.toNanos(template.deadlineMillis() + GRACE_MILLIS);
-      List<Long> lost = open.entrySet().stream()
-          .filter(e -> e.getValue().atNanos() - latest < 0)
+      List<Long> lostNumbers = open.entrySet().stream()
+          .filter(e -> e.getValue().sentAtNanos() - latestSent < 0)
           .map(Map.Entry::getKey)
           .toList();
-      lost.forEach(number -> lost(open.remove(number), "no answer in time"));
-      if (!lost.isEmpty() && session.inOrder()) {
+      lostNumbers.forEach(number -> lost(open.remove(number), "no answer within the deadline"));
+      if (!lostNumbers.isEmpty() && session.repliesInOrder()) {
         ctx.close();
       } else if (ctx.channel().isActive()) {
         sendDue(ctx);
-        ctx.executor().schedule(() -> lookForLost(ctx), GRACE_MILLIS, TimeUnit.MILLISECONDS);
+        ctx.executor().schedule(() -> checkLost(ctx), GRACE_MILLIS, TimeUnit.MILLISECONDS);
       }
     }
 
-    private void lost(Sent sent, String how) {
-      results.ended(Outcome.LOST, sent.name(), sent.dueAt(), how);
+    private void lost(PendingRequest request, String reason) {
+      results.ended(Outcome.LOST, request.name(), request.dueAt(), reason);
     }
 
     @Override
@@ -271,7 +271,7 @@
       if (abandoning) {
         results.abandoned(open.size());
       } else {
-        open.values().forEach(s -> lost(s, "the connection ended"));
+        open.values().forEach(s -> lost(s, "connection closed"));
       }
       open.clear();
       if (!stopped && ctx.channel() == channel) {
--- a/src/main/java/pumicekeel/load/LoadProfile.java
+++ b/src/main/java/pumicekeel/load/LoadProfile.java
@@ -3,11 +3,11 @@
 /**
  * How a load uses its connections: how many, at what rate, and how many requests at a time.
  *
- * @param perSecond requests a second of all connections together, split evenly; infinite for a closed loop, which sends the next as
- *     soon as there is room
- * @param depth the most requests that are open on one connection
- * @param batch requests in one write, at most {@code depth}
- * @param abandonsPerThousand how many of a thousand requests have their client close the connection with requests open
+ * @param perSecond requests per second of all connections together, split evenly; infinite for a closed loop, which sends the next
+ *     request as soon as the depth allows
+ * @param depth maximum number of pending requests on one connection
+ * @param batch number of requests in one write, at most {@code depth}
+ * @param abandonsPerThousand at how many of a thousand sends the client closes the connection with requests pending instead
  */
 public record LoadProfile(
     int connections, double perSecond, int depth, int batch, int abandonsPerThousand) {
@@ -20,22 +20,22 @@
         || abandonsPerThousand < 0
         || abandonsPerThousand > 1_000) {
       throw new IllegalArgumentException(
-          "expected connections of 1 on, a rate above 0, a batch within the depth, got "
+          "expected at least 1 connection, a rate above 0 and a batch of 1 up to the depth, got "
               + connections + ", " + perSecond + ", " + batch + " of " + depth);
     }
   }
 
-  /** One request at a time on each connection, at a steady rate: an open loop while answers come within one connection's gap. */
+  /** Returns an open loop: one request at a time per connection at a steady rate. Open only while answers arrive within the gap. */
   public static LoadProfile openLoop(int connections, double perSecond) {
     return new LoadProfile(connections, perSecond, 1, 1, 0);
   }
 
-  /** A closed loop: {@code depth} requests are open on each connection at any time. */
+  /** Returns a closed loop that keeps {@code depth} requests pending on each connection. */
   public static LoadProfile closedLoop(int connections, int depth) {
     return new LoadProfile(connections, Double.POSITIVE_INFINITY, depth, 1, 0);
   }
 
-  /** Nanoseconds between two writes of one connection; 0 for a closed loop. */
+  /** Returns the time between two writes of one connection; 0 for a closed loop. */
   long gapNanos() {
     return (long) (connections * batch * 1e9 / perSecond);
   }
--- a/src/main/java/pumicekeel/load/LoadResults.java
+++ b/src/main/java/pumicekeel/load/LoadResults.java
@@ -13,7 +13,7 @@
  */
 public final class LoadResults {
 
-  /** How a request ended. LATE, WRONG and LOST are violations; their order matters to {@link #ended}. */
+  /** How a request ended. LATE, WRONG and LOST are violations; {@link #ended} depends on the order. */
   public enum Outcome {
     SERVED,
     REFUSED,
@@ -28,7 +28,7 @@
 
   private final AtomicLong sent = new AtomicLong();
   private final AtomicLong abandoned = new AtomicLong();
-  private final AtomicLongArray ends = new AtomicLongArray(Outcome.values().length);
+  private final AtomicLongArray outcomes = new AtomicLongArray(Outcome.values().length);
   private final ConcurrentHistogram latency = new ConcurrentHistogram(MAX_LATENCY_MICROS, 3);
   private final ConcurrentLinkedQueue<String> faults = new ConcurrentLinkedQueue<>();
   private final ConcurrentLinkedQueue<String> served = new ConcurrentLinkedQueue<>();
@@ -43,76 +43,76 @@
     sent.addAndGet(count);
   }
 
-  /** Counts requests that were open when their client closed its connection on purpose. */
+  /** Counts requests that were pending when their client deliberately closed its connection. */
   void abandoned(int count) {
     abandoned.addAndGet(count);
   }
 
-  void ended(Outcome how, String name, long dueAt, String what) {
-    ends.incrementAndGet(how.ordinal());
-    if (how == Outcome.SERVED) {
+  void ended(Outcome outcome, String name, long dueAt, String description) {
+    outcomes.incrementAndGet(outcome.ordinal());
+    if (outcome == Outcome.SERVED) {
       latency.recordValue(Math.min(
           MAX_LATENCY_MICROS,
           Math.max(1, TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - dueAt))));
-    } else if (how.compareTo(Outcome.LATE) >= 0 && faults.size() < MAX_FAULTS) {
-      faults.add(name + " " + how + " " + what);
+    } else if (outcome.compareTo(Outcome.LATE) >= 0 && faults.size() < MAX_FAULTS) {
+      faults.add(name + " " + outcome + " " + description);
     }
-    if (keepsNames && how.compareTo(Outcome.REFUSED) <= 0) {
-      (how == Outcome.SERVED ? served : refused).add(name);
+    if (keepsNames && outcome.compareTo(Outcome.REFUSED) <= 0) {
+      (outcome == Outcome.SERVED ? served : refused).add(name);
     }
   }
 
-  /** Counts an answer that belongs to no open request, as a request that ended WRONG. */
-  void unsolicited(String what) {
+  /** Counts an answer that belongs to no pending request as a request with the outcome WRONG. */
+  void unsolicited(String description) {
     sent(1);
-    ended(Outcome.WRONG, "?", 0, "an answer that nobody asked for: " + what);
+    ended(Outcome.WRONG, "?", 0, "unsolicited answer: " + description);
   }
 
-  /** Requests sent so far. */
+  /** Returns the number of requests sent so far. */
   public long sent() {
     return sent.get();
   }
 
-  /** Requests whose client closed its connection before they ended. */
+  /** Returns the number of requests that were pending when their client closed its connection. */
   public long abandoned() {
     return abandoned.get();
   }
 
-  /** Requests that ended in this way so far. */
+  /** Returns the number of requests with this outcome so far. */
   public long count(Outcome outcome) {
-    return ends.get(outcome.ordinal());
+    return outcomes.get(outcome.ordinal());
   }
 
-  /** Requests that ended in violation: lost, late, or with another's answer. */
+  /** Returns the number of requests that were lost, late or answered wrongly. */
   public long violations() {
     return count(Outcome.LOST) + count(Outcome.LATE) + count(Outcome.WRONG);
   }
 
-  /** Requests that are still open: neither ended nor abandoned. */
+  /** Returns the number of requests that have neither ended nor been abandoned. */
   public long pending() {
     long sum = abandoned.get();
-    for (int i = 0; i < ends.length(); i++) {
-      sum += ends.get(i);
+    for (int i = 0; i < outcomes.length(); i++) {
+      sum += outcomes.get(i);
     }
     return sent() - sum;
   }
 
-  /** Latencies of served requests in microseconds, counted from when each was due. */
+  /** Returns the latencies of served requests in microseconds, each counted from when the request was due. */
   public ConcurrentHistogram latency() {
     return latency;
   }
 
-  /** The first few violations, one line each. */
+  /** Returns the first few violations, one line each. */
   public List<String> faults() {
     return List.copyOf(faults);
   }
 
-  /** Names of served requests; empty unless the load keeps names. */
+  /** Returns the names of served requests; empty unless the load keeps names. */
   public List<String> served() {
     return List.copyOf(served);
   }
 
-  /** Names of refused requests; empty unless the load keeps names. */
+  /** Returns the names of refused requests; empty unless the load keeps names. */
   public List<String> refused() {
     return List.copyOf(refused);
   }
--- a/src/main/java/pumicekeel/load/RequestTemplate.java
+++ b/src/main/java/pumicekeel/load/RequestTemplate.java
@@ -2,12 +2,12 @@
 
 import java.util.SplittableRandom;
 
-/** One kind of request in one protocol: what each of a load's requests is made from. */
+/** Template from which a load creates requests of one kind in one protocol. */
 public sealed interface RequestTemplate permits HttpRequestTemplate, RpcRequestTemplate {
 
-  /** How long a client waits for the answer. */
+  /** Returns how long a client waits for the answer. */
   long deadlineMillis();
 
-  /** The client's side of one new connection; randomness of its requests comes from {@code random}. */
+  /** Creates the client side of a new connection, which draws the random parts of its requests from {@code random}. */
   ClientSession openSession(SplittableRandom random);
 }
--- a/src/main/java/pumicekeel/load/RpcRequestTemplate.java
+++ b/src/main/java/pumicekeel/load/RpcRequestTemplate.java
@@ -20,10 +20,10 @@
 import pumicekeel.load.LoadResults.Outcome;
 
 /**
- * JSON-RPC calls of one method. Each call's params carry its unique name, which a server echoes: an answer that belongs to another call
- * is detected.
+ * Template of JSON-RPC calls of one method. The params of each call carry its unique name, which a server echoes, so that the answer to
+ * another call is detected.
  *
- * @param deadlineMillis how long the client waits, told to the balancer
+ * @param deadlineMillis how long the client waits; sent to the balancer as the time left
  */
 public record RpcRequestTemplate(String method, String tenant, long deadlineMillis)
     implements RequestTemplate {
@@ -36,7 +36,7 @@
     return new Connection(random);
   }
 
-  /** Many calls at a time, answered in any order, singly or in batches. */
+  /** Sends concurrent calls, which are answered in any order, singly or in batches. */
   private final class Connection implements ClientSession {
     private final SplittableRandom random;
     private final MessageReader reader = new MessageReader(LIMITS);
@@ -53,10 +53,10 @@
     }
 
     @Override
-    public ByteBuf encode(long first, List<String> asked) {
+    public ByteBuf encode(long firstNumber, List<String> callNames) {
       List<byte[]> calls = new ArrayList<>();
-      for (String name : asked) {
-        long number = first + calls.size();
+      for (String name : callNames) {
+        long number = firstNumber + calls.size();
         Id id = Id.of(number);
         numbers.put(id, number);
         names.put(number, name);
@@ -70,13 +70,13 @@
 
     @Override
     public List<Reply> decode(Object message) {
-      Message read = message instanceof Frame.Complete whole ? reader.read(whole.bytes()) : null;
-      if (read instanceof Message.Single one) {
-        return List.of(reply(one.entry()));
+      Message read = message instanceof Frame.Complete frame ? reader.read(frame.bytes()) : null;
+      if (read instanceof Message.Single single) {
+        return List.of(reply(single.entry()));
       }
       return read instanceof Message.Batch batch
           ? batch.entries().stream().map(this::reply).toList()
-          : List.of(new Reply(-1, Outcome.WRONG, "no message"));
+          : List.of(new Reply(-1, Outcome.WRONG, "not a JSON-RPC message"));
     }
 
     private Reply reply(Message.Entry entry) {
@@ -87,9 +87,10 @@
       String name = names.remove(number);
       Message.Reply reply = (Message.Reply) entry;
       if (reply.result() != null) {
-        boolean own =
+        boolean matches =
             new String(reply.result(), StandardCharsets.UTF_8).contains("\"" + name + "\"");
-        return new Reply(number, own ? Outcome.SERVED : Outcome.WRONG, "another's result");
+        return new Reply(
+            number, matches ? Outcome.SERVED : Outcome.WRONG, "result of another call");
       }
       int code = reply.code();
       return new Reply(
@@ -103,7 +104,7 @@
     }
 
     @Override
-    public boolean inOrder() {
+    public boolean repliesInOrder() {
       return false;
     }
   }
