--- a/src/main/java/pumicekeel/demo/Demo.java
+++ b/src/main/java/pumicekeel/demo/Demo.java
@@ -24,15 +24,14 @@
 import pumicekeel.standin.StandInUpstream;
 
 /**
- * A day in little: two pools in one balancer, an upstream that both share, load on both, and on the way an upstream that
- * is killed, the shared one drained from one pool only, and a cold one that joins both. What the stand-ins logged is then
- * held against the four rules.
+ * HTTP demonstration: one balancer with two pools that share an upstream, under load on both. During the run one upstream is killed, the
+ * shared one drains from one pool only, and a cold one joins both. The logs of the stand-ins are then checked against the four rules.
  */
 public final class Demo {
 
   private static final int UPSTREAMS = 4;
   private static final int CLIENTS = 24;
-  private static final double PER_SECOND = 400;
+  private static final double REQUESTS_PER_SECOND = 400;
   private static final long DELAY_MICROS = 3_000;
   private static final long GRACE_MILLIS = 2_000;
 
@@ -41,10 +40,10 @@
   private final EventLoopGroup standIns =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
   private final Map<String, StandInUpstream> upstreams = new TreeMap<>();
-  private final Map<String, Integer> groups = new TreeMap<>();
+  private final Map<String, Integer> cells = new TreeMap<>();
   private final List<String> events = new ArrayList<>();
-  private StandInDiscovery quotes;
-  private StandInDiscovery rates;
+  private StandInDiscovery quoteDiscovery;
+  private StandInDiscovery rateDiscovery;
   private long coldAt;
   private long startedAt;
 
@@ -53,21 +52,21 @@
     this.out = out;
   }
 
-  /** Plays it; true where all rules held. */
+  /** Runs the demonstration; returns whether all rules held. */
   public boolean run() throws Exception {
     Node node = null;
     try {
-      quotes = new StandInDiscovery(standIns);
-      rates = new StandInDiscovery(standIns);
+      quoteDiscovery = new StandInDiscovery(standIns);
+      rateDiscovery = new StandInDiscovery(standIns);
       for (int i = 0; i < UPSTREAMS; i++) {
-        add("quote-" + i, i / 2, quotes);
-        add("rate-" + i, i / 2, rates);
+        addUpstream("quote-" + i, i / 2, quoteDiscovery);
+        addUpstream("rate-" + i, i / 2, rateDiscovery);
       }
-      add("shared", 9, quotes, rates);
-      node = new Node(configuration(), operator(), () -> out.println("the balancer broke down"));
+      addUpstream("shared", 9, quoteDiscovery, rateDiscovery);
+      node = new Node(configuration(), operator(), () -> out.println("the balancer failed"));
       InetSocketAddress address = node.start();
       node.awaitReady();
-      return play(node, address);
+      return runScenario(node, address);
     } finally {
       if (node != null) {
         node.close();
@@ -77,12 +76,13 @@
     }
   }
 
-  private void add(String name, int cell, StandInDiscovery... lists) throws InterruptedException {
+  private void addUpstream(String name, int cell, StandInDiscovery... discoveries)
+      throws InterruptedException {
     StandInUpstream upstream = new StandInUpstream(name, standIns, DELAY_MICROS);
     upstreams.put(name, upstream);
-    groups.put(name, cell);
-    for (StandInDiscovery list : lists) {
-      list.tell(
+    cells.put(name, cell);
+    for (StandInDiscovery discovery : discoveries) {
+      discovery.tell(
           name,
           upstream.address(),
           cell,
@@ -95,7 +95,7 @@
     return new Configuration(
         "demo",
         Addresses.parse("listen", "127.0.0.1:0"),
-        quotes.address(),
+        quoteDiscovery.address(),
         1,
         1024,
         new HostList(0, true, List.of()),
@@ -103,7 +103,8 @@
   }
 
   private Operator operator() {
-    OperatorReader.Result result = OperatorReader.read("""
+    OperatorReader.Result result =
+        OperatorReader.read("""
         [sources.rates]
         discovery = "%s"
 
@@ -123,78 +124,78 @@
         name = "rates"
         host = ["rates.example.org", "*.rates.example.org"]
         pool = "rates"
-        """.formatted(text(rates.address())));
+        """.formatted(addressText(rateDiscovery.address())));
     if (result.operator() == null) {
       throw new IllegalStateException(result.faults().toString());
     }
     return result.operator();
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String addressText(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private boolean play(Node node, InetSocketAddress address) throws Exception {
-    EventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private boolean runScenario(Node node, InetSocketAddress address) throws Exception {
+    EventLoopGroup clientLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try {
-      Load quoting = new Load(
+      Load quoteLoad = new Load(
               address,
-              clients,
+              clientLoops,
               new HttpRequestTemplate("quote.example.org", "quote-issue", true, "demo", 2_000),
-              LoadProfile.openLoop(CLIENTS, PER_SECOND),
+              LoadProfile.openLoop(CLIENTS, REQUESTS_PER_SECOND),
               "q",
               1)
           .start();
-      Load rating = new Load(
+      Load rateLoad = new Load(
               address,
-              clients,
+              clientLoops,
               new HttpRequestTemplate("rates.example.org", "rate-lookup", false, "demo", 1_500),
-              LoadProfile.openLoop(CLIENTS, PER_SECOND),
+              LoadProfile.openLoop(CLIENTS, REQUESTS_PER_SECOND),
               "r",
               2)
           .start();
       startedAt = System.nanoTime();
-      at(
+      runStepAt(
           0.2,
           () -> {
             upstreams.get("quote-0").kill();
-            say("killed quote-0, of which discovery says nothing yet");
+            log("killed quote-0; discovery does not report it yet");
           },
-          quoting,
-          rating);
-      at(
+          quoteLoad,
+          rateLoad);
+      runStepAt(
           0.3,
           () -> {
-            quotes.tell("quote-0", upstreams.get("quote-0").address(), 0, "terminated", 0);
-            say("discovery says that quote-0 is gone");
+            quoteDiscovery.tell("quote-0", upstreams.get("quote-0").address(), 0, "terminated", 0);
+            log("discovery reports quote-0 as terminated");
           },
-          quoting,
-          rating);
-      at(
+          quoteLoad,
+          rateLoad);
+      runStepAt(
           0.4,
           () -> {
-            quotes.tell("shared", upstreams.get("shared").address(), 9, "terminating", 0);
-            say("shared drains from pool quotes, and stays in pool rates");
+            quoteDiscovery.tell("shared", upstreams.get("shared").address(), 9, "terminating", 0);
+            log("shared drains from pool quotes and stays in pool rates");
           },
-          quoting,
-          rating);
-      at(
+          quoteLoad,
+          rateLoad);
+      runStepAt(
           0.55,
           () -> {
             coldAt = System.nanoTime();
-            add("cold", 1, quotes, rates);
-            say("cold joins both pools");
+            addUpstream("cold", 1, quoteDiscovery, rateDiscovery);
+            log("cold joins both pools");
           },
-          quoting,
-          rating);
-      at(1, () -> {}, quoting, rating);
-      quoting.stop();
-      rating.stop();
+          quoteLoad,
+          rateLoad);
+      runStepAt(1, () -> {}, quoteLoad, rateLoad);
+      quoteLoad.stop();
+      rateLoad.stop();
       node.drain();
       node.awaitDrained();
-      return report(Map.of("quotes quote-issue", quoting, "rates rate-lookup", rating));
+      return report(Map.of("quotes quote-issue", quoteLoad, "rates rate-lookup", rateLoad));
     } finally {
-      clients.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+      clientLoops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
   }
 
@@ -202,38 +203,37 @@
     void run() throws Exception;
   }
 
-  /** Waits for a part of the time, with a line a second, then does something. */
-  private void at(double part, Step step, Load quoting, Load rating) throws Exception {
-    long end = startedAt + (long) (part * seconds * 1e9);
+  /** Waits until a fraction of the duration has passed, printing one line per second, then runs the step. */
+  private void runStepAt(double fraction, Step step, Load quoteLoad, Load rateLoad)
+      throws Exception {
+    long end = startedAt + (long) (fraction * seconds * 1e9);
     while (System.nanoTime() - end < 0) {
       TimeUnit.NANOSECONDS.sleep(Math.min(1_000_000_000L, Math.max(1, end - System.nanoTime())));
       out.printf(
-          "%5.1f s  quotes %6d asked %6d served %4d refused %3d failed   rates %6d asked %6d served %4d refused"
+          "%5.1f s  quotes %6d sent %6d served %4d refused %3d failed   rates %6d sent %6d served %4d refused"
               + " %3d failed%n",
           (System.nanoTime() - startedAt) / 1e9,
-          quoting.sent(),
-          quoting.count(Outcome.SERVED),
-          quoting.count(Outcome.REFUSED),
-          quoting.count(Outcome.FAILED),
-          rating.sent(),
-          rating.count(Outcome.SERVED),
-          rating.count(Outcome.REFUSED),
-          rating.count(Outcome.FAILED));
+          quoteLoad.sent(),
+          quoteLoad.count(Outcome.SERVED),
+          quoteLoad.count(Outcome.REFUSED),
+          quoteLoad.count(Outcome.FAILED),
+          rateLoad.sent(),
+          rateLoad.count(Outcome.SERVED),
+          rateLoad.count(Outcome.REFUSED),
+          rateLoad.count(Outcome.FAILED));
     }
     step.run();
   }
 
-  private void say(String what) {
-    events.add(what);
-    out.printf("%5.1f s  %s%n", (System.nanoTime() - startedAt) / 1e9, what);
+  private void log(String message) {
+    events.add(message);
+    out.printf("%5.1f s  %s%n", (System.nanoTime() - startedAt) / 1e9, message);
   }
 
-  // The verdict
-
   private boolean report(Map<String, Load> byPool) {
     out.println();
     out.println(
-        "pool class              asked  served refused  failed    p50 ms  p99 ms   seen by upstreams");
+        "pool class               sent  served refused  failed    p50 ms  p99 ms   received by upstreams");
     Map<String, Load> rows = new TreeMap<>(byPool);
     rows.forEach((name, c) -> out.printf(
         "%-20s %8d %7d %7d %7d  %8.1f %7.1f  %8d%n",
@@ -244,20 +244,21 @@
         c.count(Outcome.FAILED),
         c.results().latency().getValueAtPercentile(50) / 1e3,
         c.results().latency().getValueAtPercentile(99) / 1e3,
-        seen(name.split(" ")[1])));
-    Verdict verdict = Verdict.ofUpstreams(upstreams, groups);
+        received(name.split(" ")[1])));
+    Verdict verdict = Verdict.ofUpstreams(upstreams, cells);
     rows.forEach((name, c) -> verdict.checkAllAnswered(name, c.results()));
     verdict.checkNoDuplicateEffect();
     verdict.checkDrain(
-        "shared", "quote-issue", quotes.toldAt("shared", "terminating"), GRACE_MILLIS);
-    verdict.checkStillServing("shared", "rate-lookup", quotes.toldAt("shared", "terminating"));
+        "shared", "quote-issue", quoteDiscovery.toldAt("shared", "terminating"), GRACE_MILLIS);
+    verdict.checkStillServing(
+        "shared", "rate-lookup", quoteDiscovery.toldAt("shared", "terminating"));
     verdict.checkColdBudget("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
     return verdict.passed();
   }
 
-  private long seen(String className) {
+  private long received(String className) {
     return upstreams.values().stream()
         .flatMap(u -> u.seen().stream())
         .filter(s -> s.className().equals(className))
--- a/src/main/java/pumicekeel/demo/DemoSettings.java
+++ b/src/main/java/pumicekeel/demo/DemoSettings.java
@@ -5,10 +5,10 @@
 import pumicekeel.adapter.Decoder;
 import pumicekeel.adapter.Fields;
 
-/** What the demos and the rig are played with: a safe class and one that is keyed within a cell, and one tenant, "demo". */
+/** Settings of the demos and the rig: a safe class, a class that is keyed within a cell, and one tenant, "demo". */
 public final class DemoSettings {
 
-  /** As the platform writes settings. */
+  /** The settings in the platform's JSON format. */
   public static final String JSON = """
       {"categories":[
         {"name":"rate-lookup","effect":"idempotent","aim-ns":200000000,"deadline-ns":1500000000},
--- a/src/main/java/pumicekeel/demo/RpcDemo.java
+++ b/src/main/java/pumicekeel/demo/RpcDemo.java
@@ -24,9 +24,9 @@
 import pumicekeel.standin.StandInRpcServer;
 
 /**
- * JSON-RPC from end to end: many connections of clients, singly and in batches, some of which leave in the middle; servers
- * that misbehave now and then; one that is killed, one that drains, a cold one that joins. The logs of both ends are then
- * held against the four rules and against each other.
+ * JSON-RPC demonstration: many client connections send single calls and batches, and some close with calls pending. Servers inject
+ * occasional faults; one is killed, one drains, and a cold one joins. The logs of clients and servers are then checked against the four
+ * rules and against each other.
  */
 public final class RpcDemo {
 
@@ -38,7 +38,7 @@
 
   private final int seconds;
   private final int connections;
-  private final int faults;
+  private final int faultsPer100000;
   private final long seed;
   private final PrintStream out;
   private final EventLoopGroup standIns =
@@ -50,32 +50,31 @@
   private long startedAt;
   private long coldAt;
 
-  /** So many of a hundred thousand calls meet a fault of their server's. */
-  public RpcDemo(int seconds, int connections, int faults, long seed, PrintStream out) {
+  /** Creates a demonstration in which the servers inject a fault into the given number of each 100 000 calls. */
+  public RpcDemo(int seconds, int connections, int faultsPer100000, long seed, PrintStream out) {
     this.seconds = seconds;
     this.connections = connections;
-    this.faults = faults;
+    this.faultsPer100000 = faultsPer100000;
     this.seed = seed;
     this.out = out;
   }
 
-  /** Plays it; true where all rules held. */
+  /** Runs the demonstration; returns whether all rules held. */
   public boolean run() throws Exception {
     Node node = null;
     try {
       discovery = new StandInDiscovery(standIns);
       for (int i = 0; i < SERVERS; i++) {
-        add("s" + i);
+        addServer("s" + i);
       }
-      OperatorReader.Result file = OperatorReader.read(FILE);
-      if (file.operator() == null) {
-        throw new IllegalStateException(file.faults().toString());
+      OperatorReader.Result result = OperatorReader.read(OPERATOR_FILE);
+      if (result.operator() == null) {
+        throw new IllegalStateException(result.faults().toString());
       }
-      node =
-          new Node(configuration(), file.operator(), () -> out.println("the balancer broke down"));
+      node = new Node(configuration(), result.operator(), () -> out.println("the balancer failed"));
       node.start();
       node.awaitReady();
-      return play(node, node.addressOf("partner"));
+      return runScenario(node, node.addressOf("partner"));
     } finally {
       if (node != null) {
         node.close();
@@ -86,7 +85,7 @@
     }
   }
 
-  private static final String FILE = """
+  private static final String OPERATOR_FILE = """
       [listeners.partner]
       address = "127.0.0.1:0"
       protocol = "json-rpc"
@@ -112,9 +111,9 @@
       pool = "rates"
       """;
 
-  private void add(String name) throws InterruptedException {
+  private void addServer(String name) throws InterruptedException {
     StandInRpcServer server = new StandInRpcServer(standIns, Framing.NEWLINE);
-    server.script(new StandInRpcFaults(seed + servers.size(), DELAY_MILLIS, faults));
+    server.script(new StandInRpcFaults(seed + servers.size(), DELAY_MILLIS, faultsPer100000));
     servers.put(name, server);
     discovery.tell(
         name,
@@ -135,80 +134,89 @@
         DemoSettings.settings());
   }
 
-  private Load clients(
-      InetSocketAddress at,
+  private Load startLoad(
+      InetSocketAddress address,
       String method,
-      long deadline,
+      long deadlineMillis,
       int depth,
       int batch,
-      int leaves,
+      int abandonsPerThousand,
       String prefix,
-      int count) {
+      int connectionCount) {
     return new Load(
-            at,
+            address,
             clientLoops,
-            new RpcRequestTemplate(method, "demo", deadline),
-            new LoadProfile(Math.max(1, count), Double.POSITIVE_INFINITY, depth, batch, leaves),
+            new RpcRequestTemplate(method, "demo", deadlineMillis),
+            new LoadProfile(
+                Math.max(1, connectionCount),
+                Double.POSITIVE_INFINITY,
+                depth,
+                batch,
+                abandonsPerThousand),
             prefix,
             seed,
             true)
         .start();
   }
 
-  private boolean play(Node node, InetSocketAddress at) throws Exception {
+  private boolean runScenario(Node node, InetSocketAddress address) throws Exception {
     startedAt = System.nanoTime();
-    Map<String, Load> all = new TreeMap<>();
-    all.put("lookups, singly", clients(at, "rate.lookup", 1_500, 2, 1, 1, "r", connections / 2));
-    all.put(
-        "lookups, in batches", clients(at, "rate.lookup", 1_500, 4, 4, 1, "b", connections / 8));
-    all.put("quotes, singly", clients(at, "quote.issue", 2_000, 1, 1, 1, "q", connections * 3 / 8));
-    wait(all, 0.2);
+    Map<String, Load> loads = new TreeMap<>();
+    loads.put(
+        "lookups, singly", startLoad(address, "rate.lookup", 1_500, 2, 1, 1, "r", connections / 2));
+    loads.put(
+        "lookups, in batches",
+        startLoad(address, "rate.lookup", 1_500, 4, 4, 1, "b", connections / 8));
+    loads.put(
+        "quotes, singly",
+        startLoad(address, "quote.issue", 2_000, 1, 1, 1, "q", connections * 3 / 8));
+    waitUntil(loads, 0.2);
     servers.get("s0").kill();
-    say("killed s0, of which discovery says nothing yet");
-    wait(all, 0.3);
+    log("killed s0; discovery does not report it yet");
+    waitUntil(loads, 0.3);
     discovery.tell("s0", servers.get("s0").address(), CELLS.get("s0"), "terminated", 0);
-    say("discovery says that s0 is gone");
-    wait(all, 0.4);
+    log("discovery reports s0 as terminated");
+    waitUntil(loads, 0.4);
     discovery.tell("s3", servers.get("s3").address(), CELLS.get("s3"), "terminating", 0);
-    say("s3 drains");
-    wait(all, 0.55);
+    log("s3 drains");
+    waitUntil(loads, 0.55);
     coldAt = System.nanoTime();
-    add("cold");
-    say("cold joins");
-    wait(all, 1);
-    for (Load c : all.values()) {
+    addServer("cold");
+    log("cold joins");
+    waitUntil(loads, 1);
+    for (Load c : loads.values()) {
       c.stop();
     }
     node.drain();
     node.awaitDrained();
-    return report(all);
+    return report(loads);
   }
 
-  /** Waits for a part of the time, with a line a second. */
-  private void wait(Map<String, Load> all, double part) throws InterruptedException {
-    long end = startedAt + (long) (part * seconds * 1e9);
+  /** Waits until a fraction of the duration has passed, printing one line per second. */
+  private void waitUntil(Map<String, Load> loads, double fraction) throws InterruptedException {
+    long end = startedAt + (long) (fraction * seconds * 1e9);
     while (System.nanoTime() - end < 0) {
       TimeUnit.NANOSECONDS.sleep(Math.min(1_000_000_000L, Math.max(1, end - System.nanoTime())));
       StringBuilder line = new StringBuilder();
-      all.forEach((name, c) -> line.append(String.format(
-          "  %s %d asked %d served %d refused %d failed",
+      loads.forEach((name, c) -> line.append(String.format(
+          "  %s %d sent %d served %d refused %d failed",
           name,
           c.sent(),
           c.count(Outcome.SERVED),
           c.count(Outcome.REFUSED),
           c.count(Outcome.FAILED))));
-      say(line.toString().strip());
+      log(line.toString().strip());
     }
   }
 
-  private void say(String what) {
-    out.printf("%5.1f s  %s%n", (System.nanoTime() - startedAt) / 1e9, what);
+  private void log(String message) {
+    out.printf("%5.1f s  %s%n", (System.nanoTime() - startedAt) / 1e9, message);
   }
 
-  private boolean report(Map<String, Load> all) {
+  private boolean report(Map<String, Load> loads) {
     out.println();
-    out.println("calls                  asked  served refused  failed    left    p50 ms  p99 ms");
-    all.forEach((name, c) -> out.printf(
+    out.println("calls                   sent  served refused  failed abandoned  p50 ms  p99 ms");
+    loads.forEach((name, c) -> out.printf(
         "%-20s %8d %7d %7d %7d %7d  %8.1f %7.1f%n",
         name,
         c.sent(),
@@ -219,9 +227,11 @@
         c.results().latency().getValueAtPercentile(50) / 1e3,
         c.results().latency().getValueAtPercentile(99) / 1e3));
     Verdict verdict = Verdict.ofServers(servers, CELLS, call -> nameIn(call));
-    all.forEach((name, c) -> verdict.checkAllAnswered(name, c.results()));
-    all.values().forEach(c -> verdict.checkServedWasReceived(c.results(), Verdict.Execution::name));
-    verdict.checkRefusedNeverRan(all.get("quotes, singly").results());
+    loads.forEach((name, c) -> verdict.checkAllAnswered(name, c.results()));
+    loads
+        .values()
+        .forEach(c -> verdict.checkServedWasReceived(c.results(), Verdict.Execution::name));
+    verdict.checkRefusedNeverRan(loads.get("quotes, singly").results());
     verdict.checkNoDuplicateEffect();
     verdict.checkDrain("s3", "quote.issue", discovery.toldAt("s3", "terminating"), GRACE_MILLIS);
     verdict.checkDrain("s3", "rate.lookup", discovery.toldAt("s3", "terminating"), GRACE_MILLIS);
@@ -231,7 +241,7 @@
     return verdict.passed();
   }
 
-  /** The name that the stand-in's client gave a call: the first member of its params. */
+  /** Returns the name that the load gave a call, which is the first member of its params. */
   private static String nameIn(StandInRpcServer.Seen call) {
     int from = call.params().indexOf("\"n\":\"") + 5;
     return call.params().substring(from, call.params().indexOf('"', from));
--- a/src/main/java/pumicekeel/demo/Verdict.java
+++ b/src/main/java/pumicekeel/demo/Verdict.java
@@ -14,10 +14,10 @@
 import pumicekeel.standin.StandInRpcServer;
 import pumicekeel.standin.StandInUpstream;
 
-/** The four rules, held against the logs of the stand-ins and of their clients, never against the balancer's own. */
+/** Checks the four rules against the logs of the stand-ins and their clients, never against those of the balancer. */
 public final class Verdict {
 
-  /** Something that an upstream ran, or may have run; {@code key} is null where it has none, or surely did not run. */
+  /** A request that an upstream ran or may have run; {@code key} is null if it has none or certainly did not run. */
   public record Execution(String name, String key, String className, long atNanos) {}
 
   private final Map<String, Supplier<List<Execution>>> upstreams;
@@ -30,7 +30,7 @@
     this.cells = cells;
   }
 
-  /** HTTP upstreams by name, and the cell of each: those of one cell drop each other's repeats. */
+  /** Creates a check of HTTP upstreams by name, with the cell of each: those of one cell drop each other's repeats. */
   public static Verdict ofUpstreams(
       Map<String, StandInUpstream> upstreams, Map<String, Integer> cells) {
     Map<String, Supplier<List<Execution>>> logs = new TreeMap<>();
@@ -46,7 +46,7 @@
     return new Verdict(cells, logs);
   }
 
-  /** JSON-RPC servers by name; {@code name} tells a call's own, which is its key where its method is quote.issue. */
+  /** Creates a check of JSON-RPC servers by name; {@code name} returns a call's name, which is also its key for quote.issue. */
   public static Verdict ofServers(
       Map<String, StandInRpcServer> servers,
       Map<String, Integer> cells,
@@ -72,57 +72,58 @@
     return List.copyOf(lines);
   }
 
-  private void rule(String what, boolean held, String detail) {
+  private void addResult(String rule, boolean held, String detail) {
     passed &= held;
-    lines.add((held ? "held    " : "BROKEN  ") + what + ": " + detail);
+    lines.add((held ? "held    " : "BROKEN  ") + rule + ": " + detail);
   }
 
-  /** Rule 1: each request or call got exactly one final answer in time, and the right one. */
-  public void checkAllAnswered(String what, LoadResults results) {
-    checkAllAnswered(what, List.of(results));
+  /** Rule 1: each request or call received exactly one final answer, in time and correct. */
+  public void checkAllAnswered(String subject, LoadResults results) {
+    checkAllAnswered(subject, List.of(results));
   }
 
-  /** Rule 1 for clients of many balancers together. */
-  public void checkAllAnswered(String what, List<LoadResults> all) {
+  /** Rule 1 for the clients of several balancers together. */
+  public void checkAllAnswered(String subject, List<LoadResults> all) {
     long sent = all.stream().mapToLong(LoadResults::sent).sum();
-    long left = all.stream().mapToLong(LoadResults::abandoned).sum();
+    long abandoned = all.stream().mapToLong(LoadResults::abandoned).sum();
     long wrong = all.stream().mapToLong(LoadResults::violations).sum();
     long pending = all.stream().mapToLong(LoadResults::pending).sum();
     List<String> faults =
         all.stream().flatMap(c -> c.faults().stream()).limit(5).toList();
-    rule(
+    addResult(
         "no request lost",
         wrong == 0 && pending == 0 && sent > 0,
-        sent + " " + what + " asked"
+        sent + " " + subject + " sent"
             + (all.size() == 1 ? "" : " at " + all.size() + " instances")
-            + (left == 0 ? "" : ", " + left + " left by their clients") + ", " + wrong
-            + " lost, late or wrong, " + pending + " without an end"
+            + (abandoned == 0 ? "" : ", " + abandoned + " abandoned by their clients") + ", "
+            + wrong
+            + " lost, late or wrong, " + pending + " still pending"
             + (faults.isEmpty() ? "" : " " + faults));
   }
 
-  /** Each call that its client holds for served was seen by a server. */
+  /** Checks that each call that a client counts as served was received by a server. */
   public void checkServedWasReceived(LoadResults clients, Function<Execution, String> name) {
     Set<String> seen = new HashSet<>();
     upstreams.values().forEach(u -> u.get().forEach(r -> seen.add(name.apply(r))));
-    long never = clients.served().stream().filter(n -> !seen.contains(n)).count();
-    rule(
+    long missing = clients.served().stream().filter(n -> !seen.contains(n)).count();
+    addResult(
         "logs agree",
-        never == 0,
-        clients.served().size() + " served, " + never + " of them unknown to every server");
+        missing == 0,
+        clients.served().size() + " served, " + missing + " of them received by no server");
   }
 
-  /** A keyed call that its client was told to be refused, where only servers of one cell drop repeats, never ran. */
+  /** Checks that no refused keyed call ran, where only servers of one cell drop repeats. */
   public void checkRefusedNeverRan(LoadResults clients) {
     Set<String> ran = new HashSet<>();
     upstreams.values().forEach(u -> u.get().forEach(r -> ran.add(r.key())));
-    long untrue = clients.refused().stream().filter(ran::contains).count();
-    rule(
+    long ranCount = clients.refused().stream().filter(ran::contains).count();
+    addResult(
         "refusals are true",
-        untrue == 0,
-        clients.refused().size() + " refused, " + untrue + " of them seen by a server");
+        ranCount == 0,
+        clients.refused().size() + " refused, " + ranCount + " of them received by a server");
   }
 
-  /** Rule 2: no key ran in two cells, since only upstreams of one cell drop a repeat. */
+  /** Rule 2: no key ran in two cells, since only upstreams of the same cell drop a repeat. */
   public void checkNoDuplicateEffect() {
     Map<String, Set<Integer>> ran = new HashMap<>();
     long keyed = 0;
@@ -134,37 +135,41 @@
         }
       }
     }
-    long twice = ran.values().stream().filter(c -> c.size() > 1).count();
-    rule(
+    long duplicated = ran.values().stream().filter(c -> c.size() > 1).count();
+    addResult(
         "no effect twice",
-        twice == 0,
-        keyed + " keyed requests seen by upstreams, " + twice + " keys in two cells");
-  }
-
-  /** Rule 3: nothing of a class reaches a draining upstream so long after the word of it was written. */
-  public void checkDrain(String upstream, String className, long toldAt, long graceMillis) {
-    long end = toldAt + TimeUnit.MILLISECONDS.toNanos(graceMillis);
-    long late = of(upstream, className).filter(s -> s.atNanos() - end > 0).count();
-    long before = of(upstream, className).filter(s -> s.atNanos() - end <= 0).count();
-    rule(
+        duplicated == 0,
+        keyed + " keyed requests received by upstreams, " + duplicated + " keys in two cells");
+  }
+
+  /** Rule 3: no request of a class reaches a draining upstream later than the grace after its drain was announced. */
+  public void checkDrain(String upstream, String className, long announcedAt, long graceMillis) {
+    long end = announcedAt + TimeUnit.MILLISECONDS.toNanos(graceMillis);
+    long late =
+        executions(upstream, className).filter(s -> s.atNanos() - end > 0).count();
+    long before =
+        executions(upstream, className).filter(s -> s.atNanos() - end <= 0).count();
+    addResult(
         "drains kept",
         late == 0 && before > 0,
         before + " " + className + " at " + upstream + " until " + graceMillis
-            + " ms after the word, " + late + " later");
+            + " ms after the announcement, " + late + " later");
   }
 
-  /** A drain in one pool leaves the other's work alone. */
-  public void checkStillServing(String upstream, String className, long toldAt) {
-    long after = of(upstream, className).filter(s -> s.atNanos() - toldAt > 0).count();
-    rule(
+  /** Checks that a drain in one pool does not stop the other pool's requests to the upstream. */
+  public void checkStillServing(String upstream, String className, long announcedAt) {
+    long after = executions(upstream, className)
+        .filter(s -> s.atNanos() - announcedAt > 0)
+        .count();
+    addResult(
         "a drain in one pool only",
         after > 0,
-        after + " " + className + " at " + upstream + " after that");
+        after + " " + className + " at " + upstream + " after the announcement");
   }
 
   /**
-   * Rule 4: in no window did all pools together send a cold upstream more than the multiple of its present part of what
-   * a warm one got on average in the same window; a few requests more are chance.
+   * Rule 4: in no window did all pools together send a cold upstream more than its budget, which is the multiple times its current share
+   * of capacity times the average that a warm upstream received in the same window. A few more requests are allowed for chance.
    */
   public void checkColdBudget(
       String cold,
@@ -180,31 +185,32 @@
         times.put(name, u.get().stream().mapToLong(Execution::atNanos).toArray()));
     long last =
         times.values().stream().flatMapToLong(java.util.Arrays::stream).max().orElse(0);
-    double worst = 0;
+    double maxUsed = 0;
     boolean held = true;
     for (long at = startedAt; at + window <= Math.max(last, startedAt + window); at += step) {
       long from = at;
-      double got = within(times.get(cold), from, window);
-      double warm = upstreams.keySet().stream()
+      double received = countWithin(times.get(cold), from, window);
+      double warmAverage = upstreams.keySet().stream()
           .filter(n -> !n.equals(cold))
-          .mapToLong(n -> within(times.get(n), from, window))
+          .mapToLong(n -> countWithin(times.get(n), from, window))
           .filter(n -> n > 0)
           .average()
           .orElse(0);
-      double part = Math.min(1, coldFrom + (1 - coldFrom) * (from - startedAt) / 1e9 / warmSeconds);
-      double budget = multiple * part * warm;
-      worst = Math.max(worst, budget == 0 ? 0 : got / budget);
-      held &= got <= budget + 3 * Math.sqrt(budget);
+      double capacityShare =
+          Math.min(1, coldFrom + (1 - coldFrom) * (from - startedAt) / 1e9 / warmSeconds);
+      double budget = multiple * capacityShare * warmAverage;
+      maxUsed = Math.max(maxUsed, budget == 0 ? 0 : received / budget);
+      held &= received <= budget + 3 * Math.sqrt(budget);
     }
     long all = times.get(cold).length;
-    rule(
-        "no cold upstream pushed over",
+    addResult(
+        "no cold upstream overloaded",
         held && all > 0,
-        all + " requests at " + cold + ", at most " + Math.round(worst * 100)
+        all + " requests at " + cold + ", at most " + Math.round(maxUsed * 100)
             + " % of its budget in any " + windowSeconds + " s");
   }
 
-  private static long within(long[] times, long from, long window) {
+  private static long countWithin(long[] times, long from, long window) {
     long count = 0;
     for (long at : times) {
       count += at >= from && at < from + window ? 1 : 0;
@@ -212,7 +218,7 @@
     return count;
   }
 
-  private java.util.stream.Stream<Execution> of(String upstream, String className) {
+  private java.util.stream.Stream<Execution> executions(String upstream, String className) {
     return upstreams.get(upstream).get().stream().filter(s -> s.className().equals(className));
   }
 }
--- a/src/test/java/pumicekeel/cli/CommandsTest.java
+++ b/src/test/java/pumicekeel/cli/CommandsTest.java
@@ -145,11 +145,11 @@
     assertEquals(2, run("chek"));
   }
 
-  /** The demo's own verdict on a short day; it breaks off with 1 where a rule broke. */
+  /** The demo's own verdict on a short run; it exits with status 1 if a rule was violated. */
   @Test
   void demoHoldsItsRules() throws Exception {
     assertEquals(0, run("demo", "--seconds", "6"), out.toString());
-    assertTrue(out.toString().contains("held    no cold upstream pushed over"), out.toString());
+    assertTrue(out.toString().contains("held    no cold upstream overloaded"), out.toString());
     assertFalse(out.toString().contains("BROKEN"), out.toString());
   }
 }
