--- a/src/test/java/pumicekeel/AdmissionTest.java
+++ b/src/test/java/pumicekeel/AdmissionTest.java
@@ -14,27 +14,27 @@
 import pumicekeel.Balancer.Tenant;
 import pumicekeel.Window.Metric;
 
-/** The straight line, its window and what it is fed with. */
+/** Tests admission: the allowed rate, which falls linearly with the mean latency, its window, and the samples that it counts. */
 class AdmissionTest {
 
-  private static double published(double meanMs) {
+  private static double allowedRate(double meanMs) {
     return AdaptiveBalancer.allowedRate(meanMs, 300, 18_000, 240, 4);
   }
 
   @Test
-  void lineMatchesThePublishedFigures() {
-    assertEquals(240, published(0));
-    assertEquals(240, published(300));
-    assertEquals(177.3, published(5000), 0.1);
-    assertEquals(122, published(9150), 0.001);
-    assertEquals(4, published(18_000));
-    assertEquals(4, published(99_000));
+  void allowedRateMatchesThePublishedFigures() {
+    assertEquals(240, allowedRate(0));
+    assertEquals(240, allowedRate(300));
+    assertEquals(177.3, allowedRate(5000), 0.1);
+    assertEquals(122, allowedRate(9150), 0.001);
+    assertEquals(4, allowedRate(18_000));
+    assertEquals(4, allowedRate(99_000));
   }
 
   @Test
-  void windowCountsAndForgets() {
+  void windowCountsAndExpires() {
     Window w = new Window(1200, 0);
-    assertEquals(0, w.mean(0, 1), "an empty window is healthy");
+    assertEquals(0, w.mean(0, 1), "an empty window counts as no latency");
     w.add(0, Metric.ADMITTED, 1);
     w.add(150, Metric.SAMPLES, 1);
     w.add(150, Metric.SUM, 6);
@@ -47,17 +47,18 @@
     assertEquals(0, w.mean(90_000, 1), 1e-9);
   }
 
-  /** Serves at a rate with a fixed number out, each answer after the latency; the share refused. */
-  private static double refusedShare(Driver d, int requests, int out, long latency, Status status) {
-    return refusedShare(d, null, requests, out, latency, status);
+  /** Sends requests so that a fixed number is in flight, each served after the latency. Returns the share that was refused. */
+  private static double refusedShare(
+      Driver d, int requests, int inFlight, long latency, Status status) {
+    return refusedShare(d, null, requests, inFlight, latency, status);
   }
 
   private static double refusedShare(
-      Driver d, String tenant, int requests, int out, long latency, Status status) {
+      Driver d, String tenant, int requests, int inFlight, long latency, Status status) {
     d.refusals.clear();
     for (int i = 0; i < requests; i++) {
-      d.request(d.nextId(), "c", tenant, "k" + i % 50, 0);
-      d.serveFor(latency / out, status, latency);
+      d.request(d.newId(), "c", tenant, "k" + i % 50, 0);
+      d.advanceServing(latency / inFlight, status, latency);
     }
     return d.refusals.getOrDefault("r", 0) / (double) requests;
   }
@@ -71,63 +72,64 @@
   }
 
   @Test
-  void ownDelayOfTheBalancerIsNoOverload() {
+  void delayInsideTheBalancerIsNoOverload() {
     Driver d = new Driver(Driver.safe()).upstreams(5);
     for (int i = 0; i < 500; i++) {
-      d.request(d.nextId(), "c", null, "k" + i % 50, 0);
-      d.serveFor(8 * Driver.MS, Status.SERVED, 320 * Driver.MS, 40 * Driver.MS);
+      d.request(d.newId(), "c", null, "k" + i % 50, 0);
+      d.advanceServing(8 * Driver.MS, Status.SERVED, 320 * Driver.MS, 40 * Driver.MS);
     }
-    assertEquals(Map.of(), d.refusals, "40 ms at an upstream, 280 ms in this balancer");
+    assertEquals(
+        Map.of(), d.refusals, "40 ms at the upstream and 280 ms in the balancer is no overload");
   }
 
   @Test
-  void keysThatNeverComeAgainAreForgotten() {
+  void keysThatAreNotSeenAgainAreEvicted() {
     Driver d = new Driver(Driver.safe()).upstreams(5);
     for (int i = 0; i < 5_000; i++) {
-      d.request(d.nextId(), "c", null, "once-" + i, 0);
-      d.serveFor(10 * Driver.MS, Status.SERVED, 5 * Driver.MS);
+      d.request(d.newId(), "c", null, "once-" + i, 0);
+      d.advanceServing(10 * Driver.MS, Status.SERVED, 5 * Driver.MS);
     }
     int kept = ((AdaptiveBalancer) d.module).windowsKept();
-    assertTrue(kept < 300, "a window holds 100 of these keys, and kept are " + kept);
+    assertTrue(kept < 300, "a window spans 100 of these keys; windows kept: " + kept);
   }
 
   @ParameterizedTest
   @EnumSource(names = {"RESET", "ERROR"})
-  void connectionsThatBreakAndErrorsAreNotTakenForLoad(Status failure) {
+  void brokenConnectionsAndErrorsAreNotCountedAsLoad(Status failure) {
     Driver d = new Driver(Driver.safe()).upstreams(5);
     for (int i = 0; i < 1_000; i++) {
-      d.request(d.nextId(), "c", null, "k" + i % 50, 0);
-      d.serveFor(20 * Driver.MS, i % 10 == 9 ? failure : Status.SERVED, 100 * Driver.MS);
+      d.request(d.newId(), "c", null, "k" + i % 50, 0);
+      d.advanceServing(20 * Driver.MS, i % 10 == 9 ? failure : Status.SERVED, 100 * Driver.MS);
     }
     assertEquals(
         0,
         d.refusals.getOrDefault("r", 0),
-        "a tenth of the attempts fails, at a quarter of the aim");
+        "a tenth of the attempts fails, with a latency of a quarter of the aim");
   }
 
   @Test
-  void ownDelayOfTheBalancerIsNoSilenceOfItsUpstreams() {
+  void delayInsideTheBalancerDoesNotMakeUpstreamsSilent() {
     Driver d = new Driver(Driver.safe()).upstreams(2);
     for (int i = 0; i < 20; i++) {
       for (int k = 0; k < 12; k++) {
-        d.request(d.nextId(), "c", null, "k" + k, 0);
+        d.request(d.newId(), "c", null, "k" + k, 0);
       }
-      d.serveFor(260 * Driver.MS, Status.SERVED, 250 * Driver.MS, 40 * Driver.MS);
+      d.advanceServing(260 * Driver.MS, Status.SERVED, 250 * Driver.MS, 40 * Driver.MS);
     }
-    long copied = d.attempts.values().stream().filter(n -> n > 1).count();
-    // The first ones' own delay is not known before their answers.
-    assertTrue(copied <= 12, "second copies: " + copied);
+    long hedged = d.attempts.values().stream().filter(n -> n > 1).count();
+    // The balancer's own delay of the first requests is unknown until they are answered.
+    assertTrue(hedged <= 12, "second copies: " + hedged);
   }
 
   @Test
-  void keptConnectionsThatWereBrokenEjectNobody() {
+  void staleIdleConnectionsEjectNoUpstream() {
     Driver d = new Driver(Driver.safe()).upstreams(3);
     long first = d.serve("k", 40 * Driver.MS);
     for (int i = 0; i < 5; i++) {
       d.request("b" + i, "c", "k");
-      d.endStale("b" + i);
+      d.endByStaleConnection("b" + i);
     }
-    assertEquals(first, d.serve("k", 40 * Driver.MS), "still where its key belongs");
+    assertEquals(first, d.serve("k", 40 * Driver.MS), "the key's upstream is unchanged");
   }
 
   @Test
@@ -137,21 +139,21 @@
     assertTrue(refusedShare(d, 600, 30, 700 * Driver.MS, Status.SERVED) > 0.2);
   }
 
-  /** Guards work inside a quota: with few out, a slow dependency is not an overload of its making. */
+  /** A tenant within its quota and with no more in flight than usual did not cause the overload: a dependency became slow. */
   @Test
-  void noRefusalInsideAQuotaWhileNoMoreIsOutThanUsual() {
+  void nothingIsRefusedWithinAQuotaAtTheUsualNumberInFlight() {
     Driver d = new Driver(Driver.settings(
             false,
             List.of(new Tenant("t", 1, 1000)),
-            Driver.type("c", Effect.SAFE, DedupScope.ALL)))
+            Driver.requestClass("c", Effect.SAFE, DedupScope.ALL)))
         .upstreams(5);
     refusedShare(d, "t", 2000, 10, 40 * Driver.MS, Status.SERVED);
     assertEquals(0, refusedShare(d, "t", 300, 4, 390 * Driver.MS, Status.SERVED), 0.02);
   }
 
-  /** Guards against a collapsed fleet that nobody relieves: without quotas the line refuses, however few are out. */
+  /** Without quotas, overload has to be refused however few requests are in flight, or a collapsed fleet never recovers. */
   @Test
-  void withoutQuotasTheLineRefusesThoughFewAreOut() {
+  void withoutQuotasOverloadIsRefusedWithFewInFlight() {
     Driver d = new Driver(Driver.safe()).upstreams(5);
     refusedShare(d, 2000, 10, 40 * Driver.MS, Status.SERVED);
     assertTrue(refusedShare(d, 300, 4, 390 * Driver.MS, Status.SERVED) > 0.2);
@@ -162,19 +164,20 @@
     Driver d = new Driver(Driver.settings(
             false,
             List.of(new Tenant("big", 0.5, 10), new Tenant("small", 0.5, 1000)),
-            Driver.type("c", Effect.SAFE, DedupScope.ALL)))
+            Driver.requestClass("c", Effect.SAFE, DedupScope.ALL)))
         .upstreams(5);
     for (int i = 0; i < 2000; i++) {
       for (String tenant : List.of("big", "small")) {
-        d.request(tenant + d.nextId(), "c", tenant, "k" + i % 50, 0);
+        d.request(tenant + d.newId(), "c", tenant, "k" + i % 50, 0);
       }
-      d.serveFor(20 * Driver.MS, Status.SERVED, 140 * Driver.MS);
+      d.advanceServing(20 * Driver.MS, Status.SERVED, 140 * Driver.MS);
     }
-    assertTrue(d.refusals.getOrDefault("b", 0) > 300, "excess refused: " + d.refusals);
-    assertEquals(0, d.refusals.getOrDefault("s", 0), "inside its quota nothing is refused");
+    assertTrue(
+        d.refusals.getOrDefault("b", 0) > 300, "excess over the quota refused: " + d.refusals);
+    assertEquals(0, d.refusals.getOrDefault("s", 0), "nothing within a quota is refused");
   }
 
-  /** Guards against quick failures that pull a mean down and keep a rate at full. */
+  /** Fast failures would lower the mean latency and so keep the allowed rate at its maximum. */
   @Test
   void quickFailuresCountAsTheClassLimit() {
     Driver d = new Driver(Driver.safe()).upstreams(5);
@@ -182,34 +185,35 @@
     assertTrue(refused > 0.3, "refused " + refused);
   }
 
-  /** Guards sparse views: with a request or two a window the first of each was always admitted. */
+  /** With one or two requests per window, the first request of every window was always admitted despite overload. */
   @Test
-  void theLineRefusesWhereEveryWindowHoldsHardlyARequest() {
+  void overloadIsRefusedWithHardlyARequestPerWindow() {
     Driver d = new Driver(Driver.safe()).upstreams(20);
-    int late = 0;
+    int admitted = 0;
     for (int i = 0; i < 60; i++) {
-      long to = Driver.sentTo(d.request(d.nextId(), "c", "k" + i));
-      d.serveFor(700 * Driver.MS, Status.SERVED, 690 * Driver.MS);
-      late += i >= 20 && to >= 0 ? 1 : 0;
+      long to = Driver.sentTo(d.request(d.newId(), "c", "k" + i));
+      d.advanceServing(700 * Driver.MS, Status.SERVED, 690 * Driver.MS);
+      admitted += i >= 20 && to >= 0 ? 1 : 0;
     }
-    assertTrue(late < 15, "admitted of the last 40 at well over maxValue: " + late);
+    assertTrue(
+        admitted < 15, "admitted of the last 40 at a latency well over the maximum: " + admitted);
   }
 
-  /** Guards a share cut over many balancers: two close requests of a small share are chance, not excess. */
+  /** When a quota is divided among many balancers, two requests close together in a small share are chance, not excess. */
   @Test
-  void aSmallShareMaySendAFewAtOnce() {
+  void smallShareMaySendAFewAtOnce() {
     Driver d = new Driver(Driver.settings(
             false,
             List.of(new Balancer.Tenant("t", 1, 1)),
-            Driver.type("c", Balancer.Effect.SAFE, Balancer.DedupScope.ALL)))
+            Driver.requestClass("c", Balancer.Effect.SAFE, Balancer.DedupScope.ALL)))
         .upstreams(8);
     for (int i = 0; i < 20; i++) {
-      d.request(d.nextId(), "c", "t", "k" + i, 0);
-      d.serveFor(4000 * Driver.MS, Status.SERVED, 190 * Driver.MS);
+      d.request(d.newId(), "c", "t", "k" + i, 0);
+      d.advanceServing(4000 * Driver.MS, Status.SERVED, 190 * Driver.MS);
     }
     int sent = 0;
     for (int i = 0; i < 3; i++) {
-      sent += Driver.sentTo(d.request(d.nextId(), "c", "t", "x" + i, 0)) >= 0 ? 1 : 0;
+      sent += Driver.sentTo(d.request(d.newId(), "c", "t", "x" + i, 0)) >= 0 ? 1 : 0;
     }
     assertEquals(3, sent);
   }
--- a/src/test/java/pumicekeel/ColdBudgetTest.java
+++ b/src/test/java/pumicekeel/ColdBudgetTest.java
@@ -22,9 +22,9 @@
 import pumicekeel.Balancer.Status;
 
 /**
- * The budget of a cold upstream is the fleet's: in no window may all balancers together send it more than N + 2 x root of N + 2 requests of
- * mean work, N being what the settings allow it at the window's begin. Whole fleets of the decision module in virtual time; the
- * upstreams have just the capacity that they are asked for, which is the least budget that a fleet can meet.
+ * Tests that the cold budget holds for the whole fleet: in no window may all balancers together send a cold upstream more than
+ * N + 2 sqrt(N) + 2 requests of mean work, where N is what the settings allow at the start of the window. Runs whole fleets of the
+ * decision module in virtual time; the capacity of the upstreams equals the load, which gives the smallest possible budget.
  */
 class ColdBudgetTest {
 
@@ -33,20 +33,20 @@
   private static final long COLD = 500;
   private static final long LATENCY = 20 * Driver.MS;
 
-  /** What a third of the balancers takes the fleet for when the cold upstream starts. */
+  /** What a third of the balancers knows of the fleet when the cold upstream starts. */
   private enum View {
-    AS_THE_OTHERS,
+    SAME_AS_OTHERS,
     JUST_STARTED,
     /** Their list names a third of the warm upstreams only. */
     SHORT_LIST,
-    /** They take themselves for the only one. */
-    ALONE,
-    /** So do all of them. */
-    ALL_ALONE,
-    /** All have just started, and see the cold upstream in their first list. */
+    /** They are configured with a group size of 1. */
+    GROUP_OF_ONE,
+    /** All are configured with a group size of 1. */
+    ALL_GROUP_OF_ONE,
+    /** All have just started and find the cold upstream in their first list. */
     ALL_JUST_STARTED,
-    /** Their list names no upstream but the cold one. */
-    NOTHING_ELSE
+    /** Their list names only the cold upstream. */
+    ONLY_COLD
   }
 
   private static final long SEED = 11;
@@ -90,7 +90,7 @@
     return d.upstreams((int) WARM);
   }
 
-  /** Lets the fleet be asked for so long, with this chance of a request in each tick. */
+  /** Runs the fleet for a time, with {@code perTick} requests expected in each tick. */
   private void run(long nanos, double perTick) {
     long end = fleet.get(0).now + nanos;
     while (fleet.get(0).now < end) {
@@ -100,7 +100,7 @@
         d.request(id, "c", id);
       }
       for (Driver d : fleet) {
-        d.pass(TICK);
+        d.advance(TICK);
         for (Driver.Sent s : List.copyOf(d.outstanding)) {
           if (s.upstream() == COLD && seen.add(s.id() + '/' + s.attempt())) {
             sentToCold.add(s.at());
@@ -113,7 +113,7 @@
     }
   }
 
-  /** The upstream begins with a third of its capacity, and with next to none of it, where the budget rises steeply. */
+  /** The upstream starts with about a third of its capacity, or with 5 % of it, where the budget rises steeply. */
   static Stream<Arguments> fleets() {
     return IntStream.of(20, 30)
         .boxed()
@@ -121,18 +121,18 @@
             .flatMap(view -> DoubleStream.of(2, 10, 30, 100)
                 .boxed()
                 .flatMap(load -> DoubleStream.of(0.05, 0.3)
-                    .filter(from -> view != View.NOTHING_ELSE || from > 0.05)
+                    .filter(from -> view != View.ONLY_COLD || from > 0.05)
                     .mapToObj(from -> Arguments.of(balancers, view, load, from)))));
   }
 
   @ParameterizedTest
   @MethodSource("fleets")
-  void sumOfAllStaysWithinTheFleetsBudget(
+  void fleetStaysWithinTheColdBudget(
       int balancers, View view, double perUpstream, double coldShare) {
     coldFrom = coldShare;
     for (int i = 0; i < balancers; i++) {
-      boolean alone = view == View.ALL_ALONE || view == View.ALONE && i % 3 == 0;
-      fleet.add(balancer(settings(alone ? 1 : balancers), i, 1_000_000_000_000L));
+      boolean groupOfOne = view == View.ALL_GROUP_OF_ONE || view == View.GROUP_OF_ONE && i % 3 == 0;
+      fleet.add(balancer(settings(groupOfOne ? 1 : balancers), i, 1_000_000_000_000L));
     }
     double perTick = perUpstream * (WARM + 1) * TICK / 1e9;
     run(20_000 * Driver.MS, perTick);
@@ -143,8 +143,15 @@
         fleet.set(i, balancer(settings(balancers), balancers + i, start));
       }
       if (view == View.SHORT_LIST && i % 3 == 0) {
-        fleet.get(i).list(ListKind.FULL, Driver.up(100), Driver.up(101), Driver.up(102), cold);
-      } else if (view == View.NOTHING_ELSE && i % 3 == 0) {
+        fleet
+            .get(i)
+            .list(
+                ListKind.FULL,
+                Driver.readyUpstream(100),
+                Driver.readyUpstream(101),
+                Driver.readyUpstream(102),
+                cold);
+      } else if (view == View.ONLY_COLD && i % 3 == 0) {
         fleet.get(i).list(ListKind.FULL, cold);
       } else {
         fleet.get(i).list(ListKind.DELTA, cold);
@@ -167,7 +174,7 @@
           .count();
       worst = Math.max(worst, sent / (n + 2 * Math.sqrt(n) + 2));
     }
-    assertTrue(worst < 1, "seed " + SEED + ": at the most " + worst + " of the budget");
-    assertFalse(sentToCold.isEmpty(), "some are sent to it");
+    assertTrue(worst < 1, "seed " + SEED + ": largest share used " + worst + " of the budget");
+    assertFalse(sentToCold.isEmpty(), "some requests are sent to it");
   }
 }
--- a/src/test/java/pumicekeel/Driver.java
+++ b/src/test/java/pumicekeel/Driver.java
@@ -26,7 +26,7 @@
 import pumicekeel.Balancer.TimerFired;
 import pumicekeel.Balancer.WeightKind;
 
-/** Drives one instance by hand: a clock, its timers, and the actions of the last step. */
+/** Drives one decision module step by step: supplies its clock, fires its timers and records the actions it returns. */
 final class Driver {
 
   static final long MS = 1_000_000L;
@@ -39,7 +39,7 @@
   long now = 1_000_000_000_000L;
   private int ids;
 
-  /** An attempt that has no outcome yet. */
+  /** An attempt in flight: sent and without an outcome yet. */
   record Sent(String id, int attempt, long upstream, long at) {}
 
   Driver(Settings settings) {
@@ -50,7 +50,7 @@
     module = new AdaptiveBalancer(settings, seed);
   }
 
-  static RequestClass type(String name, Effect effect, DedupScope scope) {
+  static RequestClass requestClass(String name, Effect effect, DedupScope scope) {
     return new RequestClass(name, effect, scope, 2000 * MS, 400 * MS, 0, 2000 * MS, 1, 0, false);
   }
 
@@ -72,14 +72,14 @@
   }
 
   static Settings safe() {
-    return settings(false, List.of(), type("c", Effect.SAFE, DedupScope.ALL));
+    return settings(false, List.of(), requestClass("c", Effect.SAFE, DedupScope.ALL));
   }
 
-  static Listed up(long id) {
+  static Listed readyUpstream(long id) {
     return new Listed(id, "a", 0, State.READY, 0, 1);
   }
 
-  List<Action> step(Event event) {
+  List<Action> handle(Event event) {
     List<Action> actions = new ArrayList<>();
     module.handle(now, event, actions::add);
     for (Action action : actions) {
@@ -96,28 +96,28 @@
   }
 
   List<Action> list(ListKind kind, Listed... entries) {
-    return step(new ListUpdate(kind, List.of(entries)));
+    return handle(new ListUpdate(kind, List.of(entries)));
   }
 
   Driver upstreams(int n) {
     Listed[] entries = new Listed[n];
     for (int i = 0; i < n; i++) {
-      entries[i] = up(100 + i);
+      entries[i] = readyUpstream(100 + i);
     }
     list(ListKind.CACHED, entries);
     return this;
   }
 
-  String nextId() {
+  String newId() {
     return "r" + ids++;
   }
 
-  List<Action> request(String id, String type, String key) {
-    return request(id, type, null, key, 0);
+  List<Action> request(String id, String className, String key) {
+    return request(id, className, null, key, 0);
   }
 
-  List<Action> request(String id, String type, String tenant, String key, long hint) {
-    return step(new Request(id, type, tenant, key, now + 2000 * MS, hint, false));
+  List<Action> request(String id, String className, String tenant, String key, long hint) {
+    return handle(new Request(id, className, tenant, key, now + 2000 * MS, hint, false));
   }
 
   /** Ends the attempt of a request at an upstream. */
@@ -131,7 +131,7 @@
 
   List<Action> end(Sent sent, Status status, long latencyNanos) {
     outstanding.remove(sent);
-    return step(new Outcome(
+    return handle(new Outcome(
         sent.id(),
         sent.attempt(),
         sent.upstream(),
@@ -141,56 +141,57 @@
         Map.of()));
   }
 
-  /** The last attempt of a request found a kept connection broken; what it is sent to next serves it. */
-  void endStale(String id) {
+  /** Ends the open attempt of a request because its idle connection was stale; the upstream it is sent to next serves it. */
+  void endByStaleConnection(String id) {
     Sent sent = outstanding.stream().filter(s -> s.id().equals(id)).findFirst().get();
     outstanding.remove(sent);
-    step(new Outcome(id, sent.attempt(), sent.upstream(), Status.RESET, MS, false, Map.of(), true));
-    for (Sent again : List.copyOf(outstanding)) {
-      end(again, Status.SERVED, MS);
+    handle(
+        new Outcome(id, sent.attempt(), sent.upstream(), Status.RESET, MS, false, Map.of(), true));
+    for (Sent retry : List.copyOf(outstanding)) {
+      end(retry, Status.SERVED, MS);
     }
   }
 
-  /** Lets time pass with upstreams that end every attempt after the latency. */
-  void serveFor(long nanos, Status status, long latencyNanos) {
-    serveFor(nanos, status, latencyNanos, Long.MAX_VALUE);
+  /** Advances the time; the upstreams end every attempt after the latency. */
+  void advanceServing(long nanos, Status status, long latencyNanos) {
+    advanceServing(nanos, status, latencyNanos, Long.MAX_VALUE);
   }
 
-  /** The same with so much of the time at most spent at the upstream, and the rest in the balancer. */
-  void serveFor(long nanos, Status status, long outNanos, long latencyNanos) {
+  /** Ends every attempt after {@code inFlightNanos}, of which at most {@code latencyNanos} is reported as the upstream's latency. */
+  void advanceServing(long nanos, Status status, long inFlightNanos, long latencyNanos) {
     for (long end = now + nanos; now < end; ) {
-      pass(Math.min(5 * MS, end - now));
+      advance(Math.min(5 * MS, end - now));
       for (Sent s : List.copyOf(outstanding)) {
-        if (now - s.at() >= outNanos && outstanding.contains(s)) {
+        if (now - s.at() >= inFlightNanos && outstanding.contains(s)) {
           end(s, status, Math.min(latencyNanos, now - s.at()));
         }
       }
     }
   }
 
-  /** Sends one request and has it served after a latency; the upstream it went to, or -1 where it was not sent. */
+  /** Sends one request and serves it after the latency. Returns its upstream, or -1 if it was not sent. */
   long serve(String key, long latencyNanos) {
-    String id = nextId();
+    String id = newId();
     long upstream = sentTo(request(id, "c", key));
     if (upstream >= 0) {
-      pass(latencyNanos);
+      advance(latencyNanos);
       end(id, upstream, Status.SERVED, latencyNanos);
     }
     return upstream;
   }
 
-  /** The same for a request by a name of its own, whose key nobody else has. */
-  long serveOne(String name, long latencyNanos) {
+  /** Sends and serves a request whose id is also its key. Returns its upstream, or -1 if it was not sent. */
+  long serveWithOwnKey(String name, long latencyNanos) {
     long upstream = sentTo(request(name, "c", name));
     if (upstream >= 0) {
-      pass(latencyNanos);
+      advance(latencyNanos);
       end(name, upstream, Status.SERVED, latencyNanos);
     }
     return upstream;
   }
 
-  /** Lets time pass, firing the timers that come due; the actions of all of them. */
-  List<Action> pass(long nanos) {
+  /** Advances the time and fires the timers that are due. Returns the actions of all of them. */
+  List<Action> advance(long nanos) {
     List<Action> actions = new ArrayList<>();
     long end = now + nanos;
     while (true) {
@@ -200,7 +201,7 @@
       }
       timers.remove(due);
       now = Math.max(now, due);
-      actions.addAll(step(new TimerFired("sweep")));
+      actions.addAll(handle(new TimerFired("sweep")));
     }
     now = end;
     return actions;
--- a/src/test/java/pumicekeel/EmbeddingExample.java
+++ b/src/test/java/pumicekeel/EmbeddingExample.java
@@ -24,7 +24,7 @@
 
   private EmbeddingExample() {}
 
-  /** One balancer, two upstreams, one request; the actions that the proxy is asked to carry out. */
+  /** Handles one request with two upstreams. Returns the actions that the proxy has to carry out. */
   static List<Action> firstRequest() {
     RequestClass page = new RequestClass(
         "page", Effect.SAFE, DedupScope.ALL, 0, 200 * MS, 0, 1000 * MS, 1, 0, false);
--- a/src/test/java/pumicekeel/EmbeddingExampleTest.java
+++ b/src/test/java/pumicekeel/EmbeddingExampleTest.java
@@ -9,11 +9,11 @@
 import pumicekeel.Balancer.Send;
 import pumicekeel.Balancer.SetTimer;
 
-/** The README's example does what the README says. */
+/** Tests that the example in the README does what the README says. */
 class EmbeddingExampleTest {
 
   @Test
-  void theFirstRequestIsSentAndATimerAskedFor() {
+  void firstRequestIsSentAndATimerIsSet() {
     List<Action> actions = EmbeddingExample.firstRequest();
     Send send = assertInstanceOf(Send.class, actions.get(0));
     assertEquals("r1", send.id());
--- a/src/test/java/pumicekeel/FourRulesTest.java
+++ b/src/test/java/pumicekeel/FourRulesTest.java
@@ -21,14 +21,15 @@
 import pumicekeel.Balancer.Status;
 import pumicekeel.Balancer.Watch;
 
-/** What may follow an attempt: each effect, outcome and dedup scope, with the expectation written out. */
+/** Tests what may follow an attempt, for each effect, outcome and dedup scope, and which final answer a request gets. */
 class FourRulesTest {
 
   private static final long FIRST = 1;
 
   /** Upstream 1 (zone a, cell 1), 2 (same cell), 3 (same zone), 4 (elsewhere). */
   private static Driver fleet(Effect effect, DedupScope scope, long... ids) {
-    Driver d = new Driver(Driver.settings(false, List.of(), Driver.type("c", effect, scope)));
+    Driver d =
+        new Driver(Driver.settings(false, List.of(), Driver.requestClass("c", effect, scope)));
     d.list(ListKind.CACHED, new Listed(FIRST, "a", 1, State.READY, 0, 1));
     List<Listed> others = new ArrayList<>();
     for (long id : ids) {
@@ -41,7 +42,7 @@
 
   @ParameterizedTest
   @CsvSource({
-    // effect, scope, outcome, upstreams that may get the next attempt, final answer where there is
+    // effect, scope, outcome, upstreams that may get the next attempt, final answer if there is
     // none
     "SAFE, ALL, FULL, 2 3 4, Refuse",
     "SAFE, CELL, CONNECT_FAILED, 2 3 4, Refuse",
@@ -76,27 +77,29 @@
     "KEYED, CELL, CANCELLED, 2, Fail"
   })
   void nextAttemptOrFinalAnswer(
-      Effect effect, DedupScope scope, Status status, String allowed, String end) {
+      Effect effect, DedupScope scope, Status status, String retryUpstreams, String finalAnswer) {
     for (long other = 2; other <= 4; other++) {
       Driver d = fleet(effect, scope, other);
       List<Action> next = d.end("r", FIRST, status, Driver.MS);
       assertEquals(
-          allowed.contains("" + other) ? other : -1, Driver.sentTo(next), "sent on to " + other);
+          retryUpstreams.contains("" + other) ? other : -1,
+          Driver.sentTo(next),
+          "retry at upstream " + other);
     }
     Driver alone = fleet(effect, scope);
     alone.list(ListKind.FULL);
     List<Action> last = new ArrayList<>(alone.end("r", FIRST, status, Driver.MS));
-    last.addAll(alone.pass(2000 * Driver.MS));
+    last.addAll(alone.advance(2000 * Driver.MS));
     List<Action> finals =
         last.stream().filter(a -> a instanceof Refuse || a instanceof Fail).toList();
     assertEquals(1, finals.size());
-    assertEquals(end, finals.get(0).getClass().getSimpleName());
+    assertEquals(finalAnswer, finals.get(0).getClass().getSimpleName());
   }
 
   @Test
-  void keyedIsNotResentPastItsWindow() {
+  void keyedIsNotRetriedPastItsWindow() {
     Driver d = fleet(Effect.KEYED, DedupScope.ALL, 2, 3);
-    d.pass(1999 * Driver.MS);
+    d.advance(1999 * Driver.MS);
     assertEquals(-1, Driver.sentTo(d.end("r", FIRST, Status.ERROR, 1999 * Driver.MS)));
   }
 
@@ -105,19 +108,19 @@
     Driver d = new Driver(Driver.safe());
     d.list(ListKind.CACHED);
     assertTrue(d.request("r", "c", "k").stream().noneMatch(a -> a instanceof Send));
-    assertTrue(Driver.has(d.pass(2000 * Driver.MS), Refuse.class));
+    assertTrue(Driver.has(d.advance(2000 * Driver.MS), Refuse.class));
   }
 
-  /** Guards against a time-out that never comes: the answer is still given inside the slack. */
+  /** If the timeout of an attempt is never reported, the request is still answered within the answer slack. */
   @Test
-  void anAttemptWithoutOutcomeDoesNotKeepARequestPastItsDeadline() {
+  void requestIsAnsweredAtItsDeadlineWithoutAnOutcome() {
     Driver d = fleet(Effect.UNSAFE, DedupScope.ALL);
-    d.pass(2000 * Driver.MS);
-    assertTrue(Driver.has(d.pass(16 * Driver.MS), Fail.class));
+    d.advance(2000 * Driver.MS);
+    assertTrue(Driver.has(d.advance(16 * Driver.MS), Fail.class));
   }
 
   @Test
-  void attemptsStayUnderTheLimitAndAnAnsweredRequestIsLeftAlone() {
+  void attemptsStayWithinTheLimitAndEndWithTheAnswer() {
     Driver d = new Driver(Driver.safe()).upstreams(12);
     for (int i = 0; i < 50; i++) {
       d.serve("k", Driver.MS);
@@ -129,108 +132,110 @@
       to = Driver.sentTo(d.end("r", to, Status.FULL, Driver.MS));
     }
     assertEquals(4, sent);
-    assertFalse(Driver.has(d.pass(3000 * Driver.MS), Send.class));
+    assertFalse(Driver.has(d.advance(3000 * Driver.MS), Send.class));
   }
 
-  /** Guards against a retry storm: with every attempt failing, retries stay a fraction of the requests. */
+  /** Prevents retry storms: when every attempt fails, retries stay a fraction of the requests. */
   @Test
   void retriesAreBudgeted() {
     Driver d = new Driver(Driver.safe()).upstreams(12);
     int sends = 0;
     for (int i = 0; i < 500; i++) {
-      String id = d.nextId();
+      String id = d.newId();
       long to = Driver.sentTo(d.request(id, "c", "k" + i));
       while (to >= 0) {
         sends++;
         to = Driver.sentTo(d.end(id, to, Status.FULL, Driver.MS));
       }
-      d.pass(Driver.MS);
+      d.advance(Driver.MS);
     }
     assertTrue(sends > 500 && sends < 500 * 1.2 + 40, "sends: " + sends);
   }
 
   @Test
-  void theListIsAskedForAndAskedAgainAfterAFailure() {
-    Driver d =
-        new Driver(Driver.settings(true, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL)));
-    assertTrue(Driver.has(d.list(ListKind.CACHED, Driver.up(1)), Watch.class));
+  void listIsRequestedAndRequestedAgainAfterAFailure() {
+    Driver d = new Driver(
+        Driver.settings(true, List.of(), Driver.requestClass("c", Effect.SAFE, DedupScope.ALL)));
+    assertTrue(Driver.has(d.list(ListKind.CACHED, Driver.readyUpstream(1)), Watch.class));
     for (int i = 0; i < 8; i++) {
       d.list(ListKind.FAILED);
       assertTrue(
-          Driver.has(d.pass(2100 * Driver.MS), Watch.class), "asked again inside ask-within");
+          Driver.has(d.advance(2100 * Driver.MS), Watch.class), "requested again within askWithin");
     }
-    assertFalse(Driver.has(d.list(ListKind.FULL, Driver.up(1), Driver.up(2)), Watch.class));
+    assertFalse(Driver.has(
+        d.list(ListKind.FULL, Driver.readyUpstream(1), Driver.readyUpstream(2)), Watch.class));
     assertFalse(
-        Driver.has(d.pass(9000 * Driver.MS), Watch.class), "a subscription is not asked for twice");
+        Driver.has(d.advance(9000 * Driver.MS), Watch.class),
+        "an established watch is not requested again");
   }
 
   @Test
-  void anUpstreamBackWithANewStartIsUsedAgain() {
+  void upstreamThatRestartedIsUsedAgain() {
     Driver d = new Driver(Driver.safe()).upstreams(1);
     d.list(ListKind.FULL);
     assertEquals(-1, d.serve("k", Driver.MS));
     d.list(ListKind.DELTA, new Listed(100, "a", 0, State.READY, d.now, 1));
-    d.pass(2000 * Driver.MS);
+    d.advance(2000 * Driver.MS);
     assertEquals(100, d.serve("k", Driver.MS));
   }
 
-  /** Guards against losing an answer that streams on past the deadline. */
+  /** An answer that streams past the deadline must not be lost. */
   @Test
-  void aStartedStreamHasNoDeadline() {
+  void startedStreamHasNoDeadline() {
     Driver d = new Driver(Driver.safe()).upstreams(1);
     d.request("r", "c", "k");
-    d.step(new Balancer.AnswerStarted("r", 0, 100, Driver.MS));
-    List<Action> later = d.pass(5000 * Driver.MS);
+    d.handle(new Balancer.AnswerStarted("r", 0, 100, Driver.MS));
+    List<Action> later = d.advance(5000 * Driver.MS);
     assertTrue(later.stream()
         .noneMatch(a -> a instanceof Fail || a instanceof Refuse || a instanceof Send));
   }
 
-  /** Guards the list: a timer that fires a fraction of a microsecond early must not end the asking. */
+  /** A timer that fires a fraction of a microsecond early must not stop the requests for the list. */
   @Test
-  void aTimerThatFiresALittleEarlyStillAsksForTheList() {
-    Driver d =
-        new Driver(Driver.settings(true, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL)));
-    d.list(ListKind.CACHED, Driver.up(1));
+  void timerThatFiresEarlyStillRequestsTheList() {
+    Driver d = new Driver(
+        Driver.settings(true, List.of(), Driver.requestClass("c", Effect.SAFE, DedupScope.ALL)));
+    d.list(ListKind.CACHED, Driver.readyUpstream(1));
     d.list(ListKind.FAILED);
     d.now = d.timers.stream().mapToLong(t -> t).max().getAsLong() - 405;
     d.timers.clear();
-    List<Action> actions = new ArrayList<>(d.step(new Balancer.TimerFired("sweep")));
-    actions.addAll(d.pass(10 * Driver.MS));
+    List<Action> actions = new ArrayList<>(d.handle(new Balancer.TimerFired("sweep")));
+    actions.addAll(d.advance(10 * Driver.MS));
     assertTrue(Driver.has(actions, Watch.class));
   }
 
-  /** Guards against fixed savings times hundreds of balancers: a quiet start earns one retry, not twenty. */
+  /** A fixed initial retry budget would add up over hundreds of balancers: little traffic earns one retry, not twenty. */
   @Test
-  void aBalancerThatHasSeenLittleTrafficRetriesLittle() {
+  void balancerWithLittleTrafficRetriesLittle() {
     Driver d = new Driver(Driver.safe()).upstreams(12);
     int retries = 0;
     for (int i = 0; i < 10; i++) {
-      String id = d.nextId();
+      String id = d.newId();
       long to = Driver.sentTo(d.request(id, "c", "k" + i));
       for (to = Driver.sentTo(d.end(id, to, Status.FULL, Driver.MS));
           to >= 0;
           to = Driver.sentTo(d.end(id, to, Status.FULL, Driver.MS))) {
         retries++;
       }
-      d.pass(300 * Driver.MS);
+      d.advance(300 * Driver.MS);
     }
     assertTrue(retries >= 1 && retries <= 4, "retries of 10 requests: " + retries);
   }
 
-  /** Guards the adapter's users: ids that are not held any more, and lists of every odd kind. */
+  /** Events that name unknown ids and lists that are empty, failed or all draining are legal and do no harm. */
   @Test
-  void oddButLegalEventsAreTaken() {
+  void unusualButLegalEventsAreAccepted() {
     Driver d = new Driver(Driver.safe());
     assertEquals(-1, Driver.sentTo(d.request("early", "c", "k")), "before any list");
     d.list(ListKind.FAILED);
     d.list(ListKind.CACHED);
     d.list(ListKind.FULL, new Listed(1, "a", 0, State.DRAINING, 0, 1));
     assertEquals(-1, Driver.sentTo(d.request("r0", "c", null)));
-    d.step(new Balancer.ClientDisconnected("never"));
-    d.step(new Balancer.TimerFired("never"));
-    d.step(new Balancer.AnswerStarted("never", 0, 9, 1));
-    d.step(new Balancer.Outcome("never", 3, 9, Status.SERVED, 1, true, java.util.Map.of()));
-    d.list(ListKind.DELTA, Driver.up(2));
+    d.handle(new Balancer.ClientDisconnected("never"));
+    d.handle(new Balancer.TimerFired("never"));
+    d.handle(new Balancer.AnswerStarted("never", 0, 9, 1));
+    d.handle(new Balancer.Outcome("never", 3, 9, Status.SERVED, 1, true, java.util.Map.of()));
+    d.list(ListKind.DELTA, Driver.readyUpstream(2));
     assertEquals(2, Driver.sentTo(d.request("r1", "c", null)));
     assertTrue(Driver.has(d.request("r2", "unknown", null), Refuse.class));
   }
--- a/src/test/java/pumicekeel/LargeRequestTest.java
+++ b/src/test/java/pumicekeel/LargeRequestTest.java
@@ -20,15 +20,15 @@
 import pumicekeel.Balancer.Send;
 import pumicekeel.Balancer.Status;
 
-/** Requests that are sent while they still come, and answers that are passed on: what the module makes of either. */
+/** Tests requests that are forwarded while their body is still being received, and answers that are streamed to the client. */
 class LargeRequestTest {
 
   private static final long MS = Driver.MS;
-  private static final long FAR = 1_200_000 * MS;
+  private static final long FAR_DEADLINE_NANOS = 1_200_000 * MS;
 
   private final Driver d = warm(
-      Driver.type("c", Effect.SAFE, DedupScope.ALL),
-      Driver.type("u", Effect.UNSAFE, DedupScope.ALL));
+      Driver.requestClass("c", Effect.SAFE, DedupScope.ALL),
+      Driver.requestClass("u", Effect.UNSAFE, DedupScope.ALL));
 
   private static Driver warm(Balancer.RequestClass... types) {
     Driver d = new Driver(Driver.settings(false, List.of(), types)).upstreams(4);
@@ -38,65 +38,70 @@
     return d;
   }
 
-  private List<Action> coming(String id, String type) {
-    return d.step(new Request(id, type, null, "k", d.now + FAR, 0, false, List.of(), false, true));
+  private List<Action> receiving(String id, String type) {
+    return d.handle(new Request(
+        id, type, null, "k", d.now + FAR_DEADLINE_NANOS, 0, false, List.of(), false, true));
   }
 
-  private List<Action> end(String id, int attempt, long upstream, Status status, boolean spent) {
+  private List<Action> end(
+      String id, int attempt, long upstream, Status status, boolean bodyConsumed) {
     d.outstanding.removeIf(s -> s.id().equals(id) && s.attempt() == attempt);
-    return d.step(new Outcome(
-        id, attempt, upstream, status, MS, status == Status.SERVED, Map.of(), false, spent));
+    return d.handle(new Outcome(
+        id, attempt, upstream, status, MS, status == Status.SERVED, Map.of(), false, bodyConsumed));
   }
 
   @Test
-  void isSentAtOnceAndItsTimeCountsFromItsLastByte() {
-    long upstream = Driver.sentTo(coming("r", "c"));
+  void isSentAtOnceAndItsDeadlineCountsFromItsLastByte() {
+    long upstream = Driver.sentTo(receiving("r", "c"));
     assertTrue(upstream >= 0);
     assertFalse(
-        d.pass(60_000 * MS).stream()
+        d.advance(60_000 * MS).stream()
             .anyMatch(a -> a instanceof Send || a instanceof Refuse || a instanceof Fail),
-        "no copy, no end, however long it comes");
-    d.step(new RequestBodyReceived("r", d.now + 2_000 * MS));
-    List<Action> late = d.pass(2_100 * MS);
-    assertTrue(Driver.has(late, Refuse.class), "its own deadline: " + late);
+        "no hedge and no final answer while the body is being received");
+    d.handle(new RequestBodyReceived("r", d.now + 2_000 * MS));
+    List<Action> late = d.advance(2_100 * MS);
+    assertTrue(Driver.has(late, Refuse.class), "its deadline counts from the last byte: " + late);
   }
 
   @Test
-  void countsAsNobodysWorkUntilItHasCome() {
-    long first = Driver.sentTo(coming("r0", "c"));
+  void doesNotCountAsWorkUntilItsBodyIsReceived() {
+    long first = Driver.sentTo(receiving("r0", "c"));
     for (int i = 1; i < 30; i++) {
       assertEquals(
-          first, Driver.sentTo(coming("r" + i, "c")), "the key's own upstream has room as before");
+          first,
+          Driver.sentTo(receiving("r" + i, "c")),
+          "the key's upstream has capacity as before");
     }
     for (int i = 0; i < 30; i++) {
-      d.step(new RequestBodyReceived("r" + i, d.now + 2_000 * MS));
+      d.handle(new RequestBodyReceived("r" + i, d.now + 2_000 * MS));
     }
-    assertTrue(Driver.sentTo(d.request("next", "c", "k")) != first, "now it is full");
+    assertTrue(
+        Driver.sentTo(d.request("next", "c", "k")) != first, "the upstream is now at capacity");
   }
 
   @Test
-  void oneThatIsSpentIsEndedAndOneThatIsNotGoesElsewhere() {
-    long upstream = Driver.sentTo(coming("kept", "c"));
-    assertTrue(Driver.has(end("kept", 0, upstream, Status.CONNECT_FAILED, false), Send.class));
-    upstream = Driver.sentTo(coming("spent", "u"));
+  void isRetriedUnlessItsBodyIsConsumed() {
+    long upstream = Driver.sentTo(receiving("buffered", "c"));
+    assertTrue(Driver.has(end("buffered", 0, upstream, Status.CONNECT_FAILED, false), Send.class));
+    upstream = Driver.sentTo(receiving("consumed", "u"));
     assertTrue(
-        Driver.has(end("spent", 0, upstream, Status.CONNECT_FAILED, true), Refuse.class),
+        Driver.has(end("consumed", 0, upstream, Status.CONNECT_FAILED, true), Refuse.class),
         "it never ran");
-    upstream = Driver.sentTo(coming("ran", "u"));
-    d.step(new RequestBodyReceived("ran", d.now + 2_000 * MS));
+    upstream = Driver.sentTo(receiving("ran", "u"));
+    d.handle(new RequestBodyReceived("ran", d.now + 2_000 * MS));
     assertTrue(
         Driver.has(end("ran", 0, upstream, Status.RESET, true), Fail.class), "it may have run");
   }
 
   @Test
-  void slowClientsAreNoLoad() {
+  void slowClientsAreNotCountedAsLoad() {
     for (int i = 0; i < 40; i++) {
-      long upstream = Driver.sentTo(coming("r" + i, "c"));
-      d.pass(30_000 * MS);
-      d.step(new RequestBodyReceived("r" + i, d.now + 2_000 * MS));
-      d.pass(20 * MS);
+      long upstream = Driver.sentTo(receiving("r" + i, "c"));
+      d.advance(30_000 * MS);
+      d.handle(new RequestBodyReceived("r" + i, d.now + 2_000 * MS));
+      d.advance(20 * MS);
       d.outstanding.removeIf(s -> s.id().startsWith("r"));
-      d.step(new Outcome("r" + i, 0, upstream, Status.SERVED, 20 * MS, true, Map.of()));
+      d.handle(new Outcome("r" + i, 0, upstream, Status.SERVED, 20 * MS, true, Map.of()));
     }
     d.refusals.clear();
     for (int i = 0; i < 40; i++) {
@@ -106,21 +111,23 @@
   }
 
   @Test
-  void answerThatBeginsEndsTheOthersAndHasNoDeadline() {
+  void startedAnswerCancelsOtherAttemptsAndHasNoDeadline() {
     long first = Driver.sentTo(d.request("r", "c", "k"));
-    List<Action> waited = d.pass(300 * MS);
-    long second = Driver.sentTo(waited);
-    assertTrue(second >= 0 && second != first, "a copy past a silent upstream: " + waited);
-    List<Action> begun = d.step(new AnswerStarted("r", 1, second, 5 * MS));
+    List<Action> later = d.advance(300 * MS);
+    long second = Driver.sentTo(later);
+    assertTrue(
+        second >= 0 && second != first, "a hedge sent because the upstream is silent: " + later);
+    List<Action> started = d.handle(new AnswerStarted("r", 1, second, 5 * MS));
     assertEquals(
         List.of(new Cancel("r", 0)),
-        begun.stream().filter(a -> a instanceof Cancel).toList());
+        started.stream().filter(a -> a instanceof Cancel).toList());
     end("r", 0, first, Status.CANCELLED, false);
-    assertFalse(d.pass(60_000 * MS).stream()
+    assertFalse(d.advance(60_000 * MS).stream()
         .anyMatch(a -> a instanceof Refuse || a instanceof Fail || a instanceof Send));
     assertFalse(
         Driver.has(
-            d.step(new Outcome("r", 1, second, Status.RESET, 5 * MS, true, Map.of())), Send.class),
-        "cut: nothing is sent again");
+            d.handle(new Outcome("r", 1, second, Status.RESET, 5 * MS, true, Map.of())),
+            Send.class),
+        "a broken answer is not retried");
   }
 }
--- a/src/test/java/pumicekeel/SizeTest.java
+++ b/src/test/java/pumicekeel/SizeTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The module will be ported by hand and has to stay small. */
+/** Tests the size limits of the decision module, which has to stay small because it will be ported by hand. */
 class SizeTest {
 
   @Test
-  void moduleStaysInsideItsLimits() throws IOException {
+  void moduleStaysWithinItsLimits() throws IOException {
     List<String> lines =
         Files.readAllLines(Path.of("src/main/java/pumicekeel/AdaptiveBalancer.java"));
     long count = lines.stream().filter(l -> !l.isBlank()).count();
--- a/src/test/java/pumicekeel/StormTest.java
+++ b/src/test/java/pumicekeel/StormTest.java
@@ -38,33 +38,33 @@
 import pumicekeel.Balancer.TimerFired;
 import pumicekeel.Balancer.WeightKind;
 
-/** Random legal events over seeds and settings; the observer knows the four rules and nothing of the module. */
+/** Feeds random legal events for many seeds and settings; the checks know the four rules and nothing of the module's internals. */
 class StormTest {
 
   private static final long MS = 1_000_000L;
 
-  private record Try(long upstream, String zone, int cell, long at) {}
+  private record Attempt(long upstream, String zone, int cell, long at) {}
 
-  /** The observer's book on one request. */
-  private static final class Entry {
+  /** What the test knows of one request. */
+  private static final class Tracked {
     final RequestClass type;
     final long deadline;
-    final List<Try> tries = new ArrayList<>();
-    final List<Status> ends = new ArrayList<>();
+    final List<Attempt> attempts = new ArrayList<>();
+    final List<Status> outcomes = new ArrayList<>();
     boolean answered;
 
-    Entry(RequestClass type, long deadline) {
+    Tracked(RequestClass type, long deadline) {
       this.type = type;
       this.deadline = deadline;
     }
 
-    int out() {
-      return (int) ends.stream().filter(e -> e == null).count();
+    int inFlight() {
+      return (int) outcomes.stream().filter(outcome -> outcome == null).count();
     }
   }
 
-  private final Map<String, Entry> book = new LinkedHashMap<>();
-  private final Map<Long, Listed> fleet = new LinkedHashMap<>();
+  private final Map<String, Tracked> requests = new LinkedHashMap<>();
+  private final Map<Long, Listed> upstreams = new LinkedHashMap<>();
   private final List<Long> timers = new ArrayList<>();
   private SplittableRandom random;
   private Settings settings;
@@ -80,19 +80,19 @@
     settings = settings();
     module = new AdaptiveBalancer(settings, seed);
     for (int i = 0; i < 8; i++) {
-      change(i);
+      changeUpstream(i);
     }
-    step(new ListUpdate(ListKind.CACHED, List.copyOf(fleet.values())));
+    step(new ListUpdate(ListKind.CACHED, List.copyOf(upstreams.values())));
     int id = 0;
     for (int round = 0; round < 3000; round++) {
       now += random.nextLong(6) * MS;
-      fire();
+      fireTimers();
       if (random.nextInt(100) < 4) {
-        Listed changed = change(random.nextInt(12));
+        Listed changed = changeUpstream(random.nextInt(12));
         step(
             random.nextBoolean()
                 ? new ListUpdate(ListKind.DELTA, List.of(changed))
-                : new ListUpdate(ListKind.FULL, List.copyOf(fleet.values())));
+                : new ListUpdate(ListKind.FULL, List.copyOf(upstreams.values())));
       } else if (random.nextInt(100) < 1) {
         step(new ListUpdate(ListKind.FAILED, List.of()));
       }
@@ -100,7 +100,7 @@
         RequestClass type =
             settings.classes().get(random.nextInt(settings.classes().size()));
         long deadline = now + (20 + random.nextInt(600)) * MS;
-        book.put("r" + id, new Entry(type, deadline));
+        requests.put("r" + id, new Tracked(type, deadline));
         step(new Request(
             "r" + id++,
             type.name(),
@@ -110,25 +110,26 @@
             0,
             false));
       }
-      outcomes(40);
+      endSome(40);
     }
     for (int round = 0; round < 300; round++) {
       now += 5 * MS;
-      fire();
-      outcomes(100);
+      fireTimers();
+      endSome(100);
     }
-    book.forEach((name, e) -> assertTrue(e.answered, "no final answer for " + name));
+    requests.forEach(
+        (name, request) -> assertTrue(request.answered, "no final answer for " + name));
     long idle = timers.size();
     now += 60_000 * MS;
-    fire();
+    fireTimers();
     assertTrue(
         timers.size() <= 1 && idle <= 2,
-        "state empties when traffic stops: " + timers.size() + " timers");
-    assertEquals(0, sizeOf("open"), "requests still kept");
+        "timers left after traffic has stopped: " + timers.size() + " timers");
+    assertEquals(0, sizeOf("open"), "requests still open");
     assertEquals(0, sizeOf("held"), "requests still held");
   }
 
-  /** The size of one of the module's private collections: what it keeps is not to be seen from outside. */
+  /** Returns the size of a private collection of the module, by reflection, as it is not visible otherwise. */
   private int sizeOf(String field) {
     try {
       Field f = AdaptiveBalancer.class.getDeclaredField(field);
@@ -185,8 +186,8 @@
         MS);
   }
 
-  /** A new state for one upstream. */
-  private Listed change(long id) {
+  /** Gives one upstream a random new state. */
+  private Listed changeUpstream(long id) {
     State state =
         random.nextInt(3) > 0 ? State.READY : random.nextBoolean() ? State.DRAINING : State.GONE;
     Listed listed = new Listed(
@@ -196,51 +197,51 @@
         state,
         random.nextInt(4) == 0 ? now : 0,
         1 + random.nextInt(4));
-    fleet.put(id, listed);
+    upstreams.put(id, listed);
     return listed;
   }
 
-  private void fire() {
+  private void fireTimers() {
     List<Long> due = timers.stream().filter(t -> t <= now).toList();
     timers.removeIf(t -> t <= now);
     due.forEach(t -> step(new TimerFired("sweep")));
   }
 
-  /** Ends some attempts: those past the deadline time out, others end at random. */
-  private void outcomes(int percent) {
-    for (Map.Entry<String, Entry> entry : List.copyOf(book.entrySet())) {
-      Entry e = entry.getValue();
-      for (int i = 0; i < e.tries.size(); i++) {
-        boolean late = now >= e.deadline;
-        if (e.ends.get(i) == null && (late || random.nextInt(100) < percent / 4)) {
-          Status status = e.answered && random.nextBoolean()
+  /** Ends some attempts: those past the deadline time out, others get a random outcome. */
+  private void endSome(int percent) {
+    for (Map.Entry<String, Tracked> entry : List.copyOf(requests.entrySet())) {
+      Tracked request = entry.getValue();
+      for (int i = 0; i < request.attempts.size(); i++) {
+        boolean late = now >= request.deadline;
+        if (request.outcomes.get(i) == null && (late || random.nextInt(100) < percent / 4)) {
+          Status status = request.answered && random.nextBoolean()
               ? Status.CANCELLED
               : late
                   ? Status.TIMEOUT
                   : random.nextInt(2) == 0
                       ? Status.SERVED
                       : Status.values()[random.nextInt(Status.values().length)];
-          e.ends.set(i, status);
-          e.answered |= status == Status.SERVED;
+          request.outcomes.set(i, status);
+          request.answered |= status == Status.SERVED;
           step(new Outcome(
               entry.getKey(),
               i,
-              e.tries.get(i).upstream(),
+              request.attempts.get(i).upstream(),
               status,
-              now - e.tries.get(i).at(),
-              e.answered,
+              now - request.attempts.get(i).at(),
+              request.answered,
               Map.of()));
         }
       }
-      if (!e.answered && random.nextInt(2000) == 0) {
-        e.answered = true;
+      if (!request.answered && random.nextInt(2000) == 0) {
+        request.answered = true;
         step(new ClientDisconnected(entry.getKey()));
       }
       assertTrue(
-          e.answered || now <= e.deadline + settings.contract().answerSlackNanos(),
-          "late: " + entry.getKey());
+          request.answered || now <= request.deadline + settings.contract().answerSlackNanos(),
+          "answered late: " + entry.getKey());
     }
-    book.values().removeIf(e -> e.answered && e.out() == 0);
+    requests.values().removeIf(request -> request.answered && request.inFlight() == 0);
   }
 
   private void step(Event event) {
@@ -250,47 +251,51 @@
       if (action instanceof SetTimer t) {
         timers.add(t.atNanos());
       } else if (action instanceof Send s) {
-        checkSend(book.get(s.id()), s);
+        checkSend(requests.get(s.id()), s);
       } else if (action instanceof Refuse r) {
-        Entry e = book.get(r.id());
-        assertTrue(!e.answered, "one final answer");
-        boolean open = e.ends.stream().anyMatch(x -> x == null || !x.provesNotRun());
+        Tracked request = requests.get(r.id());
+        assertTrue(!request.answered, "one final answer");
+        boolean open = request.outcomes.stream().anyMatch(x -> x == null || !x.provesNotRun());
         assertTrue(
             !open
-                || e.type.effect() == Effect.SAFE
-                || e.type.effect() == Effect.KEYED && e.type.dedupScope() == DedupScope.ALL,
-            "refusal promises too much");
-        e.answered = true;
+                || request.type.effect() == Effect.SAFE
+                || request.type.effect() == Effect.KEYED
+                    && request.type.dedupScope() == DedupScope.ALL,
+            "refused although an attempt may have run");
+        request.answered = true;
       } else if (action instanceof Fail f) {
-        assertTrue(!book.get(f.id()).answered, "one final answer");
-        book.get(f.id()).answered = true;
+        assertTrue(!requests.get(f.id()).answered, "one final answer");
+        requests.get(f.id()).answered = true;
       } else if (action instanceof Cancel) {
         assertTrue(settings.limits().cancel());
       }
     }
   }
 
-  private void checkSend(Entry e, Send s) {
-    Listed to = fleet.get(s.upstream());
-    assertTrue(!e.answered, "sent after the final answer");
-    assertEquals(State.READY, to.state(), "sent to a draining or gone upstream");
-    assertTrue(e.tries.size() < settings.limits().maxAttempts(), "too many attempts");
-    assertTrue(e.out() == 0 || settings.limits().secondCopies(), "second copy");
-    assertTrue(now < e.deadline, "sent past the deadline");
-    for (int i = 0; i < e.tries.size(); i++) {
-      Try t = e.tries.get(i);
-      if (e.type.effect() != Effect.SAFE
-          && (e.ends.get(i) == null || !e.ends.get(i).provesNotRun())) {
-        assertEquals(Effect.KEYED, e.type.effect(), "unsafe sent again");
-        assertTrue(now - t.at() < e.type.dedupWindowNanos(), "resent past the window");
+  private void checkSend(Tracked request, Send s) {
+    Listed to = upstreams.get(s.upstream());
+    assertTrue(!request.answered, "sent after the final answer");
+    assertEquals(State.READY, to.state(), "sent to a draining or removed upstream");
+    assertTrue(request.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
+    assertTrue(
+        request.inFlight() == 0 || settings.limits().secondCopies(), "hedge despite the setting");
+    assertTrue(now < request.deadline, "sent past the deadline");
+    for (int i = 0; i < request.attempts.size(); i++) {
+      Attempt attempt = request.attempts.get(i);
+      if (request.type.effect() != Effect.SAFE
+          && (request.outcomes.get(i) == null || !request.outcomes.get(i).provesNotRun())) {
+        assertEquals(Effect.KEYED, request.type.effect(), "unsafe request retried");
+        assertTrue(
+            now - attempt.at() < request.type.dedupWindowNanos(), "retried past the dedup window");
         assertTrue(
-            e.type.dedupScope() == DedupScope.ALL
-                || e.type.dedupScope() == DedupScope.ZONE && t.zone().equals(to.zone())
-                || e.type.dedupScope() == DedupScope.CELL && t.cell() == to.cell(),
-            "resent outside the group");
+            request.type.dedupScope() == DedupScope.ALL
+                || request.type.dedupScope() == DedupScope.ZONE
+                    && attempt.zone().equals(to.zone())
+                || request.type.dedupScope() == DedupScope.CELL && attempt.cell() == to.cell(),
+            "retried outside the dedup scope");
       }
     }
-    e.tries.add(new Try(to.upstream(), to.zone(), to.cell(), now));
-    e.ends.add(null);
+    request.attempts.add(new Attempt(to.upstream(), to.zone(), to.cell(), now));
+    request.outcomes.add(null);
   }
 }
--- a/src/test/java/pumicekeel/WindowTest.java
+++ b/src/test/java/pumicekeel/WindowTest.java
@@ -34,7 +34,7 @@
     for (long seed = 1; seed <= 200; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       int reach = random.nextBoolean() ? 1 : 5;
-      // Twelve slots of a second each, so that the sum can be told to the slot.
+      // Twelve slots of a second each, so that the expected sum is exact to the slot.
       Window w = new Window(12 * SECOND, reach, 0);
       double[] bySecond = new double[2_000];
       int now = 0;
