--- a/src/test/java/pumicekeel/bench/RouteMatch.java
+++ b/src/test/java/pumicekeel/bench/RouteMatch.java
@@ -21,7 +21,7 @@
 import pumicekeel.route.RouteTable;
 import pumicekeel.route.Split;
 
-/** The cost of one match by the number of routes, and by what they differ in; the requests go over all of them. */
+/** Measures the cost of one match by the number of routes and by what distinguishes them; the requests cover all routes. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -37,10 +37,10 @@
   public String by;
 
   private RouteTable table;
-  private List<RequestAttributes> asked;
+  private List<RequestAttributes> requests;
   private int next;
 
-  private record Asked(String host, String path, Map<String, String> headers)
+  private record BenchRequest(String host, String path, Map<String, String> headers)
       implements RequestAttributes {
     @Override
     public String listener() {
@@ -66,7 +66,7 @@
   @Setup
   public void setUp() {
     List<Route> all = new ArrayList<>();
-    asked = new ArrayList<>();
+    requests = new ArrayList<>();
     for (int i = 0; i < routes; i++) {
       String host = by.equals("host") ? "h" + i + ".example.org" : "h.example.org";
       PathPattern path = switch (by) {
@@ -79,13 +79,13 @@
           i, "r" + i, null, List.of(host), path, null, null, headers, Split.to("p"), null));
     }
     for (int i = 0; i < 1024; i++) {
-      int r = (int) ((long) i * routes / 1024);
-      asked.add(new Asked(
-          by.equals("host") ? "h" + r + ".example.org" : "h.example.org",
+      int route = (int) ((long) i * routes / 1024);
+      requests.add(new BenchRequest(
+          by.equals("host") ? "h" + route + ".example.org" : "h.example.org",
           by.equals("path")
-              ? "/svc/p" + r + "/7"
+              ? "/svc/p" + route + "/7"
               : by.equals("template") ? "/svc/7/p" + r : "/svc/7",
-          Map.of("x-account", "t" + r)));
+          Map.of("x-account", "t" + route)));
     }
     table = new RouteTable(all);
   }
@@ -93,6 +93,6 @@
   @Benchmark
   public RouteTable.MatchResult match() {
     next = next + 1 & 1023;
-    return table.match(asked.get(next));
+    return table.match(requests.get(next));
   }
 }
--- a/src/test/java/pumicekeel/bench/package-info.java
+++ b/src/test/java/pumicekeel/bench/package-info.java
@@ -1,2 +1,2 @@
-/** JMH benchmarks of single classes; run by hand, not by the build. */
+/** JMH benchmarks of single classes; started manually, not by the build. */
 package pumicekeel.bench;
--- a/src/test/java/pumicekeel/route/HostAndPathTest.java
+++ b/src/test/java/pumicekeel/route/HostAndPathTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What of a request's host and path counts, and what is not guessed at. */
+/** Tests how hosts and paths of requests are normalized, and which are rejected as malformed or ambiguous. */
 class HostAndPathTest {
 
   @ParameterizedTest
@@ -26,8 +26,8 @@
     "[::1],[::1]",
     "x_y-z,x_y-z"
   })
-  void hostsThatAreOneAreReadAsOne(String sent, String canonical) {
-    assertEquals(canonical, HostName.of(sent));
+  void equivalentHostsHaveOneCanonicalForm(String received, String canonical) {
+    assertEquals(canonical, HostName.of(received));
   }
 
   @ParameterizedTest
@@ -52,19 +52,19 @@
         "a%2eb",
         "[zz]"
       })
-  void whatIsNoHostIsNone(String sent) {
-    assertNull(HostName.of(sent));
+  void invalidHostIsRejected(String received) {
+    assertNull(HostName.of(received));
   }
 
   @Test
-  void hostOfAnyLengthIsBoundedAndAnAbsentOneIsNone() {
+  void hostIsBoundedInLengthAndAbsentHostIsNull() {
     assertNull(HostName.of(null));
     assertEquals("a".repeat(255), HostName.of("a".repeat(255)));
     assertNull(HostName.of("a".repeat(256)));
   }
 
   @Test
-  void hostThatIsCanonicalAlreadyMakesNoGarbage() {
+  void canonicalHostAndPathAreReturnedWithoutCopy() {
     String host = "quote.example.org";
     assertSame(host, HostName.of(host));
     String path = "/quote-issue/7";
@@ -84,11 +84,11 @@
     "/.a,/.a",
     "/a;b=c,/a;b=c"
   })
-  void pathsThatAreOneAreReadAsOne(String sent, String compared) {
-    assertEquals(compared, RequestPath.of(sent));
+  void equivalentPathsHaveOneNormalizedForm(String received, String normalized) {
+    assertEquals(normalized, RequestPath.of(received));
   }
 
-  /** Each of these some server takes for another path: routed by one reading, served by the other. */
+  /** Servers interpret these paths differently, so a request could be routed by one interpretation and served by another. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -122,19 +122,19 @@
         "/\u00e9",
         "/a%0ab"
       })
-  void whatCanBeReadInTwoWaysIsRefused(String sent) {
-    assertNull(RequestPath.of(sent));
+  void ambiguousPathIsRejected(String received) {
+    assertNull(RequestPath.of(received));
   }
 
   @Test
-  void pathOfEightKibibytesIsReadInOnePass() {
+  void longPathIsAcceptedWithoutCopy() {
     String path = "/a".repeat(4096);
     assertSame(path, RequestPath.of(path));
     assertNull(RequestPath.of(path + "/.."));
   }
 
   @Test
-  void prefixesAndTemplatesCountByWholeSegments() {
+  void prefixesAndTemplatesMatchWholeSegments() {
     PathPattern prefix = PathPattern.of(PathPattern.Kind.PREFIX, "/quote");
     assertTrue(prefix.matches("/quote") && prefix.matches("/quote/") && prefix.matches("/quote/7"));
     assertTrue(!prefix.matches("/quotes") && !prefix.matches("/") && !prefix.matches("/q/quote"));
@@ -152,13 +152,13 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "quote", "/a//b", "/a/../b", "/a?b", "/a%2Fb", "/%61"})
-  void patternThatNoRequestHasIsRefused(String text) {
+  void patternThatCannotMatchIsRejected(String text) {
     assertThrows(
         IllegalArgumentException.class, () -> PathPattern.of(PathPattern.Kind.EXACT, text));
   }
 
   @Test
-  void patternsAreBoundedAndNamesStandForWholeSegments() {
+  void patternsAreBoundedAndPlaceholdersAreWholeSegments() {
     assertThrows(
         IllegalArgumentException.class,
         () -> PathPattern.of(PathPattern.Kind.PREFIX, "/a".repeat(33)));
--- a/src/test/java/pumicekeel/route/RouteTableTest.java
+++ b/src/test/java/pumicekeel/route/RouteTableTest.java
@@ -13,10 +13,10 @@
 import pumicekeel.call.RequestAttributes;
 import pumicekeel.route.PathPattern.Kind;
 
-/** The first route of the file that takes a request has it, whatever the index does to find it. */
+/** Tests that a request gets the first matching route in the order of the file, whichever way the index finds it. */
 class RouteTableTest {
 
-  record Asked(
+  record TestRequest(
       String listener,
       String host,
       String path,
@@ -30,8 +30,8 @@
     }
   }
 
-  private static Asked get(String host, String path) {
-    return new Asked("platform", host, path, "GET", null, Map.of());
+  private static TestRequest get(String host, String path) {
+    return new TestRequest("platform", host, path, "GET", null, Map.of());
   }
 
   private static Route route(int order, String host, PathPattern path) {
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void routesThatDifferOnlyInOrderGoByTheFile() {
+  void firstRouteInTheFileMatches() {
     PathPattern wide = PathPattern.of(Kind.PREFIX, "/a");
     PathPattern narrow = PathPattern.of(Kind.EXACT, "/a/b");
     assertEquals(
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void suffixTakesAnyLabelsInFrontAndNotTheSuffixItself() {
+  void hostSuffixMatchesSubdomainsOnly() {
     RouteTable table = new RouteTable(List.of(route(0, "*.example.org", PathPattern.ANY)));
     assertEquals(0, match(table, get("a.example.org", "/x")));
     assertEquals(0, match(table, get("A.b.Example.org.:80", "/x")));
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void whatCannotBeReadIsToldApartFromWhatHasNoRoute() {
+  void malformedRequestIsDistinguishedFromOneWithoutRoute() {
     RouteTable table = new RouteTable(List.of(route(0, "h", PathPattern.ANY)));
     assertInstanceOf(RouteTable.Malformed.class, table.match(get(null, "/x")));
     assertInstanceOf(RouteTable.Malformed.class, table.match(get("h", "/x/../y")));
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void aTenThousandRoutesByHeaderValueAreAllFoundAndExplained() {
+  void tenThousandRoutesByHeaderValueAreFoundAndExplained() {
     List<Route> routes = new ArrayList<>();
     for (int i = 0; i < 10_000; i++) {
       routes.add(new Route(
@@ -118,7 +118,8 @@
           null));
     }
     RouteTable table = new RouteTable(routes);
-    Asked last = new Asked("platform", "h", "/x", "GET", null, Map.of("x-account", "t9999"));
+    TestRequest last =
+        new TestRequest("platform", "h", "/x", "GET", null, Map.of("x-account", "t9999"));
     assertEquals(9_999, match(table, last));
     List<RouteTable.Explanation> why = table.explain(last);
     assertEquals(10_000, why.size());
@@ -127,7 +128,7 @@
   }
 
   @Test
-  void deepPathWalksNoFurtherThanThePatterns() {
+  void deepPathIsMatchedOnlyToTheDepthOfThePatterns() {
     RouteTable table = new RouteTable(List.of(
         route(0, null, PathPattern.of(Kind.TEMPLATE, "/{a}/{b}")),
         route(1, null, PathPattern.of(Kind.PREFIX, "/a"))));
@@ -135,20 +136,20 @@
     assertEquals(0, match(table, get("h", "/a/a")));
   }
 
-  /** The index against trying every route in order, on routes and requests of few words, so that most meet. */
+  /** Compares the index with trying every route in order; routes and requests use few distinct values, so that most match. */
   @Test
-  void indexFindsWhatTryingEachInOrderFinds() {
+  void indexFindsWhatASequentialSearchFinds() {
     long seed = new SplittableRandom().nextLong();
     SplittableRandom random = new SplittableRandom(seed);
-    int taken = 0;
+    int matched = 0;
     for (int round = 0; round < 300; round++) {
       List<Route> routes = new ArrayList<>();
       for (int i = 0; i < 30; i++) {
-        routes.add(any(i, random));
+        routes.add(randomRoute(i, random));
       }
       RouteTable table = new RouteTable(routes);
       for (int i = 0; i < 100; i++) {
-        Asked asked = new Asked(
+        TestRequest request = new TestRequest(
             random.nextInt(3) == 0 ? "partner" : "platform",
             host(random),
             path(random, false),
@@ -157,38 +158,39 @@
             random.nextBoolean()
                 ? Map.of("x", "" + random.nextInt(3))
                 : Map.of("y", "1", "x", "0"));
-        List<RouteTable.Explanation> tried = table.explain(asked);
-        RouteTable.Explanation end = tried.get(tried.size() - 1);
-        Integer wanted = end.objection() == null ? end.route().order() : null;
+        List<RouteTable.Explanation> explanations = table.explain(request);
+        RouteTable.Explanation last = explanations.get(explanations.size() - 1);
+        Integer expected = last.objection() == null ? last.route().order() : null;
         assertEquals(
-            wanted, match(table, asked), () -> "seed " + seed + ": " + asked + " " + routes);
-        taken += wanted == null ? 0 : 1;
+            expected, match(table, request), () -> "seed " + seed + ": " + request + " " + routes);
+        matched += expected == null ? 0 : 1;
       }
       for (RouteTable.Covered c : table.covered()) {
         assertTrue(c.by().order() < c.route().order(), () -> "seed " + seed);
       }
     }
-    assertTrue(taken > 1_000, "the requests met routes: " + taken);
+    assertTrue(matched > 1_000, "requests that matched a route: " + matched);
   }
 
-  /** A route that is told to be unreachable is never taken. */
+  /** A route that is reported as covered never matches a request. */
   @Test
-  void coveredRoutesAreNeverTaken() {
+  void coveredRoutesNeverMatch() {
     long seed = new SplittableRandom().nextLong();
     SplittableRandom random = new SplittableRandom(seed);
     int covered = 0;
     for (int round = 0; round < 200; round++) {
       List<Route> routes = new ArrayList<>();
       for (int i = 0; i < 20; i++) {
-        routes.add(any(i, random));
+        routes.add(randomRoute(i, random));
       }
       RouteTable table = new RouteTable(routes);
-      List<Integer> never = table.covered().stream().map(c -> c.route().order()).toList();
-      covered += never.size();
+      List<Integer> unreachable =
+          table.covered().stream().map(c -> c.route().order()).toList();
+      covered += unreachable.size();
       for (int i = 0; i < 300; i++) {
         Integer order = match(
             table,
-            new Asked(
+            new TestRequest(
                 random.nextInt(3) == 0 ? "partner" : "platform",
                 host(random),
                 path(random, false),
@@ -196,13 +198,14 @@
                 random.nextBoolean() ? "a" : "b",
                 Map.of("x", "" + random.nextInt(3))));
         assertTrue(
-            order == null || !never.contains(order), () -> "seed " + seed + " route " + order);
+            order == null || !unreachable.contains(order),
+            () -> "seed " + seed + " route " + order);
       }
     }
-    assertTrue(covered > 100, "some were covered: " + covered);
+    assertTrue(covered > 100, "covered routes: " + covered);
   }
 
-  private static Route any(int order, SplittableRandom random) {
+  private static Route randomRoute(int order, SplittableRandom random) {
     Kind kind = Kind.values()[random.nextInt(4)];
     PathPattern path = kind == Kind.ANY
         ? PathPattern.ANY
--- a/src/test/java/pumicekeel/route/SplitTest.java
+++ b/src/test/java/pumicekeel/route/SplitTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import pumicekeel.route.Split.Part;
 
-/** Weighted splits: stable, in proportion, and moving no more keys than they must. */
+/** Tests weighted splits: stable across processes, proportional to the weights, and moving few keys when weights change. */
 class SplitTest {
 
   private static final int KEYS = 100_000;
@@ -28,7 +28,7 @@
     return n / (double) KEYS;
   }
 
-  private static double moved(Split before, Split after) {
+  private static double movedShare(Split before, Split after) {
     int n = 0;
     for (int i = 0; i < KEYS; i++) {
       n += before.poolOf("key-" + i).equals(after.poolOf("key-" + i)) ? 0 : 1;
@@ -36,18 +36,18 @@
     return n / (double) KEYS;
   }
 
-  /** Written down once: another instance, another machine, another build must come to the same. */
+  /** Compares with a recorded result, because every instance, machine and build has to choose the same pool for a key. */
   @Test
-  void keysGoWhereTheyWentInEveryProcessSoFar() {
+  void keysMapToTheRecordedPools() {
     Split split = split(90, 10);
-    StringBuilder where = new StringBuilder();
+    StringBuilder pools = new StringBuilder();
     for (int i = 0; i < 40; i++) {
-      where.append(split.poolOf("session-" + i).substring(5));
+      pools.append(split.poolOf("session-" + i).substring(5));
     }
-    assertEquals(GOLDEN, where.toString());
+    assertEquals(EXPECTED_POOLS, pools.toString());
   }
 
-  private static final String GOLDEN = "0000000000000001010011000000000000000000";
+  private static final String EXPECTED_POOLS = "0000000000000001010011000000000000000000";
 
   @Test
   void sharesFollowTheWeights() {
@@ -58,27 +58,27 @@
   }
 
   @Test
-  void twoPoolsExchangeExactlyWhatTheWeightsMoved() {
-    assertEquals(0.1, moved(split(90, 10), split(80, 20)), 0.005);
-    assertEquals(0, moved(split(90, 10), split(9, 1)), "the same weights in other figures");
+  void changeOfTwoWeightsMovesOnlyTheDifference() {
+    assertEquals(0.1, movedShare(split(90, 10), split(80, 20)), 0.005);
+    assertEquals(0, movedShare(split(90, 10), split(9, 1)), "the same weights on another scale");
     for (int i = 0; i < KEYS; i++) {
       String key = "key-" + i;
       assertTrue(
           !split(90, 10).poolOf(key).equals("pool-1")
               || split(80, 20).poolOf(key).equals("pool-1"),
-          "none moves against the weights");
+          "no key moves to the pool whose weight fell");
     }
   }
 
   @Test
-  void amongMorePoolsNoMoreMovesThanTheBoundOfCorrelatedSampling() {
+  void changeOfMoreWeightsStaysWithinTheBoundOfCorrelatedSampling() {
     double d = 0.1;
-    double moved = moved(split(50, 30, 20), split(40, 30, 30));
+    double moved = movedShare(split(50, 30, 20), split(40, 30, 30));
     assertTrue(moved >= d - 0.005 && moved <= 2 * d / (1 + d) + 0.005, "moved " + moved);
     assertEquals(
         0.25,
-        moved(split(1, 1, 1), split(1, 1, 1, 1)),
+        movedShare(split(1, 1, 1), split(1, 1, 1, 1)),
         0.005,
-        "a fourth pool takes its part of each");
+        "a fourth pool gets a quarter of the keys");
   }
 }
