--- a/src/main/java/pumicekeel/demo/Demo.java
+++ b/src/main/java/pumicekeel/demo/Demo.java
@@ -166,7 +166,8 @@
       runStepAt(
           0.3,
           () -> {
-            quoteDiscovery.announce("quote-0", upstreams.get("quote-0").address(), 0, "terminated", 0);
+            quoteDiscovery.announce(
+                "quote-0", upstreams.get("quote-0").address(), 0, "terminated", 0);
             log("discovery reports quote-0 as terminated");
           },
           quoteLoad,
@@ -174,7 +175,8 @@
       runStepAt(
           0.4,
           () -> {
-            quoteDiscovery.announce("shared", upstreams.get("shared").address(), 9, "terminating", 0);
+            quoteDiscovery.announce(
+                "shared", upstreams.get("shared").address(), 9, "terminating", 0);
             log("shared drains from pool quotes and stays in pool rates");
           },
           quoteLoad,
--- a/src/main/java/pumicekeel/fleet/Daemon.java
+++ b/src/main/java/pumicekeel/fleet/Daemon.java
@@ -60,7 +60,8 @@
 
   private final ScheduledExecutorService loop =
       Executors.newSingleThreadScheduledExecutor(threadFactory("fleet"));
-  private final ExecutorService checkers = Executors.newFixedThreadPool(CHECK_THREADS, threadFactory("look"));
+  private final ExecutorService checkers =
+      Executors.newFixedThreadPool(CHECK_THREADS, threadFactory("look"));
   private final CountDownLatch stopped = new CountDownLatch(1);
   private ServerSocketChannel control;
 
@@ -108,8 +109,8 @@
       control.bind(UnixDomainSocketAddress.of(socket));
     } catch (IOException e) {
       close();
-      throw new IOException(
-          "run directory " + settings.directory() + ": cannot open the control socket: " + e.getMessage());
+      throw new IOException("run directory " + settings.directory()
+          + ": cannot open the control socket: " + e.getMessage());
     }
     Thread listener = threadFactory("control").newThread(this::listen);
     loop.execute(this::adoptInstances);
@@ -158,8 +159,9 @@
     carryOut(supervisor.tick(now));
     for (int i = 0; i < handles.length; i++) {
       boolean starting = supervisor.stateOf(i) == State.STARTING;
-      boolean isDue =
-          starting || supervisor.stateOf(i) == State.READY && now - queriedAt[i] >= READY_CHECK_INTERVAL_NANOS;
+      boolean isDue = starting
+          || supervisor.stateOf(i) == State.READY
+              && now - queriedAt[i] >= READY_CHECK_INTERVAL_NANOS;
       if (isDue && handles[i] != null && !queryPending[i]) {
         queryPending[i] = true;
         queriedAt[i] = now;
@@ -275,7 +277,8 @@
     return switch (line) {
       case "status" -> status();
       case "restart" -> response(supervisor.begin(Work.RESTART));
-      case "reload" -> response(operatorFileError() == null ? supervisor.begin(Work.RELOAD) : operatorFileError());
+      case "reload" ->
+        response(operatorFileError() == null ? supervisor.begin(Work.RELOAD) : operatorFileError());
       case "stop" -> {
         carryOut(supervisor.stop(System.nanoTime()));
         yield response(null);
--- a/src/main/java/pumicekeel/fleet/Processes.java
+++ b/src/main/java/pumicekeel/fleet/Processes.java
@@ -30,8 +30,8 @@
     this.log = log;
     this.settings = settings;
     this.run = run;
-    marker =
-        MARKER_PROPERTY + UUID.nameUUIDFromBytes(run.path().toString().getBytes(StandardCharsets.UTF_8)) + ":";
+    marker = MARKER_PROPERTY
+        + UUID.nameUUIDFromBytes(run.path().toString().getBytes(StandardCharsets.UTF_8)) + ":";
   }
 
   /** Starts an instance. */
@@ -65,7 +65,9 @@
       builder.environment().put("PROXY_LISTEN", address);
       builder
           .environment()
-          .put("PROXY_ADMIN", Configuration.UNIX_PREFIX + RunDirectory.adminSocket(run.path(), instance));
+          .put(
+              "PROXY_ADMIN",
+              Configuration.UNIX_PREFIX + RunDirectory.adminSocket(run.path(), instance));
     }
     builder.environment().put("PROXY_GROUP", instance + "/" + settings.instances());
     return builder.start();
--- a/src/main/java/pumicekeel/fleet/RunDirectory.java
+++ b/src/main/java/pumicekeel/fleet/RunDirectory.java
@@ -51,7 +51,8 @@
     } catch (java.nio.file.FileSystemException e) {
       throw new IOException("run directory " + path + ": cannot be made or entered: " + reason(e));
     }
-    if (adminSocket(directory, Settings.MAX_INSTANCES - 1).toString().length() > MAX_SOCKET_PATH_BYTES) {
+    if (adminSocket(directory, Settings.MAX_INSTANCES - 1).toString().length()
+        > MAX_SOCKET_PATH_BYTES) {
       throw new IOException("run directory " + path + ": expected a path of at most "
           + (MAX_SOCKET_PATH_BYTES - 9) + " characters");
     }
--- a/src/main/java/pumicekeel/fleet/Supervisor.java
+++ b/src/main/java/pumicekeel/fleet/Supervisor.java
@@ -77,7 +77,8 @@
 
   public Supervisor(int count, Limits limits) {
     if (count < 1 || limits.maxUnavailable() < 1) {
-      throw new IllegalArgumentException("expected at least one instance and one that may be unavailable");
+      throw new IllegalArgumentException(
+          "expected at least one instance and one that may be unavailable");
     }
     this.limits = limits;
     for (int i = 0; i < count; i++) {
@@ -337,7 +338,8 @@
       }
     }
     if (remaining.isEmpty() && inProgress.isEmpty()) {
-      actions.add(new LogLine("rolling " + work.name().toLowerCase(java.util.Locale.ROOT) + " is done"));
+      actions.add(
+          new LogLine("rolling " + work.name().toLowerCase(java.util.Locale.ROOT) + " is done"));
       work = Work.NONE;
     }
   }
@@ -354,8 +356,8 @@
 
   private void halt(String why) {
     halted = why;
-    actions.add(new LogLine("rolling " + work.name().toLowerCase(java.util.Locale.ROOT) + " halted with "
-        + remaining.size() + " remaining: " + why));
+    actions.add(new LogLine("rolling " + work.name().toLowerCase(java.util.Locale.ROOT)
+        + " halted with " + remaining.size() + " remaining: " + why));
     work = Work.NONE;
     remaining.clear();
     inProgress.clear();
--- a/src/main/java/pumicekeel/mesh/DatagramMesh.java
+++ b/src/main/java/pumicekeel/mesh/DatagramMesh.java
@@ -100,8 +100,8 @@
     }
     for (int copies = random.nextDouble() < fault.duplicates() ? 2 : 1; copies > 0; copies--) {
       ByteBuf copy = bytes.copy();
-      long delayMicros =
-          fault.delayMicros() + (fault.jitterMicros() == 0 ? 0 : random.nextLong(fault.jitterMicros() + 1));
+      long delayMicros = fault.delayMicros()
+          + (fault.jitterMicros() == 0 ? 0 : random.nextLong(fault.jitterMicros() + 1));
       Runnable send = () -> {
         delivered++;
         links[b][a].writeAndFlush(new DatagramPacket(copy, memberAddresses[b]));
@@ -118,7 +118,8 @@
   public List<InetSocketAddress> addressesFor(int member) {
     List<InetSocketAddress> all = new ArrayList<>();
     for (int b = 0; b < memberAddresses.length; b++) {
-      all.add(b == member ? memberAddresses[b] : (InetSocketAddress) links[member][b].localAddress());
+      all.add(
+          b == member ? memberAddresses[b] : (InetSocketAddress) links[member][b].localAddress());
     }
     return all;
   }
--- a/src/main/java/pumicekeel/mesh/Mesh.java
+++ b/src/main/java/pumicekeel/mesh/Mesh.java
@@ -68,14 +68,16 @@
       for (int i = 0; i < processes; i++) {
         members.add(new Member("n" + i, command, folder));
         discoveries.add(new StandInDiscovery(group));
-        toDiscovery.add(new TcpLink(linkLoops.next(), discoveries.get(i).address(), seed + nextSeed++));
+        toDiscovery.add(
+            new TcpLink(linkLoops.next(), discoveries.get(i).address(), seed + nextSeed++));
         toUpstream.add(new TreeMap<>());
       }
       for (int i = 0; i < upstreams; i++) {
         add("s" + i, 0);
       }
       for (int from = 0; from < processes; from += MAX_CONCURRENT_STARTS) {
-        List<Member> batch = members.subList(from, Math.min(processes, from + MAX_CONCURRENT_STARTS));
+        List<Member> batch =
+            members.subList(from, Math.min(processes, from + MAX_CONCURRENT_STARTS));
         for (Member m : batch) {
           start(m);
         }
--- a/src/main/java/pumicekeel/mesh/TcpLink.java
+++ b/src/main/java/pumicekeel/mesh/TcpLink.java
@@ -163,8 +163,8 @@
     private void enqueue(ByteBuf bytes) {
       Fault fault = fault();
       long now = System.nanoTime();
-      long delay = TimeUnit.MICROSECONDS.toNanos(
-          fault.delayMicros() + (fault.jitterMicros() == 0 ? 0 : random.nextLong(fault.jitterMicros() + 1)));
+      long delay = TimeUnit.MICROSECONDS.toNanos(fault.delayMicros()
+          + (fault.jitterMicros() == 0 ? 0 : random.nextLong(fault.jitterMicros() + 1)));
       long transmission = bytes == null || fault.bytesPerSecond() == 0
           ? 0
           : bytes.readableBytes() * 1_000_000_000L / fault.bytesPerSecond();
--- a/src/main/java/pumicekeel/standin/StandInUpstream.java
+++ b/src/main/java/pumicekeel/standin/StandInUpstream.java
@@ -80,7 +80,8 @@
             channel.closeFuture().addListener(closed -> connections.remove(channel));
             channel
                 .pipeline()
-                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Handler());
+                .addLast(
+                    new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Handler());
           }
         });
     listener = bootstrap
--- a/src/test/java/pumicekeel/fleet/DaemonTest.java
+++ b/src/test/java/pumicekeel/fleet/DaemonTest.java
@@ -258,8 +258,8 @@
           .start();
       until(() -> allReady(2));
       Control.call(run, "restart");
-      until(
-          () -> status().contains(stateEntry(0, "stopping")) || status().contains(stateEntry(0, "starting")));
+      until(() -> status().contains(stateEntry(0, "stopping"))
+          || status().contains(stateEntry(0, "starting")));
       // Round 0 kills it during the stop of the first instance, round 1 about during its start.
       TimeUnit.MILLISECONDS.sleep(round * 700L);
       other.destroyForcibly().waitFor();
--- a/src/test/java/pumicekeel/fleet/OneAddressTest.java
+++ b/src/test/java/pumicekeel/fleet/OneAddressTest.java
@@ -252,7 +252,8 @@
           0,
           broken.get(),
           "of " + served.get() + " requests, these met a refused, reset or unread connection");
-      // With a grace of zero every upstream was once treated as drained, and no request was answered
+      // With a grace of zero every upstream was once treated as drained, and no request was
+      // answered
       // with 200.
       assertTrue(
           refused.get() < served.get() / 10,
@@ -274,6 +275,7 @@
     String output = new String(daemon.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertEquals(2, daemon.waitFor());
     assertEquals(
-        "--one-address: expected a listening socket as descriptor 0, got /dev/null", output.strip());
+        "--one-address: expected a listening socket as descriptor 0, got /dev/null",
+        output.strip());
   }
 }
--- a/src/test/java/pumicekeel/fleet/SupervisorTest.java
+++ b/src/test/java/pumicekeel/fleet/SupervisorTest.java
@@ -135,7 +135,8 @@
     assertEquals(Work.NONE, s.work());
     assertNull(s.halted());
     assertEquals(
-        List.of("Start 0", "Start 2", "Terminate 3", "Terminate 4", "Start 3", "Start 4"), drainLog());
+        List.of("Start 0", "Start 2", "Terminate 3", "Terminate 4", "Start 3", "Start 4"),
+        drainLog());
   }
 
   @Test
--- a/src/test/java/pumicekeel/mesh/MeshTest.java
+++ b/src/test/java/pumicekeel/mesh/MeshTest.java
@@ -113,7 +113,8 @@
       for (Load l : all) {
         l.stop();
       }
-      // A read and the sends it causes may be in the same iteration of the event loop: sends decided
+      // A read and the sends it causes may be in the same iteration of the event loop: sends
+      // decided
       // on before the stall go out at once.
       long late = mesh.upstreams().get("s1").seen().stream()
           .filter(s -> s.atNanos() - woken > 500_000_000L)
@@ -131,7 +132,8 @@
   void membersCutOffInOneDirectionStayAliveByIndirectProbes() throws Exception {
     try (Mesh mesh = new Mesh(4, 1, true, FLAGS, 3)) {
       until(
-          () -> mesh.members().stream().allMatch(m -> seesLive(m, 4)), "all members discover each other");
+          () -> mesh.members().stream().allMatch(m -> seesLive(m, 4)),
+          "all members discover each other");
       mesh.datagrams().fault(0, 1, Fault.CUT);
       long before = mesh.datagrams().delivered();
       until(() -> mesh.datagrams().delivered() > before + 200, "datagrams are still delivered");
