--- a/src/main/java/pumicekeel/delivery/BackOff.java
+++ b/src/main/java/pumicekeel/delivery/BackOff.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** Exponential back-off with full jitter: many that failed at one moment come back at different ones. Times in nanoseconds. */
+/** Exponential back-off with full jitter: many callers that failed at once retry at different times. Times are in nanoseconds. */
 final class BackOff {
 
   private final long firstNanos;
@@ -16,7 +16,7 @@
     this.random = random;
   }
 
-  /** How long to rest after one more failure in a row. */
+  /** Returns the delay after one more consecutive failure. */
   long next() {
     long bound = firstNanos;
     for (int i = 0; i < failures && bound < maxNanos; i++) {
@@ -26,7 +26,7 @@
     return random.nextLong(Math.min(bound, maxNanos)) + 1;
   }
 
-  /** A success: the next failure is the first again. */
+  /** Resets the delay after a success. */
   void reset() {
     failures = 0;
   }
--- a/src/main/java/pumicekeel/delivery/Candidate.java
+++ b/src/main/java/pumicekeel/delivery/Candidate.java
@@ -2,15 +2,15 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A version that has come and is not checked yet. */
+/** A version that was received and has not been verified yet. */
 public sealed interface Candidate {
 
   ConfigurationVersion version();
 
-  /** The whole text, its hash checked; takes time by its length, so it is not for an event loop. */
+  /** Returns the whole text after checking its hash. Linear in its length, so it must not be called on an event loop. */
   String text(String heldText) throws ConfigurationDelta.NotApplicableException;
 
-  /** A whole text, as it came in parts. */
+  /** A whole text, received in parts. */
   record Snapshot(ConfigurationVersion version, byte[] bytes) implements Candidate {
     @Override
     public String text(String heldText) throws ConfigurationDelta.NotApplicableException {
@@ -22,7 +22,7 @@
     }
   }
 
-  /** What leads to it from the text that is held. */
+  /** A delta from the held text. */
   record Delta(ConfigurationDelta delta) implements Candidate {
     @Override
     public ConfigurationVersion version() {
--- a/src/main/java/pumicekeel/delivery/ConfigurationDocument.java
+++ b/src/main/java/pumicekeel/delivery/ConfigurationDocument.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 
 /**
- * The text of a configuration as an ordered list of keyed entries, whose texts in a row are the whole text. The first entry holds
- * what stands before the first header; it is always there and its key is empty. Unchangeable.
+ * The text of a configuration as an ordered list of keyed entries; the concatenation of their texts is the whole text. The first entry
+ * holds the text before the first header; it always exists and its key is empty. Immutable.
  */
 public final class ConfigurationDocument {
 
-  /** One block of the text: a header and what belongs to it. Keys are unique within a document. */
+  /** A block of the text: a header and its contents. Keys are unique within a document. */
   public record Entry(String key, String text) {}
 
   private final List<Entry> entries;
@@ -23,24 +23,24 @@
     this.entries = entries;
   }
 
-  /** Divides a text; any text can be divided, also one that is no TOML. Linear. */
+  /** Splits a text into entries, in linear time. Any text is accepted, even if it is not TOML. */
   public static ConfigurationDocument parse(String text) {
     return new ConfigurationDocument(List.copyOf(DocumentSplitter.split(text)));
   }
 
-  /** The entries in order. */
+  /** Returns the entries in order. */
   public List<Entry> entries() {
     return entries;
   }
 
-  /** The whole text. */
+  /** Returns the whole text. */
   public String text() {
     StringBuilder out = new StringBuilder();
     entries.forEach(e -> out.append(e.text()));
     return out.toString();
   }
 
-  /** The same document, holding the objects of another one's entries where these are equal: a history of documents stays small. */
+  /** Returns an equal document that reuses the equal entries of another one, which keeps a history of documents small. */
   public ConfigurationDocument sharing(ConfigurationDocument other) {
     Map<String, Entry> known = new HashMap<>();
     other.entries.forEach(e -> known.put(e.key(), e));
@@ -52,7 +52,7 @@
     return new ConfigurationDocument(List.copyOf(out));
   }
 
-  /** What leads from a base to this document. */
+  /** Returns the delta from a base to this document. */
   public ConfigurationDelta deltaFrom(
       ConfigurationDocument base, ConfigurationVersion from, ConfigurationVersion to) {
     Map<String, Integer> places = new HashMap<>();
@@ -76,7 +76,7 @@
   }
 
   /**
-   * Carries out a delta on this document, which is the delta's base.
+   * Applies a delta to this document, which must be the delta's base.
    *
    * @return the text of the target, whose hash has been checked
    */
@@ -110,7 +110,7 @@
     return text;
   }
 
-  /** Appends the run of upserted entries behind a key; each is used once, so that a circle ends. */
+  /** Appends the chain of upserted entries after a key. Each is used once, so that a cycle ends. */
   private static void appendFollowers(
       String key, Map<String, ConfigurationDelta.Upsert> byPredecessor, StringBuilder out) {
     ConfigurationDelta.Upsert next = byPredecessor.remove(key);
--- a/src/main/java/pumicekeel/delivery/ConfigurationStore.java
+++ b/src/main/java/pumicekeel/delivery/ConfigurationStore.java
@@ -3,12 +3,12 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Keeps the last versions over restarts. Blocks, so it is not for an event loop; one thread at a time. */
+/** Stores the last versions durably. Blocks, so it must not be used on an event loop. Not thread-safe. */
 public interface ConfigurationStore {
 
-  /** The versions that are kept and whole, the newest first. */
+  /** Returns the intact stored versions, newest first. */
   List<StoredConfiguration> load() throws IOException;
 
-  /** Keeps one more, newer than the others. Once this returns it survives the host; where it fails the others are as before. */
+  /** Stores a version newer than the others. It is durable once this returns; after a failure the others are unchanged. */
   void save(StoredConfiguration configuration) throws IOException;
 }
--- a/src/main/java/pumicekeel/delivery/ConfigurationVersion.java
+++ b/src/main/java/pumicekeel/delivery/ConfigurationVersion.java
@@ -6,8 +6,8 @@
 import java.util.HexFormat;
 
 /**
- * Names one configuration. Versions are ordered by the writer's epoch, then by the sequence within it; two texts may not share
- * both numbers.
+ * Identifies a configuration. Versions are ordered by the writer's epoch, then by the sequence within it; two different texts must not have
+ * the same numbers.
  *
  * @param epoch of the writer, from 1; a writer that takes over uses a higher one
  * @param sequence counts the versions of an epoch from 1
@@ -25,12 +25,12 @@
     }
   }
 
-  /** The version that a text has under these numbers. */
+  /** Returns the version of a text with these numbers. */
   public static ConfigurationVersion of(long epoch, long sequence, String text) {
     return new ConfigurationVersion(epoch, sequence, sha256(text.getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** The hash of a text's bytes as versions hold it. */
+  /** Returns the hash of a text's bytes in the form used in versions. */
   public static String sha256(byte[] bytes) {
     try {
       return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Reads what {@link #text} writes; an IllegalArgumentException says what is wrong. */
+  /** Parses {@link #text}; throws an IllegalArgumentException if it is malformed. */
   public static ConfigurationVersion parse(String text) {
     String[] parts = text.split("\\.", -1);
     if (parts.length != 3) {
@@ -48,27 +48,27 @@
     return new ConfigurationVersion(Long.parseLong(parts[0]), Long.parseLong(parts[1]), parts[2]);
   }
 
-  /** {@code EPOCH.SEQUENCE.HASH}, as it is sent. */
+  /** Returns {@code EPOCH.SEQUENCE.HASH}, the form on the wire. */
   public String text() {
     return epoch + "." + sequence + "." + hash;
   }
 
-  /** Whether this one replaces the other. Equal numbers never do, whatever the hash says. */
+  /** Whether this version replaces the other. One with equal numbers never does, whatever its hash. */
   public boolean isNewerThan(ConfigurationVersion other) {
     return epoch != other.epoch ? epoch > other.epoch : sequence > other.sequence;
   }
 
-  /** The later of two. */
+  /** Returns the later of two versions. */
   public static ConfigurationVersion later(ConfigurationVersion a, ConfigurationVersion b) {
     return b.isNewerThan(a) ? b : a;
   }
 
-  /** Whether a text is the one that this version names. */
+  /** Whether the hash of a text is that of this version. */
   public boolean isOf(byte[] text) {
     return hash.equals(sha256(text));
   }
 
-  /** Epoch and sequence with the hash's beginning, for people. */
+  /** Returns epoch, sequence and the start of the hash, for display. */
   @Override
   public String toString() {
     return equals(NONE) ? "none" : epoch + "." + sequence + " (" + hash.substring(0, 8) + ")";
--- a/src/main/java/pumicekeel/delivery/DocumentSplitter.java
+++ b/src/main/java/pumicekeel/delivery/DocumentSplitter.java
@@ -9,8 +9,8 @@
 import pumicekeel.delivery.ConfigurationDocument.Entry;
 
 /**
- * Divides the text of a TOML document at its table headers. A header within a string or an array divides nothing, and the sub-tables of an
- * element of an array of tables stay with their element. It knows only as much TOML as this takes; what is no TOML is divided somehow.
+ * Splits the text of a TOML document at its table headers. Brackets within strings and arrays are not headers, and the sub-tables of an
+ * element of an array of tables stay with their element. Implements only the TOML syntax needed for this; any other text is split too.
  */
 final class DocumentSplitter {
 
@@ -58,13 +58,13 @@
     entries.add(new Entry(use == 1 ? key : key + " ~" + use, block));
   }
 
-  /** What tells an element of an array of tables from the others: its name, or its text where it has none. */
+  /** Returns what identifies an element of an array of tables: its name, or the hash of its text if it has none. */
   private static String elementName(String block) {
     Matcher name = NAME.matcher(block);
     return name.find() ? name.group(1) : Integer.toHexString(block.hashCode());
   }
 
-  /** The header with its brackets. */
+  /** Returns the header with its brackets. */
   private String headerAt(int from, int lineEnd) {
     int i = from;
     while (i < lineEnd && text.charAt(i) != '#' && text.charAt(i) != '\n') {
@@ -73,7 +73,7 @@
     return text.substring(from, Math.min(i, lineEnd)).strip();
   }
 
-  /** Whether a header names a sub-table of the element that another one begins. */
+  /** Whether a header is that of a sub-table of the element begun by another header. */
   private static boolean belongsTo(String header, String element) {
     if (!element.startsWith("[[")) {
       return false;
@@ -83,7 +83,7 @@
     return own.length() > path.length() && own.startsWith(path) && own.charAt(path.length()) == '.';
   }
 
-  /** A header without its brackets. */
+  /** Returns a header without its brackets. */
   private static String pathOf(String header) {
     int start = 0;
     int end = header.length();
@@ -109,7 +109,7 @@
     return end < 0 ? text.length() : end + 1;
   }
 
-  /** The end of a key with its value, which may go on over lines within strings and brackets. */
+  /** Returns the end of a key-value pair, whose strings and brackets may span lines. */
   private int endOfLogicalLine(int from) {
     int depth = 0;
     int i = from;
@@ -163,7 +163,7 @@
     return text.length();
   }
 
-  /** Up to two quotes may stand right before the three that end a long string. */
+  /** Skips up to two quotes directly before the three that end a multi-line string. */
   private int endOfQuotes(int from, char quote) {
     int i = from;
     while (i < text.length() && i < from + 2 && text.charAt(i) == quote) {
--- a/src/main/java/pumicekeel/delivery/DurableWriter.java
+++ b/src/main/java/pumicekeel/delivery/DurableWriter.java
@@ -6,13 +6,13 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** Writes a whole file so that it survives the host; tests have one whose disk is full. Blocks. */
+/** Writes a whole file durably. Blocks. Tests use an implementation whose disk is full. */
 interface DurableWriter {
 
-  /** Returns once the file holds the bytes and the disk has them; where it fails, a part may have been written. */
+  /** Returns once the bytes are written and synced; after a failure a part may have been written. */
   void write(Path file, ByteBuffer bytes) throws IOException;
 
-  /** The system's files. */
+  /** Writes to the file system. */
   DurableWriter SYSTEM = (file, bytes) -> {
     try (FileChannel channel = FileChannel.open(
         file,
--- a/src/main/java/pumicekeel/delivery/FileConfigurationStore.java
+++ b/src/main/java/pumicekeel/delivery/FileConfigurationStore.java
@@ -16,22 +16,21 @@
 import java.util.stream.Stream;
 
 /**
- * A directory with one file a version. A file is written under a temporary name, synced, renamed and the
- * directory synced; a file that has its name is never written again. A damaged one is put aside at the next start and the version before
- * it is used.
+ * Stores each version in a file of one directory. A file is written under a temporary name, synced and renamed, and the directory is
+ * synced; after that the file is never modified. A damaged file is renamed at the next start, and the previous version is used.
  */
 public final class FileConfigurationStore implements ConfigurationStore, Closeable {
 
-  /** The version in force, and the one before it for the case that the newest file is damaged. */
+  /** The version in force, and its predecessor in case the newest file is damaged. */
   private static final int KEPT_VERSIONS = 2;
-  /** Far above any configuration; a larger file is none. */
+  /** Far above the size of any configuration; a larger file counts as damaged. */
   static final long MAX_BYTES = 64L << 20;
 
   private static final String SUFFIX = ".configuration";
   private static final String TEMPORARY_SUFFIX = ".partial";
   private static final String DAMAGED_SUFFIX = ".damaged";
 
-  /** Reads a file whole; tests have one that fails. */
+  /** Reads a whole file; tests use a failing implementation. */
   @FunctionalInterface
   interface WholeReader {
     byte[] read(Path file) throws IOException;
@@ -41,10 +40,10 @@
   private final DurableWriter writer;
   private final WholeReader reader;
   private final Consumer<String> log;
-  /** Null where others may use the directory as well. */
+  /** Null if other processes may use the directory as well. */
   private final FileChannel lockFile;
 
-  /** Makes a directory and holds it for this process alone; an IOException says in words what is wrong with it. */
+  /** Creates and locks a directory for this process alone; the message of an IOException tells why it cannot be used. */
   public static FileConfigurationStore exclusive(Path directory, Consumer<String> log)
       throws IOException {
     Files.createDirectories(directory);
@@ -53,8 +52,8 @@
   }
 
   /**
-   * Makes a directory that the process before this one may still use while it drains. What both write is whole all the same; a save of
-   * one may fail because of the other and is then to be repeated.
+   * Creates a directory that the predecessor of this process may still use while it drains. Files stay intact with two writers; a save of
+   * one may fail because of the other and must then be repeated.
    */
   public static FileConfigurationStore shared(Path directory, Consumer<String> log)
       throws IOException {
@@ -88,7 +87,7 @@
     try {
       lock = file.tryLock();
     } catch (OverlappingFileLockException e) {
-      // Held within this process: told below as well.
+      // Locked within this process: reported below as well.
     }
     if (lock == null) {
       file.close();
@@ -114,16 +113,16 @@
     return whole;
   }
 
-  /** It is in the way of nothing. */
+  /** Deletes a temporary file. A failure is only logged: the file does no harm. */
   private void deleteTemporary(Path file) {
     try {
       Files.deleteIfExists(file);
     } catch (IOException e) {
-      log.accept("configuration store: " + file + " stays: " + e);
+      log.accept("configuration store: " + file + " could not be deleted: " + e);
     }
   }
 
-  /** A file that can't be read at this moment is none that is damaged: the whole look is to be repeated. */
+  /** Reads a file. A read error does not mean that the file is damaged: it is thrown, and the whole load must be repeated. */
   private void readInto(List<StoredConfiguration> whole, Path file) throws IOException {
     boolean tooLarge = Files.size(file) > MAX_BYTES;
     byte[] bytes = tooLarge ? new byte[0] : reader.read(file);
@@ -155,7 +154,7 @@
       moved = true;
       syncDirectory();
     } catch (IOException e) {
-      // Told as not stored, it may not come back at the next start as if it were.
+      // Reported as not stored, so it must not be loaded at the next start.
       deleteTemporary(moved ? file : temporary);
       throw e;
     }
@@ -172,7 +171,7 @@
     }
   }
 
-  /** What is in the way of nothing else: a failure costs room, not the version. */
+  /** Deletes old versions. A failure is only logged: it costs disk space, not the new version. */
   private void deleteOld(ConfigurationVersion newest) {
     try {
       List<Path> old = new ArrayList<>();
@@ -186,11 +185,11 @@
         Files.delete(file);
       }
     } catch (IOException e) {
-      log.accept("configuration store: an old version stays: " + e);
+      log.accept("configuration store: an old version could not be deleted: " + e);
     }
   }
 
-  /** Epoch and sequence of a file's name, to be compared as texts. */
+  /** Returns epoch and sequence of a file's name, padded so that they compare as texts. */
   private static String numbers(Path file) {
     String[] parts = file.getFileName().toString().replace(SUFFIX, "").split("-", 2);
     return String.format("%20s-%20s", parts[0], parts[parts.length - 1]);
--- a/src/main/java/pumicekeel/delivery/IncreasingSubsequence.java
+++ b/src/main/java/pumicekeel/delivery/IncreasingSubsequence.java
@@ -1,13 +1,13 @@
 package pumicekeel.delivery;
 
-/** The longest increasing subsequence: which entries keep their order when others are moved. */
+/** Longest increasing subsequence: the entries that keep their order while others are moved. */
 final class IncreasingSubsequence {
 
   private IncreasingSubsequence() {}
 
   /**
-   * Marks the members of one longest strictly increasing subsequence; negative values are never members. Patience sorting, n log n, and
-   * linear where the values increase already.
+   * Marks the members of one longest strictly increasing subsequence; negative values are never members. Patience sorting: O(n log n), and
+   * linear if the values increase already.
    */
   static boolean[] longest(int[] values) {
     int[] tails = new int[values.length];
--- a/src/main/java/pumicekeel/delivery/ReplicaReport.java
+++ b/src/main/java/pumicekeel/delivery/ReplicaReport.java
@@ -1,12 +1,12 @@
 package pumicekeel.delivery;
 
 /**
- * What a subscriber tells of itself with each call.
+ * State that a subscriber reports with each call.
  *
  * @param name unique among the subscribers
  * @param inForce the version in force; NONE where none was delivered
- * @param refused the newest version that it could not take; NONE for none
- * @param trouble what went wrong last, a line; empty for nothing
+ * @param refused the newest version that it could not apply; NONE for none
+ * @param trouble the last failure, one line; empty for none
  */
 public record ReplicaReport(
     String name, ConfigurationVersion inForce, ConfigurationVersion refused, String trouble) {
--- a/src/main/java/pumicekeel/delivery/SnapshotTransfer.java
+++ b/src/main/java/pumicekeel/delivery/SnapshotTransfer.java
@@ -2,14 +2,14 @@
 
 import java.util.Arrays;
 
-/** A snapshot that comes in parts, each right behind the one before; it can go on at another control machine. */
+/** A snapshot that is received in consecutive parts; it can continue at another control machine. */
 final class SnapshotTransfer {
 
   private final ConfigurationVersion version;
   private final byte[] text;
   private int received;
 
-  /** Begins with a part of offset 0. */
+  /** Begins with a part at offset 0. */
   SnapshotTransfer(SnapshotPart first) {
     version = first.version();
     text = new byte[(int) first.total()];
@@ -19,7 +19,7 @@
     return version;
   }
 
-  /** The offset that the next part must have. */
+  /** Returns the offset of the next part. */
   long received() {
     return received;
   }
@@ -28,7 +28,7 @@
     return received == text.length;
   }
 
-  /** Takes a part; false where it is not the next one of this text, and then nothing has changed. */
+  /** Appends a part. Returns false without any change if it is not the next part of this text. */
   boolean append(SnapshotPart part) {
     boolean isNext = part.version().equals(version)
         && part.total() == text.length
@@ -42,7 +42,7 @@
     return isNext;
   }
 
-  /** The whole text; its hash has not been checked. */
+  /** Returns the whole text, whose hash has not been checked. */
   byte[] text() {
     return Arrays.copyOf(text, received);
   }
--- a/src/main/java/pumicekeel/delivery/StoredConfiguration.java
+++ b/src/main/java/pumicekeel/delivery/StoredConfiguration.java
@@ -1,8 +1,8 @@
 package pumicekeel.delivery;
 
 /**
- * A version with its whole text, as it is kept.
+ * A stored version with its whole text.
  *
- * @param storedAtMillis when it was kept here, in Unix time
+ * @param storedAtMillis when it was stored here, Unix time
  */
 public record StoredConfiguration(ConfigurationVersion version, long storedAtMillis, String text) {}
--- a/src/main/java/pumicekeel/delivery/StoredFormat.java
+++ b/src/main/java/pumicekeel/delivery/StoredFormat.java
@@ -6,14 +6,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of a kept version: one header line {@code honeyvalve-configuration 1 EPOCH.SEQUENCE.HASH TAKEN_AT_MILLIS LENGTH CRC}, where
- * CRC is the CRC-32C of the line before it, then the text. Header and text have checksums, so no flipped bit passes.
+ * File format of a stored version: one header line {@code honeyvalve-configuration 1 EPOCH.SEQUENCE.HASH TAKEN_AT_MILLIS LENGTH CRC}, where
+ * CRC is the CRC-32C of the line before it, then the text. Header and text have checksums, so any flipped bit is detected.
  */
 final class StoredFormat {
 
   private static final String MAGIC = "honeyvalve-configuration 1";
   private static final int FIELDS = 6;
-  /** Longer than any header, so that a file of other contents is not searched whole. */
+  /** Longer than any header; bounds the search for its end in a file of other contents. */
   private static final int MAX_HEADER_BYTES = 256;
 
   private StoredFormat() {}
@@ -29,7 +29,7 @@
         .flip();
   }
 
-  /** An IOException says in which way the bytes are not what was written. */
+  /** Decodes a file; the message of an IOException tells how it is damaged. */
   static StoredConfiguration decode(byte[] bytes) throws IOException {
     int end = 0;
     while (end < Math.min(bytes.length, MAX_HEADER_BYTES) && bytes[end] != '\n') {
--- a/src/main/java/pumicekeel/delivery/Subscription.java
+++ b/src/main/java/pumicekeel/delivery/Subscription.java
@@ -4,65 +4,65 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A subscriber of the configuration: whom it asks, when and for what, without I/O or clock. Its caller carries out each {@link Step}
- * and brings back what came of it; times are nanoseconds of one monotonic clock.
+ * State machine of a configuration subscriber, without I/O or clock. The caller executes each {@link Step} and reports its result;
+ * times are nanoseconds of one monotonic clock.
  *
- * <p>It asks the control machines in turn, each for a short wait, so that one that is cut off from the others delays a version by that
- * wait at most. A version is handed on whole or not at all and only if it is newer than what is held and what was refused before.
+ * <p>It long-polls the control machines in turn, each with a short wait, so that a machine that is partitioned from the others delays a
+ * version by at most that wait. A version is applied as a whole, and only if it is newer than the version held and any refused one.
  */
 public final class Subscription {
 
-  /** How long a control machine may hold a call: one that is cut off from the writer delays a version by this. */
+  /** How long a control machine may hold a call: a machine partitioned from the writer delays a version by this time. */
   public static final long WAIT_MILLIS = 2_500;
 
   private static final long FIRST_BACK_OFF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-  /** With the check of the text it has to stay under the seven seconds within which a change is in force. */
+  /** Together with the check of the text this must stay below the seven seconds within which a change has to be in force. */
   private static final long MAX_BACK_OFF_NANOS = TimeUnit.SECONDS.toNanos(4);
-  /** Processes that start together ask spread over this time. */
+  /** The first calls of processes that start together are spread over this time. */
   private static final long START_SPREAD_NANOS = TimeUnit.SECONDS.toNanos(1);
-  /** Far above any configuration; a machine that says more is not believed. */
+  /** Far above the size of any configuration; a snapshot announced as larger is rejected. */
   static final long MAX_TEXT_BYTES = 32L << 20;
 
-  /** A machine that answers at once instead of waiting is not asked more often than this. */
+  /** Shortest time between polls, for machines that answer at once instead of holding the call. */
   private static final long MIN_POLL_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** Each try checks a whole text, a second of a core at the largest known size: seldom against what control may cost. */
+  /** Each retry checks a whole text, which takes a second of a core at the largest known size, so retries are rare. */
   private static final long POSTPONED_RETRY_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  /** What is to be done now. */
+  /** The next action of the caller. */
   public sealed interface Step {}
 
   /**
-   * Ask a control machine for what is newer.
+   * Call a control machine for a newer version.
    *
-   * @param call to be given back with the reply
+   * @param call id to be returned with the reply
    * @param server index in the list of control machines
    * @param held the base of a delta; NONE for a snapshot
-   * @param known nothing up to this one is wanted: the later of what is held and what was refused
+   * @param known only versions newer than this are requested: the later of the held and the refused version
    */
   public record Poll(
       long call, int server, ConfigurationVersion held, ConfigurationVersion known, long waitMillis)
       implements Step {}
 
-  /** Ask a control machine for the next part of a snapshot. */
+  /** Call a control machine for the next part of a snapshot. */
   public record FetchPart(long call, int server, ConfigurationVersion version, long offset)
       implements Step {}
 
-  /** Check a version and put it in force; what came of it is told by {@link #taken} and its like. */
+  /** Check a version and put it in force; the result is reported with {@link #applied}, {@link #damaged}, {@link #refused} or {@link #postponed}. */
   public record Apply(long call, Candidate candidate) implements Step {}
 
-  /** Nothing before this time. */
+  /** Do nothing before this time. */
   public record Wait(long untilNanos) implements Step {}
 
-  /** A step that was given before has not ended. */
+  /** An earlier step has not ended yet. */
   public record Pending() implements Step {}
 
   private enum State {
-    /** Nothing under way until {@code waitUntil}. */
+    /** Nothing to do until {@code waitUntil}. */
     WAITING,
-    /** A call to a control machine is out. */
+    /** A call to a control machine is outstanding. */
     CALLING,
-    /** A version has come and is to be handed on. */
+    /** A version has been received and is to be applied. */
     ARRIVED,
     /** A version is being checked and put in force. */
     APPLYING
@@ -82,14 +82,14 @@
   private boolean needsSnapshot;
   private SnapshotTransfer transfer;
   private Candidate candidate;
-  /** When a version that was postponed is tried again. */
+  /** When a postponed version is retried. */
   private long retryRefusedAt = Long.MAX_VALUE;
 
   private String refusal = "";
   private String trouble = "";
 
   /**
-   * Makes one that asks for the first time within a second of {@code now}.
+   * Creates a subscription whose first call is within a second of {@code now}.
    *
    * @param held the version in force, or NONE
    */
@@ -103,27 +103,27 @@
     lastReplyAt = now;
   }
 
-  /** The version in force. */
+  /** Returns the version in force. */
   public ConfigurationVersion held() {
     return held;
   }
 
-  /** The newest version that was refused here; NONE for none. */
+  /** Returns the newest version that was refused here; NONE for none. */
   public ConfigurationVersion refused() {
     return refused;
   }
 
-  /** When a control machine last answered with sense, or when this began. */
+  /** Returns the time of the last valid reply, or of the start if there was none. */
   public long lastReplyAt() {
     return lastReplyAt;
   }
 
-  /** Why the newest version is not in force: what it was refused for, or what went wrong since the last success; else empty. */
+  /** Returns why the newest version is not in force: the reason of a refusal, or the last failure since a success; else empty. */
   public String trouble() {
     return refused.isNewerThan(held) && trouble.isEmpty() ? refusal : trouble;
   }
 
-  /** The next step; where it is not a rest or pending, it counts as begun. */
+  /** Returns the next step; a step other than a wait or pending counts as begun. */
   public Step next(long now) {
     return switch (state) {
       case CALLING, APPLYING -> new Pending();
@@ -154,7 +154,7 @@
     return ConfigurationVersion.later(held, refused);
   }
 
-  /** A call has been answered. A reply to any other call than the one that is out comes too late and counts for nothing. */
+  /** Handles the reply to a call. A reply to any other than the outstanding call is late and ignored. */
   public void replied(long repliedCall, Reply reply, long now) {
     if (state != State.CALLING || repliedCall != call) {
       return;
@@ -217,7 +217,7 @@
     state = State.ARRIVED;
   }
 
-  /** The version that was to be taken is in force. */
+  /** Reports that the version to be applied is in force. */
   public void applied(long appliedCall, long now) {
     if (endsApply(appliedCall)) {
       held = candidate.version();
@@ -227,7 +227,7 @@
     }
   }
 
-  /** It is not what its version says: the text that is held or what came is damaged, so a whole one is asked for. */
+  /** Reports that the text does not match its version: the held text or the received data is damaged, so a snapshot is fetched. */
   public void damaged(long appliedCall, String reason, long now) {
     if (endsApply(appliedCall)) {
       needsSnapshot = true;
@@ -235,7 +235,7 @@
     }
   }
 
-  /** This build or this platform can't have it: it is not asked for again, a newer one is. */
+  /** Reports that this build or platform cannot use the version: only newer versions are requested from now on. */
   public void refused(long appliedCall, String reason, long now) {
     if (endsApply(appliedCall)) {
       refused = ConfigurationVersion.later(refused, candidate.version());
@@ -246,7 +246,7 @@
     }
   }
 
-  /** It can't be taken just now: it is tried again after a while, and a newer one at any time. */
+  /** Reports that the version cannot be applied now: it is retried later; a newer version is applied at any time. */
   public void postponed(long appliedCall, String reason, long now) {
     if (endsApply(appliedCall)) {
       refused(appliedCall, reason, now);
@@ -254,7 +254,7 @@
     }
   }
 
-  /** Another way than this subscription has put a newer version in force: what is under way counts for nothing any more. */
+  /** Reports that a newer version was put in force by other means; the current call or transfer is discarded. */
   public void superseded(ConfigurationVersion version, long now) {
     if (version.isNewerThan(held)) {
       held = version;
--- a/src/main/java/pumicekeel/delivery/VersionAcceptance.java
+++ b/src/main/java/pumicekeel/delivery/VersionAcceptance.java
@@ -1,21 +1,21 @@
 package pumicekeel.delivery;
 
 /**
- * Whether a version that a writer publishes follows the one that is kept. A writer of an older epoch is refused, and within an epoch
- * each sequence follows the one before, so that two writers that know nothing of each other cannot both go on.
+ * Whether a published version follows the version kept. A writer with an older epoch is refused, and within an epoch sequences have
+ * no gaps, so that two writers that do not know of each other cannot both continue.
  */
 public enum VersionAcceptance {
-  /** The next one: to be kept. */
+  /** The next version: it is to be kept. */
   ACCEPTED("accepted"),
-  /** Published before, with the same text: nothing to do, and a success. */
+  /** Published before with the same text: a success without any change. */
   ALREADY_KEPT("already kept"),
-  /** The writer has been replaced by one of a higher epoch. */
+  /** The writer has been replaced by one with a higher epoch. */
   OLDER_EPOCH("its epoch is older than the one of the version kept"),
-  /** The sequence has been used already. */
+  /** The sequence was used before. */
   OLDER_SEQUENCE("a later sequence of its epoch is kept"),
-  /** Versions between have not come here: they have to come from the peers first. */
+  /** Versions in between are missing here and have to be fetched from the peers first. */
   GAP("versions before it are missing here"),
-  /** The same numbers with another text: two writers use one epoch. */
+  /** The same numbers with another text: two writers use the same epoch. */
   CONFLICT("another text is kept under the same epoch and sequence");
 
   private final String reason;
@@ -24,7 +24,7 @@
     this.reason = reason;
   }
 
-  /** Why, in words for the operator. */
+  /** Returns the reason for the operator. */
   public String reason() {
     return reason;
   }
@@ -34,7 +34,7 @@
     return this == ACCEPTED || this == ALREADY_KEPT;
   }
 
-  /** What becomes of a version that a writer publishes where another one is kept. */
+  /** Returns whether a published version is accepted after the version kept. */
   public static VersionAcceptance of(ConfigurationVersion kept, ConfigurationVersion published) {
     if (published.equals(kept)) {
       return ALREADY_KEPT;
--- a/src/main/java/pumicekeel/delivery/client/ConfigurationSubscriber.java
+++ b/src/main/java/pumicekeel/delivery/client/ConfigurationSubscriber.java
@@ -17,12 +17,12 @@
 import pumicekeel.runtime.Log;
 import pumicekeel.runtime.Reactor;
 
-/** Carries a {@link Subscription} out: calls on the event loop, versions taken on another thread. */
+/** Runs a {@link Subscription}: calls on the event loop, versions applied on another thread. */
 public final class ConfigurationSubscriber {
 
-  /** Beyond the wait that the control machine was asked for. */
+  /** Time-out in addition to the wait requested from the control machine. */
   private static final long REPLY_TIMEOUT_MILLIS = 3_000;
-  /** Control machines that are silent for this long are told of in the log; each call takes less. */
+  /** Silence of all control machines is logged after this time; each call takes less. */
   private static final long SILENCE_LOG_NANOS = TimeUnit.SECONDS.toNanos(30);
 
   private final Reactor reactor;
@@ -36,10 +36,10 @@
   private boolean silent;
 
   /**
-   * Makes one that asks nobody yet.
+   * Creates a subscriber that has not been started.
    *
    * @param held the version in force, or NONE
-   * @param worker runs the taker; may block
+   * @param worker runs the applier; may block
    */
   public ConfigurationSubscriber(
       Reactor reactor,
@@ -58,17 +58,17 @@
         new Subscription(addresses.size(), held, seed, reactor.clock().now());
   }
 
-  /** Begins to follow the control machines; for any thread. */
+  /** Starts to poll the control machines. Thread-safe. */
   public void start() {
     reactor.loop().execute(this::run);
   }
 
-  /** Asks nobody any more; for any thread. */
+  /** Stops polling. Thread-safe. */
   public void close() {
     reactor.loop().execute(() -> closed = true);
   }
 
-  /** A newer version has been put in force in another way; only on the loop. */
+  /** Reports that a newer version was put in force by other means; called on the loop only. */
   public void superseded(ConfigurationVersion version) {
     subscription.superseded(version, now());
     run();
@@ -132,14 +132,14 @@
     }
   }
 
-  /** A defect in the taker, or a text that is too much for the memory, must not end the subscription. */
+  /** A defect in the applier, or a text that exceeds the memory, must not end the subscription. */
   private VersionApplier.Outcome outcomeOf(Candidate candidate) {
     try {
-      return applier.apply(candidate);
+      return applier.take(candidate);
     } catch (RuntimeException e) {
       return new VersionApplier.Refused(e.toString());
     } catch (Error e) {
-      Log.line("configuration: version " + candidate.version() + " could not be taken: " + e);
+      Log.line("configuration: version " + candidate.version() + " could not be applied: " + e);
       return new VersionApplier.Postponed(e.toString());
     }
   }
@@ -157,17 +157,17 @@
     run();
   }
 
-  /** One line when nobody has answered for a while, and one when somebody does again. */
+  /** Logs once when no control machine has replied for a while, and once when one replies again. */
   private void logSilence() {
     long silentNanos = now() - subscription.lastReplyAt();
     if (!silent && silentNanos > SILENCE_LOG_NANOS) {
       silent = true;
-      Log.line("configuration: no control machine answers since "
+      Log.line("configuration: no control machine has replied for "
           + TimeUnit.NANOSECONDS.toSeconds(silentNanos) + " s; version " + subscription.held()
           + " stays in force");
     } else if (silent && silentNanos < SILENCE_LOG_NANOS) {
       silent = false;
-      Log.line("configuration: control machines answer again");
+      Log.line("configuration: control machines reply again");
     }
   }
 }
--- a/src/main/java/pumicekeel/delivery/client/ControlApi.java
+++ b/src/main/java/pumicekeel/delivery/client/ControlApi.java
@@ -31,29 +31,29 @@
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
   /** A publish is answered after the whole text has been checked. */
   private static final Duration PUBLISH_TIMEOUT = Duration.ofSeconds(60);
-  /** All else is answered at once; a machine that stands still must not hold the others up. */
+  /** All other calls are answered at once; a stalled machine must not delay the others. */
   private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(5);
-  /** A machine that has all its snapshots under way is asked again this often. */
+  /** How many busy replies to retry: the machine serves its maximum of snapshots. */
   private static final int MAX_BUSY_REPLIES = 10;
 
-  /** A command is no replica: it has no name. */
+  /** A command is not a replica, so it has no name. */
   private static final String NO_NAME = "";
 
   /**
-   * What a control machine answered to a publish.
+   * Reply of a control machine to a publish.
    *
    * @param accepted whether it keeps the version, or would keep it in a dry run
-   * @param result in one word
+   * @param result result word of the reply
    * @param current the version that it keeps now
-   * @param lines why not
+   * @param lines why it does not
    */
   public record Published(
       boolean accepted, String result, ConfigurationVersion current, List<String> lines) {}
 
-  /** What one control machine knows. */
+  /** State of a control machine. */
   public record Status(ConfigurationVersion current, List<Replica> replicas) {}
 
-  /** What one subscriber told, and how long ago; {@code behind} counts versions, null for another epoch. */
+  /** Last report of a subscriber and its age; {@code behind} counts versions and is null for another epoch. */
   public record Replica(ReplicaReport report, Long behind, long lastReportMillisAgo) {}
 
   private final InetSocketAddress address;
@@ -62,12 +62,12 @@
       .connectTimeout(CONNECT_TIMEOUT)
       .build();
 
-  /** Makes one that has not connected. */
+  /** Creates a client; it connects with each call. */
   public ControlApi(InetSocketAddress address) {
     this.address = address;
   }
 
-  /** Publishes a version; an IOException where there is no answer. */
+  /** Publishes a version; throws an IOException if there is no reply. */
   public Published publish(ConfigurationVersion version, boolean dryRun, String text)
       throws IOException, InterruptedException {
     String target = DeliveryPaths.target(new DeliveryPaths.Publication(version, dryRun));
@@ -85,7 +85,7 @@
         lines);
   }
 
-  /** Who has which version, as this machine knows it. */
+  /** Returns which replica has which version, as reported to this machine. */
   public Status status() throws IOException, InterruptedException {
     HttpResponse<byte[]> response = send(request(DeliveryPaths.REPLICAS).GET());
     if (response.statusCode() != 200) {
@@ -109,13 +109,14 @@
     return new Replica(report, behind, fields.integer("heard-ms-ago"));
   }
 
-  /** The version that the machine keeps now; null where it has none. */
+  /** Returns the version that the machine keeps now; null if it has none. */
   public StoredConfiguration fetch() throws IOException, InterruptedException {
     ConfigurationVersion current = status().current();
     if (current.equals(ConfigurationVersion.NONE)) {
       return null;
     }
-    // A snapshot that is handed out may be some seconds old; the caller knows all before this one.
+    // A served snapshot may be some seconds old; naming the predecessor as known excludes older
+    // ones.
     ConfigurationVersion before = new ConfigurationVersion(
         current.epoch(), current.sequence() - 1, ConfigurationVersion.NONE.hash());
     Subscription subscription =
--- a/src/main/java/pumicekeel/delivery/client/ControlCall.java
+++ b/src/main/java/pumicekeel/delivery/client/ControlCall.java
@@ -23,17 +23,17 @@
 import pumicekeel.runtime.Addresses;
 import pumicekeel.runtime.Reactor;
 
-/** One call to a control machine on a connection of its own; ends in exactly one reply. Only on the loop. */
+/** A call to a control machine on its own connection; ends with exactly one reply. Used on the loop only. */
 final class ControlCall {
 
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
-  /** Over the largest delta and the largest part. */
+  /** Above the size of the largest delta and the largest part. */
   private static final int MAX_RESPONSE_BYTES = 4 << 20;
 
   private final InetSocketAddress address;
   private final Consumer<Reply> done;
   private final ScheduledFuture<?> timeout;
-  /** Null until the connection has been begun. */
+  /** Null until the connection attempt has been started. */
   private Channel channel;
 
   private boolean ended;
@@ -76,7 +76,7 @@
         .channel();
   }
 
-  /** Begins a call; its reply comes later, on the loop. */
+  /** Starts a call; the reply is passed on the loop later. */
   static void start(
       Reactor reactor,
       InetSocketAddress address,
--- a/src/main/java/pumicekeel/delivery/client/ControlCluster.java
+++ b/src/main/java/pumicekeel/delivery/client/ControlCluster.java
@@ -12,28 +12,28 @@
 import pumicekeel.delivery.ConfigurationVersion;
 
 /**
- * All control machines, as a writer and operators see them: asked at once, a majority decides. Blocks: for commands.
+ * Client of all control machines for writers and operators: calls them in parallel; a majority decides. Blocks, for commands.
  */
 public final class ControlCluster {
 
-  /** A machine that was away catches up with its peers meanwhile. */
+  /** Time for a machine that was down to catch up with its peers. */
   private static final long CATCH_UP_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   private static final long CATCH_UP_PERIOD_MILLIS = 250;
 
   /**
-   * What one machine said.
+   * Reply of one machine.
    *
-   * @param value null where it gave no answer
-   * @param error why it did not; null where it did
+   * @param value null if it did not reply
+   * @param error why it did not reply; null if it did
    */
   public record Answer<T>(InetSocketAddress address, T value, String error) {}
 
   /**
-   * What came of a publish.
+   * Result of a publish.
    *
-   * @param version that was published; null where it came to no try
-   * @param refusal why it came to no try; null where it did
+   * @param version the version published; null if it was not attempted
+   * @param refusal why it was not attempted; null if it was
    */
   public record Publication(
       ConfigurationVersion version, String refusal, List<Answer<ControlApi.Published>> answers) {
@@ -54,17 +54,17 @@
 
   private final List<InetSocketAddress> addresses;
 
-  /** Makes one of all control machines; the majority is counted of these. */
+  /** Creates a client of all control machines; a majority is counted of these. */
   public ControlCluster(List<InetSocketAddress> addresses) {
     this.addresses = List.copyOf(addresses);
   }
 
-  /** What each machine knows. */
+  /** Returns the state of each machine. */
   public List<Answer<ControlApi.Status>> statuses() throws InterruptedException {
     return callAll(addresses, ControlApi::status);
   }
 
-  /** The newest version that a machine keeps, of those that answered. */
+  /** Returns the newest version kept by any machine that replied. */
   public static ConfigurationVersion newest(List<Answer<ControlApi.Status>> statuses) {
     ConfigurationVersion newest = ConfigurationVersion.NONE;
     for (Answer<ControlApi.Status> status : statuses) {
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Publishes a text as the version behind the newest one; the same text again is the same version, so that a publish that got no majority
-   * can be repeated.
+   * Publishes a text as the successor of the newest version. The text of the newest version keeps its version, so that a publish without a
+   * majority can be repeated.
    */
   public Publication publish(long epoch, boolean dryRun, String text) throws InterruptedException {
     List<Answer<ControlApi.Status>> statuses = statuses();
@@ -103,7 +103,7 @@
     return same.equals(newest) ? same : new ConfigurationVersion(epoch, sequence + 1, same.hash());
   }
 
-  /** Publishes to the machines that have told their status; one that is silent would only be waited for once more. */
+  /** Publishes to the machines that replied with their status; a silent one would only cause another timeout. */
   private static List<Answer<ControlApi.Published>> publish(
       List<Answer<ControlApi.Status>> statuses,
       ConfigurationVersion version,
@@ -134,7 +134,7 @@
     return answers;
   }
 
-  /** Whether a machine lacks versions before this one, which its peers have. */
+  /** Whether a machine lacks earlier versions, which it fetches from its peers. */
   private static boolean isCatchingUp(
       Answer<ControlApi.Published> answer, ConfigurationVersion version) {
     return answer.value() != null
@@ -160,7 +160,7 @@
     return out;
   }
 
-  /** Asks machines at once, so that one that is silent holds up no other. */
+  /** Calls machines in parallel, so that a silent one does not delay the others. */
   private static <T> List<Answer<T>> callAll(List<InetSocketAddress> targets, Call<T> call)
       throws InterruptedException {
     ExecutorService threads = Executors.newFixedThreadPool(targets.size());
--- a/src/main/java/pumicekeel/delivery/client/VersionApplier.java
+++ b/src/main/java/pumicekeel/delivery/client/VersionApplier.java
@@ -2,24 +2,24 @@
 
 import pumicekeel.delivery.Candidate;
 
-/** Checks a version and puts it in force; called on a thread that may block, one call at a time. */
+/** Checks a version and puts it in force; called on a thread that may block, with one call at a time. */
 @FunctionalInterface
 public interface VersionApplier {
 
-  /** What became of a version. */
+  /** Result of applying a version. */
   sealed interface Outcome {}
 
-  /** It is in force. */
+  /** The version is in force. */
   record InForce() implements Outcome {}
 
-  /** What came, or what was held, is not what its version says. */
+  /** The received or the held text does not match its version. */
   record Damaged(String reason) implements Outcome {}
 
-  /** It can never be had here. */
+  /** This process can never use the version. */
   record Refused(String reason) implements Outcome {}
 
-  /** It can't be had just now. */
+  /** The version cannot be applied now. */
   record Postponed(String reason) implements Outcome {}
 
-  Outcome apply(Candidate candidate);
+  Outcome take(Candidate candidate);
 }
--- a/src/main/java/pumicekeel/delivery/client/package-info.java
+++ b/src/main/java/pumicekeel/delivery/client/package-info.java
@@ -1,2 +1,2 @@
-/** A subscriber on sockets: calls to control machines on an event loop, versions taken on a thread that may block. */
+/** Clients of control machines: a subscriber on an event loop, which applies versions on a thread that may block, and blocking calls for commands. */
 package pumicekeel.delivery.client;
--- a/src/main/java/pumicekeel/delivery/control/ConfigurationHistory.java
+++ b/src/main/java/pumicekeel/delivery/control/ConfigurationHistory.java
@@ -12,17 +12,17 @@
 import pumicekeel.delivery.ConfigurationDocument;
 import pumicekeel.delivery.ConfigurationVersion;
 
-/** The newest version and those before it from which a delta can still be made. Entries that versions have in common are held once. */
+/** The newest version and the earlier ones that can be the base of a delta. Entries shared by versions are stored once. */
 final class ConfigurationHistory {
 
-  /** Bases of deltas; each costs a reference an entry, some 0.2 MB at the largest known size. */
+  /** Limit of delta bases; each costs one reference per entry, some 0.2 MB at the largest known size. */
   static final int MAX_VERSIONS = 64;
-  /** Snapshots that are handed out, the newest last: a transfer ends with the version with which it began. */
+  /** Limit of served snapshots, the newest last: a transfer ends with the version it began with. */
   private static final int MAX_SNAPSHOTS = 2;
-  /** Under changes without end a snapshot is kept for this long, so that transfers of it can end. */
+  /** During continuous changes a snapshot is served for this long, so that its transfers can end. */
   private static final long SNAPSHOT_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-  /** A whole text that is handed out in parts. */
+  /** A whole text that is served in parts. */
   record Snapshot(ConfigurationVersion version, byte[] text, long madeAt) {}
 
   private final Map<ConfigurationVersion, ConfigurationDocument> documents = new LinkedHashMap<>();
@@ -52,7 +52,7 @@
     }
   }
 
-  /** What leads from a base to the current version; null where the base is not held any more. Made once for all who ask. */
+  /** Returns the delta from a base to the current version; null if the base is no longer kept. Cached for all callers. */
   ConfigurationDelta deltaFrom(ConfigurationVersion base) {
     ConfigurationDocument from = documents.get(base);
     if (from == null) {
@@ -61,7 +61,7 @@
     return deltas.computeIfAbsent(base, b -> documents.get(current).deltaFrom(from, base, current));
   }
 
-  /** The snapshot to begin a transfer with for one who knows a version; a fresh one where the last is old or no news to it. */
+  /** Returns the snapshot to begin a transfer with; a new one if the last is too old or not newer than the known version. */
   Snapshot snapshotFor(ConfigurationVersion known, long now) {
     Snapshot last = snapshots.peekLast();
     boolean serves = last != null
@@ -80,7 +80,7 @@
     return made;
   }
 
-  /** The snapshot of a version with which a transfer goes on, maybe one begun at another machine; null where it is not held. */
+  /** Returns the snapshot to continue a transfer with, maybe one begun at another machine; null if the version is not kept. */
   Snapshot snapshot(ConfigurationVersion version, long now) {
     for (Snapshot snapshot : snapshots) {
       if (snapshot.version().equals(version)) {
--- a/src/main/java/pumicekeel/delivery/control/ControlHandler.java
+++ b/src/main/java/pumicekeel/delivery/control/ControlHandler.java
@@ -7,7 +7,7 @@
 import io.netty.handler.timeout.ReadTimeoutException;
 import pumicekeel.runtime.Log;
 
-/** One connection to a control machine: one call, then its end. */
+/** A connection to a control machine: it carries one call and is then closed. */
 final class ControlHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
   private final ControlServer server;
--- a/src/main/java/pumicekeel/delivery/control/ControlServer.java
+++ b/src/main/java/pumicekeel/delivery/control/ControlServer.java
@@ -39,8 +39,8 @@
 import pumicekeel.runtime.Retry;
 
 /**
- * A control machine on HTTP/1.1: {@code GET} and {@code POST /v1/configuration}, {@code GET /v1/configuration/parts/...}, {@code GET
- * /v1/replicas}. One event loop answers; one thread checks texts and writes files. It follows its peers as any subscriber does.
+ * HTTP/1.1 server of a control machine: {@code GET} and {@code POST /v1/configuration}, {@code GET /v1/configuration/parts/...}, {@code GET
+ * /v1/replicas}. One event loop replies; one thread checks texts and writes files. It subscribes to its peers like any replica.
  */
 public final class ControlServer implements Closeable {
 
@@ -49,17 +49,17 @@
 
   private static final int MAX_HEADER_BYTES = 8 << 10;
   private static final int MAX_CHUNK_BYTES = 64 << 10;
-  /** A call has come whole within this. */
+  /** Time to receive a whole request. */
   private static final int REQUEST_TIMEOUT_SECONDS = 10;
-  /** A caller reads a part of a snapshot within this. */
+  /** Time for a caller to read a part of a snapshot. */
   private static final int WRITE_TIMEOUT_SECONDS = 30;
-  /** Waiting calls, and as many that are being answered. */
+  /** Waiting calls, and as many that are being replied to. */
   private static final int MAX_CONNECTIONS = 2 * WaitingCalls.MAX_CALLS;
 
   /**
-   * What a control machine is started with.
+   * Settings of a control machine.
    *
-   * @param peers the other control machines; may hold its own address, which is passed over
+   * @param peers the other control machines; may include its own address, which is ignored
    */
   public record Settings(InetSocketAddress listen, Path directory, List<InetSocketAddress> peers) {}
 
@@ -73,7 +73,7 @@
   private final WaitingCalls waiting = new WaitingCalls(ControlServer::answer);
   private final UploadLimit.Count uploads = new UploadLimit.Count();
   private InetSocketAddress address;
-  /** What fails for a moment is tried again for so long. */
+  /** How long transient failures at the start are retried. */
   private static final long START_RETRY_MILLIS = 15_000;
 
   private ConfigurationSubscriber peers;
@@ -85,7 +85,7 @@
     keeper = new VersionKeeper(store, check, reactor.clock()::millis, this::versionKept);
   }
 
-  /** Reads the store, listens and follows the peers; an IOException says in words why it can't. */
+  /** Loads the store, listens and subscribes to the peers; the message of an IOException tells why it cannot. */
   public static ControlServer start(Settings settings, TextCheck check)
       throws IOException, InterruptedException {
     FileConfigurationStore store = Retry.call(
@@ -125,12 +125,12 @@
     reactor.loop().submit(this::followPeers).sync();
   }
 
-  /** Where it listens. */
+  /** Returns the listen address. */
   public InetSocketAddress address() {
     return address;
   }
 
-  /** Peers have the same versions: one that was away catches up with them. */
+  /** Subscribes to the peers, which keep the same versions, to catch up after a downtime. */
   private void followPeers() {
     List<InetSocketAddress> others =
         settings.peers().stream().filter(p -> !p.equals(address)).toList();
@@ -149,7 +149,7 @@
     }
   }
 
-  /** On the worker: a version is kept. Its first ones come before the loop has anything to do. */
+  /** Called on the worker once a version is stored; also for loaded versions, before the server listens. */
   private void versionKept(ConfigurationVersion version, ConfigurationDocument document) {
     reactor.loop().execute(() -> {
       state.advance(version, document);
@@ -179,9 +179,10 @@
             new ControlHandler(this));
   }
 
-  /** A call has come whole. */
+  /** Handles a complete request. */
   void handle(Channel channel, FullHttpRequest request) {
-    // What comes next is the caller's end; until then it is the machine that takes its time.
+    // The request is complete: from here on the machine may take its time, and the caller only
+    // closes.
     channel.pipeline().remove(ReadTimeoutHandler.class);
     QueryStringDecoder query = new QueryStringDecoder(request.uri());
     String path = query.path();
@@ -200,7 +201,7 @@
     }
   }
 
-  /** A call that can't be read; the connection ends with it. */
+  /** Rejects a malformed call and closes the connection. */
   void reject(Channel channel, HttpResponseStatus status, String reason) {
     send(channel, ReplyFormat.response(status, reason.getBytes(StandardCharsets.UTF_8)));
   }
@@ -224,12 +225,12 @@
     });
   }
 
-  /** A check that breaks on some text must not leave its writer without an answer. */
+  /** A check that fails unexpectedly must not leave the writer without a reply. */
   private PublishResult publishOrFail(DeliveryPaths.Publication publication, byte[] body) {
     try {
       return keeper.publish(publication, body);
     } catch (RuntimeException | Error e) {
-      Log.line("control machine: the check of a text broke: " + e);
+      Log.line("control machine: the check of a text failed unexpectedly: " + e);
       return keeper.failed("the check of the text broke: " + e);
     }
   }
@@ -252,7 +253,7 @@
     return reactor.clock().now();
   }
 
-  /** Ends the machine; what it has acknowledged is stored. */
+  /** Stops the machine; all acknowledged versions are stored. */
   @Override
   public void close() throws IOException {
     if (peers != null) {
--- a/src/main/java/pumicekeel/delivery/control/ControlState.java
+++ b/src/main/java/pumicekeel/delivery/control/ControlState.java
@@ -10,12 +10,12 @@
 import pumicekeel.delivery.Reply;
 import pumicekeel.delivery.SnapshotPart;
 
-/** What a control machine answers, without I/O or clock: times are nanoseconds of one monotonic clock. One thread. */
+/** Decides the replies of a control machine, without I/O or clock. Times are nanoseconds of one monotonic clock. Not thread-safe. */
 final class ControlState {
 
-  /** A part is sent in one go: small against the memory for all of them, large against the cost of a call. */
+  /** A part is sent in one response: small enough to bound the memory for all transfers, large compared to the cost of a call. */
   static final int PART_BYTES = 256 << 10;
-  /** Beyond this a delta costs as much as a snapshot, which is bounded and goes on where it broke off. */
+  /** A larger delta costs as much as a snapshot, and snapshots are limited in number and can be resumed. */
   private static final long MAX_DELTA_CHARS = 512 << 10;
 
   private final ConfigurationHistory history = new ConfigurationHistory();
@@ -38,12 +38,12 @@
     return slots.used();
   }
 
-  /** Hands on a newer version from now on; it has been kept. */
+  /** Serves a newer version from now on; it has been stored. */
   void advance(ConfigurationVersion version, ConfigurationDocument document) {
     history.add(version, document);
   }
 
-  /** The reply to a call, or null where there is nothing newer and the call waits. */
+  /** Returns the reply to a call, or null if there is no newer version and the call has to wait. */
   Reply answer(ConfigurationRequest request, long now) {
     replicas.record(request.replica(), now);
     ConfigurationVersion current = history.current();
@@ -73,7 +73,7 @@
         : new Reply.Busy(slots.retryAfterNanos());
   }
 
-  /** The reply to a call for a further part. */
+  /** Returns the reply to a call for a further part. */
   Reply answer(PartRequest request, long now) {
     ConfigurationHistory.Snapshot snapshot = history.snapshot(request.version(), now);
     if (snapshot == null || request.offset() < 0 || request.offset() >= snapshot.text().length) {
--- a/src/main/java/pumicekeel/delivery/control/PublishResult.java
+++ b/src/main/java/pumicekeel/delivery/control/PublishResult.java
@@ -4,24 +4,24 @@
 import pumicekeel.delivery.ConfigurationVersion;
 
 /**
- * What became of a version that a writer published.
+ * Result of a publish.
  *
  * @param current the version that the machine keeps now
- * @param lines why it was not kept; empty for a success
+ * @param lines why the version was not kept; empty for a success
  */
 record PublishResult(Kind kind, ConfigurationVersion current, List<String> lines) {
 
-  /** With the status of the HTTP response. */
+  /** Kind of result, with the status of the HTTP response. */
   enum Kind {
     KEPT(200),
     ALREADY_KEPT(200),
-    /** A dry run that found nothing. */
+    /** A dry run without faults. */
     WOULD_BE_KEPT(200),
-    /** It does not follow the version that is kept. */
+    /** The version does not follow the one kept. */
     OUT_OF_ORDER(409),
-    /** The text has faults, or is not the one that the version names. */
+    /** The text has faults or does not match its version. */
     FAULTY(422),
-    /** The disk did not take it; the version before it is as it was. */
+    /** The disk write failed; the version kept before is unchanged. */
     NOT_STORED(507);
 
     private final int status;
--- a/src/main/java/pumicekeel/delivery/control/ReplicaRegistry.java
+++ b/src/main/java/pumicekeel/delivery/control/ReplicaRegistry.java
@@ -6,18 +6,18 @@
 import java.util.TreeMap;
 import pumicekeel.delivery.ReplicaReport;
 
-/** What the subscribers told of themselves when they last called. Bounded: those that were heard longest ago are forgotten. */
+/** Last report of each subscriber. Bounded: the least recent reports are evicted. */
 final class ReplicaRegistry {
 
-  /** Far above any known fleet. */
+  /** Far above the size of any known fleet. */
   static final int MAX_REPLICAS = 4_000;
 
-  /** A report and when it came, in nanoseconds of the machine's clock. */
+  /** A report and when it was received, in nanoseconds of the machine's clock. */
   record ReceivedReport(ReplicaReport report, long at) {}
 
   private final Map<String, ReceivedReport> replicas = new LinkedHashMap<>();
 
-  /** Notes a report; a caller without a name is no replica. */
+  /** Records a report; a caller without a name is not a replica. */
   void record(ReplicaReport report, long now) {
     if (report.name().isEmpty()) {
       return;
@@ -29,7 +29,7 @@
     }
   }
 
-  /** All, by name. */
+  /** Returns all reports, ordered by name. */
   Collection<ReceivedReport> all() {
     return new TreeMap<>(replicas).values();
   }
--- a/src/main/java/pumicekeel/delivery/control/SnapshotSlots.java
+++ b/src/main/java/pumicekeel/delivery/control/SnapshotSlots.java
@@ -5,14 +5,14 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** Bounds the snapshots that are under way at once. A slot that is not used for a while is free again. */
+/** Limits concurrent snapshot transfers. A slot that is not used for a while expires. */
 final class SnapshotSlots {
 
-  /** With parts of 256 KiB some 4 MiB are on their way at once, whoever asks. */
+  /** With parts of 256 KiB at most some 4 MiB are in transfer at once. */
   static final int MAX_SLOTS = 16;
-  /** A subscriber that is gone keeps its slot for this long. */
+  /** A disconnected subscriber keeps its slot for this long. */
   private static final long LEASE_NANOS = TimeUnit.SECONDS.toNanos(5);
-  /** Those turned away come back spread over this time, in whole seconds as the protocol has them. */
+  /** Retries of rejected callers are spread over this time; Retry-After has whole seconds. */
   private static final int MAX_RETRY_SECONDS = 4;
 
   private final Map<String, Long> leases = new HashMap<>();
@@ -22,7 +22,7 @@
     random = new SplittableRandom(seed);
   }
 
-  /** Takes a slot or goes on using the one that this subscriber has; false where all are taken. */
+  /** Acquires a slot or renews the one that this subscriber has; false if all are in use. */
   boolean acquire(String replica, long now) {
     leases.values().removeIf(until -> until <= now);
     if (leases.size() >= MAX_SLOTS && !leases.containsKey(replica)) {
@@ -36,7 +36,7 @@
     leases.remove(replica);
   }
 
-  /** When one that was turned away may come back. */
+  /** Returns the delay after which a rejected caller may retry. */
   long retryAfterNanos() {
     return TimeUnit.SECONDS.toNanos(1 + random.nextInt(MAX_RETRY_SECONDS));
   }
--- a/src/main/java/pumicekeel/delivery/control/StatusJson.java
+++ b/src/main/java/pumicekeel/delivery/control/StatusJson.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import pumicekeel.delivery.ConfigurationVersion;
 
-/** What a control machine tells operators and writers, as JSON in UTF-8. */
+/** Replies of a control machine to operators and writers, as JSON in UTF-8. */
 final class StatusJson {
 
   private static final JsonFactory JSON = new JsonFactory();
@@ -35,7 +35,7 @@
 
   /**
    * {@code {"version": VERSION, "replicas": [{"name", "in-force", "refused", "behind", "trouble", "heard-ms-ago"}]}}; {@code behind} counts
-   * versions and is null where the one in force is of another epoch.
+   * versions and is null if the one in force is of another epoch.
    */
   static byte[] of(
       ConfigurationVersion current, Collection<ReplicaRegistry.ReceivedReport> replicas, long now) {
@@ -77,7 +77,7 @@
       fields.write(out);
       out.writeEndObject();
     } catch (IOException e) {
-      throw new IllegalStateException("memory can be written to", e);
+      throw new IllegalStateException("unexpected failure of an in-memory stream", e);
     }
     return bytes.toByteArray();
   }
--- a/src/main/java/pumicekeel/delivery/control/TextCheck.java
+++ b/src/main/java/pumicekeel/delivery/control/TextCheck.java
@@ -6,6 +6,6 @@
 @FunctionalInterface
 public interface TextCheck {
 
-  /** Every fault of a text, a line each; empty where it may be published. May take long. */
+  /** Returns every fault of a text, one line each; empty if it may be published. May take long. */
   List<String> faults(String text);
 }
--- a/src/main/java/pumicekeel/delivery/control/UploadLimit.java
+++ b/src/main/java/pumicekeel/delivery/control/UploadLimit.java
@@ -10,13 +10,13 @@
 import io.netty.util.ReferenceCountUtil;
 import pumicekeel.delivery.wire.ReplyFormat;
 
-/** Stands before the aggregator: a body comes with POST only, and only a few come at once, since each may be large. */
+/** Precedes the aggregator: accepts bodies only with POST and limits concurrent ones, since each may be large. */
 final class UploadLimit extends ChannelInboundHandlerAdapter {
 
-  /** There is one writer; a second one and a repeated call do no harm. */
+  /** There is one writer; the rest allows for a second one and for repeated calls. */
   private static final int MAX_UPLOADS = 4;
 
-  /** Uploads of one server that are under way; only on its loop. */
+  /** Number of uploads of a server in progress; used on its loop only. */
   static final class Count {
     private int open;
   }
--- a/src/main/java/pumicekeel/delivery/control/VersionKeeper.java
+++ b/src/main/java/pumicekeel/delivery/control/VersionKeeper.java
@@ -18,14 +18,14 @@
 import pumicekeel.delivery.wire.DeliveryPaths.Publication;
 
 /**
- * Decides what a control machine keeps: versions that a writer publishes and versions that peers have already. All on one thread, which
- * may block, so that two never decide at once. A version is handed on only after the store has it.
+ * Decides which versions a control machine keeps: those published by a writer and those fetched from peers. Runs on one thread, which may
+ * block, so decisions are never concurrent. A version is announced only after it has been stored.
  */
 final class VersionKeeper implements VersionApplier {
 
   private static final int MAX_LINES = 50;
 
-  /** Hears of each version once it is kept. */
+  /** Receives each version once it is stored. */
   @FunctionalInterface
   interface Listener {
     void kept(ConfigurationVersion version, ConfigurationDocument document);
@@ -46,7 +46,7 @@
     this.listener = listener;
   }
 
-  /** Begins with what the store has. */
+  /** Loads the stored versions. */
   void load() throws IOException {
     List<StoredConfiguration> newestFirst = store.load();
     for (int i = newestFirst.size() - 1; i >= 0; i--) {
@@ -54,7 +54,7 @@
     }
   }
 
-  /** A writer publishes a version: checked whole, then kept, then handed on. */
+  /** Handles a publish: the version is checked, then stored, then announced. */
   PublishResult publish(Publication publication, byte[] body) {
     ConfigurationVersion version = publication.version();
     if (!version.isOf(body)) {
@@ -89,7 +89,7 @@
     return result(Kind.KEPT, List.of());
   }
 
-  /** The result of a publish that broke off; nothing was kept. */
+  /** Returns the result of a publish that failed unexpectedly; nothing was kept. */
   PublishResult failed(String why) {
     return result(Kind.FAULTY, List.of(why));
   }
@@ -106,9 +106,9 @@
     }
   }
 
-  /** A version that a peer has: it was checked there, and by a newer build maybe, so only its order and its hash count. */
+  /** Applies a version of a peer. The peer has checked its text, maybe with a newer build, so only order and hash are checked. */
   @Override
-  public Outcome apply(Candidate candidate) {
+  public Outcome take(Candidate candidate) {
     if (!candidate.version().isNewerThan(current)) {
       return new Postponed("version " + current + " is kept already");
     }
--- a/src/main/java/pumicekeel/delivery/control/WaitingCalls.java
+++ b/src/main/java/pumicekeel/delivery/control/WaitingCalls.java
@@ -11,12 +11,12 @@
 import pumicekeel.delivery.ConfigurationRequest;
 import pumicekeel.delivery.Reply;
 
-/** Calls that are held until there is a newer version or their time is up. Bounded; only on the loop. */
+/** Calls held until there is a newer version or their wait ends. Bounded; used on the loop only. */
 final class WaitingCalls {
 
-  /** Far above any known fleet; each costs a connection. */
+  /** Far above the size of any known fleet; each call costs a connection. */
   static final int MAX_CALLS = 2_000;
-  /** A caller that wants to wait longer has to call again. */
+  /** Limit of a requested wait. */
   private static final long MAX_WAIT_MILLIS = 30_000;
 
   private record Waiting(ConfigurationRequest request, ScheduledFuture<?> end) {}
@@ -54,7 +54,7 @@
     return waiting;
   }
 
-  /** Ends all waits: each call is to be answered anew. */
+  /** Ends all waits: each call is handled again. */
   void release(BiConsumer<Channel, ConfigurationRequest> handler) {
     List<Channel> channels = new ArrayList<>(calls.keySet());
     for (Channel channel : channels) {
--- a/src/main/java/pumicekeel/delivery/wire/DeliveryPaths.java
+++ b/src/main/java/pumicekeel/delivery/wire/DeliveryPaths.java
@@ -8,24 +8,24 @@
 import pumicekeel.delivery.PartRequest;
 import pumicekeel.delivery.ReplicaReport;
 
-/** Targets of calls to a control machine. What can't be read is an IllegalArgumentException that says why. */
+/** Request targets of calls to a control machine. Malformed ones throw an IllegalArgumentException with the reason. */
 public final class DeliveryPaths {
 
   public static final String CONFIGURATION = "/v1/configuration";
   public static final String PARTS = "/v1/configuration/parts/";
   public static final String REPLICAS = "/v1/replicas";
 
-  /** Longer than any call is; a control machine reads no longer request line. */
+  /** Longer than any valid target; a control machine rejects longer request lines. */
   public static final int MAX_TARGET_BYTES = 4 << 10;
 
   private static final String NONE = ConfigurationVersion.NONE.text();
 
-  /** A writer's call: the version that its body is. */
+  /** A writer's call; its body is the text of this version. */
   public record Publication(ConfigurationVersion version, boolean dryRun) {}
 
   private DeliveryPaths() {}
 
-  /** {@code GET}: what is newer. */
+  /** Returns the target of a {@code GET} for a newer version. */
   public static String target(ConfigurationRequest request) {
     QueryStringEncoder query = new QueryStringEncoder(CONFIGURATION);
     addVersion(query, request.held());
@@ -39,7 +39,7 @@
     return query.toString();
   }
 
-  /** Reads {@link #target(ConfigurationRequest)}; what is left out is none. */
+  /** Reads {@link #target(ConfigurationRequest)}; absent versions are NONE. */
   public static ConfigurationRequest request(QueryStringDecoder query) {
     ConfigurationVersion held = version(query);
     return new ConfigurationRequest(
@@ -53,7 +53,7 @@
         number(query, "wait-ms", 0));
   }
 
-  /** {@code GET}: a part of a snapshot. */
+  /** Returns the target of a {@code GET} for a part of a snapshot. */
   public static String target(PartRequest request) {
     ConfigurationVersion version = request.version();
     QueryStringEncoder query = new QueryStringEncoder(
@@ -70,7 +70,7 @@
         text(query, "name", ""), ConfigurationVersion.parse(version), number(query, "offset", 0));
   }
 
-  /** {@code POST}: a version, whose text is the body. */
+  /** Returns the target of a {@code POST} of a version, whose text is the body. */
   public static String target(Publication publication) {
     QueryStringEncoder query = new QueryStringEncoder(CONFIGURATION);
     addVersion(query, publication.version());
--- a/src/main/java/pumicekeel/delivery/wire/DeltaJson.java
+++ b/src/main/java/pumicekeel/delivery/wire/DeltaJson.java
@@ -13,7 +13,7 @@
 
 /**
  * Deltas as JSON: {@code {"base": VERSION, "target": VERSION, "removed": [KEY, ...], "upserted": [{"after": KEY, "key": KEY, "text":
- * TEXT}, ...]}}, where VERSION is EPOCH.SEQUENCE.HASH and the first entry's {@code after} is left out. Fields of other names are passed over.
+ * TEXT}, ...]}}, where VERSION is EPOCH.SEQUENCE.HASH and the first entry's {@code after} is omitted. Unknown fields are ignored.
  */
 public final class DeltaJson {
 
@@ -21,7 +21,7 @@
 
   private DeltaJson() {}
 
-  /** In UTF-8. */
+  /** Returns the JSON in UTF-8. */
   public static byte[] write(ConfigurationDelta delta) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator out = JSON.createGenerator(bytes)) {
@@ -40,7 +40,7 @@
       out.writeEndArray();
       out.writeEndObject();
     } catch (IOException e) {
-      throw new IllegalStateException("memory can be written to", e);
+      throw new IllegalStateException("unexpected failure of an in-memory stream", e);
     }
     return bytes.toByteArray();
   }
@@ -56,7 +56,7 @@
     out.writeEndObject();
   }
 
-  /** An IOException or IllegalArgumentException says what is wrong. */
+  /** Parses a delta; throws an IOException or IllegalArgumentException if it is malformed. */
   public static ConfigurationDelta read(byte[] bytes) throws IOException {
     try (JsonParser in = JSON.createParser(bytes)) {
       expect(in.nextToken(), JsonToken.START_OBJECT);
--- a/src/main/java/pumicekeel/delivery/wire/ReplyFormat.java
+++ b/src/main/java/pumicekeel/delivery/wire/ReplyFormat.java
@@ -20,23 +20,23 @@
 import pumicekeel.delivery.SnapshotPart;
 
 /**
- * Replies as HTTP responses: 200 a delta in JSON; 206 a part of a snapshot, with Content-Range and Configuration-Version; 204 nothing
- * newer; 503 busy, with Retry-After; 410 no such version any more; 409 with a reason otherwise.
+ * Replies as HTTP responses: 200 a delta in JSON; 206 a part of a snapshot, with Content-Range and Configuration-Version; 204 no
+ * newer version; 503 busy, with Retry-After; 410 version no longer kept; 409 with a reason otherwise.
  */
 public final class ReplyFormat {
 
-  /** The version of which a 206 holds a part: EPOCH.SEQUENCE.HASH. */
+  /** Version of the text of which a 206 carries a part: EPOCH.SEQUENCE.HASH. */
   public static final String VERSION_HEADER = "Configuration-Version";
 
   private static final Pattern RANGE = Pattern.compile("bytes (\\d{1,10})-(\\d{1,10})/(\\d{1,10})");
-  /** A response that turns away without saying until when. */
+  /** Used for a 503 without a valid Retry-After. */
   private static final long DEFAULT_RETRY_SECONDS = 1;
 
   private static final int MAX_REASON_CHARS = 300;
 
   private ReplyFormat() {}
 
-  /** The response that carries a reply. */
+  /** Returns the response that carries a reply. */
   public static FullHttpResponse response(Reply reply) {
     if (reply instanceof Reply.Delta d) {
       FullHttpResponse out = response(HttpResponseStatus.OK, DeltaJson.write(d.delta()));
@@ -75,7 +75,7 @@
     return out;
   }
 
-  /** A response with a length, after which the connection ends. */
+  /** Returns a response with a length that closes the connection. */
   public static FullHttpResponse response(HttpResponseStatus status, byte[] body) {
     ByteBuf content = Unpooled.wrappedBuffer(body);
     FullHttpResponse out = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
@@ -86,7 +86,7 @@
     return out;
   }
 
-  /** The reply that a response carries; {@link Reply.Failed} where it makes no sense. */
+  /** Returns the reply in a response; {@link Reply.Failed} if it is invalid. */
   public static Reply reply(FullHttpResponse response) {
     return reply(
         response.status().code(),
@@ -95,9 +95,9 @@
   }
 
   /**
-   * The same for any HTTP client.
+   * Returns the reply in the response of any HTTP client.
    *
-   * @param header the value of a header, empty where it is absent
+   * @param header returns the value of a header, empty if absent
    */
   public static Reply reply(int status, UnaryOperator<String> header, byte[] body) {
     try {
--- a/src/main/java/pumicekeel/node/DeliveredConfiguration.java
+++ b/src/main/java/pumicekeel/node/DeliveredConfiguration.java
@@ -125,7 +125,7 @@
   }
 
   @Override
-  public Outcome apply(Candidate candidate) {
+  public Outcome take(Candidate candidate) {
     String next;
     try {
       next = candidate.text(text);
--- a/src/test/java/pumicekeel/delivery/ConfigurationDocumentTest.java
+++ b/src/test/java/pumicekeel/delivery/ConfigurationDocumentTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** A document is its entries, and a delta leads to exactly one text or nowhere. */
+/** Splitting of documents into entries, and deltas, which lead to exactly one text or fail. */
 class ConfigurationDocumentTest {
 
   private static List<String> keys(String text) {
@@ -129,7 +129,7 @@
     assertThrows(ConfigurationDelta.NotApplicableException.class, () -> document.apply(cycle));
   }
 
-  /** Twice the entries take twice the steps: at the largest known size this has to end within a test's time. */
+  /** Guards against quadratic time: the largest known configuration must be split and compared within the time of a test. */
   @Test
   void largestKnownConfigurationIsDividedAndCompared() throws Exception {
     StringBuilder text = new StringBuilder();
--- a/src/test/java/pumicekeel/delivery/FileConfigurationStoreTest.java
+++ b/src/test/java/pumicekeel/delivery/FileConfigurationStoreTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What survives a restart: whole versions, the newest first, whatever became of the files. */
+/** Intact versions survive a restart, newest first, even if other files are damaged. */
 class FileConfigurationStoreTest {
 
-  /** A disk that takes three bytes. */
+  /** A disk that has space for three bytes. */
   private static final DurableWriter FULL = (file, bytes) -> {
     Files.write(file, new byte[] {1, 2, 3});
     throw new IOException("No space left on device");
@@ -61,7 +61,7 @@
     assertTrue(lines.isEmpty(), lines.toString());
   }
 
-  /** A file that is cut at any byte, or has any one bit flipped, is told of and the version before it is there. */
+  /** A file truncated at any byte, or with any flipped bit, is logged, and the previous version is loaded. */
   @Test
   void damagedFileIsSetAsideAndThePreviousVersionIsUsed() throws IOException {
     saveThenLoad(1, 2);
@@ -80,7 +80,7 @@
     assertTrue(Files.exists(directory.resolve("1-2.configuration.damaged")));
   }
 
-  /** What can't be read at this moment is there at the next look, and not taken for damaged. */
+  /** A file that cannot be read for a moment is not treated as damaged: the next load reads it. */
   @Test
   void transientReadFailureSetsNoVersionAside() throws IOException {
     saveThenLoad(1, 2);
@@ -111,7 +111,7 @@
     assertEquals(List.of(configuration(2), configuration(1)), saveThenLoad(2));
   }
 
-  /** Instances that share a directory store the same version: one that fails leaves the file of the other whole. */
+  /** Instances that share a directory store the same version: a failed save must not damage the file of the other. */
   @Test
   void failedSaveOfAStoredVersionLeavesItIntact() throws IOException {
     saveThenLoad(1, 2);
@@ -122,7 +122,7 @@
     assertEquals(List.of(configuration(2), configuration(1)), load());
   }
 
-  /** A process that is killed between writing and renaming leaves a part that counts for nothing. */
+  /** A process that is killed between writing and renaming leaves a temporary file, which is ignored. */
   @Test
   void temporaryFileIsDeleted() throws IOException {
     saveThenLoad(1);
--- a/src/test/java/pumicekeel/delivery/SubscriptionTest.java
+++ b/src/test/java/pumicekeel/delivery/SubscriptionTest.java
@@ -16,7 +16,7 @@
 import pumicekeel.delivery.Subscription.Step;
 import pumicekeel.delivery.Subscription.Wait;
 
-/** The subscriber's steps, one reply at a time, in made-up time. */
+/** Steps of a subscription in simulated time, one reply at a time. */
 class SubscriptionTest {
 
   private static final int SERVERS = 4;
@@ -30,7 +30,7 @@
     return ConfigurationVersion.of(1, sequence, TEXT);
   }
 
-  /** The next step that is no rest; time passes up to it. */
+  /** Returns the next step that is not a wait, and advances the time to it. */
   private Step step() {
     Step step = subscription.next(now);
     while (step instanceof Wait wait) {
@@ -96,7 +96,7 @@
     Poll again = poll();
     assertEquals(version(9), again.held());
     reply(again.call(), part(9, 0, 5));
-    assertInstanceOf(Poll.class, step(), "a snapshot of what is held is not begun");
+    assertInstanceOf(Poll.class, step(), "a snapshot of the held version is not begun");
   }
 
   @Test
@@ -111,7 +111,7 @@
     reply(next.call(), part(6, 12, 20));
     FetchPart cutOff = assertInstanceOf(FetchPart.class, step());
     assertEquals(10, cutOff.offset(), "a part that is not the next one changes nothing");
-    assertTrue(cutOff.server() != next.server(), "the transfer goes on at another machine");
+    assertTrue(cutOff.server() != next.server(), "the transfer continues at another machine");
     reply(cutOff.call(), new Reply.Failed("connection ended"));
     reply(assertInstanceOf(FetchPart.class, step()).call(), part(6, 10, TEXT.length()));
     Apply apply = assertInstanceOf(Apply.class, step());
@@ -157,7 +157,7 @@
     assertEquals(ConfigurationVersion.NONE, poll().held());
   }
 
-  /** Failures in a row are answered by rests that grow, stay under the bound and differ by seed. */
+  /** Delays after consecutive failures grow, stay below the limit and differ by seed. */
   @Test
   void backOffIsSpreadAndBounded() {
     int seeds = 590;
--- a/src/test/java/pumicekeel/delivery/VersionAcceptanceTest.java
+++ b/src/test/java/pumicekeel/delivery/VersionAcceptanceTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which version replaces which. */
+/** Rules for which version may follow which. */
 class VersionAcceptanceTest {
 
   private static final ConfigurationVersion KEPT = ConfigurationVersion.of(3, 7, "kept");
--- a/src/test/java/pumicekeel/delivery/control/ControlServerTest.java
+++ b/src/test/java/pumicekeel/delivery/control/ControlServerTest.java
@@ -73,7 +73,7 @@
         .publish(ConfigurationVersion.of(1, sequence, text), false, text);
   }
 
-  /** A subscriber whose texts can be waited for. */
+  /** A subscriber whose applied texts can be awaited. */
   private final class Subscriber implements Closeable, VersionApplier {
     private final BlockingQueue<String> texts = new LinkedBlockingQueue<>();
     private final Reactor on = Reactor.start();
@@ -91,11 +91,11 @@
     }
 
     @Override
-    public Outcome apply(Candidate candidate) {
+    public Outcome take(Candidate candidate) {
       try {
         String text = candidate.text(held);
         if (text.contains("too much")) {
-          throw new OutOfMemoryError("as a test makes it");
+          throw new OutOfMemoryError("thrown by the test");
         }
         held = text;
         texts.add(held);
@@ -108,7 +108,7 @@
     private void awaitText(String expected) throws InterruptedException {
       String text = texts.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       assertTrue(
-          expected.equals(text), text == null ? "no text came" : text.length() + " characters");
+          expected.equals(text), text == null ? "no text received" : text.length() + " characters");
     }
 
     @Override
@@ -144,7 +144,7 @@
     assertEquals(ConfigurationVersion.NONE, api.status().current());
   }
 
-  /** One of three is away, comes back under its old state and has what it missed from the others. */
+  /** A machine that missed versions fetches them from its peer and still has them after a restart. */
   @Test
   void machineThatWasDownCatchesUpWithItsPeersAndKeepsTheVersionOverARestart() throws Exception {
     ControlServer first = machine("c0");
@@ -184,7 +184,7 @@
     assertEquals(ConfigurationVersion.of(1, 1, TEXT), replica.report().inForce());
   }
 
-  /** A text on which the taker ends with an error is tried again later; the subscription goes on. */
+  /** A version whose application throws an error is retried later, and the subscription continues. */
   @Test
   void errorWhileApplyingDoesNotEndTheSubscription() throws Exception {
     ControlServer machine = machine("c0");
--- a/src/test/java/pumicekeel/delivery/control/SnapshotSlotsTest.java
+++ b/src/test/java/pumicekeel/delivery/control/SnapshotSlotsTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Transfers of snapshots under way at once. */
+/** Limit of concurrent snapshot transfers. */
 class SnapshotSlotsTest {
 
   private static final long SECOND = 1_000_000_000L;
@@ -22,11 +22,11 @@
       assertTrue(slots.acquire("n" + i, 0));
     }
     assertFalse(slots.acquire("late", 0));
-    assertTrue(slots.acquire("n0", 4 * SECOND), "one that is under way goes on");
+    assertTrue(slots.acquire("n0", 4 * SECOND), "a transfer in progress continues");
     slots.release("n1");
     assertTrue(slots.acquire("late", 4 * SECOND));
     assertFalse(slots.acquire("later", 4 * SECOND));
-    assertTrue(slots.acquire("later", 6 * SECOND), "the others have not been heard of for 6 s");
+    assertTrue(slots.acquire("later", 6 * SECOND), "the other transfers have been silent for 6 s");
     assertEquals(3, slots.used());
   }
 
--- a/src/test/java/pumicekeel/delivery/control/VersionKeeperTest.java
+++ b/src/test/java/pumicekeel/delivery/control/VersionKeeperTest.java
@@ -16,7 +16,7 @@
 import pumicekeel.delivery.control.PublishResult.Kind;
 import pumicekeel.delivery.wire.DeliveryPaths.Publication;
 
-/** What a control machine keeps of what writers and peers bring. */
+/** Which versions of writers and peers a control machine keeps. */
 class VersionKeeperTest {
 
   /** A store in memory whose disk may be full. */
@@ -103,9 +103,9 @@
     ConfigurationVersion four = ConfigurationVersion.of(1, 4, "d");
     Candidate whole = new Candidate.Snapshot(four, "d".getBytes(StandardCharsets.UTF_8));
     Candidate cut = new Candidate.Snapshot(four, new byte[0]);
-    assertInstanceOf(VersionApplier.Damaged.class, keeper.apply(cut));
-    assertInstanceOf(VersionApplier.InForce.class, keeper.apply(whole));
-    assertInstanceOf(VersionApplier.Postponed.class, keeper.apply(whole));
+    assertInstanceOf(VersionApplier.Damaged.class, keeper.take(cut));
+    assertInstanceOf(VersionApplier.InForce.class, keeper.take(whole));
+    assertInstanceOf(VersionApplier.Postponed.class, keeper.take(whole));
     assertEquals(four, kept.get(1));
   }
 }
--- a/src/test/java/pumicekeel/delivery/control/VirtualFleet.java
+++ b/src/test/java/pumicekeel/delivery/control/VirtualFleet.java
@@ -15,7 +15,7 @@
 import pumicekeel.delivery.Reply;
 import pumicekeel.delivery.Subscription;
 
-/** Control machines and subscribers in virtual time, with a network that loses, doubles and delays by a seed. */
+/** Control machines and subscribers in virtual time, with a network that drops, duplicates and delays replies at random. */
 final class VirtualFleet {
 
   static final long MS = 1_000_000L;
@@ -60,7 +60,7 @@
     }
   }
 
-  /** A subscriber, and what it took in which order. */
+  /** A subscriber with the versions it applied, in order. */
   final class Replica {
     final String name;
     final Subscription subscription;
@@ -131,7 +131,7 @@
   private final PriorityQueue<Event> events = new PriorityQueue<>(
       java.util.Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
   long now = 1_000 * MS;
-  /** Parts of a hundred. */
+  /** Percentages of lost and of duplicated replies. */
   int lostPercent;
 
   int duplicatedPercent;
--- a/src/test/java/pumicekeel/delivery/control/VirtualFleetTest.java
+++ b/src/test/java/pumicekeel/delivery/control/VirtualFleetTest.java
@@ -19,12 +19,12 @@
   private static final String FIRST = text(0);
   private static final ConfigurationVersion ONE = ConfigurationVersion.of(1, 1, FIRST);
 
-  /** A document of some 6 KB whose number stands in one of its entries. */
+  /** Returns a document of some 6 KB with the number in one of its entries. */
   private static String text(int number) {
     return document(20, number);
   }
 
-  /** One of three parts. */
+  /** A document that takes three parts to transfer. */
   private static final String LARGE = document(2_000, 1);
 
   private static String document(int routes, int number) {
@@ -82,7 +82,7 @@
     assertEquals(0, fleet.replicas.stream().mapToInt(r -> r.parts).sum());
   }
 
-  /** Those that have nothing ask at once: snapshots are bounded at each machine, and those turned away come back spread. */
+  /** A fleet without a version starts at once: each machine limits its snapshots, and rejected callers retry at different times. */
   @Test
   void snapshotsForAFleetWithoutAVersionAreLimited() {
     VirtualFleet fleet = new VirtualFleet(4, 12);
@@ -92,7 +92,7 @@
     fleet.runFor(30_000 * MS);
     assertAllHold(fleet, one);
     for (VirtualFleet.Machine machine : fleet.machines) {
-      assertEquals(SnapshotSlots.MAX_SLOTS, machine.maxSnapshots, "the bound was met");
+      assertEquals(SnapshotSlots.MAX_SLOTS, machine.maxSnapshots, "the limit was reached");
     }
     assertTrue(maxCallsInATenth(fleet) < FLEET / 8, "calls in 0.1 s " + maxCallsInATenth(fleet));
   }
@@ -126,10 +126,10 @@
     fleet.runFor(3_000 * MS);
     assertAllHold(fleet, last);
     int applied = fleet.replicas.get(0).applied.size();
-    assertTrue(applied > 50 && applied <= 199, "versions taken " + applied);
+    assertTrue(applied > 50 && applied <= 199, "versions applied " + applied);
   }
 
-  /** One that stood still while more versions came than the machines keep as bases has the newest by a snapshot. */
+  /** A subscriber that missed more versions than the machines keep as delta bases gets the newest one as a snapshot. */
   @Test
   void subscriberWithoutADeltaBaseAppliesASnapshot() {
     VirtualFleet fleet = fleet(2, 0, 19);
@@ -143,7 +143,7 @@
     assertEquals(List.of(last), fleet.replicas.get(0).applied);
   }
 
-  /** Lost and doubled replies, some of them late by a second and behind newer ones. */
+  /** Replies are lost and duplicated, and some duplicates arrive up to a second late, after newer ones. */
   @Test
   void lostAndDuplicateRepliesBreakNoOrder() {
     VirtualFleet fleet = fleet(3, 30, 15);
@@ -174,7 +174,7 @@
     called.up = false;
     fleet.runFor(10_000 * MS);
     assertAllHold(fleet, one);
-    assertEquals(3, replica.parts, "the first part came with the ask, one call was cut off");
+    assertEquals(3, replica.parts, "the first part came with the poll, one call was interrupted");
   }
 
   @Test
@@ -187,7 +187,8 @@
     fleet.machines.get(0).up = false;
     fleet.runFor(20_000 * MS);
     assertAllHold(fleet, two);
-    // Told at once, so that the next machine is asked; a call that is held would cost its wait.
+    // The failure is immediate, so that the next machine is called; a held call would cost its
+    // whole wait.
     ReplicaReport report = new ReplicaReport("n", two, ConfigurationVersion.NONE, "");
     Reply reply = fleet
         .machines
