--- a/src/main/java/pumicekeel/demo/Demo.java
+++ b/src/main/java/pumicekeel/demo/Demo.java
@@ -82,7 +82,7 @@
     upstreams.put(name, upstream);
     cells.put(name, cell);
     for (StandInDiscovery discovery : discoveries) {
-      discovery.tell(
+      discovery.announce(
           name,
           upstream.address(),
           cell,
@@ -166,7 +166,8 @@
       runStepAt(
           0.3,
           () -> {
-            quoteDiscovery.tell("quote-0", upstreams.get("quote-0").address(), 0, "terminated", 0);
+            quoteDiscovery.announce(
+                "quote-0", upstreams.get("quote-0").address(), 0, "terminated", 0);
             log("discovery reports quote-0 as terminated");
           },
           quoteLoad,
@@ -174,7 +175,8 @@
       runStepAt(
           0.4,
           () -> {
-            quoteDiscovery.tell("shared", upstreams.get("shared").address(), 9, "terminating", 0);
+            quoteDiscovery.announce(
+                "shared", upstreams.get("shared").address(), 9, "terminating", 0);
             log("shared drains from pool quotes and stays in pool rates");
           },
           quoteLoad,
@@ -249,9 +251,9 @@
     rows.forEach((name, c) -> verdict.checkAllAnswered(name, c.results()));
     verdict.checkNoDuplicateEffect();
     verdict.checkDrain(
-        "shared", "quote-issue", quoteDiscovery.toldAt("shared", "terminating"), GRACE_MILLIS);
+        "shared", "quote-issue", quoteDiscovery.announcedAt("shared", "terminating"), GRACE_MILLIS);
     verdict.checkStillServing(
-        "shared", "rate-lookup", quoteDiscovery.toldAt("shared", "terminating"));
+        "shared", "rate-lookup", quoteDiscovery.announcedAt("shared", "terminating"));
     verdict.checkColdBudget("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
--- a/src/main/java/pumicekeel/demo/RpcDemo.java
+++ b/src/main/java/pumicekeel/demo/RpcDemo.java
@@ -115,7 +115,7 @@
     StandInRpcServer server = new StandInRpcServer(standIns, Framing.NEWLINE);
     server.script(new StandInRpcFaults(seed + servers.size(), DELAY_MILLIS, faultsPer100000));
     servers.put(name, server);
-    discovery.tell(
+    discovery.announce(
         name,
         server.address(),
         CELLS.get(name),
@@ -174,10 +174,10 @@
     servers.get("s0").kill();
     log("killed s0; discovery does not report it yet");
     waitUntil(loads, 0.3);
-    discovery.tell("s0", servers.get("s0").address(), CELLS.get("s0"), "terminated", 0);
+    discovery.announce("s0", servers.get("s0").address(), CELLS.get("s0"), "terminated", 0);
     log("discovery reports s0 as terminated");
     waitUntil(loads, 0.4);
-    discovery.tell("s3", servers.get("s3").address(), CELLS.get("s3"), "terminating", 0);
+    discovery.announce("s3", servers.get("s3").address(), CELLS.get("s3"), "terminating", 0);
     log("s3 drains");
     waitUntil(loads, 0.55);
     coldAt = System.nanoTime();
@@ -233,8 +233,10 @@
         .forEach(c -> verdict.checkServedWasReceived(c.results(), Verdict.Execution::name));
     verdict.checkRefusedNeverRan(loads.get("quotes, singly").results());
     verdict.checkNoDuplicateEffect();
-    verdict.checkDrain("s3", "quote.issue", discovery.toldAt("s3", "terminating"), GRACE_MILLIS);
-    verdict.checkDrain("s3", "rate.lookup", discovery.toldAt("s3", "terminating"), GRACE_MILLIS);
+    verdict.checkDrain(
+        "s3", "quote.issue", discovery.announcedAt("s3", "terminating"), GRACE_MILLIS);
+    verdict.checkDrain(
+        "s3", "rate.lookup", discovery.announcedAt("s3", "terminating"), GRACE_MILLIS);
     verdict.checkColdBudget("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
--- a/src/main/java/pumicekeel/rig/soak/ListTrouble.java
+++ b/src/main/java/pumicekeel/rig/soak/ListTrouble.java
@@ -6,7 +6,7 @@
 /** How upstream lists fail to reach balancers that request them. In all cases but OUTAGE each watch goes silent after its first list. */
 public enum ListTrouble {
   /** Discovery takes a quarter of a second for each call. */
-  SLOW(250, 0, false, CallFate.TELL, 0),
+  SLOW(250, 0, false, CallFate.RESPOND, 0),
   /** Half of the lists stop half-way while the connection stays open. */
   CUT(5, 0, false, CallFate.CUT, 500),
   /** Six in ten calls are answered 503 at once. */
@@ -16,13 +16,13 @@
   /** The first balancer's calls are accepted and never answered. */
   IGNORED(5, 0, false, CallFate.IGNORE, 0),
   /** Discovery can serve one list to every balancer in 5.6 s; calls that wait for more than 2 s are answered 503. */
-  CROWDED(Constants.SHARED_CAPACITY, Constants.MAX_WAIT_MILLIS, false, CallFate.TELL, 0),
+  CROWDED(Constants.SHARED_CAPACITY, Constants.MAX_WAIT_MILLIS, false, CallFate.RESPOND, 0),
   /** The same capacity, but a call waits until its caller gives up. */
-  CROWDED_PATIENT(Constants.SHARED_CAPACITY, 0, false, CallFate.TELL, 0),
+  CROWDED_PATIENT(Constants.SHARED_CAPACITY, 0, false, CallFate.RESPOND, 0),
   /** Like CROWDED, but a rejected call takes the same service time as a served one. */
-  CROWDED_COSTLY(Constants.SHARED_CAPACITY, Constants.MAX_WAIT_MILLIS, true, CallFate.TELL, 0),
+  CROWDED_COSTLY(Constants.SHARED_CAPACITY, Constants.MAX_WAIT_MILLIS, true, CallFate.RESPOND, 0),
   /** Watches work; discovery is down for some time and resets all calls. */
-  OUTAGE(5, 0, false, CallFate.TELL, 0);
+  OUTAGE(5, 0, false, CallFate.RESPOND, 0);
 
   private static final class Constants {
     /** Derives the service time of a call from {@link #ALL_LISTS_MILLIS}, which is the time for one list to each balancer. */
--- a/src/main/java/pumicekeel/rig/soak/SoakDisturbances.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakDisturbances.java
@@ -149,7 +149,7 @@
       switch (random.nextInt(4)) {
         case 0 -> target.discoveryLink().reset();
         case 1 -> target.discoveryLink().faults(Fault.CUT, Fault.CUT);
-        case 2 -> target.discoveryLink().faults(Fault.late(30_000), Fault.late(30_000));
+        case 2 -> target.discoveryLink().faults(Fault.delayed(30_000), Fault.delayed(30_000));
         default -> target.discoveryLink().refuse(true);
       }
       SoakRun.pause(300 + random.nextInt(1_500));
--- a/src/test/java/pumicekeel/journal/HistoryTest.java
+++ b/src/test/java/pumicekeel/journal/HistoryTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import pumicekeel.Balancer.Status;
 
-/** Folders of segments in every bad state: what can be said is said, and each hole is told. */
+/** Reads folders with missing, damaged and copied segments: intact records are used, and each hole is reported. */
 class HistoryTest {
 
   private static final long SALT = 99;
@@ -74,7 +74,7 @@
         .filter(s -> s.first().id().equals(id))
         .findFirst()
         .orElseThrow();
-    return story.verdict(history.gapOf(story));
+    return story.verdict(history.gapFor(story));
   }
 
   @BeforeEach
@@ -85,11 +85,11 @@
   }
 
   @Test
-  void wholeFolderHasNoHoleAndADeadProcessThatRefusesMakesNone() throws Exception {
+  void completeFolderHasNoHoles() throws Exception {
     History history = read();
     assertEquals(3, history.stories().size());
     assertTrue(history.holes().isEmpty(), history.holes().toString());
-    assertNull(history.gapAtAll());
+    assertNull(history.anyGap());
     assertEquals(3L, history.kinds().get("Intent"));
   }
 
@@ -101,11 +101,11 @@
         history.holes().get(0).why().contains("segments 1 to 1 of epoch 64 are missing"),
         "" + history.holes());
     assertEquals(Story.Verdict.ANSWERED, verdict(history, "r0"));
-    assertNotNull(history.gapAtAll());
+    assertNotNull(history.anyGap());
   }
 
   @Test
-  void oldestThatRetentionTookAreNoHoleForWhatCameLater() throws Exception {
+  void segmentsDeletedByRetentionAreNoHoleForLaterOnes() throws Exception {
     Files.delete(folder.resolve(name(100, 0)));
     History history = read();
     assertTrue(history.holes().isEmpty());
@@ -122,9 +122,9 @@
     assertTrue(history.holes().stream().anyMatch(h -> h.length() == 5_000));
   }
 
-  /** Copied under another name, a segment's records are there twice: they say the same, and no more. */
+  /** A segment copied under another name holds its records twice, which must not change any conclusion. */
   @Test
-  void doubledAndRenamedSegmentsAddNothing() throws Exception {
+  void copiedAndRenamedSegmentsAddNothing() throws Exception {
     Files.copy(folder.resolve(name(100, 1)), folder.resolve(name(100, 3)));
     History history = read();
     assertEquals(3, history.stories().size());
@@ -134,19 +134,20 @@
   }
 
   @Test
-  void newerSegmentIsRefusedByNameAndMakesTheRestUncertain() throws Exception {
+  void segmentOfANewerVersionIsReportedAndMakesTheRestUncertain() throws Exception {
     byte[] bytes = Files.readAllBytes(folder.resolve(name(100, 2)));
     bytes[9] = 9;
     Files.write(folder.resolve(name(100, 2)), bytes);
     History history = read();
-    assertEquals(1, history.refused().size());
+    assertEquals(1, history.unreadableFiles().size());
     assertTrue(
-        history.refused().get(0).why().contains("version 9"), history.refused().toString());
-    assertTrue(history.gapAtAll().contains("could not be read"));
+        history.unreadableFiles().get(0).why().contains("version 9"),
+        history.unreadableFiles().toString());
+    assertTrue(history.anyGap().contains("could not be read"));
   }
 
   @Test
-  void anIdUsedAgainAfterARestartIsAnotherRequest() throws Exception {
+  void idReusedAfterARestartIsAnotherRequest() throws Exception {
     write(200, 0, true, SegmentTest.intent("r0", "other", 0));
     History history = read();
     assertEquals(
@@ -155,25 +156,25 @@
         List.of(Story.Verdict.ANSWERED, Story.Verdict.MAY_HAVE_RUN),
         history.stories().stream()
             .filter(s -> s.first().id().equals("r0"))
-            .map(s -> s.verdict(history.gapOf(s)))
+            .map(s -> s.verdict(history.gapFor(s)))
             .toList());
   }
 
-  /** A process that sends without a record in trouble, and died: what is not found may have left. */
+  /** A process that sends without a record while the disk fails and then crashes may have sent requests that are not found. */
   @Test
-  void deathOfAProcessThatSendsInTroubleIsAHoleAndItsOrderlyEndIsNone() throws Exception {
+  void crashOfAProcessThatSendsInTroubleIsAHoleAndItsOrderlyEndIsNot() throws Exception {
     write(200, 0, false, SegmentTest.intent("x", "k", 0));
-    assertTrue(read().gapAtAll().contains("did not end in order"), "" + read().gapAtAll());
+    assertTrue(read().anyGap().contains("did not end in order"), "" + read().anyGap());
     write(200, 0, false, SegmentTest.intent("x", "k", 0), new Entry.Closed(300));
-    assertNull(read().gapAtAll());
+    assertNull(read().anyGap());
     write(200, 0, false, new Entry.Gap(210, 220, 5), new Entry.Closed(300));
     assertTrue(
-        read().gapAtAll().contains("5 records were lost, sends may have been made"),
-        "" + read().gapAtAll());
+        read().anyGap().contains("5 records were lost, requests may have been sent"),
+        "" + read().anyGap());
   }
 
   @Test
-  void journalOfALiveProcessIsReadAsFarAsItIs() throws Exception {
+  void journalOfARunningProcessIsReadAsFarAsWritten() throws Exception {
     Path file = folder.resolve(name(100, 2));
     byte[] bytes = Files.readAllBytes(file);
     for (int cut = 0; cut < bytes.length; cut += 5) {
@@ -181,7 +182,7 @@
       History history = read();
       assertTrue(history.stories().size() >= 2);
       for (Story story : history.stories()) {
-        Story.Verdict verdict = story.verdict(history.gapOf(story));
+        Story.Verdict verdict = story.verdict(history.gapFor(story));
         assertTrue(
             verdict != Story.Verdict.NEVER_LEFT && verdict != Story.Verdict.NOT_TOLD,
             cut + " " + verdict);
