--- a/src/test/java/pumicekeel/bench/RouteMatch.java
+++ b/src/test/java/pumicekeel/bench/RouteMatch.java
@@ -84,7 +84,7 @@
           by.equals("host") ? "h" + route + ".example.org" : "h.example.org",
           by.equals("path")
               ? "/svc/p" + route + "/7"
-              : by.equals("template") ? "/svc/7/p" + r : "/svc/7",
+              : by.equals("template") ? "/svc/7/p" + route : "/svc/7",
           Map.of("x-account", "t" + route)));
     }
     table = new RouteTable(all);
