--- a/src/main/java/pumicekeel/sim/EventQueue.java
+++ b/src/main/java/pumicekeel/sim/EventQueue.java
@@ -2,29 +2,29 @@
 
 import java.util.PriorityQueue;
 
-/** Virtual time in nanoseconds and the events due in it; events of the same time run in the order in which they were added. */
+/** Virtual clock in nanoseconds with a queue of events; events due at the same time run in the sequence in which they were added. */
 final class EventQueue {
 
-  private record Event(long at, long order, Runnable task) implements Comparable<Event> {
+  private record Event(long at, long sequence, Runnable task) implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+      return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
     }
   }
 
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private long now;
-  private long order;
+  private long sequence;
 
   long now() {
     return now;
   }
 
-  void at(long when, Runnable task) {
-    events.add(new Event(when, order++, task));
+  void schedule(long at, Runnable task) {
+    events.add(new Event(at, sequence++, task));
   }
 
-  /** Runs the next event, and sets the time to its own; false where there is none. */
+  /** Runs the next event and advances the clock to its time. Returns false if there is no event. */
   boolean runNext() {
     Event next = events.poll();
     if (next == null) {
--- a/src/main/java/pumicekeel/sim/FleetNetwork.java
+++ b/src/main/java/pumicekeel/sim/FleetNetwork.java
@@ -3,7 +3,7 @@
 import java.util.BitSet;
 import java.util.SplittableRandom;
 
-/** What the network does to a datagram between two members; by a seed. */
+/** Simulated network between the members of a fleet: loses, duplicates and delays datagrams, as its random generator decides. */
 final class FleetNetwork {
 
   private static final long MS = 1_000_000L;
@@ -11,52 +11,52 @@
   private final SplittableRandom random;
   private final int size;
   private double loss;
-  private double repeat;
-  private long delayMost = 20 * MS;
-  /** Pairs whose datagrams one way are lost. */
-  private final BitSet cut = new BitSet();
+  private double duplication;
+  private long maxDelayNanos = 20 * MS;
+  /** Blocked links, one bit for each ordered pair of members. */
+  private final BitSet blocked = new BitSet();
 
   FleetNetwork(SplittableRandom random, int size) {
     this.random = random;
     this.size = size;
   }
 
-  void weather(double lossPart, double repeatPart, long delayMostNanos) {
-    loss = lossPart;
-    repeat = repeatPart;
-    delayMost = delayMostNanos;
+  void setConditions(double lossShare, double duplicateShare, long newMaxDelayNanos) {
+    loss = lossShare;
+    duplication = duplicateShare;
+    maxDelayNanos = newMaxDelayNanos;
   }
 
-  /** Nothing passes between the two sides. */
+  /** Blocks all links between the members in {@code side} and the others. */
   void partition(BitSet side) {
     for (int a = 0; a < size; a++) {
       for (int b = 0; b < size; b++) {
-        cut.set(a * size + b, side.get(a) != side.get(b));
+        blocked.set(a * size + b, side.get(a) != side.get(b));
       }
     }
   }
 
-  /** Nothing passes from one to the other; the way back is open. */
-  void cutOneWay(int from, int to) {
-    cut.set(from * size + to);
+  /** Blocks the link from one member to another; the opposite direction is unchanged. */
+  void blockOneWay(int from, int to) {
+    blocked.set(from * size + to);
   }
 
   void heal() {
-    cut.clear();
-    weather(0, 0, 20 * MS);
+    blocked.clear();
+    setConditions(0, 0, 20 * MS);
   }
 
-  /** How many times it arrives; each after {@link #delay}. */
+  /** Returns how often a datagram arrives; each copy after a {@link #delay} of its own. */
   int copies(int from, int to) {
-    if (cut.get(from * size + to) || random.nextDouble() < loss) {
+    if (blocked.get(from * size + to) || random.nextDouble() < loss) {
       return 0;
     }
-    return random.nextDouble() < repeat ? 2 : 1;
+    return random.nextDouble() < duplication ? 2 : 1;
   }
 
-  /** Up to the most, now and then far beyond it: late ones are overtaken. */
+  /** Returns a random delay, usually up to the maximum and one time in 200 far beyond it, so that datagrams are reordered. */
   long delay() {
-    long usual = MS / 2 + random.nextLong(delayMost);
-    return random.nextInt(200) == 0 ? usual + random.nextLong(10 * delayMost) : usual;
+    long typical = MS / 2 + random.nextLong(maxDelayNanos);
+    return random.nextInt(200) == 0 ? typical + random.nextLong(10 * maxDelayNanos) : typical;
   }
 }
--- a/src/main/java/pumicekeel/sim/FleetSim.java
+++ b/src/main/java/pumicekeel/sim/FleetSim.java
@@ -11,18 +11,18 @@
 import pumicekeel.peers.State;
 
 /**
- * The membership of a whole fleet in virtual time and one thread. A seed decides the size, the faults and the network, and
- * gives the same run again. Held against it: while nothing is wrong nobody is taken for dead; once all faults are over, within
- * a stated time, every view is the truth; no datagram is larger than the platform carries.
+ * Simulates the membership protocol of a whole fleet in virtual time and one thread. A seed determines the faults and the network,
+ * so that the same seed and size give the same run. Checks that no member is declared dead while there are no faults, that every
+ * view is correct within a fixed time after the last fault, and that no datagram exceeds the size limit.
  */
 public final class FleetSim {
 
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1_000 * MS;
-  /** Longest suspicion that can run at the end of the faults, a round of probes, and what spreads it; see the note. */
-  private static final long SETTLE_PERIODS = 70;
+  /** Covers the longest suspicion that can be pending when the faults end, one round of probes, and the dissemination. */
+  private static final long SETTLING_PERIODS = 70;
 
-  /** A run's figures; {@code fault} is null where all held. */
+  /** Results of a run; {@code fault} is null if all checks passed. */
   public record Report(
       long seed,
       int size,
@@ -35,12 +35,12 @@
       long falseDeaths,
       long refuted) {}
 
-  /** A datagram that arrives; a member that has something to do where {@code bytes} is null. */
-  private record Event(long at, long order, int to, int from, byte[] bytes)
+  /** Arrival of a datagram; the wake-up of a member if {@code bytes} is null. */
+  private record Event(long at, long sequence, int to, int from, byte[] bytes)
       implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+      return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
     }
   }
 
@@ -53,15 +53,15 @@
   private final boolean[] running;
   private final long[] pausedUntil;
   private final long[] killedAt;
-  private final boolean[] seenDead;
+  private final boolean[] countedFalseDeath;
   private final long[] wakesAt;
-  private final int[] lives;
+  private final int[] incarnations;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private final List<byte[]> old = new ArrayList<>();
+  private final List<byte[]> recordedDatagrams = new ArrayList<>();
   private final List<Long> firstDetections = new ArrayList<>();
   private final List<Long> allDetections = new ArrayList<>();
   private long now;
-  private long order;
+  private long sequence;
   private long datagrams;
   private long bytes;
   private long falseDeaths;
@@ -70,7 +70,7 @@
   private long quietWorkNanos;
   private String fault;
 
-  /** A fleet of this size. */
+  /** Creates a fleet of this size. */
   public FleetSim(long seed, int size) {
     this.seed = seed;
     this.size = size;
@@ -80,14 +80,14 @@
     running = new boolean[size];
     pausedUntil = new long[size];
     killedAt = new long[size];
-    seenDead = new boolean[size];
+    countedFalseDeath = new boolean[size];
     wakesAt = new long[size];
-    lives = new int[size];
+    incarnations = new int[size];
   }
 
   // Runs
 
-  /** Faults of every kind by the seed, then quiet, then the truth in every view. */
+  /** Injects faults of every kind, ends them, waits until the fleet has settled, and checks every view. */
   public Report faults() {
     for (int i = 0; i < size; i++) {
       if (random.nextInt(4) > 0) {
@@ -96,7 +96,7 @@
     }
     long end = 60 * SECOND;
     while (now < end && fault == null) {
-      disturb();
+      injectFault();
       run(now + random.nextLong(6 * SECOND), false);
     }
     network.heal();
@@ -106,17 +106,17 @@
         schedule(i);
       }
     }
-    run(now + SETTLE_PERIODS * settings.periodNanos(), false);
-    checkTruth();
+    run(now + SETTLING_PERIODS * settings.periodNanos(), false);
+    checkViews();
     return report();
   }
 
-  /** Nothing wrong but some loss: nobody is taken for dead. Then one after the other is killed and the time is taken. */
+  /** Counts false deaths in a run with packet loss only, then kills members one by one and measures the detection times. */
   public Report detection(double loss, int kills, long quietNanos) {
     for (int i = 0; i < size; i++) {
       start(i);
     }
-    network.weather(loss, 0, 20 * MS);
+    network.setConditions(loss, 0, 20 * MS);
     run(now + 30 * SECOND, false);
     datagrams = 0;
     bytes = 0;
@@ -128,15 +128,15 @@
     long quietBytes = bytes;
     for (int k = 0; k < kills && fault == null; k++) {
       int victim = random.nextInt(size);
-      if (!running[victim] || count() < 3) {
+      if (!running[victim] || runningCount() < 3) {
         continue;
       }
       kill(victim);
       long at = now;
       long first = -1;
-      while (now - at < 120 * SECOND && dead(victim) < count()) {
+      while (now - at < 120 * SECOND && viewsWithDead(victim) < runningCount()) {
         run(now + 50 * MS, false);
-        first = first < 0 && dead(victim) > 0 ? now - at : first;
+        first = first < 0 && viewsWithDead(victim) > 0 ? now - at : first;
       }
       firstDetections.add(first);
       allDetections.add(now - at);
@@ -172,37 +172,37 @@
         refuted);
   }
 
-  /** Real time that all members spent in their decisions while nothing was wrong; no part of the run, which is the seed's. */
+  /** Returns the real time that all members spent in the protocol in the fault-free phase; the only result a seed does not determine. */
   public long quietWorkNanos() {
     return quietWorkNanos;
   }
 
   // Faults
 
-  private void disturb() {
-    int one = random.nextInt(size);
+  private void injectFault() {
+    int member = random.nextInt(size);
     switch (random.nextInt(11)) {
-      case 0 -> kill(one);
+      case 0 -> kill(member);
       case 1 -> {
-        // A restart whose wall clock was set back by an hour.
-        kill(one);
-        start(one, -3_600_000);
+        // A restart with the wall clock set back by an hour.
+        kill(member);
+        start(member, -3_600_000);
       }
-      case 2 -> start(one);
-      case 3 -> pausedUntil[one] = now + random.nextLong(10 * SECOND);
+      case 2 -> start(member);
+      case 3 -> pausedUntil[member] = now + random.nextLong(10 * SECOND);
       case 4 ->
-        network.weather(
+        network.setConditions(
             random.nextDouble() * 0.5, random.nextDouble() * 0.3, (1 + random.nextLong(200)) * MS);
-      case 5 -> network.partition(side(random.nextInt(size + 1)));
-      case 6 -> network.cutOneWay(one, random.nextInt(size));
+      case 5 -> network.partition(randomSide(random.nextInt(size + 1)));
+      case 6 -> network.blockOneWay(member, random.nextInt(size));
       case 7 -> network.heal();
-      case 8 -> half(true);
-      case 9 -> half(false);
-      default -> forge(one);
+      case 8 -> restartMany(true);
+      case 9 -> restartMany(false);
+      default -> injectDatagram(member);
     }
   }
 
-  private BitSet side(int count) {
+  private BitSet randomSide(int count) {
     BitSet side = new BitSet(size);
     for (int i = 0; i < count; i++) {
       side.set(random.nextInt(size));
@@ -210,30 +210,31 @@
     return side;
   }
 
-  /** Half of all, or all, die at once and are back a second later. */
-  private void half(boolean all) {
-    List<Integer> gone = new ArrayList<>();
+  /** Kills all members, or those with even numbers, at once and restarts them a second later. */
+  private void restartMany(boolean all) {
+    List<Integer> stopped = new ArrayList<>();
     for (int i = 0; i < size; i++) {
       if (running[i] && (all || i % 2 == 0)) {
         kill(i);
-        gone.add(i);
+        stopped.add(i);
       }
     }
     run(now + SECOND, false);
-    gone.forEach(this::start);
+    stopped.forEach(this::start);
   }
 
-  /** Noise, a cut datagram, another's name, one of an hour ago. */
-  private void forge(int to) {
-    byte[] some =
-        old.isEmpty() ? new byte[0] : old.get(random.nextInt(old.size())).clone();
-    byte[] what = switch (random.nextInt(4)) {
+  /** Injects a datagram: random bytes, a truncated one, a corrupted one or an old one, each with a random sender. */
+  private void injectDatagram(int to) {
+    byte[] recorded = recordedDatagrams.isEmpty()
+        ? new byte[0]
+        : recordedDatagrams.get(random.nextInt(recordedDatagrams.size())).clone();
+    byte[] datagram = switch (random.nextInt(4)) {
       case 0 -> noise();
-      case 1 -> java.util.Arrays.copyOf(some, random.nextInt(some.length + 1));
-      case 2 -> flipped(some);
-      default -> some;
+      case 1 -> java.util.Arrays.copyOf(recorded, random.nextInt(recorded.length + 1));
+      case 2 -> corrupted(recorded);
+      default -> recorded;
     };
-    events.add(new Event(now + 1, order++, to, random.nextInt(size), what));
+    events.add(new Event(now + 1, sequence++, to, random.nextInt(size), datagram));
   }
 
   private byte[] noise() {
@@ -244,8 +245,8 @@
     return noise;
   }
 
-  /** Only in its first byte: what is forged well can't be told from what is true without a signature. */
-  private static byte[] flipped(byte[] bytes) {
+  /** Corrupts only the first byte: without a signature, a well-formed forgery cannot be distinguished from a real datagram. */
+  private static byte[] corrupted(byte[] bytes) {
     if (bytes.length > 0) {
       bytes[0] ^= 1;
     }
@@ -256,14 +257,15 @@
     start(i, 0);
   }
 
-  private void start(int i, long clockOffMillis) {
+  private void start(int i, long clockOffsetMillis) {
     if (!running[i]) {
       running[i] = true;
       pausedUntil[i] = 0;
-      seenDead[i] = false;
-      long epoch = 1_700_000_000_000L + now / MS + clockOffMillis;
+      countedFalseDeath[i] = false;
+      long epoch = 1_700_000_000_000L + now / MS + clockOffsetMillis;
       refuted += members[i] == null ? 0 : members[i].refuted();
-      members[i] = new Membership(settings, i, size, epoch, random.nextLong() + lives[i]++, now);
+      members[i] =
+          new Membership(settings, i, size, epoch, random.nextLong() + incarnations[i]++, now);
       wakesAt[i] = Long.MAX_VALUE;
       schedule(i);
     }
@@ -276,7 +278,7 @@
 
   // Time
 
-  private void run(long until, boolean calm) {
+  private void run(long until, boolean faultless) {
     while (fault == null && !events.isEmpty() && events.peek().at() < until) {
       Event e = events.poll();
       now = Math.max(now, e.at());
@@ -285,8 +287,8 @@
       } else {
         wake(e.to(), e.at());
       }
-      if (calm && e.bytes() == null) {
-        checkCalm(e.to());
+      if (faultless && e.bytes() == null) {
+        countFalseDeaths(e.to());
       }
     }
     now = Math.max(now, until);
@@ -294,7 +296,7 @@
 
   private void wake(int i, long at) {
     if (!running[i] || wakesAt[i] != at) {
-      // Gone, or it has something to do at another time by now.
+      // The member has stopped, or its wake-up was rescheduled.
       return;
     }
     wakesAt[i] = Long.MAX_VALUE;
@@ -307,12 +309,12 @@
     schedule(i);
   }
 
-  /** Has a member looked at when it next has something to do. */
+  /** Schedules the next wake-up of a member. */
   private void schedule(int i) {
     long due = Math.max(now, Math.max(members[i].nextAt(), pausedUntil[i]));
     if (running[i] && due < wakesAt[i]) {
       wakesAt[i] = due;
-      events.add(new Event(due, order++, i, i, null));
+      events.add(new Event(due, sequence++, i, i, null));
     }
   }
 
@@ -322,8 +324,8 @@
       return;
     }
     if (pausedUntil[to] > now) {
-      // It waits in the socket until the process goes on.
-      events.add(new Event(pausedUntil[to] + 1, order++, to, e.from(), e.bytes()));
+      // The datagram waits in the socket until the process resumes.
+      events.add(new Event(pausedUntil[to] + 1, sequence++, to, e.from(), e.bytes()));
       return;
     }
     long from = System.nanoTime();
@@ -338,20 +340,20 @@
       datagrams++;
       bytes += o.bytes().length;
       if (o.bytes().length > Datagram.MAX_BYTES) {
-        fault = "a datagram of " + o.bytes().length + " bytes";
+        fault = "datagram too large: " + o.bytes().length + " bytes";
       }
-      if (old.size() < 1_000 && random.nextInt(50) == 0) {
-        old.add(o.bytes());
+      if (recordedDatagrams.size() < 1_000 && random.nextInt(50) == 0) {
+        recordedDatagrams.add(o.bytes());
       }
       for (int i = network.copies(from, o.to()); i > 0; i--) {
-        events.add(new Event(now + network.delay(), order++, o.to(), from, o.bytes()));
+        events.add(new Event(now + network.delay(), sequence++, o.to(), from, o.bytes()));
       }
     }
   }
 
-  // The rules
+  // Checks
 
-  private int count() {
+  private int runningCount() {
     int count = 0;
     for (boolean r : running) {
       count += r ? 1 : 0;
@@ -359,8 +361,8 @@
     return count;
   }
 
-  /** Views in which a member is dead. */
-  private int dead(int victim) {
+  /** Returns the number of views in which a member is dead. */
+  private int viewsWithDead(int victim) {
     int dead = 0;
     for (int i = 0; i < size; i++) {
       dead += running[i] && members[i].stateOf(victim) == State.DEAD ? 1 : 0;
@@ -368,29 +370,31 @@
     return dead;
   }
 
-  private void checkCalm(int who) {
-    if (!running[who]) {
+  private void countFalseDeaths(int member) {
+    if (!running[member]) {
       return;
     }
     for (int j = 0; j < size; j++) {
-      if (running[j] && members[who].stateOf(j) == State.DEAD && !seenDead[j]) {
-        seenDead[j] = true;
+      if (running[j] && members[member].stateOf(j) == State.DEAD && !countedFalseDeath[j]) {
+        countedFalseDeath[j] = true;
         falseDeaths++;
       }
     }
   }
 
-  private void checkTruth() {
+  private void checkViews() {
     for (int i = 0; i < size && fault == null; i++) {
       for (int j = 0; j < size && running[i] && fault == null; j++) {
-        State held = members[i].stateOf(j);
-        boolean right = running[j]
-            ? held == State.ALIVE || held == State.SUSPECT
-            : held == State.DEAD || held == State.UNKNOWN;
-        if (!right) {
-          fault = "member " + i + " holds " + j + " for " + held + ", which "
-              + (running[j] ? "runs" : "is gone since " + (now - killedAt[j]) / SECOND + " s")
-              + "; again: sim fleet --seed " + seed + " --size " + size;
+        State state = members[i].stateOf(j);
+        boolean correct = running[j]
+            ? state == State.ALIVE || state == State.SUSPECT
+            : state == State.DEAD || state == State.UNKNOWN;
+        if (!correct) {
+          fault = "member " + i + " considers " + j + " to be " + state + ", which "
+              + (running[j]
+                  ? "is running"
+                  : "has been down for " + (now - killedAt[j]) / SECOND + " s")
+              + "; replay: sim fleet --seed " + seed + " --size " + size;
         }
       }
     }
--- a/src/main/java/pumicekeel/sim/ModuleSim.java
+++ b/src/main/java/pumicekeel/sim/ModuleSim.java
@@ -16,18 +16,18 @@
 import pumicekeel.Balancer.State;
 
 /**
- * The decision modules of a whole fleet in virtual time and one thread, with upstreams that break, drain and return cold, a list
- * that reaches each instance late, and instances that die, sleep and start from old lists. A seed decides all of it and gives the
- * same run again. {@link RuleChecker} checks what reaches the upstreams: exactly one final answer a request, no effect twice, nothing
- * new to one that drains, and no cold one overloaded by all instances together.
+ * Simulates the decision modules of a whole fleet in virtual time and one thread, with upstreams that fail, drain and restart cold,
+ * list updates that reach each instance late, and instances that crash, pause and start from old lists. A seed determines the run.
+ * {@link RuleChecker} checks the results: exactly one final answer per request, no effect executed twice, nothing new sent to a
+ * draining upstream, and no cold upstream overloaded by all instances together.
  */
 public final class ModuleSim {
 
   private static final long END = 30 * SECOND;
-  /** Instances that start from a list so old miss the last changes of it. */
-  private static final long LATEST_NEWS = 6 * SECOND;
+  /** Longest delay of a list update; an instance that starts from a list this old misses the latest changes. */
+  private static final long MAX_LIST_DELAY = 6 * SECOND;
 
-  /** A run's figures; {@code fault} is null where all rules held. {@code coldShare}: of a cold budget, the most that was used. */
+  /** Results of a run; {@code fault} is null if no rule was broken. {@code coldShare} is the largest used share of a cold budget. */
   public record Report(
       long seed, int size, String fault, long requests, long served, double coldShare) {}
 
@@ -40,7 +40,7 @@
   private final Map<Long, SimulatedUpstream> upstreams = new HashMap<>();
   private final List<SimulatedInstance> instances = new ArrayList<>();
 
-  /** A fleet of this size; half as many upstreams, six at least. */
+  /** Creates a fleet of this size, with half as many upstreams but at least six. */
   public ModuleSim(long seed, int size) {
     this.seed = seed;
     this.size = size;
@@ -51,24 +51,24 @@
     }
   }
 
-  /** Plays the seed until nothing is scheduled any more, or a rule is broken. */
+  /** Runs until no events are left or a rule is broken. */
   public Report run() {
     for (int i = 0; i < size; i++) {
       SimulatedInstance instance =
           new SimulatedInstance(i, queue, random, settings, upstreams, rules);
       instances.add(instance);
       instance.start(list());
-      arrivals(instance, 0);
+      scheduleRequests(instance, 0);
     }
     for (long at = SECOND; at < END; at += 1 + random.nextLong(4 * SECOND)) {
-      queue.at(at, this::disturb);
+      queue.schedule(at, this::injectFault);
     }
-    boolean more = true;
-    while (more && rules.fault() == null) {
-      more = queue.runNext();
+    boolean eventsLeft = true;
+    while (eventsLeft && rules.fault() == null) {
+      eventsLeft = queue.runNext();
     }
     if (rules.fault() == null) {
-      rules.end(upstreams.values(), capacity());
+      rules.checkAtEnd(upstreams.values(), capacity());
     }
     return new Report(
         seed,
@@ -79,23 +79,23 @@
         rules.fault() == null ? RuleChecker.coldShare(upstreams.values(), capacity()) : 0);
   }
 
-  /** What one upstream can do, in requests a second. */
+  /** Returns the capacity of one upstream in requests per second. */
   private double capacity() {
     return CAPACITY * size * ARRIVALS_PER_SECOND / upstreams.size();
   }
 
-  private void arrivals(SimulatedInstance i, int number) {
+  private void scheduleRequests(SimulatedInstance instance, int number) {
     long next =
         queue.now() + (long) (-Math.log(1 - random.nextDouble()) * SECOND / ARRIVALS_PER_SECOND);
     if (next < END) {
-      queue.at(next, () -> {
-        if (i.isUp()) {
-          i.request(
-              "r" + i.number + "-" + number,
+      queue.schedule(next, () -> {
+        if (instance.isUp()) {
+          instance.request(
+              "r" + instance.number + "-" + number,
               settings.classes().get(random.nextInt(3)),
               "k" + random.nextInt(50));
         }
-        arrivals(i, number + 1);
+        scheduleRequests(instance, number + 1);
       });
     }
   }
@@ -104,19 +104,20 @@
 
   private List<Listed> list() {
     return upstreams.values().stream()
-        .filter(s -> s.state == State.READY)
+        .filter(u -> u.state == State.READY)
         .map(SimulatedUpstream::listed)
         .toList();
   }
 
-  /** Tells all of a change, each at a time of its own, the last after some seconds; a server's news stay in order. */
-  private void announce(SimulatedUpstream s) {
-    for (SimulatedInstance i : instances) {
-      Listed line = s.listed();
-      queue.at(
-          queue.now() + random.nextLong(random.nextInt(10) == 0 ? LATEST_NEWS : SECOND), () -> {
-            if (i.isUp() && s.listed().equals(line)) {
-              i.tell(new ListUpdate(ListKind.DELTA, i.own(List.of(line))));
+  /** Notifies every instance of a change after a random delay, of up to some seconds; an update that is outdated by then is dropped. */
+  private void announce(SimulatedUpstream upstream) {
+    for (SimulatedInstance instance : instances) {
+      Listed entry = upstream.listed();
+      queue.schedule(
+          queue.now() + random.nextLong(random.nextInt(10) == 0 ? MAX_LIST_DELAY : SECOND), () -> {
+            if (instance.isUp() && upstream.listed().equals(entry)) {
+              instance.deliver(
+                  new ListUpdate(ListKind.DELTA, instance.withLocalClock(List.of(entry))));
             }
           });
     }
@@ -124,65 +125,65 @@
 
   // Faults
 
-  private void disturb() {
+  private void injectFault() {
     List<SimulatedUpstream> all =
         upstreams.values().stream().sorted((a, b) -> Long.compare(a.id, b.id)).toList();
-    SimulatedUpstream s = all.get(random.nextInt(all.size()));
-    SimulatedInstance i = instances.get(random.nextInt(size));
+    SimulatedUpstream upstream = all.get(random.nextInt(all.size()));
+    SimulatedInstance instance = instances.get(random.nextInt(size));
     switch (random.nextInt(7)) {
-      case 0, 1 -> replace(s);
+      case 0, 1 -> replace(upstream);
       case 2 -> {
-        s.hung = true;
-        queue.at(queue.now() + 3 * SECOND, () -> s.hung = false);
+        upstream.hung = true;
+        queue.schedule(queue.now() + 3 * SECOND, () -> upstream.hung = false);
       }
-      case 3 -> i.pauseUntil(queue.now() + random.nextLong(10 * SECOND));
-      case 4 -> restart(i);
+      case 3 -> instance.pauseUntil(queue.now() + random.nextLong(10 * SECOND));
+      case 4 -> restart(instance);
       case 5 -> {
-        // Half of them at once, back within a second.
+        // Half of the instances restart at once and are back within a second.
         for (int k = 0; k < size; k += 2) {
           restart(instances.get(k));
         }
       }
       default -> {
-        // Dies without a word; the list hears of it late, and it returns cold.
-        s.down = true;
-        queue.at(queue.now() + 2 * SECOND, () -> returnCold(s));
+        // A crash: the list is updated only when the upstream is back, cold.
+        upstream.down = true;
+        queue.schedule(queue.now() + 2 * SECOND, () -> returnCold(upstream));
       }
     }
   }
 
-  /** Drains, ends, and comes back cold under the same id. */
-  private void replace(SimulatedUpstream s) {
-    if (s.state != State.READY || s.down) {
+  /** Drains and stops an upstream, and restarts it cold under the same id. */
+  private void replace(SimulatedUpstream upstream) {
+    if (upstream.state != State.READY || upstream.down) {
       return;
     }
-    s.state = State.DRAINING;
-    announce(s);
-    queue.at(queue.now() + LATEST_NEWS + 4 * SECOND, () -> {
-      s.down = true;
-      queue.at(queue.now() + SECOND, () -> returnCold(s));
+    upstream.state = State.DRAINING;
+    announce(upstream);
+    queue.schedule(queue.now() + MAX_LIST_DELAY + 4 * SECOND, () -> {
+      upstream.down = true;
+      queue.schedule(queue.now() + SECOND, () -> returnCold(upstream));
     });
   }
 
-  private void returnCold(SimulatedUpstream s) {
-    s.down = false;
-    s.state = State.READY;
-    s.startedAt = queue.now();
-    s.sends.clear();
-    announce(s);
+  private void returnCold(SimulatedUpstream upstream) {
+    upstream.down = false;
+    upstream.state = State.READY;
+    upstream.startedAt = queue.now();
+    upstream.sends.clear();
+    announce(upstream);
   }
 
-  private void restart(SimulatedInstance i) {
+  private void restart(SimulatedInstance instance) {
     List<Listed> old = list();
-    i.stop();
-    queue.at(queue.now() + random.nextLong(SECOND), () -> {
-      if (!i.isUp()) {
-        i.start(old);
-        // Follows the list from its start on: the whole of it, a moment later.
-        int of = i.life();
-        queue.at(queue.now() + random.nextLong(SECOND), () -> {
-          if (of == i.life()) {
-            i.tell(new ListUpdate(ListKind.FULL, i.own(list())));
+    instance.stop();
+    queue.schedule(queue.now() + random.nextLong(SECOND), () -> {
+      if (!instance.isUp()) {
+        instance.start(old);
+        // The instance watches the list from its start; the full list arrives within a second.
+        int incarnation = instance.incarnation();
+        queue.schedule(queue.now() + random.nextLong(SECOND), () -> {
+          if (incarnation == instance.incarnation()) {
+            instance.deliver(new ListUpdate(ListKind.FULL, instance.withLocalClock(list())));
           }
         });
       }
--- a/src/main/java/pumicekeel/sim/ModuleSimSettings.java
+++ b/src/main/java/pumicekeel/sim/ModuleSimSettings.java
@@ -10,35 +10,35 @@
 import pumicekeel.Balancer.Settings;
 import pumicekeel.Balancer.WeightKind;
 
-/** What the modules of {@link ModuleSim} are configured with, and what their upstreams do. Durations are nanoseconds. */
+/** Settings of the modules of {@link ModuleSim} and parameters of their upstreams. Durations are in nanoseconds. */
 final class ModuleSimSettings {
 
   static final long MS = 1_000_000L;
   static final long SECOND = 1_000 * MS;
-  /** How long an instance may still send to an upstream after it was told that it drains. */
+  /** Time after the notification of a drain within which an instance may still send to the upstream. */
   static final long GRACE = 2 * SECOND;
-  /** How long a started upstream takes to its whole capacity, rising evenly from {@link #COLD_FROM}. */
+  /** Time in which a started upstream reaches its full capacity, rising linearly from {@link #COLD_FROM}. */
   static final long WARM = 8 * SECOND;
 
   static final double COLD_FROM = 0.3;
-  /** A cold upstream may get this multiple of its capacity in any {@link #WINDOW}, from all instances together. */
+  /** Multiple of its capacity that a cold upstream may get in any {@link #WINDOW}, from all instances together. */
   static final double MULTIPLE = 3;
 
   static final long WINDOW = 3 * SECOND;
-  /** How long a cell drops repeats of a keyed request. */
+  /** Dedup window: the time in which a cell discards repeats of a keyed request. */
   static final long DEDUP = 2 * SECOND;
 
   static final long DEADLINE = 2 * SECOND;
-  /** How late after its deadline an answer may come. */
+  /** Time after the deadline within which an answer may still be given. */
   static final long SLACK = 8 * MS;
 
   static final double ARRIVALS_PER_SECOND = 10;
-  /** What an upstream can do, in multiples of what it is usually asked: the budget of a cold one goes by it. */
+  /** Capacity of an upstream in multiples of its usual load; the cold budget is computed from it. */
   static final double CAPACITY = 2;
 
   private ModuleSimSettings() {}
 
-  /** The settings of each module in a fleet of this size. */
+  /** Returns the settings of each module in a fleet of this size. */
   static Settings of(int size) {
     return new Settings(
         0,
--- a/src/main/java/pumicekeel/sim/QuotaSim.java
+++ b/src/main/java/pumicekeel/sim/QuotaSim.java
@@ -10,10 +10,10 @@
 import pumicekeel.quota.QuotaSettings;
 
 /**
- * How a whole fleet shares its tenants' quotas, in virtual time and one thread. A seed decides the size, who is asked how much,
- * the faults and the network, and gives the same run again. Held against it at every step: what all members together may admit
- * of a tenant is never more than its quota, in partitions, with wrong views, with members that sleep, die and return. Measured:
- * how much of what could be admitted is, beside fixed even parts.
+ * Simulates how a whole fleet shares its tenants' quotas, in virtual time and one thread. A seed determines the demand at each
+ * member, the faults and the network, so that the same seed and size give the same run. Checks at every step that all members
+ * together never may admit more of a tenant than its quota, in partitions, with wrong views, and with members that pause, crash and
+ * restart. Measures the share of the admissible demand that is admitted, in comparison with a fixed even division.
  */
 public final class QuotaSim {
 
@@ -22,26 +22,26 @@
   private static final long STEP = 50 * MS;
   private static final long FAULTS_UNTIL = 40 * SECOND;
   private static final long END = 60 * SECOND;
-  /** After faults, and after the start, before use is measured: parts kept back, and leases of those that are gone. */
-  private static final long SETTLE = 8 * SECOND;
+  /** Time until utilization is measured, after start and faults: shares held back and leases of departed members expire first. */
+  private static final long SETTLING_TIME = 8 * SECOND;
 
   private static final Map<String, Double> QUOTAS = Map.of("a", 1_000.0, "b", 300.0, "c", 40.0);
-  /** Sums of doubles. */
-  private static final double GRAIN = 1 + 1e-9;
+  /** Tolerance for the rounding of sums of doubles. */
+  private static final double ROUNDING_TOLERANCE = 1 + 1e-9;
 
-  /** What a run has: faults and demand that jumps, demand that jumps, or demand that rises in small steps at one member. */
+  /** Course of a run: faults with abrupt changes of demand, abrupt changes alone, or demand that rises in small steps at one member. */
   public enum Course {
     FAULTS,
     CALM,
     RISING
   }
 
-  /** By so much of the quota the one member's demand rises in each step, at the most. */
-  private static final double RISE = 0.02;
+  /** Largest rise of the demand in a step of {@link Course#RISING}, as a share of the quota. */
+  private static final double MAX_RISE = 0.02;
 
   /**
-   * A run's figures; {@code fault} is null where all held. Shares are of what the quotas and the demand of members that run would
-   * have let through.
+   * Results of a run; {@code fault} is null if the quotas were never exceeded. {@code shared} and {@code fixed} are shares of the
+   * demand of running members that the quotas would have admitted: with lending, and with fixed even parts.
    */
   public record Report(
       long seed,
@@ -53,11 +53,11 @@
       long bytes,
       long virtualNanos) {}
 
-  private record Arrival(long at, long order, int to, int from, byte[] bytes)
+  private record Arrival(long at, long sequence, int to, int from, byte[] bytes)
       implements Comparable<Arrival> {
     @Override
     public int compareTo(Arrival other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+      return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
     }
   }
 
@@ -71,18 +71,18 @@
   private final List<String> names = QUOTAS.keySet().stream().sorted().toList();
   private final double[][] demand;
   private final PriorityQueue<Arrival> arrivals = new PriorityQueue<>();
-  private final List<byte[]> old = new ArrayList<>();
+  private final List<byte[]> recordedDatagrams = new ArrayList<>();
   private long now;
-  private long order;
-  private long lives;
+  private long sequence;
+  private long incarnations;
   private long datagrams;
   private long bytes;
-  private double could;
+  private double admissible;
   private double shared;
   private double fixed;
   private String fault;
 
-  /** A fleet of this size. */
+  /** Creates a fleet of this size. */
   public QuotaSim(long seed, int size) {
     this.seed = seed;
     this.size = size;
@@ -94,13 +94,13 @@
     demand = new double[size][names.size()];
   }
 
-  /** Plays the seed. */
+  /** Runs the simulation. */
   public Report run(Course course) {
     boolean faults = course == Course.FAULTS;
     for (int i = 0; i < size; i++) {
       start(i);
     }
-    int one = random.nextInt(size);
+    int member = random.nextInt(size);
     if (course != Course.RISING) {
       shiftDemand();
     }
@@ -109,14 +109,14 @@
     while (now < END && fault == null) {
       now += STEP;
       if (now >= shiftAt && course == Course.RISING) {
-        riseAt(one);
+        raiseDemand(member);
         shiftAt = now + 250 * MS;
       } else if (now >= shiftAt) {
         shiftDemand();
         shiftAt = now + 5 * SECOND + random.nextLong(10 * SECOND);
       }
       if (faults && now >= faultAt && now < FAULTS_UNTIL) {
-        disturb();
+        injectFault();
         faultAt = now + random.nextLong(3 * SECOND);
       } else if (now >= FAULTS_UNTIL && now < FAULTS_UNTIL + STEP) {
         heal();
@@ -127,8 +127,8 @@
         seed,
         size,
         fault,
-        could == 0 ? 1 : shared / could,
-        could == 0 ? 1 : fixed / could,
+        admissible == 0 ? 1 : shared / admissible,
+        admissible == 0 ? 1 : fixed / admissible,
         datagrams,
         bytes,
         now);
@@ -136,7 +136,7 @@
 
   private void step() {
     for (int i = 0; i < size; i++) {
-      if (up(i)) {
+      if (isUp(i)) {
         for (int t = 0; t < names.size(); t++) {
           members[i].recordRequests(names.get(t), poisson(demand[i][t] * STEP / SECOND), now);
         }
@@ -149,24 +149,24 @@
         continue;
       }
       if (pausedUntil[a.to()] > now) {
-        // It waits in the socket until the process goes on.
-        arrivals.add(new Arrival(pausedUntil[a.to()] + 1, order++, a.to(), a.from(), a.bytes()));
+        // The datagram waits in the socket until the process resumes.
+        arrivals.add(new Arrival(pausedUntil[a.to()] + 1, sequence++, a.to(), a.from(), a.bytes()));
         continue;
       }
       send(a.to(), members[a.to()].receive(a.from(), a.bytes(), Math.max(a.at(), now - STEP)));
-      judge();
+      checkQuotas();
     }
-    judge();
-    if (now >= SETTLE && (now < FAULTS_UNTIL || now >= FAULTS_UNTIL + SETTLE)) {
+    checkQuotas();
+    if (now >= SETTLING_TIME && (now < FAULTS_UNTIL || now >= FAULTS_UNTIL + SETTLING_TIME)) {
       measure();
     }
   }
 
-  private boolean up(int i) {
+  private boolean isUp(int i) {
     return running[i] && pausedUntil[i] <= now;
   }
 
-  /** Mostly who runs; now and then anybody, as views are late and wrong. */
+  /** Returns a member's view of the running members, one time in 50 with a random error, as views can be outdated. */
   private BitSet view(int of) {
     BitSet view = new BitSet(size);
     for (int i = 0; i < size; i++) {
@@ -183,16 +183,16 @@
     for (QuotaExchange.OutgoingDatagram o : out) {
       datagrams++;
       bytes += o.bytes().length;
-      if (old.size() < 500 && random.nextInt(20) == 0) {
-        old.add(o.bytes());
+      if (recordedDatagrams.size() < 500 && random.nextInt(20) == 0) {
+        recordedDatagrams.add(o.bytes());
       }
       for (int i = network.copies(from, o.to()); i > 0; i--) {
-        arrivals.add(new Arrival(now + network.delay(), order++, o.to(), from, o.bytes()));
+        arrivals.add(new Arrival(now + network.delay(), sequence++, o.to(), from, o.bytes()));
       }
     }
   }
 
-  // What happens
+  // Demand and faults
 
   private void start(int i) {
     if (!running[i]) {
@@ -202,26 +202,26 @@
           QuotaSettings.DEFAULTS,
           i,
           size,
-          1_700_000_000_000L + now / MS + lives++,
+          1_700_000_000_000L + now / MS + incarnations++,
           random.nextLong(),
           now);
       members[i].setQuotas(QUOTAS, now);
     }
   }
 
-  /** All demand of a tenant is some factor of its quota, spread evenly, over a few, or all at one. */
+  /** Sets the demand of each tenant to 0.3 to 1.5 times its quota, over all members, over a quarter of them, or at one. */
   private void shiftDemand() {
     for (int t = 0; t < names.size(); t++) {
       double total = QUOTAS.get(names.get(t)) * (0.3 + 1.2 * random.nextDouble());
       double[] weight = new double[size];
       double sum = 0;
-      int few = switch (random.nextInt(3)) {
+      int loadedMembers = switch (random.nextInt(3)) {
         case 0 -> size;
         case 1 -> Math.max(1, size / 4);
         default -> 1;
       };
-      for (int i = 0; i < few; i++) {
-        int at = few == size ? i : random.nextInt(size);
+      for (int i = 0; i < loadedMembers; i++) {
+        int at = loadedMembers == size ? i : random.nextInt(size);
         double w = 0.5 + random.nextDouble();
         weight[at] += w;
         sum += w;
@@ -232,27 +232,28 @@
     }
   }
 
-  /** A little more at one member, up to the whole quota; the others stay idle. */
-  private void riseAt(int one) {
+  /** Raises the demand at one member by a small step, up to the whole quota; the others stay idle. */
+  private void raiseDemand(int member) {
     for (int t = 0; t < names.size(); t++) {
       double quota = QUOTAS.get(names.get(t));
-      demand[one][t] = Math.min(quota, demand[one][t] + RISE * quota * random.nextDouble());
+      demand[member][t] =
+          Math.min(quota, demand[member][t] + MAX_RISE * quota * random.nextDouble());
     }
   }
 
-  private void disturb() {
-    int one = random.nextInt(size);
+  private void injectFault() {
+    int member = random.nextInt(size);
     switch (random.nextInt(10)) {
-      case 0 -> running[one] = false;
-      case 1, 2 -> start(one);
+      case 0 -> running[member] = false;
+      case 1, 2 -> start(member);
       case 3 -> {
-        // Dies and is back at once: what its earlier life has lent still runs.
-        running[one] = false;
-        start(one);
+        // A crash with an immediate restart: what the earlier process has lent is still in force.
+        running[member] = false;
+        start(member);
       }
-      case 4 -> pausedUntil[one] = now + random.nextLong(10 * SECOND);
+      case 4 -> pausedUntil[member] = now + random.nextLong(10 * SECOND);
       case 5 ->
-        network.weather(
+        network.setConditions(
             random.nextDouble() * 0.4,
             random.nextDouble() * 0.4,
             (1 + random.nextLong(2_000)) * MS);
@@ -270,18 +271,19 @@
           start(i);
         }
       }
-      default -> replay(one);
+      default -> replay(member);
     }
   }
 
-  /** One of some time ago, or noise; from any address. */
+  /** Injects an old datagram, intact or corrupted, with a random sender. */
   private void replay(int to) {
-    if (!old.isEmpty()) {
-      byte[] some = old.get(random.nextInt(old.size())).clone();
+    if (!recordedDatagrams.isEmpty()) {
+      byte[] datagram =
+          recordedDatagrams.get(random.nextInt(recordedDatagrams.size())).clone();
       if (random.nextBoolean()) {
-        some[0] ^= 1;
+        datagram[0] ^= 1;
       }
-      arrivals.add(new Arrival(now, order++, to, random.nextInt(size), some));
+      arrivals.add(new Arrival(now, sequence++, to, random.nextInt(size), datagram));
     }
   }
 
@@ -293,7 +295,7 @@
     }
   }
 
-  /** Knuth's product for small means, the normal law beyond. */
+  /** Draws from a Poisson distribution: Knuth's product method for small means, the normal approximation beyond. */
   private double poisson(double mean) {
     if (mean > 30) {
       return Math.max(0, Math.rint(mean + Math.sqrt(mean) * random.nextGaussian()));
@@ -308,17 +310,17 @@
     return n;
   }
 
-  // The rule and the figures
+  // Checks and measurements
 
-  private void judge() {
+  private void checkQuotas() {
     for (String name : names) {
       double sum = 0;
       for (int i = 0; i < size; i++) {
-        sum += up(i) ? members[i].rate(name, now) : 0;
+        sum += isUp(i) ? members[i].rate(name, now) : 0;
       }
-      if (sum > QUOTAS.get(name) * GRAIN && fault == null) {
+      if (sum > QUOTAS.get(name) * ROUNDING_TOLERANCE && fault == null) {
         fault = String.format(
-            "all together may admit %.1f a second of a quota of %.0f at %d ms",
+            "all members together may admit %.1f per second of a quota of %.0f at %d ms",
             sum, QUOTAS.get(name), now / MS);
       }
     }
@@ -329,13 +331,13 @@
       double quota = QUOTAS.get(names.get(t));
       double all = 0;
       for (int i = 0; i < size; i++) {
-        if (up(i)) {
+        if (isUp(i)) {
           all += demand[i][t];
           shared += Math.min(demand[i][t], members[i].rate(names.get(t), now));
           fixed += Math.min(demand[i][t], quota / size);
         }
       }
-      could += Math.min(all, quota);
+      admissible += Math.min(all, quota);
     }
   }
 }
--- a/src/main/java/pumicekeel/sim/RequestRecord.java
+++ b/src/main/java/pumicekeel/sim/RequestRecord.java
@@ -6,13 +6,14 @@
 import java.util.Map;
 import pumicekeel.Balancer.RequestClass;
 
-/** One request of {@link ModuleSim}: its attempts, where it ran, and what its client was told. */
+/** One request of {@link ModuleSim}: its attempts, where it ran, and its final answer. */
 final class RequestRecord {
 
-  /** One attempt, until it is over for the module. */
+  /** One attempt of a request. */
   static final class Attempt {
     final SimulatedUpstream upstream;
-    boolean over;
+    /** The instance has an outcome for the attempt. */
+    boolean ended;
 
     Attempt(SimulatedUpstream upstream) {
       this.upstream = upstream;
@@ -22,12 +23,12 @@
   final RequestClass type;
   final long deadline;
   final List<Attempt> attempts = new ArrayList<>();
-  /** When it first ran in each cell. */
+  /** Time of its first run in each cell. */
   final Map<Integer, Long> ranAt = new HashMap<>();
 
   int runs;
   boolean answered;
-  /** An upstream's answer has gone out, and the module hears of it a moment later. */
+  /** An upstream's answer was forwarded to the client; the module is notified of it shortly afterwards. */
   boolean served;
 
   boolean refused;
--- a/src/main/java/pumicekeel/sim/RuleChecker.java
+++ b/src/main/java/pumicekeel/sim/RuleChecker.java
@@ -13,8 +13,8 @@
 import pumicekeel.Balancer.Effect;
 
 /**
- * Checks the rules on what reaches the upstreams and the clients of {@link ModuleSim}: exactly one final answer a request, no effect
- * twice, nothing after a refusal, and no cold upstream overloaded. The first violation is kept.
+ * Checks the rules on what reaches the upstreams and the clients of {@link ModuleSim}: exactly one final answer per request, no
+ * effect executed twice, nothing executed after a refusal, and no cold upstream overloaded. Keeps the first violation.
  */
 final class RuleChecker {
 
@@ -27,12 +27,12 @@
     this.queue = queue;
   }
 
-  /** Notes a violation where there is one. */
-  void fault(boolean broken, String what) {
-    fault = broken && fault == null ? what + " at " + queue.now() / MS + " ms" : fault;
+  /** Records a violation if {@code broken} is true and none was recorded before. */
+  void recordIf(boolean broken, String violation) {
+    fault = broken && fault == null ? violation + " at " + queue.now() / MS + " ms" : fault;
   }
 
-  /** The first violation; null while all rules hold. */
+  /** Returns the first violation, or null if there was none. */
   String fault() {
     return fault;
   }
@@ -41,7 +41,7 @@
     requests.add(request);
   }
 
-  void served() {
+  void countServed() {
     served++;
   }
 
@@ -53,46 +53,47 @@
     return served;
   }
 
-  /** An attempt of a request begins to run in a cell. */
-  void ran(RequestRecord request, int cell) {
+  /** Checks that an attempt of a request may start to run in a cell. */
+  void checkRun(RequestRecord request, int cell) {
     Effect effect = request.type.effect();
     request.runs++;
-    fault(request.refused && effect != Effect.SAFE, "ran after a refusal");
+    recordIf(request.refused && effect != Effect.SAFE, "ran after a refusal");
     if (effect == Effect.UNSAFE) {
-      fault(request.runs > 1, "an unsafe request ran twice");
+      recordIf(request.runs > 1, "an unsafe request ran twice");
     } else if (effect == Effect.KEYED) {
-      ranKeyed(request, cell);
+      checkKeyedRun(request, cell);
     }
   }
 
-  private void ranKeyed(RequestRecord request, int cell) {
+  private void checkKeyedRun(RequestRecord request, int cell) {
     Long before = request.ranAt.get(cell);
-    fault(!request.ranAt.isEmpty() && before == null, "a keyed request ran in two cells");
-    fault(
+    recordIf(!request.ranAt.isEmpty() && before == null, "a keyed request ran in two cells");
+    recordIf(
         before != null && queue.now() - before > DEDUP + 2 * MS,
-        "a keyed request ran again when its cell had forgotten it");
+        "a keyed request ran again after the dedup window of its cell");
     request.ranAt.putIfAbsent(cell, queue.now());
   }
 
-  /** Checks what is known only at the end; {@code capacity} is an upstream's, in requests a second. */
-  void end(Collection<SimulatedUpstream> upstreams, double capacity) {
+  /** Checks what is known only at the end of a run; {@code capacity} is that of an upstream in requests per second. */
+  void checkAtEnd(Collection<SimulatedUpstream> upstreams, double capacity) {
     for (RequestRecord request : requests) {
-      fault(!request.answered, "a request without an answer");
-      fault(
+      recordIf(!request.answered, "a request has no final answer");
+      recordIf(
           request.refused && request.runs > 0 && request.type.effect() != Effect.SAFE,
-          "refused, and had run");
+          "refused although it had run");
     }
     upstreams.forEach(upstream -> checkCold(upstream, capacity));
   }
 
-  /** The budget in any window is a multiple of the capacity at its start, and a little for chance. */
+  /** Checks that no window exceeds its budget, a multiple of the capacity at its start, plus a margin for random variation. */
   private void checkCold(SimulatedUpstream upstream, double capacity) {
     for (int i = 0; upstream.startedAt > 0 && i < upstream.sends.size(); i++) {
       double budget = budget(upstream, upstream.sends.get(i), capacity);
       long sent = upstream.sendsInWindow(upstream.sends.get(i));
-      fault(
+      recordIf(
           sent > budget + 3 * Math.sqrt(budget),
-          "a cold upstream got " + sent + " of " + (long) budget + " in a window");
+          "a cold upstream got " + sent + " of " + (long) budget
+              + " requests that its budget allows in a window");
     }
   }
 
@@ -100,7 +101,7 @@
     return MULTIPLE * upstream.warmth(from) * capacity * WINDOW / SECOND;
   }
 
-  /** The largest part of a cold upstream's budget that was used in a window. */
+  /** Returns the largest share of a cold upstream's budget that was used in a window. */
   static double coldShare(Collection<SimulatedUpstream> upstreams, double capacity) {
     double max = 0;
     for (SimulatedUpstream upstream : upstreams) {
--- a/src/main/java/pumicekeel/sim/SimulatedInstance.java
+++ b/src/main/java/pumicekeel/sim/SimulatedInstance.java
@@ -33,8 +33,8 @@
 import pumicekeel.sim.RequestRecord.Attempt;
 
 /**
- * One balancer of {@link ModuleSim}: a decision module, the clock that it reads, and the attempts that it starts. It can be paused,
- * and be started again; what was scheduled for an earlier life has no effect.
+ * One balancer of {@link ModuleSim}: a decision module, its local clock and its attempts. It can be paused and restarted; tasks that
+ * were scheduled before a restart have no effect after it.
  */
 final class SimulatedInstance {
 
@@ -44,20 +44,20 @@
   private final Settings settings;
   private final Map<Long, SimulatedUpstream> upstreams;
   private final RuleChecker rules;
-  /** What this instance's clock reads at the start of the run. */
+  /** Reading of this instance's clock at the start of the run. */
   private final long origin;
-  /** When this instance was told that an upstream drains or is gone, in the run's time. */
-  private final Map<Long, Long> toldAt = new HashMap<>();
-  /** When an upstream started as far as this instance was told, in the run's time. */
-  private final Map<Long, Long> startsKnown = new HashMap<>();
+  /** Virtual time at which this instance was notified that an upstream drains or has departed. */
+  private final Map<Long, Long> departureNotifiedAt = new HashMap<>();
+  /** Virtual time of each upstream's latest start that this instance was notified of. */
+  private final Map<Long, Long> knownStarts = new HashMap<>();
 
   private final Map<String, RequestRecord> open = new HashMap<>();
   /** Null while the process is down. */
   private Balancer module;
 
   private long pausedUntil;
-  /** Counts starts and stops, so that tasks of an earlier life can tell. */
-  private int life;
+  /** Number of starts and stops; tasks of an earlier incarnation are recognized by it. */
+  private int incarnation;
 
   SimulatedInstance(
       int number,
@@ -75,22 +75,22 @@
     origin = random.nextLong(1_000_000 * SECOND);
   }
 
-  /** Starts with a list as it was a while ago; what it missed comes later, by {@link #tell}. */
+  /** Starts with a possibly outdated list; later updates arrive by {@link #deliver}. */
   void start(List<Listed> known) {
-    life++;
+    incarnation++;
     open.clear();
-    toldAt.clear();
-    startsKnown.clear();
+    departureNotifiedAt.clear();
+    knownStarts.clear();
     pausedUntil = 0;
     module = new AdaptiveBalancer(settings, random.nextLong());
-    tell(new ListUpdate(ListKind.CACHED, own(known)));
+    deliver(new ListUpdate(ListKind.CACHED, withLocalClock(known)));
   }
 
-  /** Stops without a word. What was open dies with it: its clients are owed nothing by the next life. */
+  /** Crashes. Open requests end without an answer and are not the responsibility of the next incarnation. */
   void stop() {
-    life++;
+    incarnation++;
     module = null;
-    open.values().forEach(e -> e.answered = true);
+    open.values().forEach(request -> request.answered = true);
     open.clear();
   }
 
@@ -98,17 +98,17 @@
     return module != null;
   }
 
-  int life() {
-    return life;
+  int incarnation() {
+    return incarnation;
   }
 
-  /** Stands still until a time; what happens meanwhile reaches it then. */
+  /** Pauses the instance until a time; events in the meantime are delivered then. */
   void pauseUntil(long time) {
     pausedUntil = time;
   }
 
-  /** The list with start times by this instance's clock. */
-  List<Listed> own(List<Listed> list) {
+  /** Returns the list with the start times converted to this instance's clock. */
+  List<Listed> withLocalClock(List<Listed> list) {
     return list.stream()
         .map(l -> new Listed(
             l.upstream(),
@@ -120,24 +120,24 @@
         .toList();
   }
 
-  /** Hands an event to the module and performs its actions; later where the instance stands still. */
-  void tell(Event event) {
+  /** Passes an event to the module and performs its actions; if the instance is paused, does so when it resumes. */
+  void deliver(Event event) {
     if (queue.now() < pausedUntil) {
-      int of = life;
-      queue.at(pausedUntil, () -> {
-        if (of == life) {
-          tell(event);
+      int scheduledIn = incarnation;
+      queue.schedule(pausedUntil, () -> {
+        if (scheduledIn == incarnation) {
+          deliver(event);
         }
       });
       return;
     }
-    if (event instanceof ListUpdate news) {
-      news.entries().forEach(e -> {
-        startsKnown.put(e.upstream(), e.startedNanos() == 0 ? 0 : e.startedNanos() - origin);
+    if (event instanceof ListUpdate update) {
+      update.entries().forEach(e -> {
+        knownStarts.put(e.upstream(), e.startedNanos() == 0 ? 0 : e.startedNanos() - origin);
         if (e.state() == State.READY) {
-          toldAt.remove(e.upstream());
+          departureNotifiedAt.remove(e.upstream());
         } else {
-          toldAt.putIfAbsent(e.upstream(), queue.now());
+          departureNotifiedAt.putIfAbsent(e.upstream(), queue.now());
         }
       });
     }
@@ -156,10 +156,10 @@
     } else if (action instanceof Cancel a) {
       end(a.id(), open.get(a.id()).attempts.get(a.attempt()), a.attempt(), Status.CANCELLED);
     } else if (action instanceof SetTimer a) {
-      int of = life;
-      queue.at(Math.max(queue.now(), a.atNanos() - origin), () -> {
-        if (of == life) {
-          tell(new TimerFired(a.token()));
+      int scheduledIn = incarnation;
+      queue.schedule(Math.max(queue.now(), a.atNanos() - origin), () -> {
+        if (scheduledIn == incarnation) {
+          deliver(new TimerFired(a.token()));
         }
       });
     }
@@ -167,107 +167,112 @@
 
   /** A client sends a request. */
   void request(String id, RequestClass type, String key) {
-    RequestRecord e = new RequestRecord(type, queue.now() + DEADLINE);
-    rules.add(e);
-    open.put(id, e);
-    tell(new Request(id, type.name(), null, key, e.deadline + origin, 0, false));
+    RequestRecord request = new RequestRecord(type, queue.now() + DEADLINE);
+    rules.add(request);
+    open.put(id, request);
+    deliver(new Request(id, type.name(), null, key, request.deadline + origin, 0, false));
   }
 
   private void answer(String id, boolean refusal) {
-    RequestRecord e = open.get(id);
-    if (e.served) {
+    RequestRecord request = open.get(id);
+    if (request.served) {
       return;
     }
-    rules.fault(e.answered, "two final answers to " + id);
-    e.answered = true;
-    e.refused = refusal;
-    rules.fault(
-        queue.now() > e.deadline + SLACK && pausedUntil < e.deadline - DEADLINE,
+    rules.recordIf(request.answered, "two final answers to " + id);
+    request.answered = true;
+    request.refused = refusal;
+    rules.recordIf(
+        queue.now() > request.deadline + SLACK && pausedUntil < request.deadline - DEADLINE,
         "answered late: " + id);
   }
 
   private void send(Send a) {
-    RequestRecord e = open.get(a.id());
+    RequestRecord request = open.get(a.id());
     SimulatedUpstream upstream = upstreams.get(a.upstream());
-    rules.fault(e.answered && !e.served, "sent after its answer: " + a.id());
-    rules.fault(
-        toldAt.containsKey(a.upstream()) && queue.now() - toldAt.get(a.upstream()) > GRACE,
+    rules.recordIf(request.answered && !request.served, "sent after the final answer: " + a.id());
+    rules.recordIf(
+        departureNotifiedAt.containsKey(a.upstream())
+            && queue.now() - departureNotifiedAt.get(a.upstream()) > GRACE,
         "instance " + number + " sent to " + a.upstream() + " "
-            + (queue.now() - toldAt.getOrDefault(a.upstream(), queue.now())) / MS
-            + " ms after it was told that it leaves");
+            + (queue.now() - departureNotifiedAt.getOrDefault(a.upstream(), queue.now())) / MS
+            + " ms after the notification that it departs");
     Attempt t = new Attempt(upstream);
-    int attempt = e.attempts.size();
-    e.attempts.add(t);
-    if (e.served) {
-      // As the table of open requests does: nothing goes out for one that has its answer.
+    int attempt = request.attempts.size();
+    request.attempts.add(t);
+    if (request.served) {
+      // Like the real table of open requests: nothing is sent for a request that is already
+      // answered.
       end(a.id(), t, attempt, Status.NOT_SENT);
       return;
     }
-    if (startsKnown.getOrDefault(upstream.id, 0L) == upstream.startedAt) {
+    if (knownStarts.getOrDefault(upstream.id, 0L) == upstream.startedAt) {
       upstream.sends.add(queue.now());
     }
-    int of = life;
+    int scheduledIn = incarnation;
     long arrives = queue.now() + MS / 5 + random.nextLong(MS);
-    queue.at(queue.now() + a.timeoutNanos(), () -> ended(of, a.id(), t, attempt, Status.TIMEOUT));
-    queue.at(arrives, () -> arrive(of, e, a.id(), t, attempt));
+    queue.schedule(
+        queue.now() + a.timeoutNanos(),
+        () -> endLater(scheduledIn, a.id(), t, attempt, Status.TIMEOUT));
+    queue.schedule(arrives, () -> arrive(scheduledIn, request, a.id(), t, attempt));
   }
 
-  private void arrive(int of, RequestRecord e, String id, Attempt t, int attempt) {
+  private void arrive(int scheduledIn, RequestRecord request, String id, Attempt t, int attempt) {
     if (t.upstream.down) {
-      queue.at(queue.now() + MS, () -> ended(of, id, t, attempt, Status.CONNECT_FAILED));
+      queue.schedule(
+          queue.now() + MS, () -> endLater(scheduledIn, id, t, attempt, Status.CONNECT_FAILED));
       return;
     }
-    if (t.over) {
+    if (t.ended) {
       return;
     }
     if (random.nextInt(60) == 0) {
-      queue.at(queue.now() + MS, () -> ended(of, id, t, attempt, Status.FULL));
+      queue.schedule(queue.now() + MS, () -> endLater(scheduledIn, id, t, attempt, Status.FULL));
       return;
     }
-    rules.ran(e, t.upstream.cell);
+    rules.checkRun(request, t.upstream.cell);
     if (t.upstream.hung) {
       return;
     }
-    int luck = random.nextInt(100);
-    long takes = 2 * MS
+    int chance = random.nextInt(100);
+    long durationNanos = 2 * MS
         + (long) (-Math.log(1 - random.nextDouble()) * 20 * MS / t.upstream.warmth(queue.now()));
-    queue.at(
-        queue.now() + takes,
-        () -> ended(
-            of,
+    queue.schedule(
+        queue.now() + durationNanos,
+        () -> endLater(
+            scheduledIn,
             id,
             t,
             attempt,
-            t.upstream.down || luck == 0
+            t.upstream.down || chance == 0
                 ? Status.RESET
-                : luck == 1 ? Status.ERROR : Status.SERVED));
+                : chance == 1 ? Status.ERROR : Status.SERVED));
   }
 
-  private void ended(int of, String id, Attempt t, int attempt, Status status) {
-    if (of == life && queue.now() < pausedUntil) {
-      queue.at(pausedUntil, () -> ended(of, id, t, attempt, status));
-    } else if (of == life) {
+  private void endLater(int scheduledIn, String id, Attempt t, int attempt, Status status) {
+    if (scheduledIn == incarnation && queue.now() < pausedUntil) {
+      queue.schedule(pausedUntil, () -> endLater(scheduledIn, id, t, attempt, status));
+    } else if (scheduledIn == incarnation) {
       end(id, t, attempt, status);
     }
   }
 
   private void end(String id, Attempt t, int attempt, Status status) {
-    RequestRecord e = open.get(id);
-    if (t.over) {
+    RequestRecord request = open.get(id);
+    if (t.ended) {
       return;
     }
-    t.over = true;
-    if (status == Status.SERVED && !e.answered) {
-      e.answered = true;
-      e.served = true;
-      rules.served();
+    t.ended = true;
+    if (status == Status.SERVED && !request.answered) {
+      request.answered = true;
+      request.served = true;
+      rules.countServed();
     }
-    // As on sockets: told later, never from within an action.
-    int of = life;
-    boolean finished = e.answered;
-    queue.at(queue.now(), () -> {
-      if (of == life) {
-        tell(new Outcome(id, attempt, t.upstream.id, status, 5 * MS, finished, Map.of()));
+    // As with real sockets, the module is notified later, never from within an action.
+    int scheduledIn = incarnation;
+    boolean finished = request.answered;
+    queue.schedule(queue.now(), () -> {
+      if (scheduledIn == incarnation) {
+        deliver(new Outcome(id, attempt, t.upstream.id, status, 5 * MS, finished, Map.of()));
       }
     });
   }
--- a/src/main/java/pumicekeel/sim/SimulatedUpstream.java
+++ b/src/main/java/pumicekeel/sim/SimulatedUpstream.java
@@ -5,20 +5,20 @@
 import pumicekeel.Balancer.Listed;
 import pumicekeel.Balancer.State;
 
-/** An upstream of {@link ModuleSim}, with the sends to it that count for its cold budget. */
+/** An upstream of {@link ModuleSim}, with the times of the requests that count against its cold budget. */
 final class SimulatedUpstream {
 
   final long id;
   final int cell;
-  /** When instances sent to it that knew of its latest start. */
+  /** Times of requests from instances that knew of its latest start. */
   final List<Long> sends = new ArrayList<>();
-  /** Its latest start; 0 for one that was always warm. */
+  /** Time of its latest start; 0 if it was warm from the beginning. */
   long startedAt;
 
   State state = State.READY;
-  /** Refuses connections. */
+  /** Connections to it are refused. */
   boolean down;
-  /** Takes requests and never answers. */
+  /** It accepts requests and never answers them. */
   boolean hung;
 
   SimulatedUpstream(long id, int cell) {
@@ -26,12 +26,12 @@
     this.cell = cell;
   }
 
-  /** Its line in the list, as it stands now. */
+  /** Returns its current entry in the list. */
   Listed listed() {
     return new Listed(id, "a", cell, state, startedAt, 1);
   }
 
-  /** The part of its capacity that it has at a time. */
+  /** Returns its warmth at a time, the share of its full capacity. */
   double warmth(long at) {
     return startedAt == 0
         ? 1
@@ -43,7 +43,7 @@
                     / (double) ModuleSimSettings.WARM);
   }
 
-  /** Sends in the window that begins at a time. */
+  /** Returns the number of requests sent to it in the window that starts at {@code from}. */
   long sendsInWindow(long from) {
     return sends.stream()
         .filter(at -> at >= from && at < from + ModuleSimSettings.WINDOW)
--- a/src/test/java/pumicekeel/sim/ModuleSimTest.java
+++ b/src/test/java/pumicekeel/sim/ModuleSimTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The decision modules of fleets under faults; a seed that fails says so and is played again by {@code sim modules}. */
+/** Tests the decision modules of whole fleets under faults; a seed that fails is reported and can be replayed by {@code sim modules}. */
 class ModuleSimTest {
 
   @Test
-  void rulesHoldOverSeedsOfThreeToTwenty() {
+  void rulesHoldInFleetsOfThreeToTwenty() {
     long served = 0;
     long requests = 0;
     for (long seed = 1; seed <= 40; seed++) {
@@ -19,22 +19,24 @@
       served += r.served();
       requests += r.requests();
     }
-    assertTrue(served > requests / 2, "and most are served: " + served + " of " + requests);
+    assertTrue(
+        served > requests / 2,
+        "more than half of the requests are served: " + served + " of " + requests);
   }
 
   @Test
-  void seedGivesTheSameRunAgain() {
+  void sameSeedGivesTheSameRun() {
     assertEquals(new ModuleSim(5, 8).run(), new ModuleSim(5, 8).run());
   }
 
-  /** With five of six leaving, what all had asked was taken for what the last one, cold, could take: 102 of 68. */
+  /** When five of six upstreams drained, the load of all was treated as the capacity of the last, cold one: 102 sent of 68 allowed. */
   @Test
-  void lastOneReadyIsNoHeirOfWhatAllWereAsked() {
+  void lastReadyUpstreamDoesNotGetTheLoadOfAll() {
     assertNull(new ModuleSim(5596, 7).run().fault());
   }
 
   @Test
-  void rulesHoldForAHundred() {
+  void rulesHoldInAFleetOfAHundred() {
     ModuleSim.Report r = new ModuleSim(3, 100).run();
     assertNull(r.fault());
     assertTrue(r.served() > 0);
--- a/src/test/java/pumicekeel/sim/QuotaSimTest.java
+++ b/src/test/java/pumicekeel/sim/QuotaSimTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A few seeds of what {@code sim quotas} plays by thousands. */
+/** Tests the sharing of quotas for a few seeds; {@code sim quotas} runs thousands. */
 class QuotaSimTest {
 
   @Test
-  void neverMoreThanTheQuotaWhateverFails() {
+  void quotaIsNeverExceededUnderFaults() {
     for (long seed = 1; seed <= 40; seed++) {
       assertNull(
           new QuotaSim(seed, 3 + (int) (seed % 10)).run(QuotaSim.Course.FAULTS).fault(),
@@ -18,9 +18,9 @@
     }
   }
 
-  /** Small loans grow: one that was lent a little once must not stay at that beside members that are idle. */
+  /** A member that was lent a little must be lent more as its demand rises, while the other members are idle. */
   @Test
-  void demandThatRisesInSmallStepsIsLentAsMuchAsOneThatJumps() {
+  void demandThatRisesInSmallStepsIsLentAsMuchAsDemandThatJumps() {
     for (int size : new int[] {2, 3, 8, 20}) {
       for (long seed = 1; seed <= 5; seed++) {
         QuotaSim.Report r = new QuotaSim(seed, size).run(QuotaSim.Course.RISING);
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void sameSeedSameRunAndLendingAdmitsMoreThanEvenParts() {
+  void sameSeedGivesTheSameRunAndLendingAdmitsMoreThanEvenParts() {
     QuotaSim.Report once = new QuotaSim(5, 8).run(QuotaSim.Course.CALM);
     assertEquals(once, new QuotaSim(5, 8).run(QuotaSim.Course.CALM));
     assertTrue(once.shared() > once.fixed() + 0.1, once.toString());
