--- a/src/main/java/pumicekeel/measure/Measure.java
+++ b/src/main/java/pumicekeel/measure/Measure.java
@@ -30,12 +30,12 @@
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
 
-/** Measurements of the balancer against itself and against a bare relay, as ratios within one run, on loopback. */
+/** Measures the balancer in comparison with itself and with a plain relay, on loopback. Reports ratios within one run. */
 public final class Measure {
 
   private static final int CONNECTIONS = 32;
   private static final int UPSTREAMS = 4;
-  private static final double CLOSED = Double.POSITIVE_INFINITY;
+  private static final double CLOSED_LOOP = Double.POSITIVE_INFINITY;
 
   private final PrintWriter out;
   private final int seconds;
@@ -51,7 +51,7 @@
     this.rounds = rounds;
   }
 
-  /** Ends the stand-ins. */
+  /** Stops the event loops of the stand-ins and the clients. */
   public void close() {
     standIns.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     clients.shutdownGracefully(0, 0, TimeUnit.SECONDS);
@@ -65,7 +65,7 @@
     return load(
         address,
         new HttpRequestTemplate(host, "rate-lookup", false, "t", 3_000),
-        perSecond == CLOSED
+        perSecond == CLOSED_LOOP
             ? LoadProfile.closedLoop(connections, 1)
             : LoadProfile.openLoop(connections, perSecond),
         prefix,
@@ -73,16 +73,20 @@
   }
 
   private Rate load(
-      InetSocketAddress address, RequestTemplate ask, LoadProfile shape, String prefix, long millis)
+      InetSocketAddress address,
+      RequestTemplate template,
+      LoadProfile profile,
+      String prefix,
+      long millis)
       throws InterruptedException {
-    Load load = new Load(address, clients, ask, shape, prefix, 1).start();
+    Load load = new Load(address, clients, template, profile, prefix, 1).start();
     long start = System.nanoTime();
     TimeUnit.MILLISECONDS.sleep(millis);
-    double taken = (System.nanoTime() - start) / 1e9;
+    double elapsedSeconds = (System.nanoTime() - start) / 1e9;
     long served = load.count(Outcome.SERVED);
     LoadResults results = load.stop();
     return new Rate(
-        served / taken,
+        served / elapsedSeconds,
         results.latency().getValueAtPercentile(99) / 1e3,
         results.asked() - results.abandoned() - results.count(Outcome.SERVED));
   }
@@ -143,9 +147,9 @@
     return out;
   }
 
-  private static final InetSocketAddress NOWHERE = new InetSocketAddress("127.0.0.1", 1);
+  private static final InetSocketAddress UNREACHABLE = new InetSocketAddress("127.0.0.1", 1);
 
-  private static String fixed(List<StandInUpstream> upstreams) {
+  private static String staticSource(List<StandInUpstream> upstreams) {
     return "["
         + String.join(
             ", ",
@@ -158,7 +162,7 @@
 
   private static Node node(List<StandInUpstream> known, String operator) throws Exception {
     Node node = new Node(
-        configuration(json(NOWHERE, known)),
+        configuration(json(UNREACHABLE, known)),
         operator == null ? null : OperatorReader.read(operator).operator(),
         () -> {});
     return node;
@@ -166,34 +170,34 @@
 
   // The measurements
 
-  /** Requests a second through the balancer, without and with an operator file, against a bare relay, in turns. */
+  /** Measures requests per second through the balancer, without and with an operator file, against a plain relay, in turns. */
   public void relay() throws Exception {
     List<StandInUpstream> upstreams = upstreams("u", UPSTREAMS, 0);
     EventLoopGroup relayLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     Relay relay = new Relay(
         relayLoop,
         upstreams.stream().map(StandInUpstream::address).toArray(InetSocketAddress[]::new));
-    Node off = node(upstreams, null);
-    Node on = node(
+    Node withoutFile = node(upstreams, null);
+    Node withFile = node(
         upstreams,
-        "[sources.s]\nstatic = " + fixed(upstreams)
+        "[sources.s]\nstatic = " + staticSource(upstreams)
             + "\n[pools.p]\nsource = \"s\"\n[[routes]]\nhost = \"h\"\npool = \"p\"\n");
-    InetSocketAddress offAt = off.start();
-    InetSocketAddress onAt = on.start();
-    off.awaitReady();
-    on.awaitReady();
-    List<Double> offRatio = new ArrayList<>();
-    List<Double> onRatio = new ArrayList<>();
+    InetSocketAddress withoutFileAt = withoutFile.start();
+    InetSocketAddress withFileAt = withFile.start();
+    withoutFile.awaitReady();
+    withFile.awaitReady();
+    List<Double> withoutFileRatio = new ArrayList<>();
+    List<Double> withFileRatio = new ArrayList<>();
     List<Double> p99 = new ArrayList<>();
     for (int i = 0; i <= rounds; i++) {
-      Rate bare = load(relay.address(), "h", CLOSED, CONNECTIONS, "r" + i);
-      Rate without = load(offAt, "h", CLOSED, CONNECTIONS, "f" + i);
-      Rate with = load(onAt, "h", CLOSED, CONNECTIONS, "n" + i);
+      Rate relayRate = load(relay.address(), "h", CLOSED_LOOP, CONNECTIONS, "r" + i);
+      Rate without = load(withoutFileAt, "h", CLOSED_LOOP, CONNECTIONS, "f" + i);
+      Rate with = load(withFileAt, "h", CLOSED_LOOP, CONNECTIONS, "n" + i);
       out.printf(
           "%s relay %.0f/s p99 %.2f ms, no file %.0f/s p99 %.2f ms, file %.0f/s p99 %.2f ms, not served %d %d%n",
           i == 0 ? "warm-up:" : "round " + i + ":",
-          bare.perSecond(),
-          bare.p99Millis(),
+          relayRate.perSecond(),
+          relayRate.p99Millis(),
           without.perSecond(),
           without.p99Millis(),
           with.perSecond(),
@@ -202,43 +206,43 @@
           with.notServed());
       out.flush();
       if (i > 0) {
-        offRatio.add(without.perSecond() / bare.perSecond());
-        onRatio.add(with.perSecond() / without.perSecond());
+        withoutFileRatio.add(without.perSecond() / relayRate.perSecond());
+        withFileRatio.add(with.perSecond() / without.perSecond());
         p99.add(with.p99Millis() / without.p99Millis());
       }
     }
-    out.println("no file against the relay " + median(offRatio) + "; file against no file "
-        + median(onRatio) + ", p99 " + median(p99));
+    out.println("no file against the relay " + median(withoutFileRatio) + "; file against no file "
+        + median(withFileRatio) + ", p99 " + median(p99));
     relay.close();
-    off.close();
-    on.close();
+    withoutFile.close();
+    withFile.close();
     upstreams.forEach(StandInUpstream::close);
     relayLoop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
-  private interface Trouble {
+  private interface Disturbance {
     AutoCloseable begin(InetSocketAddress balancer, List<StandInUpstream> ofA) throws Exception;
   }
 
-  /** Pool b's 99th percentile with pool a at rest and under each fault, in pairs. */
+  /** Measures the p99 latency of pool b while pool a is idle and under each fault, in pairs. */
   public void isolation() throws Exception {
-    pair("a at its usual load", (at, u) -> usual(at, 300));
+    compareUnder("a at its usual load", (at, u) -> loadPoolA(at, 300));
     for (Mode mode : List.of(Mode.HANG, Mode.RESET, Mode.SPOILT, Mode.ERROR)) {
-      pair("a's upstreams: " + mode, (at, u) -> {
-        AutoCloseable load = usual(at, 300);
+      compareUnder("a's upstreams: " + mode, (at, u) -> {
+        AutoCloseable load = loadPoolA(at, 300);
         u.forEach(x -> x.mode(mode));
         return load;
       });
     }
-    pair("a's upstreams refuse", (at, u) -> {
+    compareUnder("a's upstreams refuse", (at, u) -> {
       u.forEach(StandInUpstream::kill);
-      return usual(at, 300);
+      return loadPoolA(at, 300);
     });
-    pair("a has ten times its load", (at, u) -> usual(at, 3_000));
-    pair("a's clients send a byte at a time", (at, u) -> new SlowSenders(at, clients, 200));
+    compareUnder("a has ten times its load", (at, u) -> loadPoolA(at, 3_000));
+    compareUnder("a's clients send a byte at a time", (at, u) -> new SlowSenders(at, clients, 200));
   }
 
-  private AutoCloseable usual(InetSocketAddress at, double perSecond) {
+  private AutoCloseable loadPoolA(InetSocketAddress at, double perSecond) {
     Load load = new Load(
             at,
             clients,
@@ -250,49 +254,50 @@
     return load::stop;
   }
 
-  private void pair(String name, Trouble trouble) throws Exception {
+  private void compareUnder(String name, Disturbance disturbance) throws Exception {
     List<Double> ratios = new ArrayList<>();
-    double rest = 0;
-    double under = 0;
+    double idleP99 = 0;
+    double disturbedP99 = 0;
     long notServed = 0;
     for (int i = 0; i < rounds; i++) {
       List<StandInUpstream> a = upstreams("a", 2, 2_000);
       List<StandInUpstream> b = upstreams("b", 2, 2_000);
       Node node = node(
           a,
-          "[sources.a]\nstatic = " + fixed(a) + "\n[sources.b]\nstatic = " + fixed(b)
+          "[sources.a]\nstatic = " + staticSource(a) + "\n[sources.b]\nstatic = " + staticSource(b)
               + "\n[pools.a]\nsource = \"a\"\n[pools.b]\nsource = \"b\"\n[[routes]]\nhost = \"a\"\npool = \"a\"\n"
               + "[[routes]]\nhost = \"b\"\npool = \"b\"\n");
       InetSocketAddress at = node.start();
       node.awaitReady();
       load(at, "b", 400, 8, "w" + i);
-      Rate alone = load(at, "b", 400, 8, "r" + i);
-      AutoCloseable running = trouble.begin(at, a);
-      Rate beside = load(at, "b", 400, 8, "u" + i);
+      Rate idle = load(at, "b", 400, 8, "r" + i);
+      AutoCloseable running = disturbance.begin(at, a);
+      Rate disturbed = load(at, "b", 400, 8, "u" + i);
       running.close();
       node.close();
       a.forEach(StandInUpstream::close);
       b.forEach(StandInUpstream::close);
-      rest = alone.p99Millis();
-      under = beside.p99Millis();
-      notServed += beside.notServed();
-      ratios.add(under / rest);
+      idleP99 = idle.p99Millis();
+      disturbedP99 = disturbed.p99Millis();
+      notServed += disturbed.notServed();
+      ratios.add(disturbedP99 / idleP99);
     }
     out.printf(
         "%-36s b's p99 %.2f ms after %.2f ms; ratio %s; %d of b not served%n",
-        name, under, rest, median(ratios), notServed);
+        name, disturbedP99, idleP99, median(ratios), notServed);
     out.flush();
   }
 
-  /** Time to readiness and memory of a process by its number of pools, and with no file at all. */
+  /** Measures the time to readiness and the memory of a process by its number of pools, and without an operator file. */
   public void pools(Path jar, List<String> flags) throws Exception {
     List<StandInUpstream> upstreams = upstreams("u", UPSTREAMS, 0);
     Path folder = Files.createTempDirectory("measure");
-    Path config = Files.writeString(folder.resolve("config.json"), json(NOWHERE, upstreams));
+    Path config = Files.writeString(folder.resolve("config.json"), json(UNREACHABLE, upstreams));
     for (int pools : new int[] {0, 1, 32}) {
       List<Double> millis = new ArrayList<>();
       List<Double> megabytes = new ArrayList<>();
-      StringBuilder text = new StringBuilder("[sources.s]\nstatic = " + fixed(upstreams) + "\n");
+      StringBuilder text =
+          new StringBuilder("[sources.s]\nstatic = " + staticSource(upstreams) + "\n");
       for (int i = 0; i < pools; i++) {
         text.append("[pools.p")
             .append(i)
@@ -327,23 +332,25 @@
     upstreams.forEach(StandInUpstream::close);
   }
 
-  /** Throughput and p99 of this build without an operator file against another build's, in turns. */
+  /** Measures throughput and p99 latency of this build without an operator file against those of another build, in turns. */
   public void versus(Path jar, Path other, List<String> flags) throws Exception {
     List<StandInUpstream> upstreams = upstreams("u", UPSTREAMS, 0);
     Path folder = Files.createTempDirectory("measure");
-    Path config = Files.writeString(folder.resolve("config.json"), json(NOWHERE, upstreams));
-    Process mine = serve(jar, flags, config, null);
-    Process theirs = serve(other, flags, config, null);
-    InetSocketAddress mineAt = address(mine);
-    InetSocketAddress theirsAt = address(theirs);
+    Path config = Files.writeString(folder.resolve("config.json"), json(UNREACHABLE, upstreams));
+    Process thisBuild = serve(jar, flags, config, null);
+    Process otherBuild = serve(other, flags, config, null);
+    InetSocketAddress thisBuildAt = address(thisBuild);
+    InetSocketAddress otherBuildAt = address(otherBuild);
     List<Double> rate = new ArrayList<>();
     List<Double> p99 = new ArrayList<>();
     for (int i = 0; i <= rounds; i++) {
-      boolean mineFirst = i % 2 == 0;
-      Rate first = load(mineFirst ? mineAt : theirsAt, "h", CLOSED, CONNECTIONS, "x" + i);
-      Rate second = load(mineFirst ? theirsAt : mineAt, "h", CLOSED, CONNECTIONS, "y" + i);
-      Rate m = mineFirst ? first : second;
-      Rate t = mineFirst ? second : first;
+      boolean thisBuildFirst = i % 2 == 0;
+      Rate first =
+          load(thisBuildFirst ? thisBuildAt : otherBuildAt, "h", CLOSED_LOOP, CONNECTIONS, "x" + i);
+      Rate second =
+          load(thisBuildFirst ? otherBuildAt : thisBuildAt, "h", CLOSED_LOOP, CONNECTIONS, "y" + i);
+      Rate m = thisBuildFirst ? first : second;
+      Rate t = thisBuildFirst ? second : first;
       out.printf(
           "%s this %.0f/s p99 %.2f ms, other %.0f/s p99 %.2f ms%n",
           i == 0 ? "warm-up:" : "round " + i + ":",
@@ -359,12 +366,12 @@
     }
     out.println(
         "this against the other: requests a second " + median(rate) + ", p99 " + median(p99));
-    mine.destroy();
-    theirs.destroy();
+    thisBuild.destroy();
+    otherBuild.destroy();
     upstreams.forEach(StandInUpstream::close);
   }
 
-  /** Keyed requests without a journal, with one that survives the process, and with one that survives the host. */
+  /** Measures keyed requests without a journal, with one that survives the process, and with one that survives the host. */
   public void journal() throws Exception {
     List<StandInUpstream> upstreams = upstreams("u", UPSTREAMS, 0);
     Path folder = Files.createTempDirectory("measure");
@@ -377,7 +384,7 @@
               + durability + "\"\n";
       Node node = node(
           upstreams,
-          part + "[sources.s]\nstatic = " + fixed(upstreams)
+          part + "[sources.s]\nstatic = " + staticSource(upstreams)
               + "\n[pools.p]\nsource = \"s\"\nclasses = [{ name = \"quote-issue\", effect = \"keyed\", dedup-scope = \"all\", "
               + "dedup-window-ms = 2000, aim-ms = 400, deadline-ms = 3000 }]\n[[routes]]\npool = \"p\"\n");
       nodes.add(node);
@@ -412,7 +419,7 @@
     }
     out.println("process against off " + median(ratios.get(1)) + ", p99 " + median(p99.get(1)));
     out.println("host against off " + median(ratios.get(2)) + ", p99 " + median(p99.get(2))
-        + "; this disk's syncs of 4 KiB" + " a second: " + Math.round(syncs(folder)));
+        + "; this disk's syncs of 4 KiB" + " a second: " + Math.round(syncsPerSecond(folder)));
     nodes.forEach(Node::close);
     upstreams.forEach(StandInUpstream::close);
   }
@@ -426,7 +433,7 @@
         TimeUnit.SECONDS.toMillis(seconds));
   }
 
-  private double syncs(Path folder) throws IOException {
+  private double syncsPerSecond(Path folder) throws IOException {
     try (var channel = java.nio.channels.FileChannel.open(
         folder.resolve("sync"),
         java.nio.file.StandardOpenOption.CREATE,
@@ -442,12 +449,12 @@
     }
   }
 
-  /** Calls through the JSON-RPC front, against a relay that only frames and against the HTTP front. */
+  /** Measures calls through the JSON-RPC front, against a relay that only frames messages and against the HTTP front. */
   public void jsonRpc() throws Exception {
     new RpcMeasure(out, seconds, rounds, standIns, clients).run();
   }
 
-  /** The writer alone against a plain sequential write, then a query and a start's reading of what it wrote. */
+  /** Measures the journal writer alone against a plain sequential write, then a query and the recovery at a start. */
   public void journalAlone(int mebibytes) throws Exception {
     Path folder = Files.createTempDirectory("measure");
     out.print(pumicekeel.journal.JournalCost.measure(folder, mebibytes));
@@ -474,7 +481,7 @@
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     for (String line = log.readLine(); line != null; line = log.readLine()) {
       if (line.contains(" serves at /")) {
-        Thread drain = new Thread(() -> skip(log), "log");
+        Thread drain = new Thread(() -> discard(log), "log");
         drain.setDaemon(true);
         drain.start();
         return Addresses.parse("log", line.substring(line.indexOf('/') + 1));
@@ -483,8 +490,8 @@
     throw new IOException("the balancer did not start");
   }
 
-  /** Reads on to the end, or the process would wait for its log to be read. */
-  private static void skip(BufferedReader log) {
+  /** Discards the rest of the log; the process would block on a full pipe otherwise. */
+  private static void discard(BufferedReader log) {
     try {
       String line = log.readLine();
       while (line != null) {
@@ -495,7 +502,7 @@
     }
   }
 
-  /** Linux only: what the kernel says; 0 elsewhere. */
+  /** Returns the resident memory of a process as the kernel reports it; 0 on systems other than Linux. */
   private static double residentMegabytes(Process process) throws IOException {
     Path status = Path.of("/proc", Long.toString(process.pid()), "status");
     return !Files.exists(status)
--- a/src/main/java/pumicekeel/measure/Relay.java
+++ b/src/main/java/pumicekeel/measure/Relay.java
@@ -20,15 +20,15 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A relay of bytes, or of messages that are only cut apart, a connection to an upstream for each client's: what the sockets, and the
- * framing, cost alone on one loop.
+ * Relay of bytes or of framed messages on one event loop, with one upstream connection for each client connection. Gives the cost
+ * of the sockets and of the framing alone, as a baseline for measurements.
  */
 final class Relay implements Closeable {
 
   private final EventLoopGroup loop;
-  private final Supplier<ChannelHandler> fromClients;
-  private final Supplier<ChannelHandler> fromUpstreams;
-  private final UnaryOperator<Object> passes;
+  private final Supplier<ChannelHandler> clientDecoder;
+  private final Supplier<ChannelHandler> upstreamDecoder;
+  private final UnaryOperator<Object> transform;
   private final InetSocketAddress[] upstreams;
   private final Channel listener;
   private int next;
@@ -37,18 +37,18 @@
     this(loop, null, null, UnaryOperator.identity(), upstreams);
   }
 
-  /** One that reads messages by these, and passes on what {@code passes} makes of each; null for nothing. */
+  /** Creates a relay that decodes messages with these handlers and forwards the result of {@code transform}, if not null. */
   Relay(
       EventLoopGroup loop,
-      Supplier<ChannelHandler> fromClients,
-      Supplier<ChannelHandler> fromUpstreams,
-      UnaryOperator<Object> passes,
+      Supplier<ChannelHandler> clientDecoder,
+      Supplier<ChannelHandler> upstreamDecoder,
+      UnaryOperator<Object> transform,
       InetSocketAddress... upstreams)
       throws InterruptedException {
     this.loop = loop;
-    this.fromClients = fromClients;
-    this.fromUpstreams = fromUpstreams;
-    this.passes = passes;
+    this.clientDecoder = clientDecoder;
+    this.upstreamDecoder = upstreamDecoder;
+    this.transform = transform;
     this.upstreams = upstreams;
     listener = new ServerBootstrap()
         .group(loop)
@@ -78,21 +78,21 @@
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel upstream) {
-            join(upstream, fromUpstreams, client);
+            connectTo(upstream, upstreamDecoder, client);
           }
         })
         .connect(upstreams[next++ % upstreams.length])
         .addListener(done -> {
-          join(client, fromClients, ((ChannelFuture) done).channel());
+          connectTo(client, clientDecoder, ((ChannelFuture) done).channel());
           client.config().setAutoRead(true);
         });
   }
 
-  private void join(Channel one, Supplier<ChannelHandler> reads, Channel other) {
-    if (reads != null) {
-      one.pipeline().addLast(reads.get());
+  private void connectTo(Channel channel, Supplier<ChannelHandler> decoder, Channel other) {
+    if (decoder != null) {
+      channel.pipeline().addLast(decoder.get());
     }
-    one.pipeline().addLast(new Pass(other, passes));
+    channel.pipeline().addLast(new Forwarder(other, transform));
   }
 
   @Override
@@ -100,23 +100,23 @@
     listener.close().syncUninterruptibly();
   }
 
-  private static final class Pass extends ChannelInboundHandlerAdapter {
+  private static final class Forwarder extends ChannelInboundHandlerAdapter {
     private final Channel other;
 
-    private final UnaryOperator<Object> passes;
+    private final UnaryOperator<Object> transform;
 
-    private Pass(Channel other, UnaryOperator<Object> passes) {
-      this.passes = passes;
+    private Forwarder(Channel other, UnaryOperator<Object> transform) {
+      this.transform = transform;
       this.other = other;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-      Object passed = passes.apply(message);
-      if (passed != null && other.isActive()) {
-        other.writeAndFlush(passed);
+      Object forwarded = transform.apply(message);
+      if (forwarded != null && other.isActive()) {
+        other.writeAndFlush(forwarded);
       } else {
-        ReferenceCountUtil.release(passed);
+        ReferenceCountUtil.release(forwarded);
       }
     }
 
--- a/src/main/java/pumicekeel/measure/RpcMeasure.java
+++ b/src/main/java/pumicekeel/measure/RpcMeasure.java
@@ -31,7 +31,7 @@
 import pumicekeel.standin.StandInRpcServer;
 import pumicekeel.standin.StandInUpstream;
 
-/** Calls a second through the JSON-RPC front, against a relay that only frames and against the HTTP front, in turns. */
+/** Measures calls per second through the JSON-RPC front, against a relay that only frames messages and the HTTP front, in turns. */
 final class RpcMeasure {
 
   private static final int CONNECTIONS = 32;
@@ -97,16 +97,16 @@
       servers.add(new StandInRpcServer(standIns, Framing.NEWLINE));
       upstreams.add(new StandInUpstream("u" + i, standIns, 0));
     }
-    // One that cuts messages apart and passes them on.
+    // Relays messages with framing only.
     Relay relay = new Relay(
         relayLoop,
         () -> new FrameDecoder(Framing.VALUES, LIMITS, () -> true),
         () -> new FrameDecoder(Framing.NEWLINE, LIMITS, () -> true),
-        message -> message instanceof Frame.Complete whole
-            ? MessageWriter.frame(Framing.NEWLINE, whole.bytes())
+        message -> message instanceof Frame.Complete frame
+            ? MessageWriter.frame(Framing.NEWLINE, frame.bytes())
             : null,
         servers.stream().map(StandInRpcServer::address).toArray(InetSocketAddress[]::new));
-    List<Long> before = threads();
+    List<Long> before = eventLoopThreads();
     Node node = node(
         "[listeners.rpc]\naddress = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\n[[methods]]\nname = "
             + "\"rate.lookup\"\nclass = \"rate-lookup\"\ntenant = { pointer = \"/account\" }\nsession-key = { pointer = "
@@ -119,8 +119,8 @@
             + "\"http\"\n");
     InetSocketAddress http = node.start();
     node.awaitReady();
-    List<Long> loop = threads();
-    loop.removeAll(before);
+    List<Long> balancerThreads = eventLoopThreads();
+    balancerThreads.removeAll(before);
     InetSocketAddress rpc = node.addressOf("rpc");
     List<List<Double>> ratios = List.of(
         new ArrayList<>(),
@@ -130,25 +130,25 @@
         new ArrayList<>(),
         new ArrayList<>());
     for (int i = 0; i <= rounds; i++) {
-      Rate bare = calls(relay.address(), 1, loop, "a" + i);
-      Rate one = calls(rpc, 1, loop, "b" + i);
-      Rate requests = requests(http, loop, "c" + i);
-      Rate bareDeep = calls(relay.address(), 8, loop, "d" + i);
-      Rate deep = calls(rpc, 8, loop, "e" + i);
+      Rate relayed = calls(relay.address(), 1, balancerThreads, "a" + i);
+      Rate one = calls(rpc, 1, balancerThreads, "b" + i);
+      Rate requests = requests(http, balancerThreads, "c" + i);
+      Rate relayedDeep = calls(relay.address(), 8, balancerThreads, "d" + i);
+      Rate deep = calls(rpc, 8, balancerThreads, "e" + i);
       out.printf(
           "%s relay %.0f/s p99 %.2f ms, calls %.0f/s p99 %.2f ms %.0f B, HTTP %.0f/s p99 %.2f ms %.0f B; 8 open: "
               + "relay %.0f/s p99 %.2f ms, calls %.0f/s p99 %.2f ms; not served %d %d %d%n",
           i == 0 ? "warm-up:" : "round " + i + ":",
-          bare.perSecond(),
-          bare.p99Millis(),
+          relayed.perSecond(),
+          relayed.p99Millis(),
           one.perSecond(),
           one.p99Millis(),
           one.bytesPerCall(),
           requests.perSecond(),
           requests.p99Millis(),
           requests.bytesPerCall(),
-          bareDeep.perSecond(),
-          bareDeep.p99Millis(),
+          relayedDeep.perSecond(),
+          relayedDeep.p99Millis(),
           deep.perSecond(),
           deep.p99Millis(),
           one.notServed(),
@@ -156,10 +156,10 @@
           deep.notServed());
       out.flush();
       if (i > 0) {
-        ratios.get(0).add(one.perSecond() / bare.perSecond());
+        ratios.get(0).add(one.perSecond() / relayed.perSecond());
         ratios.get(1).add(one.perSecond() / requests.perSecond());
         ratios.get(2).add(one.p99Millis() / requests.p99Millis());
-        ratios.get(3).add(deep.perSecond() / bareDeep.perSecond());
+        ratios.get(3).add(deep.perSecond() / relayedDeep.perSecond());
         ratios.get(4).add(one.bytesPerCall());
         ratios.get(5).add(requests.bytesPerCall());
       }
@@ -177,49 +177,59 @@
     relayLoop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
-  /** Event loops by now: the balancer's own is the one that comes with it. */
-  private static List<Long> threads() {
-    List<Long> out = new ArrayList<>();
+  /** Returns the ids of all event loop threads; those of the balancer are the ones that are new after its start. */
+  private static List<Long> eventLoopThreads() {
+    List<Long> ids = new ArrayList<>();
     for (Thread t : Thread.getAllStackTraces().keySet()) {
       if (t.getName().contains("EventLoop")) {
-        out.add(t.getId());
+        ids.add(t.getId());
       }
     }
-    return out;
+    return ids;
   }
 
-  private static long allocated(List<Long> threads) {
+  private static long allocatedBytes(List<Long> threads) {
     var bean = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
     return threads.stream().mapToLong(bean::getThreadAllocatedBytes).sum();
   }
 
-  private Rate calls(InetSocketAddress at, int depth, List<Long> loop, String prefix)
+  private Rate calls(InetSocketAddress at, int depth, List<Long> balancerThreads, String prefix)
       throws InterruptedException {
-    return load(at, new RpcRequestTemplate("rate.lookup", "t", 3_000), depth, loop, prefix);
+    return load(
+        at, new RpcRequestTemplate("rate.lookup", "t", 3_000), depth, balancerThreads, prefix);
   }
 
-  private Rate requests(InetSocketAddress at, List<Long> loop, String prefix)
+  private Rate requests(InetSocketAddress at, List<Long> balancerThreads, String prefix)
       throws InterruptedException {
     return load(
-        at, new HttpRequestTemplate("h", "rate-lookup", false, "t", 3_000), 1, loop, prefix);
+        at,
+        new HttpRequestTemplate("h", "rate-lookup", false, "t", 3_000),
+        1,
+        balancerThreads,
+        prefix);
   }
 
   private Rate load(
-      InetSocketAddress at, RequestTemplate ask, int depth, List<Long> loop, String prefix)
+      InetSocketAddress at,
+      RequestTemplate template,
+      int depth,
+      List<Long> balancerThreads,
+      String prefix)
       throws InterruptedException {
-    long bytes = allocated(loop);
-    Load load =
-        new Load(at, clients, ask, LoadProfile.closedLoop(CONNECTIONS, depth), prefix, 1).start();
+    long bytes = allocatedBytes(balancerThreads);
+    Load load = new Load(
+            at, clients, template, LoadProfile.closedLoop(CONNECTIONS, depth), prefix, 1)
+        .start();
     long start = System.nanoTime();
     TimeUnit.SECONDS.sleep(seconds);
-    double taken = (System.nanoTime() - start) / 1e9;
+    double elapsedSeconds = (System.nanoTime() - start) / 1e9;
     long served = load.count(Outcome.SERVED);
-    double garbage = (allocated(loop) - bytes) / (double) Math.max(1, served);
+    double bytesPerCall = (allocatedBytes(balancerThreads) - bytes) / (double) Math.max(1, served);
     LoadResults results = load.stop();
     return new Rate(
-        served / taken,
+        served / elapsedSeconds,
         results.latency().getValueAtPercentile(99) / 1e3,
         results.asked() - results.abandoned() - results.count(Outcome.SERVED),
-        garbage);
+        bytesPerCall);
   }
 }
--- a/src/main/java/pumicekeel/measure/SlowSenders.java
+++ b/src/main/java/pumicekeel/measure/SlowSenders.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** Clients of pool a that send a head and then a byte of the body at a time, and come again when they are closed. */
+/** Clients of pool a that send the request head and then the body byte by byte, and reconnect when they are closed. */
 final class SlowSenders implements AutoCloseable {
 
-  private static final long BYTE_MILLIS = 50;
-  private static final long AGAIN_MILLIS = 100;
+  private static final long BYTE_INTERVAL_MILLIS = 50;
+  private static final long RECONNECT_DELAY_MILLIS = 100;
 
   private final InetSocketAddress balancer;
   private final EventLoopGroup group;
@@ -47,13 +47,14 @@
             ctx.writeAndFlush(Unpooled.copiedBuffer(
                 "GET /rate-lookup HTTP/1.1\r\nHost: a\r\nContent-Length: 60000\r\n\r\n",
                 StandardCharsets.US_ASCII));
-            drip(ctx);
+            sendBytes(ctx);
           }
 
-          private void drip(ChannelHandlerContext ctx) {
+          private void sendBytes(ChannelHandlerContext ctx) {
             if (ctx.channel().isActive()) {
               ctx.writeAndFlush(Unpooled.copiedBuffer("x", StandardCharsets.US_ASCII));
-              ctx.executor().schedule(() -> drip(ctx), BYTE_MILLIS, TimeUnit.MILLISECONDS);
+              ctx.executor()
+                  .schedule(() -> sendBytes(ctx), BYTE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
             }
           }
 
@@ -65,7 +66,8 @@
           @Override
           public void channelInactive(ChannelHandlerContext ctx) {
             open.remove(ctx.channel());
-            ctx.executor().schedule(SlowSenders.this::connect, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+            ctx.executor()
+                .schedule(SlowSenders.this::connect, RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
           }
 
           @Override
--- a/src/main/java/pumicekeel/measure/Torture.java
+++ b/src/main/java/pumicekeel/measure/Torture.java
@@ -32,20 +32,20 @@
 import pumicekeel.standin.StandInUpstream.Seen;
 
 /**
- * Kills real balancers under load at random moments and holds each answer of their journals against the stand-ins' own
- * logs: nothing is called "never left" that an upstream saw, all that upstreams saw is on record at that upstream, and
- * all that clients were told as served is found as answered or as run.
+ * Crash test of the journal: kills balancer processes under load at random moments and compares each answer of their journals with
+ * the stand-ins' own logs. No request that an upstream received is reported as never sent, every request that an upstream received
+ * is recorded for that upstream, and every request that a client saw served is recorded as answered or run.
  */
 public final class Torture {
 
   private static final int CLIENTS = 8;
   private static final double PER_SECOND = 600;
-  /** Long enough that requests are out at any moment; some come within each window between two records. */
+  /** Long enough that requests are in flight at any moment, so that kills fall between any two records of a request. */
   private static final long DELAY_MICROS = 2_000;
 
-  private static final int LONGEST_MILLIS = 250;
-  /** The journal is read anew, and the folder emptied, after so many kills: reading all each time would be quadratic. */
-  private static final int KILLS_A_FOLDER = 10;
+  private static final int MAX_KILL_DELAY_MILLIS = 250;
+  /** Kills after which the journal is read and a new one begun; reading everything after each kill would take quadratic time. */
+  private static final int KILLS_PER_JOURNAL = 10;
 
   private static final String CONFIG = """
       {"name":"torture","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":1024},
@@ -64,11 +64,11 @@
   private final PrintWriter out;
   private final List<StandInUpstream> upstreams = new ArrayList<>();
   private final Map<Story.Verdict, Long> verdicts = new EnumMap<>(Story.Verdict.class);
-  private final List<String> lies = new ArrayList<>();
+  private final List<String> wrongAnswers = new ArrayList<>();
   private long ran;
-  private long neverOnRecord;
+  private long unrecorded;
 
-  /** {@code command} starts the program, up to the arguments of {@code serve}. */
+  /** Creates a test; {@code command} starts the program, up to the arguments of {@code serve}. */
   public Torture(List<String> command, Path folder, String durability, long seed, PrintWriter out) {
     this.command = command;
     this.folder = folder;
@@ -77,7 +77,7 @@
     this.out = out;
   }
 
-  /** Kills so often; true where every answer was true. */
+  /** Performs this many kills. Returns true if every answer was correct. */
   public boolean run(int kills) throws Exception {
     EventLoopGroup standIns = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     EventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -85,12 +85,12 @@
       for (int i = 0; i < 3; i++) {
         upstreams.add(new StandInUpstream("s" + i, standIns, DELAY_MICROS));
       }
-      Set<String> told = new HashSet<>();
-      for (int i = 0; i < kills && lies.isEmpty(); i++) {
-        round(i, clients, told);
-        if ((i + 1) % KILLS_A_FOLDER == 0 || i + 1 == kills) {
-          judge(told, i / KILLS_A_FOLDER);
-          told.clear();
+      Set<String> served = new HashSet<>();
+      for (int i = 0; i < kills && wrongAnswers.isEmpty(); i++) {
+        killOnce(i, clients, served);
+        if ((i + 1) % KILLS_PER_JOURNAL == 0 || i + 1 == kills) {
+          verify(served, i / KILLS_PER_JOURNAL);
+          served.clear();
           out.println((i + 1) + " of " + kills + " kills, " + ran + " requests ran, " + verdicts);
           out.flush();
         }
@@ -100,7 +100,7 @@
       standIns.shutdownGracefully(0, 0, TimeUnit.SECONDS);
       clients.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
-    lies.forEach(lie -> out.println("UNTRUE " + lie));
+    wrongAnswers.forEach(wrong -> out.println("UNTRUE " + wrong));
     long definite = verdicts.entrySet().stream()
         .filter(
             v -> v.getKey() != Story.Verdict.MAY_HAVE_RUN && v.getKey() != Story.Verdict.UNKNOWN)
@@ -109,23 +109,23 @@
     long all = verdicts.values().stream().mapToLong(Long::longValue).sum();
     out.printf(
         "%d answers, %.2f %% of them definite; %d requests ran, %d untrue%n",
-        all, 100.0 * definite / Math.max(1, all), ran, lies.size());
+        all, 100.0 * definite / Math.max(1, all), ran, wrongAnswers.size());
     out.flush();
-    return lies.isEmpty() && all > 0;
+    return wrongAnswers.isEmpty() && all > 0;
   }
 
   private Path journal(int generation) {
     return folder.resolve("journal-" + generation);
   }
 
-  private void round(int kill, EventLoopGroup group, Set<String> told) throws Exception {
-    // Now and then an upstream fails on the way, so that there are second attempts and unanswered
-    // ones.
+  private void killOnce(int kill, EventLoopGroup group, Set<String> served) throws Exception {
+    // One upstream gets a random mode, often a failure, so that there are retries and unanswered
+    // attempts.
     upstreams.forEach(u -> u.mode(Mode.SERVE));
     upstreams
         .get(random.nextInt(upstreams.size()))
         .mode(Mode.values()[random.nextInt(Mode.values().length)]);
-    Process process = start(kill / KILLS_A_FOLDER);
+    Process process = start(kill / KILLS_PER_JOURNAL);
     Load load = null;
     try {
       InetSocketAddress address = address(process);
@@ -142,11 +142,11 @@
       while (load.count(Outcome.SERVED) < 20 && System.nanoTime() - end < 0) {
         TimeUnit.MILLISECONDS.sleep(2);
       }
-      TimeUnit.MICROSECONDS.sleep(random.nextInt(LONGEST_MILLIS * 1_000));
+      TimeUnit.MICROSECONDS.sleep(random.nextInt(MAX_KILL_DELAY_MILLIS * 1_000));
     } finally {
       process.destroyForcibly().waitFor();
       if (load != null) {
-        told.addAll(load.stop().served());
+        served.addAll(load.stop().served());
       }
     }
   }
@@ -178,20 +178,20 @@
   }
 
   private static InetSocketAddress address(Process process) throws IOException {
-    BufferedReader log =
+    BufferedReader reader =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-    StringBuilder said = new StringBuilder();
-    for (String line = log.readLine(); line != null; line = log.readLine()) {
-      said.append(line).append("; ");
+    StringBuilder log = new StringBuilder();
+    for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+      log.append(line).append("; ");
       if (line.contains(" serves at /")) {
         return Addresses.parse("log", line.substring(line.indexOf('/') + 1));
       }
     }
-    throw new IOException("the balancer did not start: " + said);
+    throw new IOException("the balancer did not start: " + log);
   }
 
-  /** Holds the journal of some kills against what the stand-ins and the clients saw in them. */
-  private void judge(Set<String> told, int generation) throws IOException {
+  /** Compares the journal of the last kills with what the stand-ins and the clients saw during them. */
+  private void verify(Set<String> served, int generation) throws IOException {
     History history = new History(e -> true);
     history.read(journal(generation));
     Map<String, Story> stories = new HashMap<>();
@@ -205,32 +205,33 @@
       }
     }
     ran += seen.size();
-    seen.forEach((id, where) -> {
+    seen.forEach((id, upstreamNames) -> {
       Story story = stories.get(id);
       Set<String> recorded = new HashSet<>();
       if (story != null) {
         story.attempts().forEach(a -> recorded.add(a.intent().upstream()));
       }
-      if (!recorded.containsAll(where)) {
-        neverOnRecord++;
-        lies.add(id + " ran at " + where + ", on record are " + recorded);
+      if (!recorded.containsAll(upstreamNames)) {
+        unrecorded++;
+        wrongAnswers.add(id + " ran at " + upstreamNames + ", recorded upstreams: " + recorded);
       }
     });
     stories.forEach((id, story) -> {
       Story.Verdict verdict = story.verdict(history.gapOf(story));
       verdicts.merge(verdict, 1L, Long::sum);
-      boolean really = seen.containsKey(id);
+      boolean ranAtUpstream = seen.containsKey(id);
       boolean claimsRun = verdict == Story.Verdict.ANSWERED || verdict == Story.Verdict.NOT_TOLD;
-      if (verdict == Story.Verdict.NEVER_LEFT && really || claimsRun && !really) {
-        lies.add(id + " is called " + verdict + ", upstreams that saw it: " + seen.get(id));
+      if (verdict == Story.Verdict.NEVER_LEFT && ranAtUpstream || claimsRun && !ranAtUpstream) {
+        wrongAnswers.add(
+            id + " is reported as " + verdict + ", upstreams that saw it: " + seen.get(id));
       }
-      if (verdict == Story.Verdict.NOT_TOLD && told.contains(id)) {
-        lies.add(id + " is called " + verdict + ", and its client was told");
+      if (verdict == Story.Verdict.NOT_TOLD && served.contains(id)) {
+        wrongAnswers.add(id + " is reported as " + verdict + ", but its client was answered");
       }
     });
-    told.stream()
+    served.stream()
         .filter(id ->
             !stories.containsKey(id) || stories.get(id).verdict(null) == Story.Verdict.NEVER_LEFT)
-        .forEach(id -> lies.add(id + " was served and is not found"));
+        .forEach(id -> wrongAnswers.add(id + " was served but is not recorded"));
   }
 }
