--- a/src/main/java/pumicekeel/cli/BuildName.java
+++ b/src/main/java/pumicekeel/cli/BuildName.java
@@ -4,12 +4,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** The program that runs, for results that outlive it. */
+/** Identifies the running build in stored results. */
 final class BuildName {
 
   private BuildName() {}
 
-  /** The commit of the working folder's repository; the program's version where there is none. */
+  /** Returns the commit of the working directory's repository, or the program's version if there is none. */
   static String current() {
     try {
       Process git = new ProcessBuilder("git", "rev-parse", "--short", "HEAD")
--- a/src/main/java/pumicekeel/cli/DemoCommand.java
+++ b/src/main/java/pumicekeel/cli/DemoCommand.java
@@ -13,31 +13,31 @@
 import pumicekeel.demo.Demo;
 import pumicekeel.demo.RpcDemo;
 
-/** Shows two pools at work on this machine alone. */
+/** Demonstrates two pools, with all processes on this machine. */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
     description =
-        "Start stand-in upstreams, a discovery and a balancer with two pools on loopback, drive load, kill and"
-            + " drain an upstream on the way, and hold what the stand-ins saw against the four rules.",
-    footer = {"Exit status: 0 where all rules held, 1 where one broke."})
+        "Start stand-in upstreams, a discovery service and a balancer with two pools on loopback, generate load, kill and"
+            + " drain an upstream meanwhile, and check what the stand-ins recorded against the four rules.",
+    footer = {"Exit status: 0 if all rules held, 1 if one was broken."})
 final class DemoCommand implements Callable<Integer> {
 
-  /** Shorter, a drain's two seconds would not be over. */
-  private static final int LEAST_SECONDS = 6;
+  /** A shorter load would end before the two seconds of a drain are over. */
+  private static final int MIN_SECONDS = 6;
 
-  private static final int MOST_SECONDS = 600;
+  private static final int MAX_SECONDS = 600;
 
   @Option(
       names = "--seconds",
       paramLabel = "N",
       defaultValue = "20",
-      description = "How long the load lasts, 6 to 600. Default: ${DEFAULT-VALUE}.")
+      description = "Duration of the load, 6 to 600. Default: ${DEFAULT-VALUE}.")
   private int seconds;
 
   @Option(
       names = "--jsonrpc",
-      description = "Show JSON-RPC clients and servers instead, of which some misbehave.")
+      description = "Use JSON-RPC clients and servers instead, some of which misbehave.")
   private boolean jsonrpc;
 
   @Option(
@@ -51,16 +51,15 @@
       names = "--faults",
       paramLabel = "N",
       defaultValue = "20",
-      description =
-          "With --jsonrpc: of 100,000 calls, how many meet a fault of their server's, 0 to 10000."
-              + " Default: ${DEFAULT-VALUE}.")
+      description = "With --jsonrpc: how many of 100,000 calls meet a server fault, 0 to 10000."
+          + " Default: ${DEFAULT-VALUE}.")
   private int faults;
 
   @Option(
       names = "--seed",
       paramLabel = "N",
       defaultValue = "1",
-      description = "With --jsonrpc: the faults' seed. Default: ${DEFAULT-VALUE}.")
+      description = "With --jsonrpc: the seed of the faults. Default: ${DEFAULT-VALUE}.")
   private long seed;
 
   @Spec
@@ -68,24 +67,24 @@
 
   @Override
   public Integer call() throws Exception {
-    if (seconds < LEAST_SECONDS || seconds > MOST_SECONDS) {
+    if (seconds < MIN_SECONDS || seconds > MAX_SECONDS) {
       throw new ParameterException(
           spec.commandLine(),
-          "--seconds: expected " + LEAST_SECONDS + " to " + MOST_SECONDS + ", got " + seconds);
+          "--seconds: expected " + MIN_SECONDS + " to " + MAX_SECONDS + ", got " + seconds);
     }
     if (connections < 8 || connections > 2_000 || faults < 0 || faults > 10_000) {
       throw new ParameterException(
           spec.commandLine(), "expected --connections 8 to 2000 and --faults 0 to 10000");
     }
-    PrintStream out = lines(spec.commandLine().getOut());
+    PrintStream out = lineStream(spec.commandLine().getOut());
     boolean held = jsonrpc
         ? new RpcDemo(seconds, connections, faults, seed, out).run()
         : new Demo(seconds, out).run();
     return held ? 0 : 1;
   }
 
-  /** A stream that hands whole lines to a command's writer. */
-  static PrintStream lines(PrintWriter writer) {
+  /** Returns a stream that forwards whole lines to a command's writer. */
+  static PrintStream lineStream(PrintWriter writer) {
     return new PrintStream(
         new OutputStream() {
           private final java.io.ByteArrayOutputStream line = new java.io.ByteArrayOutputStream();
--- a/src/main/java/pumicekeel/cli/FuzzCommand.java
+++ b/src/main/java/pumicekeel/cli/FuzzCommand.java
@@ -8,39 +8,39 @@
 import picocli.CommandLine.Spec;
 import pumicekeel.front.jsonrpc.CallFuzz;
 
-/** Mutated input for the JSON-RPC front. */
+/** Feeds mutated input to the JSON-RPC front. */
 @Command(
     name = "fuzz",
     mixinStandardHelpOptions = true,
     description =
-        "Play mutated input against the JSON-RPC front, without sockets, and check that every call ends once, every"
-            + " request object gets its one answer, and nothing is kept.",
+        "Feed mutated input to the JSON-RPC front, without sockets, and check that every call ends once, every"
+            + " request object gets exactly one answer, and no state remains.",
     footer = {
-      "Exit status: 0 where all held, 1 at the first input that did not; the line tells how to repeat it."
+      "Exit status: 0 if all checks passed, 1 at the first input that failed one; its line says how to repeat it."
     })
 final class FuzzCommand implements Callable<Integer> {
 
-  private static final int STEPS = 20;
+  private static final int PROGRESS_REPORTS = 20;
 
   @Option(
       names = "--inputs",
       paramLabel = "N",
       defaultValue = "1000000",
-      description = "How many, 1 to 1000000000. Default: ${DEFAULT-VALUE}.")
+      description = "Number of inputs, 1 to 1000000000. Default: ${DEFAULT-VALUE}.")
   private long inputs;
 
   @Option(
       names = "--seed",
       paramLabel = "S",
       defaultValue = "1",
-      description = "Default: ${DEFAULT-VALUE}.")
+      description = "Seed of the mutations. Default: ${DEFAULT-VALUE}.")
   private long seed;
 
   @Option(
       names = "--first",
       paramLabel = "N",
       defaultValue = "0",
-      description = "The first input's number, to repeat one. Default: ${DEFAULT-VALUE}.")
+      description = "Number of the first input, to repeat one. Default: ${DEFAULT-VALUE}.")
   private long first;
 
   @Spec
@@ -54,22 +54,22 @@
     }
     var out = spec.commandLine().getOut();
     CallFuzz fuzz = new CallFuzz(seed);
-    long step = Math.max(1, inputs / STEPS);
+    long reportInterval = Math.max(1, inputs / PROGRESS_REPORTS);
     long start = System.nanoTime();
-    boolean held = fuzz.run(first, inputs, i -> {
-      if (i > first && (i - first) % step == 0) {
+    boolean passed = fuzz.run(first, inputs, i -> {
+      if (i > first && (i - first) % reportInterval == 0) {
         System.gc();
         long used = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
         out.printf(
-            "%d inputs, %.0f a second, %.1f MB held%n",
+            "%d inputs, %.0f a second, %.1f MB in use%n",
             i - first, (i - first) * 1e9 / (System.nanoTime() - start), used / 1048576.0);
         out.flush();
       }
     });
     out.println(
-        held
-            ? inputs + " inputs of seed " + seed + ": every call ended once, nothing was kept"
-            : fuzz.failure() + "; again: fuzz --seed " + seed + " --inputs 1 --first N");
-    return held ? 0 : 1;
+        passed
+            ? inputs + " inputs of seed " + seed + ": every call ended once, no state remained"
+            : fuzz.failure() + "; repeat with: fuzz --seed " + seed + " --inputs 1 --first N");
+    return passed ? 0 : 1;
   }
 }
--- a/src/main/java/pumicekeel/cli/JsonOutput.java
+++ b/src/main/java/pumicekeel/cli/JsonOutput.java
@@ -6,12 +6,12 @@
 import java.io.StringWriter;
 import picocli.CommandLine.Model.CommandSpec;
 
-/** One JSON object on a command's standard output. */
+/** Prints one JSON object on a command's standard output. */
 final class JsonOutput {
 
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** Writes an object's fields. */
+  /** Writes the fields of a JSON object. */
   @FunctionalInterface
   interface Fields {
     void write(JsonGenerator out) throws IOException;
--- a/src/main/java/pumicekeel/cli/LabCommand.java
+++ b/src/main/java/pumicekeel/cli/LabCommand.java
@@ -31,15 +31,16 @@
 import pumicekeel.lab.world.WorldSpec;
 import pumicekeel.lab.world.Worlds;
 
-/** Whole fleets in virtual time, by policy, world and seed. */
+/** Simulates whole fleets in virtual time, by policy, world and seed. */
 @Command(
     name = "lab",
     mixinStandardHelpOptions = true,
-    description = "Try policies on whole fleets in virtual time, compare them, and see why.",
+    description =
+        "Simulate whole fleets in virtual time, compare policies and explain the results.",
     subcommands = {
       LabCommand.Run.class,
       LabCommand.Compare.class,
-      LabCommand.MakeReport.class,
+      LabCommand.WriteReport.class,
       LabCommand.Explain.class,
       LabCommand.Shrink.class,
       LabCommand.Program.class,
@@ -57,30 +58,30 @@
     throw new ParameterException(spec.commandLine(), "expected a command");
   }
 
-  /** An experiment. */
+  /** Runs an experiment. */
   @Command(
       name = "run",
       mixinStandardHelpOptions = true,
-      description = "Play an experiment. What the result file holds already is not played again.",
+      description = "Run an experiment. Runs that are already in the result file are not repeated.",
       footer = {
-        "Exit status: 0 where every run came to figures, 1 where some did not, 2 for a file that is no good."
+        "Exit status: 0 if every run has figures, 1 if some have none, 2 for an invalid file."
       })
   static final class Run implements Callable<Integer> {
 
-    @Parameters(paramLabel = "FILE", description = "The experiment, TOML.")
+    @Parameters(paramLabel = "FILE", description = "The experiment (TOML).")
     private Path file;
 
     @Option(
         names = "--out",
         paramLabel = "FILE",
         required = true,
-        description = "Results, a line of JSON each; gone on with if it is there.")
+        description = "The result file, one line of JSON per run; an existing file is continued.")
     private Path out;
 
     @Option(
         names = "--threads",
         paramLabel = "N",
-        description = "Runs side by side, 1 to 256. Default: the processors.")
+        description = "Number of parallel runs, 1 to 256. Default: the number of processors.")
     private Integer threads;
 
     @Spec
@@ -94,13 +95,13 @@
       PrintWriter err = spec.commandLine().getErr();
       try (ResultFile results = ResultFile.open(out)) {
         Experiment experiment = Experiment.read(file);
-        int without = new Runner(
+        int unfinished = new Runner(
                 experiment,
                 BuildName.current(),
                 threads == null ? Runtime.getRuntime().availableProcessors() : threads,
                 err::println)
             .run(results);
-        return without == 0 ? 0 : 1;
+        return unfinished == 0 ? 0 : 1;
       } catch (Experiment.Faulty e) {
         e.lines().forEach(err::println);
         return 2;
@@ -111,30 +112,30 @@
     }
   }
 
-  /** Two results, or two policies of one. */
+  /** Compares two result files, or two policies of one file. */
   @Command(
       name = "compare",
       mixinStandardHelpOptions = true,
       description =
-          "Compare two files of results run by run, or two policies of one file, with a 95 %% interval for the mean difference.",
-      footer = {"Exit status: 0, or 1 where nothing could be paired."})
+          "Compare two result files run by run, or two policies of one file, with a 95 %% interval for the mean difference.",
+      footer = {"Exit status: 0, or 1 if no runs could be paired."})
   static final class Compare implements Callable<Integer> {
 
-    @Parameters(arity = "1..2", paramLabel = "FILE", description = "One file of results, or two.")
+    @Parameters(arity = "1..2", paramLabel = "FILE", description = "One result file, or two.")
     private List<Path> files;
 
     @Option(
         names = "--policies",
         arity = "2",
         paramLabel = "NAME",
-        description = "Two policies: the second is held against the first.")
+        description = "Two policies; the second is compared with the first.")
     private List<String> policies;
 
     @Option(
         names = "--metric",
         paramLabel = "NAME",
         defaultValue = "worth",
-        description = "One of a run's figures. Default: ${DEFAULT-VALUE}.")
+        description = "The figure of a run to compare. Default: ${DEFAULT-VALUE}.")
     private String metric;
 
     @Spec
@@ -165,7 +166,7 @@
         String verdict = switch (l.verdict()) {
           case BETTER -> "better";
           case WORSE -> "worse";
-          default -> "not told from noise";
+          default -> "not significant";
         };
         out.printf(
             "%-44s %5d %9.4f %9.4f %9.4f  %-20s %s%n",
@@ -181,24 +182,28 @@
     }
   }
 
-  /** A page. */
+  /** Writes a page of results. */
   @Command(
       name = "report",
       mixinStandardHelpOptions = true,
-      description = "Write one self-contained page of results.")
-  static final class MakeReport implements Callable<Integer> {
+      description = "Write the results as one self-contained page.")
+  static final class WriteReport implements Callable<Integer> {
 
-    @Parameters(paramLabel = "FILE", description = "Results.")
+    @Parameters(paramLabel = "FILE", description = "The result file.")
     private Path file;
 
-    @Option(names = "--out", paramLabel = "FILE", required = true, description = "The page, HTML.")
+    @Option(
+        names = "--out",
+        paramLabel = "FILE",
+        required = true,
+        description = "The page to write (HTML).")
     private Path out;
 
     @Option(
         names = "--title",
         paramLabel = "TEXT",
         defaultValue = "lab",
-        description = "Default: ${DEFAULT-VALUE}.")
+        description = "Title of the page. Default: ${DEFAULT-VALUE}.")
     private String title;
 
     @Override
@@ -209,48 +214,48 @@
     }
   }
 
-  /** One run by name; what several commands take. */
-  private abstract static class OneRun implements Callable<Integer> {
+  /** Base of the commands that play one run. */
+  private abstract static class SingleRunCommand implements Callable<Integer> {
 
     @Option(
         names = "--world",
         paramLabel = "NAME",
         defaultValue = "calm",
-        description = "Default: ${DEFAULT-VALUE}.")
+        description = "World of the run. Default: ${DEFAULT-VALUE}.")
     protected String world;
 
     @Option(
         names = "--policy",
         paramLabel = "NAME",
         defaultValue = Policies.OWN,
-        description = "Default: ${DEFAULT-VALUE}.")
+        description = "Policy of the balancers. Default: ${DEFAULT-VALUE}.")
     protected String policy;
 
     @Option(
         names = "--balancers",
         paramLabel = "N",
         defaultValue = "2",
-        description = "Default: ${DEFAULT-VALUE}.")
+        description = "Number of balancers. Default: ${DEFAULT-VALUE}.")
     protected int balancers;
 
     @Option(
         names = "--servers",
         paramLabel = "N",
         defaultValue = "10",
-        description = "Default: ${DEFAULT-VALUE}.")
+        description = "Number of upstream servers. Default: ${DEFAULT-VALUE}.")
     protected int servers;
 
     @Option(
         names = "--seconds",
         paramLabel = "S",
         defaultValue = "45",
-        description = "Default: ${DEFAULT-VALUE}.")
+        description = "Duration in virtual seconds. Default: ${DEFAULT-VALUE}.")
     protected double seconds;
 
     @Option(
         names = "--load",
         paramLabel = "PART",
-        description = "Of what the upstreams can do without remembered keys.")
+        description = "Load as a share of what the upstreams can serve if they remember no keys.")
     protected Double load;
 
     @Parameters(paramLabel = "SEED", description = "The run's seed.")
@@ -278,13 +283,13 @@
     }
   }
 
-  /** One run. */
+  /** Plays one run. */
   @Command(
       name = "play",
       mixinStandardHelpOptions = true,
       description = "Play one run and print its figures.",
-      footer = {"Exit status: 0 where all rules held, else 1."})
-  static final class Play extends OneRun {
+      footer = {"Exit status: 0 if all rules held, else 1."})
+  static final class Play extends SingleRunCommand {
     @Override
     public Integer call() {
       long from = System.nanoTime();
@@ -294,7 +299,7 @@
         out.printf("%-18s %.4f%n", name, f.get(name));
       }
       out.printf(
-          "%d requests, %d tries, %d served, %d refused, %d failed, %d found nobody; %d events in %.1f s%n",
+          "%d requests, %d tries, %d served, %d refused, %d failed, %d found no upstream; %d events in %.1f s%n",
           f.asked(),
           f.tries(),
           f.served(),
@@ -311,38 +316,38 @@
     }
   }
 
-  /** Model against sockets. */
+  /** Compares the model with the real program. */
   @Command(
       name = "real",
       mixinStandardHelpOptions = true,
       description =
-          "Play a small world in virtual time and on real sockets with the real program, and hold the two against each other."
-              + " Clients ask once; of troubles only bursts are played. Takes the world's seconds twice, and some.",
+          "Play a small world in virtual time and on real sockets with the real program, and compare the two."
+              + " Clients do not retry; of the world's faults only bursts are played. Takes a little over twice the world's duration.",
       footer = {
-        "Exit status: 0 where the served share lies within 0.03 and the median within 15 %%, else 1."
+        "Exit status: 0 if the served shares differ by at most 0.03 and the medians by 15 %%, else 1."
       })
-  static final class Real extends OneRun {
+  static final class Real extends SingleRunCommand {
 
-    private static final double SERVED_WITHIN = 0.03;
-    private static final double MEDIAN_WITHIN = 0.15;
-    /** Before the run that counts: a program that is just compiled is no steady state. */
-    private static final double REHEARSAL_SECONDS = 10;
+    private static final double MAX_SERVED_SHARE_DIFFERENCE = 0.03;
+    private static final double MAX_MEDIAN_DIFFERENCE = 0.15;
+    /** Warm-up before the measured run: a program whose code was just compiled is not in a steady state. */
+    private static final double WARM_UP_SECONDS = 10;
 
     @Override
     public Integer call() throws Exception {
       WorldSpec world = world().with("retry-part", 0);
       PrintWriter out = spec.commandLine().getOut();
       Figures model = new FleetRun(world, Policies.of(Policies.OWN), seed, null).play(() -> false);
-      out.println("virtual time done; rehearsal");
+      out.println("virtual time done; warm-up");
       out.flush();
-      new RealRun(world.withSeconds(REHEARSAL_SECONDS), seed + 1).play();
+      new RealRun(world.withSeconds(WARM_UP_SECONDS), seed + 1).play();
       out.println("real run of " + world.seconds() + " s");
       out.flush();
       RealRun.Figures real = new RealRun(world, seed).play();
       double served = (double) model.served() / model.tries();
       out.printf(
           "%-10s %9s %9s %9s %9s %9s %9s%n",
-          "", "asked", "served", "refused", "worth", "p50 ms", "p99 ms");
+          "", "requests", "served", "refused", "worth", "p50 ms", "p99 ms");
       out.printf(
           "%-10s %9d %9.4f %9.4f %9.4f %9.1f %9.1f%n",
           "virtual",
@@ -362,29 +367,29 @@
           real.p50Millis(),
           real.p99Millis());
       out.printf(
-          "without an answer or failed %d, another's answer %d; the world itself was late by %.1f ms at the worst%n",
+          "without an answer or failed %d, answers to other requests %d; the test environment itself was late by at most %.1f ms%n",
           real.otherOrNone(), real.wrong(), real.lateMillis());
-      boolean close = Math.abs(real.servedPart() - served) <= SERVED_WITHIN
-          && Math.abs(real.p50Millis() / model.p50Millis() - 1) <= MEDIAN_WITHIN
+      boolean close = Math.abs(real.servedPart() - served) <= MAX_SERVED_SHARE_DIFFERENCE
+          && Math.abs(real.p50Millis() / model.p50Millis() - 1) <= MAX_MEDIAN_DIFFERENCE
           && real.wrong() == 0;
       out.println(close ? "close" : "not close");
       return close ? 0 : 1;
     }
   }
 
-  /** One request. */
+  /** Explains one request. */
   @Command(
       name = "explain",
       mixinStandardHelpOptions = true,
-      description = "Play one run and tell what became of one request.",
-      footer = {"Exit status: 0, or 1 where there is no such request."})
-  static final class Explain extends OneRun {
+      description = "Play one run and print what happened to one request.",
+      footer = {"Exit status: 0, or 1 if there is no such request."})
+  static final class Explain extends SingleRunCommand {
 
     @Option(
         names = "--request",
         paramLabel = "ID",
         required = true,
-        description = "Its number, as 17 or q17.")
+        description = "The request's number, such as 17 or q17.")
     private String request;
 
     @Override
@@ -392,13 +397,13 @@
       String digits = request.replaceFirst("^q", "").replaceFirst("r\\d+$", "");
       if (!digits.matches("\\d{1,18}")) {
         throw new ParameterException(
-            spec.commandLine(), "--request: expected a number, as 17 or q17, got " + request);
+            spec.commandLine(), "--request: expected a number such as 17 or q17, got " + request);
       }
       long number = Long.parseLong(digits);
       List<String> lines = new ArrayList<>();
-      new FleetRun(world(), Policies.of(policy), seed, (of, at, what) -> {
-            if (of == number) {
-              lines.add(String.format("%10.1f ms  %s", at / 1e6, what));
+      new FleetRun(world(), Policies.of(policy), seed, (requestNumber, nanos, event) -> {
+            if (requestNumber == number) {
+              lines.add(String.format("%10.1f ms  %s", nanos / 1e6, event));
             }
           })
           .play(() -> false);
@@ -407,13 +412,13 @@
     }
   }
 
-  /** A smaller world. */
+  /** Shrinks a failing run. */
   @Command(
       name = "shrink",
       mixinStandardHelpOptions = true,
-      description = "Cut a run in which a rule is broken down to a smaller one.",
-      footer = {"Exit status: 0 where one was found, 1 where no rule is broken."})
-  static final class Shrink extends OneRun {
+      description = "Reduce a run in which a rule is broken to a smaller one.",
+      footer = {"Exit status: 0 if one was found, 1 if no rule is broken."})
+  static final class Shrink extends SingleRunCommand {
     @Override
     public Integer call() {
       PrintWriter out = spec.commandLine().getOut();
@@ -423,15 +428,15 @@
     }
   }
 
-  /** The whole program, by seed. */
+  /** Simulates the whole program, by seed. */
   @Command(
       name = "program",
       mixinStandardHelpOptions = true,
       description =
-          "Play the whole serving program in virtual time on a simulated network, between clients, upstreams and a discovery"
-              + " that break in every way that the seed decides. Held against the four rules and against the bounds on sockets and memory.",
+          "Run the whole serving program in virtual time on a simulated network, with clients, upstreams and a discovery service"
+              + " that fail as the seed decides, and check the four rules and the bounds on sockets and memory.",
       footer = {
-        "Exit status: 0 where all held, 1 where something did not; its line says how to repeat it."
+        "Exit status: 0 if all checks passed, 1 if one failed; its line says how to repeat it."
       })
   static final class Program implements Callable<Integer> {
 
@@ -452,22 +457,22 @@
     @Option(
         names = "--threads",
         paramLabel = "N",
-        description = "Runs side by side, 1 to 256. Default: the processors.")
+        description = "Number of parallel runs, 1 to 256. Default: the number of processors.")
     private Integer threads;
 
-    @Option(names = "--trace", description = "Tell every event of the one seed.")
+    @Option(names = "--trace", description = "Print every event of the single seed.")
     private boolean trace;
 
     @Option(
         names = "--shrink",
-        description = "Cut the one seed down to the fewest steps that still break the same.")
+        description = "Reduce the single seed to the fewest steps that still break the same rule.")
     private boolean shrink;
 
     @Option(
         names = "--only",
         paramLabel = "N,N",
         split = ",",
-        description = "Play only these steps of the one seed, as --shrink names them.")
+        description = "Play only these steps of the single seed, as printed by --shrink.")
     private List<Integer> only;
 
     @Spec
@@ -484,10 +489,10 @@
             spec.commandLine(),
             "expected one seed with --trace, --only or --shrink, and no --only with --shrink");
       }
-      return shrink ? shrink() : runs == 1 ? one() : all();
+      return shrink ? shrink() : runs == 1 ? runOne() : runAll();
     }
 
-    private int one() {
+    private int runOne() {
       PrintWriter out = spec.commandLine().getOut();
       ProgramRun.Report r;
       try {
@@ -496,7 +501,7 @@
         throw new ParameterException(spec.commandLine(), "--only: " + e.getMessage());
       }
       out.printf(
-          "seed %d: %d asked, %d served, %d refused; at most %d sockets, %d bytes of buffers; %s%n",
+          "seed %d: %d requests, %d served, %d refused; at most %d sockets, %d bytes of buffers; %s%n",
           seed,
           r.asked(),
           r.served(),
@@ -507,7 +512,7 @@
       return r.breach() == null ? 0 : 1;
     }
 
-    private int all() throws InterruptedException {
+    private int runAll() throws InterruptedException {
       PrintWriter out = spec.commandLine().getOut();
       ProgramSeeds.Total total = new ProgramSeeds(
               seed,
@@ -516,7 +521,7 @@
               spec.commandLine().getErr()::println)
           .play();
       out.printf(
-          "%d runs from seed %d: %d asked, %.1f %% served, %.1f %% refused; broken: %d%n",
+          "%d runs from seed %d: %d requests, %.1f %% served, %.1f %% refused; broken: %d%n",
           total.runs(),
           seed,
           total.asked(),
@@ -525,23 +530,23 @@
           total.broken().size());
       total
           .broken()
-          .forEach((s, what) -> out.println(
-              "seed " + s + ": " + what + "; again by lab program --seed " + s + " --trace"));
+          .forEach((runSeed, breach) -> out.println("seed " + runSeed + ": " + breach
+              + "; repeat with lab program --seed " + runSeed + " --trace"));
       return total.broken().isEmpty() ? 0 : 1;
     }
 
     private int shrink() {
       PrintWriter out = spec.commandLine().getOut();
-      ProgramShrinker.Shrunk left =
+      ProgramShrinker.Shrunk shrunk =
           new ProgramShrinker(seed, spec.commandLine().getErr()::println).shrink();
-      if (left == null) {
+      if (shrunk == null) {
         out.println("seed " + seed + ": all rules held");
         return 0;
       }
-      left.told().forEach(out::println);
-      out.println(
-          "BROKEN: " + left.breach() + "; again by lab program --seed " + seed + " --trace --only "
-              + left.steps().stream().map(String::valueOf).collect(Collectors.joining(",")));
+      shrunk.told().forEach(out::println);
+      out.println("BROKEN: " + shrunk.breach() + "; repeat with lab program --seed " + seed
+          + " --trace --only "
+          + shrunk.steps().stream().map(String::valueOf).collect(Collectors.joining(",")));
       return 1;
     }
   }
--- a/src/main/java/pumicekeel/cli/MeasureCommand.java
+++ b/src/main/java/pumicekeel/cli/MeasureCommand.java
@@ -11,18 +11,18 @@
 import picocli.CommandLine.Spec;
 import pumicekeel.measure.Measure;
 
-/** Measures on loopback; figures are ratios within one run. */
+/** Measures on loopback; the figures are ratios within one run. */
 @Command(
     name = "measure",
     mixinStandardHelpOptions = true,
     description =
-        "Measure on loopback. relay: against a bare relay, without and with an operator file; isolation: one"
-            + " pool's p99 beside another in trouble; pools: start and memory by pools; versus: against another build's jar; journal: keyed requests with"
-            + " none, process and host; writer: the journal's writer, query and recovery alone; jsonrpc: calls against a"
-            + " relay that only frames and against HTTP.")
+        "Measure on loopback. relay: compared with a bare relay, without and with an operator file; isolation: one pool's"
+            + " p99 beside a failing pool; pools: start time and memory by number of pools; versus: compared with another build's"
+            + " jar; journal: keyed requests without a journal and with durability process and host; writer: the journal's writer,"
+            + " query and recovery alone; jsonrpc: calls compared with a relay that only frames messages, and with HTTP.")
 final class MeasureCommand implements Callable<Integer> {
 
-  /** What can be measured. */
+  /** The measurements; their names are the values of the parameter. */
   enum What {
     relay,
     isolation,
@@ -33,44 +33,51 @@
     jsonrpc
   }
 
-  @Parameters(index = "0", paramLabel = "WHAT", description = "One of ${COMPLETION-CANDIDATES}.")
-  private What what;
+  @Parameters(
+      index = "0",
+      paramLabel = "WHAT",
+      description = "The measurement: ${COMPLETION-CANDIDATES}.")
+  private What measurement;
 
   @Option(
       names = "--seconds",
       paramLabel = "N",
       defaultValue = "5",
-      description = "Each run's length, 1 to 600. Default: ${DEFAULT-VALUE}.")
+      description = "Duration of each run, 1 to 600. Default: ${DEFAULT-VALUE}.")
   private int seconds;
 
   @Option(
       names = "--rounds",
       paramLabel = "N",
       defaultValue = "5",
-      description = "Runs of each kind, 1 to 100. Default: ${DEFAULT-VALUE}.")
+      description = "Number of runs of each kind, 1 to 100. Default: ${DEFAULT-VALUE}.")
   private int rounds;
 
   @Option(
       names = "--jar",
       paramLabel = "FILE",
       defaultValue = "target/pumicekeel.jar",
-      description = "This build, for pools and versus. Default: ${DEFAULT-VALUE}.")
+      description = "The jar of this build, for pools and versus. Default: ${DEFAULT-VALUE}.")
   private Path jar;
 
   @Option(
       names = "--mib",
       paramLabel = "N",
       defaultValue = "1024",
-      description = "How much writer writes, 1 to 16384. Default: ${DEFAULT-VALUE}.")
+      description =
+          "How much the measurement writer writes, 1 to 16384. Default: ${DEFAULT-VALUE}.")
   private int mebibytes;
 
-  @Option(names = "--other", paramLabel = "FILE", description = "The other build, for versus.")
+  @Option(
+      names = "--other",
+      paramLabel = "FILE",
+      description = "The jar of the other build, for versus.")
   private Path other;
 
   @Option(
       names = "--flag",
       paramLabel = "FLAG",
-      description = "A flag for the started JVMs; any number.")
+      description = "A flag for the started JVMs; may be repeated.")
   private List<String> flags = List.of();
 
   @Spec
@@ -84,14 +91,14 @@
         || rounds > 100
         || mebibytes < 1
         || mebibytes > 16_384
-        || what == What.versus && other == null) {
+        || measurement == What.versus && other == null) {
       throw new ParameterException(
           spec.commandLine(),
           "expected --seconds 1 to 600, --rounds 1 to 100, and --other FILE for versus");
     }
     Measure measure = new Measure(spec.commandLine().getOut(), seconds, rounds);
     try {
-      switch (what) {
+      switch (measurement) {
         case relay -> measure.relay();
         case isolation -> measure.isolation();
         case pools -> measure.pools(jar, flags);
--- a/src/main/java/pumicekeel/cli/RigCommand.java
+++ b/src/main/java/pumicekeel/cli/RigCommand.java
@@ -11,11 +11,11 @@
 import pumicekeel.rig.FleetRig;
 import pumicekeel.rig.FleetThroughput;
 
-/** Real processes, judged by stand-ins. */
+/** Tests real processes against stand-in clients and upstreams. */
 @Command(
     name = "rig",
     mixinStandardHelpOptions = true,
-    description = "Real processes on this machine, judged by stand-ins.",
+    description = "Test real processes on this machine against stand-in clients and upstreams.",
     subcommands = {
       RigCommand.Fleet.class,
       RigCommand.Throughput.class,
@@ -32,28 +32,29 @@
     throw new ParameterException(spec.commandLine(), "expected a command");
   }
 
-  /** A fleet of them. */
+  /** Tests a fleet under its daemon. */
   @Command(
       name = "fleet",
       mixinStandardHelpOptions = true,
       description =
-          "Start a fleet under its daemon, drive load at every instance, drain an upstream, let a cold one join,"
-              + " restart all instances one after the other, and hold what the stand-ins saw against the four rules.",
-      footer = {"Exit status: 0 where all rules held and the restart went through, else 1."})
+          "Start a fleet under its daemon, send load to every instance, drain an upstream, let a cold one join,"
+              + " restart all instances one after the other, and check what the stand-ins recorded against the four rules.",
+      footer = {"Exit status: 0 if all rules held and the restart completed, else 1."})
   static final class Fleet implements Callable<Integer> {
 
     @Option(
         names = "--instances",
         paramLabel = "N",
         defaultValue = "20",
-        description = "2 to 64. Default: ${DEFAULT-VALUE}.")
+        description = "Number of instances, 2 to 64. Default: ${DEFAULT-VALUE}.")
     private int instances;
 
     @Option(
         names = "--seconds",
         paramLabel = "N",
         defaultValue = "20",
-        description = "Load before the restart, 10 to 600. Default: ${DEFAULT-VALUE}.")
+        description =
+            "Duration of the load before the restart, 10 to 600. Default: ${DEFAULT-VALUE}.")
     private int seconds;
 
     @Option(
@@ -61,7 +62,7 @@
         paramLabel = "N",
         defaultValue = "400",
         description =
-            "Requests a second of each of two classes in all, 10 to 20000. Default: ${DEFAULT-VALUE}.")
+            "Requests per second of each of two classes, for the whole fleet, 10 to 20000. Default: ${DEFAULT-VALUE}.")
     private int perSecond;
 
     @Spec
@@ -79,7 +80,7 @@
             spec.commandLine(),
             "expected --instances 2 to 64, --seconds 10 to 600, --per-second 10 to 20000");
       }
-      PrintStream out = DemoCommand.lines(spec.commandLine().getOut());
+      PrintStream out = DemoCommand.lineStream(spec.commandLine().getOut());
       return new FleetRig(
                   instances,
                   seconds,
@@ -92,12 +93,12 @@
     }
   }
 
-  /** How much more many of them serve than one. */
+  /** Measures how the throughput grows with the number of instances. */
   @Command(
       name = "throughput",
       mixinStandardHelpOptions = true,
       description =
-          "Requests a second of 1, 2, 4 and 8 instances, each asked as fast as it answers; ratios within a round.")
+          "Measure the requests per second of 1, 2, 4 and 8 instances at full load; ratios within a round.")
   static final class Throughput implements Callable<Integer> {
 
     @Option(
@@ -105,14 +106,14 @@
         paramLabel = "N",
         defaultValue = "5",
         description =
-            "Each run's length, behind 3 s of warming up, 1 to 600. Default: ${DEFAULT-VALUE}.")
+            "Duration of each run after 3 s of warm-up, 1 to 600. Default: ${DEFAULT-VALUE}.")
     private int seconds;
 
     @Option(
         names = "--rounds",
         paramLabel = "N",
         defaultValue = "3",
-        description = "1 to 100. Default: ${DEFAULT-VALUE}.")
+        description = "Number of rounds, 1 to 100. Default: ${DEFAULT-VALUE}.")
     private int rounds;
 
     @Spec
@@ -128,7 +129,7 @@
               seconds,
               rounds,
               List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m"),
-              DemoCommand.lines(spec.commandLine().getOut()))
+              DemoCommand.lineStream(spec.commandLine().getOut()))
           .run();
       return 0;
     }
--- a/src/main/java/pumicekeel/cli/RigScaleCommand.java
+++ b/src/main/java/pumicekeel/cli/RigScaleCommand.java
@@ -24,18 +24,18 @@
 import pumicekeel.rig.scale.SlopePlot;
 import pumicekeel.rig.scale.Watchdog;
 
-/** What the control side costs by the size of the fleet. */
+/** Measures what the control plane costs by the size of the fleet. */
 @Command(
     name = "scale",
     mixinStandardHelpOptions = true,
     description =
-        "Measure what the control side costs by size: hollow balancers, which are the control classes of the real program on"
-            + " sockets and loops of their own in this process, and stand-ins, over loopback. Each point is kept in the result"
-            + " file as soon as it is measured, and what is there is not measured again.",
+        "Measure what the control plane costs by size: hollow balancers, which are the control classes of the real program on"
+            + " their own sockets and event loops in this process, and stand-ins, over loopback. Each point is stored in the"
+            + " result file as soon as it is measured, and points that are in the file are not measured again.",
     subcommands = {RigScaleCommand.Page.class},
     footer = {
-      "Exit status: 0 where every point is in the result file, 1 where the time was up first or a state was not reached,"
-          + " 2 for a wrong command line or a point that this machine can't hold."
+      "Exit status: 0 if every point is in the result file, 1 if the time limit was reached or a state was not reached,"
+          + " 2 for a wrong command line or a point that exceeds the limits of this machine."
     })
 final class RigScaleCommand implements Callable<Integer> {
 
@@ -43,10 +43,10 @@
       names = "--scenario",
       paramLabel = "NAME",
       split = ",",
-      description = "What to measure, several by commas. Default: all (see --list).")
+      description = "The scenarios to measure, separated by commas. Default: all (see --list).")
   private List<String> names = List.of();
 
-  @Option(names = "--list", description = "Name the scenarios with their axes and sizes, and end.")
+  @Option(names = "--list", description = "List the scenarios with their axes and sizes, and exit.")
   private boolean list;
 
   @Option(
@@ -54,21 +54,22 @@
       paramLabel = "N",
       split = ",",
       description =
-          "Sizes of the axis, 2 to 1000000, several by commas. Default: those of the axis (see --list).")
+          "Sizes of the axis, 2 to 1000000, separated by commas. Default: those of the axis (see --list).")
   private List<Integer> sizes = List.of();
 
   @Option(
       names = "--rounds",
       paramLabel = "N",
       defaultValue = "3",
-      description = "How often each size is measured, 1 to 100. Default: ${DEFAULT-VALUE}.")
+      description = "Number of measurements of each size, 1 to 100. Default: ${DEFAULT-VALUE}.")
   private int rounds;
 
   @Option(
       names = "--seed",
       paramLabel = "N",
       defaultValue = "1",
-      description = "What decides all chance; round N takes this and N. Default: ${DEFAULT-VALUE}.")
+      description =
+          "Seed of all random choices; round N uses this plus N. Default: ${DEFAULT-VALUE}.")
   private long seed;
 
   @Option(
@@ -76,20 +77,20 @@
       paramLabel = "SECONDS",
       defaultValue = "220",
       description =
-          "After so long no point is begun and the one at work is given up, 5 to 86400. Default: ${DEFAULT-VALUE}.")
+          "After this time no point is started and the current one is abandoned, 5 to 86400. Default: ${DEFAULT-VALUE}.")
   private int timeLimit;
 
   @Option(
       names = "--result",
       paramLabel = "FILE",
       defaultValue = "scale.jsonl",
-      description = "Where results are kept, a line of JSON a point. Default: ${DEFAULT-VALUE}.")
+      description = "The result file, one line of JSON per point. Default: ${DEFAULT-VALUE}.")
   private Path result;
 
   @Option(
       names = "--json",
       description =
-          "Write the points as lines of JSON at the end; progress goes to standard error.")
+          "Print the points as lines of JSON at the end; progress goes to standard error.")
   private boolean json;
 
   @Spec
@@ -111,7 +112,7 @@
       throw new ParameterException(
           spec.commandLine(), "expected --rounds 1 to 100 and --time-limit 5 to 86400");
     }
-    if (isRefused(plan)) {
+    if (reportsObjection(plan)) {
       return 2;
     }
     return run(plan);
@@ -119,7 +120,7 @@
 
   private int run(ScaleRun.Plan plan) throws IOException, InterruptedException {
     ResultFile results = ResultFile.open(result);
-    PrintStream progress = DemoCommand.lines(
+    PrintStream progress = DemoCommand.lineStream(
         json ? spec.commandLine().getErr() : spec.commandLine().getOut());
     try (Watchdog watchdog = new Watchdog(timeLimit, () -> Runtime.getRuntime().halt(1))) {
       Deadline deadline = Deadline.after(timeLimit, TimeUnit.SECONDS);
@@ -131,8 +132,10 @@
       progress.println(
           switch (end) {
             case COMPLETE -> "complete: " + result;
-            case OUT_OF_TIME -> "the time is up; the same command goes on from here: " + result;
-            case NOT_REACHED -> "ended: a state was not reached; what came before is in " + result;
+            case OUT_OF_TIME ->
+              "the time limit was reached; repeat the same command to continue: " + result;
+            case NOT_REACHED ->
+              "stopped: a state was not reached; the points measured before are in " + result;
           });
       return end == ScaleRun.End.COMPLETE ? 0 : 1;
     }
@@ -142,7 +145,7 @@
     if (names.isEmpty()) {
       return Scenarios.all();
     }
-    List<Scenario> chosen = new ArrayList<>();
+    List<Scenario> selected = new ArrayList<>();
     for (String name : names) {
       Scenario scenario = Scenarios.of(name);
       if (scenario == null) {
@@ -151,9 +154,9 @@
             "--scenario: expected one of " + String.join(", ", Scenarios.names()) + ", got \""
                 + name + "\"");
       }
-      chosen.add(scenario);
+      selected.add(scenario);
     }
-    return chosen;
+    return selected;
   }
 
   private List<Integer> checkedSizes() {
@@ -166,8 +169,8 @@
     return sizes;
   }
 
-  /** Says so, in one line, where a point would not fit this machine. */
-  private boolean isRefused(ScaleRun.Plan plan) {
+  /** Returns whether the plan cannot run, after printing the reason: a point exceeds this machine, or the folder is missing. */
+  private boolean reportsObjection(ScaleRun.Plan plan) {
     MachineLimits limits = MachineLimits.current();
     for (Scenario scenario : plan.scenarios()) {
       for (int size : plan.sizesOf(scenario)) {
@@ -180,37 +183,37 @@
     }
     Path folder = result.toAbsolutePath().getParent();
     if (!Files.isDirectory(folder)) {
-      spec.commandLine().getErr().println("--result: no folder " + folder);
+      spec.commandLine().getErr().println("--result: no such folder: " + folder);
       return true;
     }
     return false;
   }
 
-  /** Figures of a page from the results. */
+  /** Fills the figures of a page from the results. */
   @Command(
       name = "page",
       mixinStandardHelpOptions = true,
       description =
           "Fill the figures of a page from a result file, and draw a plot for each slope that it shows.",
       footer = {
-        "Exit status: 0 where the page was filled or stands as it should, 1 where --check finds another, 2 for a"
+        "Exit status: 0 if the page was filled or is up to date, 1 if --check finds a difference, 2 for a"
             + " wrong command line."
       })
   static final class Page implements Callable<Integer> {
 
-    @Parameters(index = "0", paramLabel = "FILE", description = "The page, Markdown.")
+    @Parameters(index = "0", paramLabel = "FILE", description = "The page (Markdown).")
     private Path page;
 
     @Option(
         names = "--result",
         paramLabel = "FILE",
         required = true,
-        description = "The results, as rig scale keeps them.")
+        description = "The result file of rig scale.")
     private Path result;
 
     @Option(
         names = "--check",
-        description = "Change nothing, and say whether the page is as the results have it.")
+        description = "Change nothing; report whether the page agrees with the results.")
     private boolean check;
 
     @Spec
@@ -230,7 +233,7 @@
         boolean same = after.equals(before);
         spec.commandLine()
             .getOut()
-            .println(same ? "as the results have it" : "differs from the results");
+            .println(same ? "agrees with the results" : "differs from the results");
         return same ? 0 : 1;
       }
       Files.writeString(page, after);
--- a/src/main/java/pumicekeel/cli/RigSoakCommand.java
+++ b/src/main/java/pumicekeel/cli/RigSoakCommand.java
@@ -21,29 +21,30 @@
 import pumicekeel.rig.soak.SoakPlan;
 import pumicekeel.rig.soak.SoakRun;
 
-/** The soak test. */
+/** Runs the soak test. */
 @Command(
     name = "soak",
     mixinStandardHelpOptions = true,
     description =
-        "Real processes under random, overlapping faults by seed: system calls that fail (a preloaded library, built with"
-            + " cc), signals, restarts, upstreams and discovery in trouble, a stepped clock. Clients' and upstreams' logs"
-            + " are held against the serving rules; one that is broken is shown with its request's timeline.",
-    footer = {"Exit status: 0 where all rules held in all runs, else 1."})
+        "Test real processes under random, overlapping faults by seed: failing system calls (by a preloaded library, built with"
+            + " cc), signals, restarts, failing upstreams and discovery, a stepped clock. The logs of clients and upstreams"
+            + " are checked against the serving rules; a violation is printed with the timeline of its request.",
+    footer = {"Exit status: 0 if all rules held in all runs, else 1."})
 final class RigSoakCommand implements Callable<Integer> {
 
   @Option(
       names = "--seed",
       paramLabel = "N",
       defaultValue = "1",
-      description = "The first run's; each later one has the next. Default: ${DEFAULT-VALUE}.")
+      description =
+          "Seed of the first run; each later run uses the next. Default: ${DEFAULT-VALUE}.")
   private long seed;
 
   @Option(
       names = "--runs",
       paramLabel = "N",
       defaultValue = "10",
-      description = "1 to 10000. Default: ${DEFAULT-VALUE}.")
+      description = "Number of runs, 1 to 10000. Default: ${DEFAULT-VALUE}.")
   private int runs;
 
   @Option(
@@ -51,59 +52,61 @@
       paramLabel = "N",
       defaultValue = "2",
       description =
-          "Runs at the same time, 1 to 16; each has two or three balancers. Default: ${DEFAULT-VALUE}.")
+          "Number of parallel runs, 1 to 16; each has two or three balancers. Default: ${DEFAULT-VALUE}.")
   private int parallel;
 
   @Option(
       names = "--calls",
       paramLabel = "KIND",
       split = ",",
-      description = "Only calls of these kinds fail, at one balancer, and nothing else happens.")
+      description =
+          "Inject only failures of these system calls, at one balancer, and no other fault.")
   private List<CallKind> calls = List.of();
 
   @Option(
       names = "--per-mille",
       paramLabel = "N",
       defaultValue = "300",
-      description = "With --calls: how many in a thousand fail. Default: ${DEFAULT-VALUE}.")
+      description = "With --calls: how many of 1000 calls fail. Default: ${DEFAULT-VALUE}.")
   private int perMille;
 
   @Option(
       names = "--add",
       paramLabel = "WHAT",
       split = ",",
-      description = "What happens beside that: ${COMPLETION-CANDIDATES}.")
+      description = "Further faults to inject: ${COMPLETION-CANDIDATES}.")
   private List<SoakPlan.Disturbance> add = List.of();
 
   @Option(
       names = "--lists",
       paramLabel = "TROUBLE",
       description =
-          "Only lists of upstreams fail to arrive, in this way, while upstreams drain, end and return: ${COMPLETION-CANDIDATES}.")
+          "Only the delivery of upstream lists fails, in this way, while upstreams drain, stop and return: ${COMPLETION-CANDIDATES}.")
   private ListTrouble lists;
 
   @Option(
       names = "--balancers",
       paramLabel = "N",
       defaultValue = "8",
-      description = "With --lists: 1 to 200 processes. Default: ${DEFAULT-VALUE}.")
+      description =
+          "With --lists: number of balancer processes, 1 to 200. Default: ${DEFAULT-VALUE}.")
   private int balancers;
 
   @Option(
       names = "--seconds",
       paramLabel = "N",
       defaultValue = "45",
-      description = "With --lists: of trouble, 1 to 600. Default: ${DEFAULT-VALUE}.")
+      description = "With --lists: duration of the failure, 1 to 600. Default: ${DEFAULT-VALUE}.")
   private int seconds;
 
   @Option(
       names = "--peers",
-      description = "With --lists: balancers tell each other by datagrams who has left.")
+      description = "With --lists: balancers notify each other by datagrams of departed upstreams.")
   private boolean peers;
 
   @Option(
       names = "--logs",
-      description = "Shows what the processes logged last, also where all rules held.")
+      description = "Print the end of the processes' logs even if all rules held.")
   private boolean logs;
 
   @Spec
@@ -119,31 +122,31 @@
       throw new ParameterException(
           spec.commandLine(), "expected --balancers 1 to 200, --seconds 1 to 600");
     }
-    PrintStream out = DemoCommand.lines(spec.commandLine().getOut());
-    ExecutorService players = Executors.newFixedThreadPool(parallel);
+    PrintStream out = DemoCommand.lineStream(spec.commandLine().getOut());
+    ExecutorService executor = Executors.newFixedThreadPool(parallel);
     try {
-      List<Future<SoakRun.Result>> all = new ArrayList<>();
+      List<Future<SoakRun.Result>> results = new ArrayList<>();
       for (long i = seed; i < seed + runs; i++) {
         SoakPlan plan = planOf(i);
-        all.add(players.submit(() -> show(new SoakRun(plan).play(), out)));
+        results.add(executor.submit(() -> print(new SoakRun(plan).play(), out)));
       }
-      return sum(all, out) ? 0 : 1;
+      return summarize(results, out) ? 0 : 1;
     } finally {
-      players.shutdownNow();
+      executor.shutdownNow();
     }
   }
 
-  private SoakPlan planOf(long one) {
+  private SoakPlan planOf(long runSeed) {
     if (lists != null) {
-      return SoakPlan.lists(one, lists, balancers, seconds, peers);
+      return SoakPlan.lists(runSeed, lists, balancers, seconds, peers);
     }
     SoakPlan plan = calls.isEmpty()
-        ? SoakPlan.random(one)
-        : SoakPlan.calls(one, perMille, calls.toArray(CallKind[]::new));
+        ? SoakPlan.random(runSeed)
+        : SoakPlan.calls(runSeed, perMille, calls.toArray(CallKind[]::new));
     return plan.with(add.toArray(SoakPlan.Disturbance[]::new));
   }
 
-  private SoakRun.Result show(SoakRun.Result result, PrintStream out) {
+  private SoakRun.Result print(SoakRun.Result result, PrintStream out) {
     synchronized (out) {
       out.println(result.line());
       result.report().forEach(out::println);
@@ -154,12 +157,12 @@
     return result;
   }
 
-  private static boolean sum(List<Future<SoakRun.Result>> all, PrintStream out)
+  private static boolean summarize(List<Future<SoakRun.Result>> results, PrintStream out)
       throws InterruptedException, ExecutionException {
     Map<CallKind, Long> injected = new EnumMap<>(CallKind.class);
     List<Long> failed = new ArrayList<>();
     long requests = 0;
-    for (Future<SoakRun.Result> one : all) {
+    for (Future<SoakRun.Result> one : results) {
       SoakRun.Result result = one.get();
       requests += result.requests();
       result.injected().forEach((kind, n) -> injected.merge(kind, n, Long::sum));
@@ -167,10 +170,11 @@
         failed.add(result.plan().seed());
       }
     }
-    out.println(all.size() + " runs, " + requests + " requests, " + failed.size() + " not held"
-        + (failed.isEmpty()
-            ? ""
-            : ": " + failed.stream().map(String::valueOf).collect(Collectors.joining(" "))));
+    out.println(
+        results.size() + " runs, " + requests + " requests, " + failed.size() + " with broken rules"
+            + (failed.isEmpty()
+                ? ""
+                : ": " + failed.stream().map(String::valueOf).collect(Collectors.joining(" "))));
     out.println("injected " + injected);
     return failed.isEmpty();
   }
--- a/src/main/java/pumicekeel/cli/SimCommand.java
+++ b/src/main/java/pumicekeel/cli/SimCommand.java
@@ -13,11 +13,11 @@
 import pumicekeel.sim.ModuleSim;
 import pumicekeel.sim.QuotaSim;
 
-/** Simulations of the project's own, in virtual time; the platform's simulator speaks to {@code adapter}. */
+/** Runs this project's own simulations in virtual time; the platform's simulator uses {@code adapter}. */
 @Command(
     name = "sim",
     mixinStandardHelpOptions = true,
-    description = "Simulate in virtual time, by a seed.",
+    description = "Simulate in virtual time, by seed.",
     subcommands = {SimCommand.Fleet.class, SimCommand.Modules.class, SimCommand.Quotas.class})
 final class SimCommand implements Callable<Integer> {
 
@@ -29,31 +29,32 @@
     throw new ParameterException(spec.commandLine(), "expected a command");
   }
 
-  /** The membership of a fleet. */
+  /** Simulates the membership of a fleet. */
   @Command(
       name = "fleet",
       mixinStandardHelpOptions = true,
       description =
-          "The membership of a whole fleet on a network that loses, repeats, delays, cuts and splits, with members"
-              + " that die, return, sleep and have their clocks set back. Without --detect: faults by the seed, then quiet, then"
-              + " every view has to be the truth. With it: how long a death takes to be seen, and what membership costs at rest.",
+          "Simulate the membership of a whole fleet on a network that loses, duplicates and delays datagrams, cuts links"
+              + " and partitions, with members that crash, return, pause and have their clocks set back. Without --detect: faults by the"
+              + " seed, then a quiet time, after which every view has to match the true membership. With --detect: measure how long"
+              + " the detection of a crash takes, and what membership costs at rest.",
       footer = {
-        "Exit status: 0 where all held, 1 at the first seed that did not; its line says how to repeat it."
+        "Exit status: 0 if all checks passed, 1 at the first seed that failed one; its line says how to repeat it."
       })
-  static final class Fleet extends BySeed {
+  static final class Fleet extends SeededCommand {
 
     private static final long SECOND = 1_000_000_000L;
-    private static final int LEAST = 3;
-    private static final int KILLS = 10;
+    private static final int MIN_SIZE = 3;
+    private static final int SMALL_FLEET_RUNS = 10;
 
     @Option(
         names = "--size",
         paramLabel = "N",
         description =
-            "Members, 3 to 1000. Default: 3 to 20 by the seed; with --detect 3, 20, 100 and 1000.")
+            "Number of members, 3 to 1000. Default: 3 to 20 by the seed; with --detect 3, 20, 100 and 1000.")
     private Integer size;
 
-    @Option(names = "--detect", description = "Measure detection and cost instead.")
+    @Option(names = "--detect", description = "Measure the time to detection and the cost instead.")
     private boolean detect;
 
     @Option(
@@ -61,29 +62,29 @@
         paramLabel = "PART",
         defaultValue = "0",
         description =
-            "With --detect: the part of datagrams that is lost, 0 to 0.9. Default: ${DEFAULT-VALUE}.")
+            "With --detect: the share of datagrams that is lost, 0 to 0.9. Default: ${DEFAULT-VALUE}.")
     private double loss;
 
     @Override
     public Integer call() {
       if (runs < 1
           || runs > 10_000_000
-          || size != null && (size < LEAST || size > 1_000)
+          || size != null && (size < MIN_SIZE || size > 1_000)
           || loss < 0
           || loss > 0.9) {
         throw new ParameterException(
             spec.commandLine(), "expected --runs 1 to 10000000, --size 3 to 1000, --loss 0 to 0.9");
       }
       PrintWriter out = spec.commandLine().getOut();
-      return detect ? measure(out) : play(out);
+      return detect ? measureDetection(out) : playFaults(out);
     }
 
-    private int play(PrintWriter out) {
+    private int playFaults(PrintWriter out) {
       for (long i = 0; i < runs; i++) {
-        long s = seed + i;
-        FleetSim.Report r = new FleetSim(s, sizeOf(size, s)).faults();
+        long runSeed = seed + i;
+        FleetSim.Report r = new FleetSim(runSeed, sizeOf(size, runSeed)).faults();
         if (r.fault() != null) {
-          out.println("seed " + s + ": " + r.fault());
+          out.println("seed " + runSeed + ": " + r.fault());
           return 1;
         }
         progress(i + 1);
@@ -92,9 +93,9 @@
       return 0;
     }
 
-    private int measure(PrintWriter out) {
+    private int measureDetection(PrintWriter out) {
       out.println(
-          "members  first sees it s  all see it s  false deaths  bytes/s a member  datagrams/s a member  processor us/s a member");
+          "members  first detects s  all detect s  false deaths  bytes/s a member  datagrams/s a member  processor us/s a member");
       for (int n : size == null ? new int[] {3, 20, 100, 1_000} : new int[] {size}) {
         List<Long> first = new ArrayList<>();
         List<Long> all = new ArrayList<>();
@@ -102,7 +103,7 @@
         double bytes = 0;
         double datagrams = 0;
         double work = 0;
-        int fleets = n >= 1_000 ? 1 : n >= 100 ? 3 : KILLS;
+        int fleets = n >= 1_000 ? 1 : n >= 100 ? 3 : SMALL_FLEET_RUNS;
         for (int i = 0; i < fleets; i++) {
           FleetSim sim = new FleetSim(seed + i, n);
           FleetSim.Report r = sim.detection(loss, n >= 1_000 ? 2 : 1, 60 * SECOND);
@@ -115,13 +116,13 @@
         }
         out.printf(
             "%7d  %15s  %12s  %12d  %16.0f  %20.1f  %23.1f%n",
-            n, spread(first), spread(all), falseDeaths, bytes, datagrams, work);
+            n, medianAndRange(first), medianAndRange(all), falseDeaths, bytes, datagrams, work);
         out.flush();
       }
       return 0;
     }
 
-    private static String spread(List<Long> nanos) {
+    private static String medianAndRange(List<Long> nanos) {
       List<Long> sorted = nanos.stream().sorted().toList();
       return String.format(
           "%.1f (%.1f-%.1f)",
@@ -131,12 +132,12 @@
     }
   }
 
-  /** Seeds one after the other; the seed decides the size where none is given. */
-  private abstract static class BySeed implements Callable<Integer> {
+  /** Base of the commands that run seeds one after the other; the seed decides the size if none is given. */
+  private abstract static class SeededCommand implements Callable<Integer> {
 
-    private static final int LEAST = 3;
-    private static final int SPREAD = 18;
-    private static final int LINES = 20;
+    private static final int MIN_DEFAULT_SIZE = 3;
+    private static final int DEFAULT_SIZES = 18;
+    private static final int PROGRESS_LINES = 20;
 
     @Option(
         names = "--seed",
@@ -149,41 +150,44 @@
         names = "--runs",
         paramLabel = "N",
         defaultValue = "1",
-        description = "Seeds from the first on, 1 to 10000000. Default: ${DEFAULT-VALUE}.")
+        description =
+            "Number of seeds from the first on, 1 to 10000000. Default: ${DEFAULT-VALUE}.")
     protected long runs;
 
     @Spec
     protected CommandSpec spec;
 
-    protected static int sizeOf(Integer given, long seed) {
-      return given == null ? LEAST + (int) Math.floorMod(seed * 7, (long) SPREAD) : given;
+    protected static int sizeOf(Integer requested, long seed) {
+      return requested == null
+          ? MIN_DEFAULT_SIZE + (int) Math.floorMod(seed * 7, (long) DEFAULT_SIZES)
+          : requested;
     }
 
     protected void progress(long done) {
-      if (runs > 1 && done % Math.max(1, runs / LINES) == 0) {
+      if (runs > 1 && done % Math.max(1, runs / PROGRESS_LINES) == 0) {
         spec.commandLine().getOut().println(done + " of " + runs);
         spec.commandLine().getOut().flush();
       }
     }
   }
 
-  /** The decisions of a fleet. */
+  /** Simulates the decision modules of a fleet. */
   @Command(
       name = "modules",
       mixinStandardHelpOptions = true,
       description =
-          "The decision modules of a whole fleet, with upstreams that hang, die, drain and return cold, a list that"
-              + " reaches each instance late, and instances that die, sleep and start from old lists. What reaches the upstreams is"
-              + " held against the four rules.",
+          "Simulate the decision modules of a whole fleet, with upstreams that hang, crash, drain and return cold, a list that"
+              + " reaches each instance late, and instances that crash, pause and start from old lists. What reaches the upstreams"
+              + " is checked against the four rules.",
       footer = {
-        "Exit status: 0 where all held, 1 at the first seed that did not; its line says how to repeat it."
+        "Exit status: 0 if all checks passed, 1 at the first seed that failed one; its line says how to repeat it."
       })
-  static final class Modules extends BySeed {
+  static final class Modules extends SeededCommand {
 
     @Option(
         names = "--size",
         paramLabel = "N",
-        description = "Instances, 1 to 1000. Default: 3 to 20 by the seed.")
+        description = "Number of instances, 1 to 1000. Default: 3 to 20 by the seed.")
     private Integer size;
 
     @Override
@@ -197,12 +201,12 @@
       long served = 0;
       double cold = 0;
       for (long i = 0; i < runs; i++) {
-        long s = seed + i;
-        int of = sizeOf(size, s);
-        ModuleSim.Report r = new ModuleSim(s, of).run();
+        long runSeed = seed + i;
+        int fleetSize = sizeOf(size, runSeed);
+        ModuleSim.Report r = new ModuleSim(runSeed, fleetSize).run();
         if (r.fault() != null) {
-          out.println("seed " + s + ": " + r.fault() + "; again by sim modules --seed " + s
-              + " --size " + of);
+          out.println("seed " + runSeed + ": " + r.fault() + "; repeat with sim modules --seed "
+              + runSeed + " --size " + fleetSize);
           return 1;
         }
         requests += r.requests();
@@ -218,26 +222,27 @@
     }
   }
 
-  /** How a fleet shares quotas. */
+  /** Simulates how a fleet shares quotas. */
   @Command(
       name = "quotas",
       mixinStandardHelpOptions = true,
       description =
-          "How the members of a fleet lend each other parts of tenants' quotas, on a network that loses, repeats, delays"
-              + " and splits, with members that die, sleep and return. At every step all together may admit no more than the quota."
-              + " Then how much of what could be admitted is, with lending and with fixed even parts.",
+          "Simulate how the members of a fleet lend each other parts of tenants' quotas, on a network that loses, duplicates,"
+              + " delays and partitions, with members that crash, pause and return. At every step all members together may admit no"
+              + " more than the quota. Then print which share of the admissible requests is admitted, with lending and with fixed even"
+              + " parts.",
       footer = {
-        "Exit status: 0 where all held, 1 at the first seed that did not; its line says how to repeat it."
+        "Exit status: 0 if all checks passed, 1 at the first seed that failed one; its line says how to repeat it."
       })
-  static final class Quotas extends BySeed {
+  static final class Quotas extends SeededCommand {
 
     @Option(
         names = "--size",
         paramLabel = "N",
-        description = "Members, 2 to 1000. Default: 3 to 20 by the seed.")
+        description = "Number of members, 2 to 1000. Default: 3 to 20 by the seed.")
     private Integer size;
 
-    @Option(names = "--calm", description = "No faults: only demand moves.")
+    @Option(names = "--calm", description = "No faults: only the demand changes.")
     private boolean calm;
 
     @Option(
@@ -262,21 +267,21 @@
       double fixed = 0;
       double bytes = 0;
       for (long i = 0; i < runs; i++) {
-        long s = seed + i;
-        int of = sizeOf(size, s);
-        QuotaSim.Report r = new QuotaSim(s, of).run(course);
+        long runSeed = seed + i;
+        int fleetSize = sizeOf(size, runSeed);
+        QuotaSim.Report r = new QuotaSim(runSeed, fleetSize).run(course);
         if (r.fault() != null) {
-          out.println("seed " + s + ": " + r.fault() + "; again by sim quotas --seed " + s
-              + " --size " + of);
+          out.println("seed " + runSeed + ": " + r.fault() + "; repeat with sim quotas --seed "
+              + runSeed + " --size " + fleetSize);
           return 1;
         }
         shared += r.shared() / runs;
         fixed += r.fixed() / runs;
-        bytes += r.bytes() * 1e9 / r.virtualNanos() / of / runs;
+        bytes += r.bytes() * 1e9 / r.virtualNanos() / fleetSize / runs;
         progress(i + 1);
       }
       out.printf(
-          "%d runs from seed %d: never more than the quota; of what it allowed %.1f %% was admitted, by fixed even parts"
+          "%d runs from seed %d: never more than the quota; of the admissible requests %.1f %% were admitted, with fixed even parts"
               + " %.1f %%; %.0f bytes a second a member%n",
           runs, seed, 100 * shared, 100 * fixed, bytes);
       return 0;
--- a/src/test/java/pumicekeel/cli/CallCommandTest.java
+++ b/src/test/java/pumicekeel/cli/CallCommandTest.java
@@ -20,7 +20,7 @@
 import pumicekeel.jsonrpc.Framing;
 import pumicekeel.standin.StandInRpcServer;
 
-/** An operator's call, against a server that a balancer may as well be. */
+/** The call command against a JSON-RPC server, which could equally be a balancer. */
 class CallCommandTest {
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void resultErrorAndSilenceHaveStatusesOfTheirOwn() throws Exception {
+  void exitStatusTellsResultErrorAndTimeoutApart() throws Exception {
     try (StandInRpcServer server = new StandInRpcServer(group, Framing.NEWLINE)) {
       String at = "127.0.0.1:" + server.address().getPort();
       assertEquals(0, run("call", at, "rate.lookup", "{\"a\":1.0}"), err.toString());
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void nobodyListening() throws Exception {
+  void addressWithoutListenerIsAUsageError() throws Exception {
     int port;
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = socket.getLocalPort();
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void batchOfAFileIsOneMessageHoweverItIsWritten() throws Exception {
+  void batchFileWithLineBreaksIsSentAsOneMessage() throws Exception {
     Path file = folder.resolve("batch.json");
     Files.writeString(
         file, "{\n \"jsonrpc\": \"2.0\",\n \"method\": \"m\", \"params\": [1],\n \"id\": 5}\n");
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void demoOfJsonRpcHoldsItsRulesAndFuzzEndsWell() throws Exception {
+  void jsonRpcDemoAndFuzzRunPass() throws Exception {
     assertEquals(
         0, run("demo", "--jsonrpc", "--seconds", "6", "--connections", "24"), out.toString());
     assertTrue(out.toString().contains("held    logs agree"), out.toString());
--- a/src/test/java/pumicekeel/cli/CommandsTest.java
+++ b/src/test/java/pumicekeel/cli/CommandsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What an operator's commands print, and their exit statuses. */
+/** Output and exit statuses of the operators' commands. */
 class CommandsTest {
 
   private static final String EXAMPLE = "deploy/operator.toml";
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void exampleOfTheRepositoryPassesItsOwnCheck() throws Exception {
+  void exampleFileOfTheRepositoryIsValid() throws Exception {
     assertEquals(0, run("check", EXAMPLE), err.toString());
     assertTrue(
         out.toString().startsWith(EXAMPLE + ": good: 4 pools, 5 routes, 1 listeners"),
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void eachFaultIsALineWithItsPlace() throws Exception {
+  void eachFaultIsPrintedOnALineWithItsLocation() throws Exception {
     Path file = folder.resolve("f.toml");
     Files.writeString(
         file,
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void roomThatThePlatformDoesNotHaveIsToldWithItsConfiguration() throws Exception {
+  void capacityBeyondThePlatformConfigurationIsReported() throws Exception {
     assertEquals(0, run("check", "--config", "deploy/rehearsal.json", EXAMPLE), err.toString());
     Path file = folder.resolve("f.toml");
     Files.writeString(
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void routeIsExplainedWithWhatEachEarlierOneMissed() throws Exception {
+  void explanationNamesWhyEachEarlierRouteDidNotMatch() throws Exception {
     assertEquals(
         0,
         run(
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void explanationIsAlsoJsonAndNoRouteIsStatusOne() throws Exception {
+  void explanationIsAvailableAsJsonAndNoMatchIsStatusOne() throws Exception {
     Path file = folder.resolve("f.toml");
     Files.writeString(file, "[pools.a]\n[[routes]]\nhost = \"h\"\npool = \"a\"\n");
     assertEquals(1, run("routes", file.toString(), "--explain", "GET http://x/y", "--json"));
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void everyCommandHasHelpAndTheVersionIsThePoms() throws Exception {
+  void everyCommandHasHelpAndTheVersionEqualsThePom() throws Exception {
     for (String command :
         new String[] {"serve", "rehearse", "adapter", "check", "routes", "demo"}) {
       assertEquals(0, run(command, "--help"), command);
@@ -145,9 +145,9 @@
     assertEquals(2, run("chek"));
   }
 
-  /** The demo's own verdict on a short day; it breaks off with 1 where a rule broke. */
+  /** The demo checks its own rules on a short run and returns 1 if one was broken. */
   @Test
-  void demoHoldsItsRules() throws Exception {
+  void demoPassesItsRules() throws Exception {
     assertEquals(0, run("demo", "--seconds", "6"), out.toString());
     assertTrue(out.toString().contains("held    no cold upstream pushed over"), out.toString());
     assertFalse(out.toString().contains("BROKEN"), out.toString());
--- a/src/test/java/pumicekeel/cli/ConfigCommandsTest.java
+++ b/src/test/java/pumicekeel/cli/ConfigCommandsTest.java
@@ -25,11 +25,11 @@
 import pumicekeel.delivery.control.ControlServer;
 import pumicekeel.runtime.Addresses;
 
-/** A writer's and an operator's commands to three control machines. */
+/** The config commands of writers and operators against three control machines. */
 class ConfigCommandsTest {
 
-  private static final long GENEROUS_SECONDS = 30;
-  private static final String GOOD = "default-pool = \"a\"\n[pools.a]\n";
+  private static final long TIMEOUT_SECONDS = 30;
+  private static final String VALID_FILE = "default-pool = \"a\"\n[pools.a]\n";
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -92,94 +92,95 @@
   }
 
   @Test
-  void majorityDecidesAndTheCommandSaysWhoDidNot() throws Exception {
-    assertEquals(0, publish(GOOD, 1), err.toString());
+  void majorityDecidesAndMissingMachinesAreReported() throws Exception {
+    assertEquals(0, publish(VALID_FILE, 1), err.toString());
     close(2);
-    assertEquals(0, publish(GOOD + "# 2\n", 1), err.toString());
+    assertEquals(0, publish(VALID_FILE + "# 2\n", 1), err.toString());
     assertTrue(out.toString().contains(": no answer: "), out.toString());
     assertTrue(out.toString().contains("version 1.2 "), out.toString());
-    assertEquals(0, publish(GOOD + "# 2\n", 1), "the same again is a success");
+    assertEquals(0, publish(VALID_FILE + "# 2\n", 1), "publishing the same file again succeeds");
     assertTrue(out.toString().contains("already kept"), out.toString());
     close(1);
-    assertEquals(1, publish(GOOD + "# 3\n", 1));
+    assertEquals(1, publish(VALID_FILE + "# 3\n", 1));
     assertTrue(err.toString().contains("only 1 of 3"), err.toString());
-    ConfigurationVersion two = ConfigurationVersion.of(1, 2, GOOD + "# 2\n");
+    ConfigurationVersion two = ConfigurationVersion.of(1, 2, VALID_FILE + "# 2\n");
     assertEquals(two, new ControlApi(machines.get(0).address()).status().current());
   }
 
-  /** A machine that accepts and says nothing, as one that is stopped does, is passed over within seconds. */
+  /** A machine that accepts connections but does not answer, like a stopped process, is skipped within seconds. */
   @Test
-  void silentMachineHoldsNobodyUp() throws Exception {
+  void unresponsiveMachineDoesNotDelayPublishing() throws Exception {
     close(2);
     try (ServerSocket silent = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
       to = addresses() + ",127.0.0.1:" + silent.getLocalPort();
-      long began = System.nanoTime();
-      assertEquals(0, publish(GOOD, 1), err.toString());
-      assertTrue(System.nanoTime() - began < TimeUnit.SECONDS.toNanos(GENEROUS_SECONDS));
+      long start = System.nanoTime();
+      assertEquals(0, publish(VALID_FILE, 1), err.toString());
+      assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS));
       assertTrue(out.toString().contains("no answer: request timed out"), out.toString());
     }
   }
 
   @Test
-  void writerOfAnOlderEpochIsRefusedAndADryRunChangesNothing() throws Exception {
-    assertEquals(0, publish(GOOD, 2));
-    assertEquals(1, publish(GOOD + "# old\n", 1));
+  void writerOfAnOlderEpochIsRejectedAndADryRunChangesNothing() throws Exception {
+    assertEquals(0, publish(VALID_FILE, 2));
+    assertEquals(1, publish(VALID_FILE + "# old\n", 1));
     assertTrue(err.toString().contains("older"), err.toString());
-    assertEquals(0, publish(GOOD + "# 2\n", 3, "--dry-run", "--json"), err.toString());
+    assertEquals(0, publish(VALID_FILE + "# 2\n", 3, "--dry-run", "--json"), err.toString());
     Fields json = Fields.parse("json", out.toString());
     assertTrue(json.bool("acknowledged", false));
     assertEquals("would_be_kept", json.objects("machines").get(2).text("result"));
     assertEquals(
-        ConfigurationVersion.of(2, 1, GOOD),
+        ConfigurationVersion.of(2, 1, VALID_FILE),
         new ControlApi(machines.get(0).address()).status().current());
   }
 
   @Test
-  void diffNamesEntriesAndFaultyFilesAreNotSent() throws Exception {
+  void diffListsEntriesAndInvalidFilesAreNotPublished() throws Exception {
     String one = Addresses.text(machines.get(0).address());
-    assertEquals(0, publish(GOOD, 1));
-    assertEquals(0, run("config", "diff", file(GOOD), "--to", one), out.toString());
-    assertEquals(1, run("config", "diff", file(GOOD + "[pools.b]\n"), "--to", one));
+    assertEquals(0, publish(VALID_FILE, 1));
+    assertEquals(0, run("config", "diff", file(VALID_FILE), "--to", one), out.toString());
+    assertEquals(1, run("config", "diff", file(VALID_FILE + "[pools.b]\n"), "--to", one));
     assertTrue(out.toString().contains("+ [pools.b]"), out.toString());
-    assertEquals(2, publish(GOOD + "[peers]\naddresses = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n", 1));
+    assertEquals(
+        2, publish(VALID_FILE + "[peers]\naddresses = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n", 1));
     assertTrue(err.toString().contains("peers: expected only in"), err.toString());
     assertEquals(2, publish("nonsense\n", 1));
-    assertEquals(2, publish(GOOD, 0));
+    assertEquals(2, publish(VALID_FILE, 0));
     assertEquals(2, run("config", "status", "--to", "host:1"));
     assertEquals(2, run("config"));
     assertEquals(2, run("control"));
   }
 
   @Test
-  void statusSaysWhichMachineIsBehindUntilItHasCaughtUp() throws Exception {
-    assertEquals(0, publish(GOOD, 1));
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GENEROUS_SECONDS);
+  void statusReportsMachinesUntilTheyHaveCaughtUp() throws Exception {
+    assertEquals(0, publish(VALID_FILE, 1));
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     while (run("config", "status", "--to", to) != 0 && System.nanoTime() < end) {
       Thread.sleep(50);
     }
     assertEquals(0, run("config", "status", "--to", to, "--json"), out.toString());
     Fields json = Fields.parse("json", out.toString());
-    assertEquals(ConfigurationVersion.of(1, 1, GOOD).text(), json.text("newest"));
-    assertEquals(2, json.objects("subscribers").size(), "machines that follow their peers");
+    assertEquals(ConfigurationVersion.of(1, 1, VALID_FILE).text(), json.text("newest"));
+    assertEquals(2, json.objects("subscribers").size(), "two machines that follow their peers");
     close(0);
     assertEquals(1, run("config", "status", "--to", to));
     assertTrue(out.toString().contains("no answer"), out.toString());
   }
 
-  /** A machine comes back under an old state: the writer waits for it to catch up and all three keep the next version. */
+  /** A machine returns with an old state: the writer waits until it has caught up, and all three keep the next version. */
   @Test
-  void machineThatWasAwayTakesTheNextVersionOnceItHasCaughtUp() throws Exception {
-    assertEquals(0, publish(GOOD, 1));
+  void returningMachineKeepsTheNextVersionOnceItHasCaughtUp() throws Exception {
+    assertEquals(0, publish(VALID_FILE, 1));
     List<InetSocketAddress> peers =
         machines.subList(0, 2).stream().map(ControlServer::address).toList();
     close(2);
-    assertEquals(0, publish(GOOD + "# 2\n", 1));
+    assertEquals(0, publish(VALID_FILE + "# 2\n", 1));
     machines.add(machine("c2", peers));
     to = addresses();
-    assertEquals(0, publish(GOOD + "# 3\n", 1));
+    assertEquals(0, publish(VALID_FILE + "# 3\n", 1));
     assertTrue(!out.toString().contains("no answer"), out.toString());
     assertEquals(
-        ConfigurationVersion.of(1, 3, GOOD + "# 3\n"),
+        ConfigurationVersion.of(1, 3, VALID_FILE + "# 3\n"),
         new ControlApi(machines.get(2).address()).status().current(),
         out.toString());
   }
--- a/src/test/java/pumicekeel/cli/FleetCommandsTest.java
+++ b/src/test/java/pumicekeel/cli/FleetCommandsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Commands about fleets: what they say and their exit statuses. */
+/** Output and exit statuses of the fleet commands. */
 class FleetCommandsTest {
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void simulationRepeatsASeedAndMeasuresDetection() throws Exception {
+  void simulationRunsSeedsAndMeasuresDetection() throws Exception {
     assertEquals(0, run("sim", "fleet", "--seed", "7", "--runs", "5"));
     assertTrue(
         out.toString().contains("5 runs from seed 7: every view was the truth"), out.toString());
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void wrongFleetsAreOneLineEach() throws Exception {
+  void invalidFleetOptionsAreReported() throws Exception {
     String config = "deploy/rehearsal.json";
     assertEquals(
         2, run("fleet", "--instances", "0", "--run-dir", folder.toString(), "--config", config));
@@ -81,9 +81,9 @@
     assertEquals(2, run("rig", "fleet", "--instances", "1"));
   }
 
-  /** A small fleet of real processes; the rig's own verdict counts. */
+  /** A small fleet of real processes, judged by the rig's own checks. */
   @Test
-  void rigOfThreeInstancesHoldsItsRulesOverARollingRestart() throws Exception {
+  void rigOfThreeInstancesPassesARollingRestart() throws Exception {
     assertEquals(
         0,
         run("rig", "fleet", "--instances", "3", "--seconds", "10", "--per-second", "150"),
--- a/src/test/java/pumicekeel/cli/MainTest.java
+++ b/src/test/java/pumicekeel/cli/MainTest.java
@@ -25,22 +25,22 @@
   }
 
   @Test
-  void inputThatEndsIsStatusZero() throws IOException {
+  void endOfInputIsStatusZero() throws IOException {
     assertEquals(0, run("{\"clock-ns\":1,\"groups\":[]}\n", "adapter"));
     assertEquals("{\"groups\":[]}\n", out.toString());
     assertEquals("", err.toString());
   }
 
   @Test
-  void malformedInputIsOneLineAndStatusOne() throws IOException {
+  void malformedInputIsReportedOnOneLineWithStatusOne() throws IOException {
     assertEquals(1, run("{\"clock-ns\":1,\"groups\":[]}\n{\"clock-ns\":\n{}\n", "adapter"));
-    assertEquals("{\"groups\":[]}\n", out.toString(), "nothing after the line before");
+    assertEquals("{\"groups\":[]}\n", out.toString(), "no output after the last valid line");
     assertEquals(1, err.toString().lines().count(), err.toString());
     assertTrue(err.toString().startsWith("line 2: not JSON"), err.toString());
   }
 
   @Test
-  void noOrAnUnknownCommandIsAUsageTextAndStatusTwo() throws IOException {
+  void missingOrUnknownCommandPrintsUsageWithStatusTwo() throws IOException {
     assertEquals(2, run(""));
     assertEquals(2, run("", "proxy"));
     assertEquals(2, run("", "adapter", "more"));
--- a/src/test/java/pumicekeel/cli/RigScaleCommandTest.java
+++ b/src/test/java/pumicekeel/cli/RigScaleCommandTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void pointsAreMeasuredOnceAndKept() throws Exception {
+  void storedPointsAreNotMeasuredAgain() throws Exception {
     String[] line = {
       "--scenario",
       "configuration-by-services",
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void jsonIsAlone() throws Exception {
+  void jsonOutputContainsNoProgress() throws Exception {
     assertEquals(
         0,
         run(
@@ -76,14 +76,14 @@
   }
 
   @Test
-  void aPointThatDoesNotFitIsRefusedInOneLine() throws Exception {
+  void pointBeyondTheMachineIsRejectedWithOneLine() throws Exception {
     assertEquals(2, run("--scenario", "membership", "--sizes", "1000000", "--result", result()));
     assertEquals(1, err.toString().lines().count());
     assertFalse(Files.exists(Path.of(result())));
   }
 
   @Test
-  void unknownScenariosAreRefusedWithTheKnownOnes() throws Exception {
+  void unknownScenarioIsRejectedWithTheKnownNames() throws Exception {
     assertEquals(2, run("--scenario", "membershop"));
     assertTrue(err.toString().contains("membership"), err::toString);
     assertEquals(2, run("--sizes", "1"));
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void aPageIsFilledAndCheckedAgainstItsResults() throws Exception {
+  void pageIsFilledAndCheckedAgainstItsResults() throws Exception {
     Path page = Files.writeString(
         folder.resolve("page.md"),
         "| file | `configuration-by-services/file-bytes` | | | | | | | |\n\n"
