--- a/src/main/java/pumicekeel/cli/ConfigStatus.java
+++ b/src/main/java/pumicekeel/cli/ConfigStatus.java
@@ -71,7 +71,7 @@
         byName.merge(
             replica.report().name(),
             replica,
-            (a, b) -> a.heardMillisAgo() <= b.heardMillisAgo() ? a : b);
+            (a, b) -> a.lastReportMillisAgo() <= b.lastReportMillisAgo() ? a : b);
       }
     }
     return byName.values();
@@ -106,7 +106,7 @@
       if (all || !isCurrent(replica, newest)) {
         out.println(replica.report().name() + ": version " + replica.report().inForce()
             + ", behind: " + versionsBehind(replica, newest) + ", last report "
-            + replica.heardMillisAgo() + " ms ago"
+            + replica.lastReportMillisAgo() + " ms ago"
             + (replica.report().trouble().isEmpty()
                 ? ""
                 : ": " + replica.report().trouble()));
@@ -139,7 +139,7 @@
       out.writeStringField("refused", replica.report().refused().text());
       out.writeStringField("behind", versionsBehind(replica, newest));
       out.writeStringField("trouble", replica.report().trouble());
-      out.writeNumberField("heard-ms-ago", replica.heardMillisAgo());
+      out.writeNumberField("heard-ms-ago", replica.lastReportMillisAgo());
       out.writeEndObject();
     }
     out.writeEndArray();
--- a/src/main/java/pumicekeel/delivery/Candidate.java
+++ b/src/main/java/pumicekeel/delivery/Candidate.java
@@ -2,26 +2,27 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A version that has come and is not checked yet. */
+/** A version that was received and has not been verified yet. */
 public sealed interface Candidate {
 
   ConfigurationVersion version();
 
-  /** The whole text, its hash checked; takes time by its length, so it is not for an event loop. */
-  String text(String heldText) throws ConfigurationDelta.Refused;
+  /** Returns the whole text after checking its hash. Linear in its length, so it must not be called on an event loop. */
+  String text(String heldText) throws ConfigurationDelta.NotApplicableException;
 
-  /** A whole text, as it came in parts. */
+  /** A whole text, received in parts. */
   record Snapshot(ConfigurationVersion version, byte[] bytes) implements Candidate {
     @Override
-    public String text(String heldText) throws ConfigurationDelta.Refused {
+    public String text(String heldText) throws ConfigurationDelta.NotApplicableException {
       if (!version.isOf(bytes)) {
-        throw new ConfigurationDelta.Refused("the snapshot is not the text of version " + version);
+        throw new ConfigurationDelta.NotApplicableException(
+            "the snapshot is not the text of version " + version);
       }
       return new String(bytes, StandardCharsets.UTF_8);
     }
   }
 
-  /** What leads to it from the text that is held. */
+  /** A delta from the held text. */
   record Delta(ConfigurationDelta delta) implements Candidate {
     @Override
     public ConfigurationVersion version() {
@@ -29,7 +30,7 @@
     }
 
     @Override
-    public String text(String heldText) throws ConfigurationDelta.Refused {
+    public String text(String heldText) throws ConfigurationDelta.NotApplicableException {
       return ConfigurationDocument.parse(heldText).apply(delta);
     }
   }
--- a/src/main/java/pumicekeel/delivery/ReplicaReport.java
+++ b/src/main/java/pumicekeel/delivery/ReplicaReport.java
@@ -1,26 +1,26 @@
 package pumicekeel.delivery;
 
 /**
- * What a subscriber tells of itself with each call.
+ * State that a subscriber reports with each call.
  *
  * @param name unique among the subscribers
  * @param inForce the version in force; NONE where none was delivered
- * @param refused the newest version that it could not take; NONE for none
- * @param trouble what went wrong last, a line; empty for nothing
+ * @param refused the newest version that it could not apply; NONE for none
+ * @param trouble the last failure, one line; empty for none
  */
 public record ReplicaReport(
     String name, ConfigurationVersion inForce, ConfigurationVersion refused, String trouble) {
 
-  private static final int MOST_NAME = 128;
-  private static final int MOST_TROUBLE = 400;
+  private static final int MAX_NAME_CHARS = 128;
+  private static final int MAX_TROUBLE_CHARS = 400;
 
   public ReplicaReport {
-    name = oneLine(name, MOST_NAME);
-    trouble = oneLine(trouble, MOST_TROUBLE);
+    name = oneLine(name, MAX_NAME_CHARS);
+    trouble = oneLine(trouble, MAX_TROUBLE_CHARS);
   }
 
-  private static String oneLine(String text, int most) {
+  private static String oneLine(String text, int maxChars) {
     String line = text.replaceAll("\\p{Cntrl}", " ");
-    return line.length() > most ? line.substring(0, most) : line;
+    return line.length() > maxChars ? line.substring(0, maxChars) : line;
   }
 }
--- a/src/main/java/pumicekeel/delivery/client/ControlCall.java
+++ b/src/main/java/pumicekeel/delivery/client/ControlCall.java
@@ -23,37 +23,38 @@
 import pumicekeel.runtime.Addresses;
 import pumicekeel.runtime.Reactor;
 
-/** One call to a control machine on a connection of its own; ends in exactly one reply. Only on the loop. */
+/** A call to a control machine on its own connection; ends with exactly one reply. Used on the loop only. */
 final class ControlCall {
 
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
-  /** Over the largest delta and the largest part. */
-  private static final int MOST_RESPONSE_BYTES = 4 << 20;
+  /** Above the size of the largest delta and the largest part. */
+  private static final int MAX_RESPONSE_BYTES = 4 << 20;
 
   private final InetSocketAddress address;
   private final Consumer<Reply> done;
   private final ScheduledFuture<?> timeout;
-  /** Null until the connection has been begun. */
+  /** Null until the connection attempt has been started. */
   private Channel channel;
 
   private boolean ended;
 
   private ControlCall(
-      Reactor on,
+      Reactor reactor,
       InetSocketAddress address,
       String target,
       long timeoutMillis,
       Consumer<Reply> done) {
     this.address = address;
     this.done = done;
-    timeout = on.loop()
+    timeout = reactor
+        .loop()
         .schedule(
             () -> end(new Reply.Failed("no answer within " + timeoutMillis + " ms")),
             timeoutMillis,
             TimeUnit.MILLISECONDS);
     channel = new Bootstrap()
-        .group(on.loop())
-        .channelFactory(on.sockets()::newConnectingChannel)
+        .group(reactor.loop())
+        .channelFactory(reactor.sockets()::newConnectingChannel)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
         .handler(new ChannelInitializer<Channel>() {
           @Override
@@ -62,7 +63,7 @@
                 .pipeline()
                 .addLast(
                     new HttpClientCodec(),
-                    new HttpObjectAggregator(MOST_RESPONSE_BYTES),
+                    new HttpObjectAggregator(MAX_RESPONSE_BYTES),
                     new ResponseHandler(target));
           }
         })
@@ -75,14 +76,14 @@
         .channel();
   }
 
-  /** Begins a call; its reply comes later, on the loop. */
-  static void begin(
-      Reactor on,
+  /** Starts a call; the reply is passed on the loop later. */
+  static void start(
+      Reactor reactor,
       InetSocketAddress address,
       String target,
       long timeoutMillis,
       Consumer<Reply> done) {
-    new ControlCall(on, address, target, timeoutMillis, done);
+    new ControlCall(reactor, address, target, timeoutMillis, done);
   }
 
   private void end(Reply reply) {
--- a/src/main/java/pumicekeel/delivery/client/ControlCluster.java
+++ b/src/main/java/pumicekeel/delivery/client/ControlCluster.java
@@ -12,28 +12,28 @@
 import pumicekeel.delivery.ConfigurationVersion;
 
 /**
- * All control machines, as a writer and operators see them: asked at once, a majority decides. Blocks: for commands.
+ * Client of all control machines for writers and operators: calls them in parallel; a majority decides. Blocks, for commands.
  */
 public final class ControlCluster {
 
-  /** A machine that was away catches up with its peers meanwhile. */
+  /** Time for a machine that was down to catch up with its peers. */
   private static final long CATCH_UP_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   private static final long CATCH_UP_PERIOD_MILLIS = 250;
 
   /**
-   * What one machine said.
+   * Reply of one machine.
    *
-   * @param value null where it gave no answer
-   * @param error why it did not; null where it did
+   * @param value null if it did not reply
+   * @param error why it did not reply; null if it did
    */
   public record Answer<T>(InetSocketAddress address, T value, String error) {}
 
   /**
-   * What came of a publish.
+   * Result of a publish.
    *
-   * @param version that was published; null where it came to no try
-   * @param refusal why it came to no try; null where it did
+   * @param version the version published; null if it was not attempted
+   * @param refusal why it was not attempted; null if it was
    */
   public record Publication(
       ConfigurationVersion version, String refusal, List<Answer<ControlApi.Published>> answers) {
@@ -54,17 +54,17 @@
 
   private final List<InetSocketAddress> addresses;
 
-  /** Makes one of all control machines; the majority is counted of these. */
+  /** Creates a client of all control machines; a majority is counted of these. */
   public ControlCluster(List<InetSocketAddress> addresses) {
     this.addresses = List.copyOf(addresses);
   }
 
-  /** What each machine knows. */
+  /** Returns the state of each machine. */
   public List<Answer<ControlApi.Status>> statuses() throws InterruptedException {
-    return ask(addresses, ControlApi::status);
+    return callAll(addresses, ControlApi::status);
   }
 
-  /** The newest version that a machine keeps, of those that answered. */
+  /** Returns the newest version kept by any machine that replied. */
   public static ConfigurationVersion newest(List<Answer<ControlApi.Status>> statuses) {
     ConfigurationVersion newest = ConfigurationVersion.NONE;
     for (Answer<ControlApi.Status> status : statuses) {
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Publishes a text as the version behind the newest one; the same text again is the same version, so that a publish that got no majority
-   * can be repeated.
+   * Publishes a text as the successor of the newest version. The text of the newest version keeps its version, so that a publish without a
+   * majority can be repeated.
    */
   public Publication publish(long epoch, boolean dryRun, String text) throws InterruptedException {
     List<Answer<ControlApi.Status>> statuses = statuses();
@@ -103,14 +103,14 @@
     return same.equals(newest) ? same : new ConfigurationVersion(epoch, sequence + 1, same.hash());
   }
 
-  /** Publishes to the machines that have told their status; one that is silent would only be waited for once more. */
+  /** Publishes to the machines that replied with their status; a silent one would only cause another timeout. */
   private static List<Answer<ControlApi.Published>> publish(
       List<Answer<ControlApi.Status>> statuses,
       ConfigurationVersion version,
       boolean dryRun,
       String text)
       throws InterruptedException {
-    List<Answer<ControlApi.Published>> answers = new ArrayList<>(ask(
+    List<Answer<ControlApi.Published>> answers = new ArrayList<>(callAll(
         statuses.stream().filter(s -> s.value() != null).map(Answer::address).toList(),
         api -> api.publish(version, dryRun, text)));
     statuses.stream()
@@ -129,12 +129,12 @@
     long end = System.nanoTime() + CATCH_UP_NANOS;
     while (answers.stream().anyMatch(a -> isCatchingUp(a, version)) && System.nanoTime() < end) {
       TimeUnit.MILLISECONDS.sleep(CATCH_UP_PERIOD_MILLIS);
-      answers = again(answers, version, dryRun, text);
+      answers = retryCatchingUp(answers, version, dryRun, text);
     }
     return answers;
   }
 
-  /** Whether a machine lacks versions before this one, which its peers have. */
+  /** Whether a machine lacks earlier versions, which it fetches from its peers. */
   private static boolean isCatchingUp(
       Answer<ControlApi.Published> answer, ConfigurationVersion version) {
     return answer.value() != null
@@ -143,7 +143,7 @@
         && version.isNewerThan(answer.value().current());
   }
 
-  private static List<Answer<ControlApi.Published>> again(
+  private static List<Answer<ControlApi.Published>> retryCatchingUp(
       List<Answer<ControlApi.Published>> answers,
       ConfigurationVersion version,
       boolean dryRun,
@@ -153,25 +153,25 @@
     for (Answer<ControlApi.Published> answer : answers) {
       out.add(
           isCatchingUp(answer, version)
-              ? ask(List.of(answer.address()), api -> api.publish(version, dryRun, text))
+              ? callAll(List.of(answer.address()), api -> api.publish(version, dryRun, text))
                   .get(0)
               : answer);
     }
     return out;
   }
 
-  /** Asks machines at once, so that one that is silent holds up no other. */
-  private static <T> List<Answer<T>> ask(List<InetSocketAddress> whom, Call<T> call)
+  /** Calls machines in parallel, so that a silent one does not delay the others. */
+  private static <T> List<Answer<T>> callAll(List<InetSocketAddress> targets, Call<T> call)
       throws InterruptedException {
-    ExecutorService threads = Executors.newFixedThreadPool(whom.size());
+    ExecutorService threads = Executors.newFixedThreadPool(targets.size());
     try {
       List<Future<T>> pending = new ArrayList<>();
-      for (InetSocketAddress address : whom) {
+      for (InetSocketAddress address : targets) {
         pending.add(threads.submit(() -> call.on(new ControlApi(address))));
       }
       List<Answer<T>> answers = new ArrayList<>();
-      for (int i = 0; i < whom.size(); i++) {
-        answers.add(answerOf(whom.get(i), pending.get(i)));
+      for (int i = 0; i < targets.size(); i++) {
+        answers.add(answerOf(targets.get(i), pending.get(i)));
       }
       return answers;
     } finally {
--- a/src/main/java/pumicekeel/delivery/control/ControlServer.java
+++ b/src/main/java/pumicekeel/delivery/control/ControlServer.java
@@ -39,31 +39,31 @@
 import pumicekeel.runtime.Retry;
 
 /**
- * A control machine on HTTP/1.1: {@code GET} and {@code POST /v1/configuration}, {@code GET /v1/configuration/parts/...}, {@code GET
- * /v1/replicas}. One event loop answers; one thread checks texts and writes files. It follows its peers as any subscriber does.
+ * HTTP/1.1 server of a control machine: {@code GET} and {@code POST /v1/configuration}, {@code GET /v1/configuration/parts/...}, {@code GET
+ * /v1/replicas}. One event loop replies; one thread checks texts and writes files. It subscribes to its peers like any replica.
  */
 public final class ControlServer implements Closeable {
 
   /** Twice the largest operator file that is read. */
-  static final int MOST_BODY_BYTES = 8 << 20;
+  static final int MAX_BODY_BYTES = 8 << 20;
 
-  private static final int MOST_HEADER_BYTES = 8 << 10;
-  private static final int MOST_CHUNK_BYTES = 64 << 10;
-  /** A call has come whole within this. */
+  private static final int MAX_HEADER_BYTES = 8 << 10;
+  private static final int MAX_CHUNK_BYTES = 64 << 10;
+  /** Time to receive a whole request. */
   private static final int REQUEST_TIMEOUT_SECONDS = 10;
-  /** A caller reads a part of a snapshot within this. */
+  /** Time for a caller to read a part of a snapshot. */
   private static final int WRITE_TIMEOUT_SECONDS = 30;
-  /** Waiting calls, and as many that are being answered. */
-  private static final int MOST_CONNECTIONS = 2 * WaitingCalls.MOST;
+  /** Waiting calls, and as many that are being replied to. */
+  private static final int MAX_CONNECTIONS = 2 * WaitingCalls.MAX_CALLS;
 
   /**
-   * What a control machine is started with.
+   * Settings of a control machine.
    *
-   * @param peers the other control machines; may hold its own address, which is passed over
+   * @param peers the other control machines; may include its own address, which is ignored
    */
   public record Settings(InetSocketAddress listen, Path directory, List<InetSocketAddress> peers) {}
 
-  private final Reactor on = Reactor.start();
+  private final Reactor reactor = Reactor.start();
   private final ExecutorService worker =
       Executors.newSingleThreadExecutor(work -> new Thread(work, "configuration"));
   private final Settings settings;
@@ -73,8 +73,8 @@
   private final WaitingCalls waiting = new WaitingCalls(ControlServer::answer);
   private final UploadLimit.Count uploads = new UploadLimit.Count();
   private InetSocketAddress address;
-  /** What fails for a moment is tried again for so long. */
-  private static final long START_MILLIS = 15_000;
+  /** How long transient failures at the start are retried. */
+  private static final long START_RETRY_MILLIS = 15_000;
 
   private ConfigurationSubscriber peers;
   private int connections;
@@ -82,15 +82,15 @@
   private ControlServer(Settings settings, FileConfigurationStore store, TextCheck check) {
     this.settings = settings;
     this.store = store;
-    keeper = new VersionKeeper(store, check, on.clock()::millis, this::kept);
+    keeper = new VersionKeeper(store, check, reactor.clock()::millis, this::versionKept);
   }
 
-  /** Reads the store, listens and follows the peers; an IOException says in words why it can't. */
+  /** Loads the store, listens and subscribes to the peers; the message of an IOException tells why it cannot. */
   public static ControlServer start(Settings settings, TextCheck check)
       throws IOException, InterruptedException {
     FileConfigurationStore store = Retry.call(
         "configuration store",
-        START_MILLIS,
+        START_RETRY_MILLIS,
         () -> FileConfigurationStore.exclusive(settings.directory(), Log::line));
     ControlServer server = new ControlServer(settings, store, check);
     try {
@@ -103,13 +103,13 @@
   }
 
   private void start() throws IOException, InterruptedException {
-    Retry.call("configuration store", START_MILLIS, () -> {
+    Retry.call("configuration store", START_RETRY_MILLIS, () -> {
       keeper.load();
       return keeper;
     });
     ChannelFuture bound = new ServerBootstrap()
-        .group(on.loop())
-        .channelFactory(on.sockets()::newListeningChannel)
+        .group(reactor.loop())
+        .channelFactory(reactor.sockets()::newListeningChannel)
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
@@ -122,23 +122,23 @@
       throw new IOException("cannot listen at " + Addresses.text(settings.listen()), bound.cause());
     }
     address = (InetSocketAddress) bound.channel().localAddress();
-    on.loop().submit(this::follow).sync();
+    reactor.loop().submit(this::followPeers).sync();
   }
 
-  /** Where it listens. */
+  /** Returns the listen address. */
   public InetSocketAddress address() {
     return address;
   }
 
-  /** Peers have the same versions: one that was away catches up with them. */
-  private void follow() {
+  /** Subscribes to the peers, which keep the same versions, to catch up after a downtime. */
+  private void followPeers() {
     List<InetSocketAddress> others =
         settings.peers().stream().filter(p -> !p.equals(address)).toList();
     Log.line("control machine at " + Addresses.text(address) + ", version " + state.current() + ", "
         + others.size() + " peers");
     if (!others.isEmpty()) {
       peers = new ConfigurationSubscriber(
-          on,
+          reactor,
           "control " + Addresses.text(address),
           others,
           state.current(),
@@ -149,20 +149,20 @@
     }
   }
 
-  /** On the worker: a version is kept. Its first ones come before the loop has anything to do. */
-  private void kept(ConfigurationVersion version, ConfigurationDocument document) {
-    on.loop().execute(() -> {
+  /** Called on the worker once a version is stored; also for loaded versions, before the server listens. */
+  private void versionKept(ConfigurationVersion version, ConfigurationDocument document) {
+    reactor.loop().execute(() -> {
       state.advance(version, document);
       Log.line("control machine: version " + version);
       if (peers != null) {
         peers.superseded(version);
       }
-      waiting.release(this::ask);
+      waiting.release(this::handleRequest);
     });
   }
 
   private void accept(Channel channel) {
-    if (connections >= MOST_CONNECTIONS) {
+    if (connections >= MAX_CONNECTIONS) {
       channel.close();
       return;
     }
@@ -173,16 +173,16 @@
         .addLast(
             new ReadTimeoutHandler(REQUEST_TIMEOUT_SECONDS),
             new WriteTimeoutHandler(WRITE_TIMEOUT_SECONDS),
-            new HttpServerCodec(
-                DeliveryPaths.MOST_TARGET_BYTES, MOST_HEADER_BYTES, MOST_CHUNK_BYTES),
+            new HttpServerCodec(DeliveryPaths.MAX_TARGET_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES),
             new UploadLimit(uploads),
-            new HttpObjectAggregator(MOST_BODY_BYTES, true),
+            new HttpObjectAggregator(MAX_BODY_BYTES, true),
             new ControlHandler(this));
   }
 
-  /** A call has come whole. */
-  void called(Channel channel, FullHttpRequest request) {
-    // What comes next is the caller's end; until then it is the machine that takes its time.
+  /** Handles a complete request. */
+  void handle(Channel channel, FullHttpRequest request) {
+    // The request is complete: from here on the machine may take its time, and the caller only
+    // closes.
     channel.pipeline().remove(ReadTimeoutHandler.class);
     QueryStringDecoder query = new QueryStringDecoder(request.uri());
     String path = query.path();
@@ -191,7 +191,7 @@
     } else if (!request.method().equals(HttpMethod.GET)) {
       send(channel, ReplyFormat.response(HttpResponseStatus.METHOD_NOT_ALLOWED, new byte[0]));
     } else if (path.equals(DeliveryPaths.CONFIGURATION)) {
-      ask(channel, DeliveryPaths.request(query));
+      handleRequest(channel, DeliveryPaths.request(query));
     } else if (path.startsWith(DeliveryPaths.PARTS)) {
       answer(channel, state.answer(DeliveryPaths.partRequest(query), now()));
     } else if (path.equals(DeliveryPaths.REPLICAS)) {
@@ -201,12 +201,12 @@
     }
   }
 
-  /** A call that can't be read; the connection ends with it. */
-  void refused(Channel channel, HttpResponseStatus status, String why) {
-    send(channel, ReplyFormat.response(status, why.getBytes(StandardCharsets.UTF_8)));
+  /** Rejects a malformed call and closes the connection. */
+  void reject(Channel channel, HttpResponseStatus status, String reason) {
+    send(channel, ReplyFormat.response(status, reason.getBytes(StandardCharsets.UTF_8)));
   }
 
-  private void ask(Channel channel, ConfigurationRequest request) {
+  private void handleRequest(Channel channel, ConfigurationRequest request) {
     Reply reply = state.answer(request, now());
     if (reply == null && !waiting.isFull()) {
       waiting.add(channel, request);
@@ -221,16 +221,16 @@
     worker.execute(() -> {
       PublishResult result = publishOrFail(publication, body);
       HttpResponseStatus status = HttpResponseStatus.valueOf(result.kind().status());
-      on.loop().execute(() -> json(channel, status, StatusJson.of(result)));
+      reactor.loop().execute(() -> json(channel, status, StatusJson.of(result)));
     });
   }
 
-  /** A check that breaks on some text must not leave its writer without an answer. */
+  /** A check that fails unexpectedly must not leave the writer without a reply. */
   private PublishResult publishOrFail(DeliveryPaths.Publication publication, byte[] body) {
     try {
       return keeper.publish(publication, body);
     } catch (RuntimeException | Error e) {
-      Log.line("control machine: the check of a text broke: " + e);
+      Log.line("control machine: the check of a text failed unexpectedly: " + e);
       return keeper.failed("the check of the text broke: " + e);
     }
   }
@@ -250,16 +250,16 @@
   }
 
   private long now() {
-    return on.clock().now();
+    return reactor.clock().now();
   }
 
-  /** Ends the machine; what it has acknowledged is stored. */
+  /** Stops the machine; all acknowledged versions are stored. */
   @Override
   public void close() throws IOException {
     if (peers != null) {
       peers.close();
     }
-    on.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
+    reactor.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     worker.shutdown();
     try {
       worker.awaitTermination(REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
--- a/src/main/java/pumicekeel/delivery/control/StatusJson.java
+++ b/src/main/java/pumicekeel/delivery/control/StatusJson.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import pumicekeel.delivery.ConfigurationVersion;
 
-/** What a control machine tells operators and writers, as JSON in UTF-8. */
+/** Replies of a control machine to operators and writers, as JSON in UTF-8. */
 final class StatusJson {
 
   private static final JsonFactory JSON = new JsonFactory();
@@ -35,35 +35,38 @@
 
   /**
    * {@code {"version": VERSION, "replicas": [{"name", "in-force", "refused", "behind", "trouble", "heard-ms-ago"}]}}; {@code behind} counts
-   * versions and is null where the one in force is of another epoch.
+   * versions and is null if the one in force is of another epoch.
    */
   static byte[] of(
-      ConfigurationVersion current, Collection<ReplicaRegistry.Heard> replicas, long now) {
+      ConfigurationVersion current, Collection<ReplicaRegistry.ReceivedReport> replicas, long now) {
     return object(out -> {
       out.writeStringField("version", current.text());
       out.writeArrayFieldStart("replicas");
-      for (ReplicaRegistry.Heard heard : replicas) {
-        write(out, heard, current, now);
+      for (ReplicaRegistry.ReceivedReport received : replicas) {
+        write(out, received, current, now);
       }
       out.writeEndArray();
     });
   }
 
   private static void write(
-      JsonGenerator out, ReplicaRegistry.Heard heard, ConfigurationVersion current, long now)
+      JsonGenerator out,
+      ReplicaRegistry.ReceivedReport received,
+      ConfigurationVersion current,
+      long now)
       throws IOException {
-    ConfigurationVersion inForce = heard.report().inForce();
+    ConfigurationVersion inForce = received.report().inForce();
     out.writeStartObject();
-    out.writeStringField("name", heard.report().name());
+    out.writeStringField("name", received.report().name());
     out.writeStringField("in-force", inForce.text());
-    out.writeStringField("refused", heard.report().refused().text());
+    out.writeStringField("refused", received.report().refused().text());
     if (inForce.epoch() == current.epoch()) {
       out.writeNumberField("behind", current.sequence() - inForce.sequence());
     } else {
       out.writeNullField("behind");
     }
-    out.writeStringField("trouble", heard.report().trouble());
-    out.writeNumberField("heard-ms-ago", TimeUnit.NANOSECONDS.toMillis(now - heard.at()));
+    out.writeStringField("trouble", received.report().trouble());
+    out.writeNumberField("heard-ms-ago", TimeUnit.NANOSECONDS.toMillis(now - received.at()));
     out.writeEndObject();
   }
 
@@ -74,7 +77,7 @@
       fields.write(out);
       out.writeEndObject();
     } catch (IOException e) {
-      throw new IllegalStateException("memory can be written to", e);
+      throw new IllegalStateException("unexpected failure of an in-memory stream", e);
     }
     return bytes.toByteArray();
   }
--- a/src/test/java/pumicekeel/delivery/FileConfigurationStoreTest.java
+++ b/src/test/java/pumicekeel/delivery/FileConfigurationStoreTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What survives a restart: whole versions, the newest first, whatever became of the files. */
+/** Intact versions survive a restart, newest first, even if other files are damaged. */
 class FileConfigurationStoreTest {
 
-  /** A disk that takes three bytes. */
+  /** A disk that has space for three bytes. */
   private static final DurableWriter FULL = (file, bytes) -> {
     Files.write(file, new byte[] {1, 2, 3});
     throw new IOException("No space left on device");
@@ -61,9 +61,9 @@
     assertTrue(lines.isEmpty(), lines.toString());
   }
 
-  /** A file that is cut at any byte, or has any one bit flipped, is told of and the version before it is there. */
+  /** A file truncated at any byte, or with any flipped bit, is logged, and the previous version is loaded. */
   @Test
-  void tornOrFlippedFileIsPutAsideAndTheVersionBeforeItIsUsed() throws IOException {
+  void damagedFileIsSetAsideAndThePreviousVersionIsUsed() throws IOException {
     saveThenLoad(1, 2);
     byte[] whole = Files.readAllBytes(fileOf(2));
     for (int i = 0; i < whole.length; i++) {
@@ -80,9 +80,9 @@
     assertTrue(Files.exists(directory.resolve("1-2.configuration.damaged")));
   }
 
-  /** What can't be read at this moment is there at the next look, and not taken for damaged. */
+  /** A file that cannot be read for a moment is not treated as damaged: the next load reads it. */
   @Test
-  void aReadThatFailsForAMomentPutsNoVersionAside() throws IOException {
+  void transientReadFailureSetsNoVersionAside() throws IOException {
     saveThenLoad(1, 2);
     int[] failures = {1};
     FileConfigurationStore.WholeReader once = file -> {
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void fullDiskRefusesTheVersionAndKeepsTheOld() throws IOException {
+  void fullDiskFailsTheSaveAndKeepsThePreviousVersion() throws IOException {
     saveThenLoad(1);
     try (var store =
         FileConfigurationStore.shared(directory, FULL, Files::readAllBytes, lines::add)) {
@@ -111,9 +111,9 @@
     assertEquals(List.of(configuration(2), configuration(1)), saveThenLoad(2));
   }
 
-  /** Instances that share a directory store the same version: one that fails leaves the file of the other whole. */
+  /** Instances that share a directory store the same version: a failed save must not damage the file of the other. */
   @Test
-  void failedSaveOfAVersionThatIsThereLeavesItWhole() throws IOException {
+  void failedSaveOfAStoredVersionLeavesItIntact() throws IOException {
     saveThenLoad(1, 2);
     try (var store =
         FileConfigurationStore.shared(directory, FULL, Files::readAllBytes, lines::add)) {
@@ -122,9 +122,9 @@
     assertEquals(List.of(configuration(2), configuration(1)), load());
   }
 
-  /** A process that is killed between writing and renaming leaves a part that counts for nothing. */
+  /** A process that is killed between writing and renaming leaves a temporary file, which is ignored. */
   @Test
-  void partOfAFileThatHasNoNameYetIsDropped() throws IOException {
+  void temporaryFileIsDeleted() throws IOException {
     saveThenLoad(1);
     Files.write(directory.resolve("1-2.configuration.partial"), new byte[] {1});
     assertEquals(List.of(configuration(1)), load());
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void directoryIsHeldByOne() throws IOException {
+  void directoryIsLockedByOneProcess() throws IOException {
     try (FileConfigurationStore store = open()) {
       assertTrue(store.load().isEmpty());
       assertTrue(assertThrows(IOException.class, this::open).getMessage().contains("alone"));
