--- a/src/main/java/pumicekeel/measure/Measure.java
+++ b/src/main/java/pumicekeel/measure/Measure.java
@@ -88,7 +88,7 @@
     return new Rate(
         served / elapsedSeconds,
         results.latency().getValueAtPercentile(99) / 1e3,
-        results.asked() - results.abandoned() - results.count(Outcome.SERVED));
+        results.sent() - results.abandoned() - results.count(Outcome.SERVED));
   }
 
   static String median(List<Double> values) {
--- a/src/main/java/pumicekeel/measure/RpcMeasure.java
+++ b/src/main/java/pumicekeel/measure/RpcMeasure.java
@@ -229,7 +229,7 @@
     return new Rate(
         served / elapsedSeconds,
         results.latency().getValueAtPercentile(99) / 1e3,
-        results.asked() - results.abandoned() - results.count(Outcome.SERVED),
+        results.sent() - results.abandoned() - results.count(Outcome.SERVED),
         bytesPerCall);
   }
 }
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -291,7 +291,7 @@
         loop,
         Log::line);
     Clock clock = services.clock();
-    KeyMemory memory = new KeyMemory(KeyMemory.MOST);
+    KeyMemory memory = new KeyMemory(KeyMemory.MAX_ENTRIES);
     int keys = journal.recover(memory, clock.now());
     Log.line(
         "journal in " + spec.directory() + ": " + keys + " keys may have run before this start");
@@ -314,7 +314,7 @@
         LentQuotas quotas = new LentQuotas(me, all.size(), epoch, configuration.seed() - me);
         loop.submit(() -> {
               services.lend(quotas);
-              peers.carry(quotas);
+              peers.attach(quotas);
             })
             .syncUninterruptibly();
       }
--- a/src/main/java/pumicekeel/rig/FleetRig.java
+++ b/src/main/java/pumicekeel/rig/FleetRig.java
@@ -106,7 +106,7 @@
     StandInUpstream upstream = new StandInUpstream(name, standIns, DELAY_MICROS);
     upstreams.put(name, upstream);
     cells.put(name, cell);
-    discovery.tell(name, upstream.address(), cell, "in_service", sinceMillis);
+    discovery.announce(name, upstream.address(), cell, "in_service", sinceMillis);
   }
 
   static String configuration(int discoveryPort) {
@@ -142,18 +142,18 @@
     List<Load> all = new ArrayList<>(lookups);
     all.addAll(quotes);
     watch(all, seconds * 0.2);
-    discovery.tell("s1", upstreams.get("s1").address(), 0, "terminating", 0);
+    discovery.announce("s1", upstreams.get("s1").address(), 0, "terminating", 0);
     say("s1 drains");
     watch(all, seconds * 0.3);
     long coldAt = System.nanoTime();
     add("cold", 9, System.currentTimeMillis());
     say("cold joins");
     watch(all, seconds * 0.5);
-    say("rolling restart: " + Control.ask(run, "restart"));
-    String status = Control.ask(run, "status");
+    say("rolling restart: " + Control.call(run, "restart"));
+    String status = Control.call(run, "status");
     while (!status.contains("\"work\":\"none\"")) {
       watch(all, 1);
-      status = Control.ask(run, "status");
+      status = Control.call(run, "status");
     }
     boolean through = status.contains("\"halted\":null");
     say(through ? "rolling restart done" : "rolling restart: " + status);
@@ -165,9 +165,9 @@
 
   static void until(Path run, int count, String what) throws Exception {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(120);
-    while (Control.ask(run, "status").split(what, -1).length - 1 < count) {
+    while (Control.call(run, "status").split(what, -1).length - 1 < count) {
       if (System.nanoTime() - end > 0) {
-        throw new IOException("the fleet did not become ready: " + Control.ask(run, "status"));
+        throw new IOException("the fleet did not become ready: " + Control.call(run, "status"));
       }
       TimeUnit.MILLISECONDS.sleep(50);
     }
@@ -192,14 +192,16 @@
 
   private boolean report(List<Load> lookups, List<Load> quotes, long coldAt) {
     Verdict verdict = Verdict.ofUpstreams(upstreams, cells);
-    verdict.noneLost("lookups", lookups.stream().map(Load::results).toList());
-    verdict.noneLost("quotes", quotes.stream().map(Load::results).toList());
-    verdict.noneTwice();
-    verdict.drainKept("s1", "rate-lookup", discovery.toldAt("s1", "terminating"), GRACE_MILLIS);
-    verdict.drainKept("s1", "quote-issue", discovery.toldAt("s1", "terminating"), GRACE_MILLIS);
-    verdict.coldKept("cold", coldAt, 0.3, 8, 3, 3);
+    verdict.checkAllAnswered("lookups", lookups.stream().map(Load::results).toList());
+    verdict.checkAllAnswered("quotes", quotes.stream().map(Load::results).toList());
+    verdict.checkNoDuplicateEffect();
+    verdict.checkDrain(
+        "s1", "rate-lookup", discovery.announcedAt("s1", "terminating"), GRACE_MILLIS);
+    verdict.checkDrain(
+        "s1", "quote-issue", discovery.announcedAt("s1", "terminating"), GRACE_MILLIS);
+    verdict.checkColdBudget("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
-    return verdict.good();
+    return verdict.passed();
   }
 }
