--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -271,7 +271,7 @@
   /** Answers a request that the module left unanswered until its deadline. */
   private void answerForModule(OpenRequest r) {
     if (finish(r)) {
-      Log.caused("answered in place of the module: " + r.request.id());
+      Log.rateLimited("answered in place of the module: " + r.request.id());
       refuseOrFail(r, 0);
       dispatch(new ClientDisconnected(r.request.id()));
     }
@@ -376,7 +376,7 @@
     } else if (action instanceof Watch a) {
       watch.accept(a.on());
     } else if (action instanceof Balancer.Log a) {
-      Log.caused("module: " + a.text());
+      Log.rateLimited("module: " + a.text());
     } else {
       throw new IllegalStateException(
           "unsupported action of the module: " + action.getClass().getSimpleName());
@@ -483,7 +483,7 @@
         r.bodyIncomplete() ? Long.MAX_VALUE : r.clientDeadline - now,
         attempt.remainingNanos()));
     if (denial != null) {
-      Log.caused("request " + r.request.id() + ": attempt " + attempt.number + " not sent, "
+      Log.rateLimited("request " + r.request.id() + ": attempt " + attempt.number + " not sent, "
           + denial + listAge(now));
     }
     return denial == null;
--- a/src/main/java/pumicekeel/delivery/client/ConfigurationSubscriber.java
+++ b/src/main/java/pumicekeel/delivery/client/ConfigurationSubscriber.java
@@ -114,7 +114,7 @@
     ControlCall.start(
         reactor, addresses.get(server), target, waitMillis + REPLY_TIMEOUT_MILLIS, reply -> {
           if (reply instanceof Reply.Failed failed) {
-            Log.caused("configuration: " + failed.reason());
+            Log.rateLimited("configuration: " + failed.reason());
           }
           subscription.replied(call, reply, now());
           run();
--- a/src/main/java/pumicekeel/delivery/control/ControlHandler.java
+++ b/src/main/java/pumicekeel/delivery/control/ControlHandler.java
@@ -37,7 +37,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof ReadTimeoutException)) {
-      Log.caused("control machine: " + cause);
+      Log.rateLimited("control machine: " + cause);
     }
     ctx.close();
   }
--- a/src/main/java/pumicekeel/discovery/Discovery.java
+++ b/src/main/java/pumicekeel/discovery/Discovery.java
@@ -216,7 +216,7 @@
         ? terms.reopenNanos()
         : plan.pause(
             failure, elapsedNanos, currency.sendableNanosLeft(now), currency.isConfirmedByPeer());
-    Log.caused("discovery: watch failed: " + reason + ", " + failure + " after "
+    Log.rateLimited("discovery: watch failed: " + reason + ", " + failure + " after "
         + TimeUnit.NANOSECONDS.toMillis(elapsedNanos) + " ms; list " + index + " is "
         + TimeUnit.NANOSECONDS.toMillis(currency.age(now)) + " ms old, next call in "
         + TimeUnit.NANOSECONDS.toMillis(pause) + " ms");
@@ -308,8 +308,8 @@
         return;
       }
       if (nextCall == null && callDue(now)) {
-        Log.caused("discovery: call " + callNumber + " has stalled, " + call.phase() + " after "
-            + TimeUnit.NANOSECONDS.toMillis(call.elapsedNanos(now)) + " ms");
+        Log.rateLimited("discovery: call " + callNumber + " has stalled, " + call.phase()
+            + " after " + TimeUnit.NANOSECONDS.toMillis(call.elapsedNanos(now)) + " ms");
         openCall();
       }
       scheduleCheck();
--- a/src/main/java/pumicekeel/front/AcceptErrorHandler.java
+++ b/src/main/java/pumicekeel/front/AcceptErrorHandler.java
@@ -33,7 +33,7 @@
   public void exceptionCaught(ChannelHandlerContext listener, Throwable cause) {
     FailureScope scope = FailureScope.of(cause);
     long pauseNanos = onFailure.applyAsLong(scope);
-    Log.caused(name + ": accept failed: " + cause.getMessage() + ", " + scope + ", paused for "
+    Log.rateLimited(name + ": accept failed: " + cause.getMessage() + ", " + scope + ", paused for "
         + TimeUnit.NANOSECONDS.toMillis(pauseNanos) + " ms");
     if (pauseNanos > 0) {
       listener.channel().config().setAutoRead(false);
--- a/src/main/java/pumicekeel/front/http/ClientHandler.java
+++ b/src/main/java/pumicekeel/front/http/ClientHandler.java
@@ -127,7 +127,7 @@
 
   private void transitionTo(Phase next) {
     if (!phase.canTransitionTo(next)) {
-      Log.caused("invalid phase transition of a client connection: " + phase + " to " + next);
+      Log.rateLimited("invalid phase transition of a client connection: " + phase + " to " + next);
     }
     phase = next;
   }
@@ -811,7 +811,7 @@
       return;
     }
     // A defect in the handling of this connection must not leave a submitted request unanswered.
-    Log.caused(
+    Log.rateLimited(
         "client " + context.channel().remoteAddress() + ", request " + submittedId + ": " + cause);
     if (submittedId == null && phase != Phase.RECEIVING && phase != Phase.IDLE) {
       abort(CloseReason.DEFECT);
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcClientConnection.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcClientConnection.java
@@ -497,7 +497,7 @@
       return;
     }
     // A defect in handling one message must not leave the open calls unanswered.
-    Log.caused("client " + context.channel().remoteAddress() + ": " + cause);
+    Log.rateLimited("client " + context.channel().remoteAddress() + ": " + cause);
     rejectAndStopReading(ErrorCodes.FAILED, "internal error");
   }
 }
--- a/src/main/java/pumicekeel/node/AttemptJournal.java
+++ b/src/main/java/pumicekeel/node/AttemptJournal.java
@@ -143,7 +143,8 @@
 
     private void expire() {
       if (!done) {
-        Log.caused("journal: the disk did not confirm a write in time: " + writer.failureReason());
+        Log.rateLimited(
+            "journal: the disk did not confirm a write in time: " + writer.failureReason());
         complete(false);
       }
     }
--- a/src/main/java/pumicekeel/node/DeliveredConfiguration.java
+++ b/src/main/java/pumicekeel/node/DeliveredConfiguration.java
@@ -172,7 +172,7 @@
       failedStores = 0;
     } catch (IOException e) {
       failedStores++;
-      Log.caused("configuration: version " + inForce
+      Log.rateLimited("configuration: version " + inForce
           + " could not be stored for the next start, retrying: " + e);
       node.loop()
           .schedule(
--- a/src/main/java/pumicekeel/runtime/ListeningChannel.java
+++ b/src/main/java/pumicekeel/runtime/ListeningChannel.java
@@ -79,7 +79,7 @@
       if (System.nanoTime() - one.since() < MAX_OPENING_NANOS) {
         return false;
       }
-      Log.caused("closed an accepted connection whose channel could not be opened, from "
+      Log.rateLimited("closed an accepted connection whose channel could not be opened, from "
           + one.accepted().peer() + ": " + e);
       closeDescriptor(one);
       return true;
@@ -90,7 +90,7 @@
     try {
       jdk.close(one.accepted());
     } catch (IOException e) {
-      Log.caused("could not close a descriptor: " + e);
+      Log.rateLimited("could not close a descriptor: " + e);
     }
   }
 
@@ -160,7 +160,7 @@
         jdk.preCloseSocket(javaChannel());
       }
     } catch (IOException e) {
-      Log.caused("could not end a listening socket: " + e);
+      Log.rateLimited("could not end a listening socket: " + e);
     }
   }
 
@@ -179,7 +179,7 @@
       }
       drained = true;
     } catch (IOException e) {
-      Log.caused("accepting the backlog at the close failed: " + e);
+      Log.rateLimited("accepting the backlog at the close failed: " + e);
     }
     fireAccepted(line);
     if (System.nanoTime() - closeAt >= 0 || drained && pendingDescriptors.isEmpty()) {
--- a/src/main/java/pumicekeel/runtime/Log.java
+++ b/src/main/java/pumicekeel/runtime/Log.java
@@ -8,11 +8,13 @@
 /** The balancer's log: one line per event, on standard error. */
 public final class Log {
 
-  /** Limit on lines per second that peers may cause: more add no information, and a flood of them costs CPU time. */
-  private static final int CAUSED_PER_SECOND = 5;
+  /** Maximum rate of the lines that peers can cause: more add no information, and a flood of them costs CPU time. */
+  private static final int MAX_RATE_LIMITED_PER_SECOND = 5;
 
-  private static final AtomicLong SECOND = new AtomicLong();
-  private static final AtomicInteger CAUSED = new AtomicInteger();
+  /** The second to which the count belongs. */
+  private static final AtomicLong CURRENT_SECOND = new AtomicLong();
+
+  private static final AtomicInteger RATE_LIMITED_IN_SECOND = new AtomicInteger();
 
   /**
    * Receives this thread's lines instead of standard error; null for none. Used by simulations to read a program's
@@ -31,17 +33,20 @@
     }
   }
 
-  /** Logs a line that was caused by a peer; discarded if there are too many. */
-  public static void caused(String text) {
+  /**
+   * Logs a line that peers can cause at any rate: beyond the maximum rate, shared by all such lines of the process, it is discarded
+   * without a notice. A redirected thread's lines are not limited.
+   */
+  public static void rateLimited(String text) {
     if (READER.get() != null) {
       line(text);
       return;
     }
     long second = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime());
-    if (SECOND.getAndSet(second) != second) {
-      CAUSED.set(0);
+    if (CURRENT_SECOND.getAndSet(second) != second) {
+      RATE_LIMITED_IN_SECOND.set(0);
     }
-    if (CAUSED.incrementAndGet() <= CAUSED_PER_SECOND) {
+    if (RATE_LIMITED_IN_SECOND.incrementAndGet() <= MAX_RATE_LIMITED_PER_SECOND) {
       line(text);
     }
   }
--- a/src/main/java/pumicekeel/runtime/LoopLag.java
+++ b/src/main/java/pumicekeel/runtime/LoopLag.java
@@ -59,7 +59,8 @@
     lastTickAt = now;
     delayNanos = Math.max(0, now - due);
     if (delayNanos > LOGGED_NANOS) {
-      Log.caused("the event loop is late by " + TimeUnit.NANOSECONDS.toMillis(delayNanos) + " ms");
+      Log.rateLimited(
+          "the event loop is late by " + TimeUnit.NANOSECONDS.toMillis(delayNanos) + " ms");
     }
     if (delayNanos > DELAYED_NANOS) {
       lastStall = new Stall(due - PERIOD_NANOS, now);
--- a/src/main/java/pumicekeel/runtime/PeriodicTask.java
+++ b/src/main/java/pumicekeel/runtime/PeriodicTask.java
@@ -17,7 +17,7 @@
             round.run();
           } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            Log.caused(
+            Log.rateLimited(
                 "error in a periodic task: " + e + " at " + (trace.length == 0 ? "?" : trace[0]));
           }
         },
--- a/src/main/java/pumicekeel/runtime/Reactor.java
+++ b/src/main/java/pumicekeel/runtime/Reactor.java
@@ -14,7 +14,7 @@
 
   /** Creates a reactor with its own guard. */
   public Reactor(EventLoop loop, Clock clock, Sockets sockets) {
-    this(loop, clock, sockets, new ServingGuard(Log::line, Log::caused));
+    this(loop, clock, sockets, new ServingGuard(Log::line, Log::rateLimited));
   }
 
   /** Starts an event loop on the system's sockets, with its own thread and the system's time. */
@@ -35,7 +35,7 @@
     try {
       return sockets.newConnectingChannel();
     } catch (ChannelException e) {
-      Log.caused("no descriptor for an outgoing connection: " + e.getCause());
+      Log.rateLimited("no descriptor for an outgoing connection: " + e.getCause());
       return null;
     }
   }
--- a/src/main/java/pumicekeel/runtime/Retry.java
+++ b/src/main/java/pumicekeel/runtime/Retry.java
@@ -35,7 +35,7 @@
         if (!retryable || System.nanoTime() - until >= 0) {
           throw e;
         }
-        Log.caused(what + " failed, retrying in " + pause + " ms: " + e);
+        Log.rateLimited(what + " failed, retrying in " + pause + " ms: " + e);
       }
       TimeUnit.MILLISECONDS.sleep(pause);
       pause = Math.min(MAX_PAUSE_MILLIS, 2 * pause);
--- a/src/main/java/pumicekeel/runtime/TolerantSocketChannel.java
+++ b/src/main/java/pumicekeel/runtime/TolerantSocketChannel.java
@@ -116,7 +116,7 @@
             .schedule(
                 () -> disableNagle(triesLeft - 1), OPTION_RETRY_MILLIS, TimeUnit.MILLISECONDS);
       } else {
-        Log.caused("could not set TCP_NODELAY on a connection: " + e.getCause());
+        Log.rateLimited("could not set TCP_NODELAY on a connection: " + e.getCause());
       }
     }
   }
--- a/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
@@ -137,7 +137,7 @@
    */
   private void failUnwritten(ChannelFuture pending) {
     if (writeFuture == pending && !pending.isDone()) {
-      Log.caused("upstream " + pool.address() + ": a request could not be written in time");
+      Log.rateLimited("upstream " + pool.address() + ": a request could not be written in time");
       fail();
     }
   }
@@ -444,7 +444,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      Log.caused("upstream " + pool.address() + ": " + cause);
+      Log.rateLimited("upstream " + pool.address() + ": " + cause);
     }
     fail();
   }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
@@ -389,7 +389,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      Log.caused("upstream " + link.address() + ": " + cause);
+      Log.rateLimited("upstream " + link.address() + ": " + cause);
     }
     fail(null);
   }
@@ -401,7 +401,7 @@
     }
     closed = true;
     if (why != null && channel != null) {
-      Log.caused("upstream " + link.address() + ": " + why);
+      Log.rateLimited("upstream " + link.address() + ": " + why);
     }
     link.ended(this);
     Set<Long> notWritten = Set.copyOf(unwritten);
