--- a/src/main/java/pumicekeel/cli/JournalCommand.java
+++ b/src/main/java/pumicekeel/cli/JournalCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Spec;
 import pumicekeel.journal.Entry;
 import pumicekeel.journal.History;
-import pumicekeel.journal.Story;
+import pumicekeel.journal.RequestHistory;
 import pumicekeel.measure.Torture;
 
 /** Queries the journals of requests that must not run twice, of running and of terminated processes. */
@@ -135,10 +135,10 @@
   }
 
   /** Returns readable text: a line with the verdict, then a line for each attempt. */
-  static String line(Story story, String gap) {
-    Story.Verdict verdict = story.verdict(gap);
-    Story.Attempt lastRun = null;
-    for (Story.Attempt a : story.attempts()) {
+  static String line(RequestHistory request, String gap) {
+    RequestHistory.Verdict verdict = request.verdict(gap);
+    RequestHistory.Attempt lastRun = null;
+    for (RequestHistory.Attempt a : request.attempts()) {
       lastRun = a.mayHaveRun() ? a : lastRun;
     }
     String location = lastRun == null
@@ -148,19 +148,21 @@
     String outcome = switch (verdict) {
       case NEVER_LEFT -> "never sent to an upstream";
       case MAY_HAVE_RUN -> "may have run at " + location;
-      case ANSWERED -> "ran at " + location + " and was answered at " + time(story.toldMillis());
+      case ANSWERED ->
+        "ran at " + location + " and was answered at " + time(request.clientOutcomeMillis());
       case NOT_TOLD ->
-        "ran at " + location + ", but the client did not receive the answer: " + story.told();
+        "ran at " + location + ", but the client did not receive the answer: "
+            + request.clientOutcome();
       case UNKNOWN ->
-        story.attempts().stream().anyMatch(a -> a.status() == pumicekeel.Balancer.Status.SERVED)
+        request.attempts().stream().anyMatch(a -> a.status() == pumicekeel.Balancer.Status.SERVED)
             ? "ran at " + location
                 + ", unknown whether the client received the answer: no record of it"
             : "unknown: " + gap;
     };
-    StringBuilder text =
-        new StringBuilder(story.first().id() + " key " + story.first().key() + " "
-            + story.first().className() + " " + story.instance() + ": " + outcome);
-    for (Story.Attempt a : story.attempts()) {
+    StringBuilder text = new StringBuilder(
+        request.firstIntent().id() + " key " + request.firstIntent().key() + " "
+            + request.firstIntent().className() + " " + request.instance() + ": " + outcome);
+    for (RequestHistory.Attempt a : request.attempts()) {
       text.append("\n    attempt ")
           .append(a.intent().attempt())
           .append(" at ")
@@ -178,22 +180,24 @@
     return text.toString();
   }
 
-  private static String json(Story story, String gap) throws IOException {
+  private static String json(RequestHistory request, String gap) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
       g.writeStartObject();
-      g.writeStringField("id", story.first().id());
-      g.writeStringField("key", story.first().key());
-      g.writeStringField("class", story.first().className());
-      g.writeStringField("tenant", story.first().tenant());
-      g.writeStringField("pool", story.first().pool());
-      g.writeStringField("instance", story.instance());
-      g.writeStringField("epoch", Long.toHexString(story.epoch()));
-      g.writeStringField("verdict", story.verdict(gap).name());
-      g.writeStringField("told", story.told() == null ? null : story.told().name());
+      g.writeStringField("id", request.firstIntent().id());
+      g.writeStringField("key", request.firstIntent().key());
+      g.writeStringField("class", request.firstIntent().className());
+      g.writeStringField("tenant", request.firstIntent().tenant());
+      g.writeStringField("pool", request.firstIntent().pool());
+      g.writeStringField("instance", request.instance());
+      g.writeStringField("epoch", Long.toHexString(request.epoch()));
+      g.writeStringField("verdict", request.verdict(gap).name());
+      g.writeStringField(
+          "told",
+          request.clientOutcome() == null ? null : request.clientOutcome().name());
       g.writeStringField("gap", gap);
       g.writeArrayFieldStart("attempts");
-      for (Story.Attempt a : story.attempts()) {
+      for (RequestHistory.Attempt a : request.attempts()) {
         g.writeStartObject();
         g.writeNumberField("attempt", a.intent().attempt());
         g.writeStringField("upstream", a.intent().upstream());
@@ -227,14 +231,14 @@
     @Override
     public Integer call() throws IOException {
       History history = filtered();
-      for (Story story : history.stories()) {
-        String gap = history.gapFor(story);
-        out().println(json ? json(story, gap) : line(story, gap));
+      for (RequestHistory request : history.requests()) {
+        String gap = history.gapFor(request);
+        out().println(json ? json(request, gap) : line(request, gap));
       }
       if (history.tooMany()) {
         err().println("too many matching requests: narrow the query with --from and --to");
       }
-      if (history.stories().isEmpty() && !json) {
+      if (history.requests().isEmpty() && !json) {
         String gap = history.anyGap();
         out()
             .println("no record from " + time(history.firstMillis()) + " to "
@@ -243,7 +247,7 @@
                     ? "no request of that period was sent to an upstream"
                     : "unknown because of this gap: " + gap));
       }
-      return history.stories().isEmpty() ? 1 : 0;
+      return history.requests().isEmpty() ? 1 : 0;
     }
   }
 
@@ -370,8 +374,8 @@
     @Override
     public Integer call() throws IOException {
       History history = filtered();
-      for (Story story : history.stories()) {
-        out().println(json(story, history.gapFor(story)));
+      for (RequestHistory request : history.requests()) {
+        out().println(json(request, history.gapFor(request)));
       }
       return 0;
     }
--- a/src/main/java/pumicekeel/journal/History.java
+++ b/src/main/java/pumicekeel/journal/History.java
@@ -12,12 +12,12 @@
 
 /**
  * The contents of the journals of one or several instances, running or not. Reads segments in the order in which they were
- * written and keeps the stories of matching requests, together with every hole in the journals.
+ * written and keeps the histories of matching requests, together with every hole in the journals.
  */
 public final class History {
 
-  /** Limit of the stories kept, some 500 MB; a query that matches more is too wide. */
-  static final int MAX_STORIES = 1_000_000;
+  /** Maximum number of requests kept, some 500 MB; a query that matches more is too wide. */
+  static final int MAX_REQUESTS = 1_000_000;
 
   /** A part of a journal that is missing or damaged: its place in a file or its time range, and the reason. */
   public record Hole(
@@ -30,7 +30,7 @@
   public record Segment(String file, long bytes, long records, String instance, long epoch) {}
 
   private final Predicate<Entry.Intent> filter;
-  private final Map<String, Story> stories = new LinkedHashMap<>();
+  private final Map<String, RequestHistory> requests = new LinkedHashMap<>();
   private final List<Hole> holes = new ArrayList<>();
   private final List<UnreadableFile> unreadableFiles = new ArrayList<>();
   private final List<Segment> segments = new ArrayList<>();
@@ -48,7 +48,7 @@
   private int nextNumber;
   private long epochLast;
 
-  /** Creates a history that keeps the stories of requests with an intent that matches the filter. */
+  /** Creates a history that keeps the requests with an intent that matches the filter. */
   public History(Predicate<Entry.Intent> filter) {
     this.filter = filter;
   }
@@ -145,15 +145,16 @@
       trackTime(e.wallMillis());
     } else if (entry instanceof Entry.Intent e) {
       trackTime(e.wallMillis());
-      Story story = stories.get(storyKey(e.id()));
-      if (story == null && filter.test(e)) {
-        tooMany |= stories.size() >= MAX_STORIES;
-        story = tooMany
+      RequestHistory request = requests.get(requestKey(e.id()));
+      if (request == null && filter.test(e)) {
+        tooMany |= requests.size() >= MAX_REQUESTS;
+        request = tooMany
             ? null
-            : stories.computeIfAbsent(storyKey(e.id()), k -> new Story(instance, epoch));
+            : requests.computeIfAbsent(
+                requestKey(e.id()), k -> new RequestHistory(instance, epoch));
       }
-      if (story != null) {
-        story.intent(e);
+      if (request != null) {
+        request.intent(e);
       }
     } else if (entry instanceof Entry.Written e) {
       update(e.id(), s -> s.written(e.attempt()));
@@ -186,15 +187,15 @@
     epochLast = millis;
   }
 
-  private void update(String id, java.util.function.Consumer<Story> change) {
-    Story story = stories.get(storyKey(id));
-    if (story != null) {
-      change.accept(story);
+  private void update(String id, java.util.function.Consumer<RequestHistory> change) {
+    RequestHistory request = requests.get(requestKey(id));
+    if (request != null) {
+      change.accept(request);
     }
   }
 
-  /** Returns the map key of a story: requests of different epochs are different even with the same id. */
-  private String storyKey(String id) {
+  /** Returns the map key of a request: requests of different epochs are different even with the same id. */
+  private String requestKey(String id) {
     return folder + '|' + epoch + '|' + id;
   }
 
@@ -203,8 +204,8 @@
     return Codec.cut(text).equals(recorded);
   }
 
-  public List<Story> stories() {
-    return List.copyOf(stories.values());
+  public List<RequestHistory> requests() {
+    return List.copyOf(requests.values());
   }
 
   public List<Hole> holes() {
@@ -232,14 +233,14 @@
     return lastMillis;
   }
 
-  /** Whether there were more stories than the limit. */
+  /** Whether there were more requests than the limit. */
   public boolean tooMany() {
     return tooMany;
   }
 
-  /** Returns the reason of a hole that may contain more records of a story; null if there is none. */
-  public String gapFor(Story story) {
-    long from = story.first().wallMillis();
+  /** Returns the reason of a hole that may contain more records of a request; null if there is none. */
+  public String gapFor(RequestHistory request) {
+    long from = request.firstIntent().wallMillis();
     return holes.stream()
         .filter(h -> h.toMillis() == 0 || h.toMillis() >= from)
         .map(Hole::why)
--- a/src/main/java/pumicekeel/journal/JournalCost.java
+++ b/src/main/java/pumicekeel/journal/JournalCost.java
@@ -79,7 +79,7 @@
         bytes / 1048576.0 / seconds,
         bytes / 1048576.0 / plainWriteSeconds,
         querySeconds,
-        history.stories().size(),
+        history.requests().size(),
         openSeconds,
         (vm.totalMemory() - vm.freeMemory()) / 1048576.0);
   }
--- a/src/main/java/pumicekeel/journal/Story.java
+++ b/src/main/java/pumicekeel/journal/RequestHistory.java
@@ -6,7 +6,7 @@
 import pumicekeel.journal.Entry.Told;
 
 /** The recorded attempts of one request and the conclusion that they prove. Does no I/O. */
-public final class Story {
+public final class RequestHistory {
 
   /** Conclusion about a request. Each is true regardless of events that were not recorded. */
   public enum Verdict {
@@ -22,7 +22,7 @@
     UNKNOWN
   }
 
-  /** One attempt. */
+  /** One attempt: its intent, whether it was written completely, and how it ended. */
   public static final class Attempt {
     private final Entry.Intent intent;
     private boolean written;
@@ -36,6 +36,7 @@
       return intent;
     }
 
+    /** Whether the complete request was written to the upstream. */
     public boolean written() {
       return written;
     }
@@ -45,6 +46,7 @@
       return status;
     }
 
+    /** Whether no recorded outcome proves that the attempt did not run. */
     public boolean mayHaveRun() {
       return status == null || !status.provesNotRun();
     }
@@ -53,10 +55,10 @@
   private final String instance;
   private final long epoch;
   private final List<Attempt> attempts = new ArrayList<>(1);
-  private Told told;
-  private long toldMillis;
+  private Told clientOutcome;
+  private long clientOutcomeMillis;
 
-  Story(String instance, long epoch) {
+  RequestHistory(String instance, long epoch) {
     this.instance = instance;
     this.epoch = epoch;
   }
@@ -73,15 +75,17 @@
     attempts.stream().filter(a -> a.intent.attempt() == attempt).forEach(a -> a.status = status);
   }
 
-  void answered(Told how, long wallMillis) {
-    told = how;
-    toldMillis = wallMillis;
+  void answered(Told outcome, long wallMillis) {
+    clientOutcome = outcome;
+    clientOutcomeMillis = wallMillis;
   }
 
+  /** Returns the name of the instance that recorded the request. */
   public String instance() {
     return instance;
   }
 
+  /** Returns the journal's epoch: each start of an instance begins a higher one. */
   public long epoch() {
     return epoch;
   }
@@ -91,15 +95,17 @@
   }
 
   /** Returns how the request ended for the client; null if that was not recorded. */
-  public Told told() {
-    return told;
+  public Told clientOutcome() {
+    return clientOutcome;
   }
 
-  public long toldMillis() {
-    return toldMillis;
+  /** Returns when the request ended for the client, in milliseconds of wall-clock time; 0 if that was not recorded. */
+  public long clientOutcomeMillis() {
+    return clientOutcomeMillis;
   }
 
-  public Entry.Intent first() {
+  /** Returns the intent of the first recorded attempt. */
+  public Entry.Intent firstIntent() {
     return attempts.get(0).intent;
   }
 
@@ -109,16 +115,16 @@
    */
   public Verdict verdict(String gap) {
     boolean served = attempts.stream().anyMatch(a -> a.status == Status.SERVED);
-    if (served && told == Told.SERVED) {
+    if (served && clientOutcome == Told.SERVED) {
       return Verdict.ANSWERED;
     }
     if (served) {
       // Without a record of the client's answer, the client may have received it nevertheless.
-      return told == null ? Verdict.UNKNOWN : Verdict.NOT_TOLD;
+      return clientOutcome == null ? Verdict.UNKNOWN : Verdict.NOT_TOLD;
     }
     if (attempts.stream().anyMatch(Attempt::mayHaveRun)) {
       return Verdict.MAY_HAVE_RUN;
     }
-    return gap != null && told == null ? Verdict.UNKNOWN : Verdict.NEVER_LEFT;
+    return gap != null && clientOutcome == null ? Verdict.UNKNOWN : Verdict.NEVER_LEFT;
   }
 }
--- a/src/main/java/pumicekeel/measure/Torture.java
+++ b/src/main/java/pumicekeel/measure/Torture.java
@@ -21,7 +21,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.journal.History;
-import pumicekeel.journal.Story;
+import pumicekeel.journal.RequestHistory;
 import pumicekeel.load.HttpRequestTemplate;
 import pumicekeel.load.Load;
 import pumicekeel.load.LoadProfile;
@@ -63,7 +63,8 @@
   private final SplittableRandom random;
   private final PrintWriter out;
   private final List<StandInUpstream> upstreams = new ArrayList<>();
-  private final Map<Story.Verdict, Long> verdicts = new EnumMap<>(Story.Verdict.class);
+  private final Map<RequestHistory.Verdict, Long> verdicts =
+      new EnumMap<>(RequestHistory.Verdict.class);
   private final List<String> wrongAnswers = new ArrayList<>();
   private long ran;
   private long unrecorded;
@@ -102,8 +103,8 @@
     }
     wrongAnswers.forEach(wrong -> out.println("UNTRUE " + wrong));
     long definite = verdicts.entrySet().stream()
-        .filter(
-            v -> v.getKey() != Story.Verdict.MAY_HAVE_RUN && v.getKey() != Story.Verdict.UNKNOWN)
+        .filter(v -> v.getKey() != RequestHistory.Verdict.MAY_HAVE_RUN
+            && v.getKey() != RequestHistory.Verdict.UNKNOWN)
         .mapToLong(Map.Entry::getValue)
         .sum();
     long all = verdicts.values().stream().mapToLong(Long::longValue).sum();
@@ -194,8 +195,8 @@
   private void verify(Set<String> served, int generation) throws IOException {
     History history = new History(e -> true);
     history.read(journal(generation));
-    Map<String, Story> stories = new HashMap<>();
-    history.stories().forEach(s -> stories.put(s.first().id(), s));
+    Map<String, RequestHistory> requests = new HashMap<>();
+    history.requests().forEach(s -> requests.put(s.firstIntent().id(), s));
     Map<String, Set<String>> seen = new HashMap<>();
     for (StandInUpstream u : upstreams) {
       for (Seen s : u.takeSeen()) {
@@ -206,32 +207,34 @@
     }
     ran += seen.size();
     seen.forEach((id, upstreamNames) -> {
-      Story story = stories.get(id);
+      RequestHistory request = requests.get(id);
       Set<String> recorded = new HashSet<>();
-      if (story != null) {
-        story.attempts().forEach(a -> recorded.add(a.intent().upstream()));
+      if (request != null) {
+        request.attempts().forEach(a -> recorded.add(a.intent().upstream()));
       }
       if (!recorded.containsAll(upstreamNames)) {
         unrecorded++;
         wrongAnswers.add(id + " ran at " + upstreamNames + ", recorded upstreams: " + recorded);
       }
     });
-    stories.forEach((id, story) -> {
-      Story.Verdict verdict = story.verdict(history.gapFor(story));
+    requests.forEach((id, request) -> {
+      RequestHistory.Verdict verdict = request.verdict(history.gapFor(request));
       verdicts.merge(verdict, 1L, Long::sum);
       boolean ranAtUpstream = seen.containsKey(id);
-      boolean claimsRun = verdict == Story.Verdict.ANSWERED || verdict == Story.Verdict.NOT_TOLD;
-      if (verdict == Story.Verdict.NEVER_LEFT && ranAtUpstream || claimsRun && !ranAtUpstream) {
+      boolean claimsRun =
+          verdict == RequestHistory.Verdict.ANSWERED || verdict == RequestHistory.Verdict.NOT_TOLD;
+      if (verdict == RequestHistory.Verdict.NEVER_LEFT && ranAtUpstream
+          || claimsRun && !ranAtUpstream) {
         wrongAnswers.add(
             id + " is reported as " + verdict + ", upstreams that saw it: " + seen.get(id));
       }
-      if (verdict == Story.Verdict.NOT_TOLD && served.contains(id)) {
+      if (verdict == RequestHistory.Verdict.NOT_TOLD && served.contains(id)) {
         wrongAnswers.add(id + " is reported as " + verdict + ", but its client was answered");
       }
     });
     served.stream()
-        .filter(id ->
-            !stories.containsKey(id) || stories.get(id).verdict(null) == Story.Verdict.NEVER_LEFT)
+        .filter(id -> !requests.containsKey(id)
+            || requests.get(id).verdict(null) == RequestHistory.Verdict.NEVER_LEFT)
         .forEach(id -> wrongAnswers.add(id + " was served but is not recorded"));
   }
 }
--- a/src/test/java/pumicekeel/journal/HistoryTest.java
+++ b/src/test/java/pumicekeel/journal/HistoryTest.java
@@ -69,12 +69,12 @@
     return history;
   }
 
-  private static Story.Verdict verdict(History history, String id) {
-    Story story = history.stories().stream()
-        .filter(s -> s.first().id().equals(id))
+  private static RequestHistory.Verdict verdict(History history, String id) {
+    RequestHistory request = history.requests().stream()
+        .filter(s -> s.firstIntent().id().equals(id))
         .findFirst()
         .orElseThrow();
-    return story.verdict(history.gapFor(story));
+    return request.verdict(history.gapFor(request));
   }
 
   @BeforeEach
@@ -87,7 +87,7 @@
   @Test
   void completeFolderHasNoHoles() throws Exception {
     History history = read();
-    assertEquals(3, history.stories().size());
+    assertEquals(3, history.requests().size());
     assertTrue(history.holes().isEmpty(), history.holes().toString());
     assertNull(history.anyGap());
     assertEquals(3L, history.kinds().get("Intent"));
@@ -100,7 +100,7 @@
     assertTrue(
         history.holes().get(0).why().contains("segments 1 to 1 of epoch 64 are missing"),
         "" + history.holes());
-    assertEquals(Story.Verdict.ANSWERED, verdict(history, "r0"));
+    assertEquals(RequestHistory.Verdict.ANSWERED, verdict(history, "r0"));
     assertNotNull(history.anyGap());
   }
 
@@ -109,7 +109,7 @@
     Files.delete(folder.resolve(name(100, 0)));
     History history = read();
     assertTrue(history.holes().isEmpty());
-    assertEquals(2, history.stories().size());
+    assertEquals(2, history.requests().size());
   }
 
   @Test
@@ -117,7 +117,7 @@
     Files.write(folder.resolve(name(100, 1)), new byte[0]);
     Files.write(folder.resolve(name(100, 2)), new byte[5_000]);
     History history = read();
-    assertEquals(1, history.stories().size());
+    assertEquals(1, history.requests().size());
     assertEquals(2, history.holes().size(), history.holes().toString());
     assertTrue(history.holes().stream().anyMatch(h -> h.length() == 5_000));
   }
@@ -127,10 +127,10 @@
   void copiedAndRenamedSegmentsAddNothing() throws Exception {
     Files.copy(folder.resolve(name(100, 1)), folder.resolve(name(100, 3)));
     History history = read();
-    assertEquals(3, history.stories().size());
-    assertEquals(Story.Verdict.ANSWERED, verdict(history, "r1"));
+    assertEquals(3, history.requests().size());
+    assertEquals(RequestHistory.Verdict.ANSWERED, verdict(history, "r1"));
     Files.move(folder.resolve(name(100, 3)), folder.resolve("copy of it.hvj"));
-    assertEquals(Story.Verdict.ANSWERED, verdict(read(), "r1"));
+    assertEquals(RequestHistory.Verdict.ANSWERED, verdict(read(), "r1"));
   }
 
   @Test
@@ -151,11 +151,14 @@
     write(200, 0, true, SegmentTest.intent("r0", "other", 0));
     History history = read();
     assertEquals(
-        2, history.stories().stream().filter(s -> s.first().id().equals("r0")).count());
+        2,
+        history.requests().stream()
+            .filter(s -> s.firstIntent().id().equals("r0"))
+            .count());
     assertEquals(
-        List.of(Story.Verdict.ANSWERED, Story.Verdict.MAY_HAVE_RUN),
-        history.stories().stream()
-            .filter(s -> s.first().id().equals("r0"))
+        List.of(RequestHistory.Verdict.ANSWERED, RequestHistory.Verdict.MAY_HAVE_RUN),
+        history.requests().stream()
+            .filter(s -> s.firstIntent().id().equals("r0"))
             .map(s -> s.verdict(history.gapFor(s)))
             .toList());
   }
@@ -180,11 +183,12 @@
     for (int cut = 0; cut < bytes.length; cut += 5) {
       Files.write(file, java.util.Arrays.copyOf(bytes, cut));
       History history = read();
-      assertTrue(history.stories().size() >= 2);
-      for (Story story : history.stories()) {
-        Story.Verdict verdict = story.verdict(history.gapFor(story));
+      assertTrue(history.requests().size() >= 2);
+      for (RequestHistory request : history.requests()) {
+        RequestHistory.Verdict verdict = request.verdict(history.gapFor(request));
         assertTrue(
-            verdict != Story.Verdict.NEVER_LEFT && verdict != Story.Verdict.NOT_TOLD,
+            verdict != RequestHistory.Verdict.NEVER_LEFT
+                && verdict != RequestHistory.Verdict.NOT_TOLD,
             cut + " " + verdict);
       }
     }
--- a/src/test/java/pumicekeel/journal/RecoveryTest.java
+++ b/src/test/java/pumicekeel/journal/RecoveryTest.java
@@ -123,43 +123,47 @@
 
   // Conclusions
 
-  private static Story story(Status status, Entry.Told told) {
-    Story story = new Story("n0", 1);
-    story.intent(sent("r", "k", 1, 1));
+  private static RequestHistory request(Status status, Entry.Told told) {
+    RequestHistory request = new RequestHistory("n0", 1);
+    request.intent(sent("r", "k", 1, 1));
     if (status != null) {
-      story.ended(0, status);
+      request.ended(0, status);
     }
     if (told != null) {
-      story.answered(told, 5);
+      request.answered(told, 5);
     }
-    return story;
+    return request;
   }
 
   @Test
   void verdictFollowsFromTheRecordedOutcomes() {
-    assertEquals(Story.Verdict.MAY_HAVE_RUN, story(null, null).verdict(null));
+    assertEquals(RequestHistory.Verdict.MAY_HAVE_RUN, request(null, null).verdict(null));
     assertEquals(
-        Story.Verdict.MAY_HAVE_RUN, story(Status.RESET, Entry.Told.FAILED).verdict(null));
+        RequestHistory.Verdict.MAY_HAVE_RUN,
+        request(Status.RESET, Entry.Told.FAILED).verdict(null));
     assertEquals(
-        Story.Verdict.NEVER_LEFT,
-        story(Status.CONNECT_FAILED, Entry.Told.REFUSED).verdict(null));
-    assertEquals(Story.Verdict.NEVER_LEFT, story(Status.FULL, null).verdict(null));
+        RequestHistory.Verdict.NEVER_LEFT,
+        request(Status.CONNECT_FAILED, Entry.Told.REFUSED).verdict(null));
+    assertEquals(RequestHistory.Verdict.NEVER_LEFT, request(Status.FULL, null).verdict(null));
     assertEquals(
-        Story.Verdict.UNKNOWN,
-        story(Status.FULL, null).verdict("a hole"),
+        RequestHistory.Verdict.UNKNOWN,
+        request(Status.FULL, null).verdict("a hole"),
         "another attempt may be in the hole");
-    assertEquals(Story.Verdict.ANSWERED, story(Status.SERVED, Entry.Told.SERVED).verdict("a hole"));
-    assertEquals(Story.Verdict.NOT_TOLD, story(Status.SERVED, Entry.Told.LEFT).verdict(null));
     assertEquals(
-        Story.Verdict.UNKNOWN,
-        story(Status.SERVED, null).verdict(null),
+        RequestHistory.Verdict.ANSWERED,
+        request(Status.SERVED, Entry.Told.SERVED).verdict("a hole"));
+    assertEquals(
+        RequestHistory.Verdict.NOT_TOLD, request(Status.SERVED, Entry.Told.LEFT).verdict(null));
+    assertEquals(
+        RequestHistory.Verdict.UNKNOWN,
+        request(Status.SERVED, null).verdict(null),
         "the client may have received it: no record");
-    Story two = story(Status.TIMEOUT, null);
+    RequestHistory two = request(Status.TIMEOUT, null);
     two.intent(new Entry.Intent(
         "r", "k", "c", Effect.KEYED, DedupScope.CELL, 1, null, "p", 1, "s-1", "h:1", "a", 3, 9, 9));
     two.ended(1, Status.SERVED);
     two.answered(Entry.Told.SERVED, 10);
-    assertEquals(Story.Verdict.ANSWERED, two.verdict(null));
+    assertEquals(RequestHistory.Verdict.ANSWERED, two.verdict(null));
     assertEquals(
         List.of("s-0", "s-1"),
         two.attempts().stream().map(a -> a.intent().upstream()).toList());
--- a/src/test/java/pumicekeel/node/CrashTest.java
+++ b/src/test/java/pumicekeel/node/CrashTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pumicekeel.journal.History;
-import pumicekeel.journal.Story;
+import pumicekeel.journal.RequestHistory;
 import pumicekeel.measure.Torture;
 import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInUpstream.Mode;
@@ -150,16 +150,16 @@
             upstreamsOf("again-" + i) + " and not " + upstream);
       }
     }
-    Story first = history().stories().stream()
-        .filter(s -> s.first().id().equals("first"))
+    RequestHistory first = history().requests().stream()
+        .filter(s -> s.firstIntent().id().equals("first"))
         .findFirst()
         .get();
-    assertEquals(Story.Verdict.MAY_HAVE_RUN, first.verdict(history().gapFor(first)));
+    assertEquals(RequestHistory.Verdict.MAY_HAVE_RUN, first.verdict(history().gapFor(first)));
     assertEquals(
         List.of(upstream),
         first.attempts().stream().map(a -> a.intent().upstream()).toList());
     // After its window of 5 s nobody deduplicates it any more, so it fails without being sent.
-    TestNode.until(() -> System.currentTimeMillis() - first.first().wallMillis() > 5_100);
+    TestNode.until(() -> System.currentTimeMillis() - first.firstIntent().wallMillis() > 5_100);
     try (TestClient client = new TestClient(address)) {
       assertEquals(502, client.call(ServicesTest.issue("late", "key-1", "h")).status());
       assertTrue(upstreamsOf("late").isEmpty());
@@ -190,16 +190,17 @@
         client.send(ServicesTest.issue("held", "key-1", "h"));
         TestNode.until(() -> {
           try {
-            return !history().stories().isEmpty();
+            return !history().requests().isEmpty();
           } catch (Exception e) {
             throw new AssertionError(e);
           }
         });
         kill();
       }
-      Story story = history().stories().get(0);
-      assertEquals(Story.Verdict.MAY_HAVE_RUN, story.verdict(history().gapFor(story)));
-      assertTrue(story.attempts().stream().noneMatch(Story.Attempt::written));
+      RequestHistory request = history().requests().get(0);
+      assertEquals(
+          RequestHistory.Verdict.MAY_HAVE_RUN, request.verdict(history().gapFor(request)));
+      assertTrue(request.attempts().stream().noneMatch(RequestHistory.Attempt::written));
       for (java.net.Socket filler : fillers) {
         filler.close();
       }
