--- a/src/main/java/pumicekeel/cli/CheckCommand.java
+++ b/src/main/java/pumicekeel/cli/CheckCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import pumicekeel.config.Configuration;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorLoader;
 import pumicekeel.node.Node;
 
@@ -38,7 +38,7 @@
   @Override
   public Integer call() {
     var err = spec.commandLine().getErr();
-    Operator operator;
+    OperatorConfiguration operator;
     try {
       operator = OperatorLoader.load(file);
     } catch (OperatorLoader.InvalidFileException e) {
--- a/src/main/java/pumicekeel/cli/RoutesCommand.java
+++ b/src/main/java/pumicekeel/cli/RoutesCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import pumicekeel.call.RequestAttributes;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorLoader;
 import pumicekeel.route.Route;
 import pumicekeel.route.RouteTable;
@@ -51,7 +51,7 @@
   @Option(
       names = "--listener",
       paramLabel = "NAME",
-      defaultValue = Operator.PLATFORM,
+      defaultValue = OperatorConfiguration.PLATFORM,
       description = "The listener that receives the request. Default: ${DEFAULT-VALUE}.")
   private String listener;
 
@@ -83,7 +83,7 @@
 
   @Override
   public Integer call() throws IOException {
-    Operator operator;
+    OperatorConfiguration operator;
     try {
       operator = OperatorLoader.load(file);
     } catch (OperatorLoader.InvalidFileException e) {
--- a/src/main/java/pumicekeel/config/Operator.java
+++ b/src/main/java/pumicekeel/config/OperatorConfiguration.java
@@ -17,10 +17,10 @@
 import pumicekeel.upstream.jsonrpc.ServerSettings;
 
 /**
- * A checked operator file: one generation of listeners, sources, pools and routes. {@code peers} and {@code control} take
- * effect only at start-up; {@code control} is null if no control machines deliver configurations.
+ * The contents of a checked operator file: one generation of listeners, sources, pools and routes. {@code peers} and {@code control}
+ * take effect only at start-up; {@code control} is null if no control machines deliver configurations.
  */
-public record Operator(
+public record OperatorConfiguration(
     Process process,
     Map<String, Listener> listeners,
     Map<String, Source> sources,
@@ -78,8 +78,10 @@
   public record Select(
       List<String> names, List<String> zones, List<String> types, List<Long> groups) {
 
+    /** Selects all upstreams. */
     public static final Select ALL = new Select(List.of(), List.of(), List.of(), List.of());
 
+    /** Returns whether an upstream belongs to the pool. */
     public boolean matches(HostList.Host host) {
       return (names.isEmpty()
               || names.stream()
@@ -97,8 +99,12 @@
 
   /** Settings of a pool's module that override the platform's; null where the platform's apply. */
   public record Overrides(
-      List<RequestClass> classes, List<Tenant> tenants, LimitsPart limits, ContractPart contract) {
+      List<RequestClass> classes,
+      List<Tenant> tenants,
+      LimitOverrides limits,
+      ContractOverrides contract) {
 
+    /** Returns the platform's settings with these values in place of its own. */
     public Settings applyTo(Settings base) {
       return new Settings(
           base.me(),
@@ -118,7 +124,7 @@
   }
 
   /** Limits of a pool; null where the platform's apply. */
-  public record LimitsPart(
+  public record LimitOverrides(
       Boolean secondCopies,
       Boolean retryAfter,
       Long maxRetryAfterNanos,
@@ -144,7 +150,7 @@
   }
 
   /** Values of the four rules for a pool's upstreams; null where the platform's apply. */
-  public record ContractPart(
+  public record ContractOverrides(
       Long drainGraceNanos,
       Double coldFrom,
       Long warmWithinNanos,
@@ -187,13 +193,17 @@
       Overrides overrides,
       ServerSettings rpc) {}
 
-  /** Which keyed and unsafe classes of a pool are recorded: none unless {@code on}, and only those named if any are. */
-  public record JournalSelection(boolean on, List<String> only) {
+  /** Which keyed and unsafe classes of a pool are recorded: none unless {@code enabled}, and only the named ones if there are names. */
+  public record JournalSelection(boolean enabled, List<String> classNames) {
 
+    /** Records all keyed and unsafe classes. */
     public static final JournalSelection ALL = new JournalSelection(true, List.of());
 
+    /** Returns whether requests of a class are recorded. */
     public boolean covers(RequestClass type) {
-      return on && type.effect() != Effect.SAFE && (only.isEmpty() || only.contains(type.name()));
+      return enabled
+          && type.effect() != Effect.SAFE
+          && (classNames.isEmpty() || classNames.contains(type.name()));
     }
   }
 }
--- a/src/main/java/pumicekeel/config/OperatorLoader.java
+++ b/src/main/java/pumicekeel/config/OperatorLoader.java
@@ -25,7 +25,7 @@
 
   private OperatorLoader() {}
 
-  public static Operator load(Path file) throws InvalidFileException {
+  public static OperatorConfiguration load(Path file) throws InvalidFileException {
     OperatorReader.Result result;
     try {
       result = OperatorReader.read(OperatorFile.read(file));
--- a/src/main/java/pumicekeel/config/OperatorReader.java
+++ b/src/main/java/pumicekeel/config/OperatorReader.java
@@ -14,17 +14,17 @@
 import pumicekeel.Balancer.RequestClass;
 import pumicekeel.Balancer.State;
 import pumicekeel.Balancer.Tenant;
-import pumicekeel.config.Operator.Capacity;
-import pumicekeel.config.Operator.ContractPart;
-import pumicekeel.config.Operator.DiscoverySource;
-import pumicekeel.config.Operator.LimitsPart;
-import pumicekeel.config.Operator.Listener;
-import pumicekeel.config.Operator.Overrides;
-import pumicekeel.config.Operator.PlatformSource;
-import pumicekeel.config.Operator.Pool;
-import pumicekeel.config.Operator.Select;
-import pumicekeel.config.Operator.Source;
-import pumicekeel.config.Operator.StaticSource;
+import pumicekeel.config.OperatorConfiguration.Capacity;
+import pumicekeel.config.OperatorConfiguration.ContractOverrides;
+import pumicekeel.config.OperatorConfiguration.DiscoverySource;
+import pumicekeel.config.OperatorConfiguration.LimitOverrides;
+import pumicekeel.config.OperatorConfiguration.Listener;
+import pumicekeel.config.OperatorConfiguration.Overrides;
+import pumicekeel.config.OperatorConfiguration.PlatformSource;
+import pumicekeel.config.OperatorConfiguration.Pool;
+import pumicekeel.config.OperatorConfiguration.Select;
+import pumicekeel.config.OperatorConfiguration.Source;
+import pumicekeel.config.OperatorConfiguration.StaticSource;
 import pumicekeel.discovery.HostList;
 import pumicekeel.front.jsonrpc.CallSettings;
 import pumicekeel.journal.Durability;
@@ -32,7 +32,7 @@
 import pumicekeel.route.Route;
 import pumicekeel.runtime.Addresses;
 
-/** Reads the text of an operator file into an {@link Operator}, or into the list of all its faults. */
+/** Reads the text of an operator file into an {@link OperatorConfiguration}, or into the list of all its faults. */
 public final class OperatorReader {
 
   /** Each pool has its own module instance, list and connections; more than twice the 220 of the largest known configuration. */
@@ -68,8 +68,8 @@
   private static final Map<String, State> STATES =
       Map.of("in_service", State.READY, "terminating", State.DRAINING);
 
-  /** The outcome of reading: an operator, or faults in the order of their lines. */
-  public record Result(Operator operator, List<Fault> faults) {}
+  /** The outcome of reading: a configuration, or faults in the order of their lines. */
+  public record Result(OperatorConfiguration operator, List<Fault> faults) {}
 
   private final List<Fault> faults = new ArrayList<>();
 
@@ -82,13 +82,13 @@
 
   private Result parse(String text) {
     Section root = Section.parse(text, faults);
-    Operator operator = root == null ? null : operator(root);
+    OperatorConfiguration operator = root == null ? null : operator(root);
     faults.sort(null);
     return new Result(faults.isEmpty() ? operator : null, List.copyOf(faults));
   }
 
-  private Operator operator(Section root) {
-    Operator.Process process = process(root.table("process"));
+  private OperatorConfiguration operator(Section root) {
+    OperatorConfiguration.Process process = process(root.table("process"));
     Map<String, Source> sources = sources(root);
     Map<String, Listener> listeners = listeners(root, new RpcReader(faults));
     Map<String, Pool> pools = pools(root, sources);
@@ -101,22 +101,23 @@
     }
     List<Route> routes =
         new RouteReader(pools, listeners.keySet(), faults).routes(root, defaultPool);
-    Operator.Journal journal = journal(root.table("journal"));
-    Operator.Peers peers = peers(root.table("peers"));
+    OperatorConfiguration.Journal journal = journal(root.table("journal"));
+    OperatorConfiguration.Peers peers = peers(root.table("peers"));
     ControlSettings control = ControlSettings.read(root.table("control"));
     root.reportUnknownKeys();
     checkGuarantees(root, process, pools);
-    return new Operator(process, listeners, sources, pools, routes, journal, peers, control);
+    return new OperatorConfiguration(
+        process, listeners, sources, pools, routes, journal, peers, control);
   }
 
   // The process and its listeners
 
-  private static Operator.Process process(Section s) {
+  private static OperatorConfiguration.Process process(Section s) {
     if (s == null) {
-      return new Operator.Process(null, null, null, null);
+      return new OperatorConfiguration.Process(null, null, null, null);
     }
     Long kib = s.integer("body-memory-kib", 64, 16 << 20);
-    Operator.Process process = new Operator.Process(
+    OperatorConfiguration.Process process = new OperatorConfiguration.Process(
         s.integer("client-sockets", 1, MAX_CAPACITY),
         s.integer("upstream-sockets", 1, MAX_CAPACITY),
         s.integer("open-requests", 1, MAX_CAPACITY),
@@ -125,9 +126,9 @@
     return process;
   }
 
-  private static Operator.Peers peers(Section s) {
+  private static OperatorConfiguration.Peers peers(Section s) {
     if (s == null) {
-      return Operator.Peers.NONE;
+      return OperatorConfiguration.Peers.NONE;
     }
     boolean lend = Boolean.TRUE.equals(s.bool("lend-quotas"));
     List<InetSocketAddress> out = new ArrayList<>();
@@ -148,10 +149,10 @@
           "expected 2 to " + Datagram.MAX_MEMBERS
               + " addresses, each once, in the order of the instances");
     }
-    return new Operator.Peers(out, lend);
+    return new OperatorConfiguration.Peers(out, lend);
   }
 
-  private static Operator.Journal journal(Section s) {
+  private static OperatorConfiguration.Journal journal(Section s) {
     if (s == null) {
       return null;
     }
@@ -170,7 +171,7 @@
       s.addFault(
           "keep-mib", "expected room for two segments, " + 2 * segmentMib + ", got " + keepMib);
     }
-    return new Operator.Journal(
+    return new OperatorConfiguration.Journal(
         directory == null ? null : Path.of(directory),
         durability == null ? Durability.HOST : durability,
         !Boolean.FALSE.equals(refuse),
@@ -191,7 +192,7 @@
       Long maxConnections = s.integer("max-connections", 1, MAX_CAPACITY);
       CallSettings calls = rpc.listener(name, s);
       s.reportUnknownKeys();
-      if (name.equals(Operator.PLATFORM)) {
+      if (name.equals(OperatorConfiguration.PLATFORM)) {
         root.addFault(
             "listeners",
             "expected another name: \"platform\" is the listener that PROXY_LISTEN names");
@@ -232,11 +233,11 @@
 
   private Map<String, Source> sources(Section root) {
     Map<String, Source> out = new LinkedHashMap<>();
-    out.put(Operator.PLATFORM, new PlatformSource());
+    out.put(OperatorConfiguration.PLATFORM, new PlatformSource());
     Map<String, Section> named = root.tablesByName("sources");
     checkCount(root, "sources", named.size(), MAX_SOURCES);
     named.forEach((name, s) -> {
-      if (name.equals(Operator.PLATFORM)) {
+      if (name.equals(OperatorConfiguration.PLATFORM)) {
         root.addFault("sources", "expected another name: \"platform\" is the platform's discovery");
       }
       boolean watched = s.has("discovery");
@@ -309,7 +310,7 @@
   }
 
   private Pool pool(String name, Section s, Map<String, Source> sources) {
-    String source = s.text("source", Operator.PLATFORM);
+    String source = s.text("source", OperatorConfiguration.PLATFORM);
     if (!sources.containsKey(source)) {
       s.addFault(
           "source", "expected one of " + listed(sources.keySet()) + ", got \"" + source + "\"");
@@ -345,7 +346,7 @@
   /** Reports a journal class that is not in the pool or is safe, and so is never recorded: most likely a mistake. */
   private static void checkJournalSelection(Section s, Pool pool) {
     List<RequestClass> classes = pool.overrides().classes();
-    for (String name : classes == null ? List.<String>of() : pool.journal().only()) {
+    for (String name : classes == null ? List.<String>of() : pool.journal().classNames()) {
       if (classes.stream().noneMatch(c -> c.name().equals(name) && c.effect() != Effect.SAFE)) {
         s.addFault(
             "journal", "expected keyed or unsafe classes of this pool, got \"" + name + "\"");
@@ -354,14 +355,16 @@
   }
 
   /** Reads {@code journal = false}, or the names of the classes that are recorded. */
-  private static Operator.JournalSelection journalSelection(Section s) {
+  private static OperatorConfiguration.JournalSelection journalSelection(Section s) {
     if (s.holds("journal", Boolean.class)) {
       return Boolean.TRUE.equals(s.bool("journal"))
-          ? Operator.JournalSelection.ALL
-          : new Operator.JournalSelection(false, List.of());
+          ? OperatorConfiguration.JournalSelection.ALL
+          : new OperatorConfiguration.JournalSelection(false, List.of());
     }
-    List<String> only = s.textList("journal");
-    return only == null ? Operator.JournalSelection.ALL : new Operator.JournalSelection(true, only);
+    List<String> names = s.textList("journal");
+    return names == null
+        ? OperatorConfiguration.JournalSelection.ALL
+        : new OperatorConfiguration.JournalSelection(true, names);
   }
 
   private static Select select(Section s) {
@@ -495,11 +498,11 @@
     return out;
   }
 
-  private static LimitsPart limits(Section s) {
+  private static LimitOverrides limits(Section s) {
     if (s == null) {
-      return new LimitsPart(null, null, null, null, null, null, null);
+      return new LimitOverrides(null, null, null, null, null, null, null);
     }
-    LimitsPart part = new LimitsPart(
+    LimitOverrides part = new LimitOverrides(
         s.bool("second-copies"),
         s.bool("retry-after"),
         ms(s, "max-retry-after-ms", 0),
@@ -516,11 +519,11 @@
     return value == null ? null : Long.valueOf(value * NANOS_PER_MILLI);
   }
 
-  private static ContractPart contract(Section s) {
+  private static ContractOverrides contract(Section s) {
     if (s == null) {
-      return new ContractPart(null, null, null, null, null);
+      return new ContractOverrides(null, null, null, null, null);
     }
-    ContractPart part = new ContractPart(
+    ContractOverrides part = new ContractOverrides(
         ms(s, "drain-grace-ms", 300),
         s.number("cold-from", 0.01, 1),
         ms(s, "warm-within-ms", 0),
@@ -532,7 +535,7 @@
 
   /** Checks that the pools' guarantees together fit the process limits that the file sets. */
   private static void checkGuarantees(
-      Section root, Operator.Process process, Map<String, Pool> pools) {
+      Section root, OperatorConfiguration.Process process, Map<String, Pool> pools) {
     checkSum(
         root,
         "process.open-requests",
--- a/src/main/java/pumicekeel/config/RouteReader.java
+++ b/src/main/java/pumicekeel/config/RouteReader.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import pumicekeel.Balancer.Effect;
 import pumicekeel.Balancer.RequestClass;
-import pumicekeel.config.Operator.Pool;
+import pumicekeel.config.OperatorConfiguration.Pool;
 import pumicekeel.route.HostName;
 import pumicekeel.route.PathPattern;
 import pumicekeel.route.Route;
@@ -32,7 +32,7 @@
   RouteReader(Map<String, Pool> pools, Set<String> listeners, List<Fault> faults) {
     this.pools = pools;
     this.listeners = new HashSet<>(listeners);
-    this.listeners.add(Operator.PLATFORM);
+    this.listeners.add(OperatorConfiguration.PLATFORM);
     this.faults = faults;
   }
 
--- a/src/main/java/pumicekeel/demo/Demo.java
+++ b/src/main/java/pumicekeel/demo/Demo.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.config.Configuration;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorReader;
 import pumicekeel.discovery.HostList;
 import pumicekeel.load.HttpRequestTemplate;
@@ -102,7 +102,7 @@
         DemoSettings.settings());
   }
 
-  private Operator operator() {
+  private OperatorConfiguration operator() {
     OperatorReader.Result result =
         OperatorReader.read("""
         [sources.rates]
--- a/src/main/java/pumicekeel/lab/program/OperatorFiles.java
+++ b/src/main/java/pumicekeel/lab/program/OperatorFiles.java
@@ -1,7 +1,7 @@
 package pumicekeel.lab.program;
 
 import java.net.InetSocketAddress;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorReader;
 
 /** The operator file of a run, generation by generation: two pools over one list, a JSON-RPC listener, and another part of it each time. */
@@ -41,7 +41,7 @@
   private OperatorFiles() {}
 
   /** The file of a generation; the listener's port stays. */
-  static Operator generation(int number, InetSocketAddress listener) {
+  static OperatorConfiguration generation(int number, InetSocketAddress listener) {
     OperatorReader.Result read =
         OperatorReader.read(ALWAYS.formatted(listener.getPort()) + ROUTES[number % ROUTES.length]);
     if (read.operator() == null) {
--- a/src/main/java/pumicekeel/node/DeliveredConfiguration.java
+++ b/src/main/java/pumicekeel/node/DeliveredConfiguration.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.config.Configuration;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.delivery.Candidate;
 import pumicekeel.delivery.ConfigurationDelta;
 import pumicekeel.delivery.ConfigurationStore;
@@ -31,7 +31,7 @@
   /** Interval between attempts to store the version in force on a failing disk. */
   private static final long STORE_RETRY_MILLIS = 500;
 
-  private final Operator local;
+  private final OperatorConfiguration local;
   private final ConfigurationStore store;
   private final Configuration platform;
   private Node node;
@@ -39,12 +39,13 @@
   /** Failed attempts since a version was last stored; worker thread only. */
   private int failedStores;
 
-  private Operator first;
+  private OperatorConfiguration first;
   private String text = "";
   /** Written by the thread that applies versions; read by any thread. */
   private volatile ConfigurationVersion inForce = ConfigurationVersion.NONE;
 
-  private DeliveredConfiguration(Configuration platform, Operator local, ConfigurationStore store) {
+  private DeliveredConfiguration(
+      Configuration platform, OperatorConfiguration local, ConfigurationStore store) {
     this.platform = platform;
     this.local = local;
     this.store = store;
@@ -52,7 +53,8 @@
   }
 
   /** Reads the stored versions; throws IOException if the directory is not usable. Blocks. */
-  static DeliveredConfiguration open(Configuration platform, Operator local) throws IOException {
+  static DeliveredConfiguration open(Configuration platform, OperatorConfiguration local)
+      throws IOException {
     DeliveredConfiguration delivered = new DeliveredConfiguration(
         platform, local, FileConfigurationStore.shared(local.control().directory(), Log::line));
     delivered.load();
@@ -99,7 +101,7 @@
   }
 
   /** Returns the operator to start with: the newest valid stored version, or else the operator file. */
-  Operator first() {
+  OperatorConfiguration first() {
     return first;
   }
 
--- a/src/main/java/pumicekeel/node/DeliveredOperator.java
+++ b/src/main/java/pumicekeel/node/DeliveredOperator.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import pumicekeel.config.Fault;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorReader;
 
 /**
@@ -19,7 +19,7 @@
   private DeliveredOperator() {}
 
   /** The outcome of reading a text: an operator, or faults of one line each. */
-  record Result(Operator operator, List<String> faults) {}
+  record Result(OperatorConfiguration operator, List<String> faults) {}
 
   /** Returns every fault of a text to be published, as {@code FILE:LINE: KEY: what was expected}. */
   public static List<String> faults(String file, String text) {
@@ -32,9 +32,13 @@
       return new Result(null, result.faults().stream().map(f -> f.in(file)).toList());
     }
     List<String> faults = new ArrayList<>();
-    Operator operator = result.operator();
-    Operator.Process process = operator.process();
-    refuse(faults, file, "process", !process.equals(new Operator.Process(null, null, null, null)));
+    OperatorConfiguration operator = result.operator();
+    OperatorConfiguration.Process process = operator.process();
+    refuse(
+        faults,
+        file,
+        "process",
+        !process.equals(new OperatorConfiguration.Process(null, null, null, null)));
     refuse(faults, file, "journal", operator.journal() != null);
     refuse(faults, file, "peers", !operator.peers().addresses().isEmpty());
     refuse(faults, file, "control", operator.control() != null);
@@ -53,13 +57,13 @@
   }
 
   /** Reads a delivered text and adds the process's own tables from its local operator file. */
-  static Result read(String text, Operator local) {
+  static Result read(String text, OperatorConfiguration local) {
     Result delivered = read(DELIVERED, text);
     if (delivered.operator() == null) {
       return delivered;
     }
-    Operator next = delivered.operator();
-    Operator merged = new Operator(
+    OperatorConfiguration next = delivered.operator();
+    OperatorConfiguration merged = new OperatorConfiguration(
         local.process(),
         next.listeners(),
         next.sources(),
--- a/src/main/java/pumicekeel/node/Listeners.java
+++ b/src/main/java/pumicekeel/node/Listeners.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.core.RequestRouter;
 import pumicekeel.front.Front;
 import pumicekeel.front.http.HttpFront;
@@ -26,7 +26,7 @@
   /** Requests that clients of a removed listener still begin are answered within this time; then the connections are closed. */
   private static final long CLOSE_GRACE_MILLIS = 2_000;
 
-  private record Side(Operator.Listener spec, Front side) {}
+  private record Side(OperatorConfiguration.Listener spec, Front side) {}
 
   private final Reactor reactor;
   private final LoopLag lag;
@@ -51,7 +51,8 @@
     loop = reactor.loop();
     this.router = router;
     this.maxTotal = maxTotal;
-    platform = new HttpFront(reactor, lag, Operator.PLATFORM, router, maxTotal, warmUpPath);
+    platform =
+        new HttpFront(reactor, lag, OperatorConfiguration.PLATFORM, router, maxTotal, warmUpPath);
   }
 
   HttpFront platform() {
@@ -59,10 +60,10 @@
   }
 
   /** Returns the connection limit of each listener, the platform's first; throws IllegalArgumentException if they don't fit. */
-  static List<Integer> plan(int maxTotal, Operator next) {
+  static List<Integer> plan(int maxTotal, OperatorConfiguration next) {
     long specified = 0;
     long unspecified = 1;
-    for (Operator.Listener l : next.listeners().values()) {
+    for (OperatorConfiguration.Listener l : next.listeners().values()) {
       specified += l.maxConnections() == null ? 0 : l.maxConnections();
       unspecified += l.maxConnections() == null ? 1 : 0;
     }
@@ -80,13 +81,13 @@
   }
 
   /** Binds a generation's new listeners without accepting yet, all or none. Blocks, so it must not run on the event loop. */
-  Map<String, Front> bind(Operator next) throws IOException, InterruptedException {
+  Map<String, Front> bind(OperatorConfiguration next) throws IOException, InterruptedException {
     Map<String, Front> bound = new LinkedHashMap<>();
     List<Integer> plan = plan(maxTotal, next);
     Map<String, Side> present =
         loop.submit(() -> Map.copyOf(sides)).syncUninterruptibly().getNow();
     int i = 1;
-    for (Operator.Listener l : next.listeners().values()) {
+    for (OperatorConfiguration.Listener l : next.listeners().values()) {
       int maxConnections = plan.get(i++);
       Side now = present.get(l.name());
       if (now != null
@@ -113,14 +114,14 @@
   }
 
   /** Puts a generation's listeners in force. Event loop only. */
-  void apply(Operator next, Map<String, Front> bound, boolean ready) {
+  void apply(OperatorConfiguration next, Map<String, Front> bound, boolean ready) {
     List<Integer> plan = plan(maxTotal, next);
     platform.setMaxConnections(plan.get(0));
     List.copyOf(sides.keySet()).stream()
         .filter(name -> !next.listeners().containsKey(name) || bound.containsKey(name))
         .forEach(name -> retire(sides.remove(name).side()));
     int i = 1;
-    for (Operator.Listener l : next.listeners().values()) {
+    for (OperatorConfiguration.Listener l : next.listeners().values()) {
       int maxConnections = plan.get(i++);
       Front side = bound.containsKey(l.name())
           ? bound.get(l.name())
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.config.Configuration;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorLoader;
 import pumicekeel.discovery.UpstreamSource;
 import pumicekeel.front.Front;
@@ -68,7 +68,7 @@
   private final Services services;
   private final Listeners listeners;
   private final String warmUpPath = WarmUp.newPath();
-  private final Operator firstGeneration;
+  private final OperatorConfiguration firstGeneration;
   private Journal journal;
   private PeerLink peers;
   private DepartureSharing departures;
@@ -89,7 +89,7 @@
   }
 
   /** Creates a balancer with the pools of an operator file, or with a single pool if {@code operator} is null. */
-  public Node(Configuration configuration, Operator operator, Runnable crash) {
+  public Node(Configuration configuration, OperatorConfiguration operator, Runnable crash) {
     this(Reactor.start(), configuration, operator, crash, true);
   }
 
@@ -97,7 +97,7 @@
   public Node(
       Reactor reactor,
       Configuration configuration,
-      Operator operator,
+      OperatorConfiguration operator,
       Runnable crash,
       boolean warmsUp) {
     this.reactor = reactor;
@@ -140,7 +140,7 @@
     try {
       Configuration configuration =
           Retry.call("configuration", START_RETRY_MILLIS, () -> Configuration.read(environment));
-      Operator operator = operatorFile == null
+      OperatorConfiguration operator = operatorFile == null
           ? null
           : Retry.call(
               "operator file", START_RETRY_MILLIS, () -> OperatorLoader.load(operatorFile));
@@ -150,7 +150,7 @@
               "delivered configuration",
               START_RETRY_MILLIS,
               () -> DeliveredConfiguration.open(configuration, operator));
-      Operator first = delivered == null ? operator : delivered.first();
+      OperatorConfiguration first = delivered == null ? operator : delivered.first();
       node = Retry.call(
           "event loop", START_RETRY_MILLIS, () -> new Node(configuration, first, () -> halt(1)));
       ExecutorService worker = Retry.call("reload thread", START_RETRY_MILLIS, Reload::newWorker);
@@ -275,7 +275,7 @@
 
   /** Recovers the journal before anything is served: what may have run under the previous process has to be known. */
   private Void openJournal() throws IOException, InterruptedException {
-    Operator.Journal spec = firstGeneration == null ? null : firstGeneration.journal();
+    OperatorConfiguration.Journal spec = firstGeneration == null ? null : firstGeneration.journal();
     if (spec == null) {
       return null;
     }
@@ -368,7 +368,7 @@
    * Applies a generation of the operator file as a whole, or not at all: then it throws an exception with the reason.
    * Waits for the event loop, so must not run on it.
    */
-  public void reload(Operator next) throws IOException, InterruptedException {
+  public void reload(OperatorConfiguration next) throws IOException, InterruptedException {
     services.check(next);
     Map<String, Front> bound = listeners.bind(next);
     String objection;
@@ -408,7 +408,7 @@
   }
 
   /** Checks whether a generation fits the platform's limits; throws IllegalArgumentException if not. */
-  public static void check(Configuration configuration, Operator operator) {
+  public static void check(Configuration configuration, OperatorConfiguration operator) {
     Services.check(configuration, operator);
   }
 
--- a/src/main/java/pumicekeel/node/ProcessCapacity.java
+++ b/src/main/java/pumicekeel/node/ProcessCapacity.java
@@ -1,7 +1,7 @@
 package pumicekeel.node;
 
 import pumicekeel.config.Configuration;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 
 /** The capacity of the process, from the platform's limits and the operator file. */
 record ProcessCapacity(int clientSockets, int upstreamSockets, long openRequests, long bodyBytes) {
@@ -32,7 +32,7 @@
     return (int) Math.min(sockets * share, available * share / (CLIENT_SHARE + UPSTREAM_SHARE));
   }
 
-  static ProcessCapacity of(Configuration configuration, Operator.Process process) {
+  static ProcessCapacity of(Configuration configuration, OperatorConfiguration.Process process) {
     int clients = process.clientSockets() == null
         ? clientSockets(configuration)
         : process.clientSockets().intValue();
--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/pumicekeel/node/Reload.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorLoader;
 import pumicekeel.delivery.ConfigurationVersion;
 import pumicekeel.runtime.Log;
@@ -118,7 +118,8 @@
 
   static void readOperator(Path file, Node node) {
     try {
-      Operator next = Retry.call("reload", RETRY_MILLIS, () -> OperatorLoader.load(file));
+      OperatorConfiguration next =
+          Retry.call("reload", RETRY_MILLIS, () -> OperatorLoader.load(file));
       Retry.call("reload", RETRY_MILLIS, () -> {
         node.reload(next);
         return next;
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -15,7 +15,7 @@
 import pumicekeel.Balancer.State;
 import pumicekeel.call.ClientRequest;
 import pumicekeel.call.Payload;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.core.BalancerCore;
 import pumicekeel.discovery.HostList;
 import pumicekeel.discovery.UpstreamSource;
@@ -51,7 +51,7 @@
       SharedUpstreams<InetSocketAddress> upstreams,
       Consumer<RuntimeException> defect) {}
 
-  private Operator.Pool spec;
+  private OperatorConfiguration.Pool spec;
   /** Built once, since a repeat of a key compares it with that of each pool. A change of its parts creates a new pool. */
   private final String home;
 
@@ -69,7 +69,7 @@
   private final Consumer<Map<ServicePool, Set<InetSocketAddress>>> onSharedChange;
 
   ServicePool(
-      Operator.Pool spec,
+      OperatorConfiguration.Pool spec,
       Settings settings,
       long seed,
       Shared shared,
@@ -94,7 +94,8 @@
     core.setListCurrency(source.currency());
   }
 
-  private static UpstreamLinks links(Operator.Pool spec, Settings settings, Shared shared) {
+  private static UpstreamLinks links(
+      OperatorConfiguration.Pool spec, Settings settings, Shared shared) {
     var limits = settings.limits();
     return spec.rpc() == null
         ? new ConnectionPool(
@@ -127,12 +128,12 @@
     return spec.name();
   }
 
-  Operator.Pool spec() {
+  OperatorConfiguration.Pool spec() {
     return spec;
   }
 
   /** Replaces the part of the specification that does not need a new module. */
-  void spec(Operator.Pool next) {
+  void spec(OperatorConfiguration.Pool next) {
     spec = next;
   }
 
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/Services.java
@@ -22,7 +22,7 @@
 import pumicekeel.call.ClientRequest.InvalidRequest;
 import pumicekeel.call.RequestAttributes;
 import pumicekeel.config.Configuration;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.core.RequestHandle;
 import pumicekeel.core.RequestRouter;
 import pumicekeel.discovery.HostList;
@@ -62,7 +62,7 @@
   private final EventLoop loop;
   private final Clock clock;
   private final ProcessCapacity capacity;
-  private final Operator.Process process;
+  private final OperatorConfiguration.Process process;
   private final ServicePool.Shared shared;
   private final FairQueue fairQueue = new FairQueue();
   private final KeyAffinity keyAffinity = new KeyAffinity(KeyAffinity.MAX_KEYS);
@@ -72,9 +72,9 @@
   private final Map<String, ServicePool> pools = new LinkedHashMap<>();
   private final List<ServicePool> retired = new ArrayList<>();
   /** Replaced on the event loop and also read by the reload thread, like the configuration. */
-  private volatile Operator operator;
+  private volatile OperatorConfiguration operator;
 
-  private final Operator first;
+  private final OperatorConfiguration first;
   private RouteTable table;
   private InetSocketAddress platformDiscovery;
   private AttemptJournal journal;
@@ -87,7 +87,7 @@
   /** Checks the first generation against the platform's limits; throws IllegalArgumentException if it doesn't fit. */
   Services(
       Configuration configuration,
-      Operator operator,
+      OperatorConfiguration operator,
       Reactor reactor,
       LoopLag lag,
       Consumer<RuntimeException> defect) {
@@ -151,22 +151,23 @@
   }
 
   /** Checks a file against this platform's limits, for a command that starts nothing. */
-  static void check(Configuration configuration, Operator next) {
+  static void check(Configuration configuration, OperatorConfiguration next) {
     check(configuration, ProcessCapacity.of(configuration, next.process()), next);
   }
 
   /** Checks a file against this platform's limits. Any thread. */
-  void check(Operator next) {
+  void check(OperatorConfiguration next) {
     check(configuration, capacity, next);
   }
 
-  private static void check(Configuration configuration, ProcessCapacity capacity, Operator next) {
-    plan("open-requests", capacity.openRequests(), next, Operator.Pool::open);
-    plan("sockets", capacity.upstreamSockets(), next, Operator.Pool::sockets);
-    plan("body-memory-kib", capacity.bodyBytes(), next, Operator.Pool::body);
+  private static void check(
+      Configuration configuration, ProcessCapacity capacity, OperatorConfiguration next) {
+    plan("open-requests", capacity.openRequests(), next, OperatorConfiguration.Pool::open);
+    plan("sockets", capacity.upstreamSockets(), next, OperatorConfiguration.Pool::sockets);
+    plan("body-memory-kib", capacity.bodyBytes(), next, OperatorConfiguration.Pool::body);
     Listeners.plan(capacity.clientSockets(), next);
     Map<String, Set<Effect>> effects = new HashMap<>();
-    for (Operator.Pool pool : next.pools().values()) {
+    for (OperatorConfiguration.Pool pool : next.pools().values()) {
       for (RequestClass type : settingsOf(configuration, pool).classes()) {
         effects.computeIfAbsent(type.name(), k -> EnumSet.noneOf(Effect.class)).add(type.effect());
       }
@@ -187,8 +188,8 @@
   }
 
   /** Checks that each method's class exists in a pool and that a keyed one has its key; else no call could be admitted. */
-  private static void checkMethods(Map<String, Set<Effect>> effects, Operator next) {
-    for (Operator.Listener listener : next.listeners().values()) {
+  private static void checkMethods(Map<String, Set<Effect>> effects, OperatorConfiguration next) {
+    for (OperatorConfiguration.Listener listener : next.listeners().values()) {
       if (listener.rpc() != null) {
         listener.rpc().methods().values().forEach(m -> checkMethod(effects, m));
       }
@@ -208,11 +209,11 @@
     }
   }
 
-  private Settings settingsOf(Operator.Pool pool) {
+  private Settings settingsOf(OperatorConfiguration.Pool pool) {
     return settingsOf(configuration, pool);
   }
 
-  private static Settings settingsOf(Configuration configuration, Operator.Pool pool) {
+  private static Settings settingsOf(Configuration configuration, OperatorConfiguration.Pool pool) {
     try {
       return pool.overrides().applyTo(configuration.settings());
     } catch (IllegalArgumentException e) {
@@ -223,8 +224,9 @@
   private static List<CapacityPlan.Allocation> plan(
       String what,
       long total,
-      Operator next,
-      java.util.function.Function<Operator.Pool, Operator.Capacity> room) {
+      OperatorConfiguration next,
+      java.util.function.Function<OperatorConfiguration.Pool, OperatorConfiguration.Capacity>
+          room) {
     return CapacityPlan.of(
         what,
         total,
@@ -260,24 +262,24 @@
         .values()
         .forEach(s -> s.reconfigure(
             WatchTerms.of(next.settings()), next.settings().contract().drainGraceNanos()));
-    UpstreamSource source = sources.get(Operator.PLATFORM);
+    UpstreamSource source = sources.get(OperatorConfiguration.PLATFORM);
     if (source != null) {
       source.moveTo(platformDiscovery);
     }
   }
 
   /** Returns why another generation can't be applied now; null if it can. */
-  String objection(Operator next) {
+  String objection(OperatorConfiguration next) {
     return retired.size() >= MAX_RETIRED && !next.pools().equals(operator.pools())
         ? retired.size() + " pools of earlier generations still have requests open"
         : null;
   }
 
   /** Returns the keys that are read at the start only and differ in the next generation. */
-  List<String> needRestart(Operator next) {
+  List<String> needRestart(OperatorConfiguration next) {
     List<String> out = new ArrayList<>();
-    Operator.Process now = process;
-    Operator.Process then = next.process();
+    OperatorConfiguration.Process now = process;
+    OperatorConfiguration.Process then = next.process();
     addIfChanged(out, "process.client-sockets", now.clientSockets(), then.clientSockets());
     addIfChanged(out, "process.upstream-sockets", now.upstreamSockets(), then.upstreamSockets());
     addIfChanged(out, "process.open-requests", now.openRequests(), then.openRequests());
@@ -298,12 +300,12 @@
   }
 
   /** Applies a generation that has passed {@link #check}. */
-  void apply(Operator next) {
+  void apply(OperatorConfiguration next) {
     Map<String, UpstreamSource> before = new LinkedHashMap<>(sources);
     applySources(next);
     List<ServicePool> added = new ArrayList<>();
     Map<String, ServicePool> after = new LinkedHashMap<>();
-    for (Operator.Pool spec : next.pools().values()) {
+    for (OperatorConfiguration.Pool spec : next.pools().values()) {
       Settings settings = settingsOf(spec);
       ServicePool pool = pools.get(spec.name());
       if (pool == null || !sameUpstreams(pool, spec, before) || !retuned(pool, settings)) {
@@ -315,7 +317,7 @@
       after.put(spec.name(), pool);
     }
     List<CapacityPlan.Allocation> socketParts =
-        plan("sockets", capacity.upstreamSockets(), next, Operator.Pool::sockets);
+        plan("sockets", capacity.upstreamSockets(), next, OperatorConfiguration.Pool::sockets);
     pools.values().stream().filter(p -> after.get(p.name()) != p).forEach(this::retire);
     pools.clear();
     pools.putAll(after);
@@ -328,8 +330,8 @@
   }
 
   private boolean sameUpstreams(
-      ServicePool pool, Operator.Pool spec, Map<String, UpstreamSource> before) {
-    Operator.Pool was = pool.spec();
+      ServicePool pool, OperatorConfiguration.Pool spec, Map<String, UpstreamSource> before) {
+    OperatorConfiguration.Pool was = pool.spec();
     return sources.get(spec.source()) == before.get(spec.source())
         && was.source().equals(spec.source())
         && was.select().equals(spec.select())
@@ -366,7 +368,7 @@
         s.tickNanos());
   }
 
-  private ServicePool newPool(Operator.Pool spec, Settings settings) {
+  private ServicePool newPool(OperatorConfiguration.Pool spec, Settings settings) {
     return new ServicePool(
         spec,
         settings,
@@ -393,13 +395,13 @@
     }
   }
 
-  private void resize(Operator next, List<CapacityPlan.Allocation> sockets) {
+  private void resize(OperatorConfiguration next, List<CapacityPlan.Allocation> sockets) {
     List<CapacityPlan.Allocation> open =
-        plan("open-requests", capacity.openRequests(), next, Operator.Pool::open);
+        plan("open-requests", capacity.openRequests(), next, OperatorConfiguration.Pool::open);
     List<CapacityPlan.Allocation> body =
-        plan("body-memory-kib", capacity.bodyBytes(), next, Operator.Pool::body);
+        plan("body-memory-kib", capacity.bodyBytes(), next, OperatorConfiguration.Pool::body);
     int i = 0;
-    for (Operator.Pool spec : next.pools().values()) {
+    for (OperatorConfiguration.Pool spec : next.pools().values()) {
       pools
           .get(spec.name())
           .resize(open.get(i), sockets.get(i), body.get(i), spec.connectionsPerUpstream());
@@ -407,16 +409,18 @@
     }
   }
 
-  private void applySources(Operator next) {
+  private void applySources(OperatorConfiguration next) {
     next.sources().forEach((name, spec) -> {
       UpstreamSource now = sources.get(name);
-      Operator.Source was = operator.sources().get(name);
+      OperatorConfiguration.Source was = operator.sources().get(name);
       if (now != null && spec.equals(was)) {
         return;
       }
-      if (spec instanceof Operator.StaticSource fixed && now != null && now.fixed()) {
+      if (spec instanceof OperatorConfiguration.StaticSource fixed && now != null && now.fixed()) {
         now.replace(fixed.hosts());
-      } else if (spec instanceof Operator.DiscoverySource watched && now != null && !now.fixed()) {
+      } else if (spec instanceof OperatorConfiguration.DiscoverySource watched
+          && now != null
+          && !now.fixed()) {
         now.moveTo(watched.address());
       } else {
         sources.put(name, source(spec));
@@ -424,12 +428,12 @@
     });
   }
 
-  private UpstreamSource source(Operator.Source spec) {
-    if (spec instanceof Operator.StaticSource fixed) {
+  private UpstreamSource source(OperatorConfiguration.Source spec) {
+    if (spec instanceof OperatorConfiguration.StaticSource fixed) {
       return UpstreamSource.fixed(fixed.hosts());
     }
     WatchTerms terms = WatchTerms.of(configuration.settings());
-    return spec instanceof Operator.DiscoverySource watched
+    return spec instanceof OperatorConfiguration.DiscoverySource watched
         ? watched(watched.address(), new HostList(0, true, List.of()), terms)
         : watched(platformDiscovery, configuration.known(), terms);
   }
@@ -446,7 +450,7 @@
 
   @Override
   public UpstreamSource platformSource() {
-    return sources.get(Operator.PLATFORM);
+    return sources.get(OperatorConfiguration.PLATFORM);
   }
 
   private void retire(ServicePool pool) {
--- a/src/main/java/pumicekeel/rig/scale/ConfigurationScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/ConfigurationScenario.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorReader;
 import pumicekeel.rig.scale.ConfigurationGenerator.Size;
 import pumicekeel.route.RouteTable;
@@ -87,7 +87,7 @@
     long allocated = ProcessMeter.allocatedBytes();
     long processor = ProcessMeter.processorNanos();
     long from = System.nanoTime();
-    Operator operator = read(text);
+    OperatorConfiguration operator = read(text);
     figures.put("read-ms", (System.nanoTime() - from) / 1e6);
     from = System.nanoTime();
     RouteTable table = new RouteTable(operator.routes());
@@ -111,7 +111,7 @@
     return with - ProcessMeter.heapAfterCollection();
   }
 
-  private static Operator read(String text) throws RefusedException {
+  private static OperatorConfiguration read(String text) throws RefusedException {
     OperatorReader.Result result = OperatorReader.read(text);
     if (!result.faults().isEmpty()) {
       List<?> faults = result.faults();
--- a/src/test/java/pumicekeel/config/OperatorReaderTest.java
+++ b/src/test/java/pumicekeel/config/OperatorReaderTest.java
@@ -80,7 +80,7 @@
 
   @Test
   void validFileIsReadAndOtherSettingsAreThePlatforms() throws Exception {
-    Operator operator = OperatorReader.read(GOOD).operator();
+    OperatorConfiguration operator = OperatorReader.read(GOOD).operator();
     assertNotNull(operator, () -> faults(GOOD).toString());
     assertEquals(
         List.of("quote.example.org", "*.quote.example.org"),
@@ -207,14 +207,14 @@
 
   @Test
   void journalCoversTheNamedClassesThatMustNotRunTwice() {
-    Operator all = OperatorReader.read(GOOD).operator();
+    OperatorConfiguration all = OperatorReader.read(GOOD).operator();
     var type = all.pools().get("quotes").overrides().classes().get(0);
     assertTrue(all.pools().get("quotes").journal().covers(type));
-    Operator none = OperatorReader.read(
+    OperatorConfiguration none = OperatorReader.read(
             GOOD.replace("source = \"fixed\"", "source = \"fixed\"\njournal = false"))
         .operator();
     assertTrue(!none.pools().get("quotes").journal().covers(type));
-    Operator named = OperatorReader.read(
+    OperatorConfiguration named = OperatorReader.read(
             GOOD.replace("source = \"fixed\"", "source = \"fixed\"\njournal = \"quote-issue\""))
         .operator();
     assertTrue(named.pools().get("quotes").journal().covers(type));
--- a/src/test/java/pumicekeel/config/RpcReaderTest.java
+++ b/src/test/java/pumicekeel/config/RpcReaderTest.java
@@ -54,7 +54,7 @@
       pool = "p"
       """;
 
-  private static Operator read(String text) {
+  private static OperatorConfiguration read(String text) {
     OperatorReader.Result result = OperatorReader.read(text);
     assertNotNull(result.operator(), () -> result.faults().toString());
     return result.operator();
@@ -62,7 +62,7 @@
 
   @Test
   void listenersMethodsAndPoolsAreReadFromTheFile() {
-    Operator operator = read(GOOD);
+    OperatorConfiguration operator = read(GOOD);
     CallSettings a = operator.listeners().get("a").rpc();
     assertEquals(
         new CallSettings(
--- a/src/test/java/pumicekeel/node/DeliveredConfigurationTest.java
+++ b/src/test/java/pumicekeel/node/DeliveredConfigurationTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.delivery.ConfigurationVersion;
 import pumicekeel.delivery.client.ControlApi;
 import pumicekeel.delivery.control.ControlServer;
@@ -74,7 +74,7 @@
   }
 
   private DeliveredConfiguration open() throws IOException {
-    Operator local = TestServices.operator(localFile());
+    OperatorConfiguration local = TestServices.operator(localFile());
     return DeliveredConfiguration.open(t.node.configuration(), local);
   }
 
--- a/src/test/java/pumicekeel/node/TestServices.java
+++ b/src/test/java/pumicekeel/node/TestServices.java
@@ -13,7 +13,7 @@
 import pumicekeel.adapter.Decoder;
 import pumicekeel.adapter.Fields;
 import pumicekeel.config.Configuration;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorReader;
 import pumicekeel.discovery.HostList;
 import pumicekeel.jsonrpc.Framing;
@@ -122,7 +122,7 @@
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  static Operator operator(String file) {
+  static OperatorConfiguration operator(String file) {
     OperatorReader.Result result = OperatorReader.read(file);
     if (result.operator() == null) {
       throw new AssertionError(result.faults());
--- a/src/test/java/pumicekeel/rig/scale/ConfigurationGeneratorTest.java
+++ b/src/test/java/pumicekeel/rig/scale/ConfigurationGeneratorTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorReader;
 import pumicekeel.rig.scale.ConfigurationGenerator.Change;
 import pumicekeel.rig.scale.ConfigurationGenerator.Size;
@@ -17,7 +17,7 @@
 
   private static final Size SMALL = new Size(11, 340, 190, 60);
 
-  private static Operator read(String text) {
+  private static OperatorConfiguration read(String text) {
     OperatorReader.Result result = OperatorReader.read(text);
     assertEquals(List.of(), result.faults());
     return result.operator();
@@ -25,7 +25,7 @@
 
   @Test
   void textIsGoodAndOfItsSize() {
-    Operator operator = read(new ConfigurationGenerator(SMALL, 7).text());
+    OperatorConfiguration operator = read(new ConfigurationGenerator(SMALL, 7).text());
     assertEquals(11, operator.pools().size());
     assertEquals(340, operator.routes().size());
     assertEquals(
@@ -36,7 +36,8 @@
     assertEquals(
         60,
         operator.sources().values().stream()
-            .mapToInt(s -> s instanceof Operator.StaticSource f ? f.hosts().size() : 0)
+            .mapToInt(s ->
+                s instanceof OperatorConfiguration.StaticSource f ? f.hosts().size() : 0)
             .sum());
   }
 
@@ -45,10 +46,11 @@
     String text = new ConfigurationGenerator(SMALL, 7).text();
     assertEquals(text, new ConfigurationGenerator(SMALL, 7).text());
     assertNotEquals(text, new ConfigurationGenerator(SMALL, 8).text());
-    Operator watched = read(new ConfigurationGenerator(SMALL, 7)
+    OperatorConfiguration watched = read(new ConfigurationGenerator(SMALL, 7)
         .withDiscoveries(p -> "127.0.0.1:" + (2_000 + p))
         .text());
-    assertTrue(watched.sources().get("service-003") instanceof Operator.DiscoverySource);
+    assertTrue(
+        watched.sources().get("service-003") instanceof OperatorConfiguration.DiscoverySource);
   }
 
   @Test
