--- a/src/main/java/pumicekeel/AdaptiveBalancer.java
+++ b/src/main/java/pumicekeel/AdaptiveBalancer.java
@@ -848,16 +848,16 @@
     } else if (settings.listOnRequest()) {
       out.accept(new Watch(true));
     }
-    Map<Long, Listed> entries = new LinkedHashMap<>();
+    Map<Long, ListedUpstream> entries = new LinkedHashMap<>();
     update.entries().forEach(e -> entries.put(e.upstream(), e));
     if (update.kind() != ListKind.DELTA) {
       // An upstream missing from a complete list has departed.
       upstreams.forEach((id, u) -> entries.putIfAbsent(
           id,
-          new Listed(
+          new ListedUpstream(
               id, u.listed.zone(), u.listed.cell(), State.GONE, u.started, u.listed.weight())));
     }
-    for (Listed e : entries.values()) {
+    for (ListedUpstream e : entries.values()) {
       Upstream u = upstreams.computeIfAbsent(
           e.upstream(),
           id -> new Upstream(id, new Window(window / 2, now), new Window(HISTORY_NANOS, now)));
--- a/src/main/java/pumicekeel/Balancer.java
+++ b/src/main/java/pumicekeel/Balancer.java
@@ -35,12 +35,12 @@
     CELL;
 
     /** Returns whether two upstreams deduplicate each other's requests. */
-    public boolean covers(Listed one, Listed other) {
+    public boolean covers(ListedUpstream one, ListedUpstream other) {
       return covers(one.zone(), one.cell(), other);
     }
 
     /** Returns whether an upstream deduplicates the requests of one in that zone and cell. */
-    public boolean covers(String zone, int cell, Listed other) {
+    public boolean covers(String zone, int cell, ListedUpstream other) {
       return this == ALL || (this == ZONE ? zone.equals(other.zone()) : cell == other.cell());
     }
   }
@@ -189,10 +189,10 @@
   }
 
   /**
-   * One entry of the list. {@code startedNanos} is 0 if it started long ago; weights are relative. {@code sharers} is the
+   * An upstream as one list names it. {@code startedNanos} is 0 if it started long ago; weights are relative. {@code sharers} is the
    * number of instances in this process, including this one, that send to it and divide a cold upstream's budget.
    */
-  record Listed(
+  record ListedUpstream(
       long upstream,
       String zone,
       int cell,
@@ -202,7 +202,7 @@
       int sharers) {
 
     /** Creates an entry to which no other instance of the process sends. */
-    public Listed(
+    public ListedUpstream(
         long upstream, String zone, int cell, State state, long startedNanos, double weight) {
       this(upstream, zone, cell, state, startedNanos, weight, 1);
     }
@@ -240,7 +240,7 @@
   record QuotaAllocation(Map<String, Double> perSecond) implements Event {}
 
   /** An update of the list of upstreams. An instance's first update is of kind CACHED. */
-  record ListUpdate(ListKind kind, List<Listed> entries) implements Event {}
+  record ListUpdate(ListKind kind, List<ListedUpstream> entries) implements Event {}
 
   /**
    * A request arrived and needs one final answer by {@code deadlineNanos} (a clock reading). Tenant and key may be
--- a/src/main/java/pumicekeel/PendingRequest.java
+++ b/src/main/java/pumicekeel/PendingRequest.java
@@ -55,7 +55,7 @@
   }
 
   /** Returns whether an upstream would deduplicate this request against all prior attempts that may have run. */
-  boolean priorAttemptsAllow(Balancer.Listed upstream, long now) {
+  boolean priorAttemptsAllow(Balancer.ListedUpstream upstream, long now) {
     for (Balancer.PriorAttempt e : request.priorAttempts()) {
       if (!type.dedupScope().covers(e.zone(), e.cell(), upstream)
           || now - e.sentAtNanos() >= type.dedupWindowNanos()) {
--- a/src/main/java/pumicekeel/Upstream.java
+++ b/src/main/java/pumicekeel/Upstream.java
@@ -15,7 +15,7 @@
     }
   };
 
-  Balancer.Listed listed;
+  Balancer.ListedUpstream listed;
   long started;
   long firstServed;
   long lastAnswerAt;
--- a/src/main/java/pumicekeel/adapter/Decoder.java
+++ b/src/main/java/pumicekeel/adapter/Decoder.java
@@ -13,7 +13,7 @@
 import pumicekeel.Balancer.Limits;
 import pumicekeel.Balancer.ListKind;
 import pumicekeel.Balancer.ListUpdate;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.PeerMessage;
 import pumicekeel.Balancer.Prices;
@@ -129,10 +129,10 @@
 
   private static ListUpdate topology(Fields f) {
     ListKind kind = f.choice("kind", LIST_KINDS);
-    List<Listed> entries = new ArrayList<>();
+    List<ListedUpstream> entries = new ArrayList<>();
     if (kind != ListKind.FAILED || f.has("entries")) {
       for (Fields e : f.objects("entries")) {
-        entries.add(new Listed(
+        entries.add(new ListedUpstream(
             e.integer("upstream"),
             e.text("region-part", ""),
             (int) e.integer("pack", 0),
--- a/src/main/java/pumicekeel/config/OperatorReader.java
+++ b/src/main/java/pumicekeel/config/OperatorReader.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import pumicekeel.Balancer.DedupScope;
 import pumicekeel.Balancer.Effect;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.RequestClass;
 import pumicekeel.Balancer.State;
 import pumicekeel.Balancer.Tenant;
@@ -282,7 +282,7 @@
             name,
             type,
             address,
-            new Listed(
+            new ListedUpstream(
                 HostList.idOf(name),
                 zone,
                 group == null ? 0 : group.intValue(),
--- a/src/main/java/pumicekeel/discovery/HostList.java
+++ b/src/main/java/pumicekeel/discovery/HostList.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.State;
 import pumicekeel.adapter.Fields;
 import pumicekeel.runtime.Addresses;
@@ -15,15 +15,15 @@
       Map.of("in_service", State.READY, "terminating", State.DRAINING, "terminated", State.GONE);
 
   /** An upstream: its name and type, its address as this balancer sees it, and what the module is given about it. */
-  public record Host(String name, String type, InetSocketAddress address, Listed listed) {
+  public record Host(String name, String type, InetSocketAddress address, ListedUpstream listed) {
 
     /** Creates a host whose name and type are not used. */
-    public Host(InetSocketAddress address, Listed listed) {
+    public Host(InetSocketAddress address, ListedUpstream listed) {
       this("", "", address, listed);
     }
 
     /** Returns a copy with other data for the module. */
-    public Host withListed(Listed other) {
+    public Host withListed(ListedUpstream other) {
       return new Host(name, type, address, other);
     }
   }
@@ -36,7 +36,7 @@
   }
 
   private static Host host(Fields f) {
-    Listed listed = new Listed(
+    ListedUpstream listed = new ListedUpstream(
         idOf(f.text("name")),
         f.text("zone", ""),
         (int) f.integer("group", 0),
--- a/src/main/java/pumicekeel/discovery/StartTimes.java
+++ b/src/main/java/pumicekeel/discovery/StartTimes.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 
 /**
  * Start times of upstreams by the balancer's own monotonic clock. Lists state them in Unix time, and the wall clock that they are
@@ -65,7 +65,7 @@
     return new HostList(list.index(), list.snapshot(), hosts);
   }
 
-  private Listed toLocalClock(Listed listed, long now) {
+  private ListedUpstream toLocalClock(ListedUpstream listed, long now) {
     long since = listed.startedNanos();
     if (since == 0) {
       return listed;
@@ -75,7 +75,7 @@
       known = new Start(since, localStartOf(since, now));
       starts.put(listed.upstream(), known);
     }
-    return new Listed(
+    return new ListedUpstream(
         listed.upstream(),
         listed.zone(),
         listed.cell(),
--- a/src/main/java/pumicekeel/discovery/UpstreamSource.java
+++ b/src/main/java/pumicekeel/discovery/UpstreamSource.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.State;
 import pumicekeel.runtime.Clock;
 import pumicekeel.runtime.Log;
@@ -182,9 +182,9 @@
   }
 
   private static HostList.Host withStartTime(HostList.Host host, long startedNanos) {
-    Listed l = host.listed();
+    ListedUpstream l = host.listed();
     return host.withListed(
-        new Listed(l.upstream(), l.zone(), l.cell(), l.state(), startedNanos, l.weight()));
+        new ListedUpstream(l.upstream(), l.zone(), l.cell(), l.state(), startedNanos, l.weight()));
   }
 
   private void callFailed() {
@@ -236,9 +236,9 @@
   }
 
   private static HostList.Host draining(HostList.Host host) {
-    Listed l = host.listed();
-    return host.withListed(
-        new Listed(l.upstream(), l.zone(), l.cell(), State.DRAINING, l.startedNanos(), l.weight()));
+    ListedUpstream l = host.listed();
+    return host.withListed(new ListedUpstream(
+        l.upstream(), l.zone(), l.cell(), State.DRAINING, l.startedNanos(), l.weight()));
   }
 
   /**
@@ -274,7 +274,7 @@
     index = list.index();
   }
 
-  private static boolean hasDeparted(Listed before, Listed now) {
+  private static boolean hasDeparted(ListedUpstream before, ListedUpstream now) {
     return before.state() == State.READY
         && (now.state() != State.READY
             || now.startedNanos() > before.startedNanos() + SAME_START_TOLERANCE_NANOS);
--- a/src/main/java/pumicekeel/lab/fleet/Host.java
+++ b/src/main/java/pumicekeel/lab/fleet/Host.java
@@ -12,7 +12,7 @@
 import pumicekeel.Balancer.Fail;
 import pumicekeel.Balancer.ListKind;
 import pumicekeel.Balancer.ListUpdate;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.Refuse;
 import pumicekeel.Balancer.Request;
@@ -49,7 +49,7 @@
   private final Map<Long, Links> links = new HashMap<>();
   private Balancer policy;
   private int life;
-  private List<Listed> known = List.of();
+  private List<ListedUpstream> known = List.of();
 
   Host(int number, FleetRun run, String zone, long seed) {
     this.number = number;
@@ -69,7 +69,7 @@
 
   // Its life
 
-  void start(List<Listed> list) {
+  void start(List<ListedUpstream> list) {
     life++;
     policy = run.policyOf(this, random.next());
     toldAt.clear();
@@ -104,9 +104,9 @@
     });
   }
 
-  private List<Listed> own(List<Listed> lines) {
+  private List<ListedUpstream> own(List<ListedUpstream> lines) {
     return lines.stream()
-        .map(l -> new Listed(
+        .map(l -> new ListedUpstream(
             l.upstream(),
             l.zone(),
             l.cell(),
@@ -116,7 +116,7 @@
         .toList();
   }
 
-  void news(Listed line) {
+  void news(ListedUpstream line) {
     if (up()) {
       tell(new ListUpdate(ListKind.DELTA, own(List.of(line))));
     }
@@ -132,7 +132,7 @@
   }
 
   private void hear(ListUpdate news) {
-    for (Listed l : news.entries()) {
+    for (ListedUpstream l : news.entries()) {
       startsKnown.put(l.upstream(), l.startedNanos() == 0 ? 0 : l.startedNanos() - origin);
       if (l.state() == State.READY) {
         toldAt.remove(l.upstream());
--- a/src/main/java/pumicekeel/lab/fleet/NodeList.java
+++ b/src/main/java/pumicekeel/lab/fleet/NodeList.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.State;
 import pumicekeel.lab.world.EventScheduler;
 import pumicekeel.lab.world.RandomStream;
@@ -20,7 +20,7 @@
   private final EventScheduler scheduler;
   private final RandomStream random;
   private final List<Host> hosts;
-  private final Map<Long, Listed> lines = new LinkedHashMap<>();
+  private final Map<Long, ListedUpstream> lines = new LinkedHashMap<>();
   private final Map<Long, Long> versions = new HashMap<>();
   private long lateNanos;
 
@@ -40,7 +40,7 @@
   }
 
   /** All that run or drain. */
-  List<Listed> lines() {
+  List<ListedUpstream> lines() {
     return new ArrayList<>(lines.values());
   }
 
@@ -49,14 +49,14 @@
     lines.put(s.id, line(s, State.READY));
   }
 
-  private static Listed line(Server s, State state) {
-    return new Listed(
+  private static ListedUpstream line(Server s, State state) {
+    return new ListedUpstream(
         s.id, s.zone, s.cellNumber, state, Math.max(0, s.startedAt()), s.spec().weight());
   }
 
   /** An upstream's state has changed. */
   void change(Server s, State state) {
-    Listed line = line(s, state);
+    ListedUpstream line = line(s, state);
     if (state == State.GONE) {
       lines.remove(s.id);
     } else {
--- a/src/main/java/pumicekeel/lab/policy/Peer.java
+++ b/src/main/java/pumicekeel/lab/policy/Peer.java
@@ -1,6 +1,6 @@
 package pumicekeel.lab.policy;
 
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 
 /** What a textbook policy keeps of an upstream. */
 final class Peer {
@@ -9,7 +9,7 @@
   private static final double DECAY_NANOS = 10e9;
 
   final long id;
-  Listed listed;
+  ListedUpstream listed;
   int out;
   private double latency;
   private long at;
--- a/src/main/java/pumicekeel/lab/policy/TextbookBalancer.java
+++ b/src/main/java/pumicekeel/lab/policy/TextbookBalancer.java
@@ -27,7 +27,7 @@
     private int attempts;
     private int out;
     private boolean mayHaveRun;
-    private Listed ranAt;
+    private ListedUpstream ranAt;
     private long ranSince;
     private boolean answered;
 
@@ -76,9 +76,11 @@
 
   private void list(ListUpdate news) {
     if (news.kind() == ListKind.FULL) {
-      peers.keySet().retainAll(news.entries().stream().map(Listed::upstream).toList());
+      peers
+          .keySet()
+          .retainAll(news.entries().stream().map(ListedUpstream::upstream).toList());
     }
-    for (Listed l : news.entries()) {
+    for (ListedUpstream l : news.entries()) {
       if (l.state() == State.GONE) {
         peers.remove(l.upstream());
       } else {
@@ -143,7 +145,7 @@
             && now - o.ranSince < o.type.dedupWindowNanos();
   }
 
-  private double warmth(Listed l) {
+  private double warmth(ListedUpstream l) {
     Contract c = settings.contract();
     return l.startedNanos() == 0
         ? 1
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import pumicekeel.AdaptiveBalancer;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.RequestClass;
 import pumicekeel.Balancer.Settings;
 import pumicekeel.Balancer.State;
@@ -247,9 +247,9 @@
   }
 
   private static HostList.Host departed(HostList.Host host) {
-    Listed l = host.listed();
-    return host.withListed(
-        new Listed(l.upstream(), l.zone(), l.cell(), State.GONE, l.startedNanos(), l.weight()));
+    ListedUpstream l = host.listed();
+    return host.withListed(new ListedUpstream(
+        l.upstream(), l.zone(), l.cell(), State.GONE, l.startedNanos(), l.weight()));
   }
 
   private void update(HostList.Host host, Map<ServicePool, Set<InetSocketAddress>> affected) {
--- a/src/main/java/pumicekeel/node/WarmUp.java
+++ b/src/main/java/pumicekeel/node/WarmUp.java
@@ -13,7 +13,7 @@
 import pumicekeel.AdaptiveBalancer;
 import pumicekeel.Balancer.DedupScope;
 import pumicekeel.Balancer.Effect;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.RequestClass;
 import pumicekeel.Balancer.Settings;
 import pumicekeel.Balancer.State;
@@ -120,7 +120,7 @@
   private void start(InetSocketAddress self) {
     List<HostList.Host> hosts = new ArrayList<>();
     for (int i = 0; i < UPSTREAMS; i++) {
-      hosts.add(new HostList.Host(self, new Listed(i, "", 0, State.READY, 0, 1)));
+      hosts.add(new HostList.Host(self, new ListedUpstream(i, "", 0, State.READY, 0, 1)));
     }
     core.start(new HostList(0, true, hosts), active -> {});
     for (int i = 0; i < CONCURRENCY; i++) {
--- a/src/main/java/pumicekeel/pool/SharedUpstreams.java
+++ b/src/main/java/pumicekeel/pool/SharedUpstreams.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.State;
 
 /**
@@ -20,7 +20,7 @@
 
   private static final class AddressEntry {
     /** By pool, then by the id under which that pool's list names it. */
-    private final Map<Object, Map<Long, Listed>> lines = new LinkedHashMap<>();
+    private final Map<Object, Map<Long, ListedUpstream>> lines = new LinkedHashMap<>();
 
     private int sharers;
     private long started;
@@ -31,7 +31,7 @@
           .count();
       long newest = lines.values().stream()
           .flatMap(l -> l.values().stream())
-          .mapToLong(Listed::startedNanos)
+          .mapToLong(ListedUpstream::startedNanos)
           .max()
           .orElse(0);
       boolean changed = ready != sharers || newest != started;
@@ -46,7 +46,7 @@
   private final Map<Object, Map<Long, A>> addresses = new HashMap<>();
 
   /** Applies a pool's entry; returns the other pools whose modules must be notified of the address again. */
-  public Set<Object> update(Object pool, A address, Listed listed) {
+  public Set<Object> update(Object pool, A address, ListedUpstream listed) {
     Set<Object> others = new HashSet<>();
     Map<Long, A> known = addresses.computeIfAbsent(pool, k -> new HashMap<>());
     A before = known.get(listed.upstream());
@@ -68,7 +68,7 @@
   private Set<Object> remove(Object pool, A address, long id) {
     addresses.get(pool).remove(id);
     AddressEntry entry = entriesByAddress.get(address);
-    Map<Long, Listed> lines = entry.lines.get(pool);
+    Map<Long, ListedUpstream> lines = entry.lines.get(pool);
     lines.remove(id);
     if (lines.isEmpty()) {
       entry.lines.remove(pool);
@@ -94,12 +94,12 @@
   }
 
   /** Returns a pool's entry with the sharing pools and the latest start, as its module sees it. */
-  public Listed withSharing(Object pool, A address, Listed own) {
+  public ListedUpstream withSharing(Object pool, A address, ListedUpstream own) {
     AddressEntry entry = entriesByAddress.get(address);
     if (entry == null || own.state() == State.GONE) {
       return own;
     }
-    return new Listed(
+    return new ListedUpstream(
         own.upstream(),
         own.zone(),
         own.cell(),
@@ -110,9 +110,9 @@
   }
 
   /** Returns the entries of a pool at an address, to notify its module again. */
-  public Set<Listed> linesOf(Object pool, A address) {
+  public Set<ListedUpstream> linesOf(Object pool, A address) {
     AddressEntry entry = entriesByAddress.get(address);
-    Set<Listed> out = new HashSet<>();
+    Set<ListedUpstream> out = new HashSet<>();
     if (entry != null) {
       entry.lines.getOrDefault(pool, Map.of()).values().forEach(out::add);
     }
--- a/src/main/java/pumicekeel/sim/ModuleSim.java
+++ b/src/main/java/pumicekeel/sim/ModuleSim.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import pumicekeel.Balancer.ListKind;
 import pumicekeel.Balancer.ListUpdate;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.Settings;
 import pumicekeel.Balancer.State;
 
@@ -102,7 +102,7 @@
 
   // The list of upstreams
 
-  private List<Listed> list() {
+  private List<ListedUpstream> list() {
     return upstreams.values().stream()
         .filter(u -> u.state == State.READY)
         .map(SimulatedUpstream::listed)
@@ -112,7 +112,7 @@
   /** Notifies every instance of a change after a random delay, of up to some seconds; an update that is outdated by then is dropped. */
   private void announce(SimulatedUpstream upstream) {
     for (SimulatedInstance instance : instances) {
-      Listed entry = upstream.listed();
+      ListedUpstream entry = upstream.listed();
       queue.schedule(
           queue.now() + random.nextLong(random.nextInt(10) == 0 ? MAX_LIST_DELAY : SECOND), () -> {
             if (instance.isUp() && upstream.listed().equals(entry)) {
@@ -174,7 +174,7 @@
   }
 
   private void restart(SimulatedInstance instance) {
-    List<Listed> old = list();
+    List<ListedUpstream> old = list();
     instance.stop();
     queue.schedule(queue.now() + random.nextLong(SECOND), () -> {
       if (!instance.isUp()) {
--- a/src/main/java/pumicekeel/sim/SimulatedInstance.java
+++ b/src/main/java/pumicekeel/sim/SimulatedInstance.java
@@ -19,7 +19,7 @@
 import pumicekeel.Balancer.Fail;
 import pumicekeel.Balancer.ListKind;
 import pumicekeel.Balancer.ListUpdate;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.Refuse;
 import pumicekeel.Balancer.Request;
@@ -76,7 +76,7 @@
   }
 
   /** Starts with a possibly outdated list; later updates arrive by {@link #deliver}. */
-  void start(List<Listed> known) {
+  void start(List<ListedUpstream> known) {
     incarnation++;
     open.clear();
     departureNotifiedAt.clear();
@@ -108,9 +108,9 @@
   }
 
   /** Returns the list with the start times converted to this instance's clock. */
-  List<Listed> withLocalClock(List<Listed> list) {
+  List<ListedUpstream> withLocalClock(List<ListedUpstream> list) {
     return list.stream()
-        .map(l -> new Listed(
+        .map(l -> new ListedUpstream(
             l.upstream(),
             l.zone(),
             l.cell(),
--- a/src/main/java/pumicekeel/sim/SimulatedUpstream.java
+++ b/src/main/java/pumicekeel/sim/SimulatedUpstream.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.State;
 
 /** An upstream of {@link ModuleSim}, with the times of the requests that count against its cold budget. */
@@ -27,8 +27,8 @@
   }
 
   /** Returns its current entry in the list. */
-  Listed listed() {
-    return new Listed(id, "a", cell, state, startedAt, 1);
+  ListedUpstream listed() {
+    return new ListedUpstream(id, "a", cell, state, startedAt, 1);
   }
 
   /** Returns its warmth at a time, the share of its full capacity. */
--- a/src/main/java/pumicekeel/subset/SubsetBalancer.java
+++ b/src/main/java/pumicekeel/subset/SubsetBalancer.java
@@ -22,9 +22,9 @@
   private final int size;
   private final Balancer delegate;
   /** The latest list, and the entries that the module has received. */
-  private final TreeMap<Long, Listed> known = new TreeMap<>();
+  private final TreeMap<Long, ListedUpstream> known = new TreeMap<>();
 
-  private final Map<Long, Listed> sent = new HashMap<>();
+  private final Map<Long, ListedUpstream> sent = new HashMap<>();
 
   /** {@code delegate} creates the module from its settings; {@code size} upstreams are in its subset. */
   public SubsetBalancer(
@@ -70,7 +70,7 @@
     if (update.kind() != ListKind.DELTA) {
       known.clear();
     }
-    for (Listed l : update.entries()) {
+    for (ListedUpstream l : update.entries()) {
       if (l.state() == State.GONE) {
         known.remove(l.upstream());
       } else {
@@ -79,18 +79,18 @@
     }
     List<Long> ready = known.values().stream()
         .filter(l -> l.state() == State.READY)
-        .map(Listed::upstream)
+        .map(ListedUpstream::upstream)
         .toList();
     Set<Long> mine =
         ready.isEmpty() ? Set.of() : method.of(member, members, ready, size).keySet();
-    List<Listed> entries = new ArrayList<>();
-    for (Listed l : known.values()) {
+    List<ListedUpstream> entries = new ArrayList<>();
+    for (ListedUpstream l : known.values()) {
       boolean own = mine.contains(l.upstream());
       if (own || sent.containsKey(l.upstream())) {
         entries.add(own || l.state() != State.READY ? l : withState(l, State.DRAINING));
       }
     }
-    for (Listed before : sent.values()) {
+    for (ListedUpstream before : sent.values()) {
       if (!known.containsKey(before.upstream())) {
         entries.add(withState(before, State.GONE));
       }
@@ -98,7 +98,7 @@
     if (update.kind() == ListKind.DELTA) {
       entries.removeIf(l -> l.equals(sent.get(l.upstream())));
     }
-    for (Listed l : entries) {
+    for (ListedUpstream l : entries) {
       if (l.state() == State.GONE) {
         sent.remove(l.upstream());
       } else {
@@ -112,8 +112,8 @@
             .toList());
   }
 
-  private static Listed withState(Listed l, State state) {
-    return new Listed(
+  private static ListedUpstream withState(ListedUpstream l, State state) {
+    return new ListedUpstream(
         l.upstream(), l.zone(), l.cell(), state, l.startedNanos(), l.weight(), l.sharers());
   }
 }
--- a/src/main/java/pumicekeel/upstream/UpstreamTable.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamTable.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.State;
 import pumicekeel.discovery.HostList;
 
@@ -78,7 +78,7 @@
   }
 
   private void update(HostList.Host host) {
-    Listed listed = host.listed();
+    ListedUpstream listed = host.listed();
     Entry e = entries.computeIfAbsent(listed.upstream(), Entry::new);
     e.host = host;
     if (e.link == null || !e.link.address().equals(host.address()) || e.removed) {
--- a/src/test/java/pumicekeel/ColdBudgetTest.java
+++ b/src/test/java/pumicekeel/ColdBudgetTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import pumicekeel.Balancer.Contract;
 import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.Settings;
 import pumicekeel.Balancer.State;
 import pumicekeel.Balancer.Status;
@@ -137,7 +137,7 @@
     double perTick = perUpstream * (WARM + 1) * TICK / 1e9;
     run(20_000 * Driver.MS, perTick);
     long start = fleet.get(0).now;
-    Listed cold = new Listed(COLD, "a", 0, State.READY, start, 1);
+    ListedUpstream cold = new ListedUpstream(COLD, "a", 0, State.READY, start, 1);
     for (int i = 0; i < balancers; i++) {
       if (view == View.JUST_STARTED && i % 3 == 0 || view == View.ALL_JUST_STARTED) {
         fleet.set(i, balancer(settings(balancers), balancers + i, start));
--- a/src/test/java/pumicekeel/Driver.java
+++ b/src/test/java/pumicekeel/Driver.java
@@ -12,7 +12,7 @@
 import pumicekeel.Balancer.Limits;
 import pumicekeel.Balancer.ListKind;
 import pumicekeel.Balancer.ListUpdate;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.Prices;
 import pumicekeel.Balancer.Request;
@@ -75,8 +75,8 @@
     return settings(false, List.of(), requestClass("c", Effect.SAFE, DedupScope.ALL));
   }
 
-  static Listed readyUpstream(long id) {
-    return new Listed(id, "a", 0, State.READY, 0, 1);
+  static ListedUpstream readyUpstream(long id) {
+    return new ListedUpstream(id, "a", 0, State.READY, 0, 1);
   }
 
   List<Action> handle(Event event) {
@@ -95,12 +95,12 @@
     return actions;
   }
 
-  List<Action> list(ListKind kind, Listed... entries) {
+  List<Action> list(ListKind kind, ListedUpstream... entries) {
     return handle(new ListUpdate(kind, List.of(entries)));
   }
 
   Driver upstreams(int n) {
-    Listed[] entries = new Listed[n];
+    ListedUpstream[] entries = new ListedUpstream[n];
     for (int i = 0; i < n; i++) {
       entries[i] = readyUpstream(100 + i);
     }
--- a/src/test/java/pumicekeel/EmbeddingExample.java
+++ b/src/test/java/pumicekeel/EmbeddingExample.java
@@ -9,7 +9,7 @@
 import pumicekeel.Balancer.Limits;
 import pumicekeel.Balancer.ListKind;
 import pumicekeel.Balancer.ListUpdate;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.Prices;
 import pumicekeel.Balancer.Request;
 import pumicekeel.Balancer.RequestClass;
@@ -49,8 +49,8 @@
     Balancer balancer = new AdaptiveBalancer(settings, 42);
     List<Action> actions = new ArrayList<>();
     long clock = 5_000 * MS;
-    Listed one = new Listed(1, "zone-a", 0, State.READY, 0, 1);
-    Listed two = new Listed(2, "zone-a", 0, State.READY, 0, 1);
+    ListedUpstream one = new ListedUpstream(1, "zone-a", 0, State.READY, 0, 1);
+    ListedUpstream two = new ListedUpstream(2, "zone-a", 0, State.READY, 0, 1);
     balancer.handle(clock, new ListUpdate(ListKind.CACHED, List.of(one, two)), actions::add);
     balancer.handle(
         clock, new Request("r1", "page", null, "user-7", clock + 800 * MS, 0, false), actions::add);
--- a/src/test/java/pumicekeel/FourRulesTest.java
+++ b/src/test/java/pumicekeel/FourRulesTest.java
@@ -14,7 +14,7 @@
 import pumicekeel.Balancer.Effect;
 import pumicekeel.Balancer.Fail;
 import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.Refuse;
 import pumicekeel.Balancer.Send;
 import pumicekeel.Balancer.State;
@@ -30,13 +30,14 @@
   private static Driver fleet(Effect effect, DedupScope scope, long... ids) {
     Driver d =
         new Driver(Driver.settings(false, List.of(), Driver.requestClass("c", effect, scope)));
-    d.list(ListKind.CACHED, new Listed(FIRST, "a", 1, State.READY, 0, 1));
-    List<Listed> others = new ArrayList<>();
+    d.list(ListKind.CACHED, new ListedUpstream(FIRST, "a", 1, State.READY, 0, 1));
+    List<ListedUpstream> others = new ArrayList<>();
     for (long id : ids) {
-      others.add(new Listed(id, id == 4 ? "b" : "a", id == 2 ? 1 : (int) id, State.READY, 0, 1));
+      others.add(
+          new ListedUpstream(id, id == 4 ? "b" : "a", id == 2 ? 1 : (int) id, State.READY, 0, 1));
     }
     d.request("r", "c", "k");
-    d.list(ListKind.DELTA, others.toArray(new Listed[0]));
+    d.list(ListKind.DELTA, others.toArray(new ListedUpstream[0]));
     return d;
   }
 
@@ -174,7 +175,7 @@
     Driver d = new Driver(Driver.safe()).upstreams(1);
     d.list(ListKind.FULL);
     assertEquals(-1, d.serve("k", Driver.MS));
-    d.list(ListKind.DELTA, new Listed(100, "a", 0, State.READY, d.now, 1));
+    d.list(ListKind.DELTA, new ListedUpstream(100, "a", 0, State.READY, d.now, 1));
     d.advance(2000 * Driver.MS);
     assertEquals(100, d.serve("k", Driver.MS));
   }
@@ -229,7 +230,7 @@
     assertEquals(-1, Driver.sentTo(d.request("early", "c", "k")), "before any list");
     d.list(ListKind.FAILED);
     d.list(ListKind.CACHED);
-    d.list(ListKind.FULL, new Listed(1, "a", 0, State.DRAINING, 0, 1));
+    d.list(ListKind.FULL, new ListedUpstream(1, "a", 0, State.DRAINING, 0, 1));
     assertEquals(-1, Driver.sentTo(d.request("r0", "c", null)));
     d.handle(new Balancer.ClientDisconnected("never"));
     d.handle(new Balancer.TimerFired("never"));
--- a/src/test/java/pumicekeel/PlacementTest.java
+++ b/src/test/java/pumicekeel/PlacementTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import pumicekeel.Balancer.Action;
 import pumicekeel.Balancer.ListKind;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.Send;
 import pumicekeel.Balancer.State;
 import pumicekeel.Balancer.Status;
@@ -39,7 +39,7 @@
     counts
         .values()
         .forEach(n -> assertTrue(n > 120 && n < 300, "keys of one upstream of ten: " + n));
-    d.list(ListKind.DELTA, new Listed(103, "a", 0, State.GONE, 0, 1));
+    d.list(ListKind.DELTA, new ListedUpstream(103, "a", 0, State.GONE, 0, 1));
     Map<String, Long> after = owners(d, 2000);
     before.forEach((key, owner) -> {
       if (owner == 103) {
@@ -67,8 +67,11 @@
   @Test
   void drainingOrRemovedUpstreamGetsNoNewRequests() {
     Driver d = new Driver(Driver.safe()).upstreams(3);
-    d.list(ListKind.DELTA, new Listed(100, "a", 0, State.DRAINING, 0, 1));
-    d.list(ListKind.FULL, new Listed(100, "a", 0, State.DRAINING, 0, 1), Driver.readyUpstream(102));
+    d.list(ListKind.DELTA, new ListedUpstream(100, "a", 0, State.DRAINING, 0, 1));
+    d.list(
+        ListKind.FULL,
+        new ListedUpstream(100, "a", 0, State.DRAINING, 0, 1),
+        Driver.readyUpstream(102));
     for (int i = 0; i < 200; i++) {
       assertEquals(102, d.serve("k" + i, Driver.MS));
     }
@@ -80,7 +83,7 @@
     for (int i = 0; i < 2000; i++) {
       d.serve("k" + i, Driver.MS);
     }
-    d.list(ListKind.DELTA, new Listed(500, "a", 0, State.READY, d.now, 1));
+    d.list(ListKind.DELTA, new ListedUpstream(500, "a", 0, State.READY, d.now, 1));
     int cold = 0;
     int total = 0;
     for (int i = 0; i < 3000; i++) {
@@ -104,7 +107,7 @@
         d.serveWithOwnKey(seed + "-" + i, Driver.MS);
         d.advance(500 * Driver.MS);
       }
-      d.list(ListKind.DELTA, new Listed(500, "a", 0, State.READY, d.now, 1));
+      d.list(ListKind.DELTA, new ListedUpstream(500, "a", 0, State.READY, d.now, 1));
       fleet.add(d);
     }
     int cold = 0;
@@ -283,9 +286,9 @@
         1,
         true,
         Driver.MS));
-    Listed[] listed = new Listed[10];
+    ListedUpstream[] listed = new ListedUpstream[10];
     for (int i = 0; i < 10; i++) {
-      listed[i] = new Listed(i, i == 0 ? "a" : "b", i, State.READY, 0, 1);
+      listed[i] = new ListedUpstream(i, i == 0 ? "a" : "b", i, State.READY, 0, 1);
     }
     d.list(ListKind.CACHED, listed);
     int sameZone = 0;
--- a/src/test/java/pumicekeel/StormTest.java
+++ b/src/test/java/pumicekeel/StormTest.java
@@ -23,7 +23,7 @@
 import pumicekeel.Balancer.Limits;
 import pumicekeel.Balancer.ListKind;
 import pumicekeel.Balancer.ListUpdate;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.Prices;
 import pumicekeel.Balancer.Refuse;
@@ -64,7 +64,7 @@
   }
 
   private final Map<String, Tracked> requests = new LinkedHashMap<>();
-  private final Map<Long, Listed> upstreams = new LinkedHashMap<>();
+  private final Map<Long, ListedUpstream> upstreams = new LinkedHashMap<>();
   private final List<Long> timers = new ArrayList<>();
   private SplittableRandom random;
   private Settings settings;
@@ -88,7 +88,7 @@
       now += random.nextLong(6) * MS;
       fireTimers();
       if (random.nextInt(100) < 4) {
-        Listed changed = changeUpstream(random.nextInt(12));
+        ListedUpstream changed = changeUpstream(random.nextInt(12));
         step(
             random.nextBoolean()
                 ? new ListUpdate(ListKind.DELTA, List.of(changed))
@@ -187,10 +187,10 @@
   }
 
   /** Gives one upstream a random new state. */
-  private Listed changeUpstream(long id) {
+  private ListedUpstream changeUpstream(long id) {
     State state =
         random.nextInt(3) > 0 ? State.READY : random.nextBoolean() ? State.DRAINING : State.GONE;
-    Listed listed = new Listed(
+    ListedUpstream listed = new ListedUpstream(
         id,
         "z" + id % 2,
         (int) (id / 3 * 2 + id % 2),
@@ -273,7 +273,7 @@
   }
 
   private void checkSend(Tracked request, Send s) {
-    Listed to = upstreams.get(s.upstream());
+    ListedUpstream to = upstreams.get(s.upstream());
     assertTrue(!request.answered, "sent after the final answer");
     assertEquals(State.READY, to.state(), "sent to a draining or removed upstream");
     assertTrue(request.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
--- a/src/test/java/pumicekeel/discovery/StartTimesTest.java
+++ b/src/test/java/pumicekeel/discovery/StartTimesTest.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.State;
 
 /** Upstreams' start times by the balancer's clock, in virtual time, with a wall clock that is stepped. */
@@ -20,7 +20,7 @@
   private long now = BEGIN;
 
   private static HostList list(long upstream, long sinceNanos) {
-    Listed listed = new Listed(upstream, "a", 0, State.READY, sinceNanos, 1);
+    ListedUpstream listed = new ListedUpstream(upstream, "a", 0, State.READY, sinceNanos, 1);
     return new HostList(
         1, false, List.of(new HostList.Host(new InetSocketAddress("127.0.0.1", 1), listed)));
   }
--- a/src/test/java/pumicekeel/lab/fleet/FleetRunTest.java
+++ b/src/test/java/pumicekeel/lab/fleet/FleetRunTest.java
@@ -113,7 +113,7 @@
         ? new Balancer.ListUpdate(
             n.kind(),
             n.entries().stream()
-                .map(l -> new Balancer.Listed(
+                .map(l -> new Balancer.ListedUpstream(
                     l.upstream(),
                     l.zone(),
                     l.cell(),
@@ -165,7 +165,7 @@
   @Test
   void policyThatPushesAColdOneOverIsFound() {
     finds("cold", "rolling-deploy", (settings, seed, oracle) -> new Balancer() {
-      private final Map<Long, Listed> ready = new HashMap<>();
+      private final Map<Long, ListedUpstream> ready = new HashMap<>();
 
       @Override
       public void handle(long now, Event event, Consumer<Action> out) {
@@ -178,7 +178,7 @@
           out.accept(new Send(
               r.id(),
               ready.values().stream()
-                  .max(java.util.Comparator.comparingLong(Listed::startedNanos))
+                  .max(java.util.Comparator.comparingLong(ListedUpstream::startedNanos))
                   .orElseThrow()
                   .upstream(),
               0));
--- a/src/test/java/pumicekeel/node/BalancerCoreTest.java
+++ b/src/test/java/pumicekeel/node/BalancerCoreTest.java
@@ -313,7 +313,8 @@
   void drainingUpstreamGetsNoMoreRequestsAndTheOutcomeIsNotNested() throws Exception {
     try (FakeServer upstream = FakeServer.serving("fine")) {
       start(BalancerCoreTest::sendOnRequest, upstream);
-      Balancer.Listed leaving = new Balancer.Listed(UPSTREAM, "a", 1, State.DRAINING, 0, 1);
+      Balancer.ListedUpstream leaving =
+          new Balancer.ListedUpstream(UPSTREAM, "a", 1, State.DRAINING, 0, 1);
       take("1", "look", 15_000);
       assertEquals(
           Status.SERVED, outcome().status(), "an idle connection makes the next send end at once");
--- a/src/test/java/pumicekeel/node/UpstreamTableTest.java
+++ b/src/test/java/pumicekeel/node/UpstreamTableTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.State;
 import pumicekeel.discovery.HostList;
 import pumicekeel.runtime.Reactor;
@@ -31,7 +31,7 @@
       new UpstreamTable(new ConnectionPool(Reactor.of(loop), 1_000_000_000L, 60_000_000_000L, 10));
 
   private static HostList.Host host(long id, State state) {
-    return new HostList.Host(TestNode.unusedAddress(), new Listed(id, "a", 1, state, 0, 1));
+    return new HostList.Host(TestNode.unusedAddress(), new ListedUpstream(id, "a", 1, state, 0, 1));
   }
 
   @AfterEach
--- a/src/test/java/pumicekeel/pool/SharedUpstreamsTest.java
+++ b/src/test/java/pumicekeel/pool/SharedUpstreamsTest.java
@@ -5,7 +5,7 @@
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.State;
 
 /** One machine in several pools, and several machines under one id. */
@@ -13,11 +13,11 @@
 
   private final SharedUpstreams<String> shared = new SharedUpstreams<>();
 
-  private static Listed line(long id, State state, long started) {
-    return new Listed(id, "z", 1, state, started, 1);
+  private static ListedUpstream line(long id, State state, long started) {
+    return new ListedUpstream(id, "z", 1, state, started, 1);
   }
 
-  private Listed seen(String pool, String address, long id) {
+  private ListedUpstream seen(String pool, String address, long id) {
     return shared.withSharing(pool, address, line(id, State.READY, 0));
   }
 
--- a/src/test/java/pumicekeel/subset/SubsetsTest.java
+++ b/src/test/java/pumicekeel/subset/SubsetsTest.java
@@ -13,7 +13,7 @@
 import pumicekeel.Balancer;
 import pumicekeel.Balancer.ListKind;
 import pumicekeel.Balancer.ListUpdate;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.State;
 
 class SubsetsTest {
@@ -67,14 +67,14 @@
     List<ListUpdate> received = new ArrayList<>();
     Balancer module = (now, event, out) -> received.add((ListUpdate) event);
     Balancer own = new SubsetBalancer(settings(), Subsets.RENDEZVOUS, 5, 50, s -> module);
-    List<Listed> lines =
+    List<ListedUpstream> lines =
         IDS.subList(0, 50).stream().map(id -> line(id, State.READY)).toList();
     own.handle(0, new ListUpdate(ListKind.FULL, lines), a -> {});
     assertEquals(5, received.get(0).entries().size());
-    Listed mine = received.get(0).entries().get(0);
+    ListedUpstream mine = received.get(0).entries().get(0);
     own.handle(
         1, new ListUpdate(ListKind.DELTA, List.of(line(mine.upstream(), State.DRAINING))), a -> {});
-    List<Listed> then = received.get(1).entries();
+    List<ListedUpstream> then = received.get(1).entries();
     assertEquals(2, then.size(), "the one that drains, and another in its place: " + then);
     own.handle(
         2, new ListUpdate(ListKind.DELTA, List.of(line(mine.upstream(), State.READY))), a -> {});
@@ -87,8 +87,8 @@
             .count());
   }
 
-  private static Listed line(long id, State state) {
-    return new Listed(id, "a", 0, state, 0, 1);
+  private static ListedUpstream line(long id, State state) {
+    return new ListedUpstream(id, "a", 0, state, 0, 1);
   }
 
   private static Balancer.Settings settings() {
