--- a/src/main/java/pumicekeel/node/Admission.java
+++ b/src/main/java/pumicekeel/node/Admission.java
@@ -24,7 +24,7 @@
 /** One request from its head to its final answer, under the generation of pools that admitted it. */
 final class Admission implements RequestHandle, Client, AttemptLog {
 
-  private final Services services;
+  private final ServicePools pools;
   private final Route route;
   /** Whether an earlier request with the same idempotency key ties this one to its pool. */
   private final boolean pinned;
@@ -44,8 +44,8 @@
   private boolean recorded;
 
   /** Creates a request that is already counted among the pool's open requests. */
-  Admission(Services services, Route route, ServicePool pool, boolean pinned, long now) {
-    this.services = services;
+  Admission(ServicePools pools, Route route, ServicePool pool, boolean pinned, long now) {
+    this.pools = pools;
     this.route = route;
     this.pool = pool;
     this.pinned = pinned;
@@ -65,7 +65,7 @@
   @Override
   public boolean reserveBody(int more) {
     if (!pool.body.tryAcquire(more)) {
-      services.counters().countPoolFull();
+      pools.counters().countPoolFull();
       return false;
     }
     bytes += more;
@@ -78,15 +78,15 @@
     if (reason != null) {
       throw new InvalidRequest(400, reason);
     }
-    if (!services.open(accepted.id())) {
+    if (!pools.open(accepted.id())) {
       return false;
     }
     request = accepted;
     client = to;
-    acceptedAt = services.now();
+    acceptedAt = pools.now();
     queued = true;
-    if (!services.offer(pool, this::begin)) {
-      refused(services.retryAfter(pool));
+    if (!pools.offer(pool, this::begin)) {
+      refused(pools.retryAfter(pool));
     }
     return true;
   }
@@ -97,51 +97,51 @@
       return;
     }
     queued = false;
-    send(request.withTimeLeft(request.leftNanos() - (services.now() - acceptedAt)));
+    send(request.withTimeLeft(request.leftNanos() - (pools.now() - acceptedAt)));
   }
 
   private void send(ClientRequest now) {
     if (now.type().effect() == Effect.KEYED && now.idempotencyKey() != null) {
-      services.recordHome(now, pool);
+      pools.recordHome(now, pool);
       keyRecorded = true;
     }
-    if (!services.isJournaled(now, pool) ? !pool.core().submit(now, this) : !record(now)) {
+    if (!pools.isJournaled(now, pool) ? !pool.core().submit(now, this) : !record(now)) {
       // A request with this id ended just before and one of its attempts is still in flight: this
       // one has not run.
-      refused(services.retryAfter(pool));
+      refused(pools.retryAfter(pool));
     }
   }
 
   /** Admits a journalled request: refused while the journal cannot be written, and subject to earlier attempts of its key. */
   private boolean record(ClientRequest now) {
-    long wait = services.journal().retryAfterNanos();
+    long wait = pools.journal().retryAfterNanos();
     if (wait > 0) {
-      refused(services.cappedRetryAfter(pool, wait));
+      refused(pools.cappedRetryAfter(pool, wait));
       return true;
     }
-    return pool.core().submit(now, this, services.journal().earlier(now), this);
+    return pool.core().submit(now, this, pools.journal().earlier(now), this);
   }
 
   @Override
   public void beforeAttempt(
       ClientRequest of, int attempt, HostList.Host upstream, Runnable proceed, Runnable cancel) {
     recorded = true;
-    services.journal().before(of, pool.home(), attempt, upstream, proceed, cancel);
+    pools.journal().before(of, pool.home(), attempt, upstream, proceed, cancel);
   }
 
   @Override
   public void requestWritten(ClientRequest of, int attempt) {
-    services.journal().written(of, attempt);
+    pools.journal().written(of, attempt);
   }
 
   @Override
   public void attemptEnded(ClientRequest of, int attempt, Status status) {
-    services.journal().ended(of, attempt, status);
+    pools.journal().ended(of, attempt, status);
   }
 
   private void recordOutcome(Told outcome) {
     if (recorded) {
-      services.journal().answered(request, outcome);
+      pools.journal().answered(request, outcome);
     }
   }
 
@@ -149,7 +149,7 @@
   @Override
   public boolean handOver(long leftNanos) {
     ServicePool next =
-        pinned || pool.core().readyUpstreams() > 0 ? null : services.fallbackOf(route, pool);
+        pinned || pool.core().readyUpstreams() > 0 ? null : pools.fallbackOf(route, pool);
     RequestClass type = next == null ? null : next.equivalentClass(request.type());
     if (type == null
         || next.objection(request.withType(type)) != null
@@ -170,7 +170,7 @@
 
   private void forgetHome() {
     if (keyRecorded) {
-      services.forgetHome(request);
+      pools.forgetHome(request);
       keyRecorded = false;
     }
   }
@@ -246,9 +246,9 @@
   private void finish(End how) {
     if (!finished) {
       finished = true;
-      services.close(request.id());
-      services.counters().countEnd(pool.name(), request.type().name(), how);
-      pool.residenceTime().record(services.now() - startedAt);
+      pools.close(request.id());
+      pools.counters().countEnd(pool.name(), request.type().name(), how);
+      pool.residenceTime().record(pools.now() - startedAt);
     }
   }
 
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -65,7 +65,7 @@
 
   private final Runnable crash;
   private final NodePools pools;
-  private final Services services;
+  private final ServicePools servicePools;
   private final Listeners listeners;
   private final String warmUpPath = WarmUp.newPath();
   private final OperatorConfiguration firstGeneration;
@@ -106,9 +106,12 @@
     this.warmsUp = warmsUp;
     this.configuration = configuration;
     this.crash = crash;
-    services =
-        operator == null ? null : new Services(configuration, operator, reactor, lag, this::defect);
-    pools = services == null ? new SinglePool(configuration, reactor, lag, this::defect) : services;
+    servicePools = operator == null
+        ? null
+        : new ServicePools(configuration, operator, reactor, lag, this::defect);
+    pools = servicePools == null
+        ? new SinglePool(configuration, reactor, lag, this::defect)
+        : servicePools;
     firstGeneration = operator;
     OperatorCalls calls = new OperatorCalls(
         rotation,
@@ -122,9 +125,9 @@
         reactor,
         lag,
         pools.router(),
-        services == null
+        servicePools == null
             ? ProcessCapacity.clientSockets(configuration)
-            : services.capacity().clientSockets(),
+            : servicePools.capacity().clientSockets(),
         warmUpPath,
         new RequestIds(configuration.name(), reactor.clock().millis()));
   }
@@ -240,9 +243,9 @@
       if (departures != null) {
         departures.share(pools.platformSource());
       }
-      if (services != null) {
+      if (servicePools != null) {
         listeners.apply(firstGeneration, bound, false);
-        Log.line("serves the pools " + services.summary());
+        Log.line("serves the pools " + servicePools.summary());
       }
       Runnable then = () -> serve(warmUpSide, address);
       if (warmsUp) {
@@ -290,7 +293,7 @@
             spec.keepMillis()),
         loop,
         Log::line);
-    Clock clock = services.clock();
+    Clock clock = servicePools.clock();
     KeyMemory memory = new KeyMemory(KeyMemory.MAX_ENTRIES);
     int keys = journal.recover(memory, clock.now());
     Log.line(
@@ -298,7 +301,7 @@
     journal.unreadable().forEach(what -> Log.line("journal: could not be read: " + what));
     AttemptJournal log =
         new AttemptJournal(loop, clock, journal.writer(), memory, spec.maxWaitNanos());
-    loop.submit(() -> services.journal(log)).syncUninterruptibly();
+    loop.submit(() -> servicePools.journal(log)).syncUninterruptibly();
     return null;
   }
 
@@ -313,7 +316,7 @@
       if (firstGeneration.peers().lendQuotas()) {
         LentQuotas quotas = new LentQuotas(me, all.size(), epoch, configuration.seed() - me);
         loop.submit(() -> {
-              services.lend(quotas);
+              servicePools.lend(quotas);
               peers.attach(quotas);
             })
             .syncUninterruptibly();
@@ -369,17 +372,17 @@
    * Waits for the event loop, so must not run on it.
    */
   public void reload(OperatorConfiguration next) throws IOException, InterruptedException {
-    services.check(next);
+    servicePools.check(next);
     Map<String, Front> bound = listeners.bind(next);
     String objection;
     try {
       objection = loop.submit(() -> {
-            String reason = draining ? "the balancer drains" : services.objection(next);
+            String reason = draining ? "the balancer drains" : servicePools.objection(next);
             if (reason == null) {
-              services.apply(next);
+              servicePools.apply(next);
               listeners.apply(next, bound, acceptsRequests);
-              Log.line(configuration.name() + " reloads: the pools " + services.summary());
-              services
+              Log.line(configuration.name() + " reloads: the pools " + servicePools.summary());
+              servicePools
                   .needRestart(next)
                   .forEach(key -> Log.line("reload: " + key + " needs a restart"));
             }
@@ -402,14 +405,14 @@
 
   /** Returns the outcomes of the requests so far, on one line; only with an operator file. */
   public String counters() {
-    return loop.submit(() -> services.counters().logLine())
+    return loop.submit(() -> servicePools.counters().logLine())
         .syncUninterruptibly()
         .getNow();
   }
 
   /** Checks whether a generation fits the platform's limits; throws IllegalArgumentException if not. */
   public static void check(Configuration configuration, OperatorConfiguration operator) {
-    Services.check(configuration, operator);
+    ServicePools.check(configuration, operator);
   }
 
   /** Returns the address of a listener of the operator file; null if there is none of that name. */
@@ -434,8 +437,8 @@
     return peers;
   }
 
-  Services services() {
-    return services;
+  ServicePools servicePools() {
+    return servicePools;
   }
 
   Listeners listeners() {
--- a/src/main/java/pumicekeel/node/Services.java
+++ b/src/main/java/pumicekeel/node/ServicePools.java
@@ -48,7 +48,7 @@
  * The pools of an operator file, one generation at a time. A reload swaps routes and pools atomically, between two events
  * of the loop. A request stays in the pool that admitted it, and a removed pool is closed after its last request.
  */
-final class Services implements NodePools, RequestRouter {
+final class ServicePools implements NodePools, RequestRouter {
 
   /** Time slice for queued work; short compared with any aim, long compared with the cost of an event-loop iteration. */
   private static final long QUANTUM_NANOS = 1_000_000L;
@@ -85,7 +85,7 @@
   private long poolsCreated;
 
   /** Checks the first generation against the platform's limits; throws IllegalArgumentException if it doesn't fit. */
-  Services(
+  ServicePools(
       Configuration configuration,
       OperatorConfiguration operator,
       Reactor reactor,
--- a/src/test/java/pumicekeel/node/CrashTest.java
+++ b/src/test/java/pumicekeel/node/CrashTest.java
@@ -130,7 +130,7 @@
     t.upstream("q1", 0).mode(Mode.HANG);
     start();
     try (TestClient client = new TestClient(address)) {
-      client.send(ServicesTest.issue("first", "key-1", "h"));
+      client.send(ServicePoolsTest.issue("first", "key-1", "h"));
       TestNode.until(() -> upstreamsOf("first").size() == 1);
       kill();
     }
@@ -141,7 +141,7 @@
       try (TestClient client = new TestClient(address)) {
         // Different session keys, which the hash ring alone would spread over both upstreams.
         int status = client
-            .call(ServicesTest.issue("again-" + i, "key-1", "h")
+            .call(ServicePoolsTest.issue("again-" + i, "key-1", "h")
                 .replace("Key: k\r", "Key: s" + i + "\r"))
             .status();
         assertTrue(status == 200 || status == 502, "status " + status);
@@ -161,9 +161,11 @@
     // After its window of 5 s nobody deduplicates it any more, so it fails without being sent.
     TestNode.until(() -> System.currentTimeMillis() - first.firstIntent().wallMillis() > 5_100);
     try (TestClient client = new TestClient(address)) {
-      assertEquals(502, client.call(ServicesTest.issue("late", "key-1", "h")).status());
+      assertEquals(
+          502, client.call(ServicePoolsTest.issue("late", "key-1", "h")).status());
       assertTrue(upstreamsOf("late").isEmpty());
-      assertEquals(200, client.call(ServicesTest.issue("other", "key-2", "h")).status());
+      assertEquals(
+          200, client.call(ServicePoolsTest.issue("other", "key-2", "h")).status());
     }
   }
 
@@ -187,7 +189,7 @@
       start(t.list("q0", "q1")
           .replaceAll("127\\.0\\.0\\.1:\\d+", "127.0.0.1:" + full.getLocalPort()));
       try (TestClient client = new TestClient(address)) {
-        client.send(ServicesTest.issue("held", "key-1", "h"));
+        client.send(ServicePoolsTest.issue("held", "key-1", "h"));
         TestNode.until(() -> {
           try {
             return !history().requests().isEmpty();
--- a/src/test/java/pumicekeel/node/DeliveredConfigurationTest.java
+++ b/src/test/java/pumicekeel/node/DeliveredConfigurationTest.java
@@ -90,7 +90,7 @@
   }
 
   private ServicePool pool(String name) throws Exception {
-    return t.onLoop(() -> t.node.services().pool(name));
+    return t.onLoop(() -> t.node.servicePools().pool(name));
   }
 
   /** The changed pool gets a new module, the other one keeps its own, and no request of either is lost. */
--- a/src/test/java/pumicekeel/node/GenerationsTest.java
+++ b/src/test/java/pumicekeel/node/GenerationsTest.java
@@ -52,7 +52,7 @@
 
   private int retired() {
     try {
-      return t.onLoop(() -> t.node.services().retired());
+      return t.onLoop(() -> t.node.servicePools().retired());
     } catch (Exception e) {
       throw new AssertionError(e);
     }
@@ -158,7 +158,7 @@
     assertNoneLost(quotes, false);
     assertNoneLost(rates, false);
     TestNode.until(() -> retired() == 0);
-    assertEquals(0L, t.onLoop(() -> t.node.services().pool("quotes").open.used()));
+    assertEquals(0L, t.onLoop(() -> t.node.servicePools().pool("quotes").open.used()));
     assertTrue(t.defects.isEmpty());
   }
 
@@ -171,12 +171,12 @@
     java.util.List<TestClient> open = new java.util.ArrayList<>();
     try {
       IOException refused = null;
-      for (int i = 0; i <= Services.MAX_RETIRED && refused == null; i++) {
+      for (int i = 0; i <= ServicePools.MAX_RETIRED && refused == null; i++) {
         TestClient client = new TestClient(t.address);
         open.add(client);
         int seen =
             t.upstreams.get("q0").seen().size() + t.upstreams.get("q1").seen().size();
-        client.send(ServicesTest.issue("h" + i, "k" + i, "quote.example.org"));
+        client.send(ServicePoolsTest.issue("h" + i, "k" + i, "quote.example.org"));
         TestNode.until(() ->
             t.upstreams.get("q0").seen().size() + t.upstreams.get("q1").seen().size() > seen);
         try {
@@ -188,11 +188,11 @@
       assertTrue(
           refused != null && refused.getMessage().contains("still have requests open"),
           "" + refused);
-      assertTrue(retired() <= Services.MAX_RETIRED);
+      assertTrue(retired() <= ServicePools.MAX_RETIRED);
       try (TestClient client = new TestClient(t.address)) {
         assertEquals(
             "ok",
-            client.call(ServicesTest.lookup("ok", "rates.example.org", "")).body());
+            client.call(ServicePoolsTest.lookup("ok", "rates.example.org", "")).body());
       }
     } finally {
       for (TestClient client : open) {
@@ -222,7 +222,7 @@
     try (TestClient client = new TestClient(t.address)) {
       assertEquals(
           "1",
-          client.call(ServicesTest.lookup("1", "quote.example.org", "")).body(),
+          client.call(ServicePoolsTest.lookup("1", "quote.example.org", "")).body(),
           "the pool is still there");
     }
   }
@@ -241,13 +241,14 @@
         TestClient platform = new TestClient(t.address)) {
       assertEquals(200, idle.call("GET /up HTTP/1.1\r\nHost: h\r\n\r\n").status());
       assertEquals(
-          "1", client.call(ServicesTest.lookup("1", "any.example.org", "")).body());
+          "1", client.call(ServicePoolsTest.lookup("1", "any.example.org", "")).body());
       assertEquals(
-          404, platform.call(ServicesTest.lookup("2", "any.example.org", "")).status());
+          404,
+          platform.call(ServicePoolsTest.lookup("2", "any.example.org", "")).status());
       q0.delayMicros(300_000);
       q1.delayMicros(300_000);
       int seen = q0.seen().size() + q1.seen().size();
-      client.send(ServicesTest.lookup("3", "any.example.org", ""));
+      client.send(ServicePoolsTest.lookup("3", "any.example.org", ""));
       TestNode.until(() -> q0.seen().size() + q1.seen().size() > seen);
       t.reload(file("", ""));
       assertTrue(idle.ended(), "a connection without a request is closed");
@@ -265,7 +266,7 @@
     var next = TestServices.operator(file("", "") + "[process]\nupstream-sockets = 100\n");
     assertEquals(
         java.util.List.of("process.upstream-sockets"),
-        t.onLoop(() -> t.node.services().needRestart(next)));
+        t.onLoop(() -> t.node.servicePools().needRestart(next)));
     t.node.reload(next);
   }
 }
--- a/src/test/java/pumicekeel/node/IsolationTest.java
+++ b/src/test/java/pumicekeel/node/IsolationTest.java
@@ -141,7 +141,7 @@
       try (TestClient client = new TestClient(t.address)) {
         assertEquals(
             "b" + i,
-            client.call(ServicesTest.lookup("b" + i, "b.example.org", "")).body());
+            client.call(ServicePoolsTest.lookup("b" + i, "b.example.org", "")).body());
       }
       micros.add((System.nanoTime() - before) / 1_000);
     }
@@ -202,7 +202,7 @@
       String host = i < 100 ? "a.example.org" : "b.example.org";
       clients
           .get(i)
-          .send(ServicesTest.lookup(name + "-" + i, host, "").replace("Key: k", "Key: k" + i));
+          .send(ServicePoolsTest.lookup(name + "-" + i, host, "").replace("Key: k", "Key: k" + i));
     }
     release.countDown();
     for (TestClient client : clients) {
@@ -219,7 +219,7 @@
 
   private long noRooms() {
     try {
-      return t.onLoop(() -> t.node.services().counters().poolFullCount());
+      return t.onLoop(() -> t.node.servicePools().counters().poolFullCount());
     } catch (Exception e) {
       throw new AssertionError(e);
     }
@@ -228,7 +228,7 @@
   private void sendSlowly(String id, java.util.concurrent.atomic.AtomicBoolean stop) {
     for (int round = 0; !stop.get(); round++) {
       try (TestClient client = new TestClient(t.address)) {
-        client.send(ServicesTest.issue(id + "-" + round, id, "a.example.org")
+        client.send(ServicePoolsTest.issue(id + "-" + round, id, "a.example.org")
             .replace("Length: 4\r\n\r\nbody", "Length: 5000\r\n\r\n"));
         while (!stop.get()) {
           client.send("x");
--- a/src/test/java/pumicekeel/node/JournalFailureTest.java
+++ b/src/test/java/pumicekeel/node/JournalFailureTest.java
@@ -25,12 +25,12 @@
     journal = new FaultyJournal(t.node.loop(), refuses);
     AttemptJournal log = new AttemptJournal(
         t.node.loop(),
-        t.node.services().clock(),
+        t.node.servicePools().clock(),
         journal.writer,
         new KeyMemory(KeyMemory.MAX_ENTRIES),
         TimeUnit.MILLISECONDS.toNanos(maxWaitMillis));
     t.onLoop(() -> {
-      t.node.services().journal(log);
+      t.node.servicePools().journal(log);
       return null;
     });
   }
@@ -51,22 +51,23 @@
   @Test
   void stalledDiskRefusesSoonAndHoldsNoRequest() throws Exception {
     start(true, 50);
-    assertEquals("1", call(ServicesTest.issue("1", "k1", "h")).body());
+    assertEquals("1", call(ServicePoolsTest.issue("1", "k1", "h")).body());
     journal.stall(true);
     // Each attempt of the module waits at most 50 ms for the journal, far less than the deadline of
     // 5 s.
     long before = System.nanoTime();
-    TestClient.Reply reply = call(ServicesTest.issue("2", "k2", "h"));
+    TestClient.Reply reply = call(ServicePoolsTest.issue("2", "k2", "h"));
     assertTrue(reply.status() == 429 || reply.status() == 503, "status " + reply.status());
     assertTrue(System.nanoTime() - before < TimeUnit.SECONDS.toNanos(4), "not held");
     assertEquals(
         "3",
-        call(ServicesTest.lookup("3", "h", "")).body(),
+        call(ServicePoolsTest.lookup("3", "h", "")).body(),
         "a request that is not journalled is served");
     journal.stall(false);
     TestNode.until(() -> {
       try {
-        return call(ServicesTest.issue("4-" + System.nanoTime(), "k4-" + System.nanoTime(), "h"))
+        return call(ServicePoolsTest.issue(
+                    "4-" + System.nanoTime(), "k4-" + System.nanoTime(), "h"))
                 .status()
             == 200;
       } catch (Exception e) {
@@ -82,17 +83,18 @@
   void failingDiskRefusesAtOnceWithTheTimeOfTheNextAttempt() throws Exception {
     start(true, 5_000);
     journal.fail(true);
-    call(ServicesTest.issue("1", "k1", "h"));
+    call(ServicePoolsTest.issue("1", "k1", "h"));
     TestNode.until(() -> journal.writer.retryDelayNanos() > 0);
-    TestClient.Reply reply = call(ServicesTest.issue("2", "k2", "h"));
+    TestClient.Reply reply = call(ServicePoolsTest.issue("2", "k2", "h"));
     assertEquals(429, reply.status());
     assertTrue(reply.head().contains("retry-after: 0."), reply.head());
-    assertEquals("3", call(ServicesTest.lookup("3", "h", "")).body());
+    assertEquals("3", call(ServicePoolsTest.lookup("3", "h", "")).body());
     assertTrue(q.seen().stream().noneMatch(s -> s.key() != null));
     journal.fail(false);
     TestNode.until(() -> {
       try {
-        return call(ServicesTest.issue("4-" + System.nanoTime(), "k4-" + System.nanoTime(), "h"))
+        return call(ServicePoolsTest.issue(
+                    "4-" + System.nanoTime(), "k4-" + System.nanoTime(), "h"))
                 .status()
             == 200;
       } catch (Exception e) {
@@ -105,10 +107,10 @@
   void operatorMayAllowSendingWithoutARecord() throws Exception {
     start(false, 50);
     journal.fail(true);
-    assertEquals("1", call(ServicesTest.issue("1", "k1", "h")).body());
+    assertEquals("1", call(ServicePoolsTest.issue("1", "k1", "h")).body());
     journal.fail(false);
     journal.stall(true);
-    assertEquals("2", call(ServicesTest.issue("2", "k2", "h")).body());
+    assertEquals("2", call(ServicePoolsTest.issue("2", "k2", "h")).body());
   }
 
   /** A key that may have run in this process ties its repeats to the group, until an upstream reports that it did not run. */
@@ -121,29 +123,29 @@
     journal = new FaultyJournal(t.node.loop(), true);
     AttemptJournal log = new AttemptJournal(
         t.node.loop(),
-        t.node.services().clock(),
+        t.node.servicePools().clock(),
         journal.writer,
         new KeyMemory(KeyMemory.MAX_ENTRIES),
         TimeUnit.SECONDS.toNanos(5));
     t.onLoop(() -> {
-      t.node.services().journal(log);
+      t.node.servicePools().journal(log);
       return null;
     });
     t.upstreams.values().forEach(u -> u.mode(Mode.RESET));
-    assertEquals(502, call(ServicesTest.issue("1", "k1", "h")).status());
+    assertEquals(502, call(ServicePoolsTest.issue("1", "k1", "h")).status());
     String upstream = seenAt("1");
     t.upstreams.values().forEach(u -> u.mode(Mode.SERVE));
     for (int i = 0; i < 6; i++) {
-      int status = call(ServicesTest.issue("r" + i, "k1", "h")
+      int status = call(ServicePoolsTest.issue("r" + i, "k1", "h")
               .replace("Key: k\r", "Key: s" + i + "\r"))
           .status();
       assertTrue(status == 200 || status == 502, "status " + status);
       assertTrue(status == 502 || seenAt("r" + i).equals(upstream), "repeat " + i);
     }
     t.upstreams.values().forEach(u -> u.mode(Mode.FULL));
-    assertEquals(429, call(ServicesTest.issue("2", "k2", "h")).status());
+    assertEquals(429, call(ServicePoolsTest.issue("2", "k2", "h")).status());
     t.upstreams.values().forEach(u -> u.mode(Mode.SERVE));
-    assertEquals(200, call(ServicesTest.issue("3", "k2", "h")).status());
+    assertEquals(200, call(ServicePoolsTest.issue("3", "k2", "h")).status());
   }
 
   private String seenAt(String id) {
--- a/src/test/java/pumicekeel/node/PeersTest.java
+++ b/src/test/java/pumicekeel/node/PeersTest.java
@@ -106,7 +106,7 @@
     TestNode.until(() -> {
       first
           .loop()
-          .submit(() -> first.services().pool("p").core().refreshQuotas("t", 0))
+          .submit(() -> first.servicePools().pool("p").core().refreshQuotas("t", 0))
           .syncUninterruptibly();
       return rate(first) > 60;
     });
@@ -119,7 +119,7 @@
 
   private static double rate(Node node) {
     return node.loop()
-        .submit(() -> node.services().lending().rate("p", "t"))
+        .submit(() -> node.servicePools().lending().rate("p", "t"))
         .syncUninterruptibly()
         .getNow();
   }
--- a/src/test/java/pumicekeel/node/RpcFrontTest.java
+++ b/src/test/java/pumicekeel/node/RpcFrontTest.java
@@ -83,8 +83,8 @@
   private void assertNothingOpen() throws Exception {
     TestNode.until(() -> {
       try {
-        return t.onLoop(() -> t.node.services().pool("p").open.used() == 0
-            && t.node.services().pool("p").body.used() == 0);
+        return t.onLoop(() -> t.node.servicePools().pool("p").open.used() == 0
+            && t.node.servicePools().pool("p").body.used() == 0);
       } catch (Exception e) {
         throw new AssertionError(e);
       }
@@ -390,9 +390,9 @@
     assertNothingOpen();
     release();
     assertEquals(
-        9, t.onLoop(() -> t.node.services().counters().count("p", "rate-lookup", End.LEFT)));
+        9, t.onLoop(() -> t.node.servicePools().counters().count("p", "rate-lookup", End.LEFT)));
     assertEquals(
-        1, t.onLoop(() -> t.node.services().counters().count("p", "quote-issue", End.LEFT)));
+        1, t.onLoop(() -> t.node.servicePools().counters().count("p", "quote-issue", End.LEFT)));
     // The answers to the departed client's calls are dropped, and the connection to the server is
     // kept.
     StandInRpcClient next = client();
--- a/src/test/java/pumicekeel/node/RpcServersTest.java
+++ b/src/test/java/pumicekeel/node/RpcServersTest.java
@@ -375,17 +375,17 @@
         + "[[routes]]\npool = \"p\"\n");
     try (TestClient client = new TestClient(t.address)) {
       TestClient.Reply found = client.call(
-          ServicesTest.lookup("1", "h", "").replace("/rate-lookup/7", "/rate-lookup/7?c=KZT"));
+          ServicePoolsTest.lookup("1", "h", "").replace("/rate-lookup/7", "/rate-lookup/7?c=KZT"));
       assertEquals(200, found.status());
       assertEquals("{\"path\":\"/7\",\"c\":\"KZT\"}", found.body());
-      TestClient.Reply none = client.call(ServicesTest.issue("2", "k", "h"));
+      TestClient.Reply none = client.call(ServicePoolsTest.issue("2", "k", "h"));
       assertEquals(400, none.status());
       TestClient.Reply issued =
-          client.call(ServicesTest.issue("3", "k", "h").replace("body", "{}  "));
+          client.call(ServicePoolsTest.issue("3", "k", "h").replace("body", "{}  "));
       assertEquals(200, issued.status());
       assertEquals("{\"idempotencyKey\":\"k\"}", issued.body());
       server.script((call, c) -> c.error(call.id(), 5, "no such quote"));
-      TestClient.Reply error = client.call(ServicesTest.lookup("4", "h", ""));
+      TestClient.Reply error = client.call(ServicePoolsTest.lookup("4", "h", ""));
       assertEquals(422, error.status());
       assertEquals("{\"code\":5,\"message\":\"no such quote\"}", error.body());
     }
--- a/src/test/java/pumicekeel/node/ServicesTest.java
+++ b/src/test/java/pumicekeel/node/ServicePoolsTest.java
@@ -18,7 +18,7 @@
 import pumicekeel.standin.StandInUpstream.Seen;
 
 /** Several pools in one process, on sockets: which requests each gets, by the upstreams' own logs. */
-class ServicesTest {
+class ServicePoolsTest {
 
   private static final String TWO_POOLS = """
       [pools.quotes]
@@ -75,7 +75,7 @@
     StandInUpstream r = t.upstream("r", 0);
     t.start(twoPools(t.list("q"), t.list("r"), ""));
     // Late requests of the warm-up may already have been counted.
-    long before = t.onLoop(() -> t.node.services().counters().noRouteCount());
+    long before = t.onLoop(() -> t.node.servicePools().counters().noRouteCount());
     assertEquals("1", call(lookup("1", "quote.example.org", "")).body());
     assertEquals("2", call(lookup("2", "RATES.example.org.:8080", "")).body());
     assertEquals("3", call(lookup("3", "a.rates.example.org", "")).body());
@@ -110,7 +110,7 @@
       assertEquals(
           "9", client.call(lookup("9", "quote.example.org", "")).body(), "the connection is kept");
     }
-    assertEquals(1, t.onLoop(() -> t.node.services().counters().noRouteCount()) - before);
+    assertEquals(1, t.onLoop(() -> t.node.servicePools().counters().noRouteCount()) - before);
     assertEquals(2, q.seen().size());
   }
 
@@ -323,7 +323,7 @@
         + "\n[pools.rates]\nsource = \"rates\"\n[[routes]]\npool = \"rates\"\n");
     TestNode.until(() -> {
       try {
-        return t.onLoop(() -> t.node.services().retired()) == 0;
+        return t.onLoop(() -> t.node.servicePools().retired()) == 0;
       } catch (Exception e) {
         throw new AssertionError(e);
       }
@@ -426,7 +426,7 @@
       one.close();
       TestNode.until(() -> {
         try {
-          return t.onLoop(() -> t.node.services().pool("quotes").open.used()) == 1;
+          return t.onLoop(() -> t.node.servicePools().pool("quotes").open.used()) == 1;
         } catch (Exception e) {
           throw new AssertionError(e);
         }
@@ -454,7 +454,7 @@
       }
       TestNode.until(() -> {
         try {
-          return t.onLoop(() -> t.node.services().pool("quotes").open.used()) == 4;
+          return t.onLoop(() -> t.node.servicePools().pool("quotes").open.used()) == 4;
         } catch (Exception e) {
           throw new AssertionError(e);
         }
@@ -496,7 +496,7 @@
     }
     TestNode.until(() -> {
       try {
-        return t.onLoop(() -> t.node.services().pool("quotes").body.used()) == 0;
+        return t.onLoop(() -> t.node.servicePools().pool("quotes").body.used()) == 0;
       } catch (Exception e) {
         throw new AssertionError(e);
       }
@@ -519,6 +519,7 @@
     }
     assertNull(t.defects.isEmpty() ? null : t.defects);
     assertEquals(
-        0L, t.onLoop(() -> t.node.services().counters().count("rates", "rate-lookup", End.SERVED)));
+        0L,
+        t.onLoop(() -> t.node.servicePools().counters().count("rates", "rate-lookup", End.SERVED)));
   }
 }
--- a/src/test/java/pumicekeel/node/ServicesAtScaleTest.java
+++ b/src/test/java/pumicekeel/node/ServicesAtScaleTest.java
@@ -61,7 +61,7 @@
     return t.onLoop(() -> {
       Map<String, Parts> out = new LinkedHashMap<>();
       for (int i = 0; i < POOLS; i++) {
-        ServicePool pool = t.node.services().pool(ConfigurationGenerator.poolName(i));
+        ServicePool pool = t.node.servicePools().pool(ConfigurationGenerator.poolName(i));
         out.put(pool.name(), new Parts(pool, pool.core(), pool.settings()));
       }
       return out;
@@ -82,7 +82,7 @@
   }
 
   private int retired() throws Exception {
-    return t.onLoop(() -> t.node.services().retired());
+    return t.onLoop(() -> t.node.servicePools().retired());
   }
 
   private String request(String id, int tenant) {
