--- a/src/main/java/pumicekeel/node/Admission.java
+++ b/src/main/java/pumicekeel/node/AdmittedRequest.java
@@ -22,7 +22,7 @@
 import pumicekeel.route.Route;
 
 /** One request from its head to its final answer, under the generation of pools that admitted it. */
-final class Admission implements RequestHandle, Client, AttemptLog {
+final class AdmittedRequest implements RequestHandle, Client, AttemptLog {
 
   private final ServicePools pools;
   private final Route route;
@@ -44,7 +44,7 @@
   private boolean recorded;
 
   /** Creates a request that is already counted among the pool's open requests. */
-  Admission(ServicePools pools, Route route, ServicePool pool, boolean pinned, long now) {
+  AdmittedRequest(ServicePools pools, Route route, ServicePool pool, boolean pinned, long now) {
     this.pools = pools;
     this.route = route;
     this.pool = pool;
--- a/src/main/java/pumicekeel/node/ServicePools.java
+++ b/src/main/java/pumicekeel/node/ServicePools.java
@@ -494,7 +494,7 @@
       counters.countPoolFull();
       throw new InvalidRequest(503, "this pool is full", retryAfter(pool));
     }
-    return new Admission(this, taken.route(), pool, home != null, clock.now());
+    return new AdmittedRequest(this, taken.route(), pool, home != null, clock.now());
   }
 
   /** Returns the pool that may have run a request with the same idempotency key, or null. */
@@ -546,7 +546,7 @@
     return second == null || second == first || second.core().readyUpstreams() == 0 ? null : second;
   }
 
-  // Used by Admission
+  // Used by AdmittedRequest
 
   Clock clock() {
     return clock;
