--- a/src/main/java/pumicekeel/node/ServicePools.java
+++ b/src/main/java/pumicekeel/node/ServicePools.java
@@ -74,7 +74,8 @@
   /** Replaced on the event loop and also read by the reload thread, like the configuration. */
   private volatile OperatorConfiguration operator;
 
-  private final OperatorConfiguration first;
+  /** The generation at the start: its journal and its peers apply until the process ends. */
+  private final OperatorConfiguration firstGeneration;
   private RouteTable table;
   private InetSocketAddress platformDiscovery;
   private AttemptJournal journal;
@@ -109,7 +110,7 @@
         defect);
     check(operator);
     this.operator = operator;
-    first = operator;
+    firstGeneration = operator;
   }
 
   ProcessCapacity capacity() {
@@ -226,13 +227,13 @@
       long total,
       OperatorConfiguration next,
       java.util.function.Function<OperatorConfiguration.Pool, OperatorConfiguration.Capacity>
-          room) {
+          capacityOf) {
     return CapacityPlan.of(
         what,
         total,
         next.pools().values().stream()
             .map(p -> new CapacityPlan.Demand(
-                p.name(), room.apply(p).guaranteed(), room.apply(p).max()))
+                p.name(), capacityOf.apply(p).guaranteed(), capacityOf.apply(p).max()))
             .toList());
   }
 
@@ -284,10 +285,10 @@
     addIfChanged(out, "process.upstream-sockets", now.upstreamSockets(), then.upstreamSockets());
     addIfChanged(out, "process.open-requests", now.openRequests(), then.openRequests());
     addIfChanged(out, "process.body-memory-kib", now.bodyBytes(), then.bodyBytes());
-    if (!Objects.equals(first.journal(), next.journal())) {
+    if (!Objects.equals(firstGeneration.journal(), next.journal())) {
       out.add("journal");
     }
-    if (!first.peers().equals(next.peers())) {
+    if (!firstGeneration.peers().equals(next.peers())) {
       out.add("peers");
     }
     return out;
