--- a/src/main/java/pumicekeel/demo/Demo.java
+++ b/src/main/java/pumicekeel/demo/Demo.java
@@ -262,7 +262,7 @@
 
   private long received(String className) {
     return upstreams.values().stream()
-        .flatMap(u -> u.seen().stream())
+        .flatMap(u -> u.received().stream())
         .filter(s -> s.className().equals(className))
         .count();
   }
--- a/src/main/java/pumicekeel/demo/RpcDemo.java
+++ b/src/main/java/pumicekeel/demo/RpcDemo.java
@@ -244,7 +244,7 @@
   }
 
   /** Returns the name that the load gave a call, which is the first member of its params. */
-  private static String nameIn(StandInRpcServer.Seen call) {
+  private static String nameIn(StandInRpcServer.ReceivedCall call) {
     int from = call.params().indexOf("\"n\":\"") + 5;
     return call.params().substring(from, call.params().indexOf('"', from));
   }
--- a/src/main/java/pumicekeel/demo/Verdict.java
+++ b/src/main/java/pumicekeel/demo/Verdict.java
@@ -36,7 +36,7 @@
     Map<String, Supplier<List<Execution>>> logs = new TreeMap<>();
     upstreams.forEach((name, u) -> logs.put(
         name,
-        () -> u.seen().stream()
+        () -> u.received().stream()
             .map(s -> new Execution(
                 s.id(),
                 s.mode() == StandInUpstream.Mode.FULL ? null : s.key(),
@@ -50,11 +50,11 @@
   public static Verdict ofServers(
       Map<String, StandInRpcServer> servers,
       Map<String, Integer> cells,
-      Function<StandInRpcServer.Seen, String> name) {
+      Function<StandInRpcServer.ReceivedCall, String> name) {
     Map<String, Supplier<List<Execution>>> logs = new TreeMap<>();
     servers.forEach((server, s) -> logs.put(
         server,
-        () -> s.seen().stream()
+        () -> s.received().stream()
             .map(c -> new Execution(
                 name.apply(c),
                 c.method().equals("quote.issue") ? name.apply(c) : null,
--- a/src/main/java/pumicekeel/measure/Torture.java
+++ b/src/main/java/pumicekeel/measure/Torture.java
@@ -29,7 +29,7 @@
 import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
-import pumicekeel.standin.StandInUpstream.Seen;
+import pumicekeel.standin.StandInUpstream.ReceivedRequest;
 
 /**
  * Crash test of the journal: kills balancer processes under load at random moments and compares each answer of their journals with
@@ -199,7 +199,7 @@
     history.requests().forEach(s -> requests.put(s.firstIntent().id(), s));
     Map<String, Set<String>> seen = new HashMap<>();
     for (StandInUpstream u : upstreams) {
-      for (Seen s : u.takeSeen()) {
+      for (ReceivedRequest s : u.takeReceived()) {
         if (s.mode() != Mode.FULL) {
           seen.computeIfAbsent(s.id(), k -> new HashSet<>()).add(u.name());
         }
--- a/src/main/java/pumicekeel/standin/StandInRpcFaults.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcFaults.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 import pumicekeel.standin.StandInRpcServer.Connection;
-import pumicekeel.standin.StandInRpcServer.Seen;
+import pumicekeel.standin.StandInRpcServer.ReceivedCall;
 
 /** A server script that responds after a delay and injects random faults by a seed. */
 public final class StandInRpcFaults implements StandInRpcServer.Script {
@@ -19,7 +19,7 @@
   }
 
   @Override
-  public void on(Seen call, Connection c) {
+  public void on(ReceivedCall call, Connection c) {
     int draw;
     int kind;
     synchronized (random) {
--- a/src/main/java/pumicekeel/standin/StandInRpcServer.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcServer.java
@@ -32,11 +32,11 @@
 public final class StandInRpcServer implements Closeable {
 
   /** A completely received call; {@code params} is raw JSON, or null. */
-  public record Seen(int connection, long id, String method, String params, long atNanos) {}
+  public record ReceivedCall(int connection, long id, String method, String params, long atNanos) {}
 
   /** Handles calls, on the connection's event loop. */
   public interface Script {
-    void on(Seen call, Connection connection);
+    void on(ReceivedCall call, Connection connection);
   }
 
   /** Responds with the params. */
@@ -44,10 +44,10 @@
       (call, c) -> c.result(call.id(), call.params() == null ? "null" : call.params());
 
   private static final Limits LIMITS = new Limits(1 << 20, Limits.MAX_DEPTH, 1);
-  private static final int MAX_SEEN = 2_000_000;
+  private static final int MAX_RECEIVED = 2_000_000;
 
   private final Framing framing;
-  private final List<Seen> seen = new ArrayList<>();
+  private final List<ReceivedCall> received = new ArrayList<>();
   private final Set<Channel> connections = ConcurrentHashMap.newKeySet();
   private final AtomicInteger opened = new AtomicInteger();
   private final ServerBootstrap bootstrap;
@@ -100,9 +100,9 @@
   }
 
   /** Returns the calls received so far, in order. */
-  public List<Seen> seen() {
-    synchronized (seen) {
-      return List.copyOf(seen);
+  public List<ReceivedCall> received() {
+    synchronized (received) {
+      return List.copyOf(received);
     }
   }
 
@@ -163,15 +163,15 @@
         ctx.close();
         return;
       }
-      Seen next = new Seen(
+      ReceivedCall next = new ReceivedCall(
           number,
           call.id().asNumber(),
           call.method(),
           call.params() == null ? null : new String(call.params(), StandardCharsets.UTF_8),
           System.nanoTime());
-      synchronized (seen) {
-        if (seen.size() < MAX_SEEN) {
-          seen.add(next);
+      synchronized (received) {
+        if (received.size() < MAX_RECEIVED) {
+          received.add(next);
         }
       }
       script.on(next, this);
--- a/src/main/java/pumicekeel/standin/StandInUpstream.java
+++ b/src/main/java/pumicekeel/standin/StandInUpstream.java
@@ -41,16 +41,16 @@
   }
 
   /** A completely received request. */
-  public record Seen(
+  public record ReceivedRequest(
       String id, String key, String className, String body, long atNanos, Mode mode) {}
 
   /** Maximum body size that the protocol allows. */
   private static final int MAX_BODY_BYTES = 64 << 10;
   /** Maximum number of logged requests, enough for some minutes at any rate that one machine reaches; later ones are not kept. */
-  private static final int MAX_SEEN = 2_000_000;
+  private static final int MAX_RECEIVED = 2_000_000;
 
   private final String name;
-  private final List<Seen> seen = new ArrayList<>();
+  private final List<ReceivedRequest> received = new ArrayList<>();
   private final Set<Channel> connections = ConcurrentHashMap.newKeySet();
   private final AtomicInteger maxOpen = new AtomicInteger();
   private final AtomicInteger opened = new AtomicInteger();
@@ -129,17 +129,17 @@
   }
 
   /** Returns the requests received so far, in order. */
-  public List<Seen> seen() {
-    synchronized (seen) {
-      return List.copyOf(seen);
+  public List<ReceivedRequest> received() {
+    synchronized (received) {
+      return List.copyOf(received);
     }
   }
 
   /** Removes and returns the requests received since the last call, in order. */
-  public List<Seen> takeSeen() {
-    synchronized (seen) {
-      List<Seen> taken = List.copyOf(seen);
-      seen.clear();
+  public List<ReceivedRequest> takeReceived() {
+    synchronized (received) {
+      List<ReceivedRequest> taken = List.copyOf(received);
+      received.clear();
       return taken;
     }
   }
@@ -168,16 +168,16 @@
       String id = request.headers().get("X-Correlation-Id", "");
       String path = request.uri().split("\\?", 2)[0];
       int end = path.indexOf('/', 1);
-      Seen one = new Seen(
+      ReceivedRequest one = new ReceivedRequest(
           id,
           request.headers().get("Idempotency-Key"),
           path.substring(1, end < 0 ? path.length() : end),
           request.content().toString(StandardCharsets.UTF_8),
           System.nanoTime(),
           now);
-      synchronized (seen) {
-        if (seen.size() < MAX_SEEN) {
-          seen.add(one);
+      synchronized (received) {
+        if (received.size() < MAX_RECEIVED) {
+          received.add(one);
         }
       }
       if (delayMicros > 0) {
--- a/src/test/java/pumicekeel/mesh/MeshTest.java
+++ b/src/test/java/pumicekeel/mesh/MeshTest.java
@@ -101,7 +101,7 @@
       }
       until(
           () -> all.stream().allMatch(l -> l.count(Outcome.SERVED) > 20)
-              && mesh.upstreams().get("s1").seen().size() > 3,
+              && mesh.upstreams().get("s1").received().size() > 3,
           "served before the drain");
       mesh.members().get(2).signal("STOP");
       mesh.announce("s1", "terminating", 0);
@@ -116,7 +116,7 @@
       // A read and the sends it causes may be in the same iteration of the event loop: sends
       // decided
       // on before the stall go out at once.
-      long late = mesh.upstreams().get("s1").seen().stream()
+      long late = mesh.upstreams().get("s1").received().stream()
           .filter(s -> s.atNanos() - woken > 500_000_000L)
           .count();
       assertEquals(0, late, "sent to an upstream that left, half a second after the process woke");
--- a/src/test/java/pumicekeel/node/CrashTest.java
+++ b/src/test/java/pumicekeel/node/CrashTest.java
@@ -23,7 +23,7 @@
 import pumicekeel.measure.Torture;
 import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInUpstream.Mode;
-import pumicekeel.standin.StandInUpstream.Seen;
+import pumicekeel.standin.StandInUpstream.ReceivedRequest;
 
 /** The process is killed by SIGKILL; its journal is compared with the logs of the stand-in upstreams. */
 class CrashTest {
@@ -226,7 +226,7 @@
 
   private List<String> upstreamsOf(String id) {
     return t.upstreams.entrySet().stream()
-        .filter(u -> u.getValue().seen().stream().map(Seen::id).anyMatch(id::equals))
+        .filter(u -> u.getValue().received().stream().map(ReceivedRequest::id).anyMatch(id::equals))
         .map(Map.Entry::getKey)
         .toList();
   }
--- a/src/test/java/pumicekeel/node/GenerationsTest.java
+++ b/src/test/java/pumicekeel/node/GenerationsTest.java
@@ -105,13 +105,13 @@
     assertNoneLost(rates, false);
     // By the upstreams' logs no key ran twice.
     long ran = t.upstreams.values().stream()
-        .flatMap(u -> u.seen().stream())
+        .flatMap(u -> u.received().stream())
         .filter(s -> s.key() != null)
-        .map(StandInUpstream.Seen::key)
+        .map(StandInUpstream.ReceivedRequest::key)
         .distinct()
         .count();
     long seen = t.upstreams.values().stream()
-        .flatMap(u -> u.seen().stream())
+        .flatMap(u -> u.received().stream())
         .filter(s -> s.key() != null)
         .count();
     assertEquals(ran, seen);
@@ -174,11 +174,12 @@
       for (int i = 0; i <= ServicePools.MAX_RETIRED && refused == null; i++) {
         TestClient client = new TestClient(t.address);
         open.add(client);
-        int seen =
-            t.upstreams.get("q0").seen().size() + t.upstreams.get("q1").seen().size();
+        int seen = t.upstreams.get("q0").received().size()
+            + t.upstreams.get("q1").received().size();
         client.send(ServicePoolsTest.issue("h" + i, "k" + i, "quote.example.org"));
-        TestNode.until(() ->
-            t.upstreams.get("q0").seen().size() + t.upstreams.get("q1").seen().size() > seen);
+        TestNode.until(() -> t.upstreams.get("q0").received().size()
+                + t.upstreams.get("q1").received().size()
+            > seen);
         try {
           t.reload(file("limits = { max-open = " + (1_000 + i) + " }", ""));
         } catch (IOException e) {
@@ -247,9 +248,9 @@
           platform.call(ServicePoolsTest.lookup("2", "any.example.org", "")).status());
       q0.delayMicros(300_000);
       q1.delayMicros(300_000);
-      int seen = q0.seen().size() + q1.seen().size();
+      int seen = q0.received().size() + q1.received().size();
       client.send(ServicePoolsTest.lookup("3", "any.example.org", ""));
-      TestNode.until(() -> q0.seen().size() + q1.seen().size() > seen);
+      TestNode.until(() -> q0.received().size() + q1.received().size() > seen);
       t.reload(file("", ""));
       assertTrue(idle.ended(), "a connection without a request is closed");
       TestClient.Reply last = client.read();
--- a/src/test/java/pumicekeel/node/IsolationTest.java
+++ b/src/test/java/pumicekeel/node/IsolationTest.java
@@ -212,9 +212,9 @@
 
   private java.util.stream.LongStream seen(String burst, String... names) {
     return java.util.Arrays.stream(names)
-        .flatMap(n -> t.upstreams.get(n).seen().stream())
+        .flatMap(n -> t.upstreams.get(n).received().stream())
         .filter(s -> s.id().startsWith(burst))
-        .mapToLong(StandInUpstream.Seen::atNanos);
+        .mapToLong(StandInUpstream.ReceivedRequest::atNanos);
   }
 
   private long noRooms() {
--- a/src/test/java/pumicekeel/node/JournalFailureTest.java
+++ b/src/test/java/pumicekeel/node/JournalFailureTest.java
@@ -75,7 +75,7 @@
       }
     });
     assertTrue(
-        q.seen().stream().noneMatch(s -> s.id().equals("2")),
+        q.received().stream().noneMatch(s -> s.id().equals("2")),
         "never sent, as the refusal promises");
   }
 
@@ -89,7 +89,7 @@
     assertEquals(429, reply.status());
     assertTrue(reply.head().contains("retry-after: 0."), reply.head());
     assertEquals("3", call(ServicePoolsTest.lookup("3", "h", "")).body());
-    assertTrue(q.seen().stream().noneMatch(s -> s.key() != null));
+    assertTrue(q.received().stream().noneMatch(s -> s.key() != null));
     journal.fail(false);
     TestNode.until(() -> {
       try {
@@ -150,7 +150,7 @@
 
   private String seenAt(String id) {
     return t.upstreams.entrySet().stream()
-        .filter(u -> u.getValue().seen().stream().anyMatch(s -> s.id().equals(id)))
+        .filter(u -> u.getValue().received().stream().anyMatch(s -> s.id().equals(id)))
         .map(java.util.Map.Entry::getKey)
         .findFirst()
         .orElse("nowhere");
--- a/src/test/java/pumicekeel/node/RpcClientDisconnectTest.java
+++ b/src/test/java/pumicekeel/node/RpcClientDisconnectTest.java
@@ -30,7 +30,7 @@
   }
 
   private long attempts() {
-    return t.servers.get("s1").seen().stream()
+    return t.servers.get("s1").received().stream()
         .filter(s -> s.params().contains(LEAVES))
         .count();
   }
@@ -60,9 +60,9 @@
     awaitLoopPass(stays, "b");
     t.standIns.submit(resets.peek()).sync();
     awaitLoopPass(stays, "c");
-    assertEquals(1, attempts(), () -> "sent on: " + server.seen());
-    boolean behindSent = server.seen().stream().anyMatch(s -> s.params().contains("behind"));
-    assertFalse(behindSent, () -> "sent on: " + server.seen());
+    assertEquals(1, attempts(), () -> "sent on: " + server.received());
+    boolean behindSent = server.received().stream().anyMatch(s -> s.params().contains("behind"));
+    assertFalse(behindSent, () -> "sent on: " + server.received());
   }
 
   /** Makes some calls; with their answers the loop has read what had arrived at its sockets before. */
--- a/src/test/java/pumicekeel/node/RpcFrontTest.java
+++ b/src/test/java/pumicekeel/node/RpcFrontTest.java
@@ -64,7 +64,7 @@
   }
 
   private int seen() {
-    return t.servers.get("s1").seen().size();
+    return t.servers.get("s1").received().size();
   }
 
   private static String result(String id, String n) {
--- a/src/test/java/pumicekeel/node/RpcServersTest.java
+++ b/src/test/java/pumicekeel/node/RpcServersTest.java
@@ -17,7 +17,7 @@
 import pumicekeel.jsonrpc.Framing;
 import pumicekeel.standin.StandInRpcClient;
 import pumicekeel.standin.StandInRpcServer;
-import pumicekeel.standin.StandInRpcServer.Seen;
+import pumicekeel.standin.StandInRpcServer.ReceivedCall;
 
 /** Misbehaving JSON-RPC servers and the answers to clients; the servers' logs show which calls ran. */
 class RpcServersTest {
@@ -65,7 +65,7 @@
   void unansweredCallOfABatchIsRetriedAfterAClose(String answered) throws Exception {
     StandInRpcServer server = t.server("s1");
     StandInRpcClient client = start("", "s1");
-    List<Seen> first = new ArrayList<>();
+    List<ReceivedCall> first = new ArrayList<>();
     server.script((call, c) -> {
       if (first.size() >= 2) {
         StandInRpcServer.ECHO.on(call, c);
@@ -86,10 +86,10 @@
     assertNull(client.next(100), "a second answer");
     assertEquals(
         2,
-        server.seen().stream().filter(s -> !s.method().equals(answered)).count(),
+        server.received().stream().filter(s -> !s.method().equals(answered)).count(),
         "the call without an answer was sent twice");
     assertEquals(
-        1, server.seen().stream().filter(s -> s.method().equals(answered)).count());
+        1, server.received().stream().filter(s -> s.method().equals(answered)).count());
   }
 
   /** Splits an array into its entries, at each comma before a JSON-RPC object. */
@@ -136,7 +136,8 @@
     }
     StandInRpcClient client = start("", "a1", "b2");
     assertEquals(result("1", "7"), client.send(RpcFiles.lookup("1", "7")).next(TIMEOUT_MILLIS));
-    assertEquals(2, t.servers.values().stream().mapToInt(s -> s.seen().size()).sum());
+    assertEquals(
+        2, t.servers.values().stream().mapToInt(s -> s.received().size()).sum());
   }
 
   // Ids
@@ -164,7 +165,8 @@
     }
     assertEquals(expected, got);
     assertEquals(1, t.servers.get("s1").opened(), "all calls share one connection");
-    List<Long> ids = t.servers.get("s1").seen().stream().map(Seen::id).toList();
+    List<Long> ids =
+        t.servers.get("s1").received().stream().map(ReceivedCall::id).toList();
     assertEquals(20, ids.stream().distinct().count(), "each call has its own id");
   }
 
@@ -236,7 +238,7 @@
     // Two calls are open. The server answers the second one's id twice, the second time with the
     // params of the first. The first answer has been passed on; the duplicate closes the
     // connection, and the first call is retried.
-    List<Seen> out = new ArrayList<>();
+    List<ReceivedCall> out = new ArrayList<>();
     StandInRpcServer server = t.server("s1");
     server.script((call, c) -> {
       out.add(call);
@@ -391,7 +393,7 @@
     }
     assertEquals(
         List.of("rate.lookup", "quote-issue", "rate.lookup"),
-        server.seen().stream().map(Seen::method).toList());
+        server.received().stream().map(ReceivedCall::method).toList());
   }
 
   @Test
@@ -404,7 +406,7 @@
     assertTrue(
         answer.matches("\\{\"jsonrpc\":\"2.0\",\"result\":\"n0-[0-9a-z]+-1\",\"id\":1}"), answer);
     client.send(RpcFiles.issue("2", "k2")).next(TIMEOUT_MILLIS);
-    var seen = t.upstreams.get("u1").seen();
+    var seen = t.upstreams.get("u1").received();
     assertEquals("k2", seen.get(1).key());
     assertEquals("{\"key\":\"k2\"}", seen.get(1).body());
     assertEquals("quote-issue", seen.get(1).className());
@@ -412,7 +414,7 @@
         "{\"jsonrpc\":\"2.0\",\"method\":\"rate.lookup\",\"params\":{\"account\":\"acme\",\"x\":\""
             + "x".repeat(5_000) + "\"},\"id\":3}";
     assertTrue(client.send(tooLong).next(TIMEOUT_MILLIS).contains("-32602"));
-    assertEquals(2, t.upstreams.get("u1").seen().size());
+    assertEquals(2, t.upstreams.get("u1").received().size());
   }
 
   @Test
@@ -448,11 +450,12 @@
     for (int i = 0; i < 9; i++) {
       client.send(RpcFiles.lookup("" + i, "" + i));
     }
-    TestNode.until(() -> server.seen().size() == 9);
+    TestNode.until(() -> server.received().size() == 9);
     assertEquals(3, server.opened());
     for (int connection = 1; connection <= 3; connection++) {
       int n = connection;
-      assertEquals(3, server.seen().stream().filter(s -> s.connection() == n).count());
+      assertEquals(
+          3, server.received().stream().filter(s -> s.connection() == n).count());
     }
     t.standIns.submit(() -> List.copyOf(pendingAnswers).forEach(Runnable::run)).sync();
     for (int i = 0; i < 9; i++) {
--- a/src/test/java/pumicekeel/node/RpcSpecificationTest.java
+++ b/src/test/java/pumicekeel/node/RpcSpecificationTest.java
@@ -94,7 +94,7 @@
     }
   };
 
-  private static String result(StandInRpcServer.Seen call) {
+  private static String result(StandInRpcServer.ReceivedCall call) {
     String params = call.params();
     return switch (call.method()) {
       case "subtract" -> {
@@ -181,8 +181,8 @@
       assertNull(client.next(200), "an answer to a notification");
       assertEquals(
           List.of("notify_hello", "notify_hello", "notify_sum", "update"),
-          server.seen().stream()
-              .map(StandInRpcServer.Seen::method)
+          server.received().stream()
+              .map(StandInRpcServer.ReceivedCall::method)
               .filter(m -> m.startsWith("notify") || m.equals("update"))
               .sorted()
               .toList());
--- a/src/test/java/pumicekeel/node/ServicePoolsTest.java
+++ b/src/test/java/pumicekeel/node/ServicePoolsTest.java
@@ -15,7 +15,7 @@
 import pumicekeel.standin.StandInDiscovery;
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
-import pumicekeel.standin.StandInUpstream.Seen;
+import pumicekeel.standin.StandInUpstream.ReceivedRequest;
 
 /** Several pools in one process, on sockets: which requests each gets, by the upstreams' own logs. */
 class ServicePoolsTest {
@@ -79,8 +79,9 @@
     assertEquals("1", call(lookup("1", "quote.example.org", "")).body());
     assertEquals("2", call(lookup("2", "RATES.example.org.:8080", "")).body());
     assertEquals("3", call(lookup("3", "a.rates.example.org", "")).body());
-    assertEquals(List.of("1"), q.seen().stream().map(Seen::id).toList());
-    assertEquals(List.of("2", "3"), r.seen().stream().map(Seen::id).toList());
+    assertEquals(List.of("1"), q.received().stream().map(ReceivedRequest::id).toList());
+    assertEquals(
+        List.of("2", "3"), r.received().stream().map(ReceivedRequest::id).toList());
     try (TestClient client = new TestClient(t.address)) {
       assertEquals(404, client.call(lookup("4", "other.example.org", "")).status());
       assertEquals(
@@ -111,7 +112,7 @@
           "9", client.call(lookup("9", "quote.example.org", "")).body(), "the connection is kept");
     }
     assertEquals(1, t.onLoop(() -> t.node.servicePools().counters().noRouteCount()) - before);
-    assertEquals(2, q.seen().size());
+    assertEquals(2, q.received().size());
   }
 
   @Test
@@ -141,7 +142,7 @@
       client.send(hidden);
       assertEquals("2", client.call(lookup("2", "quote.example.org", "")).body());
     }
-    assertEquals(List.of("2"), q.seen().stream().map(Seen::id).toList());
+    assertEquals(List.of("2"), q.received().stream().map(ReceivedRequest::id).toList());
   }
 
   // Shared upstreams
@@ -170,7 +171,7 @@
         200);
     TestNode.until(() -> quotes.count(SERVED) > 100
         && rates.count(SERVED) > 100
-        && shared.seen().stream().anyMatch(s -> s.className().equals("quote-issue")));
+        && shared.received().stream().anyMatch(s -> s.className().equals("quote-issue")));
     t.discoveries.get("platform").announce("shared0", shared.address(), 0, "terminating", 0);
     long notifiedAt = t.discoveries.get("platform").announcedAt("shared0", "terminating");
     long ratesBefore = rates.count(SERVED);
@@ -180,13 +181,13 @@
     rates.stop();
     assertEquals(
         0,
-        shared.seen().stream()
+        shared.received().stream()
             .filter(s -> s.className().equals("quote-issue")
                 && s.atNanos() - notifiedAt > TimeUnit.SECONDS.toNanos(2))
             .count(),
         "quotes has drained it");
     assertTrue(
-        shared.seen().stream()
+        shared.received().stream()
             .anyMatch(s -> s.className().equals("rate-lookup")
                 && s.atNanos() - notifiedAt > TimeUnit.SECONDS.toNanos(2)),
         "rates still uses it");
@@ -199,7 +200,7 @@
         rates.sent(),
         rates.count(SERVED) + rates.count(REFUSED),
         rates.results().faults().toString());
-    assertTrue(other.seen().stream().anyMatch(s -> s.atNanos() - notifiedAt > 0));
+    assertTrue(other.received().stream().anyMatch(s -> s.atNanos() - notifiedAt > 0));
   }
 
   private static final pumicekeel.load.LoadResults.Outcome SERVED =
@@ -218,10 +219,10 @@
       assertEquals(200, call(lookup("q" + i, "quote.example.org", "")).status());
       assertEquals(200, call(lookup("r" + i, "rates.example.org", "")).status());
     }
-    assertTrue(
-        one.seen().size() == 20 && one.seen().stream().allMatch(s -> s.id().startsWith("q")));
-    assertTrue(
-        two.seen().size() == 20 && two.seen().stream().allMatch(s -> s.id().startsWith("r")));
+    assertTrue(one.received().size() == 20
+        && one.received().stream().allMatch(s -> s.id().startsWith("q")));
+    assertTrue(two.received().size() == 20
+        && two.received().stream().allMatch(s -> s.id().startsWith("r")));
     one.close();
   }
 
@@ -240,7 +241,7 @@
         "r",
         12,
         300);
-    TestNode.until(() -> shared.seen().size() > 200);
+    TestNode.until(() -> shared.received().size() > 200);
     quotes.stop();
     rates.stop();
     // The close of a replaced idle connection may be seen only after its successor was accepted;
@@ -280,8 +281,8 @@
     // One list has its start time, the other treats it as an old one.
     quoteList.announce("cold", cold.address(), 9, "in_service", System.currentTimeMillis());
     rateList.announce("cold", cold.address(), 9, "in_service", 0);
-    TestNode.until(() -> cold.seen().stream().anyMatch(s -> s.id().startsWith("q"))
-        && cold.seen().stream().anyMatch(s -> s.id().startsWith("r"))
+    TestNode.until(() -> cold.received().stream().anyMatch(s -> s.id().startsWith("q"))
+        && cold.received().stream().anyMatch(s -> s.id().startsWith("r"))
         && System.nanoTime() - startedAt > TimeUnit.SECONDS.toNanos(4));
     quotes.stop();
     rates.stop();
@@ -306,8 +307,8 @@
     t.reload(before.replace("pool = \"quotes\"", "pool = \"rates\""));
     assertEquals("2", call(issue("2", "key-1", "quote.example.org")).body());
     assertEquals("3", call(issue("3", "key-2", "quote.example.org")).body());
-    assertEquals(List.of("3"), r.seen().stream().map(Seen::id).toList());
-    assertTrue(q.seen().stream().anyMatch(s -> s.id().equals("2")));
+    assertEquals(List.of("3"), r.received().stream().map(ReceivedRequest::id).toList());
+    assertTrue(q.received().stream().anyMatch(s -> s.id().equals("2")));
   }
 
   @Test
@@ -318,7 +319,7 @@
     t.start(before);
     q.mode(Mode.RESET);
     call(issue("1", "key-1", "quote.example.org"));
-    int seen = q.seen().size();
+    int seen = q.received().size();
     t.reload("[sources.rates]\nstatic = " + t.list("r")
         + "\n[pools.rates]\nsource = \"rates\"\n[[routes]]\npool = \"rates\"\n");
     TestNode.until(() -> {
@@ -329,8 +330,8 @@
       }
     });
     assertEquals(502, call(issue("2", "key-1", "quote.example.org")).status());
-    assertEquals(0, r.seen().size());
-    assertEquals(seen, q.seen().size());
+    assertEquals(0, r.received().size());
+    assertEquals(seen, q.received().size());
     assertEquals("3", call(issue("3", "key-2", "quote.example.org")).body());
   }
 
@@ -343,18 +344,18 @@
     assertEquals(200, call(lookup("1", "quote.example.org", "")).status());
     t.reload(twoPools(t.list("q!terminating"), t.list("r"), "fallback = \"rates\""));
     assertEquals(200, call(lookup("2", "quote.example.org", "")).status());
-    assertEquals(List.of("1"), q.seen().stream().map(Seen::id).toList());
-    assertEquals(List.of("2"), r.seen().stream().map(Seen::id).toList());
+    assertEquals(List.of("1"), q.received().stream().map(ReceivedRequest::id).toList());
+    assertEquals(List.of("2"), r.received().stream().map(ReceivedRequest::id).toList());
     t.reload(both);
     q.mode(Mode.HANG);
     try (TestClient client = new TestClient(t.address)) {
       client.send(issue("3", "key-3", "quote.example.org"));
-      TestNode.until(() -> q.seen().size() == 2);
+      TestNode.until(() -> q.received().size() == 2);
       t.reload(twoPools(t.list("q!terminating"), t.list("r"), "fallback = \"rates\""));
       q.kill();
       assertEquals(502, client.read().status(), "it may have run at q: no fallback pool for it");
     }
-    assertEquals(1, r.seen().size());
+    assertEquals(1, r.received().size());
   }
 
   /** A held request of which nothing was sent moves to the fallback pool when the first has no upstream left. */
@@ -371,7 +372,7 @@
       t.reload(twoPools(t.list("q!terminating"), t.list("r"), "fallback = \"rates\""));
       TestClient.Reply reply = client.read();
       assertTrue(reply.status() == 200 || reply.status() == 429, "status " + reply.status());
-      assertEquals(reply.status() == 200 ? 1 : 0, r.seen().size());
+      assertEquals(reply.status() == 200 ? 1 : 0, r.received().size());
     }
     assertEquals("2", call(lookup("2", "quote.example.org", "")).body());
   }
@@ -399,7 +400,7 @@
 
   private static Set<String> keys(StandInUpstream upstream) {
     Set<String> keys = new HashSet<>();
-    upstream.seen().forEach(s -> keys.add(s.id().split("-")[1]));
+    upstream.received().forEach(s -> keys.add(s.id().split("-")[1]));
     return keys;
   }
 
@@ -417,7 +418,7 @@
         TestClient three = new TestClient(t.address)) {
       one.send(lookup("1", "quote.example.org", ""));
       two.send(lookup("2", "quote.example.org", ""));
-      TestNode.until(() -> q.seen().size() == 2);
+      TestNode.until(() -> q.received().size() == 2);
       TestClient.Reply full = three.call(lookup("3", "quote.example.org", ""));
       assertEquals(503, full.status());
       assertTrue(full.head().contains("retry-after: 0."), full.head());
@@ -486,7 +487,7 @@
         TestClient two = new TestClient(t.address)) {
       one.send(issue("1", "k1", "quote.example.org")
           .replace("Length: 4\r\n\r\nbody", "Length: 30000\r\n\r\n" + big));
-      TestNode.until(() -> q.seen().size() == 1);
+      TestNode.until(() -> q.received().size() == 1);
       assertEquals(
           503,
           two.call(issue("2", "k2", "quote.example.org")
@@ -501,7 +502,7 @@
         throw new AssertionError(e);
       }
     });
-    assertEquals(1, q.seen().size());
+    assertEquals(1, q.received().size());
   }
 
   /** An id may be open only once in the process, even for requests of different pools. */
@@ -513,9 +514,9 @@
     q.mode(Mode.HANG);
     try (TestClient one = new TestClient(t.address)) {
       one.send(lookup("same", "quote.example.org", ""));
-      TestNode.until(() -> q.seen().size() == 1);
+      TestNode.until(() -> q.received().size() == 1);
       assertEquals(409, call(lookup("same", "rates.example.org", "")).status());
-      assertEquals(0, r.seen().size());
+      assertEquals(0, r.received().size());
     }
     assertNull(t.defects.isEmpty() ? null : t.defects);
     assertEquals(
--- a/src/test/java/pumicekeel/node/ServicesAtScaleTest.java
+++ b/src/test/java/pumicekeel/node/ServicesAtScaleTest.java
@@ -100,7 +100,7 @@
       assertEquals("warm", client.call(request("warm", 0)).body());
       upstream.mode(Mode.HANG);
       client.send(request("open", 0));
-      TestNode.until(() -> upstream.seen().size() == 2);
+      TestNode.until(() -> upstream.received().size() == 2);
       ServicePool first = parts().get(ConfigurationGenerator.poolName(0)).pool();
 
       // A quota: the module of its pool is kept and gets other settings.
@@ -129,7 +129,7 @@
       affectedBy(new PoolAttempts(0, 5));
       assertNotSame(first, parts().get(ConfigurationGenerator.poolName(0)).pool());
       assertEquals(1, retired());
-      assertEquals(2, upstream.seen().size(), "nothing was sent again");
+      assertEquals(2, upstream.received().size(), "nothing was sent again");
     }
   }
 }
