--- a/src/main/java/pumicekeel/discovery/CallPlan.java
+++ b/src/main/java/pumicekeel/discovery/CallBackoff.java
@@ -18,7 +18,7 @@
  * rejects at once has found a full queue and pauses for one second on average; no second call is made beside one that waits; and a watch
  * that fell silent is reopened only when twice the response time is left.
  */
-final class CallPlan {
+final class CallBackoff {
 
   private static final long MIN_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
   private static final long MAX_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
@@ -51,7 +51,7 @@
 
   private long answerNanos;
 
-  CallPlan(long seed) {
+  CallBackoff(long seed) {
     random = new SplittableRandom(seed);
   }
 
@@ -95,10 +95,14 @@
       case ENDED -> random.nextLong(MAX_PAUSE_NANOS);
       case SILENT -> random.nextLong(MIN_PAUSE_NANOS) + crowdedDelay(leftNanos);
       case CUT, IGNORED ->
-        waitedNanos >= MAX_PAUSE_NANOS ? random.nextLong(MIN_PAUSE_NANOS) : backoff(leftNanos);
+        waitedNanos >= MAX_PAUSE_NANOS
+            ? random.nextLong(MIN_PAUSE_NANOS)
+            : exponentialPause(leftNanos);
       case TURNED_AWAY ->
-        crowded() ? MAX_PAUSE_NANOS + random.nextLong(2 * MAX_PAUSE_NANOS) : backoff(leftNanos);
-      case UNREACHABLE, UNCONNECTED -> backoff(leftNanos);
+        crowded()
+            ? MAX_PAUSE_NANOS + random.nextLong(2 * MAX_PAUSE_NANOS)
+            : exponentialPause(leftNanos);
+      case UNREACHABLE, UNCONNECTED -> exponentialPause(leftNanos);
     };
   }
 
@@ -118,7 +122,7 @@
     return crowded() ? Math.max(0, leftNanos - 2 * answerNanos - REOPEN_MARGIN_NANOS) : 0;
   }
 
-  private long backoff(long leftNanos) {
+  private long exponentialPause(long leftNanos) {
     long doubled = MIN_PAUSE_NANOS << Math.min(consecutiveFailures++, MAX_DOUBLINGS);
     long limit = leftNanos <= 0
         ? MAX_PAUSE_NANOS
--- a/src/main/java/pumicekeel/discovery/Discovery.java
+++ b/src/main/java/pumicekeel/discovery/Discovery.java
@@ -33,7 +33,7 @@
 import pumicekeel.runtime.Reactor;
 
 /**
- * The watch on discovery: opens calls once {@link #watch} is turned on, and again after each failure while it stays on. {@link CallPlan}
+ * The watch on discovery: opens calls once {@link #watch} is turned on, and again after each failure while it stays on. {@link CallBackoff}
  * decides when to call again, {@link WatchCall} when a call has stalled or is over, and {@link ListCurrency} tracks how current the list
  * is. While the only call has stalled a second one is made in parallel; the first that receives something complete is kept, the other is
  * closed.
@@ -53,7 +53,7 @@
   private final Consumer<HostList> onList;
   private final Runnable onFailure;
   private final ListCurrency currency;
-  private final CallPlan plan;
+  private final CallBackoff backoff;
   private final StartTimes startTimes = new StartTimes();
   /** Open calls, the oldest first. */
   private final List<WatchHandler> calls = new ArrayList<>();
@@ -82,7 +82,7 @@
     this.currency = currency;
     this.onList = onList;
     this.onFailure = onFailure;
-    plan = new CallPlan(seed);
+    backoff = new CallBackoff(seed);
   }
 
   /** Starts watching the list if it is pushed; if it is polled, the module decides when. */
@@ -121,7 +121,7 @@
     }
     address = to;
     index = NO_INDEX;
-    plan.reset();
+    backoff.reset();
     closeCalls();
     if (wanted) {
       openCall();
@@ -214,7 +214,7 @@
     currency.callFailed(failure, now);
     long pause = terms.pushed()
         ? terms.reopenNanos()
-        : plan.pause(
+        : backoff.pause(
             failure, elapsedNanos, currency.sendableNanosLeft(now), currency.isConfirmedByPeer());
     Log.rateLimited("discovery: watch failed: " + reason + ", " + failure + " after "
         + TimeUnit.NANOSECONDS.toMillis(elapsedNanos) + " ms; list " + index + " is "
@@ -257,7 +257,7 @@
     private final Channel channel;
     private final ListFrames frames = new ListFrames();
     private final WatchCall call =
-        new WatchCall(terms, plan.crowded(), reactor.clock().now());
+        new WatchCall(terms, backoff.crowded(), reactor.clock().now());
     private final long callNumber = ++callCount;
     /** Whether a list has been received. */
     private boolean listReceived;
@@ -341,7 +341,7 @@
       boolean whole = listReceived && !frames.hasPartialList();
       if (piece.content().writerIndex() > 0) {
         if (whole && !call.hasReceivedList()) {
-          plan.answerReceived(call.elapsedNanos(now));
+          backoff.answerReceived(call.elapsedNanos(now));
         }
         call.progress(whole, now);
         if (whole) {
--- a/src/main/java/pumicekeel/discovery/WatchCall.java
+++ b/src/main/java/pumicekeel/discovery/WatchCall.java
@@ -129,7 +129,7 @@
     if (end == End.LIMIT) {
       return CallFailure.IGNORED;
     }
-    if (elapsedNanos(now) >= CallPlan.QUEUED_REFUSAL_NANOS) {
+    if (elapsedNanos(now) >= CallBackoff.QUEUED_REFUSAL_NANOS) {
       return CallFailure.TURNED_AWAY_LATE;
     }
     return end == End.ANSWERED ? CallFailure.TURNED_AWAY : CallFailure.UNREACHABLE;
--- a/src/test/java/pumicekeel/discovery/CallPlanTest.java
+++ b/src/test/java/pumicekeel/discovery/CallBackoffTest.java
@@ -6,20 +6,20 @@
 
 import org.junit.jupiter.api.Test;
 
-class CallPlanTest {
+class CallBackoffTest {
 
   private static final long MS = 1_000_000L;
   private static final long SPAN = 7_700 * MS;
 
   /** Returns how many calls that fail in this way, each after this time, fit into the time left to a list. */
   private static int callsThatFit(CallFailure how, long takesNanos, long seed) {
-    CallPlan plan = new CallPlan(seed);
+    CallBackoff backoff = new CallBackoff(seed);
     int calls = 0;
     long now = 0;
     while (now < SPAN) {
       calls++;
       now += takesNanos;
-      now += plan.pause(how, takesNanos, SPAN - now);
+      now += backoff.pause(how, takesNanos, SPAN - now);
     }
     return calls;
   }
@@ -39,10 +39,10 @@
   @Test
   void fleetInAnOutageMakesABoundedNumberOfCalls() {
     for (long seed = 1; seed <= 100; seed++) {
-      CallPlan plan = new CallPlan(seed);
+      CallBackoff backoff = new CallBackoff(seed);
       int calls = 0;
       for (long now = 0; now < 20_000 * MS; calls++) {
-        now += plan.pause(CallFailure.UNREACHABLE, 0, SPAN - now);
+        now += backoff.pause(CallFailure.UNREACHABLE, 0, SPAN - now);
       }
       assertTrue(calls <= 20 * 8, calls + " calls in 20 s, seed " + seed);
     }
@@ -50,20 +50,20 @@
 
   @Test
   void callerRejectedByAQueueTimeLimitRetriesAtOnce() {
-    CallPlan plan = new CallPlan(1);
+    CallBackoff backoff = new CallBackoff(1);
     for (int i = 0; i < 20; i++) {
-      assertTrue(plan.pause(CallFailure.TURNED_AWAY_LATE, 2_005 * MS, SPAN) <= 100 * MS);
+      assertTrue(backoff.pause(CallFailure.TURNED_AWAY_LATE, 2_005 * MS, SPAN) <= 100 * MS);
     }
-    assertTrue(plan.crowded());
+    assertTrue(backoff.crowded());
   }
 
   @Test
   void serviceWithAFullQueueIsNotFloodedByRejectedCallers() {
-    CallPlan plan = new CallPlan(1);
-    plan.pause(CallFailure.TURNED_AWAY_LATE, 2_005 * MS, SPAN);
+    CallBackoff backoff = new CallBackoff(1);
+    backoff.pause(CallFailure.TURNED_AWAY_LATE, 2_005 * MS, SPAN);
     long pauses = 0;
     for (int i = 0; i < 100; i++) {
-      pauses += plan.pause(CallFailure.TURNED_AWAY, 5 * MS, SPAN);
+      pauses += backoff.pause(CallFailure.TURNED_AWAY, 5 * MS, SPAN);
     }
     assertTrue(pauses >= 80_000 * MS, "100 calls in " + pauses / MS + " ms");
   }
@@ -73,10 +73,10 @@
   void queuedRejectionsDoNotOverloadTheService() {
     int callers = 50;
     long serviceTime = 200 * MS;
-    CallPlan[] plans = new CallPlan[callers];
+    CallBackoff[] backoffs = new CallBackoff[callers];
     long[] callAt = new long[callers];
     for (int i = 0; i < callers; i++) {
-      plans[i] = new CallPlan(i);
+      backoffs[i] = new CallBackoff(i);
     }
     long freeAt = 0;
     int served = 0;
@@ -89,14 +89,14 @@
       freeAt = startsAt + serviceTime;
       long waited = freeAt - callAt[first];
       if (waited - serviceTime > 2_000 * MS) {
-        callAt[first] = freeAt + plans[first].pause(CallFailure.TURNED_AWAY_LATE, waited, SPAN);
+        callAt[first] = freeAt + backoffs[first].pause(CallFailure.TURNED_AWAY_LATE, waited, SPAN);
       } else {
         served++;
-        plans[first].answerReceived(waited);
+        backoffs[first].answerReceived(waited);
         long silent = 3_000 * MS;
         callAt[first] = freeAt
             + silent
-            + plans[first].pause(CallFailure.SILENT, waited + silent, SPAN - silent);
+            + backoffs[first].pause(CallFailure.SILENT, waited + silent, SPAN - silent);
       }
     }
     int total = (int) (freeAt / serviceTime);
@@ -106,20 +106,20 @@
 
   @Test
   void serviceThatAnswersAtOnceAgainIsNoLongerCrowded() {
-    CallPlan plan = new CallPlan(1);
-    plan.pause(CallFailure.TURNED_AWAY_LATE, 2_000 * MS, SPAN);
-    assertTrue(plan.crowded());
-    plan.answerReceived(5 * MS);
-    assertFalse(plan.crowded());
-    assertTrue(plan.pause(CallFailure.SILENT, 3_000 * MS, SPAN) <= 100 * MS);
+    CallBackoff backoff = new CallBackoff(1);
+    backoff.pause(CallFailure.TURNED_AWAY_LATE, 2_000 * MS, SPAN);
+    assertTrue(backoff.crowded());
+    backoff.answerReceived(5 * MS);
+    assertFalse(backoff.crowded());
+    assertTrue(backoff.pause(CallFailure.SILENT, 3_000 * MS, SPAN) <= 100 * MS);
   }
 
   @Test
   void anotherDiscoveryServiceStartsAsNotCrowded() {
-    CallPlan plan = new CallPlan(1);
-    plan.pause(CallFailure.TURNED_AWAY_LATE, 2_000 * MS, SPAN);
-    plan.reset();
-    assertFalse(plan.crowded());
-    assertEquals(0, plan.pause(CallFailure.SILENT, 3_000 * MS, SPAN) / (100 * MS));
+    CallBackoff backoff = new CallBackoff(1);
+    backoff.pause(CallFailure.TURNED_AWAY_LATE, 2_000 * MS, SPAN);
+    backoff.reset();
+    assertFalse(backoff.crowded());
+    assertEquals(0, backoff.pause(CallFailure.SILENT, 3_000 * MS, SPAN) / (100 * MS));
   }
 }
