--- a/src/main/java/pumicekeel/delivery/DocumentSplitter.java
+++ b/src/main/java/pumicekeel/delivery/DocumentSplitter.java
@@ -10,21 +10,23 @@
 
 /**
  * Splits the text of a TOML document at its table headers. Brackets within strings and arrays are not headers, and the sub-tables of an
- * element of an array of tables stay with their element. Implements only the TOML syntax needed for this; any other text is split too.
+ * element of an array of tables stay with their element. Implements only the TOML syntax needed for this: a text that is not
+ * valid TOML is split as well, without an error.
  */
 final class DocumentSplitter {
 
-  private static final Pattern NAME =
+  private static final Pattern NAME_LINE =
       Pattern.compile("(?m)^[ \\t]*name[ \\t]*=[ \\t]*(\"[^\"\\n]*\"|'[^'\\n]*')");
 
   private final String text;
   private final List<Entry> entries = new ArrayList<>();
-  private final Map<String, Integer> uses = new HashMap<>();
+  private final Map<String, Integer> keyCounts = new HashMap<>();
 
   private DocumentSplitter(String text) {
     this.text = text;
   }
 
+  /** Returns the entries of a text, which make up the whole text when joined. */
   static List<Entry> split(String text) {
     return new DocumentSplitter(text).split();
   }
@@ -34,14 +36,14 @@
     int start = 0;
     int line = 0;
     while (line < text.length()) {
-      int first = skipBlanks(line);
-      boolean isHeader = first < text.length() && text.charAt(first) == '[';
-      int next = isHeader ? endOfPhysicalLine(first) : endOfLogicalLine(first);
+      int contentStart = skipBlanks(line);
+      boolean isHeader = contentStart < text.length() && text.charAt(contentStart) == '[';
+      int next = isHeader ? endOfPhysicalLine(contentStart) : endOfLogicalLine(contentStart);
       if (isHeader) {
-        String found = headerAt(first, next);
-        if (!belongsTo(found, header)) {
+        String nextHeader = headerAt(contentStart, next);
+        if (!belongsTo(nextHeader, header)) {
           add(header, start, line);
-          header = found;
+          header = nextHeader;
           start = line;
         }
       }
@@ -54,13 +56,13 @@
   private void add(String header, int start, int end) {
     String block = text.substring(start, end);
     String key = header.startsWith("[[") ? header + " " + elementName(block) : header;
-    int use = uses.merge(key, 1, Integer::sum);
-    entries.add(new Entry(use == 1 ? key : key + " ~" + use, block));
+    int occurrence = keyCounts.merge(key, 1, Integer::sum);
+    entries.add(new Entry(occurrence == 1 ? key : key + " ~" + occurrence, block));
   }
 
   /** Returns what identifies an element of an array of tables: its name, or the hash of its text if it has none. */
   private static String elementName(String block) {
-    Matcher name = NAME.matcher(block);
+    Matcher name = NAME_LINE.matcher(block);
     return name.find() ? name.group(1) : Integer.toHexString(block.hashCode());
   }
 
@@ -78,9 +80,9 @@
     if (!element.startsWith("[[")) {
       return false;
     }
-    String path = pathOf(element);
-    String own = pathOf(header);
-    return own.length() > path.length() && own.startsWith(path) && own.charAt(path.length()) == '.';
+    String elementPath = pathOf(element);
+    String headerPath = pathOf(header);
+    return headerPath.length() > elementPath.length() && headerPath.startsWith(elementPath) && headerPath.charAt(elementPath.length()) == '.';
   }
 
   /** Returns a header without its brackets. */
@@ -145,16 +147,16 @@
 
   private int endOfString(int from) {
     char quote = text.charAt(from);
-    String longQuote = String.valueOf(quote).repeat(3);
-    boolean isLong = text.startsWith(longQuote, from);
-    int i = from + (isLong ? 3 : 1);
+    String tripleQuote = String.valueOf(quote).repeat(3);
+    boolean isMultiLine = text.startsWith(tripleQuote, from);
+    int i = from + (isMultiLine ? 3 : 1);
     while (i < text.length()) {
       char c = text.charAt(i);
       if (c == '\\' && quote == '"') {
         i += 2;
-      } else if (!isLong && (c == quote || c == '\n')) {
+      } else if (!isMultiLine && (c == quote || c == '\n')) {
         return c == quote ? i + 1 : i;
-      } else if (isLong && text.startsWith(longQuote, i)) {
+      } else if (isMultiLine && text.startsWith(tripleQuote, i)) {
         return endOfQuotes(i + 3, quote);
       } else {
         i++;
--- a/src/main/java/pumicekeel/delivery/control/StatusJson.java
+++ b/src/main/java/pumicekeel/delivery/control/StatusJson.java
@@ -11,18 +11,18 @@
 /** Replies of a control machine to operators and writers, as JSON in UTF-8. */
 final class StatusJson {
 
-  private static final JsonFactory JSON = new JsonFactory();
+  private static final JsonFactory JSON_FACTORY = new JsonFactory();
 
   @FunctionalInterface
-  private interface Fields {
+  private interface FieldWriter {
     void write(JsonGenerator out) throws IOException;
   }
 
   private StatusJson() {}
 
-  /** {@code {"result": KIND, "version": VERSION, "lines": [...]}}. */
+  /** Returns the outcome of a call to publish: {@code {"result": KIND, "version": VERSION, "lines": [...]}}. */
   static byte[] of(PublishResult result) {
-    return object(out -> {
+    return writeObject(out -> {
       out.writeStringField("result", result.kind().name().toLowerCase(java.util.Locale.ROOT));
       out.writeStringField("version", result.current().text());
       out.writeArrayFieldStart("lines");
@@ -34,22 +34,23 @@
   }
 
   /**
-   * {@code {"version": VERSION, "replicas": [{"name", "in-force", "refused", "behind", "trouble", "heard-ms-ago"}]}}; {@code behind} counts
-   * versions and is null if the one in force is of another epoch.
+   * Returns what the replicas last reported: {@code {"version": VERSION, "replicas": [{"name", "in-force", "refused", "behind", "trouble",
+   * "heard-ms-ago"}]}}. {@code behind} is the number of versions between the one in force and the current one, null if their epochs
+   * differ.
    */
   static byte[] of(
       ConfigurationVersion current, Collection<ReplicaRegistry.ReceivedReport> replicas, long now) {
-    return object(out -> {
+    return writeObject(out -> {
       out.writeStringField("version", current.text());
       out.writeArrayFieldStart("replicas");
       for (ReplicaRegistry.ReceivedReport received : replicas) {
-        write(out, received, current, now);
+        writeReplica(out, received, current, now);
       }
       out.writeEndArray();
     });
   }
 
-  private static void write(
+  private static void writeReplica(
       JsonGenerator out,
       ReplicaRegistry.ReceivedReport received,
       ConfigurationVersion current,
@@ -70,9 +71,9 @@
     out.writeEndObject();
   }
 
-  private static byte[] object(Fields fields) {
+  private static byte[] writeObject(FieldWriter fields) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    try (JsonGenerator out = JSON.createGenerator(bytes)) {
+    try (JsonGenerator out = JSON_FACTORY.createGenerator(bytes)) {
       out.writeStartObject();
       fields.write(out);
       out.writeEndObject();
--- a/src/main/java/pumicekeel/delivery/wire/DeltaJson.java
+++ b/src/main/java/pumicekeel/delivery/wire/DeltaJson.java
@@ -17,14 +17,14 @@
  */
 public final class DeltaJson {
 
-  private static final JsonFactory JSON = new JsonFactory();
+  private static final JsonFactory JSON_FACTORY = new JsonFactory();
 
   private DeltaJson() {}
 
   /** Returns the JSON in UTF-8. */
   public static byte[] write(ConfigurationDelta delta) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    try (JsonGenerator out = JSON.createGenerator(bytes)) {
+    try (JsonGenerator out = JSON_FACTORY.createGenerator(bytes)) {
       out.writeStartObject();
       out.writeStringField("base", delta.base().text());
       out.writeStringField("target", delta.target().text());
@@ -35,7 +35,7 @@
       out.writeEndArray();
       out.writeArrayFieldStart("upserted");
       for (ConfigurationDelta.Upsert upsert : delta.upserted()) {
-        write(out, upsert);
+        writeUpsert(out, upsert);
       }
       out.writeEndArray();
       out.writeEndObject();
@@ -45,7 +45,7 @@
     return bytes.toByteArray();
   }
 
-  private static void write(JsonGenerator out, ConfigurationDelta.Upsert upsert)
+  private static void writeUpsert(JsonGenerator out, ConfigurationDelta.Upsert upsert)
       throws IOException {
     out.writeStartObject();
     if (upsert.after() != null) {
@@ -58,24 +58,24 @@
 
   /** Parses a delta; throws an IOException or IllegalArgumentException if it is malformed. */
   public static ConfigurationDelta read(byte[] bytes) throws IOException {
-    try (JsonParser in = JSON.createParser(bytes)) {
-      expect(in.nextToken(), JsonToken.START_OBJECT);
+    try (JsonParser in = JSON_FACTORY.createParser(bytes)) {
+      requireToken(in.nextToken(), JsonToken.START_OBJECT);
       ConfigurationVersion base = null;
       ConfigurationVersion target = null;
       List<String> removed = new ArrayList<>();
       List<ConfigurationDelta.Upsert> upserted = new ArrayList<>();
       while (in.nextToken() == JsonToken.FIELD_NAME) {
         String name = in.currentName();
-        JsonToken value = in.nextToken();
+        JsonToken valueToken = in.nextToken();
         switch (name) {
-          case "base" -> base = ConfigurationVersion.parse(text(in, value));
-          case "target" -> target = ConfigurationVersion.parse(text(in, value));
-          case "removed" -> readKeys(in, value, removed);
-          case "upserted" -> readUpserts(in, value, upserted);
+          case "base" -> base = ConfigurationVersion.parse(readText(in, valueToken));
+          case "target" -> target = ConfigurationVersion.parse(readText(in, valueToken));
+          case "removed" -> readKeys(in, valueToken, removed);
+          case "upserted" -> readUpserts(in, valueToken, upserted);
           default -> in.skipChildren();
         }
       }
-      expect(in.currentToken(), JsonToken.END_OBJECT);
+      requireToken(in.currentToken(), JsonToken.END_OBJECT);
       if (base == null || target == null) {
         throw new IOException("expected a base and a target");
       }
@@ -83,19 +83,19 @@
     }
   }
 
-  private static void readKeys(JsonParser in, JsonToken value, List<String> keys)
+  private static void readKeys(JsonParser in, JsonToken valueToken, List<String> keys)
       throws IOException {
-    expect(value, JsonToken.START_ARRAY);
-    for (JsonToken t = in.nextToken(); t != JsonToken.END_ARRAY; t = in.nextToken()) {
-      keys.add(text(in, t));
+    requireToken(valueToken, JsonToken.START_ARRAY);
+    for (JsonToken element = in.nextToken(); element != JsonToken.END_ARRAY; element = in.nextToken()) {
+      keys.add(readText(in, element));
     }
   }
 
   private static void readUpserts(
-      JsonParser in, JsonToken value, List<ConfigurationDelta.Upsert> upserted) throws IOException {
-    expect(value, JsonToken.START_ARRAY);
-    for (JsonToken t = in.nextToken(); t != JsonToken.END_ARRAY; t = in.nextToken()) {
-      expect(t, JsonToken.START_OBJECT);
+      JsonParser in, JsonToken valueToken, List<ConfigurationDelta.Upsert> upserted) throws IOException {
+    requireToken(valueToken, JsonToken.START_ARRAY);
+    for (JsonToken element = in.nextToken(); element != JsonToken.END_ARRAY; element = in.nextToken()) {
+      requireToken(element, JsonToken.START_OBJECT);
       upserted.add(readUpsert(in));
     }
   }
@@ -106,27 +106,27 @@
     String text = null;
     while (in.nextToken() == JsonToken.FIELD_NAME) {
       String name = in.currentName();
-      JsonToken value = in.nextToken();
+      JsonToken valueToken = in.nextToken();
       switch (name) {
-        case "after" -> after = text(in, value);
-        case "key" -> key = text(in, value);
-        case "text" -> text = text(in, value);
+        case "after" -> after = readText(in, valueToken);
+        case "key" -> key = readText(in, valueToken);
+        case "text" -> text = readText(in, valueToken);
         default -> in.skipChildren();
       }
     }
-    expect(in.currentToken(), JsonToken.END_OBJECT);
+    requireToken(in.currentToken(), JsonToken.END_OBJECT);
     if (key == null || text == null) {
       throw new IOException("expected a key and a text");
     }
     return new ConfigurationDelta.Upsert(after, key, text);
   }
 
-  private static String text(JsonParser in, JsonToken token) throws IOException {
-    expect(token, JsonToken.VALUE_STRING);
+  private static String readText(JsonParser in, JsonToken token) throws IOException {
+    requireToken(token, JsonToken.VALUE_STRING);
     return in.getText();
   }
 
-  private static void expect(JsonToken token, JsonToken expected) throws IOException {
+  private static void requireToken(JsonToken token, JsonToken expected) throws IOException {
     if (token != expected) {
       throw new IOException("expected " + expected + ", got " + token);
     }
--- a/src/main/java/pumicekeel/front/http/ClientHandler.java
+++ b/src/main/java/pumicekeel/front/http/ClientHandler.java
@@ -640,13 +640,13 @@
   }
 
   /** Discards up to this many bytes behind the request, to see whether the client has disconnected. */
-  private Unread discardUnread(int most) {
-    int read = front.discardUnread(ctx.channel(), most);
+  private Unread discardUnread(int maxBytes) {
+    int read = front.discardUnread(ctx.channel(), maxBytes);
     if (read > 0) {
       discarded(read);
     }
     if (read != Sockets.CLOSED_BY_PEER) {
-      return read < most ? Unread.NONE : Unread.MORE;
+      return read < maxBytes ? Unread.NONE : Unread.MORE;
     }
     abandonRequest();
     abort(CloseReason.CLIENT_LEFT);
--- a/src/main/java/pumicekeel/front/http/HttpFront.java
+++ b/src/main/java/pumicekeel/front/http/HttpFront.java
@@ -197,8 +197,8 @@
    * Discards what waits unread on a client's connection; returns {@link Sockets#CLOSED_BY_PEER} if the client has
    * closed it.
    */
-  int discardUnread(Channel channel, int most) {
-    return reactor.sockets().discardUnread(channel, most);
+  int discardUnread(Channel channel, int maxBytes) {
+    return reactor.sockets().discardUnread(channel, maxBytes);
   }
 
   /** Returns whether bytes of a client wait unread: its next request may cross the connection's end. */
@@ -410,11 +410,11 @@
   }
 
   private void drainBacklogAndClose() {
-    int most = acceptControl.limit();
+    int limit = acceptControl.limit();
     reactor
         .sockets()
         .drainBacklogAndClose(
-            listener, Math.max(0, most + most / SPARE_DIVISOR - connections.size()));
+            listener, Math.max(0, limit + limit / SPARE_DIVISOR - connections.size()));
   }
 
   /** Accepts the backlog, into the spare capacity and that of connections that have been silent for a while. */
--- a/src/main/java/pumicekeel/runtime/NioSockets.java
+++ b/src/main/java/pumicekeel/runtime/NioSockets.java
@@ -29,13 +29,13 @@
   }
 
   @Override
-  public int discardUnread(Channel channel, int most) {
-    return channel instanceof Accepted accepted ? accepted.drop(most) : 0;
+  public int discardUnread(Channel channel, int maxBytes) {
+    return channel instanceof Accepted accepted ? accepted.drop(maxBytes) : 0;
   }
 
   @Override
-  public void drainBacklogAndClose(Channel listener, int most) {
-    ((ListeningChannel) listener).drainBacklogAndClose(most);
+  public void drainBacklogAndClose(Channel listener, int maxConnections) {
+    ((ListeningChannel) listener).drainBacklogAndClose(maxConnections);
   }
 
   @Override
@@ -73,19 +73,19 @@
       this.acceptedAt = acceptedAt;
     }
 
-    private int drop(int most) {
+    private int drop(int maxBytes) {
       ByteBuffer bytes = ByteBuffer.allocate(DROP_BYTES);
       int dropped = 0;
       try {
         int read = isActive() ? readNow(bytes) : CLOSED_BY_PEER;
-        while (read > 0 && dropped + read < most) {
+        while (read > 0 && dropped + read < maxBytes) {
           dropped += read;
           bytes.clear();
           read = readNow(bytes);
         }
         return read < 0 ? CLOSED_BY_PEER : dropped + read;
       } catch (InconclusiveReadException e) {
-        return most;
+        return maxBytes;
       } catch (IOException e) {
         return CLOSED_BY_PEER;
       }
--- a/src/main/java/pumicekeel/runtime/Sockets.java
+++ b/src/main/java/pumicekeel/runtime/Sockets.java
@@ -15,10 +15,10 @@
   Channel newConnectingChannel();
 
   /**
-   * Accepts up to this many connections in the backlog of a channel of {@link #newListeningChannel} and closes it, in
-   * one step, so that no connection arrives in between.
+   * Accepts at most {@code maxConnections} connections in the backlog of a channel of {@link #newListeningChannel} and closes the
+   * channel, in one step, so that no connection arrives in between.
    */
-  void drainBacklogAndClose(Channel listener, int most);
+  void drainBacklogAndClose(Channel listener, int maxConnections);
 
   /**
    * Returns whether neither bytes nor an end of stream wait unread on a channel of {@link #newConnectingChannel}.
@@ -28,12 +28,12 @@
   boolean isQuiet(Channel channel);
 
   /**
-   * Discards up to this many unread bytes of a connection accepted by {@link #newListeningChannel}; returns their
+   * Discards up to {@code maxBytes} unread bytes of a connection accepted by {@link #newListeningChannel}; returns their
    * number, or {@link #CLOSED_BY_PEER} if the peer has closed the connection, behind these bytes or at once. Detects
    * clients that have disconnected: the loop does not read further while a client sends unusable bytes, or while the
    * loop is late.
    */
-  int discardUnread(Channel channel, int most);
+  int discardUnread(Channel channel, int maxBytes);
 
   /** Whether bytes or an end of stream wait unread. */
   enum Pending {
