--- a/src/main/java/pumicekeel/delivery/DocumentSplitter.java
+++ b/src/main/java/pumicekeel/delivery/DocumentSplitter.java
@@ -82,7 +82,9 @@
     }
     String elementPath = pathOf(element);
     String headerPath = pathOf(header);
-    return headerPath.length() > elementPath.length() && headerPath.startsWith(elementPath) && headerPath.charAt(elementPath.length()) == '.';
+    return headerPath.length() > elementPath.length()
+        && headerPath.startsWith(elementPath)
+        && headerPath.charAt(elementPath.length()) == '.';
   }
 
   /** Returns a header without its brackets. */
--- a/src/main/java/pumicekeel/delivery/wire/DeltaJson.java
+++ b/src/main/java/pumicekeel/delivery/wire/DeltaJson.java
@@ -86,15 +86,20 @@
   private static void readKeys(JsonParser in, JsonToken valueToken, List<String> keys)
       throws IOException {
     requireToken(valueToken, JsonToken.START_ARRAY);
-    for (JsonToken element = in.nextToken(); element != JsonToken.END_ARRAY; element = in.nextToken()) {
+    for (JsonToken element = in.nextToken();
+        element != JsonToken.END_ARRAY;
+        element = in.nextToken()) {
       keys.add(readText(in, element));
     }
   }
 
   private static void readUpserts(
-      JsonParser in, JsonToken valueToken, List<ConfigurationDelta.Upsert> upserted) throws IOException {
+      JsonParser in, JsonToken valueToken, List<ConfigurationDelta.Upsert> upserted)
+      throws IOException {
     requireToken(valueToken, JsonToken.START_ARRAY);
-    for (JsonToken element = in.nextToken(); element != JsonToken.END_ARRAY; element = in.nextToken()) {
+    for (JsonToken element = in.nextToken();
+        element != JsonToken.END_ARRAY;
+        element = in.nextToken()) {
       requireToken(element, JsonToken.START_OBJECT);
       upserted.add(readUpsert(in));
     }
--- a/src/test/java/pumicekeel/delivery/control/VirtualFleet.java
+++ b/src/test/java/pumicekeel/delivery/control/DeliverySimulation.java
@@ -16,58 +16,58 @@
 import pumicekeel.delivery.Subscription;
 
 /** Control machines and subscribers in virtual time, with a network that drops, duplicates and delays replies at random. */
-final class VirtualFleet {
+final class DeliverySimulation {
 
   static final long MS = 1_000_000L;
   private static final long TIMEOUT_NANOS = 5_500 * MS;
 
-  /** A control machine that may be down. */
+  /** A control machine that may be down, with the calls that wait there for a newer version. */
   final class Machine {
     final ControlState state = new ControlState(random.nextLong());
-    final TreeMap<Long, Integer> callsByTenth = new TreeMap<>();
-    final List<Runnable> waiting = new ArrayList<>();
+    final TreeMap<Long, Integer> callsPerTenthSecond = new TreeMap<>();
+    final List<Runnable> heldCalls = new ArrayList<>();
     boolean up = true;
-    int maxSnapshots;
+    int maxSnapshotsInProgress;
 
     void advance(ConfigurationVersion version, String text) {
       state.advance(version, ConfigurationDocument.parse(text));
-      List<Runnable> released = new ArrayList<>(waiting);
-      waiting.clear();
+      List<Runnable> released = new ArrayList<>(heldCalls);
+      heldCalls.clear();
       released.forEach(Runnable::run);
     }
 
-    private void call(Replica from, Object request, long call, boolean again) {
-      if (!again) {
-        callsByTenth.merge(now / (100 * MS), 1, Integer::sum);
+    private void call(Replica from, Object request, long call, boolean wasHeld) {
+      if (!wasHeld) {
+        callsPerTenthSecond.merge(now / (100 * MS), 1, Integer::sum);
       }
       Reply reply = !up
           ? new Reply.Failed("down")
           : request instanceof PartRequest part
               ? state.answer(part, now)
               : state.answer((ConfigurationRequest) request, now);
-      maxSnapshots = Math.max(maxSnapshots, state.snapshotsInProgress());
+      maxSnapshotsInProgress = Math.max(maxSnapshotsInProgress, state.snapshotsInProgress());
       if (reply != null) {
         send(from, call, reply);
         return;
       }
       Runnable release = () -> call(from, request, call, true);
-      waiting.add(release);
-      at(now + ((ConfigurationRequest) request).waitMillis() * MS, () -> {
-        if (waiting.remove(release)) {
+      heldCalls.add(release);
+      schedule(now + ((ConfigurationRequest) request).waitMillis() * MS, () -> {
+        if (heldCalls.remove(release)) {
           send(from, call, new Reply.Unchanged());
         }
       });
     }
   }
 
-  /** A subscriber with the versions it applied, in order. */
+  /** A subscriber and the versions that it applied, in order. */
   final class Replica {
     final String name;
     final Subscription subscription;
     final List<ConfigurationVersion> applied = new ArrayList<>();
     String text;
     long lastAppliedAt;
-    int parts;
+    int partCalls;
     boolean supportsAllKeys = true;
 
     private Replica(String name, ConfigurationVersion held, String text) {
@@ -80,7 +80,7 @@
     private void run() {
       Subscription.Step step = subscription.next(now);
       if (step instanceof Subscription.Wait wait) {
-        at(wait.untilNanos(), this::run);
+        schedule(wait.untilNanos(), this::run);
       } else if (step instanceof Subscription.Poll next) {
         ReplicaReport report = new ReplicaReport(
             name, subscription.held(), subscription.refused(), subscription.trouble());
@@ -88,16 +88,16 @@
             new ConfigurationRequest(report, next.held(), next.known(), next.waitMillis());
         call(next.server(), request, next.call());
       } else if (step instanceof Subscription.FetchPart next) {
-        parts++;
+        partCalls++;
         call(next.server(), new PartRequest(name, next.version(), next.offset()), next.call());
       } else if (step instanceof Subscription.Apply apply) {
-        at(now + 20 * MS, () -> apply(apply.call(), apply.candidate()));
+        schedule(now + 20 * MS, () -> apply(apply.call(), apply.candidate()));
       }
     }
 
     private void call(int server, Object request, long call) {
-      at(now + latency(), () -> machines.get(server).call(this, request, call, false));
-      at(now + TIMEOUT_NANOS, () -> replied(call, new Reply.Failed("silent")));
+      schedule(now + latency(), () -> machines.get(server).call(this, request, call, false));
+      schedule(now + TIMEOUT_NANOS, () -> replied(call, new Reply.Failed("silent")));
     }
 
     private void replied(long call, Reply reply) {
@@ -123,7 +123,7 @@
     }
   }
 
-  private record Event(long at, long order, Runnable what) {}
+  private record Event(long at, long order, Runnable task) {}
 
   final SplittableRandom random;
   final List<Machine> machines = new ArrayList<>();
@@ -131,14 +131,15 @@
   private final PriorityQueue<Event> events = new PriorityQueue<>(
       java.util.Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
   long now = 1_000 * MS;
-  /** Percentages of lost and of duplicated replies. */
+  /** Percentage of replies that are lost. */
   int lostPercent;
-
+  /** Percentage of replies that arrive a second time, later. */
   int duplicatedPercent;
+
   long maxLatencyNanos = 10 * MS;
   private long order;
 
-  VirtualFleet(int machineCount, long seed) {
+  DeliverySimulation(int machineCount, long seed) {
     System.out.println("seed " + seed);
     random = new SplittableRandom(seed);
     for (int i = 0; i < machineCount; i++) {
@@ -146,15 +147,15 @@
     }
   }
 
-  VirtualFleet replicas(int count, ConfigurationVersion held, String text) {
+  DeliverySimulation replicas(int count, ConfigurationVersion held, String text) {
     for (int i = 0; i < count; i++) {
       replicas.add(new Replica("n" + i, held, text));
     }
     return this;
   }
 
-  void at(long time, Runnable what) {
-    events.add(new Event(time, order++, what));
+  void schedule(long time, Runnable task) {
+    events.add(new Event(time, order++, task));
   }
 
   void runFor(long nanos) {
@@ -162,7 +163,7 @@
     while (!events.isEmpty() && events.peek().at() <= end) {
       Event next = events.poll();
       now = Math.max(now, next.at());
-      next.what().run();
+      next.task().run();
     }
     now = end;
   }
@@ -176,10 +177,10 @@
 
   private void send(Replica to, long call, Reply reply) {
     if (random.nextInt(100) >= lostPercent) {
-      at(now + latency(), () -> to.replied(call, reply));
+      schedule(now + latency(), () -> to.replied(call, reply));
     }
     if (random.nextInt(100) < duplicatedPercent) {
-      at(now + 100 * latency(), () -> to.replied(call, reply));
+      schedule(now + 100 * latency(), () -> to.replied(call, reply));
     }
   }
 
