--- a/src/main/java/pumicekeel/AdaptiveBalancer.java
+++ b/src/main/java/pumicekeel/AdaptiveBalancer.java
@@ -20,28 +20,28 @@
 
   private static final long MILLI_NANOS = 1_000_000L;
   private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
-  /** Window length in longest aims, at least 1 s: long enough for a mean, short enough to follow changes. */
+  /** Window length as a multiple of the longest aim, at least 1 s: long enough for a mean, short enough to follow changes. */
   private static final double WINDOW_AIMS = 2;
   /** Latency thresholds as ratios of the class's aim: half an aim is healthy, one and a half critical. */
   private static final double MIN_RATIO = 0.5;
 
   private static final double MAX_RATIO = 1.5;
-  /** maxRate is the rate offered in the window plus a tenth; minRate is this part of maxRate. */
+  /** The maximum allowed rate is the rate offered in the window plus a tenth; the minimum is a fraction of the maximum. */
   private static final double RATE_HEADROOM = 1.1;
 
   private static final double MIN_RATE_PART = 0.02;
-  /** Thresholds of worthless excess work, as this part of the others: shed before others suffer. */
+  /** Latency thresholds of excess work without worth, as a fraction of the others: it is shed before other work suffers. */
   private static final double EXCESS_PART = 0.2;
-  /** With fewer samples a key uses its endpoint's window (class, tenant, inside or over quota), that one
-   * all work's inside or over quotas, looking this far back: else each window's first requests all pass. */
+  /** A key with fewer samples uses the window of its endpoint (class, tenant, inside or over quota), and that one the window of
+   * its quota group, extended this many lengths back. Otherwise the first requests of each window would all be admitted. */
   private static final int MIN_SAMPLES = 10;
 
   private static final int MAX_WINDOWS_BACK = 5;
-  /** Minimum size of a tenant's bucket: chance bursts alone would make a small share's work excess. */
+  /** Minimum size of a tenant's bucket: with less, random bursts alone would make work inside a small quota excess. */
   private static final double MIN_QUOTA_BURST = 3;
   /** Maximum number of keys kept; the least recently used is evicted first. */
   private static final int MAX_KEYS = 20_000;
-  /** Windows over which usual in-flight load is averaged (overload is faster); EWMA step of others. */
+  /** Windows over which the usual in-flight load is averaged, since an overload builds up faster; EWMA step of other means. */
   private static final double EWMA_WINDOWS = 2;
 
   private static final double EWMA_STEP = 0.005;
@@ -52,16 +52,16 @@
   private static final long HISTORY_NANOS = 10 * SECOND_NANOS;
 
   private static final double HISTORY_SLACK = 1;
-  /** Mean in-flight requests per upstream below which the view is sparse and history counts. A failed or FULL
-   * attempt counts as this many aims: a loaded upstream can recover, a failing one does not look idle. */
+  /** Mean in-flight requests per upstream below which the view is sparse and in-flight time over the history counts. */
   private static final double MIN_SPARSE = 0.12;
   /** With many balancers the threshold is higher, by this much per balancer up to a maximum: each may have
    * one request at an upstream whatever the bound is, and all would send it to the same keys' upstreams. */
   private static final double SPARSE_PER_INSTANCE = 0.05;
 
   private static final double MAX_SPARSE = 1;
+  /** A failed or FULL attempt counts as this many aims: a loaded upstream can recover, a failing one does not look idle. */
   private static final double FAILURE_AIMS = 4;
-  /** A key may use this many upstreams, plus this many times its share of all upstreams. */
+  /** A key may use this many upstreams, plus the factor times its share of the ready ones. */
   private static final int MIN_KEY_UPSTREAMS = 2;
 
   private static final double KEY_FACTOR = 2;
@@ -72,20 +72,21 @@
   private static final int MIN_CAPACITY = 2;
   /** Clock ticks from which time in this balancer, outside the attempt's latency, counts as overhead. */
   private static final int MIN_OVERHEAD_TICKS = 3;
-  /** A request without an upstream is held for this part of its aim, then refused, which is early. Limits of
-   * unsuccessful tries of held requests per outcome and per sweep bound the work while nothing has capacity:
-   * an overloaded balancer would have no time left for answers. */
+  /** A request without an upstream is held for this part of its aim and then refused, long before its deadline. */
   private static final double HOLD_AIMS = 0.3;
 
+  /** Limits on unsuccessful tries of held requests per outcome and per sweep, which bound the work while no upstream has
+   * capacity: an overloaded balancer would have no time left for answers. */
   private static final int OUTCOME_TRIES = 4;
+
   private static final int SWEEP_TRIES = 64;
-  /** Silent: no answer for this many mean gaps between its answers and this part of the shortest aim. */
+  /** An upstream is silent after no answer for this many mean gaps between its answers, and for this part of the shortest aim. */
   private static final double SILENT_GAPS = 8;
 
   private static final double SILENT_AIMS = 0.3;
-  /** Plus this many times the mean overhead of its attempts in this balancer: pauses are seldom even. */
+  /** In addition, this many times the mean overhead of its attempts in this balancer, since the overhead varies. */
   private static final double SILENT_OVERHEADS = 2;
-  /** Hedge tokens earned per admitted request and per winning copy, and the cap: losing ones end hedging. */
+  /** Hedge tokens earned per admitted request and per winning copy, and their maximum: copies that lose use them up. */
   private static final double HEDGE_PER_REQUEST = 0.01;
 
   private static final double HEDGE_PER_WIN = 1.3;
@@ -94,13 +95,13 @@
   private static final double RETRY_PER_REQUEST = 0.2;
   /** A hinted request counts as at most this many mean requests, and at least the inverse. */
   private static final double MAX_HINT_RATIO = 4;
-  /** Ring points of an upstream of median weight: some 15% off an even spread; the load bound does more.
+  /** Ring points of an upstream of median weight: shares are some 15 % off an even spread; the load bound has more effect.
    * A weight counts as at most this many times the median, and at least the inverse. */
   private static final int RING_POINTS = 50;
 
   private static final double MAX_WEIGHT = 4;
-  /** Sweep period while requests are held: short against any aim, long against a tick. While attempts are in
-   * flight, a part of the shortest aim: a timer costs as much as a request. */
+  /** Sweep period while requests are held: short compared with any aim, long compared with a clock tick. While attempts are
+   * in flight, the period is a part of the shortest aim: a timer costs as much as a request. */
   private static final long SWEEP_NANOS = 10 * MILLI_NANOS;
 
   private static final int SWEEPS_PER_AIM = 8;
@@ -116,17 +117,18 @@
 
   private static final long MAX_BACKOFF_NANOS = 2 * SECOND_NANOS;
   /** Part of the cold budget's window that may be sent at once; sends per second that a cold upstream may
-   * always get from all balancers; how long the usual rate is remembered: longer than most outages. */
+   * always get from all balancers. */
   private static final double COLD_BURST_FRACTION = 0.25;
 
   private static final double MIN_COLD_RATE = 2;
-  /** With fewer sends in the budget's window a balancer uses a lottery instead of saving for a cold upstream,
-   * and none for an upstream that is over its budget by more than this. */
+  /** With fewer sends in the budget's window, a balancer uses the cold lottery instead of accumulating a budget for a cold
+   * upstream; the lottery does not select an upstream that is over its budget by more than the maximum debt. */
   private static final double COLD_LOTTERY_SENDS = 1;
 
   private static final double MAX_COLD_DEBT = 1;
+  /** How long the usual send rate is remembered: longer than most outages. */
   private static final long SEND_DECAY_NANOS = 30 * SECOND_NANOS;
-  /** Below this part of the usual ready upstreams, the usual send rate grows no more as upstreams depart. */
+  /** Below this part of the usually ready upstreams, the usual send rate does not grow further as upstreams depart. */
   private static final double MIN_READY_PART = 0.5;
 
   private Settings settings;
@@ -289,33 +291,33 @@
       return;
     }
     open.put(request.id(), r);
-    // The cap grows with traffic: a fixed one at hundreds of balancers would be the overload.
+    // Grows with traffic: a fixed maximum at hundreds of balancers would allow an overload.
     double saved = Math.max(1, RETRY_PER_REQUEST * fleet.total(now, Metric.OFFERED));
     retryTokens = Math.min(saved, retryTokens + RETRY_PER_REQUEST);
     hedgeTokens = Math.min(MAX_HEDGE_TOKENS, hedgeTokens + HEDGE_PER_REQUEST);
     advance(r);
   }
 
-  /** Takes a token of this balancer's part of a tenant's quota, a bucket of a second; excess if empty. */
+  /** Takes a token of this balancer's part of a tenant's quota, of which a bucket holds a second; true if it is empty. */
   private boolean takeQuotaToken(String tenant) {
     double rate = tenant == null ? 0 : quotas.getOrDefault(tenant, 0.0);
     if (rate == 0) {
       return false;
     }
     TokenBucket quota = quotaTokens.computeIfAbsent(tenant, k -> new TokenBucket());
-    boolean over = quota.fill(now, rate, Math.max(MIN_QUOTA_BURST, rate)) < 1;
-    quota.tokens -= over ? 0 : 1;
-    return over;
+    boolean empty = quota.fill(now, rate, Math.max(MIN_QUOTA_BURST, rate)) < 1;
+    quota.tokens -= empty ? 0 : 1;
+    return empty;
   }
 
-  /** Returns a key's window; drops empty and least recently used ones: bounds memory if most keys are new. */
+  /** Returns a key's window; drops empty and least recently used ones, which bounds memory if most keys are new. */
   private Window windowOf(String name) {
     Window w = windows.computeIfAbsent(name, k -> new Window(window, now));
-    Iterator<Window> idlest = windows.values().iterator();
-    for (Window idle = idlest.next();
+    Iterator<Window> leastRecentlyUsed = windows.values().iterator();
+    for (Window idle = leastRecentlyUsed.next();
         idle != w && (idle.empty(now) || windows.size() > MAX_KEYS);
-        idle = idlest.next()) {
-      idlest.remove();
+        idle = leastRecentlyUsed.next()) {
+      leastRecentlyUsed.remove();
     }
     return w;
   }
@@ -324,23 +326,25 @@
     return windows.size();
   }
 
-  /** Admits up to the allowed rate. The worse of the key's and the overall mean counts: a fleet-wide overload
-   * belongs to no key. Work over quota is worth less, with lower thresholds: its tenant is shed first. */
+  /** Admits up to the allowed rate. The worse of the key's and the overall mean counts, since a fleet-wide overload need not show
+   * in a single key. Work over a quota has less worth and lower thresholds, so that it is shed first. */
   private boolean admit(PendingRequest r) {
     count(r, Metric.OFFERED, 1);
-    Window own = r.key.total(now, Metric.SAMPLES) >= MIN_SAMPLES
+    Window source = r.key.total(now, Metric.SAMPLES) >= MIN_SAMPLES
         ? r.key
         : !isSparse() || r.endpoint.total(now, Metric.SAMPLES) >= MIN_SAMPLES
             ? r.endpoint
             : r.quotaGroup;
-    double mean = Math.max(own.mean(now, MIN_SAMPLES), fleet.mean(now, MIN_SAMPLES));
-    double maxRate = own.totalOfSamples(now, Metric.OFFERED, MIN_SAMPLES) * RATE_HEADROOM;
-    double early = r.excess ? EXCESS_PART + (1 - EXCESS_PART) * settings.overShareWorth() : 1;
+    double mean = Math.max(source.mean(now, MIN_SAMPLES), fleet.mean(now, MIN_SAMPLES));
+    double maxRate = source.totalOfSamples(now, Metric.OFFERED, MIN_SAMPLES) * RATE_HEADROOM;
+    double scale = r.excess ? EXCESS_PART + (1 - EXCESS_PART) * settings.overShareWorth() : 1;
     double allowed =
-        allowedRate(mean, MIN_RATIO * early, MAX_RATIO * early, maxRate, maxRate * MIN_RATE_PART);
-    // Work inside a quota passes while no more is in flight than usual: others caused the overload.
-    boolean idle = quotaTokens.containsKey(r.request.tenant()) && readyLoad < usualInFlight * ready;
-    if (own.totalOfSamples(now, Metric.ADMITTED, MIN_SAMPLES) >= allowed && (r.excess || !idle)) {
+        allowedRate(mean, MIN_RATIO * scale, MAX_RATIO * scale, maxRate, maxRate * MIN_RATE_PART);
+    // Work inside a quota passes while no more is in flight than usual: other work is the cause.
+    boolean noMoreThanUsual =
+        quotaTokens.containsKey(r.request.tenant()) && readyLoad < usualInFlight * ready;
+    if (source.totalOfSamples(now, Metric.ADMITTED, MIN_SAMPLES) >= allowed
+        && (r.excess || !noMoreThanUsual)) {
       return false;
     }
     count(r, Metric.ADMITTED, 1);
@@ -358,7 +362,7 @@
     return r.type.worth() * (r.excess ? settings.overShareWorth() : 1);
   }
 
-  /** Returns the hinted load in mean requests: a few heavy ones fill an upstream half empty by count. */
+  /** Returns the hinted load in mean requests: a few heavy ones may fill an upstream that seems half empty by their number. */
   private double hintedLoad(long hint) {
     meanHint += hint <= 0 ? 0 : (hint - meanHint) * (meanHint == 0 ? 1 : EWMA_STEP);
     return hint <= 0 ? 1 : Math.min(MAX_HINT_RATIO, Math.max(1 / MAX_HINT_RATIO, hint / meanHint));
@@ -379,7 +383,7 @@
         .toList();
     ready = members.size();
     readyLoad = members.stream().mapToDouble(u -> u.load).sum();
-    // Local upstreams get at most their zone's share of traffic, for a zone with few of them left.
+    // Local upstreams get at most their zone's share of traffic, which protects a zone's last few.
     long localCount = members.stream().filter(this::isLocal).count();
     long zones = members.stream().map(u -> u.listed.zone()).distinct().count();
     localFraction = Math.min(1.0 / Math.max(1, localCount), (double) zones / Math.max(1, ready));
@@ -408,7 +412,7 @@
     double totalHistory = inFlightTime.total(now, Metric.SUM) / meanLatency + 1;
     double maxLocal = Math.ceil((1 + HISTORY_SLACK) * totalHistory * localFraction);
     double maxRemote = Math.ceil((1 + HISTORY_SLACK) * totalHistory / Math.max(1, ready));
-    // Limits how far keys move off warm upstreams under load: each move costs work and adds load.
+    // Limits a key's moves to other upstreams under load: each costs work and adds load.
     double keyShare =
         r.key.total(now, Metric.OFFERED) / Math.max(1, fleet.total(now, Metric.OFFERED));
     double maxTried = isSparse() || !settings.warmKeys()
@@ -472,9 +476,9 @@
         Math.max(1, Math.ceil((1 + LOAD_SLACK) * (readyLoad + 1) / ready)), capacity(u));
   }
 
-  /** Little's law: answers per second times the latency wanted and the overhead in this balancer. Prevents
-   * queues longer than the aim. No limit before enough answers, or a restarted balancer would starve itself;
-   * overhead is added, or a slow balancer would. */
+  /** Returns the capacity by Little's law: answers per second times the sum of the intended latency and the overhead in this
+   * balancer. Prevents queues longer than the aim. No limit applies before enough answers, or a restarted balancer would
+   * starve itself; overhead is included, or a slow balancer would. */
   private double capacity(Upstream u) {
     if (u.firstServed == 0
         || now - u.firstServed < window / 4 && u.window.total(now, Metric.SAMPLES) < MIN_SAMPLES) {
@@ -488,30 +492,31 @@
             / served);
   }
 
-  /** Returns whether the upstream has been silent far longer than usual: frozen or dead, noticed before a
-   * time-out. The balancer's own overhead is allowed for: a slow one would hedge, shut out healthy upstreams
-   * and slow down further. The cost: a slow balancer notices a dead upstream that much later. */
+  /** Returns whether the upstream has been silent far longer than usual, which detects a frozen or dead one before a time-out.
+   * The balancer's own overhead is allowed for: otherwise a slow balancer would hedge, exclude healthy upstreams and slow down
+   * further. In exchange, a slow balancer detects a dead upstream that much later. */
   private boolean isSilent(Upstream u) {
     if (u.inFlight == 0) {
       // Checked first, as it holds for most: a sweep checks all upstreams.
       return false;
     }
     double gap = u.window.mean(now, 1) / u.inFlight;
-    double own =
+    double ownOverhead =
         u.window.total(now, Metric.OVERHEAD) / Math.max(1, u.window.total(now, Metric.SAMPLES));
     return gap > 0
         && now - u.lastAnswerAt
-            > Math.max(SILENT_GAPS * gap, SILENT_AIMS * shortestAim) + SILENT_OVERHEADS * own;
+            > Math.max(SILENT_GAPS * gap, SILENT_AIMS * shortestAim)
+                + SILENT_OVERHEADS * ownOverhead;
   }
 
-  // Rule 2: where a request may still be sent
+  // Retries without repeated effects: where a request may still be sent
 
   private boolean maySendTo(PendingRequest r, Upstream u) {
     if (!r.priorAttemptsAllow(u.listed, now + settings.tickNanos())) {
       return false;
     }
     for (Attempt a : r.attempts) {
-      if (a.upstream == u && (a.out || ready > r.attempts.size())) {
+      if (a.upstream == u && (a.inFlight || ready > r.attempts.size())) {
         return false;
       }
       if (a.mayHaveRun && r.type.effect() != Effect.SAFE) {
@@ -532,7 +537,7 @@
         || r.type.effect() == Effect.KEYED && r.type.dedupScope() == DedupScope.ALL;
   }
 
-  // Rule 4: cold upstreams
+  // Cold upstreams
 
   /** Returns the capacity fraction of an upstream: it grows linearly from cold-from to 1 as it warms up. */
   private double warmth(Upstream u) {
@@ -541,12 +546,12 @@
     return u.started <= 0 || part >= 1 ? 1 : settings.contract().coldFrom() * (1 - part) + part;
   }
 
-  /** Returns the sends left to a cold upstream: its warmth times a warm one's usual rate. The minimum rate
-   * prevents a deadlock if the whole fleet is cold and waits for traffic; not beside a warm upstream, since
-   * balancers that do not know their number would each send all of it. */
+  /** Returns the sends left to a cold upstream: its warmth times a warm one's usual rate. The minimum rate prevents a deadlock
+   * if the whole fleet is cold and waits for traffic. It does not apply while any upstream is warm, since balancers that do not
+   * know how many they are would each send all of it. */
   private double coldTokens(Upstream u) {
-    double trickle = anyWarm() ? 0 : MIN_COLD_RATE / settings.groupSize();
-    double rate = Math.max(trickle, warmth(u) * usualSendRate);
+    double minRate = anyWarm() ? 0 : MIN_COLD_RATE / settings.groupSize();
+    double rate = Math.max(minRate, warmth(u) * usualSendRate);
     double seconds = COLD_BURST_FRACTION * settings.contract().fallWindowNanos() / SECOND_NANOS;
     return u.coldBudget.fill(now, rate, Math.max(1, rate * seconds));
   }
@@ -559,15 +564,16 @@
     return anyWarm;
   }
 
-  /** With hardly a request per upstream, a balancer would save for a cold one until after its warm-up, and if
-   * all did so it would stay idle. Instead each request draws one upstream by its id, not its key (a hot
-   * key's home would get too much), and a cold one gets its warmth's part of those. The draw is fixed. */
+  /** Returns the cold upstream that the request's draw selects, or null. With hardly a request per upstream, a balancer would
+   * accumulate a budget for a cold one until after its warm-up, and if all did so it would stay idle. Instead each request draws
+   * one upstream by its id, not its key (a hot key's upstream would get too much), and a cold one gets its warmth's part of
+   * those. The same request always draws the same. */
   private Upstream drawColdUpstream(PendingRequest r) {
     Upstream u = ring.owner(ring.positionOf(r.request.id()));
     double part = warmth(u) * ready / Math.max(ready, usualReady * MIN_READY_PART);
     return usesLottery(u)
             && coldTokens(u) > -MAX_COLD_DEBT
-            && Ring.lot(r.request.id()) < part
+            && Ring.drawOf(r.request.id()) < part
             && maySendTo(r, u)
             && isHealthy(u)
             && u.load < loadBound(u)
@@ -582,21 +588,21 @@
             < COLD_LOTTERY_SENDS;
   }
 
-  // Life of a request
+  // Attempts and outcomes
 
   /** Sends a request without an attempt in flight, or ends or holds it; true if it was sent or ended. */
   private boolean advance(PendingRequest r) {
     boolean first = r.attempts.isEmpty();
-    boolean over = r.attempts.size() >= maxAttempts(r)
+    boolean noMoreAttempts = r.attempts.size() >= maxAttempts(r)
         || !first && (retryTokens < 1 || r.bodyConsumed)
         || r.mayNotBeSentAgain(now + settings.tickNanos())
         || now >= r.deadline - 2 * SWEEP_NANOS;
-    Upstream u = over ? null : place(r);
+    Upstream u = noMoreAttempts ? null : place(r);
     if (u != null) {
       retryTokens -= first ? 0 : 1;
       held.remove(r);
       send(r, u);
-    } else if (over || first && now >= heldUntil(r) || !first && ready == 0) {
+    } else if (noMoreAttempts || first && now >= heldUntil(r) || !first && ready == 0) {
       finish(r);
     } else {
       held.add(r);
@@ -613,7 +619,7 @@
   private void send(PendingRequest r, Upstream u) {
     Attempt a = new Attempt(u, now);
     r.attempts.add(a);
-    r.out++;
+    r.attemptsInFlight++;
     u.onProbation = u.ejections > 0;
     u.coldBudget.tokens -= warmth(u) < 1 ? 1 : 0;
     if (!r.bodyPending) {
@@ -643,8 +649,8 @@
     r.bodyPending = false;
     r.arrived = now;
     r.deadline = deadline;
-    r.attempts.stream().filter(a -> a.out).forEach(a -> startWork(r, a));
-    if (r.out > 0 && !r.ended) {
+    r.attempts.stream().filter(a -> a.inFlight).forEach(a -> startWork(r, a));
+    if (r.attemptsInFlight > 0 && !r.ended) {
       scheduleCheck(r);
     }
   }
@@ -653,15 +659,15 @@
   private void onAnswerStarted(PendingRequest r, int attempt) {
     r.streaming = true;
     for (int i = 0; i < r.attempts.size() && settings.limits().cancel(); i++) {
-      if (i != attempt && r.attempts.get(i).out) {
+      if (i != attempt && r.attempts.get(i).inFlight) {
         out.accept(new Cancel(r.request.id(), i));
       }
     }
   }
 
-  /** Sends a copy past a silent upstream; not while latencies exceed the threshold: copies add overload. */
+  /** Sends a second copy if the upstream is silent; not while latencies exceed the threshold, since copies add load. */
   private void hedge(PendingRequest r) {
-    boolean mayCopy = r.out == 1
+    boolean mayCopy = r.attemptsInFlight == 1
         && !r.request.bodyPending()
         && settings.limits().secondCopies()
         && settings.limits().cancel()
@@ -686,11 +692,11 @@
   private void endRequest(PendingRequest r) {
     r.ended = true;
     held.remove(r);
-    if (r.out == 0) {
+    if (r.attemptsInFlight == 0) {
       open.remove(r.request.id());
     }
     for (int i = 0; i < r.attempts.size() && settings.limits().cancel(); i++) {
-      if (r.attempts.get(i).out) {
+      if (r.attempts.get(i).inFlight) {
         out.accept(new Cancel(r.request.id(), i));
       }
     }
@@ -698,14 +704,14 @@
 
   private void onOutcome(Outcome o) {
     PendingRequest r = open.get(o.id());
-    if (r == null || o.attempt() >= r.attempts.size() || !r.attempts.get(o.attempt()).out) {
+    if (r == null || o.attempt() >= r.attempts.size() || !r.attempts.get(o.attempt()).inFlight) {
       return;
     }
     Attempt a = r.attempts.get(o.attempt());
-    a.out = false;
+    a.inFlight = false;
     a.mayHaveRun &= !o.status().provesNotRun();
     r.bodyConsumed |= o.bodyConsumed();
-    r.out--;
+    r.attemptsInFlight--;
     if (a.started) {
       a.upstream.inFlight--;
       a.upstream.load -= a.upstream.inFlight == 0 ? a.upstream.load : r.load;
@@ -718,13 +724,14 @@
     a.upstream.inFlightTime.add(now, Metric.SUM, correction);
     inFlightTime.add(now, Metric.SUM, correction);
     recordOutcome(r, a, o);
-    if (r.ended && r.out == 0) {
+    if (r.ended && r.attemptsInFlight == 0) {
       open.remove(o.id());
     } else if (!r.ended && o.finished()) {
       hedgeTokens = Math.min(
-          MAX_HEDGE_TOKENS, hedgeTokens + (r.out > 0 && o.attempt() > 0 ? HEDGE_PER_WIN : 0));
+          MAX_HEDGE_TOKENS,
+          hedgeTokens + (r.attemptsInFlight > 0 && o.attempt() > 0 ? HEDGE_PER_WIN : 0));
       endRequest(r);
-    } else if (!r.ended && r.out == 0) {
+    } else if (!r.ended && r.attemptsInFlight == 0) {
       advance(r);
     }
     int triesLeft = OUTCOME_TRIES;
@@ -750,7 +757,7 @@
       addSample(r, (double) (now - r.arrived - overhead) / r.type.aimNanos());
       meanLatency += (o.latencyNanos() - meanLatency) * EWMA_STEP;
     } else if (o.staleConnection()) {
-      // Says nothing of the upstream: kept connections break in series, three would eject a
+      // Says nothing of the upstream: kept connections break several at a time, three would eject a
       // healthy one. If it crashed, the next connects are refused, which counts.
       addSample(r, (double) (now - r.arrived - overhead) / r.type.aimNanos());
     } else if (o.status() != Status.CANCELLED
@@ -770,7 +777,8 @@
 
   private void addFailureSample(PendingRequest r, Status status) {
     if (status == Status.RESET || status == Status.ERROR) {
-      // Its latency, at least one aim, for errors the critical ratio. More would treat broken
+      // Its latency, but at least one aim, or for errors the critical ratio. More would treat
+      // broken
       // connections, corrupt answers or one upstream's errors as load.
       double minimum = status == Status.RESET ? 1 : MAX_RATIO;
       addSample(r, Math.max(minimum, (double) (now - r.arrived) / r.type.aimNanos()));
@@ -780,8 +788,8 @@
     }
   }
 
-  /** Returns an attempt's time in this balancer outside its latency, no upstream's work: neither thresholds
-   * nor capacity may include it. A few ticks are clock rounding. */
+  /** Returns an attempt's time in this balancer outside its latency, in which no upstream worked: neither thresholds nor capacity
+   * may include it. A few ticks are clock rounding. */
   private long overhead(Attempt a, Outcome o) {
     long rest = now - a.sentAt - o.latencyNanos();
     return rest <= MIN_OVERHEAD_TICKS * settings.tickNanos() ? 0 : rest;
@@ -811,7 +819,7 @@
         .count();
     panic = unhealthy > PANIC_FRACTION * ready;
     for (PendingRequest r : List.copyOf(open.values())) {
-      if (r.out > 0 && !r.ended && !r.streaming) {
+      if (r.attemptsInFlight > 0 && !r.ended && !r.streaming) {
         if (now >= r.deadline + settings.contract().answerSlackNanos() / 2) {
           finish(r);
         } else {
--- a/src/main/java/pumicekeel/Attempt.java
+++ b/src/main/java/pumicekeel/Attempt.java
@@ -4,10 +4,10 @@
 final class Attempt {
   final Upstream upstream;
   long sentAt;
-  /** In-flight time charged when the attempt started; corrected by its outcome. */
+  /** In-flight time, in nanoseconds, charged to the upstream when the attempt started; corrected by its outcome. */
   double charged;
 
-  boolean out = true;
+  boolean inFlight = true;
   boolean mayHaveRun;
   /** Whether the upstream may work on it: not before the last byte of the request. */
   boolean started;
--- a/src/main/java/pumicekeel/Balancer.java
+++ b/src/main/java/pumicekeel/Balancer.java
@@ -69,7 +69,7 @@
     GONE
   }
 
-  /** Changes only, the complete list, the last known complete list (possibly stale), or a failed call. */
+  /** What an update holds: only the changes, the complete list, the last known complete list (possibly stale), or a failed call. */
   enum ListKind {
     DELTA,
     FULL,
@@ -118,7 +118,10 @@
       long connectTimeoutNanos,
       long connectionIdleNanos) {}
 
-  /** The parameters of the four rules. {@code askWithinNanos} is 0 if the list is pushed. */
+  /**
+   * The limits on late answers, on sends to departed upstreams and on the load of cold ones. {@code askWithinNanos} is 0 if the list is
+   * pushed.
+   */
   record Contract(
       long answerSlackNanos,
       long askWithinNanos,
@@ -128,10 +131,14 @@
       double fallMultiple,
       long fallWindowNanos) {}
 
-  /** The cost of a unit in points of the result. */
+  /** What a unit of traffic to other zones, of wasted work or of late failures costs, in points of a run's result. */
   record Prices(double crossZone, double waste, double lateFail) {}
 
-  /** A balancer's settings, given to the constructor and replaced by {@link SettingsChanged}. */
+  /**
+   * A balancer's settings, given to the constructor and replaced by {@link SettingsChanged}. {@code me} is its number among the {@code
+   * groupSize} balancers of its group, {@code overShareWorth} the worth of work over a tenant's quota relative to other work, and {@code
+   * tickNanos} the resolution of the clock.
+   */
   record Settings(
       int me,
       int groupSize,
--- a/src/main/java/pumicekeel/PendingRequest.java
+++ b/src/main/java/pumicekeel/PendingRequest.java
@@ -16,18 +16,20 @@
   /** Whether its body was not kept and cannot be sent again. */
   boolean bodyConsumed;
 
+  /** Whether it is over its tenant's quota. */
   final boolean excess;
   /** The window of all work inside quotas, or of all work over quotas. */
   final Window quotaGroup;
 
   final Window endpoint;
   final Window key;
+  /** Its hinted work in mean requests; 1 without a hint. */
   final double load;
-  /** The limit when it arrived. */
+  /** The limit on attempts when it arrived. */
   final int maxAttempts;
 
   final List<Attempt> attempts = new ArrayList<>(1);
-  int out;
+  int attemptsInFlight;
   boolean ended;
   boolean streaming;
 
@@ -65,7 +67,7 @@
     return true;
   }
 
-  /** Returns whether no upstream may receive it: an unsafe one may have run, or a deduplication window is over. */
+  /** Returns whether no upstream may receive it again: it is unsafe and may have run, or a deduplication window is over. */
   boolean mayNotBeSentAgain(long now) {
     if (type.effect() == Balancer.Effect.UNSAFE) {
       return mayHaveRun();
--- a/src/main/java/pumicekeel/Ring.java
+++ b/src/main/java/pumicekeel/Ring.java
@@ -36,7 +36,7 @@
   }
 
   /** Returns a stable pseudo-random number from 0 to 1 for a request, independent of the position of its id. */
-  static double lot(String request) {
+  static double drawOf(String request) {
     return (mix(~mix(request.hashCode())) >>> 11) * 0x1p-53;
   }
 
