--- a/src/main/java/pumicekeel/core/BalancerCore.java
+++ b/src/main/java/pumicekeel/core/BalancerCore.java
@@ -65,8 +65,8 @@
    */
   private static final long STALL_MARGIN_NANOS = 1_000_000_000L;
 
-  private static final double STALL_PART = 0.5;
-  private static final double LATE_FACTOR = 1.25;
+  private static final double STALL_MARGIN_PART = 0.5;
+  private static final double LATE_AIMS = 1.25;
   /** How long after the module's deadline the core itself answers a request that the module left unanswered. */
   private static final long MODULE_GRACE_NANOS = 20_000_000L;
   /** Time for the largest body at half the minimum rate of clients; the front ends slower uploads. */
@@ -83,7 +83,7 @@
   private final UpstreamTable upstreams;
   private final Queue<Event> events = new ArrayDeque<>();
   private final List<OpenRequest> finished = new ArrayList<>();
-  private Consumer<Boolean> watch = reactor -> {};
+  private Consumer<Boolean> watch = on -> {};
   private boolean handling;
   private QuotaSource quotaSource;
   /** Tracks whether the list is outdated; null if it cannot be. */
@@ -91,13 +91,14 @@
 
   private long processEndsAt = Long.MAX_VALUE;
 
+  /** Creates a core around a module; {@code onDefect} gets the exceptions that the module throws. */
   public BalancerCore(
       Settings settings,
       Balancer module,
       Reactor reactor,
       LoopLag lag,
       UpstreamLinks links,
-      Consumer<RuntimeException> defect) {
+      Consumer<RuntimeException> onDefect) {
     activeSettings = new ActiveSettings(settings);
     this.module = module;
     clock = reactor.clock();
@@ -105,7 +106,7 @@
     guard = reactor.guard();
     this.lag = lag;
     upstreams = new UpstreamTable(links);
-    this.onDefect = defect;
+    this.onDefect = onDefect;
   }
 
   /** Sets the source that tells whether the list is outdated; while it is, nothing is sent. */
@@ -123,6 +124,7 @@
     updateList(ListKind.CACHED, known);
   }
 
+  /** Returns the settings in force. */
   public Settings settings() {
     return activeSettings.current();
   }
@@ -219,8 +221,8 @@
     // The aim is not known here if it scales with the request's work.
     double worthlessPart =
         request.type().aimStretch() > 0 ? 0 : Math.max(0, 1 - request.type().lateWorth());
-    double pastAim = left - LATE_FACTOR * request.type().aimNanos();
-    long margin = (long) Math.min(STALL_MARGIN_NANOS, STALL_PART * worthlessPart * pastAim);
+    double pastAim = left - LATE_AIMS * request.type().aimNanos();
+    long margin = (long) Math.min(STALL_MARGIN_NANOS, STALL_MARGIN_PART * worthlessPart * pastAim);
     return left - Math.max(ANSWER_MARGIN_NANOS, margin);
   }
 
@@ -259,6 +261,7 @@
         .forEach(r -> r.streamingAttempt.end(Status.CANCELLED, null));
   }
 
+  /** Ends a request whose client has disconnected, or its streamed answer. */
   public void clientDisconnected(String id) {
     OpenRequest r = table.get(id);
     if (r != null && finish(r)) {
@@ -309,6 +312,7 @@
 
   // The list of upstreams
 
+  /** Applies an update of the list of upstreams. */
   public void updateList(HostList list) {
     updateList(list.snapshot() ? ListKind.FULL : ListKind.DELTA, list);
   }
@@ -432,11 +436,11 @@
     upstreams.attemptStarted(upstream);
     // Checked when the attempt's first byte is sent, which may be one connect later than the
     // decision.
-    boolean counts =
+    boolean withinAttemptLimit =
         r.attempts.size() < Math.min(r.maxAttempts, settings().limits().maxAttempts());
     r.attempts.add(attempt);
     if (r.attemptLog == null) {
-      start(a, r, attempt, upstream, counts);
+      start(a, r, attempt, upstream, withinAttemptLimit);
       return;
     }
     attempt.onWritten(() -> r.attemptLog.requestWritten(r.request, attempt.number));
@@ -446,7 +450,7 @@
         upstream.host(),
         () -> {
           if (attempt.inFlight()) {
-            start(a, r, attempt, upstream, counts);
+            start(a, r, attempt, upstream, withinAttemptLimit);
           }
         },
         () -> attempt.end(Status.NOT_SENT, null));
@@ -457,18 +461,21 @@
       OpenRequest r,
       UpstreamAttempt attempt,
       UpstreamTable.Entry upstream,
-      boolean counts) {
+      boolean withinAttemptLimit) {
     long left = r.deadline - clock.now();
     attempt.start(
         r.request,
         a.timeoutNanos() == 0 ? left : Math.min(a.timeoutNanos(), left),
-        () -> maySend(r, attempt, upstream, counts),
+        () -> maySend(r, attempt, upstream, withinAttemptLimit),
         clock,
         loop);
   }
 
   private boolean maySend(
-      OpenRequest r, UpstreamAttempt attempt, UpstreamTable.Entry upstream, boolean counts) {
+      OpenRequest r,
+      UpstreamAttempt attempt,
+      UpstreamTable.Entry upstream,
+      boolean withinAttemptLimit) {
     long now = clock.now();
     // Nothing is sent to an upstream that is known to be leaving: its grace began with its
     // announcement, which may be long before the list arrived here.
@@ -479,7 +486,7 @@
         upstream.leaving(),
         listOutdated(now),
         r.retryIsSafe(now),
-        counts,
+        withinAttemptLimit,
         r.bodyIncomplete() ? Long.MAX_VALUE : r.clientDeadline - now,
         attempt.remainingNanos()));
     if (denial != null) {
--- a/src/main/java/pumicekeel/discovery/DepartureMessage.java
+++ b/src/main/java/pumicekeel/discovery/DepartureMessage.java
@@ -26,6 +26,7 @@
   /** The upstream does not serve. */
   static final int AWAY = -1;
 
+  /** ASK is a query, TELL a report. */
   enum Kind {
     ASK,
     TELL
--- a/src/main/java/pumicekeel/discovery/Discovery.java
+++ b/src/main/java/pumicekeel/discovery/Discovery.java
@@ -60,14 +60,16 @@
 
   private InetSocketAddress address;
   private long index;
-  private boolean wanted;
+  /** Whether the watch is turned on. */
+  private boolean watching;
+
   private ScheduledFuture<?> nextCall;
   private ScheduledFuture<?> currencyCheck;
   private long callCount;
 
   /** Creates a watch that is not started yet; {@code seed} spreads its calls, and {@code onFailure} runs after each call that failed. */
   public Discovery(
-      Reactor on,
+      Reactor reactor,
       InetSocketAddress address,
       long index,
       WatchTerms terms,
@@ -75,7 +77,7 @@
       long seed,
       Consumer<HostList> onList,
       Runnable onFailure) {
-    this.reactor = on;
+    this.reactor = reactor;
     this.address = address;
     this.index = index;
     this.terms = terms;
@@ -102,7 +104,7 @@
 
   /** Starts the watch unless it is on already, or ends it. */
   public void watch(boolean on) {
-    wanted = on;
+    watching = on;
     if (!on) {
       closeCalls();
     } else if (calls.isEmpty()) {
@@ -123,7 +125,7 @@
     index = NO_INDEX;
     backoff.reset();
     closeCalls();
-    if (wanted) {
+    if (watching) {
       openCall();
       checkCurrency();
     }
@@ -203,7 +205,7 @@
 
   private void callIfDue() {
     nextCall = null;
-    if (wanted && callDue(reactor.clock().now())) {
+    if (watching && callDue(reactor.clock().now())) {
       openCall();
     }
   }
@@ -221,7 +223,7 @@
         + TimeUnit.NANOSECONDS.toMillis(currency.age(now)) + " ms old, next call in "
         + TimeUnit.NANOSECONDS.toMillis(pause) + " ms");
     logCurrency();
-    if (wanted && nextCall == null) {
+    if (watching && nextCall == null) {
       nextCall = reactor.loop().schedule(this::callIfDue, pause, TimeUnit.NANOSECONDS);
     }
     onFailure.run();
@@ -338,13 +340,13 @@
      */
     private void contentReceived(HttpContent piece) {
       long now = reactor.clock().now();
-      boolean whole = listReceived && !frames.hasPartialList();
+      boolean complete = listReceived && !frames.hasPartialList();
       if (piece.content().writerIndex() > 0) {
-        if (whole && !call.hasReceivedList()) {
+        if (complete && !call.hasReceivedList()) {
           backoff.answerReceived(call.elapsedNanos(now));
         }
-        call.progress(whole, now);
-        if (whole) {
+        call.progress(complete, now);
+        if (complete) {
           keepOnly(this, now);
           logCurrency();
         }
@@ -368,14 +370,14 @@
     /** Handles the content of the response's body, one list at a time. */
     private final class ListHandler extends SimpleChannelInboundHandler<ByteBuf> {
       @Override
-      protected void channelRead0(ChannelHandlerContext ctx, ByteBuf whole) throws IOException {
+      protected void channelRead0(ChannelHandlerContext ctx, ByteBuf json) throws IOException {
         if (!isOpen()) {
           return;
         }
-        HostList list = HostList.of(Fields.parse("list", whole.toString(StandardCharsets.UTF_8)));
+        HostList list = HostList.of(Fields.parse("list", json.toString(StandardCharsets.UTF_8)));
         listReceived = true;
-        boolean beside = calls.get(0) != WatchHandler.this;
-        if (beside && list.index() <= index) {
+        boolean isSecondCall = calls.get(0) != WatchHandler.this;
+        if (isSecondCall && list.index() <= index) {
           // The older call has delivered it already.
           return;
         }
@@ -411,9 +413,9 @@
 
     /** Ends this call once; a call that was replaced or closed does not count as failed. */
     private void finish(String reason, End end) {
-      boolean mine = calls.remove(this);
+      boolean wasOpen = calls.remove(this);
       close();
-      if (mine) {
+      if (wasOpen) {
         long now = reactor.clock().now();
         callFailed(reason, call.failure(end, now), call.elapsedNanos(now));
       }
--- a/src/main/java/pumicekeel/discovery/HostList.java
+++ b/src/main/java/pumicekeel/discovery/HostList.java
@@ -28,6 +28,7 @@
     }
   }
 
+  /** Reads a list in the format of discovery. */
   public static HostList of(Fields list) {
     return new HostList(
         list.integer("index"),
--- a/src/main/java/pumicekeel/discovery/UpstreamSource.java
+++ b/src/main/java/pumicekeel/discovery/UpstreamSource.java
@@ -22,6 +22,7 @@
 
   /** Receives updates of the list. */
   public interface Observer {
+    /** Called with a full list or with changes to the last one. */
     void listChanged(HostList list);
   }
 
@@ -81,6 +82,7 @@
     return source;
   }
 
+  /** Returns whether the list comes from the operator file, so that nothing is watched. */
   public boolean fixed() {
     return discovery == null;
   }
@@ -91,9 +93,9 @@
   }
 
   /** Shares departures with other balancers from now on. */
-  public void shareDepartures(DepartureExchange with) {
-    exchange = with;
-    with.start(index);
+  public void shareDepartures(DepartureExchange departures) {
+    exchange = departures;
+    departures.start(index);
   }
 
   /** Adds an observer and returns the full list as it stands. */
@@ -116,9 +118,9 @@
     }
   }
 
-  /** Turns the watch on for an observer; if the list has been received already, or is fixed, the observer gets all of it at once. */
-  public void watch(Observer observer, boolean reactor) {
-    if (!reactor) {
+  /** Turns the watch on for an observer, if {@code on}; a list that has been received already, or is fixed, is passed to it at once. */
+  public void watch(Observer observer, boolean on) {
+    if (!on) {
       return;
     }
     if (listReceived) {
@@ -226,7 +228,7 @@
   }
 
   private void notifyObservers(HostList list) {
-    List.copyOf(observers).forEach(f -> f.listChanged(list));
+    List.copyOf(observers).forEach(observer -> observer.listChanged(list));
   }
 
   /** Returns the host as observers are to see it. */
--- a/src/main/java/pumicekeel/discovery/WatchTerms.java
+++ b/src/main/java/pumicekeel/discovery/WatchTerms.java
@@ -39,7 +39,7 @@
   /** A service shared by all may be busy: calls wait in its queue, for at most 2 s, before they fail. */
   private static final int POLL_ANSWER_TIMEOUT_MILLIS = 3_000;
   /** A service that lets calls wait longer answers the longest waiting one first. */
-  private static final int POLL_PATIENCE_MILLIS = 6_000;
+  private static final int POLL_GIVE_UP_MILLIS = 6_000;
   /** A list arrives in a few pieces, in quick succession. */
   private static final int POLL_PROGRESS_TIMEOUT_MILLIS = 500;
   /** A connect does not wait in the service's queue; one that is not established by then was lost in the network. */
@@ -75,7 +75,7 @@
             true,
             POLL_CONNECT_TIMEOUT_MILLIS,
             POLL_ANSWER_TIMEOUT_MILLIS,
-            POLL_PATIENCE_MILLIS,
+            POLL_GIVE_UP_MILLIS,
             POLL_PROGRESS_TIMEOUT_MILLIS,
             QUIET_WATCH_MILLIS,
             SILENT_WATCH_TIMEOUT_MILLIS,
--- a/src/main/java/pumicekeel/front/Front.java
+++ b/src/main/java/pumicekeel/front/Front.java
@@ -24,7 +24,7 @@
   /** Sets the limit on connections, for later accepts. */
   void setMaxConnections(int connections);
 
-  /** Begins a planned stop or an evacuation: health checks fail, so that no more clients are sent. */
+  /** Begins a planned stop or an evacuation: health checks fail, so that the platform sends no more clients here. */
   void drain();
 
   /** Accepts clients again after a drain that was not part of a stop. */
--- a/src/main/java/pumicekeel/front/http/ClientHandler.java
+++ b/src/main/java/pumicekeel/front/http/ClientHandler.java
@@ -37,14 +37,14 @@
 public final class ClientHandler extends SimpleChannelInboundHandler<HttpObject> implements Client {
 
   /** A client whose request was rejected is not read for this long: it may repeat the request at full speed. */
-  private static final long PENALTY_MILLIS = 500;
-  /** Bytes read within this time after a pause have waited for its end. */
-  private static final long AFTER_PAUSE_NANOS = 20_000_000L;
+  private static final long REJECTION_PAUSE_MILLIS = 500;
+  /** Bytes read within this time after a pause are assumed to have waited for its end. */
+  private static final long WAITED_FOR_PAUSE_NANOS = 20_000_000L;
   /** Bytes read within this time after the accept, plus the loop's lag, may have been in the socket before it. */
-  private static final long AFTER_ACCEPT_NANOS = 60_000_000L;
+  private static final long WAITED_FOR_ACCEPT_NANOS = 60_000_000L;
   /**
    * Bytes discarded at a time behind a pending request, to see its client disconnect; then reading pauses. A flood of
-   * a megabyte is through within 0.2 s, and no client takes more than a hundredth of the loop's time.
+   * a megabyte is discarded within 0.2 s, and no client takes more than a hundredth of the loop's time.
    */
   private static final int MAX_DISCARDED_BYTES = 64 << 10;
 
@@ -85,7 +85,7 @@
   private boolean keepAlive;
   private boolean lastAnswer;
   /** Whether reading pauses once the rest of a rejected request has been discarded. */
-  private boolean penalty;
+  private boolean pauseAfterDiscard;
   /** Reading is paused because of a rejected request. */
   private boolean paused;
   /** Reading has ended for good. */
@@ -110,8 +110,9 @@
   private long pausedAt;
   private long resumedAt;
 
-  public ClientHandler(HttpFront side) {
-    this.front = side;
+  /** Creates the handler of a connection that was just accepted by a front. */
+  public ClientHandler(HttpFront front) {
+    this.front = front;
     times = new ClientTimes(now());
   }
 
@@ -238,7 +239,7 @@
     if (!front.guard().mayClose(reason, submittedId)) {
       return;
     }
-    // Selected only once: a connection that is already closing frees no further capacity.
+    // No longer idle from now on: a connection that is already closing frees no further capacity.
     stopRequests();
     ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
   }
@@ -272,10 +273,10 @@
   private void recordWait() {
     if (times.neverAnswered()) {
       long since = times.idleNanos(now());
-      boolean stoodBefore =
-          unreadAtAccept || since < AFTER_ACCEPT_NANOS + front.maxReadDelayNanos();
-      unreadWaitNanos = stoodBefore ? unreadWaitNanos + since : 0;
-    } else if (resumedAt != 0 && now() - resumedAt < AFTER_PAUSE_NANOS) {
+      boolean wasUnread =
+          unreadAtAccept || since < WAITED_FOR_ACCEPT_NANOS + front.maxReadDelayNanos();
+      unreadWaitNanos = wasUnread ? unreadWaitNanos + since : 0;
+    } else if (resumedAt != 0 && now() - resumedAt < WAITED_FOR_PAUSE_NANOS) {
       unreadWaitNanos = resumedAt - pausedAt;
     }
     resumedAt = 0;
@@ -447,20 +448,20 @@
   }
 
   /** Submits a request to the core, which may answer at once. */
-  private void submit(HttpRequest request, byte[] kept, Phase as)
+  private void submit(HttpRequest request, byte[] kept, Phase next)
       throws ClientRequest.InvalidRequest {
-    ClientRequest next = deductWait(
+    ClientRequest submitted = deductWait(
         ClientRequest.of(request, kept, upload, handle.settings(), handle.previousSettings()));
     head = null;
-    submittedId = next.id();
-    transitionTo(as);
+    submittedId = submitted.id();
+    transitionTo(next);
     // A client's disconnect must be seen even if its request arrived while reading was paused.
     updateAutoRead();
     if (upload != null) {
       // No more is accepted before an upstream reads it.
       setUploadFlowing(false);
     }
-    if (!handle.submit(next, this)) {
+    if (!handle.submit(submitted, this)) {
       throw new ClientRequest.InvalidRequest(409, "this id is open already");
     }
   }
@@ -479,9 +480,9 @@
   // Streamed request bodies
 
   /** Pauses or resumes the upload as its upstream can accept more. */
-  private void setUploadFlowing(boolean on) {
+  private void setUploadFlowing(boolean flowing) {
     if (upload != null) {
-      times.setHeld(!on, now());
+      times.setHeld(!flowing, now());
       updateAutoRead();
     }
   }
@@ -543,7 +544,7 @@
     transitionTo(Phase.DISCARDING);
     times.discardStarted(now());
     writeAnswer(why.status, text, "text/plain", why.retryAfterNanos);
-    penalty = why.status < 500;
+    pauseAfterDiscard = why.status < 500;
   }
 
   /** Returns no body for HEAD: the client would read it as the next answer. */
@@ -563,7 +564,7 @@
       times.discardComplete();
       if (lastAnswer) {
         close(CloseReason.LAST_ANSWER);
-      } else if (penalty) {
+      } else if (pauseAfterDiscard) {
         // Only now: the rest had to be read to be discarded.
         pauseReading();
       }
@@ -597,7 +598,7 @@
               resumedAt = now();
               updateAutoRead();
             },
-            PENALTY_MILLIS,
+            REJECTION_PAUSE_MILLIS,
             TimeUnit.MILLISECONDS);
   }
 
@@ -658,11 +659,11 @@
   /** Stops reading from a client that does not read its answers. */
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
-    boolean takes = context.channel().isWritable();
-    times.setWritable(takes, now());
+    boolean writable = context.channel().isWritable();
+    times.setWritable(writable, now());
     updateAutoRead();
     if (answerSource != null) {
-      answerSource.flow(takes);
+      answerSource.flow(writable);
     }
   }
 
@@ -744,7 +745,7 @@
       // see its answer.
       transitionTo(Phase.DISCARDING);
       times.discardStarted(now());
-      penalty = false;
+      pauseAfterDiscard = false;
     } else if (lastAnswer && phase != Phase.DISCARDING) {
       transitionTo(Phase.CLOSING);
       noMoreRequests = true;
@@ -766,11 +767,11 @@
     boolean quiet = !bodyOutstanding
         && discarded == 0
         && front.discardUnread(ctx.channel(), MAX_DISCARDED_BYTES) <= 0;
-    if (quiet || !(ctx.channel() instanceof DuplexChannel both)) {
+    if (quiet || !(ctx.channel() instanceof DuplexChannel duplex)) {
       abort(CloseReason.LAST_ANSWER);
       return;
     }
-    both.shutdownOutput();
+    duplex.shutdownOutput();
     lingerTimer = ctx.executor()
         .schedule(() -> abort(CloseReason.LAST_ANSWER), LINGER_MILLIS, TimeUnit.MILLISECONDS);
     readingStopped = false;
--- a/src/main/java/pumicekeel/front/http/ClientTimes.java
+++ b/src/main/java/pumicekeel/front/http/ClientTimes.java
@@ -54,17 +54,17 @@
   }
 
   /** Pauses or resumes the body; a client that is paused is not late. */
-  void setHeld(boolean on, long now) {
-    if (held && !on) {
+  void setHeld(boolean nowHeld, long now) {
+    if (held && !nowHeld) {
       headReceivedAt += now - heldSince;
       lastChunkAt = now;
-    } else if (!held && on) {
+    } else if (!held && nowHeld) {
       heldSince = now;
     }
-    held = on;
+    held = nowHeld;
   }
 
-  /** The body is complete and no longer paused. */
+  /** Records that the body is complete and no longer paused. */
   void bodyComplete() {
     held = false;
   }
@@ -95,8 +95,8 @@
     answeredAt = now;
   }
 
-  void setWritable(boolean on, long now) {
-    writeStalledSince = on ? 0 : now;
+  void setWritable(boolean writable, long now) {
+    writeStalledSince = writable ? 0 : now;
   }
 
   // Derived state
--- a/src/main/java/pumicekeel/front/http/HttpFront.java
+++ b/src/main/java/pumicekeel/front/http/HttpFront.java
@@ -37,9 +37,9 @@
 
   private static final int MAX_READS_PER_TURN = 2;
   /** Large answers are streamed to hundreds of clients at once, so each may buffer only little. */
-  private static final int WRITE_BUFFER_LOW = 8 << 10;
+  private static final int WRITE_BUFFER_LOW_BYTES = 8 << 10;
 
-  private static final int WRITE_BUFFER_HIGH = 16 << 10;
+  private static final int WRITE_BUFFER_HIGH_BYTES = 16 << 10;
   /**
    * A client that was answered this recently is about to send its next request: its next answer tells it that the
    * connection ends, since a close would cross the request. Delays a stop by no more than this.
@@ -58,8 +58,8 @@
 
   private static final long FINAL_ACCEPT_NANOS = 20_000_000L;
   /**
-   * Usual clients send at once; at a stop, a connection without a request for this long makes way for those in the
-   * backlog.
+   * Usual clients send at once; at a stop, a connection without a request for this long is closed in favour of those in
+   * the backlog.
    */
   private static final long SILENT_AT_STOP_NANOS = 100_000_000L;
 
@@ -85,6 +85,7 @@
   private boolean closing;
   private final String warmUpPath;
   private final LoopLag lag;
+
   /** Creates the listener of this name with a limit on connections; {@code warmUpPath} is answered with 200. */
   public HttpFront(
       Reactor reactor,
@@ -147,7 +148,7 @@
         .option(ChannelOption.AUTO_READ, accepting)
         .childOption(
             ChannelOption.WRITE_BUFFER_WATER_MARK,
-            new WriteBufferWaterMark(WRITE_BUFFER_LOW, WRITE_BUFFER_HIGH))
+            new WriteBufferWaterMark(WRITE_BUFFER_LOW_BYTES, WRITE_BUFFER_HIGH_BYTES))
         .childOption(
             ChannelOption.RECVBUF_ALLOCATOR,
             new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(MAX_READS_PER_TURN))
@@ -257,7 +258,7 @@
   }
 
   /**
-   * Registers a connection. At the limit the longest idle connection is closed at once, or a crowd of clients and the
+   * Registers a connection. At the limit the longest idle connection is closed at once, or a burst of clients and the
    * health checks of the platform's front would wait in the backlog; if none is idle, nothing is accepted until {@link
    * ClientLimits} has closed one.
    */
@@ -282,11 +283,11 @@
       // Accepted before the bind returned.
       return 0;
     }
-    Sockets.Backlog line = reactor.sockets().backlog(listener);
-    long waited = acceptControl.maxBacklogWaitNanos(now, line != Sockets.Backlog.UNKNOWN);
-    if (line == Sockets.Backlog.EMPTY) {
+    Sockets.Backlog backlog = reactor.sockets().backlog(listener);
+    long waited = acceptControl.maxBacklogWaitNanos(now, backlog != Sockets.Backlog.UNKNOWN);
+    if (backlog == Sockets.Backlog.EMPTY) {
       acceptControl.backlogEmpty(now);
-    } else if (line == Sockets.Backlog.WAITING) {
+    } else if (backlog == Sockets.Backlog.WAITING) {
       // More connections arrived than one turn accepts: the backlog was empty when the loop last
       // polled.
       acceptControl.backlogSince(now - lag.sincePreviousPollNanos());
@@ -300,7 +301,8 @@
    */
   private long acceptFailed(FailureScope scope) {
     boolean lowered = acceptControl.isLowered();
-    long rest = acceptControl.acceptFailed(scope, connections.size(), clock().now());
+    long pauseNanos =
+        acceptControl.acceptFailed(scope, connections.size(), clock().now());
     if (acceptControl.isLowered() && !lowered) {
       Log.line(
           name + ": takes " + acceptControl.limit() + " connections for now, out of descriptors");
@@ -311,7 +313,7 @@
           .findFirst()
           .ifPresent(c -> c.close(CloseReason.GIVES_WAY));
     }
-    return rest;
+    return pauseNanos;
   }
 
   /** Resumes accepting and raises a lowered limit; called regularly, so that neither depends on other events. */
@@ -359,7 +361,7 @@
     }
   }
 
-  /** Begins a planned stop: health checks fail, so that no more clients are sent; connected ones are still served. */
+  /** Begins a planned stop: health checks fail, so that the platform sends no more clients; connected ones are still served. */
   @Override
   public void drain() {
     draining = true;
--- a/src/main/java/pumicekeel/front/jsonrpc/BatchMode.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/BatchMode.java
@@ -11,7 +11,7 @@
   /** An array of one for each answer, as soon as its call has ended. */
   APART;
 
-  /** Names in settings. */
+  /** The modes by their names in settings. */
   public static final Map<String, BatchMode> NAMES =
       Map.of("in-time", IN_TIME, "together", TOGETHER, "apart", APART);
 }
--- a/src/main/java/pumicekeel/front/jsonrpc/Reply.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/Reply.java
@@ -7,8 +7,10 @@
 /** A response object, built when it is sent. */
 interface Reply {
 
+  /** Returns the JSON of the response, as it is to be sent now. */
   byte[] at(long now);
 
+  /** Builds a response with a result, which is raw JSON. */
   static byte[] result(Id id, byte[] result) {
     return MessageWriter.result(id, result);
   }
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcCall.java
@@ -166,16 +166,19 @@
     }
   }
 
-  void reject(RejectedException why) {
-    boolean protocol = why.code == ErrorCodes.INVALID_PARAMS
-        || why.code == ErrorCodes.UNKNOWN_METHOD
-        || why.code == ErrorCodes.NO_ROUTE;
+  void reject(RejectedException rejection) {
+    boolean invalid = rejection.code == ErrorCodes.INVALID_PARAMS
+        || rejection.code == ErrorCodes.UNKNOWN_METHOD
+        || rejection.code == ErrorCodes.NO_ROUTE;
     end(
-        now -> why.code == ErrorCodes.INVALID_PARAMS
+        now -> rejection.code == ErrorCodes.INVALID_PARAMS
             ? Reply.error(
-                call.id(), why.code, ErrorCodes.messageOf(why.code) + ": " + why.getMessage(), null)
-            : Reply.errorWithRetryAfter(call.id(), why.code, why.retryAfterNanos),
-        protocol ? EntryOutcome.INVALID : EntryOutcome.REFUSED_OR_FAILED);
+                call.id(),
+                rejection.code,
+                ErrorCodes.messageOf(rejection.code) + ": " + rejection.getMessage(),
+                null)
+            : Reply.errorWithRetryAfter(call.id(), rejection.code, rejection.retryAfterNanos),
+        invalid ? EntryOutcome.INVALID : EntryOutcome.REFUSED_OR_FAILED);
   }
 
   @Override
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcClientConnection.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcClientConnection.java
@@ -44,12 +44,12 @@
   private static final int MAX_MALFORMED_MESSAGES = 100;
   /** Delay between the last byte sent and the close, so that input arriving meanwhile causes no reset that drops answers. */
   private static final long LINGER_MILLIS = 500;
-  /** Time after the last answer in a drain during which calls on the way still get an error that sends them elsewhere. */
+  /** Time after the last answer in a drain during which calls in transit still get an error that sends them elsewhere. */
   private static final long QUIET_MILLIS = 200;
-  /** Idle time before eviction, longer than a call is on the way: a call that meets a close gets no answer. */
+  /** Idle time before eviction, longer than a call is in transit: a call that arrives at a closed connection gets no answer. */
   private static final long EVICTABLE_AFTER_NANOS = 250_000_000L;
   /** Checks JSON results of upstreams before they are inserted into a response. */
-  private static final MessageReader RESULTS =
+  private static final MessageReader RESULT_READER =
       new MessageReader(new Limits(Answer.MAX_BUFFERED_BYTES, 62, 1));
 
   private final RpcFront front;
@@ -117,8 +117,8 @@
 
   /** Reads while calls are accepted, and slightly ahead: only a read detects that a client has disconnected. */
   private void readOrPause(boolean accepting) {
-    boolean ahead = !readingStopped && decoder.bufferedBytes() < READ_AHEAD_BYTES;
-    ctx.channel().config().setAutoRead(accepting || finishing || ahead);
+    boolean mayReadAhead = !readingStopped && decoder.bufferedBytes() < READ_AHEAD_BYTES;
+    ctx.channel().config().setAutoRead(accepting || finishing || mayReadAhead);
   }
 
   @Override
@@ -311,7 +311,7 @@
         ? ""
         : answer.contentType().split(";", 2)[0].strip();
     if (type.toLowerCase(Locale.ROOT).equals(Answer.JSON)) {
-      return RESULTS.isValue(answer.body()) ? answer.body() : null;
+      return RESULT_READER.isValue(answer.body()) ? answer.body() : null;
     }
     try {
       return MessageWriter.quoted(StandardCharsets.UTF_8
--- a/src/main/java/pumicekeel/front/jsonrpc/RpcFront.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/RpcFront.java
@@ -183,14 +183,14 @@
   /** If the process has no descriptor left, closes the longest idle connection, as at the connection limit. */
   private long acceptFailed(FailureScope scope) {
     long now = clock().now();
-    long rest = accepts.acceptFailed(scope, connections.size(), now);
+    long pauseNanos = accepts.acceptFailed(scope, connections.size(), now);
     if (scope == FailureScope.PROCESS) {
       connections.stream()
           .filter(c -> c.isEvictable(now))
           .findFirst()
           .ifPresent(RpcClientConnection::finish);
     }
-    return rest;
+    return pauseNanos;
   }
 
   void closed(RpcClientConnection client) {
--- a/src/main/java/pumicekeel/guard/CloseReason.java
+++ b/src/main/java/pumicekeel/guard/CloseReason.java
@@ -4,7 +4,7 @@
 public enum CloseReason {
   /** No request arrived on it within the idle limit. */
   IDLE(false),
-  /** Closed to make place for other clients, at the connection limit or when file descriptors run short. */
+  /** Closed in favour of other clients, at the connection limit or when file descriptors run short. */
   GIVES_WAY(false),
   /** The process or its listener is shutting down. */
   STOPPING(false),
