--- a/src/main/java/pumicekeel/measure/Measure.java
+++ b/src/main/java/pumicekeel/measure/Measure.java
@@ -45,6 +45,7 @@
   private final EventLoopGroup clients =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
+  /** Creates measurements of {@code rounds} runs of {@code seconds} each, which print to {@code out}. */
   public Measure(PrintWriter out, int seconds, int rounds) {
     this.out = out;
     this.seconds = seconds;
@@ -194,7 +195,7 @@
       Rate without = load(withoutFileAt, "h", CLOSED_LOOP, CONNECTIONS, "f" + i);
       Rate with = load(withFileAt, "h", CLOSED_LOOP, CONNECTIONS, "n" + i);
       out.printf(
-          "%s relay %.0f/s p99 %.2f ms, no file %.0f/s p99 %.2f ms, file %.0f/s p99 %.2f ms, not served %d %d%n",
+          "%s relay %.0f/s p99 %.2f ms, without operator file %.0f/s p99 %.2f ms, with one %.0f/s p99 %.2f ms, not served %d and %d%n",
           i == 0 ? "warm-up:" : "round " + i + ":",
           relayRate.perSecond(),
           relayRate.p99Millis(),
@@ -211,8 +212,9 @@
         p99.add(with.p99Millis() / without.p99Millis());
       }
     }
-    out.println("no file against the relay " + median(withoutFileRatio) + "; file against no file "
-        + median(withFileRatio) + ", p99 " + median(p99));
+    out.println("requests per second: without operator file relative to the relay "
+        + median(withoutFileRatio) + "; with one relative to without " + median(withFileRatio)
+        + ", p99 " + median(p99));
     relay.close();
     withoutFile.close();
     withFile.close();
@@ -220,26 +222,28 @@
     relayLoop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
+  /** Something that affects pool a; begins when called and ends when the result is closed. */
   private interface Disturbance {
-    AutoCloseable begin(InetSocketAddress balancer, List<StandInUpstream> ofA) throws Exception;
+    AutoCloseable begin(InetSocketAddress balancer, List<StandInUpstream> upstreamsOfA)
+        throws Exception;
   }
 
   /** Measures the p99 latency of pool b while pool a is idle and under each fault, in pairs. */
   public void isolation() throws Exception {
-    compareUnder("a at its usual load", (at, u) -> loadPoolA(at, 300));
+    compareUnder("pool a at its usual load", (at, u) -> loadPoolA(at, 300));
     for (Mode mode : List.of(Mode.HANG, Mode.RESET, Mode.SPOILT, Mode.ERROR)) {
-      compareUnder("a's upstreams: " + mode, (at, u) -> {
+      compareUnder("upstreams of a: " + mode, (at, u) -> {
         AutoCloseable load = loadPoolA(at, 300);
         u.forEach(x -> x.mode(mode));
         return load;
       });
     }
-    compareUnder("a's upstreams refuse", (at, u) -> {
+    compareUnder("upstreams of a refuse connections", (at, u) -> {
       u.forEach(StandInUpstream::kill);
       return loadPoolA(at, 300);
     });
-    compareUnder("a has ten times its load", (at, u) -> loadPoolA(at, 3_000));
-    compareUnder("a's clients send a byte at a time", (at, u) -> new SlowSenders(at, clients, 200));
+    compareUnder("pool a at ten times its load", (at, u) -> loadPoolA(at, 3_000));
+    compareUnder("clients of a send byte by byte", (at, u) -> new SlowSenders(at, clients, 200));
   }
 
   private AutoCloseable loadPoolA(InetSocketAddress at, double perSecond) {
@@ -283,7 +287,7 @@
       ratios.add(disturbedP99 / idleP99);
     }
     out.printf(
-        "%-36s b's p99 %.2f ms after %.2f ms; ratio %s; %d of b not served%n",
+        "%-36s p99 of pool b %.2f ms, with a idle %.2f ms; ratio %s; not served in b: %d%n",
         name, disturbedP99, idleP99, median(ratios), notServed);
     out.flush();
   }
@@ -325,8 +329,8 @@
         process.destroy();
         process.waitFor();
       }
-      out.println((pools == 0 ? "no file" : pools + " pools") + ": ready after ms " + median(millis)
-          + "; resident MB with some load " + median(megabytes));
+      out.println((pools == 0 ? "no operator file" : pools + " pools") + ": time to readiness, ms: "
+          + median(millis) + "; resident memory under light load, MB: " + median(megabytes));
       out.flush();
     }
     upstreams.forEach(StandInUpstream::close);
@@ -349,23 +353,23 @@
           load(thisBuildFirst ? thisBuildAt : otherBuildAt, "h", CLOSED_LOOP, CONNECTIONS, "x" + i);
       Rate second =
           load(thisBuildFirst ? otherBuildAt : thisBuildAt, "h", CLOSED_LOOP, CONNECTIONS, "y" + i);
-      Rate m = thisBuildFirst ? first : second;
-      Rate t = thisBuildFirst ? second : first;
+      Rate thisRate = thisBuildFirst ? first : second;
+      Rate otherRate = thisBuildFirst ? second : first;
       out.printf(
           "%s this %.0f/s p99 %.2f ms, other %.0f/s p99 %.2f ms%n",
           i == 0 ? "warm-up:" : "round " + i + ":",
-          m.perSecond(),
-          m.p99Millis(),
-          t.perSecond(),
-          t.p99Millis());
+          thisRate.perSecond(),
+          thisRate.p99Millis(),
+          otherRate.perSecond(),
+          otherRate.p99Millis());
       out.flush();
       if (i > 0) {
-        rate.add(m.perSecond() / t.perSecond());
-        p99.add(m.p99Millis() / t.p99Millis());
+        rate.add(thisRate.perSecond() / otherRate.perSecond());
+        p99.add(thisRate.p99Millis() / otherRate.p99Millis());
       }
     }
-    out.println(
-        "this against the other: requests a second " + median(rate) + ", p99 " + median(p99));
+    out.println("this build relative to the other: requests per second " + median(rate) + ", p99 "
+        + median(p99));
     thisBuild.destroy();
     otherBuild.destroy();
     upstreams.forEach(StandInUpstream::close);
@@ -417,9 +421,11 @@
         p99.get(n).add(rates[n].p99Millis() / rates[0].p99Millis());
       }
     }
-    out.println("process against off " + median(ratios.get(1)) + ", p99 " + median(p99.get(1)));
-    out.println("host against off " + median(ratios.get(2)) + ", p99 " + median(p99.get(2))
-        + "; this disk's syncs of 4 KiB" + " a second: " + Math.round(syncsPerSecond(folder)));
+    out.println("durability process relative to no journal: requests per second "
+        + median(ratios.get(1)) + ", p99 " + median(p99.get(1)));
+    out.println("durability host relative to no journal: requests per second "
+        + median(ratios.get(2)) + ", p99 " + median(p99.get(2)) + "; syncs of 4 KiB"
+        + " per second on this disk: " + Math.round(syncsPerSecond(folder)));
     nodes.forEach(Node::close);
     upstreams.forEach(StandInUpstream::close);
   }
--- a/src/main/java/pumicekeel/measure/RpcMeasure.java
+++ b/src/main/java/pumicekeel/measure/RpcMeasure.java
@@ -164,12 +164,14 @@
         ratios.get(5).add(requests.bytesPerCall());
       }
     }
-    out.println("one call open: against the framing relay " + Measure.median(ratios.get(0))
-        + "; against HTTP " + Measure.median(ratios.get(1)) + ", p99 "
+    out.println("one open call per connection: relative to the framing relay "
+        + Measure.median(ratios.get(0))
+        + "; relative to HTTP " + Measure.median(ratios.get(1)) + ", p99 "
         + Measure.median(ratios.get(2)));
-    out.println("8 open: against the framing relay " + Measure.median(ratios.get(3)));
-    out.println("garbage on the loop, bytes a call " + Measure.median(ratios.get(4))
-        + "; a request of HTTP " + Measure.median(ratios.get(5)));
+    out.println("8 open calls per connection: relative to the framing relay "
+        + Measure.median(ratios.get(3)));
+    out.println("allocated on the event loop, bytes per call " + Measure.median(ratios.get(4))
+        + "; per HTTP request " + Measure.median(ratios.get(5)));
     node.close();
     relay.close();
     servers.forEach(StandInRpcServer::close);
--- a/src/main/java/pumicekeel/measure/Torture.java
+++ b/src/main/java/pumicekeel/measure/Torture.java
@@ -101,7 +101,7 @@
       standIns.shutdownGracefully(0, 0, TimeUnit.SECONDS);
       clients.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
-    wrongAnswers.forEach(wrong -> out.println("UNTRUE " + wrong));
+    wrongAnswers.forEach(wrong -> out.println("WRONG " + wrong));
     long definite = verdicts.entrySet().stream()
         .filter(v -> v.getKey() != RequestHistory.Verdict.MAY_HAVE_RUN
             && v.getKey() != RequestHistory.Verdict.UNKNOWN)
@@ -109,7 +109,7 @@
         .sum();
     long all = verdicts.values().stream().mapToLong(Long::longValue).sum();
     out.printf(
-        "%d answers, %.2f %% of them definite; %d requests ran, %d untrue%n",
+        "%d answers, %.2f %% of them definite; %d requests ran, %d wrong%n",
         all, 100.0 * definite / Math.max(1, all), ran, wrongAnswers.size());
     out.flush();
     return wrongAnswers.isEmpty() && all > 0;
@@ -191,22 +191,22 @@
     throw new IOException("the balancer did not start: " + log);
   }
 
-  /** Compares the journal of the last kills with what the stand-ins and the clients saw during them. */
+  /** Compares the journal of the last kills with what the stand-ins received and the clients were answered during them. */
   private void verify(Set<String> served, int generation) throws IOException {
     History history = new History(e -> true);
     history.read(journal(generation));
     Map<String, RequestHistory> requests = new HashMap<>();
     history.requests().forEach(s -> requests.put(s.firstIntent().id(), s));
-    Map<String, Set<String>> seen = new HashMap<>();
+    Map<String, Set<String>> upstreamsById = new HashMap<>();
     for (StandInUpstream u : upstreams) {
       for (ReceivedRequest s : u.takeReceived()) {
         if (s.mode() != Mode.FULL) {
-          seen.computeIfAbsent(s.id(), k -> new HashSet<>()).add(u.name());
+          upstreamsById.computeIfAbsent(s.id(), k -> new HashSet<>()).add(u.name());
         }
       }
     }
-    ran += seen.size();
-    seen.forEach((id, upstreamNames) -> {
+    ran += upstreamsById.size();
+    upstreamsById.forEach((id, upstreamNames) -> {
       RequestHistory request = requests.get(id);
       Set<String> recorded = new HashSet<>();
       if (request != null) {
@@ -220,13 +220,13 @@
     requests.forEach((id, request) -> {
       RequestHistory.Verdict verdict = request.verdict(history.gapFor(request));
       verdicts.merge(verdict, 1L, Long::sum);
-      boolean ranAtUpstream = seen.containsKey(id);
+      boolean ranAtUpstream = upstreamsById.containsKey(id);
       boolean claimsRun =
           verdict == RequestHistory.Verdict.ANSWERED || verdict == RequestHistory.Verdict.NOT_TOLD;
       if (verdict == RequestHistory.Verdict.NEVER_LEFT && ranAtUpstream
           || claimsRun && !ranAtUpstream) {
-        wrongAnswers.add(
-            id + " is reported as " + verdict + ", upstreams that saw it: " + seen.get(id));
+        wrongAnswers.add(id + " is reported as " + verdict + ", upstreams that received it: "
+            + upstreamsById.get(id));
       }
       if (verdict == RequestHistory.Verdict.NOT_TOLD && served.contains(id)) {
         wrongAnswers.add(id + " is reported as " + verdict + ", but its client was answered");
