--- a/src/main/java/pumicekeel/AdaptiveBalancer.java
+++ b/src/main/java/pumicekeel/AdaptiveBalancer.java
@@ -777,7 +777,7 @@
 
   private void addFailureSample(PendingRequest r, Status status) {
     if (status == Status.RESET || status == Status.ERROR) {
-      // Its latency, but at least one aim, or for errors the critical ratio. More would treat
+      // Its latency, but at least one aim, or for errors the critical ratio. More would count
       // broken
       // connections, corrupt answers or one upstream's errors as load.
       double minimum = status == Status.RESET ? 1 : MAX_RATIO;
