--- a/src/main/java/pumicekeel/rig/scale/CheckScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/CheckScenario.java
@@ -8,14 +8,14 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeoutException;
 
-/** The command {@code check FILE} as an operator calls it: a process that reads and checks a whole configuration. */
+/** Measures the command {@code check FILE} as an operator runs it: a process that reads and validates a whole configuration. */
 final class CheckScenario implements Scenario {
 
   private static final long HEAP_BYTES = 512L << 20;
-  private static final List<String> FLAGS =
+  private static final List<String> JVM_FLAGS =
       List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx" + HEAP_BYTES);
-  /** The file's text in this process, some copies of it. */
-  private static final long TEXT_BYTES = 32L << 20;
+  /** A few copies of the file's text in this process. */
+  private static final long FILE_TEXT_BYTES = 32L << 20;
 
   private static final long DESCRIPTORS = 200;
 
@@ -41,7 +41,7 @@
 
   @Override
   public long estimatedHeapBytes(int size) {
-    return TEXT_BYTES;
+    return FILE_TEXT_BYTES;
   }
 
   @Override
@@ -52,24 +52,24 @@
   @Override
   public Map<String, Double> measure(int size, long seed, Deadline deadline)
       throws RefusedException, TimeoutException, InterruptedException, IOException {
-    Path folder = Files.createTempDirectory("scale");
-    Path file = folder.resolve("operator.toml");
+    Path directory = Files.createTempDirectory("scale");
+    Path file = directory.resolve("operator.toml");
     try {
       Files.writeString(
           file, new ConfigurationGenerator(ConfigurationSizes.of(Axis.PERCENT, size), seed).text());
       return measure(file, deadline);
     } finally {
       Files.deleteIfExists(file);
-      Files.delete(folder);
+      Files.delete(directory);
     }
   }
 
   private static Map<String, Double> measure(Path file, Deadline deadline)
       throws RefusedException, TimeoutException, InterruptedException, IOException {
     Map<String, Double> figures = new TreeMap<>();
-    long from = System.nanoTime();
+    long startedAt = System.nanoTime();
     try (ChildProcess check =
-        ChildProcess.start(FLAGS, Map.of(), List.of("check", file.toString()))) {
+        ChildProcess.start(JVM_FLAGS, Map.of(), List.of("check", file.toString()))) {
       double processorMillis = 0;
       while (check.isRunning() && !deadline.isOver()) {
         check.peakBytes();
@@ -77,13 +77,13 @@
         Thread.sleep(5);
       }
       if (check.isRunning()) {
-        throw new TimeoutException("not reached in time: the end of check");
+        throw new TimeoutException("check did not end within the time limit");
       }
       if (check.status() != 0) {
-        throw new RefusedException("check ended with " + check.status() + ": "
-            + check.lines().stream().findFirst().orElse("no word"));
+        throw new RefusedException("check exited with status " + check.status() + ": "
+            + check.lines().stream().findFirst().orElse("no output"));
       }
-      figures.put("wall-ms", (System.nanoTime() - from) / 1e6);
+      figures.put("wall-ms", (System.nanoTime() - startedAt) / 1e6);
       figures.put("processor-ms", processorMillis);
       figures.put("resident-peak-bytes", (double) check.peakBytes());
     }
--- a/src/main/java/pumicekeel/rig/scale/ConfigurationGenerator.java
+++ b/src/main/java/pumicekeel/rig/scale/ConfigurationGenerator.java
@@ -9,65 +9,67 @@
 import java.util.function.IntFunction;
 
 /**
- * Writes operator files of a given size. The same size and seed give the same text on every machine, and a list of
- * changes on top of it differs from the text without them in exactly the lines of what changed.
+ * Generates operator files of a given size. The same size and seed produce the same text on every machine, and changes
+ * applied to it alter only the lines of what they change.
  *
  * <p>Each service is a pool with its own source, host name, classes, tenants and routes; upstreams, tenants and routes
- * are spread evenly over the services. Routes are of all kinds (exact, prefix, template; some with a header, a fallback or a
- * split) and none covers another. Instances are immutable and may be shared between threads.
+ * are distributed evenly over the services. All kinds of routes are generated (exact, prefix, template; some with a header
+ * condition, a fallback pool or a split), and no route covers another. Instances are immutable and thread-safe.
  */
 public final class ConfigurationGenerator {
 
-  /** How much a file holds in all. */
+  /** Total numbers of pools, routes, tenants and upstreams in a file. */
   public record Size(int pools, int routes, int tenants, int upstreams) {
 
-    /** The configuration that the system has to carry: 3.5 MB of text. */
+    /** The configuration that the system has to support: 3.5 MB of text. */
     public static final Size TARGET = new Size(220, 9_800, 35_000, 5_500);
 
     /** Checks that each pool can have at least one route and one upstream. */
     public Size {
       if (pools < 1 || routes < pools || tenants < 0 || upstreams < pools) {
         throw new IllegalArgumentException(
-            "expected at least one pool, and a route and an upstream for each");
+            "expected at least one pool, and at least one route and one upstream per pool");
       }
     }
 
-    /** This size divided by a whole number, with at least one pool. */
+    /** Returns this size divided by an integer, with at least one pool, and one route and one upstream per pool. */
     public Size dividedBy(int divisor) {
-      int fewer = Math.max(1, pools / divisor);
+      int dividedPools = Math.max(1, pools / divisor);
       return new Size(
-          fewer,
-          Math.max(fewer, routes / divisor),
+          dividedPools,
+          Math.max(dividedPools, routes / divisor),
           tenants / divisor,
-          Math.max(fewer, upstreams / divisor));
+          Math.max(dividedPools, upstreams / divisor));
     }
   }
 
-  /** One change of a configuration, as an operator makes it. */
+  /** One change that an operator makes to a configuration. */
   public sealed interface Change permits TenantQuota, RoutePool, PoolAttempts {}
 
-  /** A tenant may send so many requests a second from now on. */
+  /** Sets a tenant's quota, in requests per second. */
   public record TenantQuota(int tenant, int quotaPerSecond) implements Change {}
 
-  /** A route goes to another pool from now on. */
+  /** Sends the requests of a route to another pool. */
   public record RoutePool(int route, int pool) implements Change {}
 
-  /** Requests of a pool are tried at most so many times from now on. */
+  /** Sets the maximum number of attempts per request of a pool. */
   public record PoolAttempts(int pool, int maxAttempts) implements Change {}
 
-  /** Nine changes in ten are of a tenant's quota, most of the rest of a route. */
-  private static final double TENANT_CHANGES = 0.9;
+  /** Nine changes out of ten set a tenant's quota, most of the others a route's pool. */
+  private static final double TENANT_CHANGE_FRACTION = 0.9;
 
-  private static final double ROUTE_CHANGES = 0.08;
+  private static final double ROUTE_CHANGE_FRACTION = 0.08;
 
-  private static final int MOST_QUOTA = 50;
-  private static final int DEFAULT_ATTEMPTS = 3;
+  /** Largest quota of a file without changes; changes set larger ones. */
+  private static final int MAX_QUOTA_PER_SECOND = 50;
+
+  private static final int DEFAULT_MAX_ATTEMPTS = 3;
   private static final int ZONES = 5;
-  /** Of so many routes one has a header condition, a fallback or a split. */
-  private static final int HEADER_EVERY = 8;
+  /** In each pool, every eighth route has a header condition, every tenth a fallback pool, every sixteenth a split. */
+  private static final int HEADER_INTERVAL = 8;
 
-  private static final int FALLBACK_EVERY = 10;
-  private static final int SPLIT_EVERY = 16;
+  private static final int FALLBACK_INTERVAL = 10;
+  private static final int SPLIT_INTERVAL = 16;
 
   private static final String[] CLASSES = {"lookup", "order", "charge"};
   private static final String CLASS_LINES = """
@@ -83,7 +85,7 @@
   private final IntFunction<String> upstreamAddress;
   private final IntFunction<String> discoveryAddress;
 
-  /** Static sources whose upstreams are loopback addresses at which nothing listens. */
+  /** Creates a generator of static sources whose upstreams are loopback addresses on which nothing listens. */
   public ConfigurationGenerator(Size size, long seed) {
     this(size, seed, ConfigurationGenerator::unusedAddress, null);
   }
@@ -99,17 +101,17 @@
     this.discoveryAddress = discoveryAddress;
   }
 
-  /** The same with the upstreams at the addresses ({@code ADDRESS:PORT}) that a function of their number names. */
+  /** Returns a copy whose upstreams have the addresses ({@code ADDRESS:PORT}) that a function returns for their numbers. */
   public ConfigurationGenerator withUpstreams(IntFunction<String> address) {
     return new ConfigurationGenerator(size, seed, address, null);
   }
 
-  /** The same with sources that follow the discovery ({@code ADDRESS:PORT}) that a function of the pool's number names. */
+  /** Returns a copy whose sources watch the discovery at the address ({@code ADDRESS:PORT}) that a function returns for the pool. */
   public ConfigurationGenerator withDiscoveries(IntFunction<String> address) {
     return new ConfigurationGenerator(size, seed, upstreamAddress, address);
   }
 
-  /** What it was made for. */
+  /** Returns the size of the generated files. */
   public Size size() {
     return size;
   }
@@ -119,127 +121,130 @@
         + ":9000";
   }
 
-  // Names, for those who send requests
+  // Names, hosts and paths, for senders of requests
 
-  /** A pool's name; its source has the same. */
+  /** Returns the name of a pool, which its source shares. */
   public static String poolName(int pool) {
     return String.format(Locale.ROOT, "service-%03d", pool);
   }
 
-  /** A tenant's name. */
+  /** Returns the name of a tenant. */
   public static String tenantName(int tenant) {
     return String.format(Locale.ROOT, "tenant-%05d", tenant);
   }
 
-  /** An upstream's name. */
+  /** Returns the name of an upstream. */
   public static String upstreamName(int upstream) {
     return String.format(Locale.ROOT, "upstream-%05d", upstream);
   }
 
-  /** The pool that a tenant is one of. */
+  /** Returns the pool that a tenant belongs to. */
   public int poolOfTenant(int tenant) {
     return tenant % size.pools();
   }
 
-  /** The pool that an upstream serves. */
+  /** Returns the pool that an upstream belongs to. */
   public int poolOfUpstream(int upstream) {
     return upstream % size.pools();
   }
 
-  /** The pool that a route sends to, before any change. */
+  /** Returns the pool that a route selects if no change has been applied. */
   public int poolOfRoute(int route) {
     return route % size.pools();
   }
 
-  /** The host that a request for a route names. */
+  /** Returns the host that a request must name to match a route. */
   public String host(int route) {
     return poolName(poolOfRoute(route)) + ".example.org";
   }
 
-  /** The class of a route's requests, the first segment of its path. */
+  /** Returns the class of a route's requests, which is the first segment of its path. */
   public String className(int route) {
-    return CLASSES[kind(route)];
+    return CLASSES[pathKind(route)];
   }
 
-  /** A path that a route takes. */
+  /** Returns a path that a route matches. */
   public String path(int route) {
-    return "/" + className(route) + "/r" + route + (kind(route) == 0 ? "" : "/17");
+    return "/" + className(route) + "/r" + route + (pathKind(route) == 0 ? "" : "/17");
   }
 
-  /** A header that a route's requests need as {@code NAME: VALUE}; null where they need none. */
+  /** Returns the header that a route requires as {@code NAME: VALUE}, or null if it requires none. */
   public String header(int route) {
-    return turn(route) % HEADER_EVERY == HEADER_EVERY - 1 ? "X-Preview: 1" : null;
+    return indexInPool(route) % HEADER_INTERVAL == HEADER_INTERVAL - 1 ? "X-Preview: 1" : null;
   }
 
-  /** Of the three kinds of path: exact, prefix, template. */
-  private int kind(int route) {
-    return turn(route) % CLASSES.length;
+  /** Returns the kind of a route's path: 0 for exact, 1 for prefix, 2 for template. */
+  private int pathKind(int route) {
+    return indexInPool(route) % CLASSES.length;
   }
 
-  /** A route's number among its pool's. */
-  private int turn(int route) {
+  /** Returns the index of a route among the routes of its pool. */
+  private int indexInPool(int route) {
     return route / size.pools();
   }
 
-  // Text
+  // Text of the file
 
-  /** The file, without changes. */
+  /** Returns the file without changes. */
   public String text() {
     return text(List.of());
   }
 
-  /** The file after changes; of several changes of one thing the last counts. */
+  /** Returns the file after changes; of several changes to the same value, the last applies. */
   public String text(List<Change> changes) {
-    Map<Integer, Integer> quotas = new HashMap<>();
-    Map<Integer, Integer> routePools = new HashMap<>();
-    Map<Integer, Integer> attempts = new HashMap<>();
+    Map<Integer, Integer> quotaByTenant = new HashMap<>();
+    Map<Integer, Integer> poolByRoute = new HashMap<>();
+    Map<Integer, Integer> maxAttemptsByPool = new HashMap<>();
     for (Change change : changes) {
-      if (change instanceof TenantQuota c) {
-        quotas.put(c.tenant(), c.quotaPerSecond());
-      } else if (change instanceof RoutePool c) {
-        routePools.put(c.route(), c.pool());
-      } else if (change instanceof PoolAttempts c) {
-        attempts.put(c.pool(), c.maxAttempts());
+      if (change instanceof TenantQuota quota) {
+        quotaByTenant.put(quota.tenant(), quota.quotaPerSecond());
+      } else if (change instanceof RoutePool target) {
+        poolByRoute.put(target.route(), target.pool());
+      } else if (change instanceof PoolAttempts limit) {
+        maxAttemptsByPool.put(limit.pool(), limit.maxAttempts());
       }
     }
-    StringBuilder out = new StringBuilder();
+    StringBuilder file = new StringBuilder();
     for (int pool = 0; pool < size.pools(); pool++) {
-      source(out, pool);
-      pool(out, pool, attempts.getOrDefault(pool, DEFAULT_ATTEMPTS), quotas);
+      appendSource(file, pool);
+      appendPool(
+          file, pool, maxAttemptsByPool.getOrDefault(pool, DEFAULT_MAX_ATTEMPTS), quotaByTenant);
     }
     for (int route = 0; route < size.routes(); route++) {
-      route(out, route, routePools.getOrDefault(route, poolOfRoute(route)));
+      appendRoute(file, route, poolByRoute.getOrDefault(route, poolOfRoute(route)));
     }
-    return out.toString();
+    return file.toString();
   }
 
-  /** So many changes by the seed, in order; each sets something to a value that differs from the text without changes. */
+  /** Returns a sequence of changes determined by the seed; each sets a value that differs from the file without changes. */
   public List<Change> changes(int count) {
     SplittableRandom random = random(0, 0);
-    List<Change> out = new ArrayList<>(count);
+    List<Change> changes = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      out.add(change(random));
+      changes.add(change(random));
     }
-    return out;
+    return changes;
   }
 
   private Change change(SplittableRandom random) {
-    double kind = random.nextDouble();
-    if (kind < TENANT_CHANGES && size.tenants() > 0) {
+    double draw = random.nextDouble();
+    if (draw < TENANT_CHANGE_FRACTION && size.tenants() > 0) {
       return new TenantQuota(
-          random.nextInt(size.tenants()), MOST_QUOTA + 1 + random.nextInt(MOST_QUOTA));
+          random.nextInt(size.tenants()),
+          MAX_QUOTA_PER_SECOND + 1 + random.nextInt(MAX_QUOTA_PER_SECOND));
     }
-    if (kind < TENANT_CHANGES + ROUTE_CHANGES && size.pools() > 2) {
+    if (draw < TENANT_CHANGE_FRACTION + ROUTE_CHANGE_FRACTION && size.pools() > 2) {
       int route = random.nextInt(size.routes());
-      // Not the next pool either: that may be the route's fallback already.
-      int steps = 2 + random.nextInt(size.pools() - 2);
-      return new RoutePool(route, (poolOfRoute(route) + steps) % size.pools());
+      // At least 2: the next pool may already be the route's fallback pool or split target.
+      int offset = 2 + random.nextInt(size.pools() - 2);
+      return new RoutePool(route, (poolOfRoute(route) + offset) % size.pools());
     }
     return new PoolAttempts(
-        random.nextInt(size.pools()), DEFAULT_ATTEMPTS + 1 + random.nextInt(DEFAULT_ATTEMPTS));
+        random.nextInt(size.pools()),
+        DEFAULT_MAX_ATTEMPTS + 1 + random.nextInt(DEFAULT_MAX_ATTEMPTS));
   }
 
-  private void source(StringBuilder out, int pool) {
+  private void appendSource(StringBuilder out, int pool) {
     out.append("[sources.").append(poolName(pool)).append("]\n");
     if (discoveryAddress != null) {
       out.append("discovery = \"").append(discoveryAddress.apply(pool)).append("\"\n\n");
@@ -255,7 +260,8 @@
     out.append("]\n\n");
   }
 
-  private void pool(StringBuilder out, int pool, int maxAttempts, Map<Integer, Integer> quotas) {
+  private void appendPool(
+      StringBuilder out, int pool, int maxAttempts, Map<Integer, Integer> quotaByTenant) {
     String name = poolName(pool);
     out.append("[pools.").append(name).append("]\nsource = \"").append(name).append("\"\n");
     out.append("limits = { max-attempts = ").append(maxAttempts).append(" }\n");
@@ -263,45 +269,47 @@
     if (pool < size.tenants()) {
       out.append("tenants = [\n");
       for (int tenant = pool; tenant < size.tenants(); tenant += size.pools()) {
-        int before = 1 + random(1, tenant).nextInt(MOST_QUOTA);
+        int defaultQuota = 1 + random(1, tenant).nextInt(MAX_QUOTA_PER_SECOND);
         out.append("  { name = \"").append(tenantName(tenant)).append("\", quota-per-s = ");
-        out.append(quotas.getOrDefault(tenant, before)).append(".0 },\n");
+        out.append(quotaByTenant.getOrDefault(tenant, defaultQuota)).append(".0 },\n");
       }
       out.append("]\n");
     }
     out.append('\n');
   }
 
-  private void route(StringBuilder out, int route, int pool) {
-    String base = "/" + className(route) + "/r" + route;
+  private void appendRoute(StringBuilder out, int route, int pool) {
+    String basePath = "/" + className(route) + "/r" + route;
     out.append("[[routes]]\nname = \"route-").append(route).append("\"\nhost = \"");
     out.append(host(route)).append("\"\n");
     out.append(
-        switch (kind(route)) {
-          case 0 -> "path = \"" + base + "\"\n";
-          case 1 -> "path-prefix = \"" + base + "\"\n";
-          default -> "path-template = \"" + base + "/{id}\"\n";
+        switch (pathKind(route)) {
+          case 0 -> "path = \"" + basePath + "\"\n";
+          case 1 -> "path-prefix = \"" + basePath + "\"\n";
+          default -> "path-template = \"" + basePath + "/{id}\"\n";
         });
     if (header(route) != null) {
       out.append("headers = { X-Preview = \"1\" }\n");
     }
-    int next = (poolOfRoute(route) + 1) % size.pools();
-    boolean splits = turn(route) % SPLIT_EVERY == SPLIT_EVERY - 1 && next != pool;
-    boolean fallsBack = turn(route) % FALLBACK_EVERY == FALLBACK_EVERY - 1 && next != pool;
-    if (splits) {
+    int nextPool = (poolOfRoute(route) + 1) % size.pools();
+    boolean hasSplit =
+        indexInPool(route) % SPLIT_INTERVAL == SPLIT_INTERVAL - 1 && nextPool != pool;
+    boolean hasFallback =
+        indexInPool(route) % FALLBACK_INTERVAL == FALLBACK_INTERVAL - 1 && nextPool != pool;
+    if (hasSplit) {
       out.append("split = [ { pool = \"").append(poolName(pool)).append("\", weight = 90 }, ");
-      out.append("{ pool = \"").append(poolName(next)).append("\", weight = 10 } ]\n");
+      out.append("{ pool = \"").append(poolName(nextPool)).append("\", weight = 10 } ]\n");
     } else {
       out.append("pool = \"").append(poolName(pool)).append("\"\n");
     }
-    if (fallsBack && !splits) {
-      out.append("fallback = \"").append(poolName(next)).append("\"\n");
+    if (hasFallback && !hasSplit) {
+      out.append("fallback = \"").append(poolName(nextPool)).append("\"\n");
     }
     out.append('\n');
   }
 
-  /** Of its own for each thing, so that a file's parts do not depend on the size of the others. */
-  private SplittableRandom random(int what, int number) {
-    return new SplittableRandom(seed ^ ((long) what << 32 | number) * 0x9e3779b97f4a7c15L);
+  /** Returns a separate random generator for each object, so that each part of a file is independent of the sizes of the others. */
+  private SplittableRandom random(int stream, int number) {
+    return new SplittableRandom(seed ^ ((long) stream << 32 | number) * 0x9e3779b97f4a7c15L);
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/ConfigurationScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/ConfigurationScenario.java
@@ -9,15 +9,15 @@
 import pumicekeel.rig.scale.ConfigurationGenerator.Size;
 import pumicekeel.route.RouteTable;
 
-/** An operator file that is read, checked and made into a table of routes, in this process: what a reload costs. */
+/** Measures the cost of a reload: reads and validates an operator file and builds its route table, in this process. */
 final class ConfigurationScenario implements Scenario {
 
-  /** On the high side: a tree of the file, and the text as characters. */
+  /** Upper estimate: the syntax tree of the file, and its text as characters. */
   private static final long BYTES_PER_ENTRY = 20_000;
 
-  private static final long OTHER_BYTES = 64L << 20;
+  private static final long BASE_BYTES = 64L << 20;
   private static final long DESCRIPTORS = 200;
-  private static final int WARM_UPS = 20;
+  private static final int WARM_UP_READS = 20;
   private static final int WARM_UP_PERCENT = 5;
 
   private static final String SMALL_FILE =
@@ -46,9 +46,10 @@
 
   @Override
   public long estimatedBytes(int size) {
-    Size of = ConfigurationSizes.of(axis, size);
-    return OTHER_BYTES
-        + BYTES_PER_ENTRY * (of.pools() + of.routes() + of.tenants() + of.upstreams());
+    Size counts = ConfigurationSizes.of(axis, size);
+    return BASE_BYTES
+        + BYTES_PER_ENTRY
+            * (counts.pools() + counts.routes() + counts.tenants() + counts.upstreams());
   }
 
   @Override
@@ -61,10 +62,10 @@
     String text = new ConfigurationGenerator(
             ConfigurationSizes.of(Axis.PERCENT, WARM_UP_PERCENT), seed)
         .text();
-    for (int i = 0; i < WARM_UPS; i++) {
+    for (int i = 0; i < WARM_UP_READS; i++) {
       read(text);
     }
-    for (int i = 0; i < WARM_UPS; i++) {
+    for (int i = 0; i < WARM_UP_READS; i++) {
       read(SMALL_FILE);
     }
   }
@@ -74,48 +75,49 @@
       throws RefusedException {
     Map<String, Double> figures = new TreeMap<>();
     List<Object> state = new ArrayList<>();
-    load(
+    measureLoad(
         new ConfigurationGenerator(ConfigurationSizes.of(axis, size), seed).text(), state, figures);
     figures.put("state-bytes", stateBytes(state));
     return figures;
   }
 
-  /** Reads a file and leaves what is kept of it in the list alone: a local variable would keep it from being collected. */
-  private static void load(String text, List<Object> state, Map<String, Double> figures)
+  /** Loads a file and adds what is retained to {@code state}, the only reference to it: a local variable would prevent its collection. */
+  private static void measureLoad(String text, List<Object> state, Map<String, Double> figures)
       throws RefusedException {
     figures.put("file-bytes", (double) text.length());
-    long allocated = ProcessMeter.allocatedBytes();
-    long processor = ProcessMeter.processorNanos();
-    long from = System.nanoTime();
+    long allocatedBefore = ProcessMeter.allocatedBytes();
+    long processorBefore = ProcessMeter.processorNanos();
+    long startedAt = System.nanoTime();
     Operator operator = read(text);
-    figures.put("read-ms", (System.nanoTime() - from) / 1e6);
-    from = System.nanoTime();
+    figures.put("read-ms", (System.nanoTime() - startedAt) / 1e6);
+    startedAt = System.nanoTime();
     RouteTable table = new RouteTable(operator.routes());
     int covered = table.covered().size();
-    figures.put("table-ms", (System.nanoTime() - from) / 1e6);
-    figures.put("processor-ms", (ProcessMeter.processorNanos() - processor) / 1e6);
-    figures.put("allocated-bytes", (double) (ProcessMeter.allocatedBytes() - allocated));
+    figures.put("table-ms", (System.nanoTime() - startedAt) / 1e6);
+    figures.put("processor-ms", (ProcessMeter.processorNanos() - processorBefore) / 1e6);
+    figures.put("allocated-bytes", (double) (ProcessMeter.allocatedBytes() - allocatedBefore));
     if (covered > 0) {
-      throw new IllegalStateException("expected routes of which none covers another");
+      throw new IllegalStateException("a generated route is covered by an earlier one");
     }
     state.add(operator);
     state.add(table);
   }
 
-  /** The heap with a state less the heap once it is dropped; what earlier points left behind is in neither. */
+  /** Returns the heap size with the state minus that without it; what earlier measurements left on the heap is in both and cancels out. */
   private static double stateBytes(List<Object> state) throws RefusedException {
-    // What the reader keeps of the file that it read last is not the state's.
+    // Replaces the data that the reader retains of the last file it read, which is not part of the
+    // state.
     read(SMALL_FILE);
-    long with = ProcessMeter.heapAfterCollection();
+    long heapWithState = ProcessMeter.heapAfterCollection();
     state.clear();
-    return with - ProcessMeter.heapAfterCollection();
+    return heapWithState - ProcessMeter.heapAfterCollection();
   }
 
   private static Operator read(String text) throws RefusedException {
     OperatorReader.Result result = OperatorReader.read(text);
     if (!result.faults().isEmpty()) {
       List<?> faults = result.faults();
-      throw new RefusedException(faults.get(0) + ", faults in all: " + faults.size());
+      throw new RefusedException(faults.get(0) + ", total number of faults: " + faults.size());
     }
     return result.operator();
   }
--- a/src/main/java/pumicekeel/rig/scale/ConfigurationSizes.java
+++ b/src/main/java/pumicekeel/rig/scale/ConfigurationSizes.java
@@ -2,25 +2,27 @@
 
 import pumicekeel.rig.scale.ConfigurationGenerator.Size;
 
-/** How much of each kind a configuration holds at a size of an axis: the least of what is not the axis's own. */
+/** Computes the contents of a configuration for a size of an axis, with the minimum of everything that the axis does not vary. */
 final class ConfigurationSizes {
 
-  /** Pools of a table of routes, and of a list of upstreams or tenants whose bound is by the pool. */
-  private static final int FEW_POOLS = 10;
+  /** Number of pools for the routes axis. */
+  private static final int ROUTES_AXIS_POOLS = 10;
 
-  private static final int MANY_POOLS = 60;
+  /** Number of pools for the upstreams and tenants axes, whose limits apply per pool. */
+  private static final int LIST_AXES_POOLS = 60;
 
   private ConfigurationSizes() {}
 
   static Size of(Axis axis, int size) {
     return switch (axis) {
       case SERVICES -> new Size(size, size, 0, size);
-      case ROUTES -> new Size(FEW_POOLS, size, 0, FEW_POOLS);
-      case TENANTS -> new Size(MANY_POOLS, MANY_POOLS, size, MANY_POOLS);
-      case UPSTREAMS -> new Size(MANY_POOLS, MANY_POOLS, 0, size);
+      case ROUTES -> new Size(ROUTES_AXIS_POOLS, size, 0, ROUTES_AXIS_POOLS);
+      case TENANTS -> new Size(LIST_AXES_POOLS, LIST_AXES_POOLS, size, LIST_AXES_POOLS);
+      case UPSTREAMS -> new Size(LIST_AXES_POOLS, LIST_AXES_POOLS, 0, size);
       case PERCENT -> percent(size);
       case BALANCERS ->
-        throw new IllegalArgumentException("a configuration does not grow with the balancers");
+        throw new IllegalArgumentException(
+            "the size of a configuration does not depend on the number of balancers");
     };
   }
 
--- a/src/main/java/pumicekeel/rig/scale/CountingSockets.java
+++ b/src/main/java/pumicekeel/rig/scale/CountingSockets.java
@@ -9,19 +9,19 @@
 import pumicekeel.runtime.NioSockets;
 import pumicekeel.runtime.Sockets;
 
-/** Sockets of the system whose connections count what they read. */
+/** Sockets of the operating system that count outgoing connections and the bytes read from them. */
 final class CountingSockets implements Sockets {
 
-  private final Sockets system = new NioSockets();
+  private final Sockets delegate = new NioSockets();
   private final LongAdder readBytes = new LongAdder();
   private final LongAdder connections = new LongAdder();
 
-  /** Bytes read so far by all connections that were opened here. */
+  /** Returns the number of bytes read so far from all outgoing connections. */
   long readBytes() {
     return readBytes.sum();
   }
 
-  /** Connections opened so far. */
+  /** Returns the number of outgoing connections opened so far. */
   long connections() {
     return connections.sum();
   }
@@ -29,7 +29,7 @@
   @Override
   public Channel newConnectingChannel() {
     connections.increment();
-    Channel channel = system.newConnectingChannel();
+    Channel channel = delegate.newConnectingChannel();
     channel.pipeline().addFirst(new ChannelInboundHandlerAdapter() {
       @Override
       public void channelRead(ChannelHandlerContext context, Object message) {
@@ -44,21 +44,21 @@
 
   @Override
   public ServerChannel newListeningChannel() {
-    return system.newListeningChannel();
+    return delegate.newListeningChannel();
   }
 
   @Override
   public void drainBacklogAndClose(Channel listener, int most) {
-    system.drainBacklogAndClose(listener, most);
+    delegate.drainBacklogAndClose(listener, most);
   }
 
   @Override
   public boolean isQuiet(Channel channel) {
-    return system.isQuiet(channel);
+    return delegate.isQuiet(channel);
   }
 
   @Override
   public int discardUnread(Channel channel, int most) {
-    return system.discardUnread(channel, most);
+    return delegate.discardUnread(channel, most);
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/Role.java
+++ b/src/main/java/pumicekeel/rig/scale/Role.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** A part of the system that has a budget of its own. */
+/** A part of the system with its own resource budget. */
 public enum Role {
   DATA_PATH("balancer's data path"),
   CONTROL_SIDE("balancer's control side"),
@@ -20,18 +20,21 @@
     this.title = title;
   }
 
-  /** As a heading says it. */
+  /** Returns the name used in headings. */
   public String title() {
     return title;
   }
 
-  /** As result files write it. */
+  /** Returns the name used in result files. */
   public String key() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** The role of a key; null for none. */
+  /** Returns the role with the given key, or null if there is none. */
   public static Role of(String key) {
-    return Arrays.stream(values()).filter(r -> r.key().equals(key)).findFirst().orElse(null);
+    return Arrays.stream(values())
+        .filter(role -> role.key().equals(key))
+        .findFirst()
+        .orElse(null);
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/Scenario.java
+++ b/src/main/java/pumicekeel/rig/scale/Scenario.java
@@ -4,39 +4,40 @@
 import java.util.Map;
 import java.util.concurrent.TimeoutException;
 
-/** Something that can be measured at any size of one axis. */
+/** A measurement that can be made at any size of one axis. */
 public interface Scenario {
 
-  /** As commands and result files write it. */
+  /** Returns the name used in commands and result files. */
   String name();
 
-  /** Whose cost it measures. */
+  /** Returns the part of the system whose cost is measured. */
   Role role();
 
+  /** Returns the quantity that the sizes refer to. */
   Axis axis();
 
-  /** What the scenario takes of the machine's memory at a size, in bytes, on the high side. */
+  /** Returns an upper estimate of the memory that the scenario uses on the machine at a size, in bytes. */
   long estimatedBytes(int size);
 
-  /** What of that is in this process's heap. */
+  /** Returns the part of {@link #estimatedBytes} that is in this process's heap. */
   default long estimatedHeapBytes(int size) {
     return estimatedBytes(size);
   }
 
-  /** Open descriptors that it takes at a size, on the high side. */
+  /** Returns an upper estimate of the file descriptors that the scenario opens at a size. */
   long estimatedDescriptors(int size);
 
   /**
-   * Sets everything up, measures, and takes everything down again.
+   * Sets up the environment, measures, and tears the environment down.
    *
-   * @return figures by name; the name ends in the unit
-   * @throws RefusedException where the program does not take that size
-   * @throws TimeoutException where a state that it waits for has not come by the deadline
+   * @return figures by name; each name ends in the unit
+   * @throws RefusedException if the program rejects that size
+   * @throws TimeoutException if a state that the scenario waits for is not reached by the deadline
    */
   Map<String, Double> measure(int size, long seed, Deadline deadline)
       throws RefusedException, TimeoutException, InterruptedException, IOException;
 
-  /** Runs the code that is measured until it is compiled as in a process that has run for a while. */
+  /** Runs the measured code until it is JIT-compiled as in a process that has run for a while. */
   default void warmUp(long seed, Deadline deadline)
       throws RefusedException, TimeoutException, InterruptedException, IOException {}
 }
--- a/src/main/java/pumicekeel/rig/scale/ServeScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/ServeScenario.java
@@ -9,17 +9,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** A real balancer that starts with an operator file and rests: how soon it is ready, and what it holds. */
+/** Measures a real balancer that starts with an operator file and stays idle: the time until it is ready, and the memory it uses. */
 final class ServeScenario implements Scenario {
 
-  /** The file's text in this process, some copies of it. */
-  private static final long TEXT_BYTES = 32L << 20;
+  /** A few copies of the file's text in this process. */
+  private static final long FILE_TEXT_BYTES = 32L << 20;
 
   private static final long DESCRIPTORS = 200;
-  /** What a start leaves to the compiler's threads is not rest. */
+  /** Excludes the work that the JIT compiler threads still do after the start. */
   private static final int SETTLE_SECONDS = 3;
 
-  private static final int REST_SECONDS = 5;
+  private static final int IDLE_SECONDS = 5;
 
   private final Axis axis;
 
@@ -49,7 +49,7 @@
 
   @Override
   public long estimatedHeapBytes(int size) {
-    return TEXT_BYTES;
+    return FILE_TEXT_BYTES;
   }
 
   @Override
@@ -60,17 +60,19 @@
   @Override
   public Map<String, Double> measure(int size, long seed, Deadline deadline)
       throws RefusedException, TimeoutException, InterruptedException, IOException {
-    String file = new ConfigurationGenerator(ConfigurationSizes.of(axis, size), seed).text();
+    String operatorFile =
+        new ConfigurationGenerator(ConfigurationSizes.of(axis, size), seed).text();
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    try (BalancerProcess balancer = BalancerProcess.start(file, group, deadline)) {
+    try (BalancerProcess balancer = BalancerProcess.start(operatorFile, group, deadline)) {
       Map<String, Double> figures = new TreeMap<>();
       figures.put("ready-ms", balancer.readyMillis());
       figures.put("ready-processor-ms", (double) balancer.processorTime().toMillis());
       TimeUnit.SECONDS.sleep(SETTLE_SECONDS);
-      double before = balancer.processorTime().toNanos();
-      TimeUnit.SECONDS.sleep(REST_SECONDS);
+      double processorNanosBefore = balancer.processorTime().toNanos();
+      TimeUnit.SECONDS.sleep(IDLE_SECONDS);
       figures.put(
-          "processor-us-per-s", (balancer.processorTime().toNanos() - before) / 1e3 / REST_SECONDS);
+          "processor-us-per-s",
+          (balancer.processorTime().toNanos() - processorNanosBefore) / 1e3 / IDLE_SECONDS);
       figures.put("resident-bytes", (double) balancer.residentBytes());
       figures.put("resident-peak-bytes", (double) balancer.peakBytes());
       return figures;
--- a/src/test/java/pumicekeel/rig/scale/ConfigurationGeneratorTest.java
+++ b/src/test/java/pumicekeel/rig/scale/ConfigurationGeneratorTest.java
@@ -12,7 +12,7 @@
 import pumicekeel.rig.scale.ConfigurationGenerator.Change;
 import pumicekeel.rig.scale.ConfigurationGenerator.Size;
 
-/** Generated files are good ones, of the size that was asked for, and the same for the same seed. */
+/** Generated files are valid, of the requested size, and identical for the same seed. */
 class ConfigurationGeneratorTest {
 
   private static final Size SMALL = new Size(11, 340, 190, 60);
@@ -24,35 +24,36 @@
   }
 
   @Test
-  void textIsGoodAndOfItsSize() {
+  void fileIsValidAndOfTheRequestedSize() {
     Operator operator = read(new ConfigurationGenerator(SMALL, 7).text());
     assertEquals(11, operator.pools().size());
     assertEquals(340, operator.routes().size());
     assertEquals(
         190,
         operator.pools().values().stream()
-            .mapToInt(p -> p.overrides().tenants().size())
+            .mapToInt(pool -> pool.overrides().tenants().size())
             .sum());
     assertEquals(
         60,
         operator.sources().values().stream()
-            .mapToInt(s -> s instanceof Operator.StaticSource f ? f.hosts().size() : 0)
+            .mapToInt(source ->
+                source instanceof Operator.StaticSource fixed ? fixed.hosts().size() : 0)
             .sum());
   }
 
   @Test
-  void seedDecidesTheTextAndDiscoveriesMayStandInForLists() {
+  void seedDeterminesTheFileAndSourcesMayUseDiscovery() {
     String text = new ConfigurationGenerator(SMALL, 7).text();
     assertEquals(text, new ConfigurationGenerator(SMALL, 7).text());
     assertNotEquals(text, new ConfigurationGenerator(SMALL, 8).text());
     Operator watched = read(new ConfigurationGenerator(SMALL, 7)
-        .withDiscoveries(p -> "127.0.0.1:" + (2_000 + p))
+        .withDiscoveries(pool -> "127.0.0.1:" + (2_000 + pool))
         .text());
     assertTrue(watched.sources().get("service-003") instanceof Operator.DiscoverySource);
   }
 
   @Test
-  void changeTouchesOneLineOfAFileThatStaysGood() {
+  void eachChangeAltersOneLineAndTheFileStaysValid() {
     ConfigurationGenerator generator = new ConfigurationGenerator(SMALL, 7);
     List<String> before = generator.text().lines().toList();
     for (Change change : generator.changes(100)) {
@@ -60,11 +61,11 @@
       read(text);
       List<String> after = text.lines().toList();
       assertEquals(before.size(), after.size());
-      int differ = 0;
+      int changedLines = 0;
       for (int i = 0; i < after.size(); i++) {
-        differ += before.get(i).equals(after.get(i)) ? 0 : 1;
+        changedLines += before.get(i).equals(after.get(i)) ? 0 : 1;
       }
-      assertEquals(1, differ, change.toString());
+      assertEquals(1, changedLines, change.toString());
     }
     assertEquals(
         3,
