--- a/src/main/java/pumicekeel/rig/scale/DeliveryScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/DeliveryScenario.java
@@ -14,30 +14,30 @@
 import pumicekeel.delivery.client.ControlCluster;
 
 /**
- * Four real control machines and ever more hollow balancers: all ask for the whole configuration at once, rest, and are told of
- * changes one after the other.
+ * Measures the delivery of a configuration by four real control machines to a growing number of hollow balancers: all request the
+ * whole configuration at once, stay idle, and then receive changes one at a time.
  */
 final class DeliveryScenario implements Scenario {
 
-  private static final int MACHINES = 4;
-  private static final int CHANGES = 10;
+  private static final int CONTROL_MACHINES = 4;
+  private static final int CHANGE_COUNT = 10;
   private static final long EPOCH = 1;
-  private static final Duration REST = Duration.ofSeconds(5);
-  /** One copy of the text for all, what comes in parts, and the documents that deltas are made of. */
+  private static final Duration IDLE_TIME = Duration.ofSeconds(5);
+  /** The one shared copy of the text, partially received texts, and the documents from which deltas are computed. */
   private static final long TEXT_BYTES = 512L << 20;
 
   private final int percent;
-  private final Duration rest;
+  private final Duration idleTime;
 
-  /** A configuration of so many percent of the target. */
+  /** Creates a scenario with a configuration of the given percentage of the target. */
   DeliveryScenario(int percent) {
-    this(percent, REST);
+    this(percent, IDLE_TIME);
   }
 
-  /** So long are the subscribers watched at rest. */
-  DeliveryScenario(int percent, Duration rest) {
+  /** Creates a scenario that measures the idle subscribers for the given time. */
+  DeliveryScenario(int percent, Duration idleTime) {
     this.percent = percent;
-    this.rest = rest;
+    this.idleTime = idleTime;
   }
 
   @Override
@@ -57,7 +57,7 @@
 
   @Override
   public long estimatedBytes(int size) {
-    return estimatedHeapBytes(size) + 2 * MACHINES * ControlMachines.HEAP_BYTES;
+    return estimatedHeapBytes(size) + 2 * CONTROL_MACHINES * ControlMachines.HEAP_BYTES;
   }
 
   @Override
@@ -74,21 +74,21 @@
   public Map<String, Double> measure(int size, long seed, Deadline deadline)
       throws RefusedException, TimeoutException, InterruptedException, IOException {
     ExecutorService worker = Executors.newSingleThreadExecutor();
-    try (ControlMachines machines = ControlMachines.start(MACHINES, deadline);
+    try (ControlMachines machines = ControlMachines.start(CONTROL_MACHINES, deadline);
         Loops loops = new Loops(size)) {
-      Run run = new Run(machines, loops, worker, seed, deadline);
-      run.snapshots();
-      run.rest();
-      run.changes();
-      run.end();
-      return run.figures;
+      Measurement measurement = new Measurement(machines, loops, worker, seed, deadline);
+      measurement.measureSnapshots();
+      measurement.measureIdle();
+      measurement.measureChanges();
+      measurement.finish();
+      return measurement.figures;
     } finally {
       worker.shutdownNow();
     }
   }
 
-  /** One measurement: its parts in their order. */
-  private final class Run {
+  /** One measurement; its steps are called in the order in which they are declared. */
+  private final class Measurement {
     private final ControlMachines machines;
     private final Loops loops;
     private final Deadline deadline;
@@ -100,7 +100,7 @@
     private final ControlCluster cluster;
     private final Map<String, Double> figures = new TreeMap<>();
 
-    private Run(
+    private Measurement(
         ControlMachines machines,
         Loops loops,
         ExecutorService worker,
@@ -111,7 +111,7 @@
       this.deadline = deadline;
       configuration =
           new ConfigurationGenerator(ConfigurationSizes.of(Axis.PERCENT, percent), seed);
-      changes = configuration.changes(CHANGES);
+      changes = configuration.changes(CHANGE_COUNT);
       cluster = new ControlCluster(machines.addresses());
       for (int i = 0; i < loops.size(); i++) {
         subscribers.add(new HollowSubscriber(
@@ -119,67 +119,72 @@
       }
     }
 
-    private void snapshots() throws RefusedException, TimeoutException, InterruptedException {
+    private void measureSnapshots()
+        throws RefusedException, TimeoutException, InterruptedException {
       String text = configuration.text();
       figures.put("text-bytes", (double) text.length());
       ConfigurationVersion version = publish(text);
-      double machineMicros = machines.processorMicros();
-      long processor = loops.processorNanos();
-      long from = System.nanoTime();
+      double machineMicrosBefore = machines.processorMicros();
+      long processorBefore = loops.processorNanos();
+      long startedAt = System.nanoTime();
       subscribers.forEach(HollowSubscriber::start);
-      List<Double> millis = awaitInForce(version, from);
-      figures.put("snapshot-p50-ms", millis.get(millis.size() / 2));
-      figures.put("snapshot-last-ms", millis.get(millis.size() - 1));
+      List<Double> latenciesMillis = awaitInForce(version, startedAt);
+      figures.put("snapshot-p50-ms", latenciesMillis.get(latenciesMillis.size() / 2));
+      figures.put("snapshot-last-ms", latenciesMillis.get(latenciesMillis.size() - 1));
       figures.put("snapshot-bytes", perBalancer(sockets.readBytes()));
       figures.put("snapshot-calls", perBalancer(sockets.connections()));
-      figures.put("snapshot-processor-us", perBalancer((loops.processorNanos() - processor) / 1e3));
       figures.put(
-          "machine-snapshot-processor-us", (machines.processorMicros() - machineMicros) / MACHINES);
+          "snapshot-processor-us", perBalancer((loops.processorNanos() - processorBefore) / 1e3));
+      figures.put(
+          "machine-snapshot-processor-us",
+          (machines.processorMicros() - machineMicrosBefore) / CONTROL_MACHINES);
     }
 
-    private void rest() throws InterruptedException {
-      double machineMicros = machines.processorMicros();
-      long processor = loops.processorNanos();
-      long bytes = sockets.readBytes();
-      long calls = sockets.connections();
-      long from = System.nanoTime();
-      TimeUnit.MILLISECONDS.sleep(rest.toMillis());
-      double seconds = (System.nanoTime() - from) / 1e9;
+    private void measureIdle() throws InterruptedException {
+      double machineMicrosBefore = machines.processorMicros();
+      long processorBefore = loops.processorNanos();
+      long bytesBefore = sockets.readBytes();
+      long callsBefore = sockets.connections();
+      long startedAt = System.nanoTime();
+      TimeUnit.MILLISECONDS.sleep(idleTime.toMillis());
+      double seconds = (System.nanoTime() - startedAt) / 1e9;
       figures.put(
-          "processor-us-per-s", perBalancer((loops.processorNanos() - processor) / 1e3) / seconds);
-      figures.put("bytes-per-s", perBalancer(sockets.readBytes() - bytes) / seconds);
-      figures.put("messages-per-s", perBalancer(sockets.connections() - calls) / seconds);
+          "processor-us-per-s",
+          perBalancer((loops.processorNanos() - processorBefore) / 1e3) / seconds);
+      figures.put("bytes-per-s", perBalancer(sockets.readBytes() - bytesBefore) / seconds);
+      figures.put("messages-per-s", perBalancer(sockets.connections() - callsBefore) / seconds);
       figures.put(
           "machine-processor-us-per-s",
-          (machines.processorMicros() - machineMicros) / MACHINES / seconds);
+          (machines.processorMicros() - machineMicrosBefore) / CONTROL_MACHINES / seconds);
     }
 
-    private void changes() throws RefusedException, TimeoutException, InterruptedException {
-      List<Double> millis = new ArrayList<>();
-      double last = 0;
-      double machineMicros = machines.processorMicros();
-      long processor = loops.processorNanos();
-      long bytes = sockets.readBytes();
-      for (int i = 1; i <= CHANGES; i++) {
+    private void measureChanges() throws RefusedException, TimeoutException, InterruptedException {
+      List<Double> latenciesMillis = new ArrayList<>();
+      double slowestMillis = 0;
+      double machineMicrosBefore = machines.processorMicros();
+      long processorBefore = loops.processorNanos();
+      long bytesBefore = sockets.readBytes();
+      for (int i = 1; i <= CHANGE_COUNT; i++) {
         String text = configuration.text(changes.subList(0, i));
-        long from = System.nanoTime();
-        List<Double> times = awaitInForce(publish(text), from);
-        last = Math.max(last, times.get(times.size() - 1));
-        millis.addAll(times);
+        long publishedAt = System.nanoTime();
+        List<Double> changeMillis = awaitInForce(publish(text), publishedAt);
+        slowestMillis = Math.max(slowestMillis, changeMillis.get(changeMillis.size() - 1));
+        latenciesMillis.addAll(changeMillis);
       }
-      millis.sort(null);
-      figures.put("change-p50-ms", millis.get(millis.size() / 2));
-      figures.put("change-p99-ms", millis.get(millis.size() * 99 / 100));
-      figures.put("change-last-ms", last);
-      figures.put("change-bytes", perBalancer(sockets.readBytes() - bytes) / CHANGES);
+      latenciesMillis.sort(null);
+      figures.put("change-p50-ms", latenciesMillis.get(latenciesMillis.size() / 2));
+      figures.put("change-p99-ms", latenciesMillis.get(latenciesMillis.size() * 99 / 100));
+      figures.put("change-last-ms", slowestMillis);
+      figures.put("change-bytes", perBalancer(sockets.readBytes() - bytesBefore) / CHANGE_COUNT);
       figures.put(
-          "change-processor-us", perBalancer((loops.processorNanos() - processor) / 1e3) / CHANGES);
+          "change-processor-us",
+          perBalancer((loops.processorNanos() - processorBefore) / 1e3) / CHANGE_COUNT);
       figures.put(
           "machine-change-processor-us",
-          (machines.processorMicros() - machineMicros) / MACHINES / CHANGES);
+          (machines.processorMicros() - machineMicrosBefore) / CONTROL_MACHINES / CHANGE_COUNT);
     }
 
-    private void end() throws IOException {
+    private void finish() throws IOException {
       figures.put("machine-resident-peak-bytes", (double) machines.peakBytes());
       subscribers.forEach(HollowSubscriber::close);
     }
@@ -188,23 +193,28 @@
         throws RefusedException, InterruptedException {
       ControlCluster.Publication publication = cluster.publish(EPOCH, false, text);
       if (!publication.isAcknowledged()) {
-        throw new RefusedException("no majority keeps the version: " + publication.refusal() + " "
-            + publication.answers());
+        throw new RefusedException(
+            "version not acknowledged by a majority of the control machines: "
+                + publication.refusal() + " " + publication.answers());
       }
       return publication.version();
     }
 
-    /** Waits until all have a version; how long after a moment each had it, in milliseconds, the shortest first. */
+    /** Waits until a version is in force at all subscribers; returns their latencies since {@code since} in milliseconds, ascending. */
     private List<Double> awaitInForce(ConfigurationVersion version, long since)
         throws TimeoutException, InterruptedException {
       deadline.await(
-          "version " + version + " in force at all",
-          () -> subscribers.stream().allMatch(s -> s.held().equals(version)));
-      return subscribers.stream().map(s -> (s.heldAt() - since) / 1e6).sorted().toList();
+          "version " + version + " is in force at all subscribers",
+          () -> subscribers.stream()
+              .allMatch(subscriber -> subscriber.versionInForce().equals(version)));
+      return subscribers.stream()
+          .map(subscriber -> (subscriber.inForceSince() - since) / 1e6)
+          .sorted()
+          .toList();
     }
 
-    private double perBalancer(double sum) {
-      return sum / subscribers.size();
+    private double perBalancer(double total) {
+      return total / subscribers.size();
     }
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/HollowEstimate.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowEstimate.java
@@ -1,18 +1,18 @@
 package pumicekeel.rig.scale;
 
-/** What hollow balancers take in this process, on the high side: a refusal has to come before the memory is gone. */
+/** Upper estimates of the resources that hollow balancers use in this process: a size is to be rejected before memory runs out. */
 final class HollowEstimate {
 
-  /** A thread's stack, its selector and the pooled buffers that it has touched. */
+  /** A thread's stack, its selector and the pooled buffers that it has used. */
   private static final long LOOP_BYTES = 1 << 20;
-  /** An address, its number, the last word of that member and what is being passed on of it. */
+  /** An address, its index, the last state received about the member and the update about it that is being gossiped. */
   private static final long MEMBER_BYTES = 1_000;
-  /** An entry of the list as it is kept, and the text it is read from. */
+  /** A list entry as stored, and the text from which it is parsed. */
   private static final long UPSTREAM_BYTES = 2_000;
-  /** Selector, wake-up, datagram socket, and both ends of a watch. */
-  private static final long DESCRIPTORS = 6;
-  /** The JVM's own files and the stand-ins'. */
-  private static final long OTHER_DESCRIPTORS = 200;
+  /** Selector, wake-up descriptor, datagram socket, and both ends of a watch. */
+  private static final long LOOP_DESCRIPTORS = 6;
+  /** Descriptors of the JVM and of the stand-ins. */
+  private static final long BASE_DESCRIPTORS = 200;
 
   private HollowEstimate() {}
 
@@ -21,6 +21,6 @@
   }
 
   static long descriptors(int balancers) {
-    return balancers * DESCRIPTORS + OTHER_DESCRIPTORS;
+    return balancers * LOOP_DESCRIPTORS + BASE_DESCRIPTORS;
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/HollowFleet.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowFleet.java
@@ -12,28 +12,28 @@
 import pumicekeel.peers.PeerService;
 import pumicekeel.peers.State;
 
-/** The members of a fleet in this process: each has its own loop, datagram socket, list of addresses and view of the others. */
+/** A fleet of members in this process; each has its own loop, datagram socket, address list and membership view. */
 final class HollowFleet implements Closeable {
 
-  /** Free ports can be taken by others between the look and the bind. */
-  private static final int TRIES = 3;
+  /** A free port may be taken by another process between its selection and the bind. */
+  private static final int MAX_BIND_ATTEMPTS = 3;
 
   private final Loops loops;
   private final List<PeerLink> members;
-  /** When each member last took another number of members for alive, by System.nanoTime. */
-  private final AtomicLongArray changedAt;
+  /** When the number of live members last changed in each member's view, by System.nanoTime. */
+  private final AtomicLongArray liveCountChangedAt;
 
-  private HollowFleet(Loops loops, List<PeerLink> members, AtomicLongArray changedAt) {
+  private HollowFleet(Loops loops, List<PeerLink> members, AtomicLongArray liveCountChangedAt) {
     this.loops = loops;
     this.members = members;
-    this.changedAt = changedAt;
+    this.liveCountChangedAt = liveCountChangedAt;
   }
 
-  /** Starts a member on each loop; all know all addresses and nothing of each other. */
+  /** Starts a member on each loop; each member knows all addresses, but not the state of any other member. */
   static HollowFleet start(Loops loops, long seed) throws IOException, InterruptedException {
-    for (int tries = 1; ; tries++) {
+    for (int attempt = 1; ; attempt++) {
       List<PeerLink> members = new ArrayList<>();
-      AtomicLongArray changedAt = new AtomicLongArray(loops.size());
+      AtomicLongArray liveCountChangedAt = new AtomicLongArray(loops.size());
       List<Integer> ports = freePorts(loops.size());
       try {
         for (int i = 0; i < loops.size(); i++) {
@@ -45,15 +45,15 @@
               number,
               System.currentTimeMillis(),
               seed + number,
-              line -> changedAt.set(number, System.nanoTime()));
+              line -> liveCountChangedAt.set(number, System.nanoTime()));
           members.add(member);
           member.open(addresses.get(number));
         }
-        return new HollowFleet(loops, members, changedAt);
+        return new HollowFleet(loops, members, liveCountChangedAt);
       } catch (Exception e) {
-        // Netty throws the bind's exception as it is, checked or not.
-        new HollowFleet(loops, members, changedAt).close();
-        if (!(e instanceof IOException) || tries == TRIES) {
+        // Netty rethrows the exception of the bind unwrapped, whether checked or not.
+        new HollowFleet(loops, members, liveCountChangedAt).close();
+        if (!(e instanceof IOException) || attempt == MAX_BIND_ATTEMPTS) {
           throw e;
         }
       }
@@ -72,7 +72,7 @@
     }
   }
 
-  /** A list of a member's own: in processes of their own members share none. */
+  /** Returns a separate list for one member: members in separate processes would not share one either. */
   private static List<InetSocketAddress> addresses(List<Integer> ports) {
     byte[] loopback = InetAddress.getLoopbackAddress().getAddress();
     List<InetSocketAddress> addresses = new ArrayList<>();
@@ -90,30 +90,30 @@
     return members.size();
   }
 
-  /** Whether every member takes every other one for alive. */
-  boolean allKnown() {
+  /** Returns whether every member considers every other one alive. */
+  boolean allConsideredLive() {
     return loops.callAll(i -> members.get(i).membership().live() == members.size()).stream()
-        .allMatch(known -> known);
+        .allMatch(allLive -> allLive);
   }
 
-  /** The last time that any member took another number of members for alive, by System.nanoTime. */
+  /** Returns when the number of live members last changed in any member's view, by System.nanoTime. */
   long lastChangeAt() {
-    long last = changedAt.get(0);
-    for (int i = 1; i < changedAt.length(); i++) {
-      last = changedAt.get(i) - last > 0 ? changedAt.get(i) : last;
+    long last = liveCountChangedAt.get(0);
+    for (int i = 1; i < liveCountChangedAt.length(); i++) {
+      last = liveCountChangedAt.get(i) - last > 0 ? liveCountChangedAt.get(i) : last;
     }
     return last;
   }
 
-  /** Whether every member but that one takes it for dead. */
-  boolean allHoldDead(int dead) {
+  /** Returns whether every other member considers the given member dead. */
+  boolean isConsideredDead(int number) {
     return loops
-        .callAll(i -> i == dead || members.get(i).membership().stateOf(dead) == State.DEAD)
+        .callAll(i -> i == number || members.get(i).membership().stateOf(number) == State.DEAD)
         .stream()
-        .allMatch(known -> known);
+        .allMatch(consideredDead -> consideredDead);
   }
 
-  /** A member falls silent without a word. */
+  /** Stops a member without notice to the others. */
   void kill(int number) {
     loops.call(number, () -> {
       members.get(number).close();
@@ -121,8 +121,8 @@
     });
   }
 
-  /** Has another protocol spoken on each member's socket. */
-  void carry(Loops.NumberedCall<PeerService> service) {
+  /** Attaches another protocol to each member's socket. */
+  void attach(Loops.NumberedCall<PeerService> service) {
     loops.callAll(i -> {
       members.get(i).attach(service.call(i));
       return null;
@@ -141,7 +141,7 @@
         .sum();
   }
 
-  /** Ends all members and drops their state. */
+  /** Stops all members and releases their state. */
   @Override
   public void close() {
     for (int i = 0; i < members.size(); i++) {
--- a/src/main/java/pumicekeel/rig/scale/HollowQuotas.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowQuotas.java
@@ -11,24 +11,24 @@
 import pumicekeel.quota.QuotaSettings;
 
 /**
- * A hollow balancer's exchange of quotas on its members' socket, with made-up demand: at each of its ticks some tenants ask for as
- * much as twice the member's even share, so parts are borrowed and returned all the time. Only on its loop.
+ * A hollow balancer's quota exchange on its member's socket, with synthetic demand: at each tick some tenants have a demand of about
+ * twice the member's even share, so quota is borrowed and returned all the time. To be used on its loop only.
  */
 final class HollowQuotas implements PeerService {
 
-  /** Of each tenant, over the whole fleet. */
+  /** Quota of each tenant over the whole fleet. */
   private static final double QUOTA_PER_SECOND = 1_000;
-  /** One tenant in so many has demand here at a time. */
-  private static final int ACTIVE_EVERY = 20;
-  /** A tenant's demand moves elsewhere after so many ticks, some 2.5 s. */
-  private static final int TICKS_OF_DEMAND = 10;
+  /** One tenant out of this many has demand at this member at a time. */
+  private static final int ACTIVE_INTERVAL = 20;
+  /** Ticks after which the demand moves to other tenants, about 2.5 s. */
+  private static final int DEMAND_TICKS = 10;
 
   private final QuotaExchange exchange;
   private final int tenants;
   private final int members;
   private final SplittableRandom random;
   private long ticks;
-  private int firstActive;
+  private int firstActiveTenant;
   private long sentDatagrams;
   private long sentBytes;
 
@@ -61,33 +61,33 @@
 
   @Override
   public List<Membership.OutgoingDatagram> receive(int from, byte[] bytes, long now) {
-    return counted(exchange.receive(from, bytes, now));
+    return count(exchange.receive(from, bytes, now));
   }
 
   @Override
   public List<Membership.OutgoingDatagram> tick(long now, BitSet live) {
-    demand(now);
-    return counted(exchange.tick(now, live));
+    recordDemand(now);
+    return count(exchange.tick(now, live));
   }
 
-  private void demand(long now) {
-    if (ticks++ % TICKS_OF_DEMAND == 0) {
-      firstActive = random.nextInt(ACTIVE_EVERY);
+  private void recordDemand(long now) {
+    if (ticks++ % DEMAND_TICKS == 0) {
+      firstActiveTenant = random.nextInt(ACTIVE_INTERVAL);
     }
     double share = QUOTA_PER_SECOND / members;
-    for (int tenant = firstActive; tenant < tenants; tenant += ACTIVE_EVERY) {
+    for (int tenant = firstActiveTenant; tenant < tenants; tenant += ACTIVE_INTERVAL) {
       exchange.recordRequests(
           ConfigurationGenerator.tenantName(tenant), random.nextDouble() * share, now);
     }
   }
 
-  private List<Membership.OutgoingDatagram> counted(List<QuotaExchange.OutgoingDatagram> out) {
-    for (QuotaExchange.OutgoingDatagram one : out) {
+  private List<Membership.OutgoingDatagram> count(List<QuotaExchange.OutgoingDatagram> datagrams) {
+    for (QuotaExchange.OutgoingDatagram datagram : datagrams) {
       sentDatagrams++;
-      sentBytes += one.bytes().length;
+      sentBytes += datagram.bytes().length;
     }
-    return out.stream()
-        .map(o -> new Membership.OutgoingDatagram(o.to(), o.bytes()))
+    return datagrams.stream()
+        .map(datagram -> new Membership.OutgoingDatagram(datagram.to(), datagram.bytes()))
         .toList();
   }
 
--- a/src/main/java/pumicekeel/rig/scale/HollowSubscriber.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowSubscriber.java
@@ -16,37 +16,37 @@
 import pumicekeel.runtime.Sockets;
 
 /**
- * A hollow balancer's subscription to the control machines. It takes each version whole or not at all, but reads nothing of it; what
- * reading costs is measured by {@link ConfigurationScenario}.
+ * A hollow balancer's subscription to the control machines. It accepts each version completely or not at all, but does not parse it;
+ * {@link ConfigurationScenario} measures the cost of parsing.
  */
 final class HollowSubscriber {
 
   /**
-   * Texts of versions. The subscribers of this process hold one copy together: as many copies as balancers do not fit one heap, and
-   * as many times the work of a delta would be the machine's time and not the protocol's.
+   * Texts of the versions, one copy shared by all subscribers of this process: one copy per balancer would not fit into the heap, and
+   * applying each delta once per balancer would load this machine, which would distort the measurement of the protocol.
    */
   static final class Texts {
     private final Map<ConfigurationVersion, String> byVersion = new ConcurrentHashMap<>();
 
-    private String of(Candidate candidate, ConfigurationVersion held)
+    private String textOf(Candidate candidate, ConfigurationVersion base)
         throws ConfigurationDelta.NotApplicableException {
       synchronized (this) {
-        String known = byVersion.get(candidate.version());
-        if (known == null) {
-          known = candidate.text(byVersion.getOrDefault(held, ""));
-          byVersion.put(candidate.version(), known);
+        String text = byVersion.get(candidate.version());
+        if (text == null) {
+          text = candidate.text(byVersion.getOrDefault(base, ""));
+          byVersion.put(candidate.version(), text);
         }
-        return known;
+        return text;
       }
     }
   }
 
   private final Texts texts;
   private final ConfigurationSubscriber subscriber;
-  /** Written by the worker, read by the run. */
-  private volatile ConfigurationVersion held = ConfigurationVersion.NONE;
+  /** Written by the worker, read by the thread that measures. */
+  private volatile ConfigurationVersion versionInForce = ConfigurationVersion.NONE;
 
-  private volatile long heldAt;
+  private volatile long inForceSince;
 
   HollowSubscriber(
       EventLoop loop,
@@ -64,17 +64,17 @@
         ConfigurationVersion.NONE,
         seed,
         worker,
-        this::take);
+        this::apply);
   }
 
-  private VersionApplier.Outcome take(Candidate candidate) {
+  private VersionApplier.Outcome apply(Candidate candidate) {
     try {
-      texts.of(candidate, held);
+      texts.textOf(candidate, versionInForce);
     } catch (ConfigurationDelta.NotApplicableException e) {
       return new VersionApplier.Damaged(e.getMessage());
     }
-    heldAt = System.nanoTime();
-    held = candidate.version();
+    inForceSince = System.nanoTime();
+    versionInForce = candidate.version();
     return new VersionApplier.InForce();
   }
 
@@ -82,14 +82,14 @@
     subscriber.start();
   }
 
-  /** The version in force. */
-  ConfigurationVersion held() {
-    return held;
+  /** Returns the version in force. */
+  ConfigurationVersion versionInForce() {
+    return versionInForce;
   }
 
-  /** When it came into force, by System.nanoTime. */
-  long heldAt() {
-    return heldAt;
+  /** Returns when the version came into force, by System.nanoTime. */
+  long inForceSince() {
+    return inForceSince;
   }
 
   void close() {
--- a/src/main/java/pumicekeel/rig/scale/ListWatchScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/ListWatchScenario.java
@@ -19,34 +19,34 @@
 import pumicekeel.discovery.WatchTerms;
 import pumicekeel.standin.StandInDiscovery;
 
-/** Hollow balancers that all begin to watch one list, rest, and are told of changes one after the other. */
+/** Measures hollow balancers that all start to watch one list at once, stay idle, and then receive changes one at a time. */
 final class ListWatchScenario implements Scenario {
 
-  private static final int CHANGES = 20;
-  private static final Duration REST = Duration.ofSeconds(5);
-  private static final int WARM_UPS = 10;
-  /** Entries of a stand-in list point here; nothing ever connects. */
+  private static final int CHANGE_COUNT = 20;
+  private static final Duration IDLE_TIME = Duration.ofSeconds(5);
+  private static final int WARM_UP_MEASUREMENTS = 10;
+  /** Port of the first entry of the stand-in list; no connection is ever made to any entry. */
   private static final int FIRST_PORT = 10_000;
 
-  /** How many of what grows, and of what stays. */
+  /** Numbers of balancers and of upstreams in one measurement. */
   private record Counts(int balancers, int upstreams) {}
 
-  private static final Counts WARM_UP = new Counts(8, 1_000);
+  private static final Counts WARM_UP_COUNTS = new Counts(8, 1_000);
 
   private final Axis axis;
-  private final int other;
+  private final int fixedCount;
 
-  private ListWatchScenario(Axis axis, int other) {
+  private ListWatchScenario(Axis axis, int fixedCount) {
     this.axis = axis;
-    this.other = other;
+    this.fixedCount = fixedCount;
   }
 
-  /** So many balancers and ever more upstreams: what the control side of one holds. */
+  /** Creates a scenario with a fixed number of balancers and a growing list, which measures the control side of one balancer. */
   static ListWatchScenario byUpstreams(int balancers) {
     return new ListWatchScenario(Axis.UPSTREAMS, balancers);
   }
 
-  /** So many upstreams and ever more balancers: what the list source bears. */
+  /** Creates a scenario with a list of fixed length and a growing number of balancers, which measures the load on the list source. */
   static ListWatchScenario byBalancers(int upstreams) {
     return new ListWatchScenario(Axis.BALANCERS, upstreams);
   }
@@ -67,7 +67,7 @@
   }
 
   private Counts counts(int size) {
-    return axis == Axis.UPSTREAMS ? new Counts(other, size) : new Counts(size, other);
+    return axis == Axis.UPSTREAMS ? new Counts(fixedCount, size) : new Counts(size, fixedCount);
   }
 
   @Override
@@ -84,76 +84,78 @@
   @Override
   public void warmUp(long seed, Deadline deadline)
       throws TimeoutException, InterruptedException, IOException {
-    for (int i = 0; i < WARM_UPS; i++) {
-      measure(WARM_UP, Duration.ZERO, deadline);
+    for (int i = 0; i < WARM_UP_MEASUREMENTS; i++) {
+      measure(WARM_UP_COUNTS, Duration.ZERO, deadline);
     }
   }
 
   @Override
   public Map<String, Double> measure(int size, long seed, Deadline deadline)
       throws TimeoutException, InterruptedException, IOException {
-    return measure(counts(size), REST, deadline);
+    return measure(counts(size), IDLE_TIME, deadline);
   }
 
-  private Map<String, Double> measure(Counts counts, Duration rest, Deadline deadline)
+  private Map<String, Double> measure(Counts counts, Duration idleTime, Deadline deadline)
       throws TimeoutException, InterruptedException, IOException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try (Loops loops = new Loops(counts.balancers());
         StandInDiscovery discovery = new StandInDiscovery(group)) {
       for (int i = 0; i < counts.upstreams(); i++) {
-        tell(discovery, i, "in_service");
+        announce(discovery, i, "in_service");
       }
-      return measure(counts, rest, loops, discovery, deadline);
+      return measure(counts, idleTime, loops, discovery, deadline);
     } finally {
       group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
   }
 
   private static Map<String, Double> measure(
-      Counts counts, Duration rest, Loops loops, StandInDiscovery discovery, Deadline deadline)
+      Counts counts, Duration idleTime, Loops loops, StandInDiscovery discovery, Deadline deadline)
       throws TimeoutException, InterruptedException, IOException {
     WatchTerms terms = WatchTerms.of(Decoder.settings(Fields.parse("settings", DemoSettings.JSON)));
     CountingSockets sockets = new CountingSockets();
     Map<String, Double> figures = new TreeMap<>();
-    double balancers = counts.balancers();
-    long processor = loops.processorNanos();
+    double balancerCount = counts.balancers();
+    long processorBefore = loops.processorNanos();
     long startedAt = System.nanoTime();
     List<ListWatcher> watchers = new ArrayList<>(
         loops.callAll(i -> new ListWatcher(loops.get(i), sockets, discovery.address(), terms)));
     figures.put(
         "snapshot-ms", awaitVersion(loops, watchers, counts.upstreams() + 1, startedAt, deadline));
-    figures.put("snapshot-processor-us", (loops.processorNanos() - processor) / 1e3 / balancers);
-    figures.put("snapshot-bytes", sockets.readBytes() / balancers);
-    figures.put("connections", sockets.connections() / balancers);
-
-    long processorAtRest = loops.processorNanos();
-    long bytesAtRest = sockets.readBytes();
-    long from = System.nanoTime();
-    TimeUnit.MILLISECONDS.sleep(rest.toMillis());
-    double balancerSeconds = balancers * (System.nanoTime() - from) / 1e9;
     figures.put(
-        "processor-us-per-s", (loops.processorNanos() - processorAtRest) / 1e3 / balancerSeconds);
-    figures.put("bytes-per-s", (sockets.readBytes() - bytesAtRest) / balancerSeconds);
-    changes(counts, loops, discovery, watchers, sockets, figures, deadline);
+        "snapshot-processor-us", (loops.processorNanos() - processorBefore) / 1e3 / balancerCount);
+    figures.put("snapshot-bytes", sockets.readBytes() / balancerCount);
+    figures.put("connections", sockets.connections() / balancerCount);
+
+    long idleProcessorBefore = loops.processorNanos();
+    long idleBytesBefore = sockets.readBytes();
+    long idleSince = System.nanoTime();
+    TimeUnit.MILLISECONDS.sleep(idleTime.toMillis());
+    double balancerSeconds = balancerCount * (System.nanoTime() - idleSince) / 1e9;
+    figures.put(
+        "processor-us-per-s",
+        (loops.processorNanos() - idleProcessorBefore) / 1e3 / balancerSeconds);
+    figures.put("bytes-per-s", (sockets.readBytes() - idleBytesBefore) / balancerSeconds);
+    measureChanges(counts, loops, discovery, watchers, sockets, figures, deadline);
     figures.put("failed-watches", (double) loops.callAll(i -> watchers.get(i).failures()).stream()
         .mapToLong(n -> n)
         .sum());
-    figures.put("state-bytes", stateBytes(loops, watchers) / balancers);
+    figures.put("state-bytes", stateBytes(loops, watchers) / balancerCount);
     return figures;
   }
 
-  /** The heap with all watchers less the heap once they are dropped. */
+  /** Returns the heap size with all watchers minus that without them. */
   private static double stateBytes(Loops loops, List<ListWatcher> watchers) {
-    long with = ProcessMeter.heapAfterCollection();
+    long heapWithWatchers = ProcessMeter.heapAfterCollection();
     loops.callAll(i -> {
       watchers.get(i).close();
       return null;
     });
     watchers.clear();
-    return with - ProcessMeter.heapAfterCollection();
+    return heapWithWatchers - ProcessMeter.heapAfterCollection();
   }
 
-  private static void changes(
+  private static void measureChanges(
       Counts counts,
       Loops loops,
       StandInDiscovery discovery,
@@ -162,36 +164,39 @@
       Map<String, Double> figures,
       Deadline deadline)
       throws TimeoutException, InterruptedException {
-    long bytes = sockets.readBytes();
-    double slowest = 0;
-    for (int i = 0; i < CHANGES; i++) {
+    long bytesBefore = sockets.readBytes();
+    double slowestMillis = 0;
+    for (int i = 0; i < CHANGE_COUNT; i++) {
       long since = System.nanoTime();
-      tell(discovery, i % counts.upstreams(), "terminating");
+      announce(discovery, i % counts.upstreams(), "terminating");
       int version = counts.upstreams() + 2 + i;
-      slowest = Math.max(slowest, awaitVersion(loops, watchers, version, since, deadline));
+      slowestMillis =
+          Math.max(slowestMillis, awaitVersion(loops, watchers, version, since, deadline));
     }
-    figures.put("change-ms", slowest);
+    figures.put("change-ms", slowestMillis);
     figures.put(
-        "change-bytes", (sockets.readBytes() - bytes) / (double) counts.balancers() / CHANGES);
+        "change-bytes",
+        (sockets.readBytes() - bytesBefore) / (double) counts.balancers() / CHANGE_COUNT);
   }
 
-  /** Waits until all have a version, and says how long after a moment the last one had it, in milliseconds. */
+  /** Waits until all watchers have a version; returns the latency of the last one since {@code since}, in milliseconds. */
   private static double awaitVersion(
       Loops loops, List<ListWatcher> watchers, long version, long since, Deadline deadline)
       throws TimeoutException, InterruptedException {
     deadline.await(
-        "version " + version + " of the list at all",
-        () -> loops.callAll(i -> watchers.get(i).index() >= version).stream().allMatch(b -> b));
-    return loops.callAll(i -> watchers.get(i).toldAt() - since).stream()
+        "version " + version + " of the list received by all watchers",
+        () -> loops.callAll(i -> watchers.get(i).index() >= version).stream()
+            .allMatch(received -> received));
+    return loops.callAll(i -> watchers.get(i).receivedAt() - since).stream()
             .mapToLong(nanos -> nanos)
             .max()
             .orElseThrow()
         / 1e6;
   }
 
-  private static void tell(StandInDiscovery discovery, int number, String status) {
-    InetSocketAddress nowhere =
+  private static void announce(StandInDiscovery discovery, int number, String status) {
+    InetSocketAddress unusedAddress =
         new InetSocketAddress(InetAddress.getLoopbackAddress(), FIRST_PORT + number);
-    discovery.announce("upstream-" + number, nowhere, number / 25, status, 0);
+    discovery.announce("upstream-" + number, unusedAddress, number / 25, status, 0);
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/ListWatcher.java
+++ b/src/main/java/pumicekeel/rig/scale/ListWatcher.java
@@ -10,20 +10,25 @@
 import pumicekeel.runtime.Reactor;
 import pumicekeel.runtime.Sockets;
 
-/** A hollow balancer's watch on a list of upstreams. Only on its loop. */
+/** A hollow balancer's watch on a list of upstreams. To be used on its loop only. */
 final class ListWatcher implements UpstreamSource.Observer {
 
-  private static final long GRACE_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final long DRAIN_GRACE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private final UpstreamSource source;
   private long index;
-  private long toldAt;
+  private long receivedAt;
 
-  /** Begins to watch with nothing known. */
+  /** Starts a watch without a known list. */
   ListWatcher(EventLoop loop, Sockets sockets, InetSocketAddress discovery, WatchTerms terms) {
     Reactor reactor = new Reactor(loop, new pumicekeel.runtime.Clock(), sockets);
     source = UpstreamSource.watched(
-        reactor, discovery, new HostList(0, true, List.of()), terms, GRACE_NANOS, loop.hashCode());
+        reactor,
+        discovery,
+        new HostList(0, true, List.of()),
+        terms,
+        DRAIN_GRACE_NANOS,
+        loop.hashCode());
     source.addObserver(this);
     source.watch(this, true);
   }
@@ -31,20 +36,20 @@
   @Override
   public void listChanged(HostList list) {
     index = list.index();
-    toldAt = System.nanoTime();
+    receivedAt = System.nanoTime();
   }
 
-  /** The version of the list that is in force. */
+  /** Returns the last received version of the list. */
   long index() {
     return index;
   }
 
-  /** When it came into force, by System.nanoTime. */
-  long toldAt() {
-    return toldAt;
+  /** Returns when that version was received, by System.nanoTime. */
+  long receivedAt() {
+    return receivedAt;
   }
 
-  /** Watches that failed. */
+  /** Returns the number of calls to discovery that failed. */
   long failures() {
     return source.failureCount();
   }
--- a/src/main/java/pumicekeel/rig/scale/MembershipScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/MembershipScenario.java
@@ -9,28 +9,28 @@
 import pumicekeel.sim.FleetSim;
 
 /**
- * A fleet that starts all at once, rests, and loses one member: what a member holds and sends at rest, and how long it takes until
- * all know.
+ * Measures a fleet that starts all at once, stays idle, and loses one member: what a member stores and sends while idle, and how long
+ * it takes until all others have detected the loss.
  */
 final class MembershipScenario implements Scenario {
 
-  /** Some probes and two exchanges of pages a member. */
-  private static final Duration REST = Duration.ofSeconds(5);
-  /** Some 100,000 datagrams in virtual time, then the sockets. */
+  /** Covers several probes and two exchanges of table pages per member. */
+  private static final Duration IDLE_TIME = Duration.ofSeconds(5);
+  /** Members of the warm-up: about 100,000 datagrams in virtual time first, then over sockets. */
   private static final int WARM_UP_MEMBERS = 30;
 
-  private static final int WARM_UP_DEATHS = 1;
-  private static final long WARM_UP_NANOS = TimeUnit.SECONDS.toNanos(1_000);
+  private static final int WARM_UP_KILLS = 1;
+  private static final long WARM_UP_QUIET_NANOS = TimeUnit.SECONDS.toNanos(1_000);
 
-  private final Duration rest;
+  private final Duration idleTime;
 
   MembershipScenario() {
-    this(REST);
+    this(IDLE_TIME);
   }
 
-  /** So long are members watched at rest. */
-  MembershipScenario(Duration rest) {
-    this.rest = rest;
+  /** Creates a scenario that measures the idle members for the given time. */
+  MembershipScenario(Duration idleTime) {
+    this.idleTime = idleTime;
   }
 
   @Override
@@ -61,10 +61,10 @@
   @Override
   public void warmUp(long seed, Deadline deadline)
       throws TimeoutException, InterruptedException, IOException {
-    new FleetSim(seed, WARM_UP_MEMBERS).detection(0, WARM_UP_DEATHS, WARM_UP_NANOS);
+    new FleetSim(seed, WARM_UP_MEMBERS).detection(0, WARM_UP_KILLS, WARM_UP_QUIET_NANOS);
     try (Loops loops = new Loops(WARM_UP_MEMBERS);
         HollowFleet fleet = HollowFleet.start(loops, seed)) {
-      deadline.await("every member knows every other", fleet::allKnown);
+      deadline.await("every member knows every other", fleet::allConsideredLive);
     }
   }
 
@@ -75,33 +75,34 @@
     try (Loops loops = new Loops(size)) {
       try (HollowFleet fleet = HollowFleet.start(loops, seed)) {
         long startedAt = System.nanoTime();
-        deadline.await("every member knows every other", fleet::allKnown);
+        deadline.await("every member knows every other", fleet::allConsideredLive);
         figures.put("all-known-ms", (fleet.lastChangeAt() - startedAt) / 1e6);
-        rest(loops, fleet, figures);
-        long heapWith = ProcessMeter.heapAfterCollection();
-        int dead = (int) Math.floorMod(seed, (long) size);
-        long diedAt = System.nanoTime();
-        fleet.kill(dead);
-        deadline.await("every member knows of the death", () -> fleet.allHoldDead(dead));
-        figures.put("death-known-ms", (fleet.lastChangeAt() - diedAt) / 1e6);
+        measureIdle(loops, fleet, figures);
+        long heapWithFleet = ProcessMeter.heapAfterCollection();
+        int killed = (int) Math.floorMod(seed, (long) size);
+        long killedAt = System.nanoTime();
+        fleet.kill(killed);
+        deadline.await("every member knows of the death", () -> fleet.isConsideredDead(killed));
+        figures.put("death-known-ms", (fleet.lastChangeAt() - killedAt) / 1e6);
         fleet.close();
-        figures.put("state-bytes", (double) (heapWith - ProcessMeter.heapAfterCollection()) / size);
+        figures.put(
+            "state-bytes", (double) (heapWithFleet - ProcessMeter.heapAfterCollection()) / size);
       }
     }
     return figures;
   }
 
-  private void rest(Loops loops, HollowFleet fleet, Map<String, Double> figures)
+  private void measureIdle(Loops loops, HollowFleet fleet, Map<String, Double> figures)
       throws InterruptedException {
-    long datagrams = fleet.sentDatagrams();
-    long bytes = fleet.sentBytes();
-    long processor = loops.processorNanos();
-    long from = System.nanoTime();
-    TimeUnit.MILLISECONDS.sleep(rest.toMillis());
-    double processorNanos = loops.processorNanos() - processor;
-    double memberSeconds = fleet.size() * (System.nanoTime() - from) / 1e9;
+    long datagramsBefore = fleet.sentDatagrams();
+    long bytesBefore = fleet.sentBytes();
+    long processorBefore = loops.processorNanos();
+    long idleSince = System.nanoTime();
+    TimeUnit.MILLISECONDS.sleep(idleTime.toMillis());
+    double processorNanos = loops.processorNanos() - processorBefore;
+    double memberSeconds = fleet.size() * (System.nanoTime() - idleSince) / 1e9;
     figures.put("processor-us-per-s", processorNanos / 1e3 / memberSeconds);
-    figures.put("messages-per-s", (fleet.sentDatagrams() - datagrams) / memberSeconds);
-    figures.put("bytes-per-s", (fleet.sentBytes() - bytes) / memberSeconds);
+    figures.put("messages-per-s", (fleet.sentDatagrams() - datagramsBefore) / memberSeconds);
+    figures.put("bytes-per-s", (fleet.sentBytes() - bytesBefore) / memberSeconds);
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/QuotaScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/QuotaScenario.java
@@ -10,23 +10,26 @@
 import java.util.concurrent.TimeoutException;
 import pumicekeel.quota.QuotaExchange;
 
-/** Members that lend each other quotas of ever more tenants under moving demand; what the exchange adds to membership alone. */
+/**
+ * Measures what the quota exchange costs in addition to membership: members lend each other quotas of a growing number of tenants
+ * while demand moves.
+ */
 final class QuotaScenario implements Scenario {
 
   private static final int MEMBERS = 20;
-  private static final Duration REST = Duration.ofSeconds(5);
-  /** A tenant's book with the leases of some members, and its name. */
+  private static final Duration MEASURE_TIME = Duration.ofSeconds(5);
+  /** A tenant's ledger with the leases of some members, and its name. */
   private static final long TENANT_BYTES = 4_000;
 
-  private final Duration rest;
+  private final Duration measureTime;
 
   QuotaScenario() {
-    this(REST);
+    this(MEASURE_TIME);
   }
 
-  /** So long are members watched. */
-  QuotaScenario(Duration rest) {
-    this.rest = rest;
+  /** Creates a scenario that measures the members for the given time. */
+  QuotaScenario(Duration measureTime) {
+    this.measureTime = measureTime;
   }
 
   @Override
@@ -64,12 +67,12 @@
   public Map<String, Double> measure(int size, long seed, Deadline deadline)
       throws RefusedException, TimeoutException, InterruptedException, IOException {
     if (size > QuotaExchange.MAX_TENANTS) {
-      throw new RefusedException(
-          "at most " + QuotaExchange.MAX_TENANTS + " tenants' quotas are lent, got " + size);
+      throw new RefusedException("expected at most " + QuotaExchange.MAX_TENANTS
+          + " tenants, the maximum of the quota exchange, got " + size);
     }
     try (Loops loops = new Loops(MEMBERS);
         HollowFleet fleet = HollowFleet.start(loops, seed)) {
-      deadline.await("every member knows every other", fleet::allKnown);
+      deadline.await("every member knows every other", fleet::allConsideredLive);
       return measure(size, seed, loops, fleet);
     }
   }
@@ -77,43 +80,44 @@
   private Map<String, Double> measure(int tenants, long seed, Loops loops, HollowFleet fleet)
       throws InterruptedException {
     Map<String, Double> figures = new TreeMap<>();
-    double withoutQuotas = processorMicrosPerSecond(loops);
+    double microsWithoutQuotas = processorMicrosPerSecond(loops);
     List<HollowQuotas> quotas = new ArrayList<>();
     for (int i = 0; i < MEMBERS; i++) {
       quotas.add(new HollowQuotas(i, MEMBERS, tenants, seed + i));
     }
-    fleet.carry(quotas::get);
-    // Parts are lent only once the time of a lease has passed since the start.
-    TimeUnit.MILLISECONDS.sleep(rest.toMillis());
-
-    long datagrams = sum(loops.callAll(i -> quotas.get(i).sentDatagrams()));
-    long bytes = sum(loops.callAll(i -> quotas.get(i).sentBytes()));
-    double seconds = MEMBERS * rest.toMillis() / 1e3;
-    figures.put("processor-us-per-s", processorMicrosPerSecond(loops) - withoutQuotas);
+    fleet.attach(quotas::get);
+    // Quota is lent only after the duration of one lease has passed since the start.
+    TimeUnit.MILLISECONDS.sleep(measureTime.toMillis());
+
+    long datagramsBefore = sum(loops.callAll(i -> quotas.get(i).sentDatagrams()));
+    long bytesBefore = sum(loops.callAll(i -> quotas.get(i).sentBytes()));
+    double memberSeconds = MEMBERS * measureTime.toMillis() / 1e3;
+    figures.put("processor-us-per-s", processorMicrosPerSecond(loops) - microsWithoutQuotas);
     figures.put(
         "messages-per-s",
-        (sum(loops.callAll(i -> quotas.get(i).sentDatagrams())) - datagrams) / seconds);
+        (sum(loops.callAll(i -> quotas.get(i).sentDatagrams())) - datagramsBefore) / memberSeconds);
     figures.put(
-        "bytes-per-s", (sum(loops.callAll(i -> quotas.get(i).sentBytes())) - bytes) / seconds);
+        "bytes-per-s",
+        (sum(loops.callAll(i -> quotas.get(i).sentBytes())) - bytesBefore) / memberSeconds);
     figures.put("state-bytes", stateBytes(fleet, quotas) / MEMBERS);
     return figures;
   }
 
-  /** The heap with all books less the heap once they are dropped. */
+  /** Returns the heap size with the state of all quota exchanges minus that without it. */
   private static double stateBytes(HollowFleet fleet, List<HollowQuotas> quotas) {
-    long with = ProcessMeter.heapAfterCollection();
-    fleet.carry(i -> null);
+    long heapWithQuotas = ProcessMeter.heapAfterCollection();
+    fleet.attach(i -> null);
     quotas.clear();
-    return with - ProcessMeter.heapAfterCollection();
+    return heapWithQuotas - ProcessMeter.heapAfterCollection();
   }
 
-  /** Of one member, while the rest passes. */
+  /** Measures for {@code measureTime} and returns the processor time of one member, in microseconds per second. */
   private double processorMicrosPerSecond(Loops loops) throws InterruptedException {
-    long before = loops.processorNanos();
-    long from = System.nanoTime();
-    TimeUnit.MILLISECONDS.sleep(rest.toMillis());
-    double memberSeconds = MEMBERS * (System.nanoTime() - from) / 1e9;
-    return (loops.processorNanos() - before) / 1e3 / memberSeconds;
+    long processorBefore = loops.processorNanos();
+    long startedAt = System.nanoTime();
+    TimeUnit.MILLISECONDS.sleep(measureTime.toMillis());
+    double memberSeconds = MEMBERS * (System.nanoTime() - startedAt) / 1e9;
+    return (loops.processorNanos() - processorBefore) / 1e3 / memberSeconds;
   }
 
   private static long sum(List<Long> values) {
