--- a/src/main/java/pumicekeel/rig/scale/RequestPathScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/RequestPathScenario.java
@@ -22,51 +22,51 @@
 import pumicekeel.standin.StandInUpstream;
 
 /**
- * Requests through a real balancer with a large configuration, and by turns through one with a single service: latency as clients
- * see it, loopback and stand-ins included, and connections that the balancer opens.
+ * Measures requests through a real balancer with a large configuration, alternating with requests through one with a single service:
+ * latency as clients see it, including loopback and stand-ins, and the connections that the balancer opens.
  */
 final class RequestPathScenario implements Scenario {
 
-  /** One service as it is at the target: 25 upstreams, its part of the tenants and routes. */
-  private static final Size ONE_SERVICE = new Size(1, 45, 160, 25);
+  /** One service of the target configuration: 25 upstreams, and its share of the tenants and routes. */
+  private static final Size SINGLE_SERVICE = new Size(1, 45, 160, 25);
 
-  private static final double USUAL_PER_SECOND = 203;
-  /** A balancer's part while one zone of five is lost. */
-  private static final double BURST_PER_SECOND = 254;
+  private static final double NORMAL_REQUESTS_PER_SECOND = 203;
+  /** A balancer's share while one zone of five has failed. */
+  private static final double BURST_REQUESTS_PER_SECOND = 254;
 
-  private static final Duration TURN = Duration.ofSeconds(8);
+  private static final Duration INTERVAL = Duration.ofSeconds(8);
   private static final Duration WARM_UP = Duration.ofSeconds(5);
-  /** Clients where there are fewer services; each has a connection and a tenant of its own. */
-  private static final int LEAST_CLIENTS = 64;
+  /** Number of clients if there are fewer services than this; each client has its own connection and tenant. */
+  private static final int MIN_CLIENTS = 64;
 
-  private static final long PATIENCE_MILLIS = 2_000;
-  private static final String CLASS = "lookup";
-  private static final long DESCRIPTORS = 4_000;
-  /** An upstream's listener and its log. */
+  private static final long DEADLINE_MILLIS = 2_000;
+  private static final String CLASS_NAME = "lookup";
+  private static final long BASE_DESCRIPTORS = 4_000;
+  /** An upstream's listener and request log. */
   private static final long UPSTREAM_BYTES = 20_000;
 
-  /** A balancer, its upstreams and what is asked of it. */
-  private record Side(
+  /** A balancer with its upstreams and its configuration. */
+  private record Deployment(
       ConfigurationGenerator configuration,
       List<StandInUpstream> upstreams,
       BalancerProcess balancer) {
 
-    long opened() {
+    long openedConnections() {
       return upstreams.stream().mapToLong(StandInUpstream::opened).sum();
     }
   }
 
   private final Duration warmUp;
-  private final Duration turn;
+  private final Duration interval;
 
   RequestPathScenario() {
-    this(WARM_UP, TURN);
+    this(WARM_UP, INTERVAL);
   }
 
-  /** So long is each side asked before it counts, and in each turn. */
-  RequestPathScenario(Duration warmUp, Duration turn) {
+  /** Creates a scenario that sends requests to each balancer for {@code warmUp} unmeasured, then for {@code interval} per measurement. */
+  RequestPathScenario(Duration warmUp, Duration interval) {
     this.warmUp = warmUp;
-    this.turn = turn;
+    this.interval = interval;
   }
 
   @Override
@@ -96,7 +96,7 @@
 
   @Override
   public long estimatedDescriptors(int size) {
-    return DESCRIPTORS + ConfigurationSizes.of(Axis.PERCENT, size).upstreams();
+    return BASE_DESCRIPTORS + ConfigurationSizes.of(Axis.PERCENT, size).upstreams();
   }
 
   @Override
@@ -104,22 +104,22 @@
       throws RefusedException, TimeoutException, InterruptedException, IOException {
     EventLoopGroup standIns = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     EventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    List<Side> sides = new ArrayList<>();
+    List<Deployment> deployments = new ArrayList<>();
     try {
-      sides.add(start(ONE_SERVICE, seed, standIns, deadline));
-      sides.add(start(ConfigurationSizes.of(Axis.PERCENT, size), seed, standIns, deadline));
-      return byTurns(sides.get(0), sides.get(1), clients);
+      deployments.add(start(SINGLE_SERVICE, seed, standIns, deadline));
+      deployments.add(start(ConfigurationSizes.of(Axis.PERCENT, size), seed, standIns, deadline));
+      return measureAlternately(deployments.get(0), deployments.get(1), clients);
     } finally {
-      for (Side side : sides) {
-        side.balancer().close();
-        side.upstreams().forEach(StandInUpstream::close);
+      for (Deployment deployment : deployments) {
+        deployment.balancer().close();
+        deployment.upstreams().forEach(StandInUpstream::close);
       }
       standIns.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
       clients.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
   }
 
-  private static Side start(Size size, long seed, EventLoopGroup standIns, Deadline deadline)
+  private static Deployment start(Size size, long seed, EventLoopGroup standIns, Deadline deadline)
       throws RefusedException, TimeoutException, InterruptedException, IOException {
     List<StandInUpstream> upstreams = new ArrayList<>();
     for (int i = 0; i < size.upstreams(); i++) {
@@ -128,87 +128,100 @@
     ConfigurationGenerator configuration = new ConfigurationGenerator(size, seed)
         .withUpstreams(i -> Addresses.text(upstreams.get(i).address()));
     try {
-      return new Side(
-          configuration, upstreams, BalancerProcess.start(file(configuration), standIns, deadline));
+      return new Deployment(
+          configuration,
+          upstreams,
+          BalancerProcess.start(operatorFile(configuration), standIns, deadline));
     } catch (RefusedException | TimeoutException | IOException e) {
       upstreams.forEach(StandInUpstream::close);
       throw e;
     }
   }
 
-  /** Behind all other routes one for each service takes the paths that the load makes up. */
-  private static String file(ConfigurationGenerator configuration) {
+  /** Returns the operator file, with one last route per service that matches the paths that the load generator uses. */
+  private static String operatorFile(ConfigurationGenerator configuration) {
     StringBuilder file = new StringBuilder(configuration.text());
     for (int pool = 0; pool < configuration.size().pools(); pool++) {
       file.append("[[routes]]\nname = \"load-").append(pool).append("\"\nhost = \"");
-      file.append(configuration.host(pool)).append("\"\npath-prefix = \"/").append(CLASS);
+      file.append(configuration.host(pool)).append("\"\npath-prefix = \"/").append(CLASS_NAME);
       file.append("\"\npool = \"").append(ConfigurationGenerator.poolName(pool)).append("\"\n\n");
     }
     return file.toString();
   }
 
-  private Map<String, Double> byTurns(Side one, Side all, EventLoopGroup clients)
-      throws InterruptedException {
-    turn(one, USUAL_PER_SECOND, warmUp, clients);
-    turn(all, USUAL_PER_SECOND, warmUp, clients);
+  private Map<String, Double> measureAlternately(
+      Deployment single, Deployment full, EventLoopGroup clients) throws InterruptedException {
+    measureInterval(single, NORMAL_REQUESTS_PER_SECOND, warmUp, clients);
+    measureInterval(full, NORMAL_REQUESTS_PER_SECOND, warmUp, clients);
     Map<String, Double> figures = new TreeMap<>();
-    turn(one, USUAL_PER_SECOND, turn, clients).into(figures, "one-");
-    turn(all, USUAL_PER_SECOND, turn, clients).into(figures, "");
-    turn(one, BURST_PER_SECOND, turn, clients).into(figures, "one-burst-");
-    turn(all, BURST_PER_SECOND, turn, clients).into(figures, "burst-");
+    measureInterval(single, NORMAL_REQUESTS_PER_SECOND, interval, clients).addTo(figures, "one-");
+    measureInterval(full, NORMAL_REQUESTS_PER_SECOND, interval, clients).addTo(figures, "");
+    measureInterval(single, BURST_REQUESTS_PER_SECOND, interval, clients)
+        .addTo(figures, "one-burst-");
+    measureInterval(full, BURST_REQUESTS_PER_SECOND, interval, clients).addTo(figures, "burst-");
     return figures;
   }
 
-  /** What one turn came to. */
-  private record Turn(Histogram micros, long asked, long served, long opened, double processor) {
+  /** Results of one measurement interval. */
+  private record IntervalResult(
+      Histogram latencyMicros, long sent, long served, long opened, double processorMicros) {
 
-    void into(Map<String, Double> figures, String prefix) {
-      figures.put(prefix + "p50-us", (double) micros.getValueAtPercentile(50));
-      figures.put(prefix + "p99-us", (double) micros.getValueAtPercentile(99));
-      figures.put(prefix + "connections-per-request", opened / (double) Math.max(1, asked));
-      figures.put(prefix + "not-served", (double) (asked - served));
-      figures.put(prefix + "asked", (double) asked);
-      figures.put(prefix + "processor-per-request-us", processor / Math.max(1, asked));
+    void addTo(Map<String, Double> figures, String prefix) {
+      figures.put(prefix + "p50-us", (double) latencyMicros.getValueAtPercentile(50));
+      figures.put(prefix + "p99-us", (double) latencyMicros.getValueAtPercentile(99));
+      figures.put(prefix + "connections-per-request", opened / (double) Math.max(1, sent));
+      figures.put(prefix + "not-served", (double) (sent - served));
+      figures.put(prefix + "asked", (double) sent);
+      figures.put(prefix + "processor-per-request-us", processorMicros / Math.max(1, sent));
     }
   }
 
-  private static Turn turn(Side side, double perSecond, Duration time, EventLoopGroup clients)
+  private static IntervalResult measureInterval(
+      Deployment deployment, double requestsPerSecond, Duration time, EventLoopGroup clients)
       throws InterruptedException {
-    long openedBefore = side.opened();
-    long processorBefore = side.balancer().processorTime().toNanos();
-    int services = side.configuration().size().pools();
-    int clientCount = Math.max(LEAST_CLIENTS, services);
+    long openedBefore = deployment.openedConnections();
+    long processorNanosBefore = deployment.balancer().processorTime().toNanos();
+    int services = deployment.configuration().size().pools();
+    int clientCount = Math.max(MIN_CLIENTS, services);
     List<Load> loads = new ArrayList<>();
     for (int client = 0; client < clientCount; client++) {
-      loads.add(client(side, client, perSecond / clientCount, clients).start());
+      loads.add(newClient(deployment, client, requestsPerSecond / clientCount, clients)
+          .start());
     }
     TimeUnit.MILLISECONDS.sleep(time.toMillis());
-    Histogram micros = new Histogram(3);
-    long asked = 0;
+    Histogram latencyMicros = new Histogram(3);
+    long sent = 0;
     long served = 0;
     for (Load load : loads) {
       LoadResults results = load.stop();
-      micros.add(results.latency());
-      asked += results.sent();
+      latencyMicros.add(results.latency());
+      sent += results.sent();
       served += results.count(Outcome.SERVED);
     }
-    double processor = (side.balancer().processorTime().toNanos() - processorBefore) / 1e3;
-    return new Turn(micros, asked, served, side.opened() - openedBefore, processor);
-  }
-
-  /** A client with one connection that asks one service as one tenant. */
-  private static Load client(Side side, int client, double perSecond, EventLoopGroup clients) {
-    int service = client % side.configuration().size().pools();
+    double processorMicros =
+        (deployment.balancer().processorTime().toNanos() - processorNanosBefore) / 1e3;
+    return new IntervalResult(
+        latencyMicros,
+        sent,
+        served,
+        deployment.openedConnections() - openedBefore,
+        processorMicros);
+  }
+
+  /** Creates a client with one connection that sends requests to one service as one tenant. */
+  private static Load newClient(
+      Deployment deployment, int client, double requestsPerSecond, EventLoopGroup clients) {
+    int service = client % deployment.configuration().size().pools();
     return new Load(
-        side.balancer().address(),
+        deployment.balancer().address(),
         clients,
         new HttpRequestTemplate(
-            side.configuration().host(service),
-            CLASS,
+            deployment.configuration().host(service),
+            CLASS_NAME,
             false,
             ConfigurationGenerator.tenantName(client),
-            PATIENCE_MILLIS),
-        LoadProfile.openLoop(1, perSecond),
+            DEADLINE_MILLIS),
+        LoadProfile.openLoop(1, requestsPerSecond),
         "client" + client + "-" + System.nanoTime(),
         client);
   }
--- a/src/test/java/pumicekeel/rig/scale/HollowScenariosTest.java
+++ b/src/test/java/pumicekeel/rig/scale/HollowScenariosTest.java
@@ -11,65 +11,66 @@
 import org.junit.jupiter.api.Test;
 import pumicekeel.quota.QuotaExchange;
 
+/** Scenarios complete at small sizes and yield plausible figures. */
 class HollowScenariosTest {
 
   private static final long SEED = 5;
 
-  private static Deadline later() {
+  private static Deadline deadline() {
     return Deadline.after(3, TimeUnit.MINUTES);
   }
 
   @Test
-  void membersFindEachOtherAndNoticeADeath() throws Exception {
+  void membersDiscoverEachOtherAndDetectADeath() throws Exception {
     Map<String, Double> figures =
-        new MembershipScenario(Duration.ofMillis(500)).measure(5, SEED, later());
+        new MembershipScenario(Duration.ofMillis(500)).measure(5, SEED, deadline());
     for (String figure : List.of("all-known-ms", "death-known-ms", "processor-us-per-s")) {
       assertTrue(figures.get(figure) > 0, figures::toString);
     }
-    // A death takes a probe that is not answered, and the least suspicion after it.
+    // Detection takes an unanswered probe, and then at least the minimum suspicion time.
     assertTrue(figures.get("death-known-ms") > 1_000, figures::toString);
   }
 
   @Test
-  void everyWatcherHasTheWholeListAndEachChange() throws Exception {
-    Map<String, Double> few = ListWatchScenario.byUpstreams(3).measure(10, SEED, later());
-    Map<String, Double> many = ListWatchScenario.byUpstreams(3).measure(1_000, SEED, later());
-    double perEntry = (many.get("snapshot-bytes") - few.get("snapshot-bytes")) / 990;
-    assertTrue(perEntry > 100 && perEntry < 200, few + " " + many);
-    assertTrue(few.get("change-bytes") > 100, few::toString);
+  void everyWatcherReceivesTheFullListAndEachChange() throws Exception {
+    Map<String, Double> small = ListWatchScenario.byUpstreams(3).measure(10, SEED, deadline());
+    Map<String, Double> large = ListWatchScenario.byUpstreams(3).measure(1_000, SEED, deadline());
+    double bytesPerEntry = (large.get("snapshot-bytes") - small.get("snapshot-bytes")) / 990;
+    assertTrue(bytesPerEntry > 100 && bytesPerEntry < 200, small + " " + large);
+    assertTrue(small.get("change-bytes") > 100, small::toString);
   }
 
   @Test
-  void aConfigurationIsReadAtEverySize() throws Exception {
+  void configurationIsReadOnEachAxis() throws Exception {
     for (Axis axis : List.of(Axis.SERVICES, Axis.ROUTES, Axis.TENANTS, Axis.UPSTREAMS)) {
-      Map<String, Double> figures = new ConfigurationScenario(axis).measure(60, SEED, later());
+      Map<String, Double> figures = new ConfigurationScenario(axis).measure(60, SEED, deadline());
       assertTrue(figures.get("file-bytes") > 0, figures::toString);
     }
   }
 
   @Test
-  void theWholeTargetIsAHundredPercent() {
+  void hundredPercentIsTheTargetSize() {
     assertEquals(ConfigurationGenerator.Size.TARGET, ConfigurationSizes.of(Axis.PERCENT, 100));
   }
 
   @Test
-  void quotasAreAskedForWhereDemandMoves() throws Exception {
+  void quotasAreExchangedWhenDemandMovesAndTooManyTenantsAreRejected() throws Exception {
     Map<String, Double> figures =
-        new QuotaScenario(Duration.ofSeconds(4)).measure(100, SEED, later());
+        new QuotaScenario(Duration.ofSeconds(4)).measure(100, SEED, deadline());
     assertTrue(figures.get("messages-per-s") > 0, figures::toString);
     assertThrows(
         RefusedException.class,
-        () -> new QuotaScenario().measure(QuotaExchange.MAX_TENANTS + 1, SEED, later()));
+        () -> new QuotaScenario().measure(QuotaExchange.MAX_TENANTS + 1, SEED, deadline()));
   }
 
   @Test
   void everyRequestIsServedThroughBothBalancers() throws Exception {
     Map<String, Double> figures = new RequestPathScenario(
             Duration.ofMillis(200), Duration.ofSeconds(1))
-        .measure(5, SEED, later());
-    for (String turn : List.of("", "one-", "burst-", "one-burst-")) {
-      assertTrue(figures.get(turn + "asked") > 0, figures::toString);
-      assertTrue(figures.get(turn + "p99-us") > 0, figures::toString);
+        .measure(5, SEED, deadline());
+    for (String prefix : List.of("", "one-", "burst-", "one-burst-")) {
+      assertTrue(figures.get(prefix + "asked") > 0, figures::toString);
+      assertTrue(figures.get(prefix + "p99-us") > 0, figures::toString);
     }
     assertTrue(
         figures.get("connections-per-request") > figures.get("one-connections-per-request"),
@@ -77,9 +78,9 @@
   }
 
   @Test
-  void everySubscriberHasTheSnapshotAndEachChange() throws Exception {
+  void everySubscriberReceivesTheSnapshotAndEachChange() throws Exception {
     Map<String, Double> figures =
-        new DeliveryScenario(2, Duration.ofMillis(200)).measure(3, SEED, later());
+        new DeliveryScenario(2, Duration.ofMillis(200)).measure(3, SEED, deadline());
     assertTrue(figures.get("snapshot-bytes") >= figures.get("text-bytes"), figures::toString);
     assertTrue(figures.get("change-bytes") > 0, figures::toString);
     assertTrue(figures.get("change-bytes") < figures.get("text-bytes"), figures::toString);
