--- a/src/main/java/pumicekeel/rig/scale/ConfigurationGenerator.java
+++ b/src/main/java/pumicekeel/rig/scale/ConfigurationGenerator.java
@@ -65,7 +65,7 @@
 
   private static final int DEFAULT_MAX_ATTEMPTS = 3;
   private static final int ZONES = 5;
-  /** In each pool, every eighth route has a header condition, every tenth a fallback pool, every sixteenth a split. */
+  /** In each pool, every eighth route has a header condition, every sixteenth a split, every tenth a fallback pool unless split. */
   private static final int HEADER_INTERVAL = 8;
 
   private static final int FALLBACK_INTERVAL = 10;
--- a/src/main/java/pumicekeel/rig/scale/ConfigurationScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/ConfigurationScenario.java
@@ -105,8 +105,7 @@
 
   /** Returns the heap size with the state minus that without it; what earlier measurements left on the heap is in both and cancels out. */
   private static double stateBytes(List<Object> state) throws RefusedException {
-    // Replaces the data that the reader retains of the last file it read, which is not part of the
-    // state.
+    // Replaces what the reader retains of the last file, which is not part of the state.
     read(SMALL_FILE);
     long heapWithState = ProcessMeter.heapAfterCollection();
     state.clear();
