--- a/src/main/java/pumicekeel/rig/FleetRig.java
+++ b/src/main/java/pumicekeel/rig/FleetRig.java
@@ -72,7 +72,7 @@
       for (int i = 0; i < UPSTREAMS; i++) {
         add("s" + i, i / 2, 0);
       }
-      int port = FreePorts.block(instances);
+      int port = FreePorts.findBlock(instances);
       Path config = Files.writeString(
           folder.resolve("config.json"), configuration(discovery.address().getPort()));
       Path run = folder.resolve("run");
@@ -84,7 +84,7 @@
               null,
               config,
               "rig",
-              ProgramCommand.with(flags),
+              ProgramCommand.withFlags(flags),
               Limits.of(1, 500 * MS)),
           line -> say(line));
       startedAt = System.nanoTime();
@@ -116,7 +116,7 @@
   }
 
   private boolean play(Path run, int port) throws Exception {
-    until(run, instances, "\"state\":\"ready\"");
+    awaitStatus(run, instances, "\"state\":\"ready\"");
     say("all ready");
     List<Load> lookups = new ArrayList<>();
     List<Load> quotes = new ArrayList<>();
@@ -163,7 +163,7 @@
     return report(lookups, quotes, coldAt) && through;
   }
 
-  static void until(Path run, int count, String what) throws Exception {
+  static void awaitStatus(Path run, int count, String what) throws Exception {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(120);
     while (Control.call(run, "status").split(what, -1).length - 1 < count) {
       if (System.nanoTime() - end > 0) {
--- a/src/main/java/pumicekeel/rig/FleetThroughput.java
+++ b/src/main/java/pumicekeel/rig/FleetThroughput.java
@@ -90,7 +90,7 @@
 
   private double measure(int instances, String configuration) throws Exception {
     Path folder = Files.createTempDirectory("rig");
-    int port = FreePorts.block(instances);
+    int port = FreePorts.findBlock(instances);
     Path config = Files.writeString(folder.resolve("config.json"), configuration);
     Path run = folder.resolve("run");
     Daemon daemon = new Daemon(
@@ -101,12 +101,12 @@
             null,
             config,
             "rig",
-            ProgramCommand.with(flags),
+            ProgramCommand.withFlags(flags),
             Limits.of(1, 500 * MS)),
         line -> {});
     try {
       daemon.start();
-      FleetRig.until(run, instances, "\"state\":\"ready\"");
+      FleetRig.awaitStatus(run, instances, "\"state\":\"ready\"");
       List<Load> all = new ArrayList<>();
       for (int i = 0; i < instances; i++) {
         all.add(new Load(
--- a/src/main/java/pumicekeel/rig/FreePorts.java
+++ b/src/main/java/pumicekeel/rig/FreePorts.java
@@ -22,7 +22,7 @@
    * The first of a block of ports that are free now. Below those that the system gives to connections: between the look and a
    * process's start, a connection of any program on the machine may get one of them, and that process can't listen.
    */
-  public static int block(int count) throws IOException {
+  public static int findBlock(int count) throws IOException {
     for (int tries = 0; tries < MOST_TRIES; tries++) {
       List<ServerSocket> held = new ArrayList<>();
       try {
--- a/src/main/java/pumicekeel/rig/ProgramCommand.java
+++ b/src/main/java/pumicekeel/rig/ProgramCommand.java
@@ -10,7 +10,7 @@
   private ProgramCommand() {}
 
   /** The command without the program's own arguments; {@code flags} are the JVM's. */
-  public static List<String> with(List<String> flags) {
+  public static List<String> withFlags(List<String> flags) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(flags);
--- a/src/main/java/pumicekeel/rig/scale/ChildProcess.java
+++ b/src/main/java/pumicekeel/rig/scale/ChildProcess.java
@@ -41,7 +41,7 @@
     if (Files.isExecutable(SET_PRIVILEGES)) {
       command.addAll(List.of(SET_PRIVILEGES.toString(), "--pdeathsig", "KILL"));
     }
-    command.addAll(ProgramCommand.with(flags));
+    command.addAll(ProgramCommand.withFlags(flags));
     command.addAll(arguments);
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
--- a/src/main/java/pumicekeel/rig/soak/BalancerProcess.java
+++ b/src/main/java/pumicekeel/rig/soak/BalancerProcess.java
@@ -67,7 +67,7 @@
     List<String> flags = Stream.of(java.split(" "))
         .filter(flag -> !flag.startsWith("-XX:SharedArchiveFile"))
         .toList();
-    List<String> command = ProgramCommand.with(flags);
+    List<String> command = ProgramCommand.withFlags(flags);
     command.add("serve");
     return command;
   }
--- a/src/main/java/pumicekeel/rig/soak/SoakBalancer.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakBalancer.java
@@ -53,8 +53,8 @@
     files = Files.createDirectory(run.folder.resolve(name));
     faults = new CallFaults(files, plan.seed() * 31 + number);
     discoveryLink = new TcpLink(run.standIns.next(), run.discovery.address(), plan.seed() + number);
-    port = FreePorts.block(1);
-    peerPort = FreePorts.block(1);
+    port = FreePorts.findBlock(1);
+    peerPort = FreePorts.findBlock(1);
     boolean manyAbandon = plan.has(Disturbance.LEAVING_CLIENTS);
     clients = new SoakClients(
         name + "c",
