--- a/src/main/java/pumicekeel/rig/scale/DeliveryScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/DeliveryScenario.java
@@ -75,7 +75,7 @@
       throws RefusedException, TimeoutException, InterruptedException, IOException {
     ExecutorService worker = Executors.newSingleThreadExecutor();
     try (ControlMachines machines = ControlMachines.start(MACHINES, deadline);
-        Loops loops = new Loops(size)) {
+        EventLoops loops = new EventLoops(size)) {
       Run run = new Run(machines, loops, worker, seed, deadline);
       run.snapshots();
       run.rest();
@@ -90,7 +90,7 @@
   /** One measurement: its parts in their order. */
   private final class Run {
     private final ControlMachines machines;
-    private final Loops loops;
+    private final EventLoops loops;
     private final Deadline deadline;
     private final CountingSockets sockets = new CountingSockets();
     private final HollowSubscriber.Texts texts = new HollowSubscriber.Texts();
@@ -102,7 +102,7 @@
 
     private Run(
         ControlMachines machines,
-        Loops loops,
+        EventLoops loops,
         ExecutorService worker,
         long seed,
         Deadline deadline) {
--- a/src/main/java/pumicekeel/rig/scale/Loops.java
+++ b/src/main/java/pumicekeel/rig/scale/EventLoops.java
@@ -12,14 +12,14 @@
 import pumicekeel.runtime.Log;
 
 /** One event loop, with a thread of its own, for each hollow balancer: the same as in as many processes. */
-final class Loops implements Closeable {
+final class EventLoops implements Closeable {
 
   private final EventLoopGroup group;
   private final List<EventLoop> loops = new ArrayList<>();
   private final List<Long> threads = new ArrayList<>();
 
   /** Starts so many threads. */
-  Loops(int count) {
+  EventLoops(int count) {
     group = new MultiThreadIoEventLoopGroup(count, NioIoHandler.newFactory());
     for (int i = 0; i < count; i++) {
       loops.add((EventLoop) group.next());
@@ -47,7 +47,7 @@
   }
 
   /** What is done with the number of a balancer. */
-  interface NumberedCall<T> {
+  interface IndexedCall<T> {
     T call(int number);
   }
 
@@ -57,7 +57,7 @@
   }
 
   /** Calls something on every loop at once and waits for all. */
-  <T> List<T> callAll(NumberedCall<T> work) {
+  <T> List<T> callAll(IndexedCall<T> work) {
     List<io.netty.util.concurrent.Future<T>> under = new ArrayList<>();
     for (int i = 0; i < loops.size(); i++) {
       int number = i;
--- a/src/main/java/pumicekeel/rig/scale/HollowFleet.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowFleet.java
@@ -18,19 +18,19 @@
   /** Free ports can be taken by others between the look and the bind. */
   private static final int TRIES = 3;
 
-  private final Loops loops;
+  private final EventLoops loops;
   private final List<PeerLink> members;
   /** When each member last took another number of members for alive, by System.nanoTime. */
   private final AtomicLongArray changedAt;
 
-  private HollowFleet(Loops loops, List<PeerLink> members, AtomicLongArray changedAt) {
+  private HollowFleet(EventLoops loops, List<PeerLink> members, AtomicLongArray changedAt) {
     this.loops = loops;
     this.members = members;
     this.changedAt = changedAt;
   }
 
   /** Starts a member on each loop; all know all addresses and nothing of each other. */
-  static HollowFleet start(Loops loops, long seed) throws IOException, InterruptedException {
+  static HollowFleet start(EventLoops loops, long seed) throws IOException, InterruptedException {
     for (int tries = 1; ; tries++) {
       List<PeerLink> members = new ArrayList<>();
       AtomicLongArray changedAt = new AtomicLongArray(loops.size());
@@ -122,7 +122,7 @@
   }
 
   /** Has another protocol spoken on each member's socket. */
-  void carry(Loops.NumberedCall<PeerService> service) {
+  void carry(EventLoops.IndexedCall<PeerService> service) {
     loops.callAll(i -> {
       members.get(i).attach(service.call(i));
       return null;
--- a/src/main/java/pumicekeel/rig/scale/ListWatchScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/ListWatchScenario.java
@@ -98,7 +98,7 @@
   private Map<String, Double> measure(Counts counts, Duration rest, Deadline deadline)
       throws TimeoutException, InterruptedException, IOException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    try (Loops loops = new Loops(counts.balancers());
+    try (EventLoops loops = new EventLoops(counts.balancers());
         StandInDiscovery discovery = new StandInDiscovery(group)) {
       for (int i = 0; i < counts.upstreams(); i++) {
         tell(discovery, i, "in_service");
@@ -110,7 +110,7 @@
   }
 
   private static Map<String, Double> measure(
-      Counts counts, Duration rest, Loops loops, StandInDiscovery discovery, Deadline deadline)
+      Counts counts, Duration rest, EventLoops loops, StandInDiscovery discovery, Deadline deadline)
       throws TimeoutException, InterruptedException, IOException {
     WatchTerms terms = WatchTerms.of(Decoder.settings(Fields.parse("settings", DemoSettings.JSON)));
     CountingSockets sockets = new CountingSockets();
@@ -143,7 +143,7 @@
   }
 
   /** The heap with all watchers less the heap once they are dropped. */
-  private static double stateBytes(Loops loops, List<ListWatcher> watchers) {
+  private static double stateBytes(EventLoops loops, List<ListWatcher> watchers) {
     long with = ProcessMeter.heapAfterCollection();
     loops.callAll(i -> {
       watchers.get(i).close();
@@ -155,7 +155,7 @@
 
   private static void changes(
       Counts counts,
-      Loops loops,
+      EventLoops loops,
       StandInDiscovery discovery,
       List<ListWatcher> watchers,
       CountingSockets sockets,
@@ -177,7 +177,7 @@
 
   /** Waits until all have a version, and says how long after a moment the last one had it, in milliseconds. */
   private static double awaitVersion(
-      Loops loops, List<ListWatcher> watchers, long version, long since, Deadline deadline)
+      EventLoops loops, List<ListWatcher> watchers, long version, long since, Deadline deadline)
       throws TimeoutException, InterruptedException {
     deadline.await(
         "version " + version + " of the list at all",
--- a/src/main/java/pumicekeel/rig/scale/MembershipScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/MembershipScenario.java
@@ -62,7 +62,7 @@
   public void warmUp(long seed, Deadline deadline)
       throws TimeoutException, InterruptedException, IOException {
     new FleetSim(seed, WARM_UP_MEMBERS).detection(0, WARM_UP_DEATHS, WARM_UP_NANOS);
-    try (Loops loops = new Loops(WARM_UP_MEMBERS);
+    try (EventLoops loops = new EventLoops(WARM_UP_MEMBERS);
         HollowFleet fleet = HollowFleet.start(loops, seed)) {
       deadline.await("every member knows every other", fleet::allKnown);
     }
@@ -72,7 +72,7 @@
   public Map<String, Double> measure(int size, long seed, Deadline deadline)
       throws TimeoutException, InterruptedException, IOException {
     Map<String, Double> figures = new TreeMap<>();
-    try (Loops loops = new Loops(size)) {
+    try (EventLoops loops = new EventLoops(size)) {
       try (HollowFleet fleet = HollowFleet.start(loops, seed)) {
         long startedAt = System.nanoTime();
         deadline.await("every member knows every other", fleet::allKnown);
@@ -91,7 +91,7 @@
     return figures;
   }
 
-  private void rest(Loops loops, HollowFleet fleet, Map<String, Double> figures)
+  private void rest(EventLoops loops, HollowFleet fleet, Map<String, Double> figures)
       throws InterruptedException {
     long datagrams = fleet.sentDatagrams();
     long bytes = fleet.sentBytes();
--- a/src/main/java/pumicekeel/rig/scale/QuotaScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/QuotaScenario.java
@@ -67,14 +67,14 @@
       throw new RefusedException(
           "at most " + QuotaExchange.MAX_TENANTS + " tenants' quotas are lent, got " + size);
     }
-    try (Loops loops = new Loops(MEMBERS);
+    try (EventLoops loops = new EventLoops(MEMBERS);
         HollowFleet fleet = HollowFleet.start(loops, seed)) {
       deadline.await("every member knows every other", fleet::allKnown);
       return measure(size, seed, loops, fleet);
     }
   }
 
-  private Map<String, Double> measure(int tenants, long seed, Loops loops, HollowFleet fleet)
+  private Map<String, Double> measure(int tenants, long seed, EventLoops loops, HollowFleet fleet)
       throws InterruptedException {
     Map<String, Double> figures = new TreeMap<>();
     double withoutQuotas = processorMicrosPerSecond(loops);
@@ -108,7 +108,7 @@
   }
 
   /** Of one member, while the rest passes. */
-  private double processorMicrosPerSecond(Loops loops) throws InterruptedException {
+  private double processorMicrosPerSecond(EventLoops loops) throws InterruptedException {
     long before = loops.processorNanos();
     long from = System.nanoTime();
     TimeUnit.MILLISECONDS.sleep(rest.toMillis());
