--- a/src/main/java/pumicekeel/cli/RigScaleCommand.java
+++ b/src/main/java/pumicekeel/cli/RigScaleCommand.java
@@ -124,9 +124,9 @@
         json ? spec.commandLine().getErr() : spec.commandLine().getOut());
     try (Watchdog watchdog = new Watchdog(timeLimit, () -> Runtime.getRuntime().halt(1))) {
       Deadline deadline = Deadline.after(timeLimit, TimeUnit.SECONDS);
-      ScaleRun.End end = new ScaleRun(plan, results, deadline, progress).run();
+      ScaleRun.Outcome end = new ScaleRun(plan, results, deadline, progress).run();
       if (json) {
-        spec.commandLine().getOut().print(ResultFile.text(results.samples()));
+        spec.commandLine().getOut().print(ResultFile.toJsonLines(results.samples()));
         spec.commandLine().getOut().flush();
       }
       progress.println(
@@ -137,7 +137,7 @@
             case NOT_REACHED ->
               "stopped: a state was not reached; the points measured before are in " + result;
           });
-      return end == ScaleRun.End.COMPLETE ? 0 : 1;
+      return end == ScaleRun.Outcome.COMPLETE ? 0 : 1;
     }
   }
 
--- a/src/main/java/pumicekeel/rig/scale/CapacityPage.java
+++ b/src/main/java/pumicekeel/rig/scale/CapacityPage.java
@@ -69,7 +69,7 @@
   }
 
   private List<Sample> samples(String scenario, String figure) {
-    return results.of(scenario).stream()
+    return results.samplesOf(scenario).stream()
         .filter(s -> s.figures().containsKey(figure))
         .toList();
   }
@@ -150,7 +150,7 @@
     Map<Integer, Double> medians = new TreeMap<>(slope.medians());
     String measured = String.format(Locale.ROOT, "%,d", slope.largest()) + ": "
         + unit.shown(medians.get(slope.largest()));
-    return results.of(scenario).stream()
+    return results.samplesOf(scenario).stream()
         .filter(s -> s.figures().containsKey(ScaleRun.REFUSED))
         .map(Sample::size)
         .min(Integer::compare)
--- a/src/main/java/pumicekeel/rig/scale/ResultFile.java
+++ b/src/main/java/pumicekeel/rig/scale/ResultFile.java
@@ -76,11 +76,11 @@
   }
 
   /** The samples of one scenario. */
-  public List<Sample> of(String scenario) {
+  public List<Sample> samplesOf(String scenario) {
     return samples().stream().filter(s -> s.scenario().equals(scenario)).toList();
   }
 
-  public boolean has(String scenario, int size, int round) {
+  public boolean contains(String scenario, int size, int round) {
     return samples.stream()
         .anyMatch(s -> s.scenario().equals(scenario) && s.size() == size && s.round() == round);
   }
@@ -89,12 +89,12 @@
   public void add(Sample sample) throws IOException {
     samples.add(sample);
     Path next = file.resolveSibling(file.getFileName() + ".next");
-    Files.writeString(next, text(samples()));
+    Files.writeString(next, toJsonLines(samples()));
     Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
   /** One line of JSON a sample. */
-  public static String text(Collection<Sample> samples) throws IOException {
+  public static String toJsonLines(Collection<Sample> samples) throws IOException {
     StringBuilder out = new StringBuilder();
     for (Sample sample : samples) {
       out.append(line(sample)).append('\n');
--- a/src/main/java/pumicekeel/rig/scale/ScaleRun.java
+++ b/src/main/java/pumicekeel/rig/scale/ScaleRun.java
@@ -16,7 +16,7 @@
 public final class ScaleRun {
 
   /** How a run ended. */
-  public enum End {
+  public enum Outcome {
     /** The file holds every point that was asked for. */
     COMPLETE,
     /** The time was up first; the same command goes on from there. */
@@ -70,29 +70,29 @@
   }
 
   /** Plays what is missing. */
-  public End run() throws IOException, InterruptedException {
+  public Outcome run() throws IOException, InterruptedException {
     int done = 0;
     for (int round = 1; round <= plan.rounds(); round++) {
       for (Scenario scenario : plan.scenarios()) {
         for (int size : plan.sizesOf(scenario)) {
           done++;
-          if (results.has(scenario.name(), size, round)) {
+          if (results.contains(scenario.name(), size, round)) {
             continue;
           }
           if (deadline.isOver()) {
-            return End.OUT_OF_TIME;
+            return Outcome.OUT_OF_TIME;
           }
           try {
             progress.printf("%d of %d: ", done, plan.points());
             play(scenario, size, round);
           } catch (TimeoutException e) {
             progress.println(e.getMessage());
-            return deadline.isOver() ? End.OUT_OF_TIME : End.NOT_REACHED;
+            return deadline.isOver() ? Outcome.OUT_OF_TIME : Outcome.NOT_REACHED;
           }
         }
       }
     }
-    return End.COMPLETE;
+    return Outcome.COMPLETE;
   }
 
   private void play(Scenario scenario, int size, int round)
--- a/src/main/java/pumicekeel/rig/scale/SlopePlot.java
+++ b/src/main/java/pumicekeel/rig/scale/SlopePlot.java
@@ -48,7 +48,7 @@
   public static void writeAll(Path page, String text, ResultFile results) throws IOException {
     Matcher picture = PICTURE.matcher(text);
     while (picture.find()) {
-      List<Sample> samples = results.of(picture.group(3)).stream()
+      List<Sample> samples = results.samplesOf(picture.group(3)).stream()
           .filter(s -> s.figures().containsKey(picture.group(4)))
           .toList();
       if (!Slope.isFit(samples)) {
--- a/src/test/java/pumicekeel/rig/scale/ScaleRunTest.java
+++ b/src/test/java/pumicekeel/rig/scale/ScaleRunTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeoutException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pumicekeel.rig.scale.ScaleRun.End;
+import pumicekeel.rig.scale.ScaleRun.Outcome;
 
 class ScaleRunTest {
 
@@ -72,7 +72,7 @@
     }
   }
 
-  private End run(Fake fake, Deadline deadline) throws IOException, InterruptedException {
+  private Outcome run(Fake fake, Deadline deadline) throws IOException, InterruptedException {
     ScaleRun.Plan plan = new ScaleRun.Plan(List.of(fake), List.of(), 3, "build", 7);
     return new ScaleRun(plan, results(), deadline, new PrintStream(OutputStream.nullOutputStream()))
         .run();
@@ -88,9 +88,9 @@
 
   @Test
   void everySizeOfEveryRoundIsKept() throws Exception {
-    assertEquals(End.COMPLETE, run(new Fake(590), later()));
+    assertEquals(Outcome.COMPLETE, run(new Fake(590), later()));
     assertEquals(12, results().samples().size());
-    Sample last = results().of("fake").get(11);
+    Sample last = results().samplesOf("fake").get(11);
     assertEquals(590, last.size());
     assertEquals(3, last.round());
     assertEquals(10, last.seed());
@@ -102,29 +102,29 @@
   void whatTheFileHasIsNotPlayedAgain() throws Exception {
     Fake first = new Fake(590);
     first.fails = true;
-    assertEquals(End.NOT_REACHED, run(first, later()));
+    assertEquals(Outcome.NOT_REACHED, run(first, later()));
     run(new Fake(590), later());
     Fake again = new Fake(590);
-    assertEquals(End.COMPLETE, run(again, later()));
+    assertEquals(Outcome.COMPLETE, run(again, later()));
     assertEquals(List.of(), again.played);
   }
 
   @Test
   void nothingBeginsOnceTheTimeIsUp() throws Exception {
     Fake fake = new Fake(590);
-    assertEquals(End.OUT_OF_TIME, run(fake, Deadline.after(0, TimeUnit.SECONDS)));
+    assertEquals(Outcome.OUT_OF_TIME, run(fake, Deadline.after(0, TimeUnit.SECONDS)));
     assertEquals(List.of(), fake.played);
   }
 
   @Test
   void aRefusedSizeIsAResult() throws Exception {
-    assertEquals(End.COMPLETE, run(new Fake(350), later()));
+    assertEquals(Outcome.COMPLETE, run(new Fake(350), later()));
     assertEquals(
         3,
         results().samples().stream()
             .filter(s -> s.figures().containsKey(ScaleRun.REFUSED))
             .count());
-    assertEquals(350, Slope.of(results().of("fake"), "state-bytes").largest());
+    assertEquals(350, Slope.of(results().samplesOf("fake"), "state-bytes").largest());
   }
 
   @Test
