--- a/src/main/java/pumicekeel/cli/RigScaleCommand.java
+++ b/src/main/java/pumicekeel/cli/RigScaleCommand.java
@@ -174,7 +174,7 @@
     MachineLimits limits = MachineLimits.current();
     for (Scenario scenario : plan.scenarios()) {
       for (int size : plan.sizesOf(scenario)) {
-        String objection = limits.objection(scenario, size);
+        String objection = limits.exceededLimit(scenario, size);
         if (objection != null) {
           spec.commandLine().getErr().println(objection);
           return true;
@@ -228,7 +228,7 @@
       }
       ResultFile results = ResultFile.open(result);
       String before = Files.readString(page);
-      String after = new CapacityPage(results).filled(before);
+      String after = new CapacityPage(results).fill(before);
       if (check) {
         boolean same = after.equals(before);
         spec.commandLine()
--- a/src/main/java/pumicekeel/rig/scale/CapacityPage.java
+++ b/src/main/java/pumicekeel/rig/scale/CapacityPage.java
@@ -46,7 +46,7 @@
   }
 
   /** The page with all figures as the results have them. */
-  public String filled(String page) {
+  public String fill(String page) {
     String rows = page.lines().map(this::row).collect(Collectors.joining("\n", "", "\n"));
     return IN_TEXT.matcher(rows).replaceAll(this::inText);
   }
@@ -84,11 +84,11 @@
     if (key == null || !key.matches()) {
       return line;
     }
-    fill(cells, key.group(1), key.group(2));
+    fillCells(cells, key.group(1), key.group(2));
     return Arrays.stream(cells, 1, CELLS + 1).collect(Collectors.joining(" | ", "| ", " |"));
   }
 
-  private void fill(String[] cells, String scenario, String figure) {
+  private void fillCells(String[] cells, String scenario, String figure) {
     List<Sample> samples = samples(scenario, figure);
     if (!Slope.isFit(samples)) {
       cells[SLOPE_CELL] = EMPTY;
--- a/src/main/java/pumicekeel/rig/scale/CheckScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/CheckScenario.java
@@ -71,7 +71,7 @@
     try (ChildProcess check =
         ChildProcess.start(FLAGS, Map.of(), List.of("check", file.toString()))) {
       double processorMillis = 0;
-      while (check.isRunning() && !deadline.isOver()) {
+      while (check.isRunning() && !deadline.hasExpired()) {
         check.peakBytes();
         processorMillis = Math.max(processorMillis, check.processorTime().toMillis());
         Thread.sleep(5);
--- a/src/main/java/pumicekeel/rig/scale/Deadline.java
+++ b/src/main/java/pumicekeel/rig/scale/Deadline.java
@@ -20,11 +20,11 @@
     return new Deadline(System.nanoTime() + unit.toNanos(time));
   }
 
-  public boolean isOver() {
+  public boolean hasExpired() {
     return System.nanoTime() - at >= 0;
   }
 
-  public long leftMillis() {
+  public long remainingMillis() {
     return Math.max(0, TimeUnit.NANOSECONDS.toMillis(at - System.nanoTime()));
   }
 
@@ -33,7 +33,7 @@
       throws TimeoutException, InterruptedException {
     long from = System.nanoTime();
     while (!condition.getAsBoolean()) {
-      if (isOver()) {
+      if (hasExpired()) {
         throw new TimeoutException("not reached in time: " + what);
       }
       TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
--- a/src/main/java/pumicekeel/rig/scale/MachineLimits.java
+++ b/src/main/java/pumicekeel/rig/scale/MachineLimits.java
@@ -21,7 +21,7 @@
   }
 
   /** Why a scenario may not be played at a size; null where it may. */
-  public String objection(Scenario scenario, int size) {
+  public String exceededLimit(Scenario scenario, int size) {
     long bytes = scenario.estimatedBytes(size);
     String what = scenario.name() + " at " + size + " " + scenario.axis().key();
     if (bytes > memoryBytes / MEMORY_PARTS) {
--- a/src/main/java/pumicekeel/rig/scale/ScaleRun.java
+++ b/src/main/java/pumicekeel/rig/scale/ScaleRun.java
@@ -79,7 +79,7 @@
           if (results.contains(scenario.name(), size, round)) {
             continue;
           }
-          if (deadline.isOver()) {
+          if (deadline.hasExpired()) {
             return Outcome.OUT_OF_TIME;
           }
           try {
@@ -87,7 +87,7 @@
             play(scenario, size, round);
           } catch (TimeoutException e) {
             progress.println(e.getMessage());
-            return deadline.isOver() ? Outcome.OUT_OF_TIME : Outcome.NOT_REACHED;
+            return deadline.hasExpired() ? Outcome.OUT_OF_TIME : Outcome.NOT_REACHED;
           }
         }
       }
--- a/src/test/java/pumicekeel/rig/scale/CapacityPageTest.java
+++ b/src/test/java/pumicekeel/rig/scale/CapacityPageTest.java
@@ -42,7 +42,7 @@
   }
 
   private String filled(String page) {
-    return new CapacityPage(results).filled(page);
+    return new CapacityPage(results).fill(page);
   }
 
   @Test
@@ -84,6 +84,6 @@
     ResultFile committed = ResultFile.open(Path.of("experiments", "capacity.jsonl"));
     String page = Files.readString(Path.of("docs", "CAPACITY.md"));
     assertTrue(page.contains("`membership/state-bytes`"));
-    assertEquals(new CapacityPage(committed).filled(page), page);
+    assertEquals(new CapacityPage(committed).fill(page), page);
   }
 }
--- a/src/test/java/pumicekeel/rig/scale/ScaleRunTest.java
+++ b/src/test/java/pumicekeel/rig/scale/ScaleRunTest.java
@@ -130,12 +130,12 @@
   @Test
   void aSizeThatTheMachineCannotHoldIsRefusedInOneLine() {
     Fake fake = new Fake(590);
-    assertNull(new MachineLimits(1_000, 1_000, 1_000).objection(fake, 500));
+    assertNull(new MachineLimits(1_000, 1_000, 1_000).exceededLimit(fake, 500));
     assertTrue(new MachineLimits(1_000, 1_000, 1_000)
-        .objection(fake, 501)
+        .exceededLimit(fake, 501)
         .contains("more than half of this machine's"));
-    assertTrue(new MachineLimits(1_000, 400, 1_000).objection(fake, 401).contains("larger -Xmx"));
-    assertTrue(new MachineLimits(1_000, 1_000, 400).objection(fake, 401).contains("descriptors"));
+    assertTrue(new MachineLimits(1_000, 400, 1_000).exceededLimit(fake, 401).contains("larger -Xmx"));
+    assertTrue(new MachineLimits(1_000, 1_000, 400).exceededLimit(fake, 401).contains("descriptors"));
   }
 
   @Test
