--- a/src/main/java/pumicekeel/rig/scale/CapacityPage.java
+++ b/src/main/java/pumicekeel/rig/scale/CapacityPage.java
@@ -65,7 +65,7 @@
     // No space: what stands in front of the marker is one word.
     return values.isEmpty()
         ? "unmeasured"
-        : Figures.shown(Unit.of(figure).of(Slope.median(values)));
+        : FigureFormat.format(Unit.ofFigure(figure).convert(Slope.median(values)));
   }
 
   private List<Sample> samples(String scenario, String figure) {
@@ -98,7 +98,7 @@
       cells[LEFT_CELL] = EMPTY;
       return;
     }
-    Unit unit = Unit.of(figure);
+    Unit unit = Unit.ofFigure(figure);
     Axis axis = samples.get(0).axis();
     Slope slope = Slope.of(samples, figure);
     cells[SLOPE_CELL] = slope(slope, unit, axis);
@@ -112,7 +112,7 @@
     }
     boolean grows = slope.shape() != Slope.Shape.CONSTANT;
     Slope.Projection target = grows ? slope.at(axis.target()) : slope.mean();
-    String shown = unit.shown(target.value()) + " ± " + Figures.shown(unit.of(target.error()));
+    String shown = unit.format(target.value()) + " ± " + FigureFormat.format(unit.convert(target.error()));
     if (projects && !grows) {
       cells[TARGET_CELL] = "no slope seen, mean " + shown;
       cells[LEFT_CELL] = EMPTY;
@@ -132,15 +132,15 @@
   }
 
   private static String slope(Slope slope, Unit unit, Axis axis) {
-    return Figures.shown(unit.of(slope.atZero())) + " + (" + Figures.shown(unit.of(slope.perUnit()))
-        + " ± " + Figures.shown(unit.of(slope.perUnitError())) + ") × " + axis.key();
+    return FigureFormat.format(unit.convert(slope.atZero())) + " + (" + FigureFormat.format(unit.convert(slope.perUnit()))
+        + " ± " + FigureFormat.format(unit.convert(slope.perUnitError())) + ") × " + axis.key();
   }
 
   private static String growth(Slope slope) {
     String shape = slope.shape().name().toLowerCase(Locale.ROOT);
     return switch (slope.shape()) {
       case SUPERLINEAR, SUBLINEAR ->
-        shape + ", square " + Figures.shown(100 * slope.curvature()) + " %";
+        shape + ", square " + FigureFormat.format(100 * slope.curvature()) + " %";
       case LINEAR, CONSTANT -> shape;
     };
   }
@@ -149,7 +149,7 @@
   private String largest(String scenario, Slope slope, Unit unit, String figure) {
     Map<Integer, Double> medians = new TreeMap<>(slope.medians());
     String measured = String.format(Locale.ROOT, "%,d", slope.largest()) + ": "
-        + unit.shown(medians.get(slope.largest()));
+        + unit.format(medians.get(slope.largest()));
     return results.samplesOf(scenario).stream()
         .filter(s -> s.figures().containsKey(ScaleRun.REFUSED))
         .map(Sample::size)
@@ -165,9 +165,9 @@
       return EMPTY;
     }
     double most = Double.parseDouble(number.group().replace(",", ""));
-    double left = most - unit.of(target.value());
+    double left = most - unit.convert(target.value());
     return left >= 0
-        ? Figures.shown(left) + " " + unit.symbol()
-        : "over by " + Figures.shown(-left) + " " + unit.symbol();
+        ? FigureFormat.format(left) + " " + unit.symbol()
+        : "over by " + FigureFormat.format(-left) + " " + unit.symbol();
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/Figures.java
+++ b/src/main/java/pumicekeel/rig/scale/FigureFormat.java
@@ -6,14 +6,14 @@
 import java.util.stream.Collectors;
 
 /** Numbers as people read them. */
-final class Figures {
+final class FigureFormat {
 
   private static final int MOST_DECIMALS = 12;
 
-  private Figures() {}
+  private FigureFormat() {}
 
   /** Three significant digits, without an exponent. */
-  static String shown(double value) {
+  static String format(double value) {
     double size = Math.abs(value);
     if (size == 0) {
       return "0";
@@ -26,10 +26,10 @@
   }
 
   /** Names and values on one line. */
-  static String shown(Map<String, Double> figures) {
+  static String format(Map<String, Double> figures) {
     return new TreeMap<>(figures)
         .entrySet().stream()
-            .map(e -> e.getKey() + " " + shown(e.getValue()))
+            .map(e -> e.getKey() + " " + format(e.getValue()))
             .collect(Collectors.joining(", "));
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/ScaleRun.java
+++ b/src/main/java/pumicekeel/rig/scale/ScaleRun.java
@@ -117,6 +117,6 @@
         figures));
     progress.printf(
         "    %.1f s: %s%n",
-        (System.nanoTime() - from) / (double) TimeUnit.SECONDS.toNanos(1), Figures.shown(figures));
+        (System.nanoTime() - from) / (double) TimeUnit.SECONDS.toNanos(1), FigureFormat.format(figures));
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/SlopePlot.java
+++ b/src/main/java/pumicekeel/rig/scale/SlopePlot.java
@@ -67,7 +67,7 @@
    */
   public static void write(Path file, List<Sample> samples, String figure, double budget)
       throws IOException {
-    Unit unit = Unit.of(figure);
+    Unit unit = Unit.ofFigure(figure);
     Axis axis = samples.get(0).axis();
     XYSeriesCollection data = data(samples, figure, unit, axis, budget);
     String title = samples.get(0).scenario() + ": " + figure;
@@ -90,7 +90,7 @@
     XYSeries points = new XYSeries("samples");
     samples.stream()
         .filter(s -> s.figures().containsKey(figure))
-        .forEach(s -> points.add(s.size(), unit.of(s.figures().get(figure))));
+        .forEach(s -> points.add(s.size(), unit.convert(s.figures().get(figure))));
     XYSeries line = new XYSeries("least squares");
     XYSeries low = new XYSeries("95 % interval of the line");
     XYSeries high = new XYSeries("upper end");
@@ -100,9 +100,9 @@
     for (int i = 0; i <= STEPS; i++) {
       double size = end * i / STEPS;
       Slope.Projection at = slope.at(size);
-      line.add(size, unit.of(at.value()));
-      low.add(size, unit.of(at.value() - at.error()));
-      high.add(size, unit.of(at.value() + at.error()));
+      line.add(size, unit.convert(at.value()));
+      low.add(size, unit.convert(at.value() - at.error()));
+      high.add(size, unit.convert(at.value() + at.error()));
       most.add(size, budget);
     }
     XYSeriesCollection data = new XYSeriesCollection();
--- a/src/main/java/pumicekeel/rig/scale/Unit.java
+++ b/src/main/java/pumicekeel/rig/scale/Unit.java
@@ -21,7 +21,7 @@
   }
 
   /** The unit of a figure. */
-  static Unit of(String figure) {
+  static Unit ofFigure(String figure) {
     for (Unit unit : values()) {
       if (figure.endsWith(unit.ending)) {
         return unit;
@@ -35,12 +35,12 @@
   }
 
   /** A value of the result file in this unit. */
-  double of(double value) {
+  double convert(double value) {
     return value / divisor;
   }
 
   /** A value of the result file as people read it. */
-  String shown(double value) {
-    return Figures.shown(of(value)) + (symbol.isEmpty() ? "" : " " + symbol);
+  String format(double value) {
+    return FigureFormat.format(convert(value)) + (symbol.isEmpty() ? "" : " " + symbol);
   }
 }
