--- a/src/main/java/pumicekeel/cli/RigScaleCommand.java
+++ b/src/main/java/pumicekeel/cli/RigScaleCommand.java
@@ -124,9 +124,9 @@
         json ? spec.commandLine().getErr() : spec.commandLine().getOut());
     try (Watchdog watchdog = new Watchdog(timeLimit, () -> Runtime.getRuntime().halt(1))) {
       Deadline deadline = Deadline.after(timeLimit, TimeUnit.SECONDS);
-      ScaleRun.End end = new ScaleRun(plan, results, deadline, progress).run();
+      ScaleRun.Outcome end = new ScaleRun(plan, results, deadline, progress).run();
       if (json) {
-        spec.commandLine().getOut().print(ResultFile.text(results.samples()));
+        spec.commandLine().getOut().print(ResultFile.toJsonLines(results.samples()));
         spec.commandLine().getOut().flush();
       }
       progress.println(
@@ -137,7 +137,7 @@
             case NOT_REACHED ->
               "stopped: a state was not reached; the points measured before are in " + result;
           });
-      return end == ScaleRun.End.COMPLETE ? 0 : 1;
+      return end == ScaleRun.Outcome.COMPLETE ? 0 : 1;
     }
   }
 
@@ -174,7 +174,7 @@
     MachineLimits limits = MachineLimits.current();
     for (Scenario scenario : plan.scenarios()) {
       for (int size : plan.sizesOf(scenario)) {
-        String objection = limits.objection(scenario, size);
+        String objection = limits.exceededLimit(scenario, size);
         if (objection != null) {
           spec.commandLine().getErr().println(objection);
           return true;
@@ -228,7 +228,7 @@
       }
       ResultFile results = ResultFile.open(result);
       String before = Files.readString(page);
-      String after = new CapacityPage(results).filled(before);
+      String after = new CapacityPage(results).fill(before);
       if (check) {
         boolean same = after.equals(before);
         spec.commandLine()
