--- a/src/main/java/pumicekeel/rig/scale/ConfigurationScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/ConfigurationScenario.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorReader;
 import pumicekeel.rig.scale.ConfigurationGenerator.Size;
 import pumicekeel.route.RouteTable;
@@ -88,7 +88,7 @@
     long allocatedBefore = ProcessMeter.allocatedBytes();
     long processorBefore = ProcessMeter.processorNanos();
     long startedAt = System.nanoTime();
-    Operator operator = read(text);
+    OperatorConfiguration operator = read(text);
     figures.put("read-ms", (System.nanoTime() - startedAt) / 1e6);
     startedAt = System.nanoTime();
     RouteTable table = new RouteTable(operator.routes());
@@ -112,7 +112,7 @@
     return heapWithState - ProcessMeter.heapAfterCollection();
   }
 
-  private static Operator read(String text) throws RefusedException {
+  private static OperatorConfiguration read(String text) throws RefusedException {
     OperatorReader.Result result = OperatorReader.read(text);
     if (!result.faults().isEmpty()) {
       List<?> faults = result.faults();
--- a/src/main/java/pumicekeel/rig/scale/HollowFleet.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowFleet.java
@@ -18,19 +18,19 @@
   /** A free port may be taken by another process between its selection and the bind. */
   private static final int MAX_BIND_ATTEMPTS = 3;
 
-  private final Loops loops;
+  private final EventLoops loops;
   private final List<PeerLink> members;
   /** When the number of live members last changed in each member's view, by System.nanoTime. */
   private final AtomicLongArray liveCountChangedAt;
 
-  private HollowFleet(Loops loops, List<PeerLink> members, AtomicLongArray liveCountChangedAt) {
+  private HollowFleet(EventLoops loops, List<PeerLink> members, AtomicLongArray liveCountChangedAt) {
     this.loops = loops;
     this.members = members;
     this.liveCountChangedAt = liveCountChangedAt;
   }
 
   /** Starts a member on each loop; each member knows all addresses, but not the state of any other member. */
-  static HollowFleet start(Loops loops, long seed) throws IOException, InterruptedException {
+  static HollowFleet start(EventLoops loops, long seed) throws IOException, InterruptedException {
     for (int attempt = 1; ; attempt++) {
       List<PeerLink> members = new ArrayList<>();
       AtomicLongArray liveCountChangedAt = new AtomicLongArray(loops.size());
@@ -122,7 +122,7 @@
   }
 
   /** Attaches another protocol to each member's socket. */
-  void attach(Loops.NumberedCall<PeerService> service) {
+  void attach(EventLoops.IndexedCall<PeerService> service) {
     loops.callAll(i -> {
       members.get(i).attach(service.call(i));
       return null;
--- a/src/main/java/pumicekeel/rig/scale/ListWatchScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/ListWatchScenario.java
@@ -98,7 +98,7 @@
   private Map<String, Double> measure(Counts counts, Duration idleTime, Deadline deadline)
       throws TimeoutException, InterruptedException, IOException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    try (Loops loops = new Loops(counts.balancers());
+    try (EventLoops loops = new EventLoops(counts.balancers());
         StandInDiscovery discovery = new StandInDiscovery(group)) {
       for (int i = 0; i < counts.upstreams(); i++) {
         announce(discovery, i, "in_service");
@@ -110,7 +110,7 @@
   }
 
   private static Map<String, Double> measure(
-      Counts counts, Duration idleTime, Loops loops, StandInDiscovery discovery, Deadline deadline)
+      Counts counts, Duration idleTime, EventLoops loops, StandInDiscovery discovery, Deadline deadline)
       throws TimeoutException, InterruptedException, IOException {
     WatchTerms terms = WatchTerms.of(Decoder.settings(Fields.parse("settings", DemoSettings.JSON)));
     CountingSockets sockets = new CountingSockets();
@@ -145,7 +145,7 @@
   }
 
   /** Returns the heap size with all watchers minus that without them. */
-  private static double stateBytes(Loops loops, List<ListWatcher> watchers) {
+  private static double stateBytes(EventLoops loops, List<ListWatcher> watchers) {
     long heapWithWatchers = ProcessMeter.heapAfterCollection();
     loops.callAll(i -> {
       watchers.get(i).close();
@@ -157,7 +157,7 @@
 
   private static void measureChanges(
       Counts counts,
-      Loops loops,
+      EventLoops loops,
       StandInDiscovery discovery,
       List<ListWatcher> watchers,
       CountingSockets sockets,
@@ -181,7 +181,7 @@
 
   /** Waits until all watchers have a version; returns the latency of the last one since {@code since}, in milliseconds. */
   private static double awaitVersion(
-      Loops loops, List<ListWatcher> watchers, long version, long since, Deadline deadline)
+      EventLoops loops, List<ListWatcher> watchers, long version, long since, Deadline deadline)
       throws TimeoutException, InterruptedException {
     deadline.await(
         "version " + version + " of the list received by all watchers",
--- a/src/main/java/pumicekeel/rig/scale/QuotaScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/QuotaScenario.java
@@ -70,14 +70,14 @@
       throw new RefusedException("expected at most " + QuotaExchange.MAX_TENANTS
           + " tenants, the maximum of the quota exchange, got " + size);
     }
-    try (Loops loops = new Loops(MEMBERS);
+    try (EventLoops loops = new EventLoops(MEMBERS);
         HollowFleet fleet = HollowFleet.start(loops, seed)) {
       deadline.await("every member knows every other", fleet::allConsideredLive);
       return measure(size, seed, loops, fleet);
     }
   }
 
-  private Map<String, Double> measure(int tenants, long seed, Loops loops, HollowFleet fleet)
+  private Map<String, Double> measure(int tenants, long seed, EventLoops loops, HollowFleet fleet)
       throws InterruptedException {
     Map<String, Double> figures = new TreeMap<>();
     double microsWithoutQuotas = processorMicrosPerSecond(loops);
@@ -112,7 +112,7 @@
   }
 
   /** Measures for {@code measureTime} and returns the processor time of one member, in microseconds per second. */
-  private double processorMicrosPerSecond(Loops loops) throws InterruptedException {
+  private double processorMicrosPerSecond(EventLoops loops) throws InterruptedException {
     long processorBefore = loops.processorNanos();
     long startedAt = System.nanoTime();
     TimeUnit.MILLISECONDS.sleep(measureTime.toMillis());
