--- a/src/main/java/pumicekeel/rig/scale/BalancerProcess.java
+++ b/src/main/java/pumicekeel/rig/scale/BalancerProcess.java
@@ -14,14 +14,14 @@
 import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInDiscovery;
 
-/** A real balancer with an operator file, in a process of its own, and the discovery that its platform names. */
+/** A balancer process with an operator file, and the stand-in discovery service that its configuration refers to. */
 final class BalancerProcess implements Closeable {
 
-  /** What the control side may take, and as much for everything else. */
+  /** Maximum heap: half of it is the budget of the control plane, the other half is for everything else. */
   static final long HEAP_BYTES = 256L << 20;
 
-  /** Those of the deploy file's {@code run}, but for the heap and without the archive. */
-  private static final List<String> FLAGS = List.of(
+  /** The JVM flags of the deploy file's {@code run} command, except for the heap size and the shared class archive. */
+  private static final List<String> JVM_FLAGS = List.of(
       "-XX:+UseSerialGC",
       "-XX:-UsePerfData",
       "-XX:TieredStopAtLevel=1",
@@ -33,8 +33,8 @@
       "-Xss512k",
       "-Dio.netty.jfr.enabled=false");
 
-  private static final int SOCKETS = 4_096;
-  private static final String READY = " serves at /";
+  private static final int SOCKET_LIMIT = 4_096;
+  private static final String READY_MARKER = " serves at /";
 
   private final Path folder;
   private final StandInDiscovery discovery;
@@ -47,7 +47,12 @@
     this.process = process;
   }
 
-  /** Starts one with this operator file and waits until it is ready. */
+  /**
+   * Starts a balancer with an operator file and waits until it is ready.
+   *
+   * @param operatorFile the text of the operator file
+   * @throws RefusedException if the process exits before it is ready
+   */
   static BalancerProcess start(String operatorFile, EventLoopGroup standIns, Deadline deadline)
       throws RefusedException, TimeoutException, InterruptedException, IOException {
     Path folder = Files.createTempDirectory("scale");
@@ -56,7 +61,7 @@
     Path configuration = Files.writeString(
         folder.resolve("config.json"), configuration(Addresses.text(discovery.address())));
     ChildProcess process = ChildProcess.start(
-        FLAGS,
+        JVM_FLAGS,
         Map.of("PROXY_CONFIG", configuration.toString()),
         List.of("serve", "--operator", operator.toString()));
     BalancerProcess balancer = new BalancerProcess(folder, discovery, process);
@@ -71,7 +76,7 @@
 
   private static String configuration(String discovery) {
     return "{\"name\":\"scale\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery
-        + "\",\"seed\":\"1\",\"limits\":{\"sockets\":" + SOCKETS
+        + "\",\"seed\":\"1\",\"limits\":{\"sockets\":" + SOCKET_LIMIT
         + "},\"known\":{\"index\":0,\"snapshot\":true,\"endpoints\":[]},\"settings\":"
         + DemoSettings.JSON + "}";
   }
@@ -82,24 +87,25 @@
         deadline.await("the balancer is ready", () -> !process.isRunning() || readyLine() != null);
     if (!process.isRunning()) {
       throw new RefusedException(
-          "serve ended with " + process.status() + ": " + process.firstLine());
+          "serve exited with status " + process.status() + ": " + process.firstLine());
     }
   }
 
   private String readyLine() {
     return process.lines().stream()
-        .filter(line -> line.contains(READY))
+        .filter(line -> line.contains(READY_MARKER))
         .findFirst()
         .orElse(null);
   }
 
-  /** Where clients connect. */
+  /** Returns the address at which the balancer accepts clients. */
   InetSocketAddress address() {
     String line = readyLine();
-    return Addresses.parse("log", line.substring(line.indexOf(READY) + READY.length()));
+    return Addresses.parse(
+        "log", line.substring(line.indexOf(READY_MARKER) + READY_MARKER.length()));
   }
 
-  /** From the start of the process until it was ready. */
+  /** Returns the time from the start of the process until it was ready. */
   double readyMillis() {
     return readyMillis;
   }
@@ -125,7 +131,7 @@
       Files.deleteIfExists(folder.resolve("config.json"));
       Files.deleteIfExists(folder);
     } catch (IOException e) {
-      // A temporary folder that stays behind spoils nothing.
+      // A temporary folder that cannot be deleted does not affect the results.
     }
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/CapacityPage.java
+++ b/src/main/java/pumicekeel/rig/scale/CapacityPage.java
@@ -11,17 +11,17 @@
 import java.util.stream.Collectors;
 
 /**
- * A page whose figures come from a {@link ResultFile}. A row of a table names its figure in the second cell as {@code
- * `SCENARIO/FIGURE`}; the cells for slope, value at the target, growth, largest size and what is left of the budget are filled in.
- * A number in the text stands in front of {@code <!--SCENARIO/FIGURE@SIZE-->}, and is the median at that size.
+ * Fills the figures of a Markdown page from a {@link ResultFile}. A table row names its figure in the second cell as {@code
+ * `SCENARIO/FIGURE`}; the cells for slope, value at the target, growth, largest size and remaining budget are filled. A number in the
+ * text is marked by {@code <!--SCENARIO/FIGURE@SIZE-->} directly after it and is replaced by the median at that size.
  *
- * <p>Only a straight line is followed beyond the largest size that was measured. A figure that does not grow has its mean at the target.
+ * <p>Only a linear fit is extrapolated beyond the largest measured size. For a figure that does not grow, the target cell shows the mean.
  *
- * <p>Filling a page twice gives the same page, so one that was filled last from other results, or edited by hand, is told apart.
+ * <p>Filling is idempotent, so comparing a page with its filled form finds a page that was filled from other results or edited by hand.
  */
 public final class CapacityPage {
 
-  /** Cells of a row, counted from 1 as they stand between bars. */
+  /** Indices of the cells of a row, starting at 1, because splitting at bars yields an empty text before the first bar. */
   private static final int KEY_CELL = 2;
 
   private static final int SLOPE_CELL = 3;
@@ -29,40 +29,41 @@
   private static final int GROWTH_CELL = 5;
   private static final int LARGEST_CELL = 6;
   private static final int BUDGET_CELL = 7;
-  private static final int LEFT_CELL = 8;
+  private static final int REMAINING_CELL = 8;
   private static final int CELLS = 9;
 
   private static final Pattern KEY = Pattern.compile("`([a-z0-9-]+)/([a-z0-9-]+)`");
-  private static final Pattern IN_TEXT =
+  private static final Pattern INLINE_FIGURE =
       Pattern.compile("[^\\s(]+(<!--([a-z0-9-]+)/([a-z0-9-]+)@(\\d+)-->)");
   private static final Pattern NUMBER = Pattern.compile("[\\d,.]+");
-  private static final String UNMEASURED = "not measured";
+  private static final String NOT_MEASURED = "not measured";
   private static final String EMPTY = "";
 
   private final ResultFile results;
 
+  /** Creates a filler that takes its figures from these results. */
   public CapacityPage(ResultFile results) {
     this.results = results;
   }
 
-  /** The page with all figures as the results have them. */
+  /** Returns the page with all figures filled from the results. */
   public String fill(String page) {
-    String rows = page.lines().map(this::row).collect(Collectors.joining("\n", "", "\n"));
-    return IN_TEXT.matcher(rows).replaceAll(this::inText);
+    String rows = page.lines().map(this::fillRow).collect(Collectors.joining("\n", "", "\n"));
+    return INLINE_FIGURE.matcher(rows).replaceAll(this::fillInlineFigure);
   }
 
-  private String inText(MatchResult found) {
-    int size = Integer.parseInt(found.group(4));
-    String shown = median(found.group(2), found.group(3), size);
-    return Matcher.quoteReplacement(shown + found.group(1));
+  private String fillInlineFigure(MatchResult match) {
+    int size = Integer.parseInt(match.group(4));
+    String shown = median(match.group(2), match.group(3), size);
+    return Matcher.quoteReplacement(shown + match.group(1));
   }
 
   private String median(String scenario, String figure, int size) {
     List<Double> values = samples(scenario, figure).stream()
-        .filter(s -> s.size() == size)
-        .map(s -> s.figures().get(figure))
+        .filter(sample -> sample.size() == size)
+        .map(sample -> sample.figures().get(figure))
         .toList();
-    // No space: what stands in front of the marker is one word.
+    // One word, because the pattern replaces a single word before the marker.
     return values.isEmpty()
         ? "unmeasured"
         : FigureFormat.format(Unit.ofFigure(figure).convert(Slope.median(values)));
@@ -70,15 +71,14 @@
 
   private List<Sample> samples(String scenario, String figure) {
     return results.samplesOf(scenario).stream()
-        .filter(s -> s.figures().containsKey(figure))
+        .filter(sample -> sample.figures().containsKey(figure))
         .toList();
   }
 
-  private String row(String line) {
+  private String fillRow(String line) {
     if (!line.startsWith("|")) {
       return line;
     }
-    // The first part is what stands before the first bar: nothing.
     String[] cells = Arrays.stream(line.split("\\|", -1)).map(String::strip).toArray(String[]::new);
     Matcher key = cells.length == CELLS + 2 ? KEY.matcher(cells[KEY_CELL]) : null;
     if (key == null || !key.matches()) {
@@ -90,39 +90,40 @@
 
   private void fillCells(String[] cells, String scenario, String figure) {
     List<Sample> samples = samples(scenario, figure);
-    if (!Slope.isFit(samples)) {
+    if (!Slope.canFit(samples)) {
       cells[SLOPE_CELL] = EMPTY;
-      cells[TARGET_CELL] = UNMEASURED;
+      cells[TARGET_CELL] = NOT_MEASURED;
       cells[GROWTH_CELL] = EMPTY;
-      cells[LARGEST_CELL] = samples.isEmpty() ? EMPTY : sizesOf(samples);
-      cells[LEFT_CELL] = EMPTY;
+      cells[LARGEST_CELL] = samples.isEmpty() ? EMPTY : sizesText(samples);
+      cells[REMAINING_CELL] = EMPTY;
       return;
     }
     Unit unit = Unit.ofFigure(figure);
     Axis axis = samples.get(0).axis();
     Slope slope = Slope.of(samples, figure);
-    cells[SLOPE_CELL] = slope(slope, unit, axis);
-    cells[GROWTH_CELL] = growth(slope);
-    cells[LARGEST_CELL] = largest(scenario, slope, unit, figure);
-    boolean projects = axis.target() > slope.largest();
-    if (projects && slope.isCurved()) {
+    cells[SLOPE_CELL] = slopeText(slope, unit, axis);
+    cells[GROWTH_CELL] = growthText(slope);
+    cells[LARGEST_CELL] = largestSizeText(scenario, slope, unit, figure);
+    boolean extrapolated = axis.target() > slope.largestSize();
+    if (extrapolated && slope.isCurved()) {
       cells[TARGET_CELL] = "no projection: curved";
-      cells[LEFT_CELL] = EMPTY;
+      cells[REMAINING_CELL] = EMPTY;
       return;
     }
     boolean grows = slope.shape() != Slope.Shape.CONSTANT;
     Slope.Projection target = grows ? slope.at(axis.target()) : slope.mean();
-    String shown = unit.format(target.value()) + " ± " + FigureFormat.format(unit.convert(target.error()));
-    if (projects && !grows) {
+    String shown =
+        unit.format(target.value()) + " ± " + FigureFormat.format(unit.convert(target.error()));
+    if (extrapolated && !grows) {
       cells[TARGET_CELL] = "no slope seen, mean " + shown;
-      cells[LEFT_CELL] = EMPTY;
+      cells[REMAINING_CELL] = EMPTY;
       return;
     }
     cells[TARGET_CELL] = shown;
-    cells[LEFT_CELL] = left(cells[BUDGET_CELL], unit, target);
+    cells[REMAINING_CELL] = remainingBudget(cells[BUDGET_CELL], unit, target);
   }
 
-  private static String sizesOf(List<Sample> samples) {
+  private static String sizesText(List<Sample> samples) {
     return "only at "
         + samples.stream()
             .map(Sample::size)
@@ -131,12 +132,13 @@
             .collect(Collectors.joining(", "));
   }
 
-  private static String slope(Slope slope, Unit unit, Axis axis) {
-    return FigureFormat.format(unit.convert(slope.atZero())) + " + (" + FigureFormat.format(unit.convert(slope.perUnit()))
-        + " ± " + FigureFormat.format(unit.convert(slope.perUnitError())) + ") × " + axis.key();
+  private static String slopeText(Slope slope, Unit unit, Axis axis) {
+    return FigureFormat.format(unit.convert(slope.intercept())) + " + ("
+        + FigureFormat.format(unit.convert(slope.perUnit())) + " ± "
+        + FigureFormat.format(unit.convert(slope.perUnitError())) + ") × " + axis.key();
   }
 
-  private static String growth(Slope slope) {
+  private static String growthText(Slope slope) {
     String shape = slope.shape().name().toLowerCase(Locale.ROOT);
     return switch (slope.shape()) {
       case SUPERLINEAR, SUBLINEAR ->
@@ -145,29 +147,29 @@
     };
   }
 
-  /** The largest size that was measured with the median there, and from where on the program refuses. */
-  private String largest(String scenario, Slope slope, Unit unit, String figure) {
+  /** Returns the largest measured size with its median, and the smallest size that the program refused, if any. */
+  private String largestSizeText(String scenario, Slope slope, Unit unit, String figure) {
     Map<Integer, Double> medians = new TreeMap<>(slope.medians());
-    String measured = String.format(Locale.ROOT, "%,d", slope.largest()) + ": "
-        + unit.format(medians.get(slope.largest()));
+    String measured = String.format(Locale.ROOT, "%,d", slope.largestSize()) + ": "
+        + unit.format(medians.get(slope.largestSize()));
     return results.samplesOf(scenario).stream()
-        .filter(s -> s.figures().containsKey(ScaleRun.REFUSED))
+        .filter(sample -> sample.figures().containsKey(ScaleRun.REFUSED))
         .map(Sample::size)
         .min(Integer::compare)
         .map(size -> measured + "; refused at " + String.format(Locale.ROOT, "%,d", size))
         .orElse(measured);
   }
 
-  /** What is left of a budget at the target, in the unit of the figure. */
-  private static String left(String budget, Unit unit, Slope.Projection target) {
+  /** Returns how much of a budget remains at the target, or by how much it is exceeded, in the unit of the figure; empty for none. */
+  private static String remainingBudget(String budget, Unit unit, Slope.Projection target) {
     Matcher number = NUMBER.matcher(budget);
     if (!number.lookingAt()) {
       return EMPTY;
     }
-    double most = Double.parseDouble(number.group().replace(",", ""));
-    double left = most - unit.convert(target.value());
-    return left >= 0
-        ? FigureFormat.format(left) + " " + unit.symbol()
-        : "over by " + FigureFormat.format(-left) + " " + unit.symbol();
+    double budgetValue = Double.parseDouble(number.group().replace(",", ""));
+    double remaining = budgetValue - unit.convert(target.value());
+    return remaining >= 0
+        ? FigureFormat.format(remaining) + " " + unit.symbol()
+        : "over by " + FigureFormat.format(-remaining) + " " + unit.symbol();
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/ChildProcess.java
+++ b/src/main/java/pumicekeel/rig/scale/ChildProcess.java
@@ -15,11 +15,11 @@
 import java.util.concurrent.TimeUnit;
 import pumicekeel.rig.ProgramCommand;
 
-/** This program in a process of its own. It ends with this object, and with this process however that ends (Linux). */
+/** This program in a child process. The child is killed on {@link #close} and, on Linux, whenever this process ends. */
 final class ChildProcess implements Closeable {
 
-  /** Has the kernel end the child when its parent is gone, also by SIGKILL. */
-  private static final Path SET_PRIVILEGES = Path.of("/usr/bin/setpriv");
+  /** Makes the kernel kill the child when its parent ends, even if the parent is killed by SIGKILL. */
+  private static final Path SETPRIV = Path.of("/usr/bin/setpriv");
 
   private final Process process;
   private final List<String> lines = new CopyOnWriteArrayList<>();
@@ -28,18 +28,24 @@
 
   private ChildProcess(Process process) {
     this.process = process;
-    reader = new Thread(this::read, "child-output");
+    reader = new Thread(this::readOutput, "child-output");
     reader.setDaemon(true);
     reader.start();
   }
 
-  /** Starts it with flags of the JVM, variables beside this process's own, and arguments of the program. */
+  /**
+   * Starts the program.
+   *
+   * @param flags JVM flags
+   * @param variables environment variables, added to those of this process without its {@code PROXY_} variables
+   * @param arguments arguments of the program
+   */
   static ChildProcess start(
       List<String> flags, Map<String, String> variables, List<String> arguments)
       throws IOException {
     List<String> command = new ArrayList<>();
-    if (Files.isExecutable(SET_PRIVILEGES)) {
-      command.addAll(List.of(SET_PRIVILEGES.toString(), "--pdeathsig", "KILL"));
+    if (Files.isExecutable(SETPRIV)) {
+      command.addAll(List.of(SETPRIV.toString(), "--pdeathsig", "KILL"));
     }
     command.addAll(ProgramCommand.withFlags(flags));
     command.addAll(arguments);
@@ -49,48 +55,48 @@
     return new ChildProcess(builder.start());
   }
 
-  private void read() {
-    try (BufferedReader in = new BufferedReader(
+  private void readOutput() {
+    try (BufferedReader output = new BufferedReader(
         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
-      for (String line = in.readLine(); line != null; line = in.readLine()) {
+      for (String line = output.readLine(); line != null; line = output.readLine()) {
         lines.add(line);
       }
     } catch (IOException e) {
-      // The process has ended.
+      // The process has exited.
     }
   }
 
-  /** What it wrote so far. */
+  /** Returns the lines that the process has written so far to standard output and standard error. */
   List<String> lines() {
     return lines;
   }
 
-  /** The first of them, or that there was none. */
+  /** Returns the first line that the process wrote, or a placeholder if it wrote none. */
   String firstLine() {
-    return lines.stream().findFirst().orElse("no word");
+    return lines.stream().findFirst().orElse("no output");
   }
 
   boolean isRunning() {
     return process.isAlive();
   }
 
-  /** Its exit status; only once it has ended. */
+  /** Returns the exit status; fails while the process runs. */
   int status() {
     return process.exitValue();
   }
 
-  /** The largest resident set so far, in bytes, as of the last call while it ran. */
+  /** Returns the peak resident set size in bytes; after the process has exited, that of the last call before. */
   long peakBytes() throws IOException {
-    peakBytes = Math.max(peakBytes, memory("VmHWM:"));
+    peakBytes = Math.max(peakBytes, statusBytes("VmHWM:"));
     return peakBytes;
   }
 
-  /** The resident set now, in bytes. */
+  /** Returns the current resident set size in bytes; 0 after the process has exited. */
   long residentBytes() throws IOException {
-    return memory("VmRSS:");
+    return statusBytes("VmRSS:");
   }
 
-  private long memory(String field) throws IOException {
+  private long statusBytes(String field) throws IOException {
     try {
       return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
           .filter(line -> line.startsWith(field))
@@ -98,7 +104,7 @@
           .findFirst()
           .orElse(0);
     } catch (IOException e) {
-      // It ended before the file was opened, or while it was read.
+      // The process exited before the file was opened or while it was read.
       if (!process.isAlive()) {
         return 0;
       }
@@ -106,12 +112,12 @@
     }
   }
 
-  /** Processes that it has started. */
+  /** Returns the running processes that this one has started, directly or indirectly. */
   List<ProcessHandle> descendants() {
     return process.descendants().toList();
   }
 
-  /** Processor time so far; the system's grain is 10 ms. */
+  /** Returns the processor time used so far; the kernel counts it in steps of 10 ms. */
   Duration processorTime() {
     return process.info().totalCpuDuration().orElse(Duration.ZERO);
   }
--- a/src/main/java/pumicekeel/rig/scale/ControlMachines.java
+++ b/src/main/java/pumicekeel/rig/scale/ControlMachines.java
@@ -16,13 +16,15 @@
 import java.util.stream.Stream;
 import pumicekeel.runtime.Addresses;
 
-/** Real control machines in processes of their own, each a peer of the others. */
+/** Control machine processes that are peers of each other. */
 final class ControlMachines implements Closeable {
 
+  /** Maximum heap of each process. */
   static final long HEAP_BYTES = 256L << 20;
-  private static final List<String> FLAGS =
+
+  private static final List<String> JVM_FLAGS =
       List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx" + HEAP_BYTES);
-  private static final String READY = "control machine at ";
+  private static final String READY_PREFIX = "control machine at ";
 
   private final Path folder;
   private final List<InetSocketAddress> addresses;
@@ -33,35 +35,39 @@
     this.addresses = addresses;
   }
 
-  /** Starts so many and waits until all listen. */
+  /**
+   * Starts a number of control machines and waits until all listen.
+   *
+   * @throws RefusedException if one of them exits before it listens
+   */
   static ControlMachines start(int count, Deadline deadline)
       throws RefusedException, TimeoutException, InterruptedException, IOException {
-    ControlMachines all =
+    ControlMachines started =
         new ControlMachines(Files.createTempDirectory("scale"), freeAddresses(count));
     try {
       for (int i = 0; i < count; i++) {
-        all.machines.add(all.startMachine(i));
+        started.machines.add(started.startMachine(i));
       }
-      all.awaitReady(deadline);
-      return all;
+      started.awaitReady(deadline);
+      return started;
     } catch (RefusedException | TimeoutException | InterruptedException | IOException e) {
-      all.close();
+      started.close();
       throw e;
     }
   }
 
-  private ChildProcess startMachine(int number) throws IOException {
+  private ChildProcess startMachine(int index) throws IOException {
     String peers = addresses.stream().map(Addresses::text).collect(Collectors.joining(","));
     List<String> arguments = List.of(
         "control",
         "serve",
         "--listen",
-        Addresses.text(addresses.get(number)),
+        Addresses.text(addresses.get(index)),
         "--directory",
-        folder.resolve("control-" + number).toString(),
+        folder.resolve("control-" + index).toString(),
         "--peers",
         peers);
-    return ChildProcess.start(FLAGS, Map.of(), arguments);
+    return ChildProcess.start(JVM_FLAGS, Map.of(), arguments);
   }
 
   private void awaitReady(Deadline deadline)
@@ -70,9 +76,9 @@
       deadline.await(
           "a control machine listens",
           () -> !machine.isRunning()
-              || machine.lines().stream().anyMatch(line -> line.startsWith(READY)));
+              || machine.lines().stream().anyMatch(line -> line.startsWith(READY_PREFIX)));
       if (!machine.isRunning()) {
-        throw new RefusedException("control serve ended: " + machine.firstLine());
+        throw new RefusedException("control serve exited: " + machine.firstLine());
       }
     }
   }
@@ -97,14 +103,14 @@
     return addresses;
   }
 
-  /** Processor time of all of them so far, in microseconds; the system's grain is 10 ms a machine. */
+  /** Returns the processor time used so far by all machines, in microseconds; the kernel counts each machine's in steps of 10 ms. */
   double processorMicros() {
     return machines.stream()
         .mapToDouble(machine -> machine.processorTime().toNanos() / 1e3)
         .sum();
   }
 
-  /** The largest resident set that one of them has had. */
+  /** Returns the largest peak resident set size of any machine, in bytes. */
   long peakBytes() throws IOException {
     long largest = 0;
     for (ChildProcess machine : machines) {
@@ -121,7 +127,7 @@
         Files.delete(file);
       }
     } catch (IOException e) {
-      // A temporary folder that stays behind spoils nothing.
+      // A temporary folder that cannot be deleted does not affect the results.
     }
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/EventLoops.java
+++ b/src/main/java/pumicekeel/rig/scale/EventLoops.java
@@ -11,59 +11,59 @@
 import java.util.concurrent.TimeUnit;
 import pumicekeel.runtime.Log;
 
-/** One event loop, with a thread of its own, for each hollow balancer: the same as in as many processes. */
+/** One event loop with its own thread for each hollow balancer, as if each balancer ran in its own process. */
 final class EventLoops implements Closeable {
 
   private final EventLoopGroup group;
   private final List<EventLoop> loops = new ArrayList<>();
   private final List<Long> threads = new ArrayList<>();
 
-  /** Starts so many threads. */
+  /** Starts a number of event loops and their threads. */
   EventLoops(int count) {
     group = new MultiThreadIoEventLoopGroup(count, NioIoHandler.newFactory());
     for (int i = 0; i < count; i++) {
       loops.add((EventLoop) group.next());
     }
-    callAll(i -> prepare()).forEach(threads::add);
+    callAll(i -> discardLog()).forEach(threads::add);
   }
 
-  /** Hundreds of balancers' lines tell nothing that the figures don't. */
-  private static long prepare() {
+  /** Discards the thread's log, because hundreds of balancers log nothing that the figures do not show; returns the thread's ID. */
+  private static long discardLog() {
     Log.redirect(line -> {});
     return Thread.currentThread().getId();
   }
 
-  EventLoop get(int number) {
-    return loops.get(number);
+  EventLoop get(int index) {
+    return loops.get(index);
   }
 
   int size() {
     return loops.size();
   }
 
-  /** Processor time of all loops so far, in nanoseconds. */
+  /** Returns the processor time used so far by all event loops, in nanoseconds. */
   long processorNanos() {
     return ProcessMeter.processorNanos(threads);
   }
 
-  /** What is done with the number of a balancer. */
+  /** A call that receives the index of a balancer. */
   interface IndexedCall<T> {
-    T call(int number);
+    T call(int index);
   }
 
-  /** Calls something on one loop and waits for what it returns. */
-  <T> T call(int number, Callable<T> work) {
-    return loops.get(number).submit(work).syncUninterruptibly().getNow();
+  /** Runs work on one event loop and returns its result. */
+  <T> T call(int index, Callable<T> work) {
+    return loops.get(index).submit(work).syncUninterruptibly().getNow();
   }
 
-  /** Calls something on every loop at once and waits for all. */
+  /** Runs work on all event loops concurrently and returns the results in the order of the balancers. */
   <T> List<T> callAll(IndexedCall<T> work) {
-    List<io.netty.util.concurrent.Future<T>> under = new ArrayList<>();
+    List<io.netty.util.concurrent.Future<T>> pending = new ArrayList<>();
     for (int i = 0; i < loops.size(); i++) {
-      int number = i;
-      under.add(loops.get(i).submit(() -> work.call(number)));
+      int index = i;
+      pending.add(loops.get(i).submit(() -> work.call(index)));
     }
-    return under.stream().map(f -> f.syncUninterruptibly().getNow()).toList();
+    return pending.stream().map(future -> future.syncUninterruptibly().getNow()).toList();
   }
 
   @Override
--- a/src/main/java/pumicekeel/rig/scale/FigureFormat.java
+++ b/src/main/java/pumicekeel/rig/scale/FigureFormat.java
@@ -5,27 +5,27 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** Numbers as people read them. */
+/** Formats figures for pages and for the progress output. */
 final class FigureFormat {
 
-  private static final int MOST_DECIMALS = 12;
+  private static final int MAX_DECIMALS = 12;
 
   private FigureFormat() {}
 
-  /** Three significant digits, without an exponent. */
+  /** Formats a value with three significant digits and without an exponent. */
   static String format(double value) {
-    double size = Math.abs(value);
-    if (size == 0) {
+    double magnitude = Math.abs(value);
+    if (magnitude == 0) {
       return "0";
     }
-    if (size >= 100) {
+    if (magnitude >= 100) {
       return String.format(Locale.ROOT, "%,.0f", value);
     }
-    int decimals = (int) Math.min(MOST_DECIMALS, 2 - Math.floor(Math.log10(size)));
+    int decimals = (int) Math.min(MAX_DECIMALS, 2 - Math.floor(Math.log10(magnitude)));
     return String.format(Locale.ROOT, "%." + decimals + "f", value);
   }
 
-  /** Names and values on one line. */
+  /** Formats figures as one line of names and values, sorted by name. */
   static String format(Map<String, Double> figures) {
     return new TreeMap<>(figures)
         .entrySet().stream()
--- a/src/main/java/pumicekeel/rig/scale/MachineLimits.java
+++ b/src/main/java/pumicekeel/rig/scale/MachineLimits.java
@@ -3,14 +3,20 @@
 import com.sun.management.UnixOperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
 
-/** What a run may take of this machine. */
+/**
+ * The resources that a run may use.
+ *
+ * @param memoryBytes total memory of the machine
+ * @param heapBytes maximum heap of this JVM
+ * @param descriptors maximum number of open file descriptors of this process
+ */
 public record MachineLimits(long memoryBytes, long heapBytes, long descriptors) {
 
   private static final long MIB = 1L << 20;
-  /** A run may not take more than this part of the machine's memory. */
-  private static final int MEMORY_PARTS = 2;
+  /** A run may use at most the machine's memory divided by this. */
+  private static final int MEMORY_DIVISOR = 2;
 
-  /** Those of this machine and process. */
+  /** Returns the limits of this machine and process. */
   public static MachineLimits current() {
     UnixOperatingSystemMXBean system =
         (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
@@ -20,22 +26,22 @@
         system.getMaxFileDescriptorCount());
   }
 
-  /** Why a scenario may not be played at a size; null where it may. */
+  /** Returns a one-line message that says which limit a scenario would exceed at a size; null if it exceeds none. */
   public String exceededLimit(Scenario scenario, int size) {
     long bytes = scenario.estimatedBytes(size);
-    String what = scenario.name() + " at " + size + " " + scenario.axis().key();
-    if (bytes > memoryBytes / MEMORY_PARTS) {
-      return what + ": would take some " + bytes / MIB + " MiB, more than half of this machine's "
-          + memoryBytes / MIB;
+    String point = scenario.name() + " at " + size + " " + scenario.axis().key();
+    if (bytes > memoryBytes / MEMORY_DIVISOR) {
+      return point + ": needs about " + bytes / MIB
+          + " MiB, more than half of this machine's memory in MiB: " + memoryBytes / MIB;
     }
     long heap = scenario.estimatedHeapBytes(size);
     if (heap > heapBytes) {
-      return what + ": would take some " + heap / MIB + " MiB, more than this JVM's heap of "
-          + heapBytes / MIB + "; start it with a larger -Xmx";
+      return point + ": needs about " + heap / MIB + " MiB, more than this JVM's heap of "
+          + heapBytes / MIB + " MiB; start the JVM with a larger -Xmx";
     }
     long needed = scenario.estimatedDescriptors(size);
     if (needed > descriptors) {
-      return what + ": would open some " + needed + " descriptors, more than the limit of "
+      return point + ": needs about " + needed + " file descriptors, more than the limit of "
           + descriptors;
     }
     return null;
--- a/src/main/java/pumicekeel/rig/scale/ProcessMeter.java
+++ b/src/main/java/pumicekeel/rig/scale/ProcessMeter.java
@@ -4,16 +4,16 @@
 import java.lang.management.ThreadMXBean;
 import java.util.List;
 
-/** This process's heap and its threads' processor time. */
+/** Measures the heap of this process and the processor time of its threads. */
 final class ProcessMeter {
 
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
-  /** One collection leaves what the one before it made unreachable through references and cleaners. */
+  /** More than one, because a collection enqueues references and runs cleaners, whose objects only a later collection frees. */
   private static final int COLLECTIONS = 3;
 
   private ProcessMeter() {}
 
-  /** Bytes of the heap that are in use after full collections. */
+  /** Returns the used bytes of the heap after full garbage collections. */
   static long heapAfterCollection() {
     for (int i = 0; i < COLLECTIONS; i++) {
       System.gc();
@@ -21,17 +21,17 @@
     return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
   }
 
-  /** Processor time of these threads together, in nanoseconds. */
-  static long processorNanos(List<Long> threads) {
-    return threads.stream().mapToLong(THREADS::getThreadCpuTime).sum();
+  /** Returns the total processor time of the threads with these IDs, in nanoseconds. */
+  static long processorNanos(List<Long> threadIds) {
+    return threadIds.stream().mapToLong(THREADS::getThreadCpuTime).sum();
   }
 
-  /** Processor time of the calling thread, in nanoseconds. */
+  /** Returns the processor time of the calling thread, in nanoseconds. */
   static long processorNanos() {
     return THREADS.getCurrentThreadCpuTime();
   }
 
-  /** Bytes that the calling thread has allocated so far. */
+  /** Returns the number of bytes that the calling thread has allocated so far. */
   static long allocatedBytes() {
     return ((com.sun.management.ThreadMXBean) THREADS).getCurrentThreadAllocatedBytes();
   }
--- a/src/main/java/pumicekeel/rig/scale/RefusedException.java
+++ b/src/main/java/pumicekeel/rig/scale/RefusedException.java
@@ -1,11 +1,11 @@
 package pumicekeel.rig.scale;
 
-/** The program does not take a configuration of that size; the message says what it said. */
+/** Thrown if the program under test rejects a configuration of the measured size; the message quotes what it reported. */
 public final class RefusedException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
-  RefusedException(String why) {
-    super(why);
+  RefusedException(String message) {
+    super(message);
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/ResultFile.java
+++ b/src/main/java/pumicekeel/rig/scale/ResultFile.java
@@ -15,12 +15,12 @@
 import java.util.TreeMap;
 import pumicekeel.adapter.Fields;
 
-/** Samples in a file, one a line of JSON. A run that was cut off goes on where it ended. */
+/** A file of samples, one JSON object per line. It is rewritten after each sample, so that an interrupted run can be resumed. */
 public final class ResultFile {
 
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** The order of the file: samples of one fit stand together. */
+  /** The order of the file: by scenario, size and round, so that the samples of one fit are adjacent. */
   private static final Comparator<Sample> ORDER = Comparator.comparing(Sample::scenario)
       .thenComparingInt(Sample::size)
       .thenComparingInt(Sample::round);
@@ -33,7 +33,7 @@
     this.samples = samples;
   }
 
-  /** Reads a file; one that does not exist yet is empty. */
+  /** Reads a file; a file that does not exist is treated as empty. */
   public static ResultFile open(Path file) throws IOException {
     List<Sample> samples = new ArrayList<>();
     if (Files.exists(file)) {
@@ -50,12 +50,12 @@
     Fields fields = Fields.parse("sample", line);
     Axis axis = Axis.of(fields.text("axis"));
     if (axis == null) {
-      throw new IOException("expected an axis, got \"" + fields.text("axis") + "\"");
+      throw new IOException("unknown axis \"" + fields.text("axis") + "\"");
     }
     Map<String, Double> figures = new TreeMap<>();
-    Fields read = fields.nested("figures");
-    for (Object name : read.values().keySet()) {
-      figures.put((String) name, read.number((String) name, 0));
+    Fields figureFields = fields.nested("figures");
+    for (Object name : figureFields.values().keySet()) {
+      figures.put((String) name, figureFields.number((String) name, 0));
     }
     return new Sample(
         fields.text("scenario"),
@@ -70,39 +70,44 @@
         figures);
   }
 
-  /** All samples, in the order of the file. */
+  /** Returns all samples in the order of the file. */
   public List<Sample> samples() {
     return samples.stream().sorted(ORDER).toList();
   }
 
-  /** The samples of one scenario. */
+  /** Returns the samples of one scenario in the order of the file. */
   public List<Sample> samplesOf(String scenario) {
-    return samples().stream().filter(s -> s.scenario().equals(scenario)).toList();
+    return samples().stream()
+        .filter(sample -> sample.scenario().equals(scenario))
+        .toList();
   }
 
+  /** Returns whether the file has a sample of this scenario, size and round. */
   public boolean contains(String scenario, int size, int round) {
     return samples.stream()
-        .anyMatch(s -> s.scenario().equals(scenario) && s.size() == size && s.round() == round);
+        .anyMatch(sample ->
+            sample.scenario().equals(scenario) && sample.size() == size && sample.round() == round);
   }
 
-  /** Keeps a sample; whoever reads the file sees it with this one or as it was before. */
+  /** Adds a sample and replaces the file atomically: a reader sees the file either with or without the sample. */
   public void add(Sample sample) throws IOException {
     samples.add(sample);
-    Path next = file.resolveSibling(file.getFileName() + ".next");
-    Files.writeString(next, toJsonLines(samples()));
-    Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    Path temporaryFile = file.resolveSibling(file.getFileName() + ".next");
+    Files.writeString(temporaryFile, toJsonLines(samples()));
+    Files.move(
+        temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** One line of JSON a sample. */
+  /** Returns the samples as JSON, one object per line. */
   public static String toJsonLines(Collection<Sample> samples) throws IOException {
     StringBuilder out = new StringBuilder();
     for (Sample sample : samples) {
-      out.append(line(sample)).append('\n');
+      out.append(toJson(sample)).append('\n');
     }
     return out.toString();
   }
 
-  private static String line(Sample sample) throws IOException {
+  private static String toJson(Sample sample) throws IOException {
     StringWriter out = new StringWriter();
     try (JsonGenerator json = JSON.createGenerator(out)) {
       json.writeStartObject();
@@ -114,7 +119,7 @@
       json.writeNumberField("seed", sample.seed());
       json.writeNumberField("load-before", sample.loadBefore());
       json.writeNumberField("processors", sample.processors());
-      json.writeStringField("at", sample.at());
+      json.writeStringField("at", sample.finishedAt());
       json.writeObjectFieldStart("figures");
       for (Map.Entry<String, Double> figure : new TreeMap<>(sample.figures()).entrySet()) {
         json.writeNumberField(figure.getKey(), rounded(figure.getValue()));
@@ -125,7 +130,7 @@
     return out.toString();
   }
 
-  /** Three decimals: more is noise in each of the units that are used. */
+  /** Rounds to three decimals; in all units that are used, further digits are noise. */
   private static double rounded(double value) {
     return Math.round(value * 1_000) / 1_000.0;
   }
--- a/src/main/java/pumicekeel/rig/scale/Sample.java
+++ b/src/main/java/pumicekeel/rig/scale/Sample.java
@@ -3,15 +3,18 @@
 import java.util.Map;
 
 /**
- * What one scenario came to at one size in one round.
+ * The result of one scenario at one size in one round.
  *
  * @param scenario the scenario's name
- * @param build the program that was measured
- * @param seed what decided all chance in it
- * @param loadBefore the machine's load average of one minute as it began, others' work included
- * @param processors processors that the run was allowed
- * @param at when it ended, ISO 8601 in UTC
- * @param figures by name; the name ends in the unit
+ * @param axis what the size counts
+ * @param size the size on the axis
+ * @param round the round, starting at 1
+ * @param build the build of the program that was measured
+ * @param seed the seed of all random choices
+ * @param loadBefore the machine's one-minute load average before the measurement, including the load of other processes
+ * @param processors the number of processors available to the process
+ * @param finishedAt the time at which the measurement ended, as ISO 8601 in UTC
+ * @param figures the measured figures by name; each name ends in its unit
  */
 public record Sample(
     String scenario,
@@ -22,7 +25,7 @@
     long seed,
     double loadBefore,
     int processors,
-    String at,
+    String finishedAt,
     Map<String, Double> figures) {
 
   public Sample {
--- a/src/main/java/pumicekeel/rig/scale/ScaleRun.java
+++ b/src/main/java/pumicekeel/rig/scale/ScaleRun.java
@@ -12,42 +12,53 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** Plays scenarios at their sizes, round by round, and keeps what they come to; what the file has already is not played again. */
+/** Measures scenarios at their sizes, round by round, and stores each point in the result file; stored points are not measured again. */
 public final class ScaleRun {
 
   /** How a run ended. */
   public enum Outcome {
-    /** The file holds every point that was asked for. */
+    /** The result file contains every planned point. */
     COMPLETE,
-    /** The time was up first; the same command goes on from there. */
+    /** The deadline passed before all points were measured; the same command resumes the run. */
     OUT_OF_TIME,
-    /** A state that a scenario waits for did not come. */
+    /** A state that a scenario waits for was not reached. */
     NOT_REACHED
   }
 
-  /** How much is played, and of which build. */
+  /**
+   * The points to measure.
+   *
+   * @param scenarios the scenarios to measure
+   * @param sizes the sizes to measure; if empty, those of each scenario's axis
+   * @param rounds the number of measurements of each size
+   * @param build the build that is measured, for the result file
+   * @param seed the seed; round N uses this plus N
+   */
   public record Plan(
       List<Scenario> scenarios, List<Integer> sizes, int rounds, String build, long seed) {
 
-    /** The sizes of a scenario: those that were asked for, or its axis's. */
+    /** Returns the sizes at which a scenario is measured. */
     public List<Integer> sizesOf(Scenario scenario) {
       return sizes.isEmpty() ? scenario.axis().sizes() : sizes;
     }
 
-    int points() {
-      return scenarios.stream().mapToInt(s -> sizesOf(s).size() * rounds).sum();
+    int pointCount() {
+      return scenarios.stream()
+          .mapToInt(scenario -> sizesOf(scenario).size() * rounds)
+          .sum();
     }
   }
 
-  /** The figure of a size that the program does not take. */
+  /** Name of the figure that is stored for a size that the program refuses. */
   public static final String REFUSED = "refused";
 
   private final Plan plan;
   private final ResultFile results;
   private final Deadline deadline;
   private final PrintStream progress;
-  private final Set<Scenario> warm = new HashSet<>();
+  private final Set<Scenario> warmedUp = new HashSet<>();
 
+  /** Creates a run that stores its points in the results and reports progress line by line. */
   public ScaleRun(Plan plan, ResultFile results, Deadline deadline, PrintStream progress) {
     this.plan = plan;
     this.results = results;
@@ -55,11 +66,11 @@
     this.progress = progress;
   }
 
-  /** A size that the program does not take is a result too. */
-  private Map<String, Double> measured(Scenario scenario, int size, long seed)
+  /** Measures a point; a size that the program refuses is a result, too. */
+  private Map<String, Double> measure(Scenario scenario, int size, long seed)
       throws IOException, InterruptedException, TimeoutException {
     try {
-      if (warm.add(scenario)) {
+      if (warmedUp.add(scenario)) {
         scenario.warmUp(seed, deadline);
       }
       return scenario.measure(size, seed, deadline);
@@ -69,13 +80,13 @@
     }
   }
 
-  /** Plays what is missing. */
+  /** Measures all points that the result file does not contain yet. */
   public Outcome run() throws IOException, InterruptedException {
-    int done = 0;
+    int pointNumber = 0;
     for (int round = 1; round <= plan.rounds(); round++) {
       for (Scenario scenario : plan.scenarios()) {
         for (int size : plan.sizesOf(scenario)) {
-          done++;
+          pointNumber++;
           if (results.contains(scenario.name(), size, round)) {
             continue;
           }
@@ -83,8 +94,8 @@
             return Outcome.OUT_OF_TIME;
           }
           try {
-            progress.printf("%d of %d: ", done, plan.points());
-            play(scenario, size, round);
+            progress.printf("%d of %d: ", pointNumber, plan.pointCount());
+            measureAndStore(scenario, size, round);
           } catch (TimeoutException e) {
             progress.println(e.getMessage());
             return deadline.hasExpired() ? Outcome.OUT_OF_TIME : Outcome.NOT_REACHED;
@@ -95,15 +106,15 @@
     return Outcome.COMPLETE;
   }
 
-  private void play(Scenario scenario, int size, int round)
+  private void measureAndStore(Scenario scenario, int size, int round)
       throws IOException, InterruptedException, TimeoutException {
     long seed = plan.seed() + round;
     double load = ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
     progress.printf(
         "%s at %d %s, round %d, seed %d, load %.1f%n",
         scenario.name(), size, scenario.axis().key(), round, seed, load);
-    long from = System.nanoTime();
-    Map<String, Double> figures = measured(scenario, size, seed);
+    long startNanos = System.nanoTime();
+    Map<String, Double> figures = measure(scenario, size, seed);
     results.add(new Sample(
         scenario.name(),
         scenario.axis(),
@@ -117,6 +128,7 @@
         figures));
     progress.printf(
         "    %.1f s: %s%n",
-        (System.nanoTime() - from) / (double) TimeUnit.SECONDS.toNanos(1), FigureFormat.format(figures));
+        (System.nanoTime() - startNanos) / (double) TimeUnit.SECONDS.toNanos(1),
+        FigureFormat.format(figures));
   }
 }
--- a/src/main/java/pumicekeel/rig/scale/SlopePlot.java
+++ b/src/main/java/pumicekeel/rig/scale/SlopePlot.java
@@ -19,51 +19,53 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** A figure by its size: each sample, the fitted line, up to the target where it is straight, and the interval of its mean. */
+/** Plots a figure over the size: the samples, the fitted line and the confidence interval of its mean. Only a linear fit extends to the target. */
 public final class SlopePlot {
 
-  private static final int WIDTH = 640;
-  private static final int HEIGHT = 360;
-  private static final int STEPS = 60;
-  private static final int SAMPLES = 0;
-  private static final int LINE = 1;
-  private static final int LOW = 2;
-  private static final int HIGH = 3;
-  private static final int BUDGET = 4;
-  private static final double POINT = 6;
-  /** Told apart in grey too: dark, middle, light. */
+  private static final int WIDTH_PIXELS = 640;
+  private static final int HEIGHT_PIXELS = 360;
+  private static final int LINE_STEPS = 60;
+  /** Indices of the series in the data set. */
+  private static final int SAMPLES_SERIES = 0;
+
+  private static final int LINE_SERIES = 1;
+  private static final int LOWER_SERIES = 2;
+  private static final int UPPER_SERIES = 3;
+  private static final int BUDGET_SERIES = 4;
+  private static final double POINT_DIAMETER = 6;
+  /** The colours differ in brightness, too, so that they can be told apart in greyscale. */
   private static final Color DARK = new Color(0x1b3a57);
 
   private static final Color MIDDLE = new Color(0xc25b12);
   private static final Color LIGHT = new Color(0xd9a877);
   private static final Color BUDGET_COLOUR = new Color(0x7a1f1f);
 
-  /** A picture of a page: {@code ![words](PATH/SCENARIO.FIGURE.png)}, with a budget in the words or without. */
-  private static final Pattern PICTURE = Pattern.compile(
+  /** An image in a page: {@code ![TEXT](PATH/SCENARIO.FIGURE.png)}; the text may contain {@code budget NUMBER}. */
+  private static final Pattern IMAGE = Pattern.compile(
       "!\\[(?:[^]]*budget ([\\d,.]+))?[^]]*]\\(([^)]*/([a-z0-9-]+)\\.([a-z0-9-]+)\\.png)\\)");
 
   private SlopePlot() {}
 
-  /** Draws each picture that a page shows of a figure of the results. */
+  /** Draws each plot that a page refers to and for whose figure the results have enough samples. */
   public static void writeAll(Path page, String text, ResultFile results) throws IOException {
-    Matcher picture = PICTURE.matcher(text);
-    while (picture.find()) {
-      List<Sample> samples = results.samplesOf(picture.group(3)).stream()
-          .filter(s -> s.figures().containsKey(picture.group(4)))
+    Matcher image = IMAGE.matcher(text);
+    while (image.find()) {
+      List<Sample> samples = results.samplesOf(image.group(3)).stream()
+          .filter(sample -> sample.figures().containsKey(image.group(4)))
           .toList();
-      if (!Slope.isFit(samples)) {
+      if (!Slope.canFit(samples)) {
         continue;
       }
       double budget =
-          picture.group(1) == null ? 0 : Double.parseDouble(picture.group(1).replace(",", ""));
-      write(page.resolveSibling(picture.group(2)), samples, picture.group(4), budget);
+          image.group(1) == null ? 0 : Double.parseDouble(image.group(1).replace(",", ""));
+      write(page.resolveSibling(image.group(2)), samples, image.group(4), budget);
     }
   }
 
   /**
-   * Writes a PNG of a figure of one scenario.
+   * Writes a plot of one figure of one scenario as a PNG file.
    *
-   * @param budget what it may come to, in the unit that the figure is shown in; 0 for none
+   * @param budget the budget of the figure, in the unit that the figure is shown in; 0 for none
    */
   public static void write(Path file, List<Sample> samples, String figure, double budget)
       throws IOException {
@@ -81,7 +83,7 @@
     plot.setDomainGridlinePaint(Color.LIGHT_GRAY);
     plot.setRenderer(renderer());
     Files.createDirectories(file.toAbsolutePath().getParent());
-    ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH, HEIGHT);
+    ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH_PIXELS, HEIGHT_PIXELS);
   }
 
   private static XYSeriesCollection data(
@@ -89,44 +91,48 @@
     Slope slope = Slope.of(samples, figure);
     XYSeries points = new XYSeries("samples");
     samples.stream()
-        .filter(s -> s.figures().containsKey(figure))
-        .forEach(s -> points.add(s.size(), unit.convert(s.figures().get(figure))));
+        .filter(sample -> sample.figures().containsKey(figure))
+        .forEach(
+            sample -> points.add(sample.size(), unit.convert(sample.figures().get(figure))));
     XYSeries line = new XYSeries("least squares");
-    XYSeries low = new XYSeries("95 % interval of the line");
-    XYSeries high = new XYSeries("upper end");
-    XYSeries most = new XYSeries("budget");
-    // Only a straight line is followed beyond what was measured.
-    double end = slope.shape() == Slope.Shape.LINEAR ? axis.target() : slope.largest();
-    for (int i = 0; i <= STEPS; i++) {
-      double size = end * i / STEPS;
-      Slope.Projection at = slope.at(size);
-      line.add(size, unit.convert(at.value()));
-      low.add(size, unit.convert(at.value() - at.error()));
-      high.add(size, unit.convert(at.value() + at.error()));
-      most.add(size, budget);
+    XYSeries lower = new XYSeries("95 % interval of the line");
+    XYSeries upper = new XYSeries("upper end");
+    XYSeries budgetLine = new XYSeries("budget");
+    // Only a linear fit is extrapolated beyond the measured sizes.
+    double maxSize = slope.shape() == Slope.Shape.LINEAR ? axis.target() : slope.largestSize();
+    for (int i = 0; i <= LINE_STEPS; i++) {
+      double size = maxSize * i / LINE_STEPS;
+      Slope.Projection projection = slope.at(size);
+      line.add(size, unit.convert(projection.value()));
+      lower.add(size, unit.convert(projection.value() - projection.error()));
+      upper.add(size, unit.convert(projection.value() + projection.error()));
+      budgetLine.add(size, budget);
     }
     XYSeriesCollection data = new XYSeriesCollection();
-    List.of(points, line, low, high).forEach(data::addSeries);
+    List.of(points, line, lower, upper).forEach(data::addSeries);
     if (budget > 0) {
-      data.addSeries(most);
+      data.addSeries(budgetLine);
     }
     return data;
   }
 
   private static XYLineAndShapeRenderer renderer() {
     XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, false);
-    renderer.setSeriesLinesVisible(SAMPLES, false);
-    renderer.setSeriesShapesVisible(SAMPLES, true);
-    renderer.setSeriesShape(SAMPLES, new Ellipse2D.Double(-POINT / 2, -POINT / 2, POINT, POINT));
-    renderer.setSeriesPaint(SAMPLES, DARK);
-    renderer.setSeriesPaint(LINE, MIDDLE);
-    renderer.setSeriesStroke(LINE, new BasicStroke(2));
-    for (int side : new int[] {LOW, HIGH}) {
+    renderer.setSeriesLinesVisible(SAMPLES_SERIES, false);
+    renderer.setSeriesShapesVisible(SAMPLES_SERIES, true);
+    renderer.setSeriesShape(
+        SAMPLES_SERIES,
+        new Ellipse2D.Double(
+            -POINT_DIAMETER / 2, -POINT_DIAMETER / 2, POINT_DIAMETER, POINT_DIAMETER));
+    renderer.setSeriesPaint(SAMPLES_SERIES, DARK);
+    renderer.setSeriesPaint(LINE_SERIES, MIDDLE);
+    renderer.setSeriesStroke(LINE_SERIES, new BasicStroke(2));
+    for (int side : new int[] {LOWER_SERIES, UPPER_SERIES}) {
       renderer.setSeriesPaint(side, LIGHT);
       renderer.setSeriesStroke(side, dashed());
     }
-    renderer.setSeriesVisibleInLegend(HIGH, false);
-    renderer.setSeriesPaint(BUDGET, BUDGET_COLOUR);
+    renderer.setSeriesVisibleInLegend(UPPER_SERIES, false);
+    renderer.setSeriesPaint(BUDGET_SERIES, BUDGET_COLOUR);
     return renderer;
   }
 
--- a/src/main/java/pumicekeel/rig/scale/Unit.java
+++ b/src/main/java/pumicekeel/rig/scale/Unit.java
@@ -1,6 +1,6 @@
 package pumicekeel.rig.scale;
 
-/** In what a figure is shown; its name's end says it. */
+/** The unit in which a figure is shown, determined by the ending of its name. */
 enum Unit {
   BYTES_PER_SECOND("bytes-per-s", "B/s", 1),
   MICROS_PER_SECOND("us-per-s", "µs/s", 1),
@@ -20,7 +20,7 @@
     this.divisor = divisor;
   }
 
-  /** The unit of a figure. */
+  /** Returns the unit of a figure: the first value, in declaration order, whose ending the name has. */
   static Unit ofFigure(String figure) {
     for (Unit unit : values()) {
       if (figure.endsWith(unit.ending)) {
@@ -30,16 +30,17 @@
     return COUNT;
   }
 
+  /** Returns the symbol of the unit; empty for a count. */
   String symbol() {
     return symbol;
   }
 
-  /** A value of the result file in this unit. */
+  /** Converts a value of the result file to this unit. */
   double convert(double value) {
     return value / divisor;
   }
 
-  /** A value of the result file as people read it. */
+  /** Formats a value of the result file in this unit, with its symbol. */
   String format(double value) {
     return FigureFormat.format(convert(value)) + (symbol.isEmpty() ? "" : " " + symbol);
   }
--- a/src/main/java/pumicekeel/rig/scale/Watchdog.java
+++ b/src/main/java/pumicekeel/rig/scale/Watchdog.java
@@ -2,27 +2,27 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Ends this process where a run has not ended by itself: a scenario that hangs must not outlive its time. */
+/** Ends a run that has not ended by itself, so that a hanging scenario does not run on after the time limit. */
 public final class Watchdog implements AutoCloseable {
 
-  /** What the last scenario may take for its own clean-up beyond the run's time. */
+  /** Time after the time limit in which the last scenario may clean up. */
   private static final long GRACE_SECONDS = 30;
 
   private final Thread thread;
 
-  /** Starts to watch; {@code end} is called on a thread of its own once the time and a grace are over. */
-  public Watchdog(long seconds, Runnable end) {
-    this(TimeUnit.SECONDS.toMillis(seconds + GRACE_SECONDS), TimeUnit.MILLISECONDS, end);
+  /** Starts the watchdog. Unless it is closed before, it calls {@code action} on its own thread after the time limit and a grace period. */
+  public Watchdog(long seconds, Runnable action) {
+    this(TimeUnit.SECONDS.toMillis(seconds + GRACE_SECONDS), TimeUnit.MILLISECONDS, action);
   }
 
-  Watchdog(long time, TimeUnit unit, Runnable end) {
+  Watchdog(long time, TimeUnit unit, Runnable action) {
     thread = new Thread(
         () -> {
           try {
             unit.sleep(time);
-            end.run();
+            action.run();
           } catch (InterruptedException e) {
-            // The run has ended.
+            // Closed: the run has ended.
           }
         },
         "watchdog");
--- a/src/test/java/pumicekeel/rig/scale/CapacityPageTest.java
+++ b/src/test/java/pumicekeel/rig/scale/CapacityPageTest.java
@@ -20,8 +20,9 @@
 
   private ResultFile results;
 
+  /** Samples that grow linearly: 1 KiB plus 0.2 KiB for each member. */
   @BeforeEach
-  void lineOfTwoHundredBytesAMember() throws Exception {
+  void storeLinearSamples() throws Exception {
     results = ResultFile.open(folder.resolve("results.jsonl"));
     for (int size : Axis.BALANCERS.sizes()) {
       for (int round = 1; round <= 3; round++) {
@@ -41,46 +42,46 @@
     }
   }
 
-  private String filled(String page) {
+  private String fill(String page) {
     return new CapacityPage(results).fill(page);
   }
 
   @Test
-  void aRowSaysSlopeIntervalGrowthAndWhatIsLeft() {
-    String row = filled(ROW);
+  void rowShowsSlopeIntervalGrowthAndRemainingBudget() {
+    String row = fill(ROW);
     assertTrue(row.contains("1.00 + (0.200 ± "), row);
     assertTrue(row.contains(") × balancers"), row);
     assertTrue(row.contains("| 119 KiB ± "), row);
     assertTrue(row.contains("| linear |"), row);
     assertTrue(row.contains("| 590: 119 KiB |"), row);
     assertTrue(row.contains("| over by 19.0 KiB |"), row);
-    assertEquals(row, filled(row));
+    assertEquals(row, fill(row));
   }
 
   @Test
-  void aFigureThatWasNeverMeasuredSaysSo() {
-    String row = filled(ROW.replace("state-bytes", "messages-per-s"));
+  void figureWithoutSamplesIsShownAsNotMeasured() {
+    String row = fill(ROW.replace("state-bytes", "messages-per-s"));
     assertTrue(row.contains("| not measured |"), row);
   }
 
   @Test
-  void numbersInTheTextAreMedians() {
+  void numbersInTheTextAreMediansAtTheirSize() {
     String text =
         "about 42 KiB<!--membership/state-bytes@590--> each (7<!--membership/state-bytes@50-->)\n";
-    String filled = filled(text);
+    String filled = fill(text);
     assertTrue(filled.contains("about 42 119<!--") || filled.contains("119<!--"), filled);
     assertTrue(filled.contains("(11.0<!--"), filled);
-    assertEquals(filled, filled(filled));
+    assertEquals(filled, fill(filled));
   }
 
   @Test
-  void everythingElseStaysAsItIs() {
+  void otherTextIsNotChanged() {
     String page = "# Title\n\n| a | b |\n| --- | --- |\n| `x/y` | 1 |\n\nWords.\n";
-    assertEquals(page, filled(page));
+    assertEquals(page, fill(page));
   }
 
   @Test
-  void thePageOfTheRepositoryIsAsItsResultsHaveIt() throws Exception {
+  void committedPageMatchesCommittedResults() throws Exception {
     ResultFile committed = ResultFile.open(Path.of("experiments", "capacity.jsonl"));
     String page = Files.readString(Path.of("docs", "CAPACITY.md"));
     assertTrue(page.contains("`membership/state-bytes`"));
--- a/src/test/java/pumicekeel/rig/scale/ChildProcessTest.java
+++ b/src/test/java/pumicekeel/rig/scale/ChildProcessTest.java
@@ -20,18 +20,18 @@
   Path folder;
 
   @Test
-  void itsStatusAndWordsAreKept() throws Exception {
+  void exitStatusAndOutputAreAvailableAfterTheExit() throws Exception {
     try (ChildProcess child = ChildProcess.start(
         FLAGS, Map.of(), List.of("check", folder.resolve("none").toString()))) {
       Deadline.after(1, TimeUnit.MINUTES)
-          .await("the end of check", () -> !child.isRunning() && !child.lines().isEmpty());
+          .await("check has exited", () -> !child.isRunning() && !child.lines().isEmpty());
       assertEquals(2, child.status());
       assertTrue(child.lines().get(0).contains("none"), child.lines()::toString);
     }
   }
 
   @Test
-  void aKilledRunLeavesNoProcessBehind() throws Exception {
+  void killedRunLeavesNoProcessBehind() throws Exception {
     Assumptions.assumeTrue(Files.isExecutable(Path.of("/usr/bin/setpriv")));
     Deadline deadline = Deadline.after(2, TimeUnit.MINUTES);
     List<String> run = List.of(
@@ -55,7 +55,7 @@
       List<ProcessHandle> balancers = child.descendants();
       child.close();
       deadline.await(
-          "every balancer ends", () -> balancers.stream().noneMatch(ProcessHandle::isAlive));
+          "every balancer has exited", () -> balancers.stream().noneMatch(ProcessHandle::isAlive));
     }
   }
 }
--- a/src/test/java/pumicekeel/rig/scale/ScaleRunTest.java
+++ b/src/test/java/pumicekeel/rig/scale/ScaleRunTest.java
@@ -23,14 +23,14 @@
   @TempDir
   Path folder;
 
-  /** Its figure is its size; it refuses sizes beyond one. */
-  private static final class Fake implements Scenario {
-    private final List<Integer> played = new ArrayList<>();
-    private final int most;
+  /** A scenario whose only figure is the size, and which refuses sizes above a maximum. */
+  private static final class FakeScenario implements Scenario {
+    private final List<Integer> measured = new ArrayList<>();
+    private final int maxSize;
     private boolean fails;
 
-    private Fake(int most) {
-      this.most = most;
+    private FakeScenario(int maxSize) {
+      this.maxSize = maxSize;
     }
 
     @Override
@@ -64,16 +64,17 @@
       if (fails) {
         throw new TimeoutException("not reached");
       }
-      if (size > most) {
+      if (size > maxSize) {
         throw new RefusedException("too large");
       }
-      played.add(size);
+      measured.add(size);
       return Map.of("state-bytes", (double) size);
     }
   }
 
-  private Outcome run(Fake fake, Deadline deadline) throws IOException, InterruptedException {
-    ScaleRun.Plan plan = new ScaleRun.Plan(List.of(fake), List.of(), 3, "build", 7);
+  private Outcome run(FakeScenario scenario, Deadline deadline)
+      throws IOException, InterruptedException {
+    ScaleRun.Plan plan = new ScaleRun.Plan(List.of(scenario), List.of(), 3, "build", 7);
     return new ScaleRun(plan, results(), deadline, new PrintStream(OutputStream.nullOutputStream()))
         .run();
   }
@@ -82,13 +83,13 @@
     return ResultFile.open(folder.resolve("result.jsonl"));
   }
 
-  private static Deadline later() {
+  private static Deadline inOneMinute() {
     return Deadline.after(1, TimeUnit.MINUTES);
   }
 
   @Test
-  void everySizeOfEveryRoundIsKept() throws Exception {
-    assertEquals(Outcome.COMPLETE, run(new Fake(590), later()));
+  void everySizeOfEveryRoundIsStored() throws Exception {
+    assertEquals(Outcome.COMPLETE, run(new FakeScenario(590), inOneMinute()));
     assertEquals(12, results().samples().size());
     Sample last = results().samplesOf("fake").get(11);
     assertEquals(590, last.size());
@@ -99,54 +100,56 @@
   }
 
   @Test
-  void whatTheFileHasIsNotPlayedAgain() throws Exception {
-    Fake first = new Fake(590);
+  void storedPointsAreNotMeasuredAgain() throws Exception {
+    FakeScenario first = new FakeScenario(590);
     first.fails = true;
-    assertEquals(Outcome.NOT_REACHED, run(first, later()));
-    run(new Fake(590), later());
-    Fake again = new Fake(590);
-    assertEquals(Outcome.COMPLETE, run(again, later()));
-    assertEquals(List.of(), again.played);
+    assertEquals(Outcome.NOT_REACHED, run(first, inOneMinute()));
+    run(new FakeScenario(590), inOneMinute());
+    FakeScenario again = new FakeScenario(590);
+    assertEquals(Outcome.COMPLETE, run(again, inOneMinute()));
+    assertEquals(List.of(), again.measured);
   }
 
   @Test
-  void nothingBeginsOnceTheTimeIsUp() throws Exception {
-    Fake fake = new Fake(590);
+  void noPointIsStartedAfterTheDeadline() throws Exception {
+    FakeScenario fake = new FakeScenario(590);
     assertEquals(Outcome.OUT_OF_TIME, run(fake, Deadline.after(0, TimeUnit.SECONDS)));
-    assertEquals(List.of(), fake.played);
+    assertEquals(List.of(), fake.measured);
   }
 
   @Test
-  void aRefusedSizeIsAResult() throws Exception {
-    assertEquals(Outcome.COMPLETE, run(new Fake(350), later()));
+  void refusedSizeIsStoredAsAResult() throws Exception {
+    assertEquals(Outcome.COMPLETE, run(new FakeScenario(350), inOneMinute()));
     assertEquals(
         3,
         results().samples().stream()
             .filter(s -> s.figures().containsKey(ScaleRun.REFUSED))
             .count());
-    assertEquals(350, Slope.of(results().samplesOf("fake"), "state-bytes").largest());
+    assertEquals(350, Slope.of(results().samplesOf("fake"), "state-bytes").largestSize());
   }
 
   @Test
-  void aSizeThatTheMachineCannotHoldIsRefusedInOneLine() {
-    Fake fake = new Fake(590);
+  void sizeBeyondTheMachineIsRejectedWithTheExceededLimit() {
+    FakeScenario fake = new FakeScenario(590);
     assertNull(new MachineLimits(1_000, 1_000, 1_000).exceededLimit(fake, 500));
     assertTrue(new MachineLimits(1_000, 1_000, 1_000)
         .exceededLimit(fake, 501)
         .contains("more than half of this machine's"));
-    assertTrue(new MachineLimits(1_000, 400, 1_000).exceededLimit(fake, 401).contains("larger -Xmx"));
-    assertTrue(new MachineLimits(1_000, 1_000, 400).exceededLimit(fake, 401).contains("descriptors"));
+    assertTrue(
+        new MachineLimits(1_000, 400, 1_000).exceededLimit(fake, 401).contains("larger -Xmx"));
+    assertTrue(
+        new MachineLimits(1_000, 1_000, 400).exceededLimit(fake, 401).contains("descriptors"));
   }
 
   @Test
-  void theWatchdogEndsWhatHangsAndLeavesWhatEnds() throws Exception {
+  void watchdogEndsAHangingRunUnlessItWasClosed() throws Exception {
     CountDownLatch ended = new CountDownLatch(1);
     try (Watchdog watchdog = new Watchdog(10, TimeUnit.MILLISECONDS, ended::countDown)) {
       assertTrue(ended.await(1, TimeUnit.MINUTES));
     }
-    CountDownLatch spared = new CountDownLatch(1);
-    Watchdog other = new Watchdog(1, TimeUnit.HOURS, spared::countDown);
+    CountDownLatch notEnded = new CountDownLatch(1);
+    Watchdog other = new Watchdog(1, TimeUnit.HOURS, notEnded::countDown);
     other.close();
-    assertEquals(1, spared.getCount());
+    assertEquals(1, notEnded.getCount());
   }
 }
