--- a/src/main/java/pumicekeel/rig/FleetRig.java
+++ b/src/main/java/pumicekeel/rig/FleetRig.java
@@ -28,15 +28,16 @@
 import pumicekeel.standin.StandInUpstream;
 
 /**
- * A fleet of real processes under a real daemon, with stand-in upstreams, a discovery and clients at every instance: a rolling
- * restart under load, a drain, a cold upstream. The stand-ins' own logs are held against the rules for all instances together.
+ * Tests a fleet of balancer processes under a daemon, with stand-in upstreams, a stand-in discovery service and clients of every
+ * instance: under load, one upstream drains, a cold one joins, and the instances go through a rolling restart. The logs of the stand-ins
+ * are then checked against the rules for all instances together.
  */
 public final class FleetRig {
 
   private static final int UPSTREAMS = 6;
-  private static final long DELAY_MICROS = 3_000;
-  private static final long GRACE_MILLIS = 2_000;
-  private static final long MS = 1_000_000L;
+  private static final long UPSTREAM_DELAY_MICROS = 3_000;
+  private static final long DRAIN_GRACE_MILLIS = 2_000;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final int instances;
   private final int seconds;
@@ -52,7 +53,14 @@
   private StandInDiscovery discovery;
   private long startedAt;
 
-  /** So many requests a second of each of two classes in all; {@code flags} for the instances' JVMs. */
+  /**
+   * Creates a test.
+   *
+   * @param seconds duration of the load before the rolling restart
+   * @param perSecond requests per second of each of two classes, for the whole fleet
+   * @param flags JVM flags of the instances
+   * @param out receives the progress and the results of the checks
+   */
   public FleetRig(
       int instances, int seconds, double perSecond, List<String> flags, PrintStream out) {
     this.instances = instances;
@@ -62,15 +70,15 @@
     this.out = out;
   }
 
-  /** Plays it; true where all rules held and the rolling restart went through. */
+  /** Runs the test; returns whether all rules held and the rolling restart completed. */
   public boolean run() throws Exception {
-    // Short: the control socket's path has to fit.
+    // A short name, because the path length of the control socket is limited.
     Path folder = Files.createTempDirectory("rig");
     Daemon daemon = null;
     try {
       discovery = new StandInDiscovery(standIns);
       for (int i = 0; i < UPSTREAMS; i++) {
-        add("s" + i, i / 2, 0);
+        addUpstream("s" + i, i / 2, 0);
       }
       int port = FreePorts.findBlock(instances);
       Path config = Files.writeString(
@@ -85,11 +93,11 @@
               config,
               "rig",
               ProgramCommand.withFlags(flags),
-              Limits.of(1, 500 * MS)),
-          line -> say(line));
+              Limits.of(1, 500 * NANOS_PER_MILLI)),
+          line -> log(line));
       startedAt = System.nanoTime();
       daemon.start();
-      return play(run, port);
+      return runScenario(run, port);
     } finally {
       if (daemon != null) {
         daemon.stop();
@@ -102,28 +110,29 @@
     }
   }
 
-  private void add(String name, int cell, long sinceMillis) throws InterruptedException {
-    StandInUpstream upstream = new StandInUpstream(name, standIns, DELAY_MICROS);
+  private void addUpstream(String name, int cell, long sinceMillis) throws InterruptedException {
+    StandInUpstream upstream = new StandInUpstream(name, standIns, UPSTREAM_DELAY_MICROS);
     upstreams.put(name, upstream);
     cells.put(name, cell);
     discovery.announce(name, upstream.address(), cell, "in_service", sinceMillis);
   }
 
+  /** Returns the platform configuration of an instance, for a discovery service at this port of the loopback address. */
   static String configuration(int discoveryPort) {
     return "{\"name\":\"rig\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discoveryPort
         + "\",\"seed\":\"1\",\"limits\":{\"sockets\":512},\"known\":{\"index\":0,\"snapshot\":true,\"endpoints\":[]},"
         + "\"settings\":" + DemoSettings.JSON + "}";
   }
 
-  private boolean play(Path run, int port) throws Exception {
+  private boolean runScenario(Path run, int port) throws Exception {
     awaitStatus(run, instances, "\"state\":\"ready\"");
-    say("all ready");
+    log("all instances are ready");
     List<Load> lookups = new ArrayList<>();
     List<Load> quotes = new ArrayList<>();
     for (int i = 0; i < instances; i++) {
-      InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i);
+      InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i);
       lookups.add(new Load(
-              at,
+              address,
               clientLoops,
               new HttpRequestTemplate("h", "rate-lookup", false, "demo", 1_500),
               LoadProfile.openLoop(4, perSecond / instances),
@@ -131,7 +140,7 @@
               i)
           .start());
       quotes.add(new Load(
-              at,
+              address,
               clientLoops,
               new HttpRequestTemplate("h", "quote-issue", true, "demo", 2_000),
               LoadProfile.openLoop(4, perSecond / instances),
@@ -141,31 +150,32 @@
     }
     List<Load> all = new ArrayList<>(lookups);
     all.addAll(quotes);
-    watch(all, seconds * 0.2);
+    logProgressFor(all, seconds * 0.2);
     discovery.announce("s1", upstreams.get("s1").address(), 0, "terminating", 0);
-    say("s1 drains");
-    watch(all, seconds * 0.3);
+    log("s1 drains");
+    logProgressFor(all, seconds * 0.3);
     long coldAt = System.nanoTime();
-    add("cold", 9, System.currentTimeMillis());
-    say("cold joins");
-    watch(all, seconds * 0.5);
-    say("rolling restart: " + Control.call(run, "restart"));
+    addUpstream("cold", 9, System.currentTimeMillis());
+    log("upstream cold joins");
+    logProgressFor(all, seconds * 0.5);
+    log("rolling restart: " + Control.call(run, "restart"));
     String status = Control.call(run, "status");
     while (!status.contains("\"work\":\"none\"")) {
-      watch(all, 1);
+      logProgressFor(all, 1);
       status = Control.call(run, "status");
     }
-    boolean through = status.contains("\"halted\":null");
-    say(through ? "rolling restart done" : "rolling restart: " + status);
-    for (Load c : all) {
-      c.stop();
+    boolean restartCompleted = status.contains("\"halted\":null");
+    log(restartCompleted ? "rolling restart done" : "rolling restart failed: " + status);
+    for (Load load : all) {
+      load.stop();
     }
-    return report(lookups, quotes, coldAt) && through;
+    return report(lookups, quotes, coldAt) && restartCompleted;
   }
 
-  static void awaitStatus(Path run, int count, String what) throws Exception {
+  /** Waits until the reply of the daemon's {@code status} call contains a text, a regular expression, at least {@code count} times. */
+  static void awaitStatus(Path run, int count, String expected) throws Exception {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(120);
-    while (Control.call(run, "status").split(what, -1).length - 1 < count) {
+    while (Control.call(run, "status").split(expected, -1).length - 1 < count) {
       if (System.nanoTime() - end > 0) {
         throw new IOException("the fleet did not become ready: " + Control.call(run, "status"));
       }
@@ -173,21 +183,22 @@
     }
   }
 
-  private void watch(List<Load> all, double forSeconds) throws InterruptedException {
-    long end = System.nanoTime() + (long) (forSeconds * 1e9);
+  /** Logs the number of served, refused and failed requests every second for a duration in seconds. */
+  private void logProgressFor(List<Load> all, double duration) throws InterruptedException {
+    long end = System.nanoTime() + (long) (duration * 1e9);
     while (System.nanoTime() - end < 0) {
       TimeUnit.NANOSECONDS.sleep(Math.min(1_000_000_000L, Math.max(1, end - System.nanoTime())));
-      say(sum(all, Outcome.SERVED) + " served, " + sum(all, Outcome.REFUSED) + " refused, "
-          + sum(all, Outcome.FAILED) + " failed");
+      log(count(all, Outcome.SERVED) + " served, " + count(all, Outcome.REFUSED) + " refused, "
+          + count(all, Outcome.FAILED) + " failed");
     }
   }
 
-  private static long sum(List<Load> all, Outcome end) {
-    return all.stream().mapToLong(c -> c.count(end)).sum();
+  private static long count(List<Load> all, Outcome outcome) {
+    return all.stream().mapToLong(load -> load.count(outcome)).sum();
   }
 
-  private void say(String what) {
-    out.printf("%5.1f s  %s%n", (System.nanoTime() - startedAt) / 1e9, what);
+  private void log(String line) {
+    out.printf("%5.1f s  %s%n", (System.nanoTime() - startedAt) / 1e9, line);
   }
 
   private boolean report(List<Load> lookups, List<Load> quotes, long coldAt) {
@@ -196,9 +207,9 @@
     verdict.checkAllAnswered("quotes", quotes.stream().map(Load::results).toList());
     verdict.checkNoDuplicateEffect();
     verdict.checkDrain(
-        "s1", "rate-lookup", discovery.announcedAt("s1", "terminating"), GRACE_MILLIS);
+        "s1", "rate-lookup", discovery.announcedAt("s1", "terminating"), DRAIN_GRACE_MILLIS);
     verdict.checkDrain(
-        "s1", "quote-issue", discovery.announcedAt("s1", "terminating"), GRACE_MILLIS);
+        "s1", "quote-issue", discovery.announcedAt("s1", "terminating"), DRAIN_GRACE_MILLIS);
     verdict.checkColdBudget("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
--- a/src/main/java/pumicekeel/rig/FleetThroughput.java
+++ b/src/main/java/pumicekeel/rig/FleetThroughput.java
@@ -23,16 +23,17 @@
 import pumicekeel.standin.StandInUpstream;
 
 /**
- * Requests a second of 1, 2, 4 and 8 instances under a daemon, each of them asked as fast as it answers by clients of its own.
- * Load, upstreams and instances share one machine, so the ratio ends where its cores do; each figure is the best of its rounds.
+ * Measures the requests per second of 1, 2, 4 and 8 instances under a daemon, each under a closed loop of its own clients. Load,
+ * upstreams and instances share one machine, so the ratio is limited by the number of its cores. Ratios are formed within a round; their
+ * median and range over the rounds are printed.
  */
 public final class FleetThroughput {
 
   private static final int[] SIZES = {1, 2, 4, 8};
   private static final int UPSTREAMS = 8;
-  private static final int CLIENTS = 16;
-  private static final long MS = 1_000_000L;
-  private static final long WARM_MILLIS = 3_000;
+  private static final int CLIENTS_PER_INSTANCE = 16;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final long WARM_UP_MILLIS = 3_000;
 
   private final int seconds;
   private final int rounds;
@@ -43,7 +44,14 @@
   private final EventLoopGroup clientLoops =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
 
-  /** Rounds of so many seconds at each size; {@code flags} for the instances' JVMs. */
+  /**
+   * Creates a measurement.
+   *
+   * @param seconds duration of each run
+   * @param rounds number of runs at each size
+   * @param flags JVM flags of the instances
+   * @param out receives the results
+   */
   public FleetThroughput(int seconds, int rounds, List<String> flags, PrintStream out) {
     this.seconds = seconds;
     this.rounds = rounds;
@@ -51,7 +59,7 @@
     this.out = out;
   }
 
-  /** Measures, and prints a line for each round and each size. */
+  /** Measures, and prints a line for each run and then one for each size. */
   public void run() throws Exception {
     double[][] perSecond = new double[SIZES.length][rounds];
     List<StandInUpstream> upstreams = new ArrayList<>();
@@ -66,7 +74,7 @@
           perSecond[s][round] =
               measure(SIZES[s], FleetRig.configuration(discovery.address().getPort()));
           out.printf(
-              "round %d: %d instances, %.0f requests a second%n",
+              "round %d: %d instances, %.0f requests per second%n",
               round + 1, SIZES[s], perSecond[s][round]);
         }
       }
@@ -75,15 +83,15 @@
       standIns.shutdownGracefully(0, 0, TimeUnit.SECONDS);
       clientLoops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
-    double[] one = perSecond[0];
+    double[] oneInstance = perSecond[0];
     for (int s = 0; s < SIZES.length; s++) {
       double[] ratios = new double[rounds];
       for (int r = 0; r < rounds; r++) {
-        ratios[r] = perSecond[s][r] / one[r];
+        ratios[r] = perSecond[s][r] / oneInstance[r];
       }
       Arrays.sort(ratios);
       out.printf(
-          "%d instances: %.2f (%.2f to %.2f) of one%n",
+          "%d instances: median %.2f (%.2f to %.2f) times the throughput of one instance%n",
           SIZES[s], ratios[rounds / 2], ratios[0], ratios[rounds - 1]);
     }
   }
@@ -102,7 +110,7 @@
             config,
             "rig",
             ProgramCommand.withFlags(flags),
-            Limits.of(1, 500 * MS)),
+            Limits.of(1, 500 * NANOS_PER_MILLI)),
         line -> {});
     try {
       daemon.start();
@@ -113,18 +121,18 @@
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port + i),
                 clientLoops,
                 new HttpRequestTemplate("h", "rate-lookup", false, "demo", 1_500),
-                LoadProfile.closedLoop(CLIENTS, 1),
+                LoadProfile.closedLoop(CLIENTS_PER_INSTANCE, 1),
                 "t" + i,
                 i)
             .start());
       }
-      TimeUnit.MILLISECONDS.sleep(WARM_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(WARM_UP_MILLIS);
       long before = served(all);
-      long from = System.nanoTime();
+      long startNanos = System.nanoTime();
       TimeUnit.SECONDS.sleep(seconds);
-      double perSecond = (served(all) - before) * 1e9 / (System.nanoTime() - from);
-      for (Load c : all) {
-        c.stop();
+      double perSecond = (served(all) - before) * 1e9 / (System.nanoTime() - startNanos);
+      for (Load load : all) {
+        load.stop();
       }
       return perSecond;
     } finally {
@@ -134,6 +142,6 @@
   }
 
   private static long served(List<Load> all) {
-    return all.stream().mapToLong(c -> c.count(Outcome.SERVED)).sum();
+    return all.stream().mapToLong(load -> load.count(Outcome.SERVED)).sum();
   }
 }
--- a/src/main/java/pumicekeel/rig/ProgramCommand.java
+++ b/src/main/java/pumicekeel/rig/ProgramCommand.java
@@ -4,17 +4,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The command line that starts this program anew, with the JVM and the class path of this process. */
+/** Builds the command line that starts this program in a new process, with the JVM and the class path of this one. */
 public final class ProgramCommand {
 
   private ProgramCommand() {}
 
-  /** The command without the program's own arguments; {@code flags} are the JVM's. */
+  /** Returns the command with these JVM flags and without arguments of the program. */
   public static List<String> withFlags(List<String> flags) {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(flags);
-    // What the jar's manifest says by Add-Opens.
+    // The same as Add-Opens in the manifest of the jar, which does not apply to a class path.
     command.addAll(List.of("--add-opens", "java.base/sun.nio.ch=ALL-UNNAMED"));
     command.addAll(List.of("-cp", System.getProperty("java.class.path"), "pumicekeel.cli.Main"));
     return command;
