--- a/src/main/java/pumicekeel/node/ServicePools.java
+++ b/src/main/java/pumicekeel/node/ServicePools.java
@@ -76,6 +76,7 @@
 
   /** The generation at the start: its journal and its peers apply until the process ends. */
   private final OperatorConfiguration firstGeneration;
+
   private RouteTable table;
   private InetSocketAddress platformDiscovery;
   private AttemptJournal journal;
--- a/src/main/java/pumicekeel/rig/scale/HollowFleet.java
+++ b/src/main/java/pumicekeel/rig/scale/HollowFleet.java
@@ -23,7 +23,8 @@
   /** When the number of live members last changed in each member's view, by System.nanoTime. */
   private final AtomicLongArray liveCountChangedAt;
 
-  private HollowFleet(EventLoops loops, List<PeerLink> members, AtomicLongArray liveCountChangedAt) {
+  private HollowFleet(
+      EventLoops loops, List<PeerLink> members, AtomicLongArray liveCountChangedAt) {
     this.loops = loops;
     this.members = members;
     this.liveCountChangedAt = liveCountChangedAt;
--- a/src/main/java/pumicekeel/rig/scale/ListWatchScenario.java
+++ b/src/main/java/pumicekeel/rig/scale/ListWatchScenario.java
@@ -110,7 +110,11 @@
   }
 
   private static Map<String, Double> measure(
-      Counts counts, Duration idleTime, EventLoops loops, StandInDiscovery discovery, Deadline deadline)
+      Counts counts,
+      Duration idleTime,
+      EventLoops loops,
+      StandInDiscovery discovery,
+      Deadline deadline)
       throws TimeoutException, InterruptedException, IOException {
     WatchTerms terms = WatchTerms.of(Decoder.settings(Fields.parse("settings", DemoSettings.JSON)));
     CountingSockets sockets = new CountingSockets();
--- a/src/test/java/pumicekeel/rig/scale/ConfigurationGeneratorTest.java
+++ b/src/test/java/pumicekeel/rig/scale/ConfigurationGeneratorTest.java
@@ -36,8 +36,9 @@
     assertEquals(
         60,
         operator.sources().values().stream()
-            .mapToInt(source ->
-                source instanceof OperatorConfiguration.StaticSource fixed ? fixed.hosts().size() : 0)
+            .mapToInt(source -> source instanceof OperatorConfiguration.StaticSource fixed
+                ? fixed.hosts().size()
+                : 0)
             .sum());
   }
 
