--- a/src/main/java/pumicekeel/cli/LabCommand.java
+++ b/src/main/java/pumicekeel/cli/LabCommand.java
@@ -503,13 +503,13 @@
       out.printf(
           "seed %d: %d requests, %d served, %d refused; at most %d sockets, %d bytes of buffers; %s%n",
           seed,
-          r.asked(),
+          r.requests(),
           r.served(),
           r.refused(),
-          r.mostSockets(),
-          r.mostBytes(),
-          r.breach() == null ? "all rules held" : "BROKEN: " + r.breach());
-      return r.breach() == null ? 0 : 1;
+          r.maxSockets(),
+          r.maxBufferBytes(),
+          r.violation() == null ? "all rules held" : "BROKEN: " + r.violation());
+      return r.violation() == null ? 0 : 1;
     }
 
     private int runAll() throws InterruptedException {
@@ -524,15 +524,15 @@
           "%d runs from seed %d: %d requests, %.1f %% served, %.1f %% refused; broken: %d%n",
           total.runs(),
           seed,
-          total.asked(),
-          100.0 * total.served() / total.asked(),
-          100.0 * total.refused() / total.asked(),
-          total.broken().size());
+          total.requests(),
+          100.0 * total.served() / total.requests(),
+          100.0 * total.refused() / total.requests(),
+          total.violations().size());
       total
-          .broken()
+          .violations()
           .forEach((runSeed, breach) -> out.println("seed " + runSeed + ": " + breach
               + "; repeat with lab program --seed " + runSeed + " --trace"));
-      return total.broken().isEmpty() ? 0 : 1;
+      return total.violations().isEmpty() ? 0 : 1;
     }
 
     private int shrink() {
@@ -543,8 +543,8 @@
         out.println("seed " + seed + ": all rules held");
         return 0;
       }
-      shrunk.told().forEach(out::println);
-      out.println("BROKEN: " + shrunk.breach() + "; repeat with lab program --seed " + seed
+      shrunk.descriptions().forEach(out::println);
+      out.println("BROKEN: " + shrunk.violation() + "; repeat with lab program --seed " + seed
           + " --trace --only "
           + shrunk.steps().stream().map(String::valueOf).collect(Collectors.joining(",")));
       return 1;
--- a/src/main/java/pumicekeel/lab/program/ProgramRun.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramRun.java
@@ -29,17 +29,28 @@
  */
 public final class ProgramRun {
 
-  /** What came of it; {@code breach} is null where all held. {@code sum} differs where anything went otherwise. */
+  /**
+   * The result of a run.
+   *
+   * @param requests requests that clients sent
+   * @param served requests that were answered with 200
+   * @param refused requests that were answered with 429 or 503
+   * @param violation the first violated rule, or null if all held
+   * @param checksum a checksum of all events and their times
+   * @param events tasks and timers that the event loop executed
+   * @param maxSockets most sockets that the program held at one time
+   * @param maxBufferBytes most bytes of buffers that the program held at one time
+   */
   public record Report(
       long seed,
-      String breach,
-      int asked,
+      String violation,
+      int requests,
       int served,
       int refused,
-      long sum,
+      long checksum,
       long events,
-      int mostSockets,
-      long mostBytes) {}
+      int maxSockets,
+      long maxBufferBytes) {}
 
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1_000 * MS;
--- a/src/main/java/pumicekeel/lab/program/ProgramSeeds.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramSeeds.java
@@ -13,10 +13,10 @@
   /** What came of them all; the broken ones by seed, in order. */
   public record Total(
       long runs,
-      long asked,
+      long requests,
       long served,
       long refused,
-      ConcurrentSkipListMap<Long, String> broken) {}
+      ConcurrentSkipListMap<Long, String> violations) {}
 
   private static final int LINES = 20;
 
@@ -28,7 +28,7 @@
   private final AtomicLong asked = new AtomicLong();
   private final AtomicLong served = new AtomicLong();
   private final AtomicLong refused = new AtomicLong();
-  private final ConcurrentSkipListMap<Long, String> broken = new ConcurrentSkipListMap<>();
+  private final ConcurrentSkipListMap<Long, String> violations = new ConcurrentSkipListMap<>();
 
   public ProgramSeeds(long first, long runs, int threads, Consumer<String> progress) {
     this.first = first;
@@ -51,18 +51,18 @@
     while (!workers.awaitTermination(1, TimeUnit.HOURS)) {
       progress.accept(Math.min(runs, next.get()) + " of " + runs);
     }
-    return new Total(runs, asked.get(), served.get(), refused.get(), broken);
+    return new Total(runs, asked.get(), served.get(), refused.get(), violations);
   }
 
   private void work() {
     for (long i = next.getAndIncrement(); i < runs; i = next.getAndIncrement()) {
       ProgramRun.Report r = new ProgramRun(first + i).play();
-      asked.addAndGet(r.asked());
+      asked.addAndGet(r.requests());
       served.addAndGet(r.served());
       refused.addAndGet(r.refused());
-      if (r.breach() != null) {
-        broken.put(r.seed(), r.breach());
-        progress.accept("seed " + r.seed() + ": " + r.breach());
+      if (r.violation() != null) {
+        violations.put(r.seed(), r.violation());
+        progress.accept("seed " + r.seed() + ": " + r.violation());
       }
       if ((i + 1) % Math.max(1, runs / LINES) == 0) {
         progress.accept(i + 1 + " of " + runs);
--- a/src/main/java/pumicekeel/lab/program/ProgramShrinker.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramShrinker.java
@@ -11,7 +11,7 @@
 public final class ProgramShrinker {
 
   /** What is left: which steps of the seed's script, what they say, and what they break. */
-  public record Shrunk(List<Integer> steps, List<String> told, String breach) {}
+  public record Shrunk(List<Integer> steps, List<String> descriptions, String violation) {}
 
   private final Script script;
   private final Consumer<String> progress;
@@ -59,7 +59,7 @@
   }
 
   private String play(List<Integer> steps) {
-    return new ProgramRun(script.only(steps), null).play().breach();
+    return new ProgramRun(script.only(steps), null).play().violation();
   }
 
   /** A breach without its numbers and times: the same fault elsewhere is the same fault. */
--- a/src/test/java/pumicekeel/lab/program/ProgramRunTest.java
+++ b/src/test/java/pumicekeel/lab/program/ProgramRunTest.java
@@ -23,8 +23,8 @@
     int asked = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       ProgramRun.Report r = new ProgramRun(seed).play();
-      assertNull(r.breach(), "lab program --seed " + seed + " --trace: " + r.breach());
-      asked += r.asked();
+      assertNull(r.violation(), "lab program --seed " + seed + " --trace: " + r.violation());
+      asked += r.requests();
     }
     assertTrue(asked > SEEDS * 50, "asked " + asked);
   }
@@ -34,7 +34,8 @@
     for (long seed = 100; seed < 105; seed++) {
       assertEquals(new ProgramRun(seed).play(), new ProgramRun(seed).play(), "seed " + seed);
     }
-    assertNotEquals(new ProgramRun(100).play().sum(), new ProgramRun(101).play().sum());
+    assertNotEquals(
+        new ProgramRun(100).play().checksum(), new ProgramRun(101).play().checksum());
   }
 
   @Test
@@ -59,7 +60,7 @@
         left.steps().size() < broken.steps().size(),
         left.steps() + " of " + broken.steps().size());
     assertEquals(
-        left.breach(), new ProgramRun(broken.only(left.steps()), null).play().breach());
+        left.violation(), new ProgramRun(broken.only(left.steps()), null).play().violation());
     assertTrue(progress.size() > 1);
   }
 
@@ -67,7 +68,7 @@
     for (long seed = 1; ; seed++) {
       Script s = Script.of(seed);
       Script crowded = new Script(seed, s.servers(), TOO_FEW, s.perSecond(), false, s.steps());
-      if (s.steps().size() < 150 && new ProgramRun(crowded, null).play().breach() != null) {
+      if (s.steps().size() < 150 && new ProgramRun(crowded, null).play().violation() != null) {
         return crowded;
       }
     }
@@ -93,14 +94,14 @@
     assertTrue(steps.size() > any.servers() + 3, "uploads: " + steps.size());
     assertNull(new ProgramRun(new Script(5, any.servers(), 200, 20, false, steps), null)
         .play()
-        .breach());
+        .violation());
   }
 
   @Test
   void theTraceTellsWhatWasAskedAndAnswered() {
     List<String> told = new ArrayList<>();
     ProgramRun.Report r = new ProgramRun(3, null, told::add).play();
-    assertEquals(r.asked(), told.stream().filter(t -> t.contains("  asked ")).count());
+    assertEquals(r.requests(), told.stream().filter(t -> t.contains("  asked ")).count());
     assertEquals(
         r.served(), told.stream().filter(t -> t.contains(", status 200")).count());
   }
