--- a/src/main/java/pumicekeel/lab/program/Line.java
+++ b/src/main/java/pumicekeel/lab/program/Line.java
@@ -5,22 +5,23 @@
 import pumicekeel.lab.world.RandomStream;
 
 /**
- * One TCP connection, as its two ends see it: bytes come in order, in pieces of any size, some time later; each side holds so many
- * unread bytes and then the other has to wait; a side that closes with bytes unread, or gets more after its close, resets the other
- * (RFC 9293, 3.6.1 and 3.10.7). What had come before a reset can still be read, as on Linux.
+ * A simulated TCP connection between two endpoints. Bytes arrive in order, after a delay and in segments of any size. Each endpoint holds
+ * at most one window of unread bytes; beyond that the sender has to wait. An endpoint that closes with unread bytes, or that receives
+ * bytes after its close, resets the connection (RFC 9293, 3.6.1 and 3.10.7). Bytes that arrived before a reset can still be read, as on
+ * Linux.
  */
 final class Line {
 
-  /** Told what happens at an end. */
+  /** Receives the events of one endpoint. */
   interface Listener {
-    /** Bytes, an end or a reset can be read. */
+    /** Bytes, an end of stream or a reset can be read. */
     void readable();
 
-    /** The other side has room again after it had none. */
+    /** The peer has buffer space again after a send was cut short. */
     void writable();
   }
 
-  /** One write in so many is cut in two or more. */
+  /** On average one in this many sends is split into several segments. */
   private static final int CUT_IN = 8;
 
   private final VirtualLoop loop;
@@ -47,7 +48,7 @@
     this.called.peer = this.caller;
   }
 
-  /** One side of it. */
+  /** One side of the connection. */
   final class End {
     final InetSocketAddress address;
     private End peer;
@@ -63,13 +64,14 @@
     private boolean closed;
     private boolean waits;
     private boolean uncut;
-    /** Nothing arrives any more and nothing is said of it: the machine is cut off. */
+    /** The machine is cut off from the network: what arrives is lost without a reply. */
     private boolean cut;
 
     private End(InetSocketAddress address) {
       this.address = address;
     }
 
+    /** Sets the receiver of events; what has already arrived is announced on the loop. */
     void listener(Listener to) {
       listener = to;
       if (unread > 0 || ended || reset) {
@@ -77,29 +79,32 @@
       }
     }
 
+    /** Returns the address of the other endpoint. */
     InetSocketAddress peerAddress() {
       return peer.address;
     }
 
+    /** Returns the number of bytes that have arrived and have not been read. */
     int unread() {
       return unread;
     }
 
-    /** The other side will send no more, and all that it sent has been read. */
+    /** Returns whether the peer has ended its output and all of it has been read. */
     boolean over() {
       return ended && unread == 0;
     }
 
-    /** The other side has given the connection up. */
+    /** Returns whether the peer has reset the connection. */
     boolean reset() {
       return reset;
     }
 
+    /** Returns whether the connection is open and nothing waits to be read, neither bytes nor an end of stream nor a reset. */
     boolean quiet() {
       return unread == 0 && !ended && !reset && !closed;
     }
 
-    /** Takes what there is, at most so much. */
+    /** Reads at most this many of the bytes that have arrived; returns their number. */
     int read(byte[] into, int from, int most) {
       int read = 0;
       while (read < most && !inbox.isEmpty()) {
@@ -127,7 +132,7 @@
       }
     }
 
-    /** Sends what the other side has room for; the number of bytes that went. */
+    /** Sends as many of these bytes as the peer has buffer space for; returns their number. */
     int send(byte[] bytes, int from, int length) {
       int n =
           closed || finished || reset ? 0 : Math.min(length, window - peer.unread - peer.flying);
@@ -146,12 +151,12 @@
       return Math.max(0, n);
     }
 
-    /** What is sent at once from now on comes at once, as far as there is room. */
+    /** Selects whether each send arrives as a single segment, as far as the peer has buffer space. */
     void uncut(boolean on) {
       uncut = on;
     }
 
-    /** Sends no more; reading goes on. */
+    /** Ends the output with a FIN; reading continues. */
     void finish() {
       if (!finished && !closed && !reset) {
         finished = true;
@@ -159,7 +164,7 @@
       }
     }
 
-    /** Closes it: a reset where bytes are left unread. */
+    /** Closes the endpoint; unread bytes turn the close into a reset. */
     void close() {
       if (closed) {
         return;
@@ -172,7 +177,7 @@
       closed = true;
     }
 
-    /** Gives it up at once. */
+    /** Resets the connection and discards what has arrived. */
     void abort() {
       if (!closed && !reset) {
         arrive(() -> peer.resetCame());
@@ -181,7 +186,7 @@
       drop();
     }
 
-    /** Its machine is cut off, or back: then what comes meets no connection and is reset. */
+    /** Cuts the endpoint's machine off from the network or reconnects it; bytes that arrive after that find no connection and are reset. */
     void cut(boolean on) {
       cut = on;
       closed |= on;
@@ -217,7 +222,7 @@
       if (!cut && !reset) {
         reset = true;
         if (!closed && listener != null) {
-          // A write that waited for room fails now, whether anything is read or not.
+          // A write that waits for buffer space fails now, even if the application reads nothing.
           listener.readable();
           listener.writable();
         }
--- a/src/main/java/pumicekeel/lab/program/Messages.java
+++ b/src/main/java/pumicekeel/lab/program/Messages.java
@@ -9,24 +9,26 @@
 import java.util.function.Consumer;
 
 /**
- * Reads HTTP/1.1 messages off a connection, a byte at a time if need be (RFC 9112). Written apart from the program's own codec on
- * purpose: what judges an answer must not share its reader's mistakes.
+ * Incremental reader of HTTP/1.1 messages (RFC 9112). Deliberately independent of the program's own codec: the code that checks an answer
+ * must not share the defects of the code under test.
  */
 final class Messages {
 
-  /** One message that has come whole; names of fields are in lower case. */
+  /** A complete message; the names of header fields are in lower case. */
   record Message(String first, Map<String, String> fields, byte[] body) {
 
+    /** Returns the status code of a response. */
     int status() {
       return Integer.parseInt(first.substring(9, 12));
     }
 
+    /** Returns whether the sender closes the connection after this message. */
     boolean closes() {
       return "close".equalsIgnoreCase(fields.get("connection"));
     }
   }
 
-  /** What is not HTTP. */
+  /** The input is not valid HTTP. */
   static final class Malformed extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -55,23 +57,26 @@
   private String first;
   private Map<String, String> fields = new HashMap<>();
   private long left;
-  /** The next answer has no body whatever it says: it is one to HEAD. */
+  /** The next response has no body whatever its header says: it answers a HEAD request. */
   private boolean bare;
 
+  /** Creates a reader of responses, or of requests if {@code answers} is false; {@code to} gets each complete message. */
   Messages(boolean answers, Consumer<Message> to) {
     this.answers = answers;
     this.to = to;
   }
 
-  /** Nothing has come of a message that is not whole. */
+  /** Returns whether no message has been received in part. */
   boolean atRest() {
     return state == State.HEAD && first == null && line.size() == 0;
   }
 
+  /** Selects whether responses have no body whatever their header says, as those to HEAD. */
   void expectBare(boolean on) {
     bare = on;
   }
 
+  /** Processes the first {@code length} of these bytes. */
   void feed(byte[] bytes, int length) throws Malformed {
     int at = 0;
     while (at < length) {
@@ -90,17 +95,17 @@
           String text = line.toString(StandardCharsets.ISO_8859_1);
           line.reset();
           if (!text.endsWith("\r\n")) {
-            throw new Malformed("a line without CR");
+            throw new Malformed("line ends without CR");
           }
           line(text.substring(0, text.length() - 2));
         } else if (line.size() > MOST_HEAD) {
-          throw new Malformed("a line without an end");
+          throw new Malformed("line too long");
         }
       }
     }
   }
 
-  /** The connection has ended: that is the end of a body without a length. */
+  /** Processes the end of the stream, which ends a response body without a length. */
   void ended() {
     if (state == State.TO_THE_END) {
       over();
@@ -123,7 +128,7 @@
       }
       case CHUNK_END -> {
         if (!text.isEmpty()) {
-          throw new Malformed("a chunk that is longer than it says");
+          throw new Malformed("chunk is longer than its announced size");
         }
         state = State.SIZE;
       }
@@ -139,7 +144,7 @@
   private void head(String text) throws Malformed {
     if (first == null) {
       if (answers && !text.matches("HTTP/1\\.1 [1-5][0-9][0-9].*")) {
-        throw new Malformed("no status line: " + text);
+        throw new Malformed("invalid status line: " + text);
       }
       first = text;
     } else if (text.isEmpty()) {
@@ -147,7 +152,7 @@
     } else {
       int colon = text.indexOf(':');
       if (colon < 1) {
-        throw new Malformed("no field: " + text);
+        throw new Malformed("invalid header field: " + text);
       }
       fields.put(
           text.substring(0, colon).toLowerCase(Locale.ROOT),
@@ -157,7 +162,7 @@
 
   private void headOver() throws Malformed {
     if (answers && first.startsWith("HTTP/1.1 1")) {
-      // An interim answer: the final one is still to come (RFC 9110, 15.2).
+      // An interim response; the final one follows (RFC 9110, 15.2).
       reset();
       return;
     }
@@ -188,11 +193,11 @@
     body.reset();
   }
 
-  // Bodies that tell whose they are
+  // Bodies that identify their request
 
   private static final int LETTERS = 26;
   private static final int BLOCK = LETTERS << 11;
-  /** The alphabet over and over, so that bodies are copied and compared in blocks. */
+  /** The alphabet, repeated, so that bodies are copied and compared in blocks. */
   private static final byte[] ALPHABET = alphabet();
 
   private static byte[] alphabet() {
@@ -203,7 +208,7 @@
     return out;
   }
 
-  /** A body of about this size that only this name's can be. */
+  /** Returns the body of a request or response with this name, of about this size; no two names share a body. */
   static byte[] bodyOf(String name, int size) {
     byte[] start = (name + "|").getBytes(StandardCharsets.US_ASCII);
     byte[] all = Arrays.copyOf(start, Math.max(size, start.length));
@@ -214,7 +219,7 @@
     return all;
   }
 
-  /** Whether a body is this name's, whole as far as can be told. */
+  /** Returns whether a body belongs to this name and is intact; a truncated end is not detected. */
   static boolean isOf(String name, byte[] body) {
     byte[] start = (name + "|").getBytes(StandardCharsets.US_ASCII);
     if (body.length < start.length
@@ -231,7 +236,7 @@
     return true;
   }
 
-  /** Where in the alphabet this name's filling begins. */
+  /** Returns the position in the alphabet at which the padding of this name begins. */
   private static int turn(String name, int at) {
     return ((name.hashCode() & 0xffff) + at) % LETTERS;
   }
--- a/src/main/java/pumicekeel/lab/program/OperatorFiles.java
+++ b/src/main/java/pumicekeel/lab/program/OperatorFiles.java
@@ -4,7 +4,7 @@
 import pumicekeel.config.Operator;
 import pumicekeel.config.OperatorReader;
 
-/** The operator file of a run, generation by generation: two pools over one list, a JSON-RPC listener, and another part of it each time. */
+/** The operator file of a run: two pools over one list and a JSON-RPC listener, with other routes in each generation. */
 final class OperatorFiles {
 
   private static final String ALWAYS = """
@@ -40,7 +40,7 @@
 
   private OperatorFiles() {}
 
-  /** The file of a generation; the listener's port stays. */
+  /** Returns the operator file of a generation; the JSON-RPC listener keeps its address in all generations. */
   static Operator generation(int number, InetSocketAddress listener) {
     OperatorReader.Result read =
         OperatorReader.read(ALWAYS.formatted(listener.getPort()) + ROUTES[number % ROUTES.length]);
--- a/src/main/java/pumicekeel/lab/program/Outgoing.java
+++ b/src/main/java/pumicekeel/lab/program/Outgoing.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** What a stand-in has still to send on a connection: it goes as the other side makes room. */
+/** Send queue of a simulated client or server; bytes are sent as the peer has buffer space for them. */
 final class Outgoing {
 
   private final Line.End end;
@@ -13,26 +13,29 @@
     this.end = end;
   }
 
+  /** Adds bytes to send. */
   void add(byte[] bytes) {
     queue.add(bytes);
     go();
   }
 
-  /** Run once all that was added before has gone. */
+  /** Runs a task once everything that was added before it has been sent. */
   void then(Runnable what) {
     queue.add(what);
     go();
   }
 
+  /** Returns whether everything has been sent. */
   boolean empty() {
     return queue.isEmpty();
   }
 
-  /** Nothing more of it goes. */
+  /** Discards everything that has not been sent. */
   void drop() {
     queue.clear();
   }
 
+  /** Sends as much as the peer has buffer space for. */
   void go() {
     while (!queue.isEmpty()) {
       Object next = queue.peek();
--- a/src/main/java/pumicekeel/lab/program/ProgramRun.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramRun.java
@@ -24,8 +24,9 @@
 import pumicekeel.runtime.Reactor;
 
 /**
- * The whole serving program in virtual time: fronts, core, module, upstream connections, discovery and stop as in service, on a loop
- * and a network that the seed decides, between stand-ins that record the truth. The same script gives the same run to the byte.
+ * Runs the whole serving program in virtual time: fronts, core, module, upstream connections, discovery and shutdown are the production
+ * code, on an event loop and a network that are simulated from the seed. Simulated clients, upstreams and discovery report what they
+ * observe to a {@link RunVerifier}. The same script gives the same run, byte for byte.
  */
 public final class ProgramRun {
 
@@ -59,19 +60,19 @@
   private static final long DEDUP = 2 * SECOND;
   private static final long WARM = 8 * SECOND;
   private static final long IDLE = 3 * SECOND;
-  /** SIGKILL comes no sooner after SIGTERM: the longest deadline, and 0.7 s. */
+  /** Least time from SIGTERM to SIGKILL: the longest deadline plus 0.7 s. */
   private static final long STOP_WITHIN = 2 * SECOND + 700 * MS;
-  /** An upstream that was told to leave is gone after so long. */
+  /** Time from the announced departure of an upstream to its end. */
   private static final long LEAVES_WITHIN = 4 * SECOND;
-  /** Connections stand idle at most so long, and limits on clients are shorter. */
+  /** Upper bound of the time that a connection stays idle; the limits on clients are shorter. */
   private static final long SETTLES = 12 * SECOND;
-  /** Buffers that one connection may hold: what is read at once, what is kept of a body each way, and what waits to be written. */
+  /** Buffer bytes that one connection may hold: one read, the kept part of a body in each direction, and what waits to be written. */
   private static final long BYTES_EACH = 400 << 10;
-  /** Against what an upstream is usually asked: the budget of a cold one goes by what it can do. */
+  /** An upstream's capacity relative to its usual load; the budget of a cold upstream depends on its capacity. */
   private static final double CAPACITY = 2;
 
   private static final int PARTNER_PORT = 1_999;
-  /** One request in so many is a call, where there is a listener for them. */
+  /** One in this many requests is a JSON-RPC call, if the run has a listener for calls. */
   private static final int CALLS_IN = 4;
 
   private final Script script;
@@ -90,17 +91,22 @@
   private long start;
   private boolean stopped;
 
+  /** Creates the run of a seed. */
   public ProgramRun(long seed) {
     this(Script.of(seed), null);
   }
 
-  /** One with these steps of the seed's script alone, or all where null; every event is told, a line each, where {@code trace} is not
-   * null. */
+  /**
+   * Creates the run of a seed with a subset of its steps.
+   *
+   * @param steps numbers of the steps to play, or null for all
+   * @param trace receives one line per event, or null
+   */
   public ProgramRun(long seed, List<Integer> steps, Consumer<String> trace) {
     this(steps == null ? Script.of(seed) : Script.of(seed).only(steps), trace);
   }
 
-  /** One whose every event is told, a line each. */
+  /** Creates the run of a script; {@code trace} receives one line per event and may be null. */
   ProgramRun(Script script, Consumer<String> trace) {
     this.script = script;
     network = new VirtualNetwork(loop, script.randomFor("network"), this::broken);
@@ -136,11 +142,11 @@
     return new RequestClass(name, effect, scope, DEDUP, aim, 0, 2 * SECOND, 1, 0, false);
   }
 
-  /** Plays it. */
+  /** Plays the run to its end and returns its result. */
   public Report play() {
     Log.redirect(this::logged);
-    loop.onFailure(e -> verifier.broken(
-        "thrown: " + e + (e.getStackTrace().length == 0 ? "" : " at " + e.getStackTrace()[0])));
+    loop.onFailure(e -> verifier.broken("uncaught exception: " + e
+        + (e.getStackTrace().length == 0 ? "" : " at " + e.getStackTrace()[0])));
     try {
       begin();
       for (Step s : script.steps()) {
@@ -150,7 +156,7 @@
       long last = script.steps().stream().mapToLong(Step::at).max().orElse(0);
       loop.runUntil(start + last + STOP_WITHIN + SECOND);
       if (stopped && !node.hasDrained()) {
-        verifier.broken("the balancer did not end within its time");
+        verifier.broken("the balancer did not stop within its time limit");
       }
       clients.close();
       if (calls != null) {
@@ -159,7 +165,7 @@
       loop.runUntil(loop.now() + SETTLES);
       end();
     } catch (IOException | InterruptedException | RuntimeException e) {
-      verifier.broken("the run ended with " + e + " at " + e.getStackTrace()[0]);
+      verifier.broken("the run was aborted by " + e + " at " + e.getStackTrace()[0]);
     } finally {
       Log.redirect(null);
     }
@@ -196,7 +202,7 @@
         new Reactor(loop, clock, network),
         configuration,
         script.pools() ? OperatorFiles.generation(0, operatorListener) : null,
-        () -> verifier.broken("the program ended itself"),
+        () -> verifier.broken("the program requested its own termination"),
         false);
     clients = new RawClients(script, network, verifier, node.start());
     calls = script.pools() ? new RawCalls(script, network, verifier, operatorListener) : null;
@@ -209,7 +215,7 @@
     if (line.contains("Exception") && !line.contains("IOException")
         || line.contains("Error")
         || line.startsWith("defect")) {
-      verifier.broken("logged: " + line);
+      verifier.broken("unexpected log line: " + line);
     }
   }
 
@@ -221,7 +227,7 @@
     }
   }
 
-  /** Another generation of the operator file, or other settings; not while it stops. */
+  /** Reloads the program with the next generation of the operator file or with other settings, unless it is stopping. */
   private void reload() {
     generation++;
     try {
@@ -238,7 +244,7 @@
             settings(400 * MS + generation % 2 * 200 * MS)));
       }
     } catch (IOException | InterruptedException e) {
-      verifier.broken("a reload failed: " + e.getMessage());
+      verifier.broken("reload failed: " + e.getMessage());
     }
   }
 
@@ -287,7 +293,7 @@
       servers.put(server.number, server);
       discovery.tell(server, "in_service", clock.millis());
     } catch (IOException e) {
-      verifier.broken("the world: " + e.getMessage());
+      verifier.broken("the simulated network failed: " + e.getMessage());
     }
   }
 
@@ -297,23 +303,23 @@
         .forEach(s -> verifier.judgeCold(
             s.number, s.startedAt, CAPACITY * script.perSecond() / script.servers()));
     if (network.mostOpen() > script.sockets()) {
-      verifier.broken("held " + network.mostOpen() + " sockets of " + script.sockets());
+      verifier.broken("held " + network.mostOpen() + " sockets, limit " + script.sockets());
     }
     if (network.mostBytes() > script.sockets() * BYTES_EACH) {
-      verifier.broken(
-          "held " + network.mostBytes() + " bytes for " + script.sockets() + " sockets");
+      verifier.broken("held " + network.mostBytes() + " bytes of buffers with a limit of "
+          + script.sockets() + " sockets");
     }
     String left = network.open().stream()
         .filter(s -> !discovery.address().equals(s.remoteAddress()))
         .map(s -> s.localAddress() + " to " + s.remoteAddress())
         .collect(Collectors.joining(", "));
     if (!left.isEmpty()) {
-      verifier.broken("connections left behind: " + left);
+      verifier.broken("connections left open at the end of the run: " + left);
     }
     List.copyOf(network.open()).forEach(VirtualSocket::close);
     loop.runUntil(loop.now() + SECOND);
     if (network.bytes() > 0) {
-      verifier.broken("buffers left behind: " + network.bytes() + " bytes");
+      verifier.broken("buffers not released at the end of the run: " + network.bytes() + " bytes");
     }
   }
 }
--- a/src/main/java/pumicekeel/lab/program/ProgramSeeds.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramSeeds.java
@@ -7,10 +7,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** Seed after seed, several side by side; each run has a thread, a loop and a network of its own. */
+/** Plays the runs of consecutive seeds in parallel; each run has its own thread, event loop and network. */
 public final class ProgramSeeds {
 
-  /** What came of them all; the broken ones by seed, in order. */
+  /**
+   * The combined results of all runs.
+   *
+   * @param violations the first violated rule of each run that had one, by seed
+   */
   public record Total(
       long runs,
       long requests,
@@ -30,6 +34,7 @@
   private final AtomicLong refused = new AtomicLong();
   private final ConcurrentSkipListMap<Long, String> violations = new ConcurrentSkipListMap<>();
 
+  /** Creates {@code runs} runs from the seed {@code first} on; {@code progress} receives a line for each violation and now and then. */
   public ProgramSeeds(long first, long runs, int threads, Consumer<String> progress) {
     this.first = first;
     this.runs = runs;
@@ -37,7 +42,7 @@
     this.progress = progress;
   }
 
-  /** Plays them all, also after one that is broken. */
+  /** Plays all runs, also after one with a violation. */
   public Total play() throws InterruptedException {
     ExecutorService workers = Executors.newFixedThreadPool(threads, work -> {
       Thread t = new Thread(work, "seeds");
--- a/src/main/java/pumicekeel/lab/program/ProgramShrinker.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramShrinker.java
@@ -5,17 +5,24 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a run in which something is broken down to the fewest steps in which the same still is (delta debugging, Zeller and Hildebrandt
- * 2002): halves are left out first, then smaller parts, then single steps.
+ * Reduces a run in which a rule is violated to few steps that still violate it (delta debugging, Zeller and Hildebrandt 2002): leaves out
+ * halves first, then smaller parts, then single steps.
  */
 public final class ProgramShrinker {
 
-  /** What is left: which steps of the seed's script, what they say, and what they break. */
+  /**
+   * A reduced run.
+   *
+   * @param steps numbers of the remaining steps in the seed's script
+   * @param descriptions the remaining steps as text
+   * @param violation the rule that they violate
+   */
   public record Shrunk(List<Integer> steps, List<String> descriptions, String violation) {}
 
   private final Script script;
   private final Consumer<String> progress;
 
+  /** Creates a shrinker for the run of a seed; {@code progress} receives one line per round. */
   public ProgramShrinker(long seed, Consumer<String> progress) {
     this(Script.of(seed), progress);
   }
@@ -25,7 +32,7 @@
     this.progress = progress;
   }
 
-  /** The fewest steps that were found; null where nothing is broken to begin with. */
+  /** Returns the smallest run that was found, or null if the whole run violates no rule. */
   public Shrunk shrink() {
     List<Integer> kept = new ArrayList<>();
     for (int i = 0; i < script.steps().size(); i++) {
@@ -62,7 +69,7 @@
     return new ProgramRun(script.only(steps), null).play().violation();
   }
 
-  /** A breach without its numbers and times: the same fault elsewhere is the same fault. */
+  /** Returns a violation without its numbers and times, to recognize the same fault in another run. */
   static String kindOf(String breach) {
     return breach.replaceAll("[0-9.]+", "#");
   }
--- a/src/main/java/pumicekeel/lab/program/RawCalls.java
+++ b/src/main/java/pumicekeel/lab/program/RawCalls.java
@@ -13,14 +13,14 @@
 import pumicekeel.lab.program.RequestScenario.Leaving;
 import pumicekeel.lab.world.RandomStream;
 
-/** Stand-in clients of the JSON-RPC front: a few connections with several calls open each, one message a line. */
+/** Simulated clients of the JSON-RPC front: a few connections with several open calls each, one message per line. */
 final class RawCalls {
 
   private static final long MS = 1_000_000L;
   private static final long SLACK = 58 * MS;
   private static final int CONNECTIONS = 3;
   private static final int DEPTH = 6;
-  /** One connection in so many ends its side behind a call, and still wants what is open. */
+  /** One in this many calls is followed by the end of the client's output; its connection still expects the open answers. */
   private static final int ENDS_IN = 25;
 
   private static final int FAILED = -32_000;
@@ -46,10 +46,12 @@
     random = script.randomFor("calls");
   }
 
+  /** Records that the balancer was told to stop: it may close its connections from now on. */
   void stopped() {
     stopped = true;
   }
 
+  /** Sends the call of this number, on an open connection if one has room for it. */
   void ask(int number) {
     RequestScenario scenario = new RequestScenario(script, number);
     Connection free = open.stream()
@@ -69,17 +71,18 @@
           },
           (refused, why) -> {
             if (!stopped) {
-              verifier.broken("a connection for calls was refused");
+              verifier.broken("a client's connection for JSON-RPC calls was refused");
             }
           });
     }
   }
 
+  /** Resets all connections. */
   void close() {
     List.copyOf(open).forEach(Connection::leave);
   }
 
-  /** One connection. */
+  /** A connection of a client. */
   private final class Connection implements Line.Listener {
     private final Line.End end;
     private final Outgoing out;
@@ -116,7 +119,7 @@
 
     private void late(int id, RequestScenario scenario) {
       if (waiting.remove(id, scenario)) {
-        verifier.lost(scenario, "no answer to the call in time");
+        verifier.lost(scenario, "the call was not answered in time");
       }
     }
 
@@ -154,7 +157,7 @@
           waiting
               .values()
               .forEach(
-                  f -> verifier.lost(f, "its connection was ended without an answer to the call"));
+                  f -> verifier.lost(f, "the connection was closed before the call was answered"));
         }
         waiting.clear();
       }
@@ -165,20 +168,20 @@
       try {
         answer(Fields.parse("answer", text));
       } catch (IOException | WireException e) {
-        verifier.nonsense("a call was answered with " + text + ": " + e.getMessage());
+        verifier.nonsense("invalid answer to a call: " + text + ": " + e.getMessage());
       }
     }
 
     private void answer(Fields reply) {
       RequestScenario scenario = reply.has("id") ? waiting.remove((int) reply.integer("id")) : null;
       if (scenario == null) {
-        verifier.nonsense("an answer to no call: " + reply.values());
+        verifier.nonsense("answer without an open call: " + reply.values());
       } else if (reply.has("result")) {
         verifier.answered(scenario, 200, reply.text("result").getBytes(StandardCharsets.US_ASCII));
       } else {
         long code = reply.nested("error").integer("code");
         if (code > FAILED || code < NO_ROOM) {
-          verifier.nonsense("a call was answered with " + reply.values());
+          verifier.nonsense("unexpected error code in an answer to a call: " + reply.values());
         }
         verifier.answered(scenario, code <= REFUSED ? 429 : 502, new byte[0]);
       }
--- a/src/main/java/pumicekeel/lab/program/RawClients.java
+++ b/src/main/java/pumicekeel/lab/program/RawClients.java
@@ -8,11 +8,11 @@
 import pumicekeel.lab.program.RequestScenario.Breach;
 import pumicekeel.lab.program.RequestScenario.Leaving;
 
-/** Stand-in clients of one balancer: each request has a connection for itself while it lasts, kept ones are used again. */
+/** Simulated HTTP clients of one balancer: each request has its own connection until it ends, and kept connections are reused. */
 final class RawClients {
 
   private static final long MS = 1_000_000L;
-  /** An answer is owed that long after the client's patience, on sockets. */
+  /** On sockets, an answer is due this long after the client's time has run out. */
   private static final long SLACK = 58 * MS;
 
   private static final long READS_EVERY = 5 * MS;
@@ -24,11 +24,14 @@
   private final RunVerifier verifier;
   private final InetSocketAddress balancer;
   private final ArrayDeque<Connection> idle = new ArrayDeque<>();
-  /** When the balancer was told to stop; clients may find it gone from then on. */
+  /** Time at which the balancer was told to stop; from then on it may refuse connections. */
   private long stoppedAt = Long.MAX_VALUE;
-  /** Beyond what the program may hold of clients' connections, the rest waits in the kernel: what it does then is not judged here. */
+  /**
+   * Size of a burst as a share of the program's sockets. Connections beyond the program's limit for clients wait in the kernel's backlog,
+   * which is not checked here.
+   */
   private static final double BURST_PART = 0.3;
-  /** Numbers of requests in bursts are beyond all others. */
+  /** Requests of bursts are numbered from multiples of this on, above all other requests. */
   private static final int BURST_NUMBERS = 1_000_000;
 
   private int crowd;
@@ -42,10 +45,12 @@
     loop = network.loop();
   }
 
+  /** Records that the balancer was told to stop. */
   void stopped() {
     stoppedAt = loop.now();
   }
 
+  /** Sends the request of this number, on an idle connection if there is one and the scenario reuses connections. */
   void ask(int number) {
     RequestScenario scenario = new RequestScenario(script, number);
     verifier.asked(scenario);
@@ -59,7 +64,7 @@
 
   private void connect(RequestScenario scenario) {
     if (loop.now() - 300 * MS > stoppedAt) {
-      // The front brings no more clients.
+      // By then a load balancer in front sends no more clients here.
       return;
     }
     network.connect(
@@ -72,19 +77,19 @@
         },
         (refused, why) -> {
           if (loop.now() < stoppedAt) {
-            verifier.lost(scenario, "its connection was refused");
+            verifier.lost(scenario, "the connection was refused");
           }
         });
   }
 
-  /** Many at once, on connections of their own where none is kept. */
+  /** Sends many requests at once, on new connections where none is idle. */
   void burst(int number) {
     for (int i = 0; i < script.sockets() * BURST_PART; i++) {
       ask(BURST_NUMBERS * (number + 1) + i);
     }
   }
 
-  /** Connections that say nothing, or begin and never end; they go after a while. */
+  /** Opens connections that send nothing or only the start of a request; most of them are closed after this time. */
   void crowd(int count, long nanos) {
     for (int i = 0; i < count; i++) {
       int kind = (crowd++) % 3;
@@ -101,7 +106,7 @@
 
               @Override
               public void writable() {
-                // It does not care.
+                // It has nothing more to send.
               }
             });
             byte[] begins =
@@ -110,7 +115,7 @@
               end.send(begins, 0, begins.length);
             }
             if (kind < 2) {
-              // The others stay until the balancer has had enough of them.
+              // The others stay until the balancer closes them.
               loop.at(loop.now() + nanos, kind == 1 ? end::abort : end::close);
             }
           },
@@ -118,7 +123,7 @@
     }
   }
 
-  /** One connection to the balancer. */
+  /** A client's connection to the balancer. */
   private final class Connection implements Line.Listener {
     private final Line.End end;
     private final Outgoing out;
@@ -178,7 +183,7 @@
       }
       sending = false;
       if (scenario == null) {
-        // Its answer had come before its last byte went out.
+        // The answer arrived before the last byte of the request was sent.
         rest();
         return;
       }
@@ -193,7 +198,7 @@
 
     private void late(long of, RequestScenario mine) {
       if (of == turn && !over && scenario == mine && reader.atRest() && end.unread() == 0) {
-        verifier.lost(mine, "no answer in time");
+        verifier.lost(mine, "not answered in time");
         end();
       }
     }
@@ -252,7 +257,7 @@
     private void take(int most) {
       int n = end.read(buffer, 0, Math.min(most, buffer.length));
       if (n > 0 && scenario == null) {
-        verifier.nonsense("bytes on a connection that asks nothing");
+        verifier.nonsense("bytes received on a client's connection without an open request");
         end();
         return;
       }
@@ -263,19 +268,20 @@
       try {
         reader.feed(buffer, n);
       } catch (Messages.Malformed e) {
-        verifier.nonsense(scenario.id + " was answered with what is not HTTP: " + e.getMessage());
+        verifier.nonsense(
+            scenario.id + " received an answer that is not valid HTTP: " + e.getMessage());
         end();
       }
     }
 
     private void answer(Message message) {
       if (over) {
-        // One that sent two requests at once may get two answers; it has gone after the first.
+        // A client that pipelined two requests may get two answers; it closes after the first.
         return;
       }
       RequestScenario mine = scenario;
       if (mine == null) {
-        verifier.nonsense("an answer that nobody waits for");
+        verifier.nonsense("answer received without an open request");
         return;
       }
       verifier.answered(mine, message.status(), message.body());
@@ -296,7 +302,7 @@
       }
     }
 
-    /** The balancer has ended the connection. */
+    /** Handles the end of the connection by the balancer. */
     private void ended() {
       if (over || !end.reset() && !end.over()) {
         return;
@@ -313,10 +319,11 @@
       if (begun) {
         verifier.cutShort(mine);
       } else if (whole && !fresh && !verifier.ran(mine)) {
-        // A close that crossed the request: it is sent once more, on a new connection.
+        // The balancer closed the idle connection while the request was on its way: send it again
+        // on a new one.
         connect(mine);
       } else if (whole) {
-        verifier.lost(mine, "its connection was ended without an answer");
+        verifier.lost(mine, "the connection was closed without an answer");
       }
     }
 
@@ -327,7 +334,7 @@
     }
   }
 
-  /** All go home: what stands idle is closed. */
+  /** Closes all idle connections. */
   void close() {
     List.copyOf(idle).forEach(Connection::end);
     idle.clear();
--- a/src/main/java/pumicekeel/lab/program/RawDiscovery.java
+++ b/src/main/java/pumicekeel/lab/program/RawDiscovery.java
@@ -12,13 +12,14 @@
 import java.util.stream.Collectors;
 import pumicekeel.lab.program.Messages.Message;
 
-/** A stand-in for discovery: the list as it changes, told on watches that may break off or fall silent. */
+/** Simulated discovery service: serves a changing list on watches that may be reset or fall silent. */
 final class RawDiscovery implements VirtualNetwork.Acceptor {
 
   private static final long HEARTBEAT = 2_000_000_000L;
-  /** What is written so shortly before a reset may never be read: the reset waits. */
+  /** Least time from a write to a reset of the watches: a reset sooner could destroy the update before it is read. */
   private static final long SETTLES = 10_000_000L;
 
+  /** The state of an upstream from an index on, as a JSON entry of the list. */
   private record Change(long index, int server, String text, boolean leaves, boolean gone) {}
 
   private final VirtualLoop loop;
@@ -37,11 +38,12 @@
     address = network.listen(0, this);
   }
 
+  /** Returns the address that the service listens at. */
   InetSocketAddress address() {
     return address;
   }
 
-  /** An upstream's line from now on. */
+  /** Changes an upstream's status in the list and sends the change on all watches. */
   void tell(RawServer server, String status, long sinceMillis) {
     index++;
     String text = "{\"name\":\"s-" + server.number + "\",\"address\":\"127.0.0.1:"
@@ -60,6 +62,7 @@
     watches.forEach(w -> w.go(false));
   }
 
+  /** Resets all watches. */
   void breakWatches() {
     long settled = wroteAt + SETTLES;
     if (loop.now() < settled) {
@@ -70,6 +73,7 @@
     watches.clear();
   }
 
+  /** Sends nothing on any watch for this time. */
   void silent(long nanos) {
     silentUntil = Math.max(silentUntil, loop.now() + nanos);
     loop.at(silentUntil, () -> watches.forEach(w -> w.go(false)));
@@ -80,7 +84,7 @@
     end.listener(new Watch(end));
   }
 
-  /** One watch. */
+  /** An open watch. */
   private final class Watch implements Line.Listener {
     private final Line.End end;
     private final Outgoing out;
@@ -100,7 +104,8 @@
         try {
           reader.feed(buffer, n);
         } catch (Messages.Malformed e) {
-          verifier.nonsense("discovery was asked in what is not HTTP: " + e.getMessage());
+          verifier.nonsense(
+              "discovery received a request that is not valid HTTP: " + e.getMessage());
         }
       }
       if (end.reset() || end.over()) {
@@ -136,7 +141,7 @@
       });
     }
 
-    /** Tells what it has not been told; the first line always comes. */
+    /** Sends the changes that the watch has not received; the first message is sent even if there are none. */
     private void go(boolean first) {
       if (loop.now() < silentUntil || !first && told >= index) {
         return;
--- a/src/main/java/pumicekeel/lab/program/RawServer.java
+++ b/src/main/java/pumicekeel/lab/program/RawServer.java
@@ -11,22 +11,30 @@
 import pumicekeel.lab.program.Messages.Message;
 import pumicekeel.lab.world.RandomStream;
 
-/** A stand-in upstream: runs what comes, and answers as the scenario of that request says. */
+/** Simulated upstream: executes each request and answers it in a way that is drawn from the seed, the request and the upstream. */
 final class RawServer implements VirtualNetwork.Acceptor {
 
-  /** How an answer goes. */
+  /** The kinds of answer; they are drawn by position, so the order has to stay. */
   private enum Word {
     OK,
     ERROR,
+    /** A rejection that says that the request was not executed. */
     TURNED_AWAY,
     RESET,
     SILENT,
+    /** A part of the response, then the connection ends. */
     CUT,
+    /** A part of the response; the connection stays open. */
     STALLED,
+    /** The response twice. */
     TWICE,
+    /** Bytes that are not HTTP. */
     NOISE,
+    /** A response, and later a byte without a request. */
     UNASKED,
+    /** A response that announces the close of its connection. */
     LAST,
+    /** A response whose connection is closed without announcement. */
     THEN_ENDS
   }
 
@@ -36,7 +44,7 @@
   private static final int USUAL = 85;
   private static final int SMALL = 900;
   private static final int UNASKED_WITHIN = 60_000_000;
-  /** One request in so many meets a reset so soon after its first byte, perhaps before its last. */
+  /** The connection of one in this many requests is reset within {@link #BREAKS_WITHIN} of the request's first byte. */
   private static final int BREAKS_IN = 60;
 
   private static final int BREAKS_WITHIN = 40_000_000;
@@ -69,30 +77,36 @@
     address = network.listen(0, this);
   }
 
+  /** Returns the address that the upstream listens at. */
   InetSocketAddress address() {
     return address;
   }
 
   // Fault injection
 
+  /** Executes requests and answers none for this time. */
   void hang(long nanos) {
     hangsUntil = Math.max(hangsUntil, loop.now() + nanos);
   }
 
+  /** Rejects all requests for this time. */
   void full(long nanos) {
     fullUntil = Math.max(fullUntil, loop.now() + nanos);
   }
 
+  /** Takes longer for each request for this time. */
   void slow(long nanos) {
     slowUntil = Math.max(slowUntil, loop.now() + nanos);
   }
 
+  /** Resets all connections and refuses new ones for this time. */
   void crash(long nanos) {
     network.reach(address, VirtualNetwork.Reach.REFUSES);
     List.copyOf(open).forEach(Connection::crash);
     loop.at(loop.now() + nanos, () -> network.reach(address, VirtualNetwork.Reach.OPEN));
   }
 
+  /** Cuts the upstream off from the network for this time. */
   void cutOff(long nanos) {
     cut = true;
     network.reach(address, VirtualNetwork.Reach.SILENT);
@@ -100,19 +114,20 @@
     loop.at(loop.now() + nanos, () -> {
       cut = false;
       network.reach(address, VirtualNetwork.Reach.OPEN);
-      // Back with none of its connections: what comes on them is reset.
+      // Reconnected without its former connections: what arrives on them is reset.
       List.copyOf(open).forEach(c -> c.cut(false));
       open.clear();
     });
   }
 
+  /** Closes all idle connections. */
   void impatient() {
     List.copyOf(open).stream()
         .filter(c -> c.reader.atRest() && c.out.empty() && !c.busy)
         .forEach(c -> c.end.close());
   }
 
-  /** It is gone for good. */
+  /** Resets all connections and refuses new ones for good. */
   void leave() {
     network.reach(address, VirtualNetwork.Reach.REFUSES);
     List.copyOf(open).forEach(Connection::crash);
@@ -127,7 +142,7 @@
     }
   }
 
-  /** One connection: a request at a time. */
+  /** A connection from the balancer, with one request at a time. */
   private final class Connection implements Line.Listener {
     private final Line.End end;
     private final Outgoing out;
@@ -181,7 +196,8 @@
         try {
           reader.feed(buffer, n);
         } catch (Messages.Malformed e) {
-          verifier.nonsense("upstream " + number + " was sent what is not HTTP: " + e.getMessage());
+          verifier.nonsense("upstream " + number + " received a request that is not valid HTTP: "
+              + e.getMessage());
         }
       }
       if (end.reset() || end.over()) {
@@ -195,7 +211,8 @@
       begun = false;
       String id = idOf(request);
       if (busy) {
-        verifier.nonsense("upstream " + number + " was sent " + id + " before it had answered");
+        verifier.nonsense(
+            "upstream " + number + " received " + id + " before it answered the previous request");
         return;
       }
       busy = true;
@@ -220,7 +237,7 @@
       loop.at(loop.now() + takes, () -> answer(id, as, random));
     }
 
-    /** A call has an id of the balancer's own, and its client's name for it in its params. */
+    /** Returns the client's ID of a request; JSON-RPC calls have an ID of the balancer's own and carry the client's ID in their parameters. */
     private static String idOf(Message request) {
       String id = request.fields().get("x-correlation-id");
       if (id == null || !id.startsWith("n0-")) {
@@ -246,8 +263,8 @@
           out.add("!! no answer at all\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         }
         case TWICE -> {
-          // All at once: a copy that comes when the connection is in use again can't be told from
-          // an answer.
+          // In one segment: a copy that arrives after the connection was reused could not be told
+          // from an answer.
           byte[] bytes = bytes(id, 200, "", SMALL, random);
           byte[] both = Arrays.copyOf(bytes, 2 * bytes.length);
           System.arraycopy(bytes, 0, both, bytes.length, bytes.length);
@@ -257,8 +274,8 @@
           rest();
         }
         case UNASKED -> {
-          // Once the connection is in use again it breaks the next answer; before that it must not
-          // be used.
+          // If the byte arrives after the connection was reused, it corrupts the next answer; if it
+          // arrives before, the connection must not be reused.
           whole(id, 200, "", "", random);
           loop.at(loop.now() + random.below(UNASKED_WITHIN), () -> {
             spoilAll();
--- a/src/main/java/pumicekeel/lab/program/RequestScenario.java
+++ b/src/main/java/pumicekeel/lab/program/RequestScenario.java
@@ -7,10 +7,13 @@
 import pumicekeel.Balancer.Effect;
 import pumicekeel.lab.world.RandomStream;
 
-/** What one request is and how its client behaves, drawn from the seed and its number. */
+/** The content of a request and the behaviour of its client, drawn from the seed and the request's number. */
 final class RequestScenario {
 
-  /** How a client breaks what was agreed; an answer is owed to none but the first. */
+  /**
+   * How a request violates the protocol; only a request without a violation has to be answered. Drawn by position, so the order has to
+   * stay.
+   */
   enum Breach {
     NONE,
     NO_ID,
@@ -24,7 +27,7 @@
     PIPELINED
   }
 
-  /** When a client goes away. */
+  /** The phase of its request in which a client disconnects; drawn by position, so the order has to stay. */
   enum Leaving {
     NEVER,
     SENDING,
@@ -53,6 +56,7 @@
   final int pieces;
   final long pause;
 
+  /** Draws the scenario of a request. */
   RequestScenario(Script script, int number) {
     this.number = number;
     id = "q" + number;
@@ -79,12 +83,12 @@
     pause = c.below(120) * MS;
   }
 
-  /** Whether one answer in time is owed to it once it has been sent whole. */
+  /** Returns whether the request, once sent completely, has to be answered in time. */
   boolean owed() {
     return breach == Breach.NONE && leaving == Leaving.NEVER;
   }
 
-  /** Its bytes, cut where its client pauses. */
+  /** Returns the bytes of the request, split where the client pauses. */
   List<byte[]> bytes() {
     byte[] body = effect == Effect.SAFE ? new byte[0] : Messages.bodyOf(id, bodySize);
     byte[] head = head(body.length).getBytes(StandardCharsets.US_ASCII);
--- a/src/main/java/pumicekeel/lab/program/Script.java
+++ b/src/main/java/pumicekeel/lab/program/Script.java
@@ -7,12 +7,15 @@
 import pumicekeel.lab.world.RandomStream;
 
 /**
- * What happens in a run, all of it drawn from the seed. What a request or an upstream does is drawn from the seed and its number alone,
- * so steps can be left out and the others stay what they were.
+ * The events of a run, drawn from its seed. The behaviour of a request or an upstream is drawn from the seed and its number alone, so
+ * steps can be left out without a change to the others.
  *
- * @param sockets descriptors that the program may hold
- * @param perSecond requests without bursts
- * @param pools whether it has an operator file, with a JSON-RPC listener
+ * @param seed seed of all random streams
+ * @param servers number of upstreams at the start
+ * @param sockets file descriptors that the program may hold
+ * @param perSecond rate of requests outside bursts
+ * @param operatorFile whether the program has an operator file, with a JSON-RPC listener
+ * @param steps the events in order of time
  */
 record Script(
     long seed, int servers, int sockets, double perSecond, boolean pools, List<Step> steps) {
@@ -21,7 +24,7 @@
   static final long SECOND = 1_000 * MS;
   private static final long LEAST_END = 3 * SECOND;
   private static final long MOST_END = 6 * SECOND;
-  /** One run in so many goes on without a stop: limits have to end what a stop would. */
+  /** One in this many runs has no stop, so that time limits have to end what a stop would end. */
   private static final int STOPS_NOT_IN = 6;
 
   private static final Kind[] FAULTS = {
@@ -41,6 +44,7 @@
     Kind.RELOAD
   };
 
+  /** Draws the script of a seed. */
   static Script of(long seed) {
     RandomStream random = new RandomStream(seed, "script");
     int servers = 2 + random.below(5);
@@ -60,14 +64,18 @@
           random.between(100 * MS, 3 * SECOND)));
     }
     if (random.below(STOPS_NOT_IN) > 0) {
-      // Clients go on for a while after the balancer was told to stop, as they do.
+      // As in production, clients continue for a while after the balancer was told to stop.
       steps.add(new Step((long) (end * random.between(0.6, 1)), Kind.STOP, 0, 0));
     }
     steps.sort(Comparator.comparingLong(Step::at));
     return new Script(seed, servers, sockets, rate, random.below(2) == 0, List.copyOf(steps));
   }
 
-  /** The same with these steps alone, by their numbers from 0; an IllegalArgumentException where there is none of a number. */
+  /**
+   * Returns this script with only the steps of these numbers, counted from 0.
+   *
+   * @throws IllegalArgumentException if there is no step of a number
+   */
   Script only(List<Integer> numbers) {
     if (numbers.stream().anyMatch(n -> n < 0 || n >= steps.size())) {
       throw new IllegalArgumentException(
@@ -82,6 +90,7 @@
         numbers.stream().map(steps::get).toList());
   }
 
+  /** Returns the random stream of this name. */
   RandomStream randomFor(String of) {
     return new RandomStream(seed, of);
   }
--- a/src/main/java/pumicekeel/lab/program/Step.java
+++ b/src/main/java/pumicekeel/lab/program/Step.java
@@ -1,43 +1,44 @@
 package pumicekeel.lab.program;
 
 /**
- * One thing that happens in a run.
+ * One event of a run.
  *
- * @param at nanoseconds from the run's start
- * @param which the request, the upstream, or how many
- * @param nanos how long it lasts, where that is said
+ * @param at time from the start of the run
+ * @param kind what happens
+ * @param which number of the request or upstream, or a size, depending on the kind
+ * @param nanos how long it lasts, or 0 if the kind has no duration
  */
 record Step(long at, Kind kind, int which, long nanos) {
 
-  /** What can happen; the order counts for nothing. */
+  /** The kinds of event; nothing depends on their order. */
   enum Kind {
-    /** A client asks; its scenario depends on the seed and its number alone. */
+    /** A client sends a request; its scenario depends on the seed and its number alone. */
     ASK,
-    /** Many ask within a moment. */
+    /** Clients send many requests at once. */
     BURST,
-    /** Many clients connect and say nothing, or little. */
+    /** Many clients connect and send nothing, or only the start of a request. */
     CROWD,
-    /** An upstream drains, and is gone some seconds later. */
+    /** An upstream drains and ends some seconds later. */
     DRAIN,
     /** A new upstream starts, cold. */
     FRESH,
-    /** An upstream takes requests and says nothing. */
+    /** An upstream executes requests and does not answer. */
     HANG,
-    /** It refuses connects, and those that it has are reset. */
+    /** An upstream resets its connections and refuses new ones. */
     CRASH,
-    /** It is cut off: nothing comes up, and what is open stays open. */
+    /** An upstream is cut off from the network: connects get no reply, and open connections stay open. */
     CUT_OFF,
-    /** It turns away all that comes. */
+    /** An upstream rejects all requests. */
     FULL,
-    /** It is ten times as slow. */
+    /** An upstream takes ten times as long. */
     SLOW,
-    /** It closes connections that stand idle, at once. */
+    /** An upstream closes its idle connections at once. */
     IMPATIENT,
-    /** Discovery resets its watch. */
+    /** Discovery resets its watches. */
     WATCH_BREAKS,
-    /** Discovery says nothing for a while. */
+    /** Discovery sends nothing for a while. */
     WATCH_SILENT,
-    /** It reads its files again, which say something else. */
+    /** The balancer reloads its files, which have changed. */
     RELOAD,
     /** The balancer is told to stop. */
     STOP
--- a/src/main/java/pumicekeel/lab/program/VirtualConfig.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualConfig.java
@@ -5,18 +5,20 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.DefaultChannelConfig;
 
-/** The settings of a channel in virtual time: those of TCP itself are taken and mean nothing. */
+/** Configuration of a channel in virtual time; options of TCP itself are accepted and have no effect. */
 final class VirtualConfig extends DefaultChannelConfig {
 
   private final Runnable readsNoMore;
   private boolean allowsHalfClosure;
 
+  /** Creates a configuration; {@code readsNoMore} runs when automatic reading is switched off and may be null. */
   VirtualConfig(Channel channel, ByteBufAllocator allocator, Runnable readsNoMore) {
     super(channel);
     this.readsNoMore = readsNoMore;
     setAllocator(allocator);
   }
 
+  /** Returns whether the channel stays open after the peer has ended its output. */
   boolean allowsHalfClosure() {
     return allowsHalfClosure;
   }
--- a/src/main/java/pumicekeel/lab/program/VirtualId.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualId.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.ChannelId;
 
-/** A channel's name by the order in which it was made: the usual ones differ from run to run. */
+/** Channel ID by order of creation; the default IDs of Netty differ from run to run. */
 record VirtualId(long number) implements ChannelId {
 
   private static final long serialVersionUID = 1L;
--- a/src/main/java/pumicekeel/lab/program/VirtualListener.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualListener.java
@@ -10,10 +10,10 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** A listening socket of the program: connections that it has not accepted wait in line, and are reset at its close. */
+/** A listening socket of the program; connections that it has not accepted wait in the backlog and are reset when it closes. */
 final class VirtualListener extends AbstractServerChannel implements VirtualNetwork.Acceptor {
 
-  /** As many as a kernel would keep; those beyond it are reset. */
+  /** Size of the backlog, as in a kernel; connections beyond it are reset. */
   private static final int BACKLOG = 1_024;
 
   private final VirtualNetwork network;
@@ -38,6 +38,7 @@
     accept();
   }
 
+  /** Accepts up to this many connections of the backlog, resets the others and closes the listener. */
   void closeBehindLine(int most) {
     while (waiting.size() > most) {
       waiting.pollLast().abort();
--- a/src/main/java/pumicekeel/lab/program/VirtualLoop.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualLoop.java
@@ -14,14 +14,14 @@
 import java.util.function.Consumer;
 
 /**
- * An event loop without a thread, whose time is the world's: it stands still while a task runs and jumps to the next timer when
- * nothing is left to do. Tasks run in the order in which they came, timers by their time and then in the order in which they were set,
- * so a run is the same each time. What is handed to it from outside is done, with all that follows at once, before the call returns:
- * code that waits for the loop elsewhere finds its result there.
+ * An event loop without a thread, in virtual time: time stands still while a task runs and jumps to the next timer when no task is
+ * left. Tasks run in order of submission, timers in order of their time and then of submission, so runs are deterministic. A task that
+ * is submitted from outside the loop runs, with all tasks that it submits, before the call returns: code that would wait for a loop on
+ * another thread finds its result there.
  */
 final class VirtualLoop extends AbstractScheduledEventExecutor implements EventLoop {
 
-  /** A run whose loop has done so much without time going on turns in a circle. */
+  /** More tasks than this without an advance of time are taken for an endless cycle. */
   private static final int MOST_AT_ONCE = 2_000_000;
 
   private static final long START = 1_000_000_000L;
@@ -39,7 +39,7 @@
 
     @Override
     public void sleep(long delay, TimeUnit unit) {
-      throw new UnsupportedOperationException("nothing sleeps on the loop");
+      throw new UnsupportedOperationException("the event loop must not sleep");
     }
   };
   private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
@@ -48,20 +48,22 @@
   private boolean inside;
   private long done;
 
+  /** Returns the virtual time in nanoseconds. */
   long now() {
     return now;
   }
 
-  /** Tasks and timers that have run. */
+  /** Returns the number of tasks and timers that have run. */
   long done() {
     return done;
   }
 
+  /** Runs a task at this virtual time, in nanoseconds; a time in the past counts as now. */
   void at(long when, Runnable what) {
     schedule(what, Math.max(0, when - now), TimeUnit.NANOSECONDS);
   }
 
-  /** Lets all happen that is due by then. */
+  /** Runs all tasks and all timers that are due up to this virtual time, in nanoseconds. */
   void runUntil(long end) {
     enter(() -> {
       drain();
@@ -90,7 +92,7 @@
     }
   }
 
-  /** Told of what a task throws: nothing of the program may. */
+  /** Sets the receiver of what tasks throw; the program's tasks must not throw. */
   void onFailure(Consumer<Throwable> to) {
     failed = to;
   }
@@ -109,7 +111,8 @@
       done++;
       carryOut(next);
       if (++count > MOST_AT_ONCE) {
-        throw new IllegalStateException("the loop turns in a circle");
+        throw new IllegalStateException(
+            "more than " + MOST_AT_ONCE + " tasks ran without an advance of time");
       }
     }
   }
@@ -160,7 +163,7 @@
     return promise;
   }
 
-  // It ends with its run
+  // The loop ends with its run and has no resources to release
 
   @Override
   public Future<?> shutdownGracefully(long quiet, long timeout, TimeUnit unit) {
@@ -175,7 +178,7 @@
   @Deprecated
   @Override
   public void shutdown() {
-    // Nothing to end.
+    // Nothing to release.
   }
 
   @Override
--- a/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
@@ -18,17 +18,19 @@
 import pumicekeel.runtime.Sockets;
 
 /**
- * TCP in virtual time: who listens where, connects that come up, are refused or never heard of again, and the descriptors and bytes
- * that the program holds. Only the program's own channels count; the stand-ins speak on bare {@link Line.End ends}.
+ * TCP network in virtual time: listeners by address, connects that succeed, are refused or get no reply, and the descriptors and bytes
+ * that the program holds. Only the program's own channels count; simulated clients and servers use bare
+ * {@link Line.End ends}.
  */
 final class VirtualNetwork implements Sockets {
 
-  /** One that listens at an address. */
+  /** Receives the connections to a listening address. */
   interface Acceptor {
+    /** Called with the accepting endpoint of a new connection. */
     void accepted(Line.End end);
   }
 
-  /** What an address does with connects. */
+  /** How an address reacts to connects. */
   enum Reach {
     OPEN,
     REFUSES,
@@ -41,12 +43,12 @@
   private static final long DELAY_LEAST = 20_000L;
   private static final long DELAY_MOST = 400_000L;
 
-  /** One connect in so many takes long, as where its first packet is lost or the machine is busy. */
+  /** One in this many connects takes long, as if its first packet were lost or the machine were busy. */
   private static final int SLOW_IN = 15;
 
   private static final long SLOW_MOST = 245_000_000L;
 
-  /** One look in so many at a socket comes late, where the loop has other things to do. */
+  /** One in this many reads of a socket is late, as if the event loop were busy. */
   private static final int LATE_IN = 4;
 
   private static final int MOST_LATE = 1_000_000;
@@ -64,14 +66,14 @@
   private int mostOpen;
   private long mostBytes;
 
-  /** {@code broken} is told of what the program may not do on its sockets. */
+  /** Creates a network; {@code broken} receives what the program must not do with its sockets. */
   VirtualNetwork(VirtualLoop loop, RandomStream random, Consumer<String> broken) {
     this.broken = broken;
     this.loop = loop;
     this.random = random;
   }
 
-  // What the program opens
+  // The program's sockets
 
   @Override
   public ServerChannel newListeningChannel() {
@@ -98,52 +100,60 @@
     return ((VirtualSocket) channel).quiet();
   }
 
-  /** How long the loop takes until it looks at a socket on which something has come: mostly no time at all. */
+  /** Draws the time from an event at a socket until the event loop handles it, in nanoseconds; 0 in most cases. */
   long untilRead() {
     return random.below(LATE_IN) == 0 ? random.below(MOST_LATE) : 0;
   }
 
+  /** Records that the program does what it must not do with its sockets. */
   void broken(String what) {
     broken.accept(what);
   }
 
+  /** Returns the event loop that the network runs on. */
   VirtualLoop loop() {
     return loop;
   }
 
+  /** Returns the allocator whose buffers are counted. */
   ByteBufAllocator allocator() {
     return allocator;
   }
 
+  /** Returns the number of the next channel. */
   long newId() {
     return ++nextId;
   }
 
+  /** Counts a socket of the program as open. */
   void opened(VirtualSocket socket) {
     open.add(socket);
     mostOpen = Math.max(mostOpen, open.size());
   }
 
+  /** Counts a socket of the program as closed. */
   void closed(VirtualSocket socket) {
     open.remove(socket);
   }
 
-  /** The program's connections that are open or coming up. */
+  /** Returns the program's connections that are open or being established. */
   Set<VirtualSocket> open() {
     return open;
   }
 
+  /** Returns the most connections that the program had at one time. */
   int mostOpen() {
     return mostOpen;
   }
 
-  /** Bytes of buffers that the program holds. */
+  /** Returns the bytes of buffers that the program holds now. */
   long bytes() {
     long now = allocator.metric().usedHeapMemory() + allocator.metric().usedDirectMemory();
     mostBytes = Math.max(mostBytes, now);
     return now;
   }
 
+  /** Returns the most bytes of buffers that were seen at one time. */
   long mostBytes() {
     bytes();
     return mostBytes;
@@ -151,23 +161,26 @@
 
   // Addresses
 
+  /** Listens at this port, or at the next free one for 0; returns the address. */
   InetSocketAddress listen(int port, Acceptor acceptor) throws IOException {
     int at = port == 0 ? nextPort++ : port;
     if (listening.putIfAbsent(at, acceptor) != null) {
-      throw new IOException("port " + at + " is taken");
+      throw new IOException("port " + at + " is already in use");
     }
     return new InetSocketAddress(host, at);
   }
 
+  /** Stops listening at an address. */
   void unlisten(InetSocketAddress at, Acceptor acceptor) {
     listening.remove(at.getPort(), acceptor);
   }
 
+  /** Sets how an address reacts to connects. */
   void reach(InetSocketAddress at, Reach how) {
     reach.put(at.getPort(), how);
   }
 
-  /** Connects: one of the two is told some time later, or, where nothing answers, neither. */
+  /** Connects to an address; later one of the two callbacks is called, or neither if the address does not reply. */
   void connect(
       InetSocketAddress to, Consumer<Line.End> up, BiConsumer<Boolean, IOException> failed) {
     long delay = (long) random.between(DELAY_LEAST, DELAY_MOST);
--- a/src/main/java/pumicekeel/lab/program/VirtualSocket.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualSocket.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import pumicekeel.runtime.Sockets;
 
-/** A connection of the program, as Netty sees one over TCP: reads when asked to, writes what the other side has room for. */
+/** A connection of the program as a Netty channel: reads on request and writes as much as the peer has buffer space for. */
 final class VirtualSocket extends AbstractChannel implements DuplexChannel, Line.Listener {
 
   private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
@@ -42,7 +42,7 @@
   private ChannelPromise connecting;
   private ScheduledFuture<?> connectTimeout;
 
-  /** One that was accepted; without an end, one that is to connect. */
+  /** Creates a channel for an accepted connection, or, with a null endpoint, for an outgoing one that is not connected yet. */
   VirtualSocket(VirtualNetwork network, Channel parent, Line.End end) {
     super(parent, new VirtualId(network.newId()));
     this.network = network;
@@ -51,10 +51,12 @@
     network.opened(this);
   }
 
+  /** Returns whether the connection is established and nothing waits to be read. */
   boolean quiet() {
     return isActive() && end.quiet();
   }
 
+  /** Discards up to this many unread bytes, as {@link Sockets#discardUnread} defines it. */
   int drop(int most) {
     if (!isActive()) {
       return Sockets.CLOSED_BY_PEER;
@@ -92,7 +94,7 @@
     }
   }
 
-  /** The loop looks a moment later: what has come by then is read together, and other sockets' events may be first. */
+  /** Reads after a random delay: what arrives until then is read together, and events of other sockets may be handled first. */
   @Override
   public void readable() {
     if (readDue || !reads || !open) {
@@ -165,7 +167,7 @@
         throw new IOException("Broken pipe");
       }
       if (parent() == null && !end.quiet() && startsRequest(bytes)) {
-        network.broken("a request was written on a connection on which something was unread");
+        network.broken("a request was written on a connection with unread input");
       }
       byte[] copy = new byte[bytes.readableBytes()];
       bytes.getBytes(bytes.readerIndex(), copy);
@@ -196,7 +198,7 @@
     }
   }
 
-  // Coming up and going away
+  // Connecting and closing
 
   private final class SocketUnsafe extends AbstractUnsafe {
 
@@ -294,7 +296,7 @@
   @Override
   public ChannelFuture shutdownInput(ChannelPromise promise) {
     return promise.setFailure(
-        new UnsupportedOperationException("nothing here ends its reading alone"));
+        new UnsupportedOperationException("shutting down the input alone is not supported"));
   }
 
   @Override
@@ -329,7 +331,7 @@
 
   @Override
   protected void doBind(SocketAddress local) {
-    // The network gives a port.
+    // The network assigns a port.
   }
 
   @Override
--- a/src/main/java/pumicekeel/lab/program/package-info.java
+++ b/src/main/java/pumicekeel/lab/program/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Deterministic simulation of the whole serving program: an event loop, TCP connections, clients,
- * upstreams and discovery in virtual time, and a record of the truth that verifies each run.
+ * upstreams and discovery in virtual time, and a verifier of what clients and upstreams observe.
  *
  * <p>Threads: One thread per seed; the program's event loop is simulated on it.
  *
--- a/src/test/java/pumicekeel/lab/program/LineTest.java
+++ b/src/test/java/pumicekeel/lab/program/LineTest.java
@@ -20,7 +20,7 @@
   private final VirtualLoop loop = new VirtualLoop();
   private final Line line = new Line(loop, new RandomStream(1, "line"), DELAY, WINDOW, null, null);
 
-  /** Reads all that comes. */
+  /** Reads everything that arrives and counts the events that announce buffer space. */
   private static final class Reader implements Line.Listener {
     private final Line.End end;
     private final ByteArrayOutputStream got = new ByteArrayOutputStream();
@@ -56,7 +56,7 @@
     line.caller.listener(new Line.Listener() {
       @Override
       public void readable() {
-        // Nothing comes.
+        // The peer sends nothing.
       }
 
       @Override
@@ -96,7 +96,7 @@
     assertFalse(other.caller.reset());
     other.caller.send(new byte[1], 0, 1);
     passes(10);
-    assertTrue(other.caller.reset(), "what comes after a close is reset");
+    assertTrue(other.caller.reset(), "bytes that arrive after a close are answered with a reset");
   }
 
   @Test
--- a/src/test/java/pumicekeel/lab/program/PoolAtRestTest.java
+++ b/src/test/java/pumicekeel/lab/program/PoolAtRestTest.java
@@ -9,7 +9,7 @@
 import pumicekeel.runtime.Reactor;
 import pumicekeel.upstream.http.ConnectionPool;
 
-/** A process may have hundreds of pools, so one that holds no idle connection may cost the loop nothing. */
+/** A process may have hundreds of pools, so a pool without idle connections must not cost the event loop anything. */
 class PoolAtRestTest {
 
   private static final long IDLE_NANOS = TimeUnit.SECONDS.toNanos(5);
--- a/src/test/java/pumicekeel/lab/program/ProgramRunTest.java
+++ b/src/test/java/pumicekeel/lab/program/ProgramRunTest.java
@@ -15,7 +15,7 @@
 class ProgramRunTest {
 
   private static final int SEEDS = 30;
-  /** So few that a crowd of clients has nowhere to go: what must break breaks. */
+  /** Too few for the connections of idle clients, so that some run must violate a rule. */
   private static final int TOO_FEW = 6;
 
   @Test
@@ -26,7 +26,7 @@
       assertNull(r.violation(), "lab program --seed " + seed + " --trace: " + r.violation());
       asked += r.requests();
     }
-    assertTrue(asked > SEEDS * 50, "asked " + asked);
+    assertTrue(asked > SEEDS * 50, "requests: " + asked);
   }
 
   @Test
@@ -49,7 +49,7 @@
     }
   }
 
-  /** A crowd beyond what the program may hold of connections waits in the kernel, and is answered late. */
+  /** Clients beyond the program's limit of connections wait in the kernel's backlog and are answered too late. */
   @Test
   void whatIsBrokenIsCutDownToWhatBreaksIt() {
     Script broken = crowded();
@@ -74,7 +74,7 @@
     }
   }
 
-  /** All upstreams vanish while large bodies are on their way: without a limit their clients would wait for twenty minutes. */
+  /** All upstreams become unreachable during large uploads: without a time limit their clients would wait for twenty minutes. */
   @Test
   void uploadsToUpstreamsThatVanishEnd() {
     Script any = Script.of(5);
@@ -101,7 +101,8 @@
   void theTraceTellsWhatWasAskedAndAnswered() {
     List<String> told = new ArrayList<>();
     ProgramRun.Report r = new ProgramRun(3, null, told::add).play();
-    assertEquals(r.requests(), told.stream().filter(t -> t.contains("  asked ")).count());
+    assertEquals(
+        r.requests(), told.stream().filter(t -> t.contains("  request ")).count());
     assertEquals(
         r.served(), told.stream().filter(t -> t.contains(", status 200")).count());
   }
