--- a/src/main/java/pumicekeel/lab/program/OperatorFiles.java
+++ b/src/main/java/pumicekeel/lab/program/OperatorFiles.java
@@ -7,7 +7,7 @@
 /** The operator file of a run: two pools over one list and a JSON-RPC listener, with other routes in each generation. */
 final class OperatorFiles {
 
-  private static final String ALWAYS = """
+  private static final String COMMON_PART = """
       [listeners.partner]
       address = "127.0.0.1:%d"
       protocol = "json-rpc"
@@ -42,11 +42,11 @@
 
   /** Returns the operator file of a generation; the JSON-RPC listener keeps its address in all generations. */
   static Operator generation(int number, InetSocketAddress listener) {
-    OperatorReader.Result read =
-        OperatorReader.read(ALWAYS.formatted(listener.getPort()) + ROUTES[number % ROUTES.length]);
-    if (read.operator() == null) {
-      throw new IllegalStateException(read.faults().toString());
+    OperatorReader.Result result = OperatorReader.read(
+        COMMON_PART.formatted(listener.getPort()) + ROUTES[number % ROUTES.length]);
+    if (result.operator() == null) {
+      throw new IllegalStateException(result.faults().toString());
     }
-    return read.operator();
+    return result.operator();
   }
 }
--- a/src/main/java/pumicekeel/lab/program/ProgramRun.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramRun.java
@@ -53,42 +53,42 @@
       int maxSockets,
       long maxBufferBytes) {}
 
-  private static final long MS = 1_000_000L;
-  private static final long SECOND = 1_000 * MS;
-  private static final long UNIX_MILLIS = 1_700_000_000_000L;
-  private static final long GRACE = 2 * SECOND;
-  private static final long DEDUP = 2 * SECOND;
-  private static final long WARM = 8 * SECOND;
-  private static final long IDLE = 3 * SECOND;
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MS;
+  private static final long START_UNIX_MS = 1_700_000_000_000L;
+  private static final long DRAIN_GRACE_NANOS = 2 * NANOS_PER_SECOND;
+  private static final long DEDUP_WINDOW_NANOS = 2 * NANOS_PER_SECOND;
+  private static final long WARM_UP_NANOS = 8 * NANOS_PER_SECOND;
+  private static final long IDLE_TIMEOUT_NANOS = 3 * NANOS_PER_SECOND;
   /** Least time from SIGTERM to SIGKILL: the longest deadline plus 0.7 s. */
-  private static final long STOP_WITHIN = 2 * SECOND + 700 * MS;
+  private static final long STOP_LIMIT_NANOS = 2 * NANOS_PER_SECOND + 700 * NANOS_PER_MS;
   /** Time from the announced departure of an upstream to its end. */
-  private static final long LEAVES_WITHIN = 4 * SECOND;
+  private static final long DEPARTURE_NANOS = 4 * NANOS_PER_SECOND;
   /** Upper bound of the time that a connection stays idle; the limits on clients are shorter. */
-  private static final long SETTLES = 12 * SECOND;
+  private static final long SETTLING_NANOS = 12 * NANOS_PER_SECOND;
   /** Buffer bytes that one connection may hold: one read, the kept part of a body in each direction, and what waits to be written. */
-  private static final long BYTES_EACH = 400 << 10;
+  private static final long MAX_BUFFER_BYTES_PER_SOCKET = 400 << 10;
   /** An upstream's capacity relative to its usual load; the budget of a cold upstream depends on its capacity. */
-  private static final double CAPACITY = 2;
+  private static final double CAPACITY_FACTOR = 2;
 
-  private static final int PARTNER_PORT = 1_999;
+  private static final int JSON_RPC_PORT = 1_999;
   /** One in this many requests is a JSON-RPC call, if the run has a listener for calls. */
-  private static final int CALLS_IN = 4;
+  private static final int REQUESTS_PER_CALL = 4;
 
   private final Script script;
   private final VirtualLoop loop = new VirtualLoop();
   private final VirtualNetwork network;
-  private final Clock clock = new Clock(loop::now, UNIX_MILLIS);
+  private final Clock clock = new Clock(loop::now, START_UNIX_MS);
   private final Settings settings;
   private final RunVerifier verifier;
   private final Map<Integer, RawServer> servers = new HashMap<>();
   private RawDiscovery discovery;
   private RawClients clients;
-  private RawCalls calls;
-  private InetSocketAddress operatorListener;
+  private RawJsonRpcClients jsonRpcClients;
+  private InetSocketAddress jsonRpcAddress;
   private int generation;
   private Node node;
-  private long start;
+  private long startNanos;
   private boolean stopped;
 
   /** Creates the run of a seed. */
@@ -103,89 +103,111 @@
    * @param trace receives one line per event, or null
    */
   public ProgramRun(long seed, List<Integer> steps, Consumer<String> trace) {
-    this(steps == null ? Script.of(seed) : Script.of(seed).only(steps), trace);
+    this(steps == null ? Script.of(seed) : Script.of(seed).withSteps(steps), trace);
   }
 
   /** Creates the run of a script; {@code trace} receives one line per event and may be null. */
   ProgramRun(Script script, Consumer<String> trace) {
     this.script = script;
-    network = new VirtualNetwork(loop, script.randomFor("network"), this::broken);
-    settings = settings(400 * MS);
-    verifier = new RunVerifier(loop, settings.contract(), DEDUP + 2 * MS, trace);
+    network = new VirtualNetwork(loop, script.randomFor("network"), this::reportViolation);
+    settings = settings(400 * NANOS_PER_MS);
+    verifier =
+        new RunVerifier(loop, settings.contract(), DEDUP_WINDOW_NANOS + 2 * NANOS_PER_MS, trace);
   }
 
-  private static Settings settings(long aim) {
+  private static Settings settings(long aimNanos) {
     return new Settings(
         0,
         1,
         "a",
         List.of(
-            type("look", Effect.SAFE, DedupScope.ALL, aim),
-            type("quote", Effect.KEYED, DedupScope.CELL, aim),
-            type("order", Effect.UNSAFE, DedupScope.ALL, aim)),
+            requestClass("look", Effect.SAFE, DedupScope.ALL, aimNanos),
+            requestClass("quote", Effect.KEYED, DedupScope.CELL, aimNanos),
+            requestClass("order", Effect.UNSAFE, DedupScope.ALL, aimNanos)),
         List.of(),
-        new Limits(true, false, false, true, true, SECOND, 4, 10_000, 1, 250 * MS, IDLE),
-        new Contract(8 * MS, 10 * SECOND, GRACE, 0.3, WARM, 3, 3 * SECOND),
+        new Limits(
+            true,
+            false,
+            false,
+            true,
+            true,
+            NANOS_PER_SECOND,
+            4,
+            10_000,
+            1,
+            250 * NANOS_PER_MS,
+            IDLE_TIMEOUT_NANOS),
+        new Contract(
+            8 * NANOS_PER_MS,
+            10 * NANOS_PER_SECOND,
+            DRAIN_GRACE_NANOS,
+            0.3,
+            WARM_UP_NANOS,
+            3,
+            3 * NANOS_PER_SECOND),
         new Prices(0, 0, 0),
         true,
         WeightKind.NONE,
         0.2,
         true,
-        MS);
+        NANOS_PER_MS);
   }
 
-  private void broken(String what) {
-    verifier.broken(what);
+  private void reportViolation(String description) {
+    verifier.reportViolation(description);
   }
 
-  private static RequestClass type(String name, Effect effect, DedupScope scope, long aim) {
-    return new RequestClass(name, effect, scope, DEDUP, aim, 0, 2 * SECOND, 1, 0, false);
+  private static RequestClass requestClass(
+      String name, Effect effect, DedupScope scope, long aimNanos) {
+    return new RequestClass(
+        name, effect, scope, DEDUP_WINDOW_NANOS, aimNanos, 0, 2 * NANOS_PER_SECOND, 1, 0, false);
   }
 
   /** Plays the run to its end and returns its result. */
   public Report play() {
-    Log.redirect(this::logged);
-    loop.onFailure(e -> verifier.broken("uncaught exception: " + e
+    Log.redirect(this::checkLogLine);
+    loop.onFailure(e -> verifier.reportViolation("uncaught exception: " + e
         + (e.getStackTrace().length == 0 ? "" : " at " + e.getStackTrace()[0])));
     try {
-      begin();
-      for (Step s : script.steps()) {
-        loop.runUntil(start + s.at());
-        happen(s);
+      startRun();
+      for (Step step : script.steps()) {
+        loop.runUntil(startNanos + step.atNanos());
+        playStep(step);
       }
-      long last = script.steps().stream().mapToLong(Step::at).max().orElse(0);
-      loop.runUntil(start + last + STOP_WITHIN + SECOND);
+      long lastStepNanos =
+          script.steps().stream().mapToLong(Step::atNanos).max().orElse(0);
+      loop.runUntil(startNanos + lastStepNanos + STOP_LIMIT_NANOS + NANOS_PER_SECOND);
       if (stopped && !node.hasDrained()) {
-        verifier.broken("the balancer did not stop within its time limit");
+        verifier.reportViolation("the balancer did not stop within its time limit");
       }
       clients.close();
-      if (calls != null) {
-        calls.close();
+      if (jsonRpcClients != null) {
+        jsonRpcClients.close();
       }
-      loop.runUntil(loop.now() + SETTLES);
-      end();
+      loop.runUntil(loop.now() + SETTLING_NANOS);
+      checkEnd();
     } catch (IOException | InterruptedException | RuntimeException e) {
-      verifier.broken("the run was aborted by " + e + " at " + e.getStackTrace()[0]);
+      verifier.reportViolation("the run was aborted by " + e + " at " + e.getStackTrace()[0]);
     } finally {
       Log.redirect(null);
     }
     return new Report(
         script.seed(),
-        verifier.breach(),
-        verifier.asked(),
+        verifier.violation(),
+        verifier.requests(),
         verifier.served(),
         verifier.refused(),
-        verifier.sum(),
-        loop.done(),
-        network.mostOpen(),
-        network.mostBytes());
+        verifier.checksum(),
+        loop.executed(),
+        network.maxOpenSockets(),
+        network.maxBufferBytes());
   }
 
-  private void begin() throws IOException, InterruptedException {
+  private void startRun() throws IOException, InterruptedException {
     discovery = new RawDiscovery(network, verifier);
     for (int i = 0; i < script.servers(); i++) {
       servers.put(i, new RawServer(i, 0, script, network, verifier));
-      discovery.tell(servers.get(i), "in_service", 0);
+      discovery.update(servers.get(i), "in_service", 0);
     }
     Configuration configuration = new Configuration(
         "n0",
@@ -195,35 +217,37 @@
         script.sockets(),
         new HostList(0, true, List.of()),
         settings);
-    operatorListener = script.pools()
-        ? new InetSocketAddress(InetAddress.getLoopbackAddress(), PARTNER_PORT)
+    jsonRpcAddress = script.hasOperatorFile()
+        ? new InetSocketAddress(InetAddress.getLoopbackAddress(), JSON_RPC_PORT)
         : null;
     node = new Node(
         new Reactor(loop, clock, network),
         configuration,
-        script.pools() ? OperatorFiles.generation(0, operatorListener) : null,
-        () -> verifier.broken("the program requested its own termination"),
+        script.hasOperatorFile() ? OperatorFiles.generation(0, jsonRpcAddress) : null,
+        () -> verifier.reportViolation("the program requested its own termination"),
         false);
     clients = new RawClients(script, network, verifier, node.start());
-    calls = script.pools() ? new RawCalls(script, network, verifier, operatorListener) : null;
-    loop.runUntil(loop.now() + 200 * MS);
-    start = loop.now();
+    jsonRpcClients = script.hasOperatorFile()
+        ? new RawJsonRpcClients(script, network, verifier, jsonRpcAddress)
+        : null;
+    loop.runUntil(loop.now() + 200 * NANOS_PER_MS);
+    startNanos = loop.now();
   }
 
-  private void logged(String line) {
+  private void checkLogLine(String line) {
     verifier.note("log: " + line, 0);
     if (line.contains("Exception") && !line.contains("IOException")
         || line.contains("Error")
         || line.startsWith("defect")) {
-      verifier.broken("unexpected log line: " + line);
+      verifier.reportViolation("unexpected log line: " + line);
     }
   }
 
-  private void ask(int number) {
-    if (calls != null && number % CALLS_IN == 0) {
-      calls.ask(number);
+  private void request(int number) {
+    if (jsonRpcClients != null && number % REQUESTS_PER_CALL == 0) {
+      jsonRpcClients.request(number);
     } else {
-      clients.ask(number);
+      clients.request(number);
     }
   }
 
@@ -231,8 +255,8 @@
   private void reload() {
     generation++;
     try {
-      if (script.pools() && !stopped) {
-        node.reload(OperatorFiles.generation(generation, operatorListener));
+      if (script.hasOperatorFile() && !stopped) {
+        node.reload(OperatorFiles.generation(generation, jsonRpcAddress));
       } else if (!stopped) {
         node.reload(new Configuration(
             "n0",
@@ -241,38 +265,39 @@
             script.seed(),
             script.sockets(),
             new HostList(0, true, List.of()),
-            settings(400 * MS + generation % 2 * 200 * MS)));
+            settings(400 * NANOS_PER_MS + generation % 2 * 200 * NANOS_PER_MS)));
       }
     } catch (IOException | InterruptedException e) {
-      verifier.broken("reload failed: " + e.getMessage());
+      verifier.reportViolation("reload failed: " + e.getMessage());
     }
   }
 
-  private void happen(Step step) {
-    if (step.kind() != Step.Kind.ASK) {
-      verifier.note(step.kind().toString(), step.which());
+  private void playStep(Step step) {
+    if (step.kind() != Step.Kind.REQUEST) {
+      verifier.note(step.kind().toString(), step.target());
     }
-    RawServer server = servers.get(step.which());
+    RawServer server = servers.get(step.target());
     switch (step.kind()) {
-      case ASK -> ask(step.which());
-      case BURST -> clients.burst(step.which());
-      case CROWD -> clients.crowd(script.sockets() / 4 + step.which() * 2, step.nanos());
+      case REQUEST -> request(step.target());
+      case BURST -> clients.burst(step.target());
+      case IDLE_CLIENTS ->
+        clients.connectIdle(script.sockets() / 4 + step.target() * 2, step.durationNanos());
       case DRAIN -> drain(server);
-      case FRESH -> fresh();
-      case HANG -> server.hang(step.nanos());
-      case CRASH -> server.crash(step.nanos());
-      case CUT_OFF -> server.cutOff(step.nanos());
-      case FULL -> server.full(step.nanos());
-      case SLOW -> server.slow(step.nanos());
-      case IMPATIENT -> server.impatient();
-      case WATCH_BREAKS -> discovery.breakWatches();
-      case WATCH_SILENT -> discovery.silent(step.nanos());
+      case START_UPSTREAM -> startUpstream();
+      case HANG -> server.hang(step.durationNanos());
+      case CRASH -> server.crash(step.durationNanos());
+      case ISOLATE -> server.isolate(step.durationNanos());
+      case REJECT -> server.rejectRequests(step.durationNanos());
+      case SLOW_DOWN -> server.slowDown(step.durationNanos());
+      case CLOSE_IDLE -> server.closeIdleConnections();
+      case RESET_WATCHES -> discovery.resetWatches();
+      case SILENCE_WATCHES -> discovery.silence(step.durationNanos());
       case RELOAD -> reload();
       case STOP -> {
         stopped = true;
-        clients.stopped();
-        if (calls != null) {
-          calls.stopped();
+        clients.balancerStopped();
+        if (jsonRpcClients != null) {
+          jsonRpcClients.balancerStopped();
         }
         node.drain();
       }
@@ -280,46 +305,50 @@
   }
 
   private void drain(RawServer server) {
-    discovery.tell(server, "terminating", 0);
-    loop.at(loop.now() + LEAVES_WITHIN, () -> {
-      discovery.tell(server, "terminated", 0);
-      server.leave();
+    discovery.update(server, "terminating", 0);
+    loop.runAt(loop.now() + DEPARTURE_NANOS, () -> {
+      discovery.update(server, "terminated", 0);
+      server.terminate();
     });
   }
 
-  private void fresh() {
+  private void startUpstream() {
     try {
       RawServer server = new RawServer(servers.size(), loop.now(), script, network, verifier);
       servers.put(server.number, server);
-      discovery.tell(server, "in_service", clock.millis());
+      discovery.update(server, "in_service", clock.millis());
     } catch (IOException e) {
-      verifier.broken("the simulated network failed: " + e.getMessage());
+      verifier.reportViolation("the simulated network failed: " + e.getMessage());
     }
   }
 
-  private void end() {
+  private void checkEnd() {
     servers.values().stream()
-        .filter(s -> s.startedAt > 0)
-        .forEach(s -> verifier.judgeCold(
-            s.number, s.startedAt, CAPACITY * script.perSecond() / script.servers()));
-    if (network.mostOpen() > script.sockets()) {
-      verifier.broken("held " + network.mostOpen() + " sockets, limit " + script.sockets());
+        .filter(s -> s.startedAtNanos > 0)
+        .forEach(s -> verifier.checkColdBudget(
+            s.number,
+            s.startedAtNanos,
+            CAPACITY_FACTOR * script.requestsPerSecond() / script.servers()));
+    if (network.maxOpenSockets() > script.sockets()) {
+      verifier.reportViolation(
+          "held " + network.maxOpenSockets() + " sockets, limit " + script.sockets());
     }
-    if (network.mostBytes() > script.sockets() * BYTES_EACH) {
-      verifier.broken("held " + network.mostBytes() + " bytes of buffers with a limit of "
-          + script.sockets() + " sockets");
+    if (network.maxBufferBytes() > script.sockets() * MAX_BUFFER_BYTES_PER_SOCKET) {
+      verifier.reportViolation("held " + network.maxBufferBytes()
+          + " bytes of buffers with a limit of " + script.sockets() + " sockets");
     }
-    String left = network.open().stream()
+    String openConnections = network.openSockets().stream()
         .filter(s -> !discovery.address().equals(s.remoteAddress()))
         .map(s -> s.localAddress() + " to " + s.remoteAddress())
         .collect(Collectors.joining(", "));
-    if (!left.isEmpty()) {
-      verifier.broken("connections left open at the end of the run: " + left);
+    if (!openConnections.isEmpty()) {
+      verifier.reportViolation("connections left open at the end of the run: " + openConnections);
     }
-    List.copyOf(network.open()).forEach(VirtualSocket::close);
-    loop.runUntil(loop.now() + SECOND);
-    if (network.bytes() > 0) {
-      verifier.broken("buffers not released at the end of the run: " + network.bytes() + " bytes");
+    List.copyOf(network.openSockets()).forEach(VirtualSocket::close);
+    loop.runUntil(loop.now() + NANOS_PER_SECOND);
+    if (network.bufferBytes() > 0) {
+      verifier.reportViolation(
+          "buffers not released at the end of the run: " + network.bufferBytes() + " bytes");
     }
   }
 }
--- a/src/main/java/pumicekeel/lab/program/ProgramSeeds.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramSeeds.java
@@ -13,6 +13,10 @@
   /**
    * The combined results of all runs.
    *
+   * @param runs number of runs
+   * @param requests requests that clients sent
+   * @param served requests that were answered with 200
+   * @param refused requests that were answered with 429 or 503
    * @param violations the first violated rule of each run that had one, by seed
    */
   public record Total(
@@ -22,14 +26,14 @@
       long refused,
       ConcurrentSkipListMap<Long, String> violations) {}
 
-  private static final int LINES = 20;
+  private static final int PROGRESS_LINES = 20;
 
   private final long first;
   private final long runs;
   private final int threads;
   private final Consumer<String> progress;
   private final AtomicLong next = new AtomicLong();
-  private final AtomicLong asked = new AtomicLong();
+  private final AtomicLong requests = new AtomicLong();
   private final AtomicLong served = new AtomicLong();
   private final AtomicLong refused = new AtomicLong();
   private final ConcurrentSkipListMap<Long, String> violations = new ConcurrentSkipListMap<>();
@@ -56,20 +60,20 @@
     while (!workers.awaitTermination(1, TimeUnit.HOURS)) {
       progress.accept(Math.min(runs, next.get()) + " of " + runs);
     }
-    return new Total(runs, asked.get(), served.get(), refused.get(), violations);
+    return new Total(runs, requests.get(), served.get(), refused.get(), violations);
   }
 
   private void work() {
     for (long i = next.getAndIncrement(); i < runs; i = next.getAndIncrement()) {
       ProgramRun.Report r = new ProgramRun(first + i).play();
-      asked.addAndGet(r.requests());
+      requests.addAndGet(r.requests());
       served.addAndGet(r.served());
       refused.addAndGet(r.refused());
       if (r.violation() != null) {
         violations.put(r.seed(), r.violation());
         progress.accept("seed " + r.seed() + ": " + r.violation());
       }
-      if ((i + 1) % Math.max(1, runs / LINES) == 0) {
+      if ((i + 1) % Math.max(1, runs / PROGRESS_LINES) == 0) {
         progress.accept(i + 1 + " of " + runs);
       }
     }
--- a/src/main/java/pumicekeel/lab/program/ProgramShrinker.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramShrinker.java
@@ -34,43 +34,44 @@
 
   /** Returns the smallest run that was found, or null if the whole run violates no rule. */
   public Shrunk shrink() {
-    List<Integer> kept = new ArrayList<>();
+    List<Integer> remaining = new ArrayList<>();
     for (int i = 0; i < script.steps().size(); i++) {
-      kept.add(i);
+      remaining.add(i);
     }
-    String breach = play(kept);
-    if (breach == null) {
+    String violation = play(remaining);
+    if (violation == null) {
       return null;
     }
-    String kind = kindOf(breach);
-    for (int part = kept.size() / 2; part >= 1; ) {
-      boolean smaller = false;
-      for (int from = 0; from < kept.size(); from += part) {
-        List<Integer> fewer = new ArrayList<>(kept.subList(0, from));
-        fewer.addAll(kept.subList(Math.min(kept.size(), from + part), kept.size()));
-        String still = play(fewer);
-        if (still != null && kindOf(still).equals(kind)) {
-          kept = fewer;
-          breach = still;
-          smaller = true;
-          from -= part;
+    String original = withoutNumbers(violation);
+    for (int chunk = remaining.size() / 2; chunk >= 1; ) {
+      boolean reduced = false;
+      for (int from = 0; from < remaining.size(); from += chunk) {
+        List<Integer> candidate = new ArrayList<>(remaining.subList(0, from));
+        candidate.addAll(
+            remaining.subList(Math.min(remaining.size(), from + chunk), remaining.size()));
+        String result = play(candidate);
+        if (result != null && withoutNumbers(result).equals(original)) {
+          remaining = candidate;
+          violation = result;
+          reduced = true;
+          from -= chunk;
         }
       }
-      progress.accept(kept.size() + " steps left: " + breach);
-      part = smaller && part == 1 ? 1 : part / 2;
+      progress.accept(remaining.size() + " steps left: " + violation);
+      chunk = reduced && chunk == 1 ? 1 : chunk / 2;
     }
     return new Shrunk(
-        List.copyOf(kept),
-        kept.stream().map(i -> script.steps().get(i).toString()).toList(),
-        breach);
+        List.copyOf(remaining),
+        remaining.stream().map(i -> script.steps().get(i).toString()).toList(),
+        violation);
   }
 
   private String play(List<Integer> steps) {
-    return new ProgramRun(script.only(steps), null).play().violation();
+    return new ProgramRun(script.withSteps(steps), null).play().violation();
   }
 
   /** Returns a violation without its numbers and times, to recognize the same fault in another run. */
-  static String kindOf(String breach) {
-    return breach.replaceAll("[0-9.]+", "#");
+  static String withoutNumbers(String violation) {
+    return violation.replaceAll("[0-9.]+", "#");
   }
 }
--- a/src/main/java/pumicekeel/lab/program/RawClients.java
+++ b/src/main/java/pumicekeel/lab/program/RawClients.java
@@ -4,19 +4,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.List;
-import pumicekeel.lab.program.Messages.Message;
+import pumicekeel.lab.program.HttpMessageReader.Message;
 import pumicekeel.lab.program.RequestScenario.Breach;
 import pumicekeel.lab.program.RequestScenario.Leaving;
 
 /** Simulated HTTP clients of one balancer: each request has its own connection until it ends, and kept connections are reused. */
 final class RawClients {
 
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MS = 1_000_000L;
   /** On sockets, an answer is due this long after the client's time has run out. */
-  private static final long SLACK = 58 * MS;
+  private static final long ANSWER_SLACK_NANOS = 58 * NANOS_PER_MS;
 
-  private static final long READS_EVERY = 5 * MS;
-  private static final int SLOW_BYTES = 700;
+  private static final long SLOW_READ_INTERVAL_NANOS = 5 * NANOS_PER_MS;
+  private static final int SLOW_READ_BYTES = 700;
 
   private final Script script;
   private final VirtualLoop loop;
@@ -25,16 +25,16 @@
   private final InetSocketAddress balancer;
   private final ArrayDeque<Connection> idle = new ArrayDeque<>();
   /** Time at which the balancer was told to stop; from then on it may refuse connections. */
-  private long stoppedAt = Long.MAX_VALUE;
+  private long stoppedAtNanos = Long.MAX_VALUE;
   /**
    * Size of a burst as a share of the program's sockets. Connections beyond the program's limit for clients wait in the kernel's backlog,
    * which is not checked here.
    */
-  private static final double BURST_PART = 0.3;
+  private static final double BURST_SHARE = 0.3;
   /** Requests of bursts are numbered from multiples of this on, above all other requests. */
-  private static final int BURST_NUMBERS = 1_000_000;
+  private static final int BURST_NUMBER_STEP = 1_000_000;
 
-  private int crowd;
+  private int idleClients;
 
   RawClients(
       Script script, VirtualNetwork network, RunVerifier verifier, InetSocketAddress balancer) {
@@ -46,61 +46,62 @@
   }
 
   /** Records that the balancer was told to stop. */
-  void stopped() {
-    stoppedAt = loop.now();
+  void balancerStopped() {
+    stoppedAtNanos = loop.now();
   }
 
   /** Sends the request of this number, on an idle connection if there is one and the scenario reuses connections. */
-  void ask(int number) {
+  void request(int number) {
     RequestScenario scenario = new RequestScenario(script, number);
-    verifier.asked(scenario);
-    Connection kept = scenario.reuses ? idle.poll() : null;
-    if (kept != null) {
-      kept.send(scenario);
+    verifier.requestStarted(scenario);
+    Connection reused = scenario.reusesConnection ? idle.poll() : null;
+    if (reused != null) {
+      reused.send(scenario);
     } else {
       connect(scenario);
     }
   }
 
   private void connect(RequestScenario scenario) {
-    if (loop.now() - 300 * MS > stoppedAt) {
-      // By then a load balancer in front sends no more clients here.
+    if (loop.now() - 300 * NANOS_PER_MS > stoppedAtNanos) {
+      // Clients stop connecting some time after the balancer was told to stop, as if they were
+      // routed elsewhere.
       return;
     }
     network.connect(
         balancer,
-        end -> {
-          Connection c = new Connection(end);
-          c.fresh = true;
-          c.send(scenario);
-          end.listener(c);
+        endpoint -> {
+          Connection connection = new Connection(endpoint);
+          connection.newlyOpened = true;
+          connection.send(scenario);
+          endpoint.listener(connection);
         },
         (refused, why) -> {
-          if (loop.now() < stoppedAt) {
-            verifier.lost(scenario, "the connection was refused");
+          if (loop.now() < stoppedAtNanos) {
+            verifier.notAnswered(scenario, "the connection was refused");
           }
         });
   }
 
   /** Sends many requests at once, on new connections where none is idle. */
   void burst(int number) {
-    for (int i = 0; i < script.sockets() * BURST_PART; i++) {
-      ask(BURST_NUMBERS * (number + 1) + i);
+    for (int i = 0; i < script.sockets() * BURST_SHARE; i++) {
+      request(BURST_NUMBER_STEP * (number + 1) + i);
     }
   }
 
   /** Opens connections that send nothing or only the start of a request; most of them are closed after this time. */
-  void crowd(int count, long nanos) {
+  void connectIdle(int count, long durationNanos) {
     for (int i = 0; i < count; i++) {
-      int kind = (crowd++) % 3;
+      int kind = (idleClients++) % 3;
       network.connect(
           balancer,
-          end -> {
-            end.listener(new Line.Listener() {
+          endpoint -> {
+            endpoint.listener(new VirtualConnection.Listener() {
               @Override
               public void readable() {
-                if (end.reset() || end.over()) {
-                  end.close();
+                if (endpoint.isReset() || endpoint.isInputOver()) {
+                  endpoint.close();
                 }
               }
 
@@ -109,14 +110,14 @@
                 // It has nothing more to send.
               }
             });
-            byte[] begins =
+            byte[] incompleteHead =
                 "GET /look HTTP/1.1\r\nHost: x\r\nX-".getBytes(StandardCharsets.US_ASCII);
             if (kind > 0) {
-              end.send(begins, 0, begins.length);
+              endpoint.send(incompleteHead, 0, incompleteHead.length);
             }
             if (kind < 2) {
               // The others stay until the balancer closes them.
-              loop.at(loop.now() + nanos, kind == 1 ? end::abort : end::close);
+              loop.runAt(loop.now() + durationNanos, kind == 1 ? endpoint::abort : endpoint::close);
             }
           },
           (refused, why) -> {});
@@ -124,219 +125,229 @@
   }
 
   /** A client's connection to the balancer. */
-  private final class Connection implements Line.Listener {
-    private final Line.End end;
-    private final Outgoing out;
-    private final Messages reader = new Messages(true, this::answer);
+  private final class Connection implements VirtualConnection.Listener {
+    private final VirtualConnection.Endpoint endpoint;
+    private final SendQueue sendQueue;
+    private final HttpMessageReader reader = new HttpMessageReader(true, this::onAnswer);
     private final byte[] buffer = new byte[8 << 10];
-    private boolean fresh;
+    /** The connection has not been reused. */
+    private boolean newlyOpened;
+
     private RequestScenario scenario;
     private boolean sending;
-    private boolean wholeSent;
-    private boolean over;
-    private boolean last;
-    private boolean readDue;
-    private long turn;
+    private boolean requestSent;
+    private boolean closed;
+    private boolean closeAfterAnswer;
+    private boolean readScheduled;
+    /** Number of the current exchange; events that were scheduled for an earlier one are ignored. */
+    private long currentExchange;
 
-    private Connection(Line.End end) {
-      this.end = end;
-      out = new Outgoing(end);
+    private Connection(VirtualConnection.Endpoint endpoint) {
+      this.endpoint = endpoint;
+      sendQueue = new SendQueue(endpoint);
     }
 
     private void send(RequestScenario next) {
       scenario = next;
       sending = true;
-      wholeSent = false;
-      long of = ++turn;
-      List<byte[]> pieces = next.bytes();
-      long at = loop.now();
+      requestSent = false;
+      long exchange = ++currentExchange;
+      List<byte[]> pieces = next.pieces();
+      long atNanos = loop.now();
       for (byte[] piece : pieces) {
-        loop.at(at, () -> {
-          if (of == turn && !over) {
-            out.add(piece);
+        loop.runAt(atNanos, () -> {
+          if (exchange == currentExchange && !closed) {
+            sendQueue.send(piece);
           }
         });
-        at += next.pause;
+        atNanos += next.pauseNanos;
       }
-      loop.at(at - next.pause, () -> {
-        if (of == turn && !over) {
-          pipeline(next);
-          out.then(() -> sent(of));
+      loop.runAt(atNanos - next.pauseNanos, () -> {
+        if (exchange == currentExchange && !closed) {
+          sendPipelined(next);
+          sendQueue.thenRun(() -> onRequestSent(exchange));
         }
       });
       if (next.leaving == Leaving.SENDING) {
-        loop.at(loop.now() + next.leavesAfter, () -> leave(of));
+        loop.runAt(loop.now() + next.leavesAfterNanos, () -> disconnect(exchange));
       }
     }
 
-    private void pipeline(RequestScenario next) {
+    private void sendPipelined(RequestScenario next) {
       if (next.breach == Breach.PIPELINED) {
-        out.add(("GET /look HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: p" + next.number
+        sendQueue.send(("GET /look HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: p" + next.number
                 + "\r\nX-Service-Class: look\r\nX-Time-Left-Ms: 900\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII));
       }
     }
 
-    private void sent(long of) {
-      if (of != turn || over) {
+    private void onRequestSent(long exchange) {
+      if (exchange != currentExchange || closed) {
         return;
       }
       sending = false;
       if (scenario == null) {
         // The answer arrived before the last byte of the request was sent.
-        rest();
+        exchangeComplete();
         return;
       }
-      wholeSent = true;
-      verifier.sentWhole(scenario);
-      RequestScenario mine = scenario;
-      loop.at(loop.now() + mine.patience + SLACK, () -> late(of, mine));
-      if (mine.leaving == Leaving.WAITING) {
-        loop.at(loop.now() + mine.leavesAfter, () -> leave(of));
+      requestSent = true;
+      verifier.requestSent(scenario);
+      RequestScenario pending = scenario;
+      loop.runAt(
+          loop.now() + pending.timeLeftNanos + ANSWER_SLACK_NANOS,
+          () -> onTimeout(exchange, pending));
+      if (pending.leaving == Leaving.WAITING) {
+        loop.runAt(loop.now() + pending.leavesAfterNanos, () -> disconnect(exchange));
       }
     }
 
-    private void late(long of, RequestScenario mine) {
-      if (of == turn && !over && scenario == mine && reader.atRest() && end.unread() == 0) {
-        verifier.lost(mine, "not answered in time");
-        end();
+    private void onTimeout(long exchange, RequestScenario pending) {
+      if (exchange == currentExchange
+          && !closed
+          && scenario == pending
+          && reader.isBetweenMessages()
+          && endpoint.unreadBytes() == 0) {
+        verifier.notAnswered(pending, "not answered in time");
+        closeConnection();
       }
     }
 
-    private void leave(long of) {
-      if (of == turn && !over && scenario != null) {
-        over = true;
-        out.drop();
-        if (scenario.abrupt) {
-          end.abort();
+    private void disconnect(long exchange) {
+      if (exchange == currentExchange && !closed && scenario != null) {
+        closed = true;
+        sendQueue.clear();
+        if (scenario.leavesAbruptly) {
+          endpoint.abort();
         } else {
-          end.close();
+          endpoint.close();
         }
       }
     }
 
     @Override
     public void writable() {
-      if (!over) {
-        out.go();
+      if (!closed) {
+        sendQueue.flush();
       }
     }
 
     @Override
     public void readable() {
-      if (over) {
+      if (closed) {
         return;
       }
       if (scenario != null && scenario.slowReader) {
         readSlowly();
         return;
       }
-      while (!over && end.unread() > 0) {
-        take(buffer.length);
+      while (!closed && endpoint.unreadBytes() > 0) {
+        readBytes(buffer.length);
       }
-      ended();
+      onEndOfStream();
     }
 
     private void readSlowly() {
-      if (!readDue) {
-        readDue = true;
-        loop.at(loop.now() + READS_EVERY, () -> {
-          readDue = false;
-          if (!over) {
-            take(SLOW_BYTES);
-            if (end.unread() > 0) {
+      if (!readScheduled) {
+        readScheduled = true;
+        loop.runAt(loop.now() + SLOW_READ_INTERVAL_NANOS, () -> {
+          readScheduled = false;
+          if (!closed) {
+            readBytes(SLOW_READ_BYTES);
+            if (endpoint.unreadBytes() > 0) {
               readable();
             } else {
-              ended();
+              onEndOfStream();
             }
           }
         });
       }
     }
 
-    private void take(int most) {
-      int n = end.read(buffer, 0, Math.min(most, buffer.length));
+    private void readBytes(int maxBytes) {
+      int n = endpoint.read(buffer, 0, Math.min(maxBytes, buffer.length));
       if (n > 0 && scenario == null) {
-        verifier.nonsense("bytes received on a client's connection without an open request");
-        end();
+        verifier.invalidData("bytes received on a client's connection without an open request");
+        closeConnection();
         return;
       }
       if (scenario != null && scenario.leaving == Leaving.READING) {
-        leave(turn);
+        disconnect(currentExchange);
         return;
       }
       try {
         reader.feed(buffer, n);
-      } catch (Messages.Malformed e) {
-        verifier.nonsense(
+      } catch (HttpMessageReader.MalformedMessageException e) {
+        verifier.invalidData(
             scenario.id + " received an answer that is not valid HTTP: " + e.getMessage());
-        end();
+        closeConnection();
       }
     }
 
-    private void answer(Message message) {
-      if (over) {
+    private void onAnswer(Message message) {
+      if (closed) {
         // A client that pipelined two requests may get two answers; it closes after the first.
         return;
       }
-      RequestScenario mine = scenario;
-      if (mine == null) {
-        verifier.nonsense("answer received without an open request");
+      RequestScenario pending = scenario;
+      if (pending == null) {
+        verifier.invalidData("answer received without an open request");
         return;
       }
-      verifier.answered(mine, message.status(), message.body());
+      verifier.answered(pending, message.status(), message.body());
       scenario = null;
-      last = message.closes() || !mine.keeps || mine.breach != Breach.NONE;
+      closeAfterAnswer =
+          message.closesConnection() || !pending.keepsConnection || pending.breach != Breach.NONE;
       if (!sending) {
-        rest();
+        exchangeComplete();
       }
     }
 
-    private void rest() {
-      turn++;
-      if (last) {
-        end();
+    private void exchangeComplete() {
+      currentExchange++;
+      if (closeAfterAnswer) {
+        closeConnection();
       } else {
-        fresh = false;
+        newlyOpened = false;
         idle.add(this);
       }
     }
 
     /** Handles the end of the connection by the balancer. */
-    private void ended() {
-      if (over || !end.reset() && !end.over()) {
+    private void onEndOfStream() {
+      if (closed || !endpoint.isReset() && !endpoint.isInputOver()) {
         return;
       }
-      reader.ended();
-      RequestScenario mine = scenario;
-      boolean begun = !reader.atRest();
-      boolean whole = wholeSent;
+      reader.endOfStream();
+      RequestScenario pending = scenario;
+      boolean answerBegun = !reader.isBetweenMessages();
+      boolean sentCompletely = requestSent;
       idle.remove(this);
-      end();
-      if (mine == null) {
+      closeConnection();
+      if (pending == null) {
         return;
       }
-      if (begun) {
-        verifier.cutShort(mine);
-      } else if (whole && !fresh && !verifier.ran(mine)) {
+      if (answerBegun) {
+        verifier.answerTruncated(pending);
+      } else if (sentCompletely && !newlyOpened && !verifier.wasExecuted(pending)) {
         // The balancer closed the idle connection while the request was on its way: send it again
         // on a new one.
-        connect(mine);
-      } else if (whole) {
-        verifier.lost(mine, "the connection was closed without an answer");
+        connect(pending);
+      } else if (sentCompletely) {
+        verifier.notAnswered(pending, "the connection was closed without an answer");
       }
     }
 
-    private void end() {
-      over = true;
-      out.drop();
-      end.close();
+    private void closeConnection() {
+      closed = true;
+      sendQueue.clear();
+      endpoint.close();
     }
   }
 
   /** Closes all idle connections. */
   void close() {
-    List.copyOf(idle).forEach(Connection::end);
+    List.copyOf(idle).forEach(Connection::closeConnection);
     idle.clear();
   }
 }
--- a/src/main/java/pumicekeel/lab/program/RawServer.java
+++ b/src/main/java/pumicekeel/lab/program/RawServer.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import pumicekeel.lab.program.Messages.Message;
+import pumicekeel.lab.program.HttpMessageReader.Message;
 import pumicekeel.lab.world.RandomStream;
 
 /** Simulated upstream: executes each request and answers it in a way that is drawn from the seed, the request and the upstream. */
@@ -19,56 +19,60 @@
     OK,
     ERROR,
     /** A rejection that says that the request was not executed. */
-    TURNED_AWAY,
+    UNPROCESSED,
     RESET,
-    SILENT,
+    NO_ANSWER,
     /** A part of the response, then the connection ends. */
-    CUT,
+    TRUNCATED,
     /** A part of the response; the connection stays open. */
     STALLED,
     /** The response twice. */
-    TWICE,
+    DUPLICATED,
     /** Bytes that are not HTTP. */
-    NOISE,
+    GARBAGE,
     /** A response, and later a byte without a request. */
-    UNASKED,
+    UNSOLICITED,
     /** A response that announces the close of its connection. */
-    LAST,
+    CONNECTION_CLOSE,
     /** A response whose connection is closed without announcement. */
-    THEN_ENDS
+    CLOSE_AFTER
   }
 
-  private static final long MS = 1_000_000L;
-  private static final double MEAN_MS = 12;
-  private static final int SLOWER = 10;
-  private static final int USUAL = 85;
-  private static final int SMALL = 900;
-  private static final int UNASKED_WITHIN = 60_000_000;
-  /** The connection of one in this many requests is reset within {@link #BREAKS_WITHIN} of the request's first byte. */
-  private static final int BREAKS_IN = 60;
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final double MEAN_SERVICE_MS = 12;
+  private static final int SLOW_FACTOR = 10;
+  private static final int OK_PERCENT = 85;
+  private static final int DUPLICATED_BODY_BYTES = 900;
+  private static final int MAX_UNSOLICITED_DELAY_NANOS = 60_000_000;
+  /**
+   * One in this many requests has its connection reset within {@link #MAX_RESET_DELAY_NANOS} of its first byte, possibly before its last
+   * one.
+   */
+  private static final int REQUESTS_PER_RESET = 60;
 
-  private static final int BREAKS_WITHIN = 40_000_000;
+  private static final int MAX_RESET_DELAY_NANOS = 40_000_000;
 
   final int number;
   final int cell;
-  final long startedAt;
+  final long startedAtNanos;
   private final Script script;
   private final VirtualLoop loop;
   private final VirtualNetwork network;
   private final RunVerifier verifier;
   private final InetSocketAddress address;
-  private final Set<Connection> open = new LinkedHashSet<>();
+  private final Set<Connection> connections = new LinkedHashSet<>();
   private final RandomStream random;
-  private long hangsUntil;
-  private long fullUntil;
-  private long slowUntil;
-  private boolean cut;
+  private long hangingUntilNanos;
+  private long rejectingUntilNanos;
+  private long slowUntilNanos;
+  private boolean isolated;
 
-  RawServer(int number, long startedAt, Script script, VirtualNetwork network, RunVerifier verifier)
+  RawServer(
+      int number, long startedAtNanos, Script script, VirtualNetwork network, RunVerifier verifier)
       throws IOException {
     this.number = number;
     this.cell = number / 2;
-    this.startedAt = startedAt;
+    this.startedAtNanos = startedAtNanos;
     this.script = script;
     this.network = network;
     this.verifier = verifier;
@@ -86,209 +90,218 @@
 
   /** Executes requests and answers none for this time. */
   void hang(long nanos) {
-    hangsUntil = Math.max(hangsUntil, loop.now() + nanos);
+    hangingUntilNanos = Math.max(hangingUntilNanos, loop.now() + nanos);
   }
 
   /** Rejects all requests for this time. */
-  void full(long nanos) {
-    fullUntil = Math.max(fullUntil, loop.now() + nanos);
+  void rejectRequests(long nanos) {
+    rejectingUntilNanos = Math.max(rejectingUntilNanos, loop.now() + nanos);
   }
 
   /** Takes longer for each request for this time. */
-  void slow(long nanos) {
-    slowUntil = Math.max(slowUntil, loop.now() + nanos);
+  void slowDown(long nanos) {
+    slowUntilNanos = Math.max(slowUntilNanos, loop.now() + nanos);
   }
 
   /** Resets all connections and refuses new ones for this time. */
   void crash(long nanos) {
-    network.reach(address, VirtualNetwork.Reach.REFUSES);
-    List.copyOf(open).forEach(Connection::crash);
-    loop.at(loop.now() + nanos, () -> network.reach(address, VirtualNetwork.Reach.OPEN));
+    network.setReachability(address, VirtualNetwork.Reachability.REFUSING);
+    List.copyOf(connections).forEach(Connection::crash);
+    loop.runAt(
+        loop.now() + nanos,
+        () -> network.setReachability(address, VirtualNetwork.Reachability.OPEN));
   }
 
   /** Cuts the upstream off from the network for this time. */
-  void cutOff(long nanos) {
-    cut = true;
-    network.reach(address, VirtualNetwork.Reach.SILENT);
-    List.copyOf(open).forEach(c -> c.cut(true));
-    loop.at(loop.now() + nanos, () -> {
-      cut = false;
-      network.reach(address, VirtualNetwork.Reach.OPEN);
+  void isolate(long nanos) {
+    isolated = true;
+    network.setReachability(address, VirtualNetwork.Reachability.UNREACHABLE);
+    List.copyOf(connections).forEach(c -> c.setIsolated(true));
+    loop.runAt(loop.now() + nanos, () -> {
+      isolated = false;
+      network.setReachability(address, VirtualNetwork.Reachability.OPEN);
       // Reconnected without its former connections: what arrives on them is reset.
-      List.copyOf(open).forEach(c -> c.cut(false));
-      open.clear();
+      List.copyOf(connections).forEach(c -> c.setIsolated(false));
+      connections.clear();
     });
   }
 
   /** Closes all idle connections. */
-  void impatient() {
-    List.copyOf(open).stream()
-        .filter(c -> c.reader.atRest() && c.out.empty() && !c.busy)
-        .forEach(c -> c.end.close());
+  void closeIdleConnections() {
+    List.copyOf(connections).stream()
+        .filter(c -> c.reader.isBetweenMessages() && c.sendQueue.isEmpty() && !c.busy)
+        .forEach(c -> c.endpoint.close());
   }
 
   /** Resets all connections and refuses new ones for good. */
-  void leave() {
-    network.reach(address, VirtualNetwork.Reach.REFUSES);
-    List.copyOf(open).forEach(Connection::crash);
+  void terminate() {
+    network.setReachability(address, VirtualNetwork.Reachability.REFUSING);
+    List.copyOf(connections).forEach(Connection::crash);
   }
 
   @Override
-  public void accepted(Line.End end) {
-    if (!cut) {
-      Connection c = new Connection(end);
-      open.add(c);
-      end.listener(c);
+  public void accepted(VirtualConnection.Endpoint endpoint) {
+    if (!isolated) {
+      Connection connection = new Connection(endpoint);
+      connections.add(connection);
+      endpoint.listener(connection);
     }
   }
 
   /** A connection from the balancer, with one request at a time. */
-  private final class Connection implements Line.Listener {
-    private final Line.End end;
-    private final Outgoing out;
-    private final Messages reader = new Messages(false, this::came);
+  private final class Connection implements VirtualConnection.Listener {
+    private final VirtualConnection.Endpoint endpoint;
+    private final SendQueue sendQueue;
+    private final HttpMessageReader reader = new HttpMessageReader(false, this::onRequest);
     private final byte[] buffer = new byte[8 << 10];
     private boolean busy;
-    private boolean begun;
+    private boolean receiving;
 
-    private Connection(Line.End end) {
-      this.end = end;
-      out = new Outgoing(end);
+    private Connection(VirtualConnection.Endpoint endpoint) {
+      this.endpoint = endpoint;
+      sendQueue = new SendQueue(endpoint);
     }
 
     private void crash() {
-      open.remove(this);
-      spoilAll();
-      out.drop();
-      end.abort();
+      connections.remove(this);
+      markAnswerDefective();
+      sendQueue.clear();
+      endpoint.abort();
     }
 
-    private void cut(boolean on) {
-      spoilAll();
-      out.drop();
-      end.cut(on);
+    private void setIsolated(boolean on) {
+      markAnswerDefective();
+      sendQueue.clear();
+      endpoint.setIsolated(on);
     }
 
-    private String current;
+    private String currentId;
 
-    private void spoilAll() {
-      if (current != null) {
-        verifier.spoilt(current);
+    private void markAnswerDefective() {
+      if (currentId != null) {
+        verifier.answerDefective(currentId);
       }
     }
 
     @Override
     public void writable() {
-      out.go();
+      sendQueue.flush();
     }
 
     @Override
     public void readable() {
-      while (end.unread() > 0) {
-        if (!begun) {
-          begun = true;
-          verifier.begins(number);
-          if (random.below(BREAKS_IN) == 0) {
-            loop.at(loop.now() + random.below(BREAKS_WITHIN), this::crash);
+      while (endpoint.unreadBytes() > 0) {
+        if (!receiving) {
+          receiving = true;
+          verifier.firstByteReceived(number);
+          if (random.below(REQUESTS_PER_RESET) == 0) {
+            loop.runAt(loop.now() + random.below(MAX_RESET_DELAY_NANOS), this::crash);
           }
         }
-        int n = end.read(buffer, 0, buffer.length);
+        int n = endpoint.read(buffer, 0, buffer.length);
         try {
           reader.feed(buffer, n);
-        } catch (Messages.Malformed e) {
-          verifier.nonsense("upstream " + number + " received a request that is not valid HTTP: "
+        } catch (HttpMessageReader.MalformedMessageException e) {
+          verifier.invalidData("upstream " + number + " received a request that is not valid HTTP: "
               + e.getMessage());
         }
       }
-      if (end.reset() || end.over()) {
-        open.remove(this);
-        out.drop();
-        end.close();
+      if (endpoint.isReset() || endpoint.isInputOver()) {
+        connections.remove(this);
+        sendQueue.clear();
+        endpoint.close();
       }
     }
 
-    private void came(Message request) {
-      begun = false;
-      String id = idOf(request);
+    private void onRequest(Message request) {
+      receiving = false;
+      String id = clientId(request);
       if (busy) {
-        verifier.nonsense(
+        verifier.invalidData(
             "upstream " + number + " received " + id + " before it answered the previous request");
         return;
       }
       busy = true;
-      current = id;
+      currentId = id;
       RandomStream random = script.randomFor("run " + id + " " + number);
-      Word word =
-          random.below(100) < USUAL ? Word.OK : Word.values()[random.below(Word.values().length)];
-      if (loop.now() < fullUntil) {
-        word = Word.TURNED_AWAY;
+      Word word = random.below(100) < OK_PERCENT
+          ? Word.OK
+          : Word.values()[random.below(Word.values().length)];
+      if (loop.now() < rejectingUntilNanos) {
+        word = Word.UNPROCESSED;
       }
-      if (word != Word.TURNED_AWAY) {
-        boolean call = request.fields().get("x-correlation-id").startsWith("n0-");
-        verifier.runs(id, number, cell, call ? new byte[0] : request.body());
+      if (word != Word.UNPROCESSED) {
+        boolean jsonRpcCall = request.headers().get("x-correlation-id").startsWith("n0-");
+        verifier.executed(id, number, cell, jsonRpcCall ? new byte[0] : request.body());
       }
-      if (loop.now() < hangsUntil || word == Word.SILENT) {
-        verifier.spoilt(id);
+      if (loop.now() < hangingUntilNanos || word == Word.NO_ANSWER) {
+        verifier.answerDefective(id);
         return;
       }
-      long takes =
-          (long) (MS + random.exponential() * MEAN_MS * MS * (loop.now() < slowUntil ? SLOWER : 1));
-      Word as = word;
-      loop.at(loop.now() + takes, () -> answer(id, as, random));
+      long serviceNanos = (long) (NANOS_PER_MS
+          + random.exponential()
+              * MEAN_SERVICE_MS
+              * NANOS_PER_MS
+              * (loop.now() < slowUntilNanos ? SLOW_FACTOR : 1));
+      Word drawn = word;
+      loop.runAt(loop.now() + serviceNanos, () -> answer(id, drawn, random));
     }
 
-    /** Returns the client's ID of a request; JSON-RPC calls have an ID of the balancer's own and carry the client's ID in their parameters. */
-    private static String idOf(Message request) {
-      String id = request.fields().get("x-correlation-id");
+    /**
+     * Returns the client's ID of a request. JSON-RPC calls have an ID that the balancer assigned and carry the client's ID in their
+     * parameters.
+     */
+    private static String clientId(Message request) {
+      String id = request.headers().get("x-correlation-id");
       if (id == null || !id.startsWith("n0-")) {
         return id;
       }
-      String params = URLDecoder.decode(request.first(), StandardCharsets.UTF_8)
+      String params = URLDecoder.decode(request.startLine(), StandardCharsets.UTF_8)
           + new String(request.body(), StandardCharsets.UTF_8);
       int from = params.indexOf("\"n\":\"") + "\"n\":\"".length();
       return params.substring(from, params.indexOf('"', from));
     }
 
     private void answer(String id, Word word, RandomStream random) {
-      if (!open.contains(this) || cut) {
+      if (!connections.contains(this) || isolated) {
         return;
       }
       switch (word) {
-        case ERROR -> whole(id, 500, "", "", random);
-        case TURNED_AWAY -> whole(id, 503, "X-Unprocessed: 1\r\n", "", random);
+        case ERROR -> sendResponse(id, 500, "", "", random);
+        case UNPROCESSED -> sendResponse(id, 503, "X-Unprocessed: 1\r\n", "", random);
         case RESET -> crash();
-        case CUT, STALLED -> part(id, word, random);
-        case NOISE -> {
-          verifier.spoilt(id);
-          out.add("!! no answer at all\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+        case TRUNCATED, STALLED -> sendPart(id, word, random);
+        case GARBAGE -> {
+          verifier.answerDefective(id);
+          sendQueue.send("!! no answer at all\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         }
-        case TWICE -> {
+        case DUPLICATED -> {
           // In one segment: a copy that arrives after the connection was reused could not be told
           // from an answer.
-          byte[] bytes = bytes(id, 200, "", SMALL, random);
+          byte[] bytes = encodeResponse(id, 200, "", DUPLICATED_BODY_BYTES, random);
           byte[] both = Arrays.copyOf(bytes, 2 * bytes.length);
           System.arraycopy(bytes, 0, both, bytes.length, bytes.length);
-          end.uncut(true);
-          out.add(both);
-          end.uncut(false);
-          rest();
+          endpoint.setUnsplit(true);
+          sendQueue.send(both);
+          endpoint.setUnsplit(false);
+          requestComplete();
         }
-        case UNASKED -> {
+        case UNSOLICITED -> {
           // If the byte arrives after the connection was reused, it corrupts the next answer; if it
           // arrives before, the connection must not be reused.
-          whole(id, 200, "", "", random);
-          loop.at(loop.now() + random.below(UNASKED_WITHIN), () -> {
-            spoilAll();
-            out.add("X".getBytes(StandardCharsets.US_ASCII));
+          sendResponse(id, 200, "", "", random);
+          loop.runAt(loop.now() + random.below(MAX_UNSOLICITED_DELAY_NANOS), () -> {
+            markAnswerDefective();
+            sendQueue.send("X".getBytes(StandardCharsets.US_ASCII));
           });
         }
-        case LAST -> whole(id, 200, "Connection: close\r\n", "", random);
-        case THEN_ENDS -> {
-          whole(id, 200, "", "", random);
-          out.then(end::close);
+        case CONNECTION_CLOSE -> sendResponse(id, 200, "Connection: close\r\n", "", random);
+        case CLOSE_AFTER -> {
+          sendResponse(id, 200, "", "", random);
+          sendQueue.thenRun(endpoint::close);
         }
         default ->
-          whole(
+          sendResponse(
               id,
               200,
               "",
@@ -297,33 +310,35 @@
       }
     }
 
-    private void whole(String id, int status, String more, String before, RandomStream random) {
-      out.add(before.getBytes(StandardCharsets.US_ASCII));
-      out.add(bytes(id, status, more, size(random), random));
-      out.then(this::rest);
-      if (more.startsWith("Connection")) {
-        out.then(end::close);
+    private void sendResponse(
+        String id, int status, String extraHeader, String interim, RandomStream random) {
+      sendQueue.send(interim.getBytes(StandardCharsets.US_ASCII));
+      sendQueue.send(encodeResponse(id, status, extraHeader, drawBodyBytes(random), random));
+      sendQueue.thenRun(this::requestComplete);
+      if (extraHeader.startsWith("Connection")) {
+        sendQueue.thenRun(endpoint::close);
       }
     }
 
-    private void rest() {
+    private void requestComplete() {
       busy = false;
-      current = null;
+      currentId = null;
     }
 
-    private void part(String id, Word word, RandomStream random) {
-      verifier.spoilt(id);
-      byte[] bytes = bytes(id, 200, "", size(random), random);
-      out.add(Arrays.copyOf(bytes, 1 + random.below(bytes.length - 1)));
-      if (word == Word.CUT) {
-        out.then(random.below(2) == 0 ? end::close : this::crash);
+    private void sendPart(String id, Word word, RandomStream random) {
+      verifier.answerDefective(id);
+      byte[] bytes = encodeResponse(id, 200, "", drawBodyBytes(random), random);
+      sendQueue.send(Arrays.copyOf(bytes, 1 + random.below(bytes.length - 1)));
+      if (word == Word.TRUNCATED) {
+        sendQueue.thenRun(random.below(2) == 0 ? endpoint::close : this::crash);
       }
     }
 
-    private byte[] bytes(String id, int status, String more, int size, RandomStream random) {
-      byte[] body = status == 200 ? Messages.bodyOf(id, size) : new byte[0];
+    private byte[] encodeResponse(
+        String id, int status, String extraHeader, int bodyBytes, RandomStream random) {
+      byte[] body = status == 200 ? HttpMessageReader.bodyOf(id, bodyBytes) : new byte[0];
       boolean chunked = random.below(5) == 0 && body.length > 0;
-      byte[] head = ("HTTP/1.1 " + status + " X\r\n" + more
+      byte[] head = ("HTTP/1.1 " + status + " X\r\n" + extraHeader
               + (chunked
                   ? "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length) + "\r\n"
                   : "Content-Length: " + body.length + "\r\n\r\n"))
@@ -335,7 +350,7 @@
       return all;
     }
 
-    private int size(RandomStream random) {
+    private int drawBodyBytes(RandomStream random) {
       int kind = random.below(40);
       return kind == 0
           ? (64 << 10) + random.below(200 << 10)
--- a/src/main/java/pumicekeel/lab/program/RequestScenario.java
+++ b/src/main/java/pumicekeel/lab/program/RequestScenario.java
@@ -16,13 +16,13 @@
    */
   enum Breach {
     NONE,
-    NO_ID,
+    MISSING_ID,
     UNKNOWN_CLASS,
-    NO_HOST,
-    BAD_LINE,
-    TWO_LENGTHS,
-    OLD_VERSION,
-    LARGE_HEAD,
+    MISSING_HOST,
+    MALFORMED_HEADER,
+    CONFLICTING_LENGTHS,
+    HTTP_1_0,
+    OVERSIZED_HEAD,
     NOT_HTTP,
     PIPELINED
   }
@@ -35,62 +35,65 @@
     READING
   }
 
-  private static final long MS = 1_000_000L;
-  private static final int LARGE_BODY = 64 << 10;
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final int LARGE_BODY_BYTES = 64 << 10;
 
   final int number;
   final String id;
-  final String type;
+  final String className;
   final Effect effect;
   final Breach breach;
   final Leaving leaving;
-  final boolean abrupt;
-  final long leavesAfter;
-  final long patience;
-  final boolean keeps;
-  final boolean reuses;
+  final boolean leavesAbruptly;
+  final long leavesAfterNanos;
+  final long timeLeftNanos;
+  final boolean keepsConnection;
+  final boolean reusesConnection;
   final boolean slowReader;
   final boolean chunked;
-  final boolean expects;
-  final int bodySize;
-  final int pieces;
-  final long pause;
+  final boolean expectsContinue;
+  final int bodyBytes;
+  final int pieceCount;
+  final long pauseNanos;
 
   /** Draws the scenario of a request. */
   RequestScenario(Script script, int number) {
     this.number = number;
     id = "q" + number;
-    RandomStream c = script.randomFor("ask " + number);
-    int kind = c.below(4);
+    RandomStream random = script.randomFor("ask " + number);
+    int kind = random.below(4);
     effect = kind < 2 ? Effect.SAFE : kind == 2 ? Effect.KEYED : Effect.UNSAFE;
-    type = kind < 2 ? "look" : kind == 2 ? "quote" : "order";
-    breach =
-        c.below(20) == 0 ? Breach.values()[1 + c.below(Breach.values().length - 1)] : Breach.NONE;
-    leaving = c.below(12) == 0
-        ? Leaving.values()[1 + c.below(Leaving.values().length - 1)]
+    className = kind < 2 ? "look" : kind == 2 ? "quote" : "order";
+    breach = random.below(20) == 0
+        ? Breach.values()[1 + random.below(Breach.values().length - 1)]
+        : Breach.NONE;
+    leaving = random.below(12) == 0
+        ? Leaving.values()[1 + random.below(Leaving.values().length - 1)]
         : Leaving.NEVER;
-    abrupt = c.below(2) == 0;
-    leavesAfter = (long) (c.exponential() * 20 * MS);
-    patience = 400 * MS + c.below(1_600) * MS;
-    keeps = c.below(10) > 0;
-    reuses = c.below(8) > 0;
-    slowReader = c.below(20) == 0;
-    chunked = c.below(3) == 0;
-    expects = c.below(20) == 0;
-    int size = c.below(8) == 0 ? LARGE_BODY + c.below(4 * LARGE_BODY) : c.below(2_000);
-    bodySize = effect == Effect.SAFE ? 0 : size;
-    pieces = c.below(5) == 0 ? 2 + c.below(4) : 1;
-    pause = c.below(120) * MS;
+    leavesAbruptly = random.below(2) == 0;
+    leavesAfterNanos = (long) (random.exponential() * 20 * NANOS_PER_MS);
+    timeLeftNanos = 400 * NANOS_PER_MS + random.below(1_600) * NANOS_PER_MS;
+    keepsConnection = random.below(10) > 0;
+    reusesConnection = random.below(8) > 0;
+    slowReader = random.below(20) == 0;
+    chunked = random.below(3) == 0;
+    expectsContinue = random.below(20) == 0;
+    int size = random.below(8) == 0
+        ? LARGE_BODY_BYTES + random.below(4 * LARGE_BODY_BYTES)
+        : random.below(2_000);
+    bodyBytes = effect == Effect.SAFE ? 0 : size;
+    pieceCount = random.below(5) == 0 ? 2 + random.below(4) : 1;
+    pauseNanos = random.below(120) * NANOS_PER_MS;
   }
 
   /** Returns whether the request, once sent completely, has to be answered in time. */
-  boolean owed() {
+  boolean requiresAnswer() {
     return breach == Breach.NONE && leaving == Leaving.NEVER;
   }
 
   /** Returns the bytes of the request, split where the client pauses. */
-  List<byte[]> bytes() {
-    byte[] body = effect == Effect.SAFE ? new byte[0] : Messages.bodyOf(id, bodySize);
+  List<byte[]> pieces() {
+    byte[] body = effect == Effect.SAFE ? new byte[0] : HttpMessageReader.bodyOf(id, bodyBytes);
     byte[] head = head(body.length).getBytes(StandardCharsets.US_ASCII);
     byte[] all = Arrays.copyOf(head, head.length + body.length);
     System.arraycopy(body, 0, all, head.length, body.length);
@@ -100,9 +103,9 @@
       all = join(head, size, body, end);
     }
     List<byte[]> out = new ArrayList<>();
-    int each = Math.max(1, all.length / pieces);
-    for (int from = 0; from < all.length; from += each) {
-      out.add(Arrays.copyOfRange(all, from, Math.min(all.length, from + each)));
+    int pieceBytes = Math.max(1, all.length / pieceCount);
+    for (int from = 0; from < all.length; from += pieceBytes) {
+      out.add(Arrays.copyOfRange(all, from, Math.min(all.length, from + pieceBytes)));
     }
     return out;
   }
@@ -117,35 +120,37 @@
     return all;
   }
 
-  private String head(int length) {
+  private String head(int bodyLength) {
     if (breach == Breach.NOT_HTTP) {
       return "\u0016\u0003\u0001 hello\r\n\r\n";
     }
-    StringBuilder h = new StringBuilder();
-    h.append(effect == Effect.SAFE ? "GET" : "POST")
+    StringBuilder head = new StringBuilder();
+    head.append(effect == Effect.SAFE ? "GET" : "POST")
         .append(" /")
-        .append(type)
+        .append(className)
         .append("/x HTTP/1.")
-        .append(breach == Breach.OLD_VERSION ? 0 : 1)
+        .append(breach == Breach.HTTP_1_0 ? 0 : 1)
         .append("\r\n");
-    h.append(breach == Breach.NO_HOST ? "" : "Host: lab\r\n");
-    h.append(breach == Breach.NO_ID ? "" : "X-Correlation-Id: " + id + "\r\n");
-    h.append("X-Service-Class: ")
-        .append(breach == Breach.UNKNOWN_CLASS ? "nothing" : type)
+    head.append(breach == Breach.MISSING_HOST ? "" : "Host: lab\r\n");
+    head.append(breach == Breach.MISSING_ID ? "" : "X-Correlation-Id: " + id + "\r\n");
+    head.append("X-Service-Class: ")
+        .append(breach == Breach.UNKNOWN_CLASS ? "nothing" : className)
         .append("\r\n");
-    h.append("X-Session-Key: k")
+    head.append("X-Session-Key: k")
         .append(number % 17)
         .append("\r\nX-Time-Left-Ms: ")
-        .append(patience / MS)
+        .append(timeLeftNanos / NANOS_PER_MS)
         .append("\r\n");
-    h.append(effect == Effect.KEYED ? "Idempotency-Key: " + id + "\r\n" : "");
-    h.append(expects && length > 0 ? "Expect: 100-continue\r\n" : "");
-    if (length > 0) {
-      h.append(chunked ? "Transfer-Encoding: chunked\r\n" : "Content-Length: " + length + "\r\n");
+    head.append(effect == Effect.KEYED ? "Idempotency-Key: " + id + "\r\n" : "");
+    head.append(expectsContinue && bodyLength > 0 ? "Expect: 100-continue\r\n" : "");
+    if (bodyLength > 0) {
+      head.append(
+          chunked ? "Transfer-Encoding: chunked\r\n" : "Content-Length: " + bodyLength + "\r\n");
     }
-    h.append(breach == Breach.TWO_LENGTHS ? "Content-Length: 5\r\nContent-Length: 6\r\n" : "");
-    h.append(breach == Breach.BAD_LINE ? "this is no field\r\n" : "");
-    h.append(breach == Breach.LARGE_HEAD ? "X-Much: " + "x".repeat(20_000) + "\r\n" : "");
-    return h.append("\r\n").toString();
+    head.append(
+        breach == Breach.CONFLICTING_LENGTHS ? "Content-Length: 5\r\nContent-Length: 6\r\n" : "");
+    head.append(breach == Breach.MALFORMED_HEADER ? "this is no field\r\n" : "");
+    head.append(breach == Breach.OVERSIZED_HEAD ? "X-Much: " + "x".repeat(20_000) + "\r\n" : "");
+    return head.append("\r\n").toString();
   }
 }
--- a/src/main/java/pumicekeel/lab/program/RunVerifier.java
+++ b/src/main/java/pumicekeel/lab/program/RunVerifier.java
@@ -15,68 +15,68 @@
 final class RunVerifier {
 
   /** Time limits are this much longer on sockets than in the simulator. */
-  private static final long SOCKET_SLACK = 50_000_000L;
+  private static final long SOCKET_SLACK_NANOS = 50_000_000L;
 
-  private static final int ROOTS = 3;
-  private static final int REFUSED = 429;
-  private static final int UNAVAILABLE = 503;
+  private static final int STANDARD_DEVIATIONS = 3;
+  private static final int STATUS_TOO_MANY_REQUESTS = 429;
+  private static final int STATUS_UNAVAILABLE = 503;
 
   /** One execution of a request at an upstream. */
-  private record Run(int server, int cell, long at) {}
+  private record Execution(int server, int cell, long atNanos) {}
 
   /** What is known of a request. */
-  private static final class Entry {
+  private static final class RequestRecord {
     private final RequestScenario scenario;
-    private final List<Run> runs = new ArrayList<>();
+    private final List<Execution> executions = new ArrayList<>();
     private int answers;
     private int status;
-    private boolean spoilt;
+    private boolean defective;
 
-    private Entry(RequestScenario scenario) {
+    private RequestRecord(RequestScenario scenario) {
       this.scenario = scenario;
     }
   }
 
   private final VirtualLoop loop;
   private final Contract contract;
-  private final long windowNanos;
-  private final Map<String, Entry> entries = new HashMap<>();
-  private final Map<Integer, Long> toldAt = new HashMap<>();
-  private final Map<Integer, List<Long>> firstBytes = new HashMap<>();
+  private final long dedupWindowNanos;
+  private final Map<String, RequestRecord> records = new HashMap<>();
+  private final Map<Integer, Long> departureNanos = new HashMap<>();
+  private final Map<Integer, List<Long>> firstByteNanos = new HashMap<>();
   private final Consumer<String> trace;
-  private long sum = 1;
-  private String breach;
+  private long checksum = 1;
+  private String violation;
   private int served;
   private int refused;
 
-  RunVerifier(VirtualLoop loop, Contract contract, long windowNanos, Consumer<String> trace) {
+  RunVerifier(VirtualLoop loop, Contract contract, long dedupWindowNanos, Consumer<String> trace) {
     this.trace = trace;
     this.loop = loop;
     this.contract = contract;
-    this.windowNanos = windowNanos;
+    this.dedupWindowNanos = dedupWindowNanos;
   }
 
   /** Records a violation; only the first one is kept. */
-  void broken(String what) {
-    if (breach == null) {
-      note("BROKEN: " + what, 0);
-      breach = what + " at " + String.format("%.3f ms", loop.now() / 1e6);
+  void reportViolation(String description) {
+    if (violation == null) {
+      note("BROKEN: " + description, 0);
+      violation = description + " at " + String.format("%.3f ms", loop.now() / 1e6);
     }
   }
 
   /** Returns the first violation, or null if there was none. */
-  String breach() {
-    return breach;
+  String violation() {
+    return violation;
   }
 
   /** Returns a checksum of all events and their times. */
-  long sum() {
-    return sum;
+  long checksum() {
+    return checksum;
   }
 
   /** Returns the number of requests that clients sent. */
-  int asked() {
-    return entries.size();
+  int requests() {
+    return records.size();
   }
 
   /** Returns the number of answers with status 200. */
@@ -90,163 +90,172 @@
   }
 
   /** Adds an event to the checksum and to the trace. */
-  void note(String what, long number) {
-    sum = (sum * 31 + what.hashCode()) * 31 + number;
-    sum = sum * 31 + loop.now();
+  void note(String description, long number) {
+    checksum = (checksum * 31 + description.hashCode()) * 31 + number;
+    checksum = checksum * 31 + loop.now();
     if (trace != null) {
-      trace.accept(String.format("%10.3f ms  %s %d", loop.now() / 1e6, what, number));
+      trace.accept(String.format("%10.3f ms  %s %d", loop.now() / 1e6, description, number));
     }
   }
 
   // Clients
 
   /** Records that a client starts to send a request. */
-  void asked(RequestScenario scenario) {
-    entries.put(scenario.id, new Entry(scenario));
+  void requestStarted(RequestScenario scenario) {
+    records.put(scenario.id, new RequestRecord(scenario));
     note(
-        "request " + scenario.id + " " + scenario.type + " " + scenario.breach + " "
+        "request " + scenario.id + " " + scenario.className + " " + scenario.breach + " "
             + scenario.leaving + ", body",
-        scenario.bodySize);
+        scenario.bodyBytes);
   }
 
   /** Records that a client has sent the last byte of a request. */
-  void sentWhole(RequestScenario scenario) {
+  void requestSent(RequestScenario scenario) {
     note("sent completely: request", scenario.number);
   }
 
   /** Returns whether any upstream has executed a request. */
-  boolean ran(RequestScenario scenario) {
-    return !entries.get(scenario.id).runs.isEmpty();
+  boolean wasExecuted(RequestScenario scenario) {
+    return !records.get(scenario.id).executions.isEmpty();
   }
 
   /** Records and checks an answer that a client received. */
   void answered(RequestScenario scenario, int status, byte[] body) {
-    Entry e = entries.get(scenario.id);
+    RequestRecord request = records.get(scenario.id);
     note("answered " + scenario.id + ", status", status);
-    e.answers++;
-    if (e.answers > 1) {
-      broken("second answer to " + scenario.id);
+    request.answers++;
+    if (request.answers > 1) {
+      reportViolation("second answer to " + scenario.id);
     }
-    e.status = status;
+    request.status = status;
     if (status == 200) {
       served++;
-      if (!Messages.isOf(scenario.id, body)) {
-        broken(scenario.id + " was answered with a body that is not its own: "
+      if (!HttpMessageReader.isBodyOf(scenario.id, body)) {
+        reportViolation(scenario.id + " was answered with a body that is not its own: "
             + new String(body, 0, Math.min(20, body.length)));
       }
-      if (e.runs.isEmpty()) {
-        broken(scenario.id + " was answered with 200 but executed by no upstream");
+      if (request.executions.isEmpty()) {
+        reportViolation(scenario.id + " was answered with 200 but executed by no upstream");
       }
-    } else if (status == REFUSED || status == UNAVAILABLE) {
+    } else if (status == STATUS_TOO_MANY_REQUESTS || status == STATUS_UNAVAILABLE) {
       refused++;
-      judgeRefused(e);
+      checkRefused(request);
     }
   }
 
-  private void judgeRefused(Entry e) {
-    if (e.scenario.effect != Effect.SAFE && !e.runs.isEmpty()) {
-      broken(e.scenario.id + " was refused although it had been executed");
+  private void checkRefused(RequestRecord request) {
+    if (request.scenario.effect != Effect.SAFE && !request.executions.isEmpty()) {
+      reportViolation(request.scenario.id + " was refused although it had been executed");
     }
   }
 
   /** Records data that is not valid, or that does not belong to an open request. */
-  void nonsense(String what) {
-    broken(what);
+  void invalidData(String description) {
+    reportViolation(description);
   }
 
   /** Records that a request will not be answered. */
-  void lost(RequestScenario scenario, String how) {
-    if (scenario.owed()) {
-      broken("no answer to " + scenario.id + ": " + how);
+  void notAnswered(RequestScenario scenario, String reason) {
+    if (scenario.requiresAnswer()) {
+      reportViolation("no answer to " + scenario.id + ": " + reason);
     }
   }
 
   /** Records that an answer was truncated in a way that its client can detect. */
-  void cutShort(RequestScenario scenario) {
-    note("truncated answer to " + scenario.id + ", status", entries.get(scenario.id).status);
-    if (scenario.owed() && !scenario.slowReader && !entries.get(scenario.id).spoilt) {
-      broken("the answer to " + scenario.id
+  void answerTruncated(RequestScenario scenario) {
+    note("truncated answer to " + scenario.id + ", status", records.get(scenario.id).status);
+    if (scenario.requiresAnswer() && !scenario.slowReader && !records.get(scenario.id).defective) {
+      reportViolation("the answer to " + scenario.id
           + " was truncated although its upstream sent a complete one");
     }
   }
 
   // Upstreams
 
-  /** Records that an upstream received the first byte of a request. */
-  void begins(int server) {
-    firstBytes.computeIfAbsent(server, k -> new ArrayList<>()).add(loop.now());
-    long told = toldAt.getOrDefault(server, Long.MAX_VALUE);
-    if (loop.now() - told > contract.drainGraceNanos() + SOCKET_SLACK && told != Long.MAX_VALUE) {
-      broken("upstream " + server + " received a request " + (loop.now() - told) / 1_000_000
-          + " ms after its departure was announced");
+  /** Records that an upstream received the first byte of a request; after its drain grace that is a violation. */
+  void firstByteReceived(int server) {
+    firstByteNanos.computeIfAbsent(server, k -> new ArrayList<>()).add(loop.now());
+    long announcedNanos = departureNanos.getOrDefault(server, Long.MAX_VALUE);
+    if (loop.now() - announcedNanos > contract.drainGraceNanos() + SOCKET_SLACK_NANOS
+        && announcedNanos != Long.MAX_VALUE) {
+      reportViolation("upstream " + server + " received a request "
+          + (loop.now() - announcedNanos) / 1_000_000 + " ms after its departure was announced");
     }
   }
 
   /** Records that an upstream received the last byte of a request and executes it; an ID that no client used is a violation. */
-  void runs(String id, int server, int cell, byte[] body) {
+  void executed(String id, int server, int cell, byte[] body) {
     note("executes " + id + " at upstream", server);
-    Entry e = entries.get(id);
-    if (e == null) {
+    RequestRecord request = records.get(id);
+    if (request == null) {
       if (id == null || !id.startsWith("p")) {
-        broken("upstream " + server + " received a request that no client sent: " + id);
+        reportViolation("upstream " + server + " received a request that no client sent: " + id);
       }
       return;
     }
-    if (body.length > 0 && !Messages.isOf(id, body)) {
-      broken(id + " reached its upstream with a body that is not its own");
+    if (body.length > 0 && !HttpMessageReader.isBodyOf(id, body)) {
+      reportViolation(id + " reached its upstream with a body that is not its own");
     }
     long now = loop.now();
-    if (e.scenario.effect == Effect.UNSAFE && !e.runs.isEmpty()) {
-      broken(id + " is unsafe and was executed twice");
+    if (request.scenario.effect == Effect.UNSAFE && !request.executions.isEmpty()) {
+      reportViolation(id + " is unsafe and was executed twice");
     }
-    if (e.scenario.effect == Effect.KEYED
-        && e.runs.stream().anyMatch(r -> r.cell() != cell || now - r.at() > windowNanos)) {
-      broken(id + " is keyed and took effect twice");
+    if (request.scenario.effect == Effect.KEYED
+        && request.executions.stream()
+            .anyMatch(execution ->
+                execution.cell() != cell || now - execution.atNanos() > dedupWindowNanos)) {
+      reportViolation(id + " is keyed and took effect twice");
     }
-    if (e.answers > 0
-        && (e.status == REFUSED || e.status == UNAVAILABLE)
-        && e.scenario.effect != Effect.SAFE) {
-      broken(id + " was executed after it was refused");
+    if (request.answers > 0
+        && (request.status == STATUS_TOO_MANY_REQUESTS || request.status == STATUS_UNAVAILABLE)
+        && request.scenario.effect != Effect.SAFE) {
+      reportViolation(id + " was executed after it was refused");
     }
-    e.runs.add(new Run(server, cell, now));
+    request.executions.add(new Execution(server, cell, now));
   }
 
   /** Records that an upstream does not answer a request correctly or completely. */
-  void spoilt(String id) {
-    Entry e = entries.get(id);
-    if (e != null) {
-      e.spoilt = true;
+  void answerDefective(String id) {
+    RequestRecord request = records.get(id);
+    if (request != null) {
+      request.defective = true;
     }
   }
 
   /** Records that discovery announced the departure of an upstream to the program. */
-  void told(int server) {
-    toldAt.putIfAbsent(server, loop.now());
+  void departureAnnounced(int server) {
+    departureNanos.putIfAbsent(server, loop.now());
     note("departure announced: upstream", server);
   }
 
   // End of the run
 
   /**
-   * Checks the requests of an upstream against its cold budget: in any window at most a multiple of its capacity at that time, plus an
-   * allowance of {@link #ROOTS} for chance.
+   * Checks the requests of an upstream against its cold budget: in any window at most a multiple of its capacity at that time, plus
+   * {@link #STANDARD_DEVIATIONS} times the square root of that for chance.
    */
-  void judgeCold(int server, long startedAt, double capacityPerSecond) {
-    List<Long> at = firstBytes.getOrDefault(server, List.of());
-    for (int i = 0; i < at.size(); i++) {
-      long from = at.get(i);
-      double warmth = Math.min(
+  void checkColdBudget(int server, long startedAtNanos, double capacityPerSecond) {
+    List<Long> times = firstByteNanos.getOrDefault(server, List.of());
+    for (int i = 0; i < times.size(); i++) {
+      long windowStartNanos = times.get(i);
+      double capacityShare = Math.min(
           1,
           contract.coldFrom()
-              + (1 - contract.coldFrom()) * (from - startedAt) / contract.warmWithinNanos());
-      double budget =
-          contract.fallMultiple() * warmth * capacityPerSecond * contract.fallWindowNanos() / 1e9;
-      long got = at.stream()
-          .filter(t -> t >= from && t < from + contract.fallWindowNanos())
+              + (1 - contract.coldFrom())
+                  * (windowStartNanos - startedAtNanos)
+                  / contract.warmWithinNanos());
+      double budget = contract.fallMultiple()
+          * capacityShare
+          * capacityPerSecond
+          * contract.fallWindowNanos()
+          / 1e9;
+      long received = times.stream()
+          .filter(time ->
+              time >= windowStartNanos && time < windowStartNanos + contract.fallWindowNanos())
           .count();
-      if (got > budget + ROOTS * Math.sqrt(budget)) {
-        broken("cold upstream " + server + " received " + got + " requests with a budget of "
-            + Math.round(budget) + " per window");
+      if (received > budget + STANDARD_DEVIATIONS * Math.sqrt(budget)) {
+        reportViolation("cold upstream " + server + " received " + received
+            + " requests with a budget of " + Math.round(budget) + " per window");
       }
     }
   }
--- a/src/main/java/pumicekeel/lab/program/Script.java
+++ b/src/main/java/pumicekeel/lab/program/Script.java
@@ -13,33 +13,38 @@
  * @param seed seed of all random streams
  * @param servers number of upstreams at the start
  * @param sockets file descriptors that the program may hold
- * @param perSecond rate of requests outside bursts
- * @param operatorFile whether the program has an operator file, with a JSON-RPC listener
+ * @param requestsPerSecond rate of requests outside bursts
+ * @param hasOperatorFile whether the program has an operator file, with a JSON-RPC listener
  * @param steps the events in order of time
  */
 record Script(
-    long seed, int servers, int sockets, double perSecond, boolean pools, List<Step> steps) {
+    long seed,
+    int servers,
+    int sockets,
+    double requestsPerSecond,
+    boolean hasOperatorFile,
+    List<Step> steps) {
 
-  static final long MS = 1_000_000L;
-  static final long SECOND = 1_000 * MS;
-  private static final long LEAST_END = 3 * SECOND;
-  private static final long MOST_END = 6 * SECOND;
+  static final long NANOS_PER_MS = 1_000_000L;
+  static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MS;
+  private static final long MIN_DURATION_NANOS = 3 * NANOS_PER_SECOND;
+  private static final long MAX_DURATION_NANOS = 6 * NANOS_PER_SECOND;
   /** One in this many runs has no stop, so that time limits have to end what a stop would end. */
-  private static final int STOPS_NOT_IN = 6;
+  private static final int RUNS_PER_RUN_WITHOUT_STOP = 6;
 
   private static final Kind[] FAULTS = {
     Kind.BURST,
-    Kind.CROWD,
+    Kind.IDLE_CLIENTS,
     Kind.DRAIN,
-    Kind.FRESH,
+    Kind.START_UPSTREAM,
     Kind.HANG,
     Kind.CRASH,
-    Kind.CUT_OFF,
-    Kind.FULL,
-    Kind.SLOW,
-    Kind.IMPATIENT,
-    Kind.WATCH_BREAKS,
-    Kind.WATCH_SILENT,
+    Kind.ISOLATE,
+    Kind.REJECT,
+    Kind.SLOW_DOWN,
+    Kind.CLOSE_IDLE,
+    Kind.RESET_WATCHES,
+    Kind.SILENCE_WATCHES,
     Kind.DRAIN,
     Kind.RELOAD
   };
@@ -49,26 +54,30 @@
     RandomStream random = new RandomStream(seed, "script");
     int servers = 2 + random.below(5);
     int sockets = 48 + random.below(200);
-    double rate = random.between(20, 60);
-    long end = (long) random.between(LEAST_END, MOST_END);
+    double requestsPerSecond = random.between(20, 60);
+    long durationNanos = (long) random.between(MIN_DURATION_NANOS, MAX_DURATION_NANOS);
     List<Step> steps = new ArrayList<>();
     int number = 0;
-    for (double at = 0; at < end; at += random.exponential() * SECOND / rate) {
-      steps.add(new Step((long) at, Kind.ASK, number++, 0));
+    for (double atNanos = 0;
+        atNanos < durationNanos;
+        atNanos += random.exponential() * NANOS_PER_SECOND / requestsPerSecond) {
+      steps.add(new Step((long) atNanos, Kind.REQUEST, number++, 0));
     }
     int faults = random.below(6);
     for (int i = 0; i < faults; i++) {
       Kind kind = FAULTS[random.below(FAULTS.length)];
-      int of = random.below(servers);
-      steps.add(new Step((long) (random.uniform() * end), kind, kind == Kind.BURST ? i : of, (long)
-          random.between(100 * MS, 3 * SECOND)));
+      int upstream = random.below(servers);
+      steps.add(new Step(
+          (long) (random.uniform() * durationNanos), kind, kind == Kind.BURST ? i : upstream, (long)
+              random.between(100 * NANOS_PER_MS, 3 * NANOS_PER_SECOND)));
     }
-    if (random.below(STOPS_NOT_IN) > 0) {
+    if (random.below(RUNS_PER_RUN_WITHOUT_STOP) > 0) {
       // As in production, clients continue for a while after the balancer was told to stop.
-      steps.add(new Step((long) (end * random.between(0.6, 1)), Kind.STOP, 0, 0));
+      steps.add(new Step((long) (durationNanos * random.between(0.6, 1)), Kind.STOP, 0, 0));
     }
-    steps.sort(Comparator.comparingLong(Step::at));
-    return new Script(seed, servers, sockets, rate, random.below(2) == 0, List.copyOf(steps));
+    steps.sort(Comparator.comparingLong(Step::atNanos));
+    return new Script(
+        seed, servers, sockets, requestsPerSecond, random.below(2) == 0, List.copyOf(steps));
   }
 
   /**
@@ -76,7 +85,7 @@
    *
    * @throws IllegalArgumentException if there is no step of a number
    */
-  Script only(List<Integer> numbers) {
+  Script withSteps(List<Integer> numbers) {
     if (numbers.stream().anyMatch(n -> n < 0 || n >= steps.size())) {
       throw new IllegalArgumentException(
           "expected steps from 0 to " + (steps.size() - 1) + ", got " + numbers);
@@ -85,13 +94,13 @@
         seed,
         servers,
         sockets,
-        perSecond,
-        pools,
+        requestsPerSecond,
+        hasOperatorFile,
         numbers.stream().map(steps::get).toList());
   }
 
   /** Returns the random stream of this name. */
-  RandomStream randomFor(String of) {
-    return new RandomStream(seed, of);
+  RandomStream randomFor(String name) {
+    return new RandomStream(seed, name);
   }
 }
--- a/src/main/java/pumicekeel/lab/program/Outgoing.java
+++ b/src/main/java/pumicekeel/lab/program/SendQueue.java
@@ -3,48 +3,48 @@
 import java.util.ArrayDeque;
 
 /** Send queue of a simulated client or server; bytes are sent as the peer has buffer space for them. */
-final class Outgoing {
+final class SendQueue {
 
-  private final Line.End end;
+  private final VirtualConnection.Endpoint endpoint;
   private final ArrayDeque<Object> queue = new ArrayDeque<>();
   private int offset;
 
-  Outgoing(Line.End end) {
-    this.end = end;
+  SendQueue(VirtualConnection.Endpoint endpoint) {
+    this.endpoint = endpoint;
   }
 
   /** Adds bytes to send. */
-  void add(byte[] bytes) {
+  void send(byte[] bytes) {
     queue.add(bytes);
-    go();
+    flush();
   }
 
   /** Runs a task once everything that was added before it has been sent. */
-  void then(Runnable what) {
-    queue.add(what);
-    go();
+  void thenRun(Runnable task) {
+    queue.add(task);
+    flush();
   }
 
   /** Returns whether everything has been sent. */
-  boolean empty() {
+  boolean isEmpty() {
     return queue.isEmpty();
   }
 
   /** Discards everything that has not been sent. */
-  void drop() {
+  void clear() {
     queue.clear();
   }
 
   /** Sends as much as the peer has buffer space for. */
-  void go() {
+  void flush() {
     while (!queue.isEmpty()) {
       Object next = queue.peek();
-      if (next instanceof Runnable what) {
+      if (next instanceof Runnable task) {
         queue.poll();
-        what.run();
+        task.run();
       } else {
         byte[] bytes = (byte[]) next;
-        offset += end.send(bytes, offset, bytes.length - offset);
+        offset += endpoint.send(bytes, offset, bytes.length - offset);
         if (offset < bytes.length) {
           return;
         }
--- a/src/main/java/pumicekeel/lab/program/Step.java
+++ b/src/main/java/pumicekeel/lab/program/Step.java
@@ -3,41 +3,41 @@
 /**
  * One event of a run.
  *
- * @param at time from the start of the run
+ * @param atNanos time from the start of the run
  * @param kind what happens
- * @param which number of the request or upstream, or a size, depending on the kind
- * @param nanos how long it lasts, or 0 if the kind has no duration
+ * @param target number of the request, upstream or burst, or a size, depending on the kind
+ * @param durationNanos how long it lasts, or 0 if the kind has no duration
  */
-record Step(long at, Kind kind, int which, long nanos) {
+record Step(long atNanos, Kind kind, int target, long durationNanos) {
 
   /** The kinds of event; nothing depends on their order. */
   enum Kind {
     /** A client sends a request; its scenario depends on the seed and its number alone. */
-    ASK,
+    REQUEST,
     /** Clients send many requests at once. */
     BURST,
     /** Many clients connect and send nothing, or only the start of a request. */
-    CROWD,
+    IDLE_CLIENTS,
     /** An upstream drains and ends some seconds later. */
     DRAIN,
     /** A new upstream starts, cold. */
-    FRESH,
+    START_UPSTREAM,
     /** An upstream executes requests and does not answer. */
     HANG,
     /** An upstream resets its connections and refuses new ones. */
     CRASH,
     /** An upstream is cut off from the network: connects get no reply, and open connections stay open. */
-    CUT_OFF,
+    ISOLATE,
     /** An upstream rejects all requests. */
-    FULL,
+    REJECT,
     /** An upstream takes ten times as long. */
-    SLOW,
+    SLOW_DOWN,
     /** An upstream closes its idle connections at once. */
-    IMPATIENT,
+    CLOSE_IDLE,
     /** Discovery resets its watches. */
-    WATCH_BREAKS,
+    RESET_WATCHES,
     /** Discovery sends nothing for a while. */
-    WATCH_SILENT,
+    SILENCE_WATCHES,
     /** The balancer reloads its files, which have changed. */
     RELOAD,
     /** The balancer is told to stop. */
@@ -48,6 +48,9 @@
   public String toString() {
     return String.format(
         "%8.3f ms  %s %d%s",
-        at / 1e6, kind, which, nanos == 0 ? "" : String.format(" for %.0f ms", nanos / 1e6));
+        atNanos / 1e6,
+        kind,
+        target,
+        durationNanos == 0 ? "" : String.format(" for %.0f ms", durationNanos / 1e6));
   }
 }
--- a/src/main/java/pumicekeel/lab/program/VirtualConfig.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualChannelConfig.java
@@ -6,15 +6,15 @@
 import io.netty.channel.DefaultChannelConfig;
 
 /** Configuration of a channel in virtual time; options of TCP itself are accepted and have no effect. */
-final class VirtualConfig extends DefaultChannelConfig {
+final class VirtualChannelConfig extends DefaultChannelConfig {
 
-  private final Runnable readsNoMore;
+  private final Runnable onAutoReadCleared;
   private boolean allowsHalfClosure;
 
-  /** Creates a configuration; {@code readsNoMore} runs when automatic reading is switched off and may be null. */
-  VirtualConfig(Channel channel, ByteBufAllocator allocator, Runnable readsNoMore) {
+  /** Creates a configuration; {@code onAutoReadCleared} runs when automatic reading is switched off and may be null. */
+  VirtualChannelConfig(Channel channel, ByteBufAllocator allocator, Runnable onAutoReadCleared) {
     super(channel);
-    this.readsNoMore = readsNoMore;
+    this.onAutoReadCleared = onAutoReadCleared;
     setAllocator(allocator);
   }
 
@@ -35,8 +35,8 @@
 
   @Override
   protected void autoReadCleared() {
-    if (readsNoMore != null) {
-      readsNoMore.run();
+    if (onAutoReadCleared != null) {
+      onAutoReadCleared.run();
     }
   }
 }
--- a/src/main/java/pumicekeel/lab/program/VirtualId.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualChannelId.java
@@ -3,10 +3,11 @@
 import io.netty.channel.ChannelId;
 
 /** Channel ID by order of creation; the default IDs of Netty differ from run to run. */
-record VirtualId(long number) implements ChannelId {
+record VirtualChannelId(long number) implements ChannelId {
 
   private static final long serialVersionUID = 1L;
-  static final VirtualId ZERO = new VirtualId(0);
+  /** The ID of all listeners. */
+  static final VirtualChannelId ZERO = new VirtualChannelId(0);
 
   @Override
   public String asShortText() {
@@ -20,6 +21,6 @@
 
   @Override
   public int compareTo(ChannelId other) {
-    return Long.compare(number, ((VirtualId) other).number);
+    return Long.compare(number, ((VirtualChannelId) other).number);
   }
 }
--- a/src/main/java/pumicekeel/lab/program/VirtualListener.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualListener.java
@@ -14,70 +14,70 @@
 final class VirtualListener extends AbstractServerChannel implements VirtualNetwork.Acceptor {
 
   /** Size of the backlog, as in a kernel; connections beyond it are reset. */
-  private static final int BACKLOG = 1_024;
+  private static final int MAX_BACKLOG = 1_024;
 
   private final VirtualNetwork network;
-  private final VirtualConfig config;
-  private final ArrayDeque<Line.End> waiting = new ArrayDeque<>();
+  private final VirtualChannelConfig config;
+  private final ArrayDeque<VirtualConnection.Endpoint> backlog = new ArrayDeque<>();
   private InetSocketAddress address;
   private boolean open = true;
-  private boolean reads;
+  private boolean readRequested;
 
   VirtualListener(VirtualNetwork network) {
     this.network = network;
-    config = new VirtualConfig(this, network.allocator(), () -> reads = false);
+    config = new VirtualChannelConfig(this, network.allocator(), () -> readRequested = false);
   }
 
   @Override
-  public void accepted(Line.End end) {
-    if (waiting.size() >= BACKLOG) {
-      end.abort();
+  public void accepted(VirtualConnection.Endpoint endpoint) {
+    if (backlog.size() >= MAX_BACKLOG) {
+      endpoint.abort();
       return;
     }
-    waiting.add(end);
+    backlog.add(endpoint);
     accept();
   }
 
   /** Accepts up to this many connections of the backlog, resets the others and closes the listener. */
-  void closeBehindLine(int most) {
-    while (waiting.size() > most) {
-      waiting.pollLast().abort();
+  void drainBacklogAndClose(int maxConnections) {
+    while (backlog.size() > maxConnections) {
+      backlog.pollLast().abort();
     }
-    reads = true;
+    readRequested = true;
     accept();
     close();
   }
 
   private void accept() {
-    boolean any = false;
-    while (reads && open && !waiting.isEmpty()) {
-      any = true;
-      pipeline().fireChannelRead(new VirtualSocket(network, this, waiting.poll()));
+    boolean accepted = false;
+    while (readRequested && open && !backlog.isEmpty()) {
+      accepted = true;
+      pipeline().fireChannelRead(new VirtualSocket(network, this, backlog.poll()));
     }
-    if (any) {
+    if (accepted) {
       pipeline().fireChannelReadComplete();
     }
   }
 
   @Override
   protected void doBeginRead() {
-    reads = true;
+    readRequested = true;
     eventLoop().execute(this::accept);
   }
 
   @Override
-  protected void doBind(SocketAddress at) throws IOException {
-    address = network.listen(((InetSocketAddress) at).getPort(), this);
+  protected void doBind(SocketAddress localAddress) throws IOException {
+    address = network.listen(((InetSocketAddress) localAddress).getPort(), this);
   }
 
   @Override
   protected void doClose() {
     open = false;
     if (address != null) {
-      network.unlisten(address, this);
+      network.stopListening(address, this);
     }
-    List.copyOf(waiting).forEach(Line.End::abort);
-    waiting.clear();
+    List.copyOf(backlog).forEach(VirtualConnection.Endpoint::abort);
+    backlog.clear();
   }
 
   @Override
@@ -87,7 +87,7 @@
 
   @Override
   protected ChannelId newId() {
-    return VirtualId.ZERO;
+    return VirtualChannelId.ZERO;
   }
 
   @Override
--- a/src/main/java/pumicekeel/lab/program/VirtualLoop.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualLoop.java
@@ -22,19 +22,19 @@
 final class VirtualLoop extends AbstractScheduledEventExecutor implements EventLoop {
 
   /** More tasks than this without an advance of time are taken for an endless cycle. */
-  private static final int MOST_AT_ONCE = 2_000_000;
+  private static final int MAX_TASKS_WITHOUT_ADVANCE = 2_000_000;
 
-  private static final long START = 1_000_000_000L;
+  private static final long START_NANOS = 1_000_000_000L;
 
   private final Ticker ticker = new Ticker() {
     @Override
     public long initialNanoTime() {
-      return START;
+      return START_NANOS;
     }
 
     @Override
     public long nanoTime() {
-      return now;
+      return nowNanos;
     }
 
     @Override
@@ -43,76 +43,76 @@
     }
   };
   private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
-  private long now = START;
-  private Consumer<Throwable> failed = e -> {};
-  private boolean inside;
-  private long done;
+  private long nowNanos = START_NANOS;
+  private Consumer<Throwable> failureHandler = e -> {};
+  private boolean running;
+  private long executed;
 
   /** Returns the virtual time in nanoseconds. */
   long now() {
-    return now;
+    return nowNanos;
   }
 
   /** Returns the number of tasks and timers that have run. */
-  long done() {
-    return done;
+  long executed() {
+    return executed;
   }
 
   /** Runs a task at this virtual time, in nanoseconds; a time in the past counts as now. */
-  void at(long when, Runnable what) {
-    schedule(what, Math.max(0, when - now), TimeUnit.NANOSECONDS);
+  void runAt(long atNanos, Runnable task) {
+    schedule(task, Math.max(0, atNanos - nowNanos), TimeUnit.NANOSECONDS);
   }
 
   /** Runs all tasks and all timers that are due up to this virtual time, in nanoseconds. */
-  void runUntil(long end) {
-    enter(() -> {
-      drain();
+  void runUntil(long untilNanos) {
+    runInLoop(() -> {
+      runPendingTasks();
       for (long next = nextScheduledTaskDeadlineNanos();
-          next >= 0 && next <= end;
+          next >= 0 && next <= untilNanos;
           next = nextScheduledTaskDeadlineNanos()) {
-        now = Math.max(now, next);
-        Runnable due = pollScheduledTask(now);
+        nowNanos = Math.max(nowNanos, next);
+        Runnable due = pollScheduledTask(nowNanos);
         if (due != null) {
-          done++;
-          carryOut(due);
+          executed++;
+          runReportingFailure(due);
         }
-        drain();
+        runPendingTasks();
       }
-      now = Math.max(now, end);
+      nowNanos = Math.max(nowNanos, untilNanos);
     });
   }
 
-  private void enter(Runnable what) {
-    boolean before = inside;
-    inside = true;
+  private void runInLoop(Runnable task) {
+    boolean wasRunning = running;
+    running = true;
     try {
-      what.run();
+      task.run();
     } finally {
-      inside = before;
+      running = wasRunning;
     }
   }
 
   /** Sets the receiver of what tasks throw; the program's tasks must not throw. */
-  void onFailure(Consumer<Throwable> to) {
-    failed = to;
+  void onFailure(Consumer<Throwable> handler) {
+    failureHandler = handler;
   }
 
-  private void carryOut(Runnable what) {
+  private void runReportingFailure(Runnable task) {
     try {
-      what.run();
+      task.run();
     } catch (RuntimeException | AssertionError e) {
-      failed.accept(e);
+      failureHandler.accept(e);
     }
   }
 
-  private void drain() {
+  private void runPendingTasks() {
     int count = 0;
     for (Runnable next = tasks.poll(); next != null; next = tasks.poll()) {
-      done++;
-      carryOut(next);
-      if (++count > MOST_AT_ONCE) {
+      executed++;
+      runReportingFailure(next);
+      if (++count > MAX_TASKS_WITHOUT_ADVANCE) {
         throw new IllegalStateException(
-            "more than " + MOST_AT_ONCE + " tasks ran without an advance of time");
+            "more than " + MAX_TASKS_WITHOUT_ADVANCE + " tasks ran without an advance of time");
       }
     }
   }
@@ -120,8 +120,8 @@
   @Override
   public void execute(Runnable task) {
     tasks.add(task);
-    if (!inside) {
-      enter(this::drain);
+    if (!running) {
+      runInLoop(this::runPendingTasks);
     }
   }
 
@@ -132,7 +132,7 @@
 
   @Override
   public boolean inEventLoop(Thread thread) {
-    return inside;
+    return running;
   }
 
   @Override
--- a/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
@@ -20,55 +20,55 @@
 /**
  * TCP network in virtual time: listeners by address, connects that succeed, are refused or get no reply, and the descriptors and bytes
  * that the program holds. Only the program's own channels count; simulated clients and servers use bare
- * {@link Line.End ends}.
+ * {@link VirtualConnection.Endpoint endpoints}.
  */
 final class VirtualNetwork implements Sockets {
 
   /** Receives the connections to a listening address. */
   interface Acceptor {
     /** Called with the accepting endpoint of a new connection. */
-    void accepted(Line.End end);
+    void accepted(VirtualConnection.Endpoint endpoint);
   }
 
   /** How an address reacts to connects. */
-  enum Reach {
+  enum Reachability {
     OPEN,
-    REFUSES,
-    SILENT
+    REFUSING,
+    UNREACHABLE
   }
 
   private static final int FIRST_PORT = 2_000;
-  private static final int WINDOW_LEAST = 4 << 10;
-  private static final int WINDOW_MOST = 64 << 10;
-  private static final long DELAY_LEAST = 20_000L;
-  private static final long DELAY_MOST = 400_000L;
+  private static final int MIN_WINDOW_BYTES = 4 << 10;
+  private static final int MAX_WINDOW_BYTES = 64 << 10;
+  private static final long MIN_DELAY_NANOS = 20_000L;
+  private static final long MAX_DELAY_NANOS = 400_000L;
 
   /** One in this many connects takes long, as if its first packet were lost or the machine were busy. */
-  private static final int SLOW_IN = 15;
+  private static final int CONNECTS_PER_SLOW_CONNECT = 15;
 
-  private static final long SLOW_MOST = 245_000_000L;
+  private static final long MAX_SLOW_CONNECT_NANOS = 245_000_000L;
 
   /** One in this many reads of a socket is late, as if the event loop were busy. */
-  private static final int LATE_IN = 4;
+  private static final int READS_PER_LATE_READ = 4;
 
-  private static final int MOST_LATE = 1_000_000;
+  private static final int MAX_READ_DELAY_NANOS = 1_000_000;
 
   private final VirtualLoop loop;
   private final RandomStream random;
   private final InetAddress host = InetAddress.getLoopbackAddress();
-  private final Map<Integer, Acceptor> listening = new HashMap<>();
-  private final Map<Integer, Reach> reach = new HashMap<>();
-  private final Set<VirtualSocket> open = new LinkedHashSet<>();
+  private final Map<Integer, Acceptor> acceptors = new HashMap<>();
+  private final Map<Integer, Reachability> reachability = new HashMap<>();
+  private final Set<VirtualSocket> openSockets = new LinkedHashSet<>();
   private final UnpooledByteBufAllocator allocator = new UnpooledByteBufAllocator(false, true);
-  private final Consumer<String> broken;
+  private final Consumer<String> violations;
   private int nextPort = FIRST_PORT;
-  private long nextId;
-  private int mostOpen;
-  private long mostBytes;
+  private long lastChannelNumber;
+  private int maxOpenSockets;
+  private long maxBufferBytes;
 
-  /** Creates a network; {@code broken} receives what the program must not do with its sockets. */
-  VirtualNetwork(VirtualLoop loop, RandomStream random, Consumer<String> broken) {
-    this.broken = broken;
+  /** Creates a network; {@code violations} receives what the program must not do with its sockets. */
+  VirtualNetwork(VirtualLoop loop, RandomStream random, Consumer<String> violations) {
+    this.violations = violations;
     this.loop = loop;
     this.random = random;
   }
@@ -87,27 +87,27 @@
 
   @Override
   public void drainBacklogAndClose(Channel listener, int most) {
-    ((VirtualListener) listener).closeBehindLine(most);
+    ((VirtualListener) listener).drainBacklogAndClose(most);
   }
 
   @Override
   public int discardUnread(Channel channel, int most) {
-    return channel instanceof VirtualSocket socket ? socket.drop(most) : 0;
+    return channel instanceof VirtualSocket socket ? socket.discardUnread(most) : 0;
   }
 
   @Override
   public boolean isQuiet(Channel channel) {
-    return ((VirtualSocket) channel).quiet();
+    return ((VirtualSocket) channel).isQuiet();
   }
 
   /** Draws the time from an event at a socket until the event loop handles it, in nanoseconds; 0 in most cases. */
-  long untilRead() {
-    return random.below(LATE_IN) == 0 ? random.below(MOST_LATE) : 0;
+  long drawReadDelayNanos() {
+    return random.below(READS_PER_LATE_READ) == 0 ? random.below(MAX_READ_DELAY_NANOS) : 0;
   }
 
   /** Records that the program does what it must not do with its sockets. */
-  void broken(String what) {
-    broken.accept(what);
+  void reportViolation(String description) {
+    violations.accept(description);
   }
 
   /** Returns the event loop that the network runs on. */
@@ -121,88 +121,91 @@
   }
 
   /** Returns the number of the next channel. */
-  long newId() {
-    return ++nextId;
+  long nextChannelNumber() {
+    return ++lastChannelNumber;
   }
 
   /** Counts a socket of the program as open. */
-  void opened(VirtualSocket socket) {
-    open.add(socket);
-    mostOpen = Math.max(mostOpen, open.size());
+  void socketOpened(VirtualSocket socket) {
+    openSockets.add(socket);
+    maxOpenSockets = Math.max(maxOpenSockets, openSockets.size());
   }
 
   /** Counts a socket of the program as closed. */
-  void closed(VirtualSocket socket) {
-    open.remove(socket);
+  void socketClosed(VirtualSocket socket) {
+    openSockets.remove(socket);
   }
 
   /** Returns the program's connections that are open or being established. */
-  Set<VirtualSocket> open() {
-    return open;
+  Set<VirtualSocket> openSockets() {
+    return openSockets;
   }
 
   /** Returns the most connections that the program had at one time. */
-  int mostOpen() {
-    return mostOpen;
+  int maxOpenSockets() {
+    return maxOpenSockets;
   }
 
   /** Returns the bytes of buffers that the program holds now. */
-  long bytes() {
-    long now = allocator.metric().usedHeapMemory() + allocator.metric().usedDirectMemory();
-    mostBytes = Math.max(mostBytes, now);
-    return now;
+  long bufferBytes() {
+    long bytes = allocator.metric().usedHeapMemory() + allocator.metric().usedDirectMemory();
+    maxBufferBytes = Math.max(maxBufferBytes, bytes);
+    return bytes;
   }
 
   /** Returns the most bytes of buffers that were seen at one time. */
-  long mostBytes() {
-    bytes();
-    return mostBytes;
+  long maxBufferBytes() {
+    bufferBytes();
+    return maxBufferBytes;
   }
 
   // Addresses
 
   /** Listens at this port, or at the next free one for 0; returns the address. */
   InetSocketAddress listen(int port, Acceptor acceptor) throws IOException {
-    int at = port == 0 ? nextPort++ : port;
-    if (listening.putIfAbsent(at, acceptor) != null) {
-      throw new IOException("port " + at + " is already in use");
+    int actualPort = port == 0 ? nextPort++ : port;
+    if (acceptors.putIfAbsent(actualPort, acceptor) != null) {
+      throw new IOException("port " + actualPort + " is already in use");
     }
-    return new InetSocketAddress(host, at);
+    return new InetSocketAddress(host, actualPort);
   }
 
   /** Stops listening at an address. */
-  void unlisten(InetSocketAddress at, Acceptor acceptor) {
-    listening.remove(at.getPort(), acceptor);
+  void stopListening(InetSocketAddress address, Acceptor acceptor) {
+    acceptors.remove(address.getPort(), acceptor);
   }
 
   /** Sets how an address reacts to connects. */
-  void reach(InetSocketAddress at, Reach how) {
-    reach.put(at.getPort(), how);
+  void setReachability(InetSocketAddress address, Reachability newReachability) {
+    reachability.put(address.getPort(), newReachability);
   }
 
   /** Connects to an address; later one of the two callbacks is called, or neither if the address does not reply. */
   void connect(
-      InetSocketAddress to, Consumer<Line.End> up, BiConsumer<Boolean, IOException> failed) {
-    long delay = (long) random.between(DELAY_LEAST, DELAY_MOST);
-    long comesUp =
-        random.below(SLOW_IN) == 0 ? (long) random.between(DELAY_MOST, SLOW_MOST) : delay;
-    loop.at(loop.now() + comesUp, () -> {
-      Reach how = reach.getOrDefault(to.getPort(), Reach.OPEN);
-      if (how == Reach.SILENT) {
+      InetSocketAddress to,
+      Consumer<VirtualConnection.Endpoint> connected,
+      BiConsumer<Boolean, IOException> failed) {
+    long delayNanos = (long) random.between(MIN_DELAY_NANOS, MAX_DELAY_NANOS);
+    long connectNanos = random.below(CONNECTS_PER_SLOW_CONNECT) == 0
+        ? (long) random.between(MAX_DELAY_NANOS, MAX_SLOW_CONNECT_NANOS)
+        : delayNanos;
+    loop.runAt(loop.now() + connectNanos, () -> {
+      Reachability current = reachability.getOrDefault(to.getPort(), Reachability.OPEN);
+      if (current == Reachability.UNREACHABLE) {
         return;
       }
-      Acceptor there = listening.get(to.getPort());
-      if (there == null || how == Reach.REFUSES) {
-        loop.at(
-            loop.now() + delay,
+      Acceptor acceptor = acceptors.get(to.getPort());
+      if (acceptor == null || current == Reachability.REFUSING) {
+        loop.runAt(
+            loop.now() + delayNanos,
             () -> failed.accept(true, new ConnectException("Connection refused")));
         return;
       }
-      int window = (int) random.between(WINDOW_LEAST, WINDOW_MOST);
-      Line line =
-          new Line(loop, random, delay, window, new InetSocketAddress(host, nextPort++), to);
-      there.accepted(line.called);
-      loop.at(loop.now() + delay, () -> up.accept(line.caller));
+      int windowBytes = (int) random.between(MIN_WINDOW_BYTES, MAX_WINDOW_BYTES);
+      VirtualConnection connection = new VirtualConnection(
+          loop, random, delayNanos, windowBytes, new InetSocketAddress(host, nextPort++), to);
+      acceptor.accepted(connection.server);
+      loop.runAt(loop.now() + delayNanos, () -> connected.accept(connection.client));
     });
   }
 }
--- a/src/main/java/pumicekeel/lab/program/VirtualSocket.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualSocket.java
@@ -23,73 +23,76 @@
 import pumicekeel.runtime.Sockets;
 
 /** A connection of the program as a Netty channel: reads on request and writes as much as the peer has buffer space for. */
-final class VirtualSocket extends AbstractChannel implements DuplexChannel, Line.Listener {
+final class VirtualSocket extends AbstractChannel
+    implements DuplexChannel, VirtualConnection.Listener {
 
   private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
 
-  private static final int METHOD = 5;
-  private static final int LEAST_HEAD = 20;
+  private static final int METHOD_BYTES = 5;
+  private static final int MIN_HEAD_BYTES = 20;
 
   private final VirtualNetwork network;
-  private final VirtualConfig config;
-  private Line.End end;
+  private final VirtualChannelConfig config;
+  private VirtualConnection.Endpoint endpoint;
   private boolean open = true;
-  private boolean reads;
-  private boolean readDue;
-  private boolean blocked;
-  private boolean inputOver;
-  private boolean outputOver;
-  private ChannelPromise connecting;
-  private ScheduledFuture<?> connectTimeout;
+  private boolean readRequested;
+  private boolean readScheduled;
+  private boolean writeBlocked;
+  private boolean inputShutdown;
+  private boolean outputShutdown;
+  private ChannelPromise connectPromise;
+  private ScheduledFuture<?> connectTimeoutTask;
 
   /** Creates a channel for an accepted connection, or, with a null endpoint, for an outgoing one that is not connected yet. */
-  VirtualSocket(VirtualNetwork network, Channel parent, Line.End end) {
-    super(parent, new VirtualId(network.newId()));
+  VirtualSocket(VirtualNetwork network, Channel parent, VirtualConnection.Endpoint endpoint) {
+    super(parent, new VirtualChannelId(network.nextChannelNumber()));
     this.network = network;
-    this.end = end;
-    config = new VirtualConfig(this, network.allocator(), () -> reads = false);
-    network.opened(this);
+    this.endpoint = endpoint;
+    config = new VirtualChannelConfig(this, network.allocator(), () -> readRequested = false);
+    network.socketOpened(this);
   }
 
   /** Returns whether the connection is established and nothing waits to be read. */
-  boolean quiet() {
-    return isActive() && end.quiet();
+  boolean isQuiet() {
+    return isActive() && endpoint.isQuiet();
   }
 
   /** Discards up to this many unread bytes, as {@link Sockets#discardUnread} defines it. */
-  int drop(int most) {
+  int discardUnread(int maxBytes) {
     if (!isActive()) {
       return Sockets.CLOSED_BY_PEER;
     }
-    int dropped = Math.min(most, end.unread());
-    end.read(new byte[dropped], 0, dropped);
-    return end.reset() || end.over() ? Sockets.CLOSED_BY_PEER : dropped;
+    int discarded = Math.min(maxBytes, endpoint.unreadBytes());
+    endpoint.read(new byte[discarded], 0, discarded);
+    return endpoint.isReset() || endpoint.isInputOver() ? Sockets.CLOSED_BY_PEER : discarded;
   }
 
   // Reading
 
   @Override
   protected void doRegister(ChannelPromise promise) {
-    if (end != null) {
-      end.listener(this);
+    if (endpoint != null) {
+      endpoint.listener(this);
     }
     promise.setSuccess();
   }
 
   @Override
   protected void doBeginRead() {
-    reads = true;
-    if (end != null && !end.quiet() && !(inputOver && end.unread() == 0 && !end.reset())) {
+    readRequested = true;
+    if (endpoint != null
+        && !endpoint.isQuiet()
+        && !(inputShutdown && endpoint.unreadBytes() == 0 && !endpoint.isReset())) {
       readLater();
     }
   }
 
   private void readLater() {
-    if (!readDue) {
-      readDue = true;
+    if (!readScheduled) {
+      readScheduled = true;
       eventLoop().execute(() -> {
-        readDue = false;
-        look();
+        readScheduled = false;
+        readNow();
       });
     }
   }
@@ -97,58 +100,58 @@
   /** Reads after a random delay: what arrives until then is read together, and events of other sockets may be handled first. */
   @Override
   public void readable() {
-    if (readDue || !reads || !open) {
+    if (readScheduled || !readRequested || !open) {
       return;
     }
-    long until = network.untilRead();
-    if (until == 0) {
-      look();
+    long delayNanos = network.drawReadDelayNanos();
+    if (delayNanos == 0) {
+      readNow();
     } else {
-      readDue = true;
-      network.loop().at(network.loop().now() + until, () -> {
-        readDue = false;
-        look();
+      readScheduled = true;
+      network.loop().runAt(network.loop().now() + delayNanos, () -> {
+        readScheduled = false;
+        readNow();
       });
     }
   }
 
-  private void look() {
-    if (!reads || !open || end == null) {
+  private void readNow() {
+    if (!readRequested || !open || endpoint == null) {
       return;
     }
     var handle = unsafe().recvBufAllocHandle();
     handle.reset(config);
-    boolean any = false;
-    while (open && end.unread() > 0 && (!any || handle.continueReading())) {
+    boolean anyRead = false;
+    while (open && endpoint.unreadBytes() > 0 && (!anyRead || handle.continueReading())) {
       ByteBuf buffer = network.allocator().heapBuffer(handle.guess());
       handle.attemptedBytesRead(buffer.writableBytes());
-      byte[] bytes = new byte[Math.min(buffer.writableBytes(), end.unread())];
-      int n = end.read(bytes, 0, bytes.length);
+      byte[] bytes = new byte[Math.min(buffer.writableBytes(), endpoint.unreadBytes())];
+      int n = endpoint.read(bytes, 0, bytes.length);
       buffer.writeBytes(bytes);
       handle.lastBytesRead(n);
       handle.incMessagesRead(1);
-      reads = false;
-      any = true;
+      readRequested = false;
+      anyRead = true;
       pipeline().fireChannelRead(buffer);
     }
-    if (any) {
+    if (anyRead) {
       handle.readComplete();
       pipeline().fireChannelReadComplete();
     }
-    end();
+    handleEndOfInput();
   }
 
-  private void end() {
-    if (!open || end.unread() > 0) {
+  private void handleEndOfInput() {
+    if (!open || endpoint.unreadBytes() > 0) {
       return;
     }
-    if (end.reset()) {
+    if (endpoint.isReset()) {
       pipeline().fireExceptionCaught(new IOException("Connection reset"));
       unsafe().close(voidPromise());
-    } else if (end.over() && !config.allowsHalfClosure()) {
+    } else if (endpoint.isInputOver() && !config.allowsHalfClosure()) {
       unsafe().close(voidPromise());
-    } else if (end.over() && !inputOver) {
-      inputOver = true;
+    } else if (endpoint.isInputOver() && !inputShutdown) {
+      inputShutdown = true;
       pipeline().fireUserEventTriggered(ChannelInputShutdownEvent.INSTANCE);
     }
   }
@@ -163,37 +166,37 @@
         out.remove();
         continue;
       }
-      if (end.reset()) {
+      if (endpoint.isReset()) {
         throw new IOException("Broken pipe");
       }
-      if (parent() == null && !end.quiet() && startsRequest(bytes)) {
-        network.broken("a request was written on a connection with unread input");
+      if (parent() == null && !endpoint.isQuiet() && startsRequest(bytes)) {
+        network.reportViolation("a request was written on a connection with unread input");
       }
       byte[] copy = new byte[bytes.readableBytes()];
       bytes.getBytes(bytes.readerIndex(), copy);
-      int sent = end.send(copy, 0, copy.length);
+      int sent = endpoint.send(copy, 0, copy.length);
       if (sent > 0) {
         out.removeBytes(sent);
       }
       if (sent < copy.length) {
-        blocked = true;
+        writeBlocked = true;
         return;
       }
     }
-    network.bytes();
+    network.bufferBytes();
   }
 
   private static boolean startsRequest(ByteBuf bytes) {
-    return bytes.readableBytes() > LEAST_HEAD
+    return bytes.readableBytes() > MIN_HEAD_BYTES
         && bytes
-            .toString(bytes.readerIndex(), METHOD, StandardCharsets.US_ASCII)
+            .toString(bytes.readerIndex(), METHOD_BYTES, StandardCharsets.US_ASCII)
             .matches("GET /|POST ");
   }
 
   @Override
   public void writable() {
-    if (blocked && open) {
-      blocked = false;
+    if (writeBlocked && open) {
+      writeBlocked = false;
       ((SocketUnsafe) unsafe()).flushNow();
     }
   }
@@ -211,45 +214,46 @@
       if (!promise.setUncancellable() || !ensureOpen(promise)) {
         return;
       }
-      connecting = promise;
-      int most = config.getConnectTimeoutMillis();
-      connectTimeout = eventLoop()
+      connectPromise = promise;
+      int timeoutMillis = config.getConnectTimeoutMillis();
+      connectTimeoutTask = eventLoop()
           .schedule(
-              () -> failed(new ConnectTimeoutException("connection timed out")),
-              most,
+              () -> connectFailed(new ConnectTimeoutException("connection timed out")),
+              timeoutMillis,
               TimeUnit.MILLISECONDS);
-      network.connect((InetSocketAddress) remote, this::up, (refused, why) -> failed(why));
+      network.connect(
+          (InetSocketAddress) remote, this::connected, (refused, why) -> connectFailed(why));
     }
 
-    private void up(Line.End now) {
+    private void connected(VirtualConnection.Endpoint established) {
       if (!open) {
-        now.close();
+        established.close();
         return;
       }
-      end = now;
-      ChannelPromise promise = connecting;
-      settled();
-      boolean told = promise.trySuccess();
+      endpoint = established;
+      ChannelPromise promise = connectPromise;
+      connectEnded();
+      boolean notified = promise.trySuccess();
       pipeline().fireChannelActive();
-      end.listener(VirtualSocket.this);
-      if (!told) {
+      endpoint.listener(VirtualSocket.this);
+      if (!notified) {
         close(voidPromise());
       }
     }
 
-    private void failed(IOException why) {
-      if (connecting != null) {
-        ChannelPromise promise = connecting;
-        settled();
+    private void connectFailed(IOException why) {
+      if (connectPromise != null) {
+        ChannelPromise promise = connectPromise;
+        connectEnded();
         promise.tryFailure(why);
         close(voidPromise());
       }
     }
   }
 
-  private void settled() {
-    connecting = null;
-    connectTimeout.cancel(false);
+  private void connectEnded() {
+    connectPromise = null;
+    connectTimeoutTask.cancel(false);
   }
 
   @Override
@@ -260,21 +264,21 @@
   @Override
   protected void doClose() {
     open = false;
-    network.closed(this);
-    if (connecting != null) {
-      ChannelPromise promise = connecting;
-      settled();
+    network.socketClosed(this);
+    if (connectPromise != null) {
+      ChannelPromise promise = connectPromise;
+      connectEnded();
       promise.tryFailure(new ClosedChannelException());
     }
-    if (end != null) {
-      end.close();
+    if (endpoint != null) {
+      endpoint.close();
     }
   }
 
   @Override
   protected void doShutdownOutput() {
-    outputOver = true;
-    end.finish();
+    outputShutdown = true;
+    endpoint.shutdownOutput();
   }
 
   @Override
@@ -311,12 +315,12 @@
 
   @Override
   public boolean isInputShutdown() {
-    return inputOver || !open;
+    return inputShutdown || !open;
   }
 
   @Override
   public boolean isOutputShutdown() {
-    return outputOver || !open;
+    return outputShutdown || !open;
   }
 
   @Override
@@ -341,17 +345,17 @@
 
   @Override
   protected ChannelId newId() {
-    return VirtualId.ZERO;
+    return VirtualChannelId.ZERO;
   }
 
   @Override
   protected SocketAddress localAddress0() {
-    return end == null ? null : end.address;
+    return endpoint == null ? null : endpoint.address;
   }
 
   @Override
   protected SocketAddress remoteAddress0() {
-    return end == null ? null : end.peerAddress();
+    return endpoint == null ? null : endpoint.peerAddress();
   }
 
   @Override
@@ -366,7 +370,7 @@
 
   @Override
   public boolean isActive() {
-    return open && end != null;
+    return open && endpoint != null;
   }
 
   @Override
--- a/src/test/java/pumicekeel/lab/program/PoolAtRestTest.java
+++ b/src/test/java/pumicekeel/lab/program/IdleConnectionPoolTest.java
@@ -10,17 +10,17 @@
 import pumicekeel.upstream.http.ConnectionPool;
 
 /** A process may have hundreds of pools, so a pool without idle connections must not cost the event loop anything. */
-class PoolAtRestTest {
+class IdleConnectionPoolTest {
 
   private static final long IDLE_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   @Test
-  void poolWithoutIdleConnectionsWakesNobody() {
+  void poolWithoutIdleConnectionsSchedulesNoTasks() {
     VirtualLoop loop = new VirtualLoop();
-    Reactor on = new Reactor(loop, new Clock(loop::now, 0), new NioSockets());
-    loop.execute(() -> new ConnectionPool(on, IDLE_NANOS, IDLE_NANOS, 10));
-    long before = loop.done();
+    Reactor reactor = new Reactor(loop, new Clock(loop::now, 0), new NioSockets());
+    loop.execute(() -> new ConnectionPool(reactor, IDLE_NANOS, IDLE_NANOS, 10));
+    long executedBefore = loop.executed();
     loop.runUntil(loop.now() + 100 * IDLE_NANOS);
-    assertEquals(before, loop.done(), "tasks and timers that ran");
+    assertEquals(executedBefore, loop.executed(), "tasks and timers that ran");
   }
 }
--- a/src/test/java/pumicekeel/lab/program/ProgramRunTest.java
+++ b/src/test/java/pumicekeel/lab/program/ProgramRunTest.java
@@ -16,21 +16,21 @@
 
   private static final int SEEDS = 30;
   /** Too few for the connections of idle clients, so that some run must violate a rule. */
-  private static final int TOO_FEW = 6;
+  private static final int TOO_FEW_SOCKETS = 6;
 
   @Test
   void allRulesHold() {
-    int asked = 0;
+    int requests = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       ProgramRun.Report r = new ProgramRun(seed).play();
       assertNull(r.violation(), "lab program --seed " + seed + " --trace: " + r.violation());
-      asked += r.requests();
+      requests += r.requests();
     }
-    assertTrue(asked > SEEDS * 50, "requests: " + asked);
+    assertTrue(requests > SEEDS * 50, "requests: " + requests);
   }
 
   @Test
-  void aSeedIsTheSameRunEachTime() {
+  void sameSeedGivesTheSameRun() {
     for (long seed = 100; seed < 105; seed++) {
       assertEquals(new ProgramRun(seed).play(), new ProgramRun(seed).play(), "seed " + seed);
     }
@@ -39,76 +39,78 @@
   }
 
   @Test
-  void everyKindOfTroubleIsMetWithinAThousandSeeds() {
-    List<Kind> met = new ArrayList<>();
+  void everyKindOfStepOccursWithinAThousandSeeds() {
+    List<Kind> kinds = new ArrayList<>();
     for (long seed = 1; seed <= 1_000; seed++) {
-      Script.of(seed).steps().forEach(s -> met.add(s.kind()));
+      Script.of(seed).steps().forEach(s -> kinds.add(s.kind()));
     }
     for (Kind k : Kind.values()) {
-      assertTrue(met.contains(k), k.toString());
+      assertTrue(kinds.contains(k), k.toString());
     }
   }
 
   /** Clients beyond the program's limit of connections wait in the kernel's backlog and are answered too late. */
   @Test
-  void whatIsBrokenIsCutDownToWhatBreaksIt() {
-    Script broken = crowded();
+  void failingRunIsReducedToFewerStepsWithTheSameViolation() {
+    Script failing = failingScript();
     List<String> progress = new ArrayList<>();
-    ProgramShrinker.Shrunk left = new ProgramShrinker(broken, progress::add).shrink();
-    assertNotNull(left);
+    ProgramShrinker.Shrunk shrunk = new ProgramShrinker(failing, progress::add).shrink();
+    assertNotNull(shrunk);
     assertTrue(
-        left.steps().size() < broken.steps().size(),
-        left.steps() + " of " + broken.steps().size());
+        shrunk.steps().size() < failing.steps().size(),
+        shrunk.steps() + " of " + failing.steps().size());
     assertEquals(
-        left.violation(), new ProgramRun(broken.only(left.steps()), null).play().violation());
+        shrunk.violation(),
+        new ProgramRun(failing.withSteps(shrunk.steps()), null).play().violation());
     assertTrue(progress.size() > 1);
   }
 
-  private static Script crowded() {
+  private static Script failingScript() {
     for (long seed = 1; ; seed++) {
       Script s = Script.of(seed);
-      Script crowded = new Script(seed, s.servers(), TOO_FEW, s.perSecond(), false, s.steps());
-      if (s.steps().size() < 150 && new ProgramRun(crowded, null).play().violation() != null) {
-        return crowded;
+      Script fewSockets =
+          new Script(seed, s.servers(), TOO_FEW_SOCKETS, s.requestsPerSecond(), false, s.steps());
+      if (s.steps().size() < 150 && new ProgramRun(fewSockets, null).play().violation() != null) {
+        return fewSockets;
       }
     }
   }
 
   /** All upstreams become unreachable during large uploads: without a time limit their clients would wait for twenty minutes. */
   @Test
-  void uploadsToUpstreamsThatVanishEnd() {
-    Script any = Script.of(5);
+  void uploadsToUnreachableUpstreamsEnd() {
+    Script script = Script.of(5);
     List<Step> steps = new ArrayList<>();
     for (int number = 0; number < 600; number++) {
-      RequestScenario f = new RequestScenario(any, number);
-      if (f.bodySize > 200_000
-          && f.owed()
-          && !f.slowReader
-          && f.effect != pumicekeel.Balancer.Effect.SAFE) {
-        steps.add(new Step(500 * Script.MS, Kind.ASK, number, 0));
+      RequestScenario scenario = new RequestScenario(script, number);
+      if (scenario.bodyBytes > 200_000
+          && scenario.requiresAnswer()
+          && !scenario.slowReader
+          && scenario.effect != pumicekeel.Balancer.Effect.SAFE) {
+        steps.add(new Step(500 * Script.NANOS_PER_MS, Kind.REQUEST, number, 0));
       }
     }
-    for (int i = 0; i < any.servers(); i++) {
-      steps.add(new Step(503 * Script.MS, Kind.CUT_OFF, i, 60 * Script.SECOND));
+    for (int i = 0; i < script.servers(); i++) {
+      steps.add(new Step(503 * Script.NANOS_PER_MS, Kind.ISOLATE, i, 60 * Script.NANOS_PER_SECOND));
     }
-    assertTrue(steps.size() > any.servers() + 3, "uploads: " + steps.size());
-    assertNull(new ProgramRun(new Script(5, any.servers(), 200, 20, false, steps), null)
+    assertTrue(steps.size() > script.servers() + 3, "uploads: " + steps.size());
+    assertNull(new ProgramRun(new Script(5, script.servers(), 200, 20, false, steps), null)
         .play()
         .violation());
   }
 
   @Test
-  void theTraceTellsWhatWasAskedAndAnswered() {
-    List<String> told = new ArrayList<>();
-    ProgramRun.Report r = new ProgramRun(3, null, told::add).play();
+  void traceContainsEveryRequestAndEveryServedAnswer() {
+    List<String> lines = new ArrayList<>();
+    ProgramRun.Report r = new ProgramRun(3, null, lines::add).play();
     assertEquals(
-        r.requests(), told.stream().filter(t -> t.contains("  request ")).count());
+        r.requests(), lines.stream().filter(t -> t.contains("  request ")).count());
     assertEquals(
-        r.served(), told.stream().filter(t -> t.contains(", status 200")).count());
+        r.served(), lines.stream().filter(t -> t.contains(", status 200")).count());
   }
 
   @Test
-  void stepsThatAreNotThereAreRefused() {
+  void unknownStepNumbersAreRejected() {
     assertThrows(IllegalArgumentException.class, () -> new ProgramRun(1, List.of(100_000), null));
   }
 }
