--- a/src/main/java/pumicekeel/lab/program/OperatorFiles.java
+++ b/src/main/java/pumicekeel/lab/program/OperatorFiles.java
@@ -1,7 +1,7 @@
 package pumicekeel.lab.program;
 
 import java.net.InetSocketAddress;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorReader;
 
 /** The operator file of a run: two pools over one list and a JSON-RPC listener, with other routes in each generation. */
@@ -41,7 +41,7 @@
   private OperatorFiles() {}
 
   /** Returns the operator file of a generation; the JSON-RPC listener keeps its address in all generations. */
-  static Operator generation(int number, InetSocketAddress listener) {
+  static OperatorConfiguration generation(int number, InetSocketAddress listener) {
     OperatorReader.Result result = OperatorReader.read(
         COMMON_PART.formatted(listener.getPort()) + ROUTES[number % ROUTES.length]);
     if (result.operator() == null) {
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.TimeUnit;
 import pumicekeel.config.Configuration;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.config.OperatorLoader;
 import pumicekeel.discovery.UpstreamSource;
 import pumicekeel.front.Front;
@@ -65,10 +65,10 @@
 
   private final Runnable crash;
   private final NodePools pools;
-  private final Services services;
+  private final ServicePools servicePools;
   private final Listeners listeners;
   private final String warmUpPath = WarmUp.newPath();
-  private final Operator firstGeneration;
+  private final OperatorConfiguration firstGeneration;
   private Journal journal;
   private PeerLink peers;
   private DepartureSharing departures;
@@ -89,7 +89,7 @@
   }
 
   /** Creates a balancer with the pools of an operator file, or with a single pool if {@code operator} is null. */
-  public Node(Configuration configuration, Operator operator, Runnable crash) {
+  public Node(Configuration configuration, OperatorConfiguration operator, Runnable crash) {
     this(Reactor.start(), configuration, operator, crash, true);
   }
 
@@ -97,7 +97,7 @@
   public Node(
       Reactor reactor,
       Configuration configuration,
-      Operator operator,
+      OperatorConfiguration operator,
       Runnable crash,
       boolean warmsUp) {
     this.reactor = reactor;
@@ -106,9 +106,12 @@
     this.warmsUp = warmsUp;
     this.configuration = configuration;
     this.crash = crash;
-    services =
-        operator == null ? null : new Services(configuration, operator, reactor, lag, this::defect);
-    pools = services == null ? new SinglePool(configuration, reactor, lag, this::defect) : services;
+    servicePools = operator == null
+        ? null
+        : new ServicePools(configuration, operator, reactor, lag, this::defect);
+    pools = servicePools == null
+        ? new SinglePool(configuration, reactor, lag, this::defect)
+        : servicePools;
     firstGeneration = operator;
     OperatorCalls calls = new OperatorCalls(
         rotation,
@@ -122,9 +125,9 @@
         reactor,
         lag,
         pools.router(),
-        services == null
+        servicePools == null
             ? ProcessCapacity.clientSockets(configuration)
-            : services.capacity().clientSockets(),
+            : servicePools.capacity().clientSockets(),
         warmUpPath,
         new RequestIds(configuration.name(), reactor.clock().millis()));
   }
@@ -140,7 +143,7 @@
     try {
       Configuration configuration =
           Retry.call("configuration", START_RETRY_MILLIS, () -> Configuration.read(environment));
-      Operator operator = operatorFile == null
+      OperatorConfiguration operator = operatorFile == null
           ? null
           : Retry.call(
               "operator file", START_RETRY_MILLIS, () -> OperatorLoader.load(operatorFile));
@@ -150,7 +153,7 @@
               "delivered configuration",
               START_RETRY_MILLIS,
               () -> DeliveredConfiguration.open(configuration, operator));
-      Operator first = delivered == null ? operator : delivered.first();
+      OperatorConfiguration first = delivered == null ? operator : delivered.first();
       node = Retry.call(
           "event loop", START_RETRY_MILLIS, () -> new Node(configuration, first, () -> halt(1)));
       ExecutorService worker = Retry.call("reload thread", START_RETRY_MILLIS, Reload::newWorker);
@@ -240,9 +243,9 @@
       if (departures != null) {
         departures.share(pools.platformSource());
       }
-      if (services != null) {
+      if (servicePools != null) {
         listeners.apply(firstGeneration, bound, false);
-        Log.line("serves the pools " + services.summary());
+        Log.line("serves the pools " + servicePools.summary());
       }
       Runnable then = () -> serve(warmUpSide, address);
       if (warmsUp) {
@@ -275,7 +278,7 @@
 
   /** Recovers the journal before anything is served: what may have run under the previous process has to be known. */
   private Void openJournal() throws IOException, InterruptedException {
-    Operator.Journal spec = firstGeneration == null ? null : firstGeneration.journal();
+    OperatorConfiguration.Journal spec = firstGeneration == null ? null : firstGeneration.journal();
     if (spec == null) {
       return null;
     }
@@ -290,7 +293,7 @@
             spec.keepMillis()),
         loop,
         Log::line);
-    Clock clock = services.clock();
+    Clock clock = servicePools.clock();
     KeyMemory memory = new KeyMemory(KeyMemory.MAX_ENTRIES);
     int keys = journal.recover(memory, clock.now());
     Log.line(
@@ -298,7 +301,7 @@
     journal.unreadable().forEach(what -> Log.line("journal: could not be read: " + what));
     AttemptJournal log =
         new AttemptJournal(loop, clock, journal.writer(), memory, spec.maxWaitNanos());
-    loop.submit(() -> services.journal(log)).syncUninterruptibly();
+    loop.submit(() -> servicePools.journal(log)).syncUninterruptibly();
     return null;
   }
 
@@ -313,7 +316,7 @@
       if (firstGeneration.peers().lendQuotas()) {
         LentQuotas quotas = new LentQuotas(me, all.size(), epoch, configuration.seed() - me);
         loop.submit(() -> {
-              services.lend(quotas);
+              servicePools.lend(quotas);
               peers.attach(quotas);
             })
             .syncUninterruptibly();
@@ -368,18 +371,18 @@
    * Applies a generation of the operator file as a whole, or not at all: then it throws an exception with the reason.
    * Waits for the event loop, so must not run on it.
    */
-  public void reload(Operator next) throws IOException, InterruptedException {
-    services.check(next);
+  public void reload(OperatorConfiguration next) throws IOException, InterruptedException {
+    servicePools.check(next);
     Map<String, Front> bound = listeners.bind(next);
     String objection;
     try {
       objection = loop.submit(() -> {
-            String reason = draining ? "the balancer drains" : services.objection(next);
+            String reason = draining ? "the balancer drains" : servicePools.objection(next);
             if (reason == null) {
-              services.apply(next);
+              servicePools.apply(next);
               listeners.apply(next, bound, acceptsRequests);
-              Log.line(configuration.name() + " reloads: the pools " + services.summary());
-              services
+              Log.line(configuration.name() + " reloads: the pools " + servicePools.summary());
+              servicePools
                   .needRestart(next)
                   .forEach(key -> Log.line("reload: " + key + " needs a restart"));
             }
@@ -402,14 +405,14 @@
 
   /** Returns the outcomes of the requests so far, on one line; only with an operator file. */
   public String counters() {
-    return loop.submit(() -> services.counters().logLine())
+    return loop.submit(() -> servicePools.counters().logLine())
         .syncUninterruptibly()
         .getNow();
   }
 
   /** Checks whether a generation fits the platform's limits; throws IllegalArgumentException if not. */
-  public static void check(Configuration configuration, Operator operator) {
-    Services.check(configuration, operator);
+  public static void check(Configuration configuration, OperatorConfiguration operator) {
+    ServicePools.check(configuration, operator);
   }
 
   /** Returns the address of a listener of the operator file; null if there is none of that name. */
@@ -434,8 +437,8 @@
     return peers;
   }
 
-  Services services() {
-    return services;
+  ServicePools servicePools() {
+    return servicePools;
   }
 
   Listeners listeners() {
--- a/src/test/java/pumicekeel/node/CrashTest.java
+++ b/src/test/java/pumicekeel/node/CrashTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import pumicekeel.journal.History;
-import pumicekeel.journal.Story;
+import pumicekeel.journal.RequestHistory;
 import pumicekeel.measure.Torture;
 import pumicekeel.runtime.Addresses;
 import pumicekeel.standin.StandInUpstream.Mode;
@@ -130,7 +130,7 @@
     t.upstream("q1", 0).mode(Mode.HANG);
     start();
     try (TestClient client = new TestClient(address)) {
-      client.send(ServicesTest.issue("first", "key-1", "h"));
+      client.send(ServicePoolsTest.issue("first", "key-1", "h"));
       TestNode.until(() -> upstreamsOf("first").size() == 1);
       kill();
     }
@@ -141,7 +141,7 @@
       try (TestClient client = new TestClient(address)) {
         // Different session keys, which the hash ring alone would spread over both upstreams.
         int status = client
-            .call(ServicesTest.issue("again-" + i, "key-1", "h")
+            .call(ServicePoolsTest.issue("again-" + i, "key-1", "h")
                 .replace("Key: k\r", "Key: s" + i + "\r"))
             .status();
         assertTrue(status == 200 || status == 502, "status " + status);
@@ -150,20 +150,22 @@
             upstreamsOf("again-" + i) + " and not " + upstream);
       }
     }
-    Story first = history().stories().stream()
-        .filter(s -> s.first().id().equals("first"))
+    RequestHistory first = history().requests().stream()
+        .filter(s -> s.firstIntent().id().equals("first"))
         .findFirst()
         .get();
-    assertEquals(Story.Verdict.MAY_HAVE_RUN, first.verdict(history().gapFor(first)));
+    assertEquals(RequestHistory.Verdict.MAY_HAVE_RUN, first.verdict(history().gapFor(first)));
     assertEquals(
         List.of(upstream),
         first.attempts().stream().map(a -> a.intent().upstream()).toList());
     // After its window of 5 s nobody deduplicates it any more, so it fails without being sent.
-    TestNode.until(() -> System.currentTimeMillis() - first.first().wallMillis() > 5_100);
+    TestNode.until(() -> System.currentTimeMillis() - first.firstIntent().wallMillis() > 5_100);
     try (TestClient client = new TestClient(address)) {
-      assertEquals(502, client.call(ServicesTest.issue("late", "key-1", "h")).status());
+      assertEquals(
+          502, client.call(ServicePoolsTest.issue("late", "key-1", "h")).status());
       assertTrue(upstreamsOf("late").isEmpty());
-      assertEquals(200, client.call(ServicesTest.issue("other", "key-2", "h")).status());
+      assertEquals(
+          200, client.call(ServicePoolsTest.issue("other", "key-2", "h")).status());
     }
   }
 
@@ -187,19 +189,20 @@
       start(t.list("q0", "q1")
           .replaceAll("127\\.0\\.0\\.1:\\d+", "127.0.0.1:" + full.getLocalPort()));
       try (TestClient client = new TestClient(address)) {
-        client.send(ServicesTest.issue("held", "key-1", "h"));
+        client.send(ServicePoolsTest.issue("held", "key-1", "h"));
         TestNode.until(() -> {
           try {
-            return !history().stories().isEmpty();
+            return !history().requests().isEmpty();
           } catch (Exception e) {
             throw new AssertionError(e);
           }
         });
         kill();
       }
-      Story story = history().stories().get(0);
-      assertEquals(Story.Verdict.MAY_HAVE_RUN, story.verdict(history().gapFor(story)));
-      assertTrue(story.attempts().stream().noneMatch(Story.Attempt::written));
+      RequestHistory request = history().requests().get(0);
+      assertEquals(
+          RequestHistory.Verdict.MAY_HAVE_RUN, request.verdict(history().gapFor(request)));
+      assertTrue(request.attempts().stream().noneMatch(RequestHistory.Attempt::written));
       for (java.net.Socket filler : fillers) {
         filler.close();
       }
--- a/src/test/java/pumicekeel/node/DeliveredConfigurationTest.java
+++ b/src/test/java/pumicekeel/node/DeliveredConfigurationTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pumicekeel.config.Operator;
+import pumicekeel.config.OperatorConfiguration;
 import pumicekeel.delivery.ConfigurationVersion;
 import pumicekeel.delivery.client.ControlApi;
 import pumicekeel.delivery.control.ControlServer;
@@ -74,7 +74,7 @@
   }
 
   private DeliveredConfiguration open() throws IOException {
-    Operator local = TestServices.operator(localFile());
+    OperatorConfiguration local = TestServices.operator(localFile());
     return DeliveredConfiguration.open(t.node.configuration(), local);
   }
 
@@ -90,7 +90,7 @@
   }
 
   private ServicePool pool(String name) throws Exception {
-    return t.onLoop(() -> t.node.services().pool(name));
+    return t.onLoop(() -> t.node.servicePools().pool(name));
   }
 
   /** The changed pool gets a new module, the other one keeps its own, and no request of either is lost. */
