--- a/src/main/java/pumicekeel/lab/program/Step.java
+++ b/src/main/java/pumicekeel/lab/program/Step.java
@@ -1,43 +1,44 @@
 package pumicekeel.lab.program;
 
 /**
- * One thing that happens in a run.
+ * One event of a run.
  *
- * @param at nanoseconds from the run's start
- * @param which the request, the upstream, or how many
- * @param nanos how long it lasts, where that is said
+ * @param atNanos time from the start of the run
+ * @param kind what happens
+ * @param target number of the request, upstream or burst, or a size, depending on the kind
+ * @param durationNanos how long it lasts, or 0 if the kind has no duration
  */
-record Step(long at, Kind kind, int which, long nanos) {
+record Step(long atNanos, Kind kind, int target, long durationNanos) {
 
-  /** What can happen; the order counts for nothing. */
+  /** The kinds of event; nothing depends on their order. */
   enum Kind {
-    /** A client asks; its scenario depends on the seed and its number alone. */
-    ASK,
-    /** Many ask within a moment. */
+    /** A client sends a request; its scenario depends on the seed and its number alone. */
+    REQUEST,
+    /** Clients send many requests at once. */
     BURST,
-    /** Many clients connect and say nothing, or little. */
-    CROWD,
-    /** An upstream drains, and is gone some seconds later. */
+    /** Many clients connect and send nothing, or only the start of a request. */
+    IDLE_CLIENTS,
+    /** An upstream drains and ends some seconds later. */
     DRAIN,
     /** A new upstream starts, cold. */
-    FRESH,
-    /** An upstream takes requests and says nothing. */
+    START_UPSTREAM,
+    /** An upstream executes requests and does not answer. */
     HANG,
-    /** It refuses connects, and those that it has are reset. */
+    /** An upstream resets its connections and refuses new ones. */
     CRASH,
-    /** It is cut off: nothing comes up, and what is open stays open. */
-    CUT_OFF,
-    /** It turns away all that comes. */
-    FULL,
-    /** It is ten times as slow. */
-    SLOW,
-    /** It closes connections that stand idle, at once. */
-    IMPATIENT,
-    /** Discovery resets its watch. */
-    WATCH_BREAKS,
-    /** Discovery says nothing for a while. */
-    WATCH_SILENT,
-    /** It reads its files again, which say something else. */
+    /** An upstream is cut off from the network: connects get no reply, and open connections stay open. */
+    ISOLATE,
+    /** An upstream rejects all requests. */
+    REJECT,
+    /** An upstream takes ten times as long. */
+    SLOW_DOWN,
+    /** An upstream closes its idle connections at once. */
+    CLOSE_IDLE,
+    /** Discovery resets its watches. */
+    RESET_WATCHES,
+    /** Discovery sends nothing for a while. */
+    SILENCE_WATCHES,
+    /** The balancer reloads its files, which have changed. */
     RELOAD,
     /** The balancer is told to stop. */
     STOP
@@ -47,6 +48,9 @@
   public String toString() {
     return String.format(
         "%8.3f ms  %s %d%s",
-        at / 1e6, kind, which, nanos == 0 ? "" : String.format(" for %.0f ms", nanos / 1e6));
+        atNanos / 1e6,
+        kind,
+        target,
+        durationNanos == 0 ? "" : String.format(" for %.0f ms", durationNanos / 1e6));
   }
 }
