--- a/src/main/java/pumicekeel/lab/program/ProgramSeeds.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramSeeds.java
@@ -7,29 +7,38 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** Seed after seed, several side by side; each run has a thread, a loop and a network of its own. */
+/** Plays the runs of consecutive seeds in parallel; each run has its own thread, event loop and network. */
 public final class ProgramSeeds {
 
-  /** What came of them all; the broken ones by seed, in order. */
+  /**
+   * The combined results of all runs.
+   *
+   * @param runs number of runs
+   * @param requests requests that clients sent
+   * @param served requests that were answered with 200
+   * @param refused requests that were answered with 429 or 503
+   * @param violations the first violated rule of each run that had one, by seed
+   */
   public record Total(
       long runs,
-      long asked,
+      long requests,
       long served,
       long refused,
-      ConcurrentSkipListMap<Long, String> broken) {}
+      ConcurrentSkipListMap<Long, String> violations) {}
 
-  private static final int LINES = 20;
+  private static final int PROGRESS_LINES = 20;
 
   private final long first;
   private final long runs;
   private final int threads;
   private final Consumer<String> progress;
   private final AtomicLong next = new AtomicLong();
-  private final AtomicLong asked = new AtomicLong();
+  private final AtomicLong requests = new AtomicLong();
   private final AtomicLong served = new AtomicLong();
   private final AtomicLong refused = new AtomicLong();
-  private final ConcurrentSkipListMap<Long, String> broken = new ConcurrentSkipListMap<>();
+  private final ConcurrentSkipListMap<Long, String> violations = new ConcurrentSkipListMap<>();
 
+  /** Creates {@code runs} runs from the seed {@code first} on; {@code progress} receives a line for each violation and now and then. */
   public ProgramSeeds(long first, long runs, int threads, Consumer<String> progress) {
     this.first = first;
     this.runs = runs;
@@ -37,7 +46,7 @@
     this.progress = progress;
   }
 
-  /** Plays them all, also after one that is broken. */
+  /** Plays all runs, also after one with a violation. */
   public Total play() throws InterruptedException {
     ExecutorService workers = Executors.newFixedThreadPool(threads, work -> {
       Thread t = new Thread(work, "seeds");
@@ -51,20 +60,20 @@
     while (!workers.awaitTermination(1, TimeUnit.HOURS)) {
       progress.accept(Math.min(runs, next.get()) + " of " + runs);
     }
-    return new Total(runs, asked.get(), served.get(), refused.get(), broken);
+    return new Total(runs, requests.get(), served.get(), refused.get(), violations);
   }
 
   private void work() {
     for (long i = next.getAndIncrement(); i < runs; i = next.getAndIncrement()) {
       ProgramRun.Report r = new ProgramRun(first + i).play();
-      asked.addAndGet(r.asked());
+      requests.addAndGet(r.requests());
       served.addAndGet(r.served());
       refused.addAndGet(r.refused());
-      if (r.breach() != null) {
-        broken.put(r.seed(), r.breach());
-        progress.accept("seed " + r.seed() + ": " + r.breach());
+      if (r.violation() != null) {
+        violations.put(r.seed(), r.violation());
+        progress.accept("seed " + r.seed() + ": " + r.violation());
       }
-      if ((i + 1) % Math.max(1, runs / LINES) == 0) {
+      if ((i + 1) % Math.max(1, runs / PROGRESS_LINES) == 0) {
         progress.accept(i + 1 + " of " + runs);
       }
     }
--- a/src/main/java/pumicekeel/lab/program/VirtualConfig.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualChannelConfig.java
@@ -5,18 +5,20 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.DefaultChannelConfig;
 
-/** The settings of a channel in virtual time: those of TCP itself are taken and mean nothing. */
-final class VirtualConfig extends DefaultChannelConfig {
+/** Configuration of a channel in virtual time; options of TCP itself are accepted and have no effect. */
+final class VirtualChannelConfig extends DefaultChannelConfig {
 
-  private final Runnable readsNoMore;
+  private final Runnable onAutoReadCleared;
   private boolean allowsHalfClosure;
 
-  VirtualConfig(Channel channel, ByteBufAllocator allocator, Runnable readsNoMore) {
+  /** Creates a configuration; {@code onAutoReadCleared} runs when automatic reading is switched off and may be null. */
+  VirtualChannelConfig(Channel channel, ByteBufAllocator allocator, Runnable onAutoReadCleared) {
     super(channel);
-    this.readsNoMore = readsNoMore;
+    this.onAutoReadCleared = onAutoReadCleared;
     setAllocator(allocator);
   }
 
+  /** Returns whether the channel stays open after the peer has ended its output. */
   boolean allowsHalfClosure() {
     return allowsHalfClosure;
   }
@@ -33,8 +35,8 @@
 
   @Override
   protected void autoReadCleared() {
-    if (readsNoMore != null) {
-      readsNoMore.run();
+    if (onAutoReadCleared != null) {
+      onAutoReadCleared.run();
     }
   }
 }
