--- a/src/main/java/pumicekeel/Upstream.java
+++ b/src/main/java/pumicekeel/Upstream.java
@@ -20,11 +20,15 @@
   long firstServed;
   long lastAnswerAt;
   int inFlight;
+  /** Sum of the loads of the attempts in flight, in mean requests. */
   double load;
+
   int failures;
   int ejections;
   long ejectedUntil;
+  /** Whether an attempt in flight tests it after an ejection; no other is sent until its outcome. */
   boolean onProbation;
+  /** The number of the last ring walk that visited it. */
   long lastWalk;
 
   Upstream(long id, Window window, Window inFlightTime) {
--- a/src/main/java/pumicekeel/config/OperatorConfiguration.java
+++ b/src/main/java/pumicekeel/config/OperatorConfiguration.java
@@ -123,7 +123,7 @@
     }
   }
 
-  /** Limits of a pool; null where the platform's apply. */
+  /** Overrides of the limits of a pool; null where the platform's apply. */
   public record LimitOverrides(
       Boolean secondCopies,
       Boolean retryAfter,
@@ -149,7 +149,7 @@
     }
   }
 
-  /** Values of the four rules for a pool's upstreams; null where the platform's apply. */
+  /** Overrides of the drain grace and of the load limits of cold upstreams; null where the platform's apply. */
   public record ContractOverrides(
       Long drainGraceNanos,
       Double coldFrom,
--- a/src/main/java/pumicekeel/config/OperatorReader.java
+++ b/src/main/java/pumicekeel/config/OperatorReader.java
@@ -502,7 +502,7 @@
     if (s == null) {
       return new LimitOverrides(null, null, null, null, null, null, null);
     }
-    LimitOverrides part = new LimitOverrides(
+    LimitOverrides overrides = new LimitOverrides(
         s.bool("second-copies"),
         s.bool("retry-after"),
         ms(s, "max-retry-after-ms", 0),
@@ -511,7 +511,7 @@
         ms(s, "connect-timeout-ms", 1),
         ms(s, "connection-idle-ms", 10));
     s.reportUnknownKeys();
-    return part;
+    return overrides;
   }
 
   private static Long ms(Section s, String key, long min) {
@@ -523,14 +523,14 @@
     if (s == null) {
       return new ContractOverrides(null, null, null, null, null);
     }
-    ContractOverrides part = new ContractOverrides(
+    ContractOverrides overrides = new ContractOverrides(
         ms(s, "drain-grace-ms", 300),
         s.number("cold-from", 0.01, 1),
         ms(s, "warm-within-ms", 0),
         s.number("fall-multiple", 1, 1_000),
         ms(s, "overload-for-ms", 1));
     s.reportUnknownKeys();
-    return part;
+    return overrides;
   }
 
   /** Checks that the pools' guarantees together fit the process limits that the file sets. */
--- a/src/main/java/pumicekeel/discovery/DepartureExchange.java
+++ b/src/main/java/pumicekeel/discovery/DepartureExchange.java
@@ -69,7 +69,9 @@
 
   private final ListCurrency currency;
   private final SplittableRandom random;
-  private final double delayDensity;
+  /** Steepness of the distribution of suppression delays: the larger the fleet, the fewer delays are short. */
+  private final double delaySteepness;
+
   /** Changes by the version that reported them. */
   private final TreeMap<Long, Changes> history = new TreeMap<>();
 
@@ -108,7 +110,7 @@
   /** Creates the exchange of one balancer in a tier of {@code size}; {@code currency} belongs to its list. */
   public DepartureExchange(ListCurrency currency, int size, long seed) {
     this.currency = currency;
-    delayDensity = 1 + Math.log(Math.max(1, size));
+    delaySteepness = 1 + Math.log(Math.max(1, size));
     random = new SplittableRandom(seed);
   }
 
@@ -126,7 +128,7 @@
    * datagram (Nonnenmacher and Biersack, "Scalable Feedback for Large Groups", 1999).
    */
   private long suppressionDelay(long spanNanos) {
-    double fraction = Math.log1p(random.nextDouble() * Math.expm1(delayDensity)) / delayDensity;
+    double fraction = Math.log1p(random.nextDouble() * Math.expm1(delaySteepness)) / delaySteepness;
     return (long) (spanNanos * fraction);
   }
 
--- a/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
+++ b/src/main/java/pumicekeel/front/jsonrpc/CallFuzz.java
@@ -105,7 +105,7 @@
       progress.accept(i);
       try {
         String why =
-            new FuzzedConnection(new SplittableRandom(seed * 0x9E3779B97F4A7C15L + i)).play();
+            new FuzzedConnection(new SplittableRandom(seed * 0x9E3779B97F4A7C15L + i)).run();
         failure = why == null ? null : "input " + i + " of seed " + seed + ": " + why;
       } catch (Exception | AssertionError | StackOverflowError e) {
         failure = "input " + i + " of seed " + seed + ": " + e;
@@ -189,7 +189,7 @@
       this.random = random;
     }
 
-    private String play() throws Exception {
+    private String run() throws Exception {
       Framing framing = Framing.values()[random.nextInt(Framing.values().length)];
       BatchMode mode = BatchMode.values()[random.nextInt(BatchMode.values().length)];
       byte[] input = input(framing);
@@ -243,7 +243,7 @@
     private byte[] input(Framing framing) {
       StringBuilder text = new StringBuilder();
       int messages = 1 + random.nextInt(5);
-      boolean heads =
+      boolean withHeaders =
           framing == Framing.CONTENT_LENGTH || framing == Framing.DETECT && random.nextBoolean();
       for (int i = 0; i < messages; i++) {
         StringBuilder one = new StringBuilder(SEEDS.get(random.nextInt(SEEDS.size())));
@@ -251,12 +251,12 @@
           mutate(one);
         }
         text.append(
-                heads
+                withHeaders
                     ? "Content-Length: " + one.toString().getBytes(StandardCharsets.UTF_8).length
                         + "\r\n\r\n"
                     : "")
             .append(one)
-            .append(heads || random.nextInt(10) == 0 ? "" : "\n");
+            .append(withHeaders || random.nextInt(10) == 0 ? "" : "\n");
       }
       byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
       for (int i = random.nextInt(3) == 0 ? 1 + random.nextInt(3) : 0;
@@ -345,11 +345,11 @@
 
     /** Counts the response objects in the output; -1 if it is not valid JSON-RPC. */
     private static int answers(byte[] output) {
-      pumicekeel.jsonrpc.Limits wide = new pumicekeel.jsonrpc.Limits(1 << 20, 64, 1_000);
+      pumicekeel.jsonrpc.Limits wideLimits = new pumicekeel.jsonrpc.Limits(1 << 20, 64, 1_000);
       EmbeddedChannel channel =
-          new EmbeddedChannel(new FrameDecoder(Framing.DETECT, wide, () -> true));
+          new EmbeddedChannel(new FrameDecoder(Framing.DETECT, wideLimits, () -> true));
       channel.writeInbound(Unpooled.wrappedBuffer(output));
-      MessageReader reader = new MessageReader(wide);
+      MessageReader reader = new MessageReader(wideLimits);
       int count = 0;
       for (Frame f = channel.readInbound(); f != null; f = channel.readInbound()) {
         Message message = f instanceof Frame.Complete whole ? reader.read(whole.bytes()) : null;
--- a/src/main/java/pumicekeel/node/AdmittedRequest.java
+++ b/src/main/java/pumicekeel/node/AdmittedRequest.java
@@ -31,16 +31,20 @@
 
   private final long startedAt;
   private ServicePool pool;
-  private long bytes;
+  /** Body memory reserved at the pool. */
+  private long reservedBytes;
+
   private ClientRequest request;
   private Client client;
   private long acceptedAt;
+  /** Whether it waits in the fair queue. */
   private boolean queued;
-  /** Its idempotency key is recorded as one that the pool may have run. */
+
+  /** Whether its idempotency key is recorded as one that the pool may have run. */
   private boolean keyRecorded;
 
   private boolean finished;
-  /** The journal has entries of this request. */
+  /** Whether the journal has entries of this request. */
   private boolean recorded;
 
   /** Creates a request that is already counted among the pool's open requests. */
@@ -68,12 +72,12 @@
       pools.counters().countPoolFull();
       return false;
     }
-    bytes += more;
+    reservedBytes += more;
     return true;
   }
 
   @Override
-  public boolean submit(ClientRequest accepted, Client to) throws InvalidRequest {
+  public boolean submit(ClientRequest accepted, Client receiver) throws InvalidRequest {
     String reason = pool.objection(accepted);
     if (reason != null) {
       throw new InvalidRequest(400, reason);
@@ -82,7 +86,7 @@
       return false;
     }
     request = accepted;
-    client = to;
+    client = receiver;
     acceptedAt = pools.now();
     queued = true;
     if (!pools.offer(pool, this::begin)) {
@@ -100,12 +104,14 @@
     send(request.withTimeLeft(request.leftNanos() - (pools.now() - acceptedAt)));
   }
 
-  private void send(ClientRequest now) {
-    if (now.type().effect() == Effect.KEYED && now.idempotencyKey() != null) {
-      pools.recordHome(now, pool);
+  private void send(ClientRequest current) {
+    if (current.type().effect() == Effect.KEYED && current.idempotencyKey() != null) {
+      pools.recordHome(current, pool);
       keyRecorded = true;
     }
-    if (!pools.isJournaled(now, pool) ? !pool.core().submit(now, this) : !record(now)) {
+    if (!pools.isJournaled(current, pool)
+        ? !pool.core().submit(current, this)
+        : !submitJournaled(current)) {
       // A request with this id ended just before and one of its attempts is still in flight: this
       // one has not run.
       refused(pools.retryAfter(pool));
@@ -113,13 +119,13 @@
   }
 
   /** Admits a journalled request: refused while the journal cannot be written, and subject to earlier attempts of its key. */
-  private boolean record(ClientRequest now) {
+  private boolean submitJournaled(ClientRequest current) {
     long wait = pools.journal().retryAfterNanos();
     if (wait > 0) {
       refused(pools.cappedRetryAfter(pool, wait));
       return true;
     }
-    return pool.core().submit(now, this, pools.journal().earlier(now), this);
+    return pool.core().submit(current, this, pools.journal().earlier(current), this);
   }
 
   @Override
@@ -156,7 +162,7 @@
         || !next.open.tryAcquire(1)) {
       return false;
     }
-    if (!next.body.tryAcquire(bytes)) {
+    if (!next.body.tryAcquire(reservedBytes)) {
       next.open.release(1);
       return false;
     }
@@ -190,26 +196,26 @@
   /** A streamed answer ends when its last piece is written or when it is cut off. */
   @Override
   public BodySink beginStream(AnswerStart start, FlowControl source) {
-    BodySink to = client.beginStream(start, source);
-    return to == null
+    BodySink sink = client.beginStream(start, source);
+    return sink == null
         ? null
         : new BodySink() {
           @Override
           public void onChunk(ByteBuf bytes) {
-            to.onChunk(bytes);
+            sink.onChunk(bytes);
           }
 
           @Override
           public void onComplete() {
             finish(End.SERVED);
-            to.onComplete();
+            sink.onComplete();
             recordOutcome(Told.SERVED);
           }
 
           @Override
           public void onTruncated() {
             finish(End.FAILED);
-            to.onTruncated();
+            sink.onTruncated();
             recordOutcome(Told.FAILED);
           }
         };
@@ -243,11 +249,11 @@
     }
   }
 
-  private void finish(End how) {
+  private void finish(End end) {
     if (!finished) {
       finished = true;
       pools.close(request.id());
-      pools.counters().countEnd(pool.name(), request.type().name(), how);
+      pools.counters().countEnd(pool.name(), request.type().name(), end);
       pool.residenceTime().record(pools.now() - startedAt);
     }
   }
@@ -260,6 +266,6 @@
 
   private void releaseCapacity() {
     pool.open.release(1);
-    pool.body.release(bytes);
+    pool.body.release(reservedBytes);
   }
 }
