--- a/src/main/java/pumicekeel/AdaptiveBalancer.java
+++ b/src/main/java/pumicekeel/AdaptiveBalancer.java
@@ -20,28 +20,28 @@
 
   private static final long MILLI_NANOS = 1_000_000L;
   private static final long SECOND_NANOS = 1000 * MILLI_NANOS;
-  /** Window length as a multiple of the longest aim, at least 1 s: long enough for a mean, short enough to follow changes. */
+  /** Window length in longest aims, at least 1 s: long enough for a mean, short enough to follow changes. */
   private static final double WINDOW_AIMS = 2;
   /** Latency thresholds as ratios of the class's aim: half an aim is healthy, one and a half critical. */
   private static final double MIN_RATIO = 0.5;
 
   private static final double MAX_RATIO = 1.5;
-  /** The maximum allowed rate is the rate offered in the window plus a tenth; the minimum is a fraction of the maximum. */
+  /** The maximum rate is the rate offered in the window plus a tenth; the minimum rate is this part of it. */
   private static final double RATE_HEADROOM = 1.1;
 
   private static final double MIN_RATE_PART = 0.02;
-  /** Latency thresholds of excess work without worth, as a fraction of the others: it is shed before other work suffers. */
+  /** Thresholds of excess work without worth, as a part of the others: it is shed before others suffer. */
   private static final double EXCESS_PART = 0.2;
-  /** A key with fewer samples uses the window of its endpoint (class, tenant, inside or over quota), and that one the window of
-   * its quota group, extended this many lengths back. Otherwise the first requests of each window would all be admitted. */
+  /** With fewer samples a key uses the window of its endpoint (class, tenant, inside or over quota), that one
+   * its quota group's, this many lengths back. Otherwise each window would admit all its first requests. */
   private static final int MIN_SAMPLES = 10;
 
   private static final int MAX_WINDOWS_BACK = 5;
-  /** Minimum size of a tenant's bucket: with less, random bursts alone would make work inside a small quota excess. */
+  /** Minimum size of a tenant's bucket: else random bursts would make work inside a small quota excess. */
   private static final double MIN_QUOTA_BURST = 3;
   /** Maximum number of keys kept; the least recently used is evicted first. */
   private static final int MAX_KEYS = 20_000;
-  /** Windows over which the usual in-flight load is averaged, since an overload builds up faster; EWMA step of other means. */
+  /** Windows to average usual in-flight load over (overload builds up faster); EWMA step of other means. */
   private static final double EWMA_WINDOWS = 2;
 
   private static final double EWMA_STEP = 0.005;
@@ -52,14 +52,14 @@
   private static final long HISTORY_NANOS = 10 * SECOND_NANOS;
 
   private static final double HISTORY_SLACK = 1;
-  /** Mean in-flight requests per upstream below which the view is sparse and in-flight time over the history counts. */
+  /** Mean in-flight requests per upstream below which the view is sparse, and in-flight time counts too. */
   private static final double MIN_SPARSE = 0.12;
   /** With many balancers the threshold is higher, by this much per balancer up to a maximum: each may have
    * one request at an upstream whatever the bound is, and all would send it to the same keys' upstreams. */
   private static final double SPARSE_PER_INSTANCE = 0.05;
 
   private static final double MAX_SPARSE = 1;
-  /** A failed or FULL attempt counts as this many aims: a loaded upstream can recover, a failing one does not look idle. */
+  /** A failed or FULL attempt counts as this many aims: loaded upstreams recover, failing ones look busy. */
   private static final double FAILURE_AIMS = 4;
   /** A key may use this many upstreams, plus the factor times its share of the ready ones. */
   private static final int MIN_KEY_UPSTREAMS = 2;
@@ -72,21 +72,21 @@
   private static final int MIN_CAPACITY = 2;
   /** Clock ticks from which time in this balancer, outside the attempt's latency, counts as overhead. */
   private static final int MIN_OVERHEAD_TICKS = 3;
-  /** A request without an upstream is held for this part of its aim and then refused, long before its deadline. */
+  /** A request without an upstream is held for this part of its aim and then refused early. */
   private static final double HOLD_AIMS = 0.3;
 
-  /** Limits on unsuccessful tries of held requests per outcome and per sweep, which bound the work while no upstream has
-   * capacity: an overloaded balancer would have no time left for answers. */
+  /** Limits on unsuccessful tries of held requests per outcome and per sweep: without them, a balancer would
+   * have no time left for answers while no upstream has capacity. */
   private static final int OUTCOME_TRIES = 4;
 
   private static final int SWEEP_TRIES = 64;
-  /** An upstream is silent after no answer for this many mean gaps between its answers, and for this part of the shortest aim. */
+  /** Silent: no answer for this many mean gaps between its answers, and for this part of the shortest aim. */
   private static final double SILENT_GAPS = 8;
 
   private static final double SILENT_AIMS = 0.3;
-  /** In addition, this many times the mean overhead of its attempts in this balancer, since the overhead varies. */
+  /** Plus this many times the mean overhead of its attempts in this balancer, since the overhead varies. */
   private static final double SILENT_OVERHEADS = 2;
-  /** Hedge tokens earned per admitted request and per winning copy, and their maximum: copies that lose use them up. */
+  /** Hedge tokens earned per admitted request and per winning copy; the maximum. Losing ones use them up. */
   private static final double HEDGE_PER_REQUEST = 0.01;
 
   private static final double HEDGE_PER_WIN = 1.3;
@@ -95,13 +95,13 @@
   private static final double RETRY_PER_REQUEST = 0.2;
   /** A hinted request counts as at most this many mean requests, and at least the inverse. */
   private static final double MAX_HINT_RATIO = 4;
-  /** Ring points of an upstream of median weight: shares are some 15 % off an even spread; the load bound has more effect.
+  /** Ring points of an upstream of median weight: some 15 % off an even spread; the load bound matters more.
    * A weight counts as at most this many times the median, and at least the inverse. */
   private static final int RING_POINTS = 50;
 
   private static final double MAX_WEIGHT = 4;
-  /** Sweep period while requests are held: short compared with any aim, long compared with a clock tick. While attempts are
-   * in flight, the period is a part of the shortest aim: a timer costs as much as a request. */
+  /** Sweep period while requests are held: far shorter than any aim, far longer than a clock tick. While
+   * attempts are in flight, it is a part of the shortest aim: a timer costs as much as a request. */
   private static final long SWEEP_NANOS = 10 * MILLI_NANOS;
 
   private static final int SWEEPS_PER_AIM = 8;
@@ -121,14 +121,14 @@
   private static final double COLD_BURST_FRACTION = 0.25;
 
   private static final double MIN_COLD_RATE = 2;
-  /** With fewer sends in the budget's window, a balancer uses the cold lottery instead of accumulating a budget for a cold
-   * upstream; the lottery does not select an upstream that is over its budget by more than the maximum debt. */
+  /** With fewer sends in the budget's window, a balancer uses the cold lottery instead of saving up a cold
+   * upstream's budget; the lottery selects none that is over its budget by more than the maximum debt. */
   private static final double COLD_LOTTERY_SENDS = 1;
 
   private static final double MAX_COLD_DEBT = 1;
   /** How long the usual send rate is remembered: longer than most outages. */
   private static final long SEND_DECAY_NANOS = 30 * SECOND_NANOS;
-  /** Below this part of the usually ready upstreams, the usual send rate does not grow further as upstreams depart. */
+  /** Below this part of the usually ready upstreams, the usual send rate stops rising as upstreams depart. */
   private static final double MIN_READY_PART = 0.5;
 
   private Settings settings;
@@ -180,7 +180,7 @@
   private long now;
   private Consumer<Action> out;
 
-  /** Creates the module of one balancer; the seed is its only source of randomness. */
+  /** Creates the module of one balancer; the seed is its only own of randomness. */
   public AdaptiveBalancer(Settings settings, long seed) {
     random = new SplittableRandom(seed);
     applySettings(settings);
@@ -298,7 +298,7 @@
     advance(r);
   }
 
-  /** Takes a token of this balancer's part of a tenant's quota, of which a bucket holds a second; true if it is empty. */
+  /** Takes a token of this balancer's part of a tenant's quota, from a bucket of a second; true if empty. */
   private boolean takeQuotaToken(String tenant) {
     double rate = tenant == null ? 0 : quotas.getOrDefault(tenant, 0.0);
     if (rate == 0) {
@@ -310,7 +310,7 @@
     return empty;
   }
 
-  /** Returns a key's window; drops empty and least recently used ones, which bounds memory if most keys are new. */
+  /** Returns a key's window; drops empty and least recently used ones, to bound memory if most are new. */
   private Window windowOf(String name) {
     Window w = windows.computeIfAbsent(name, k -> new Window(window, now));
     Iterator<Window> leastRecentlyUsed = windows.values().iterator();
@@ -326,25 +326,23 @@
     return windows.size();
   }
 
-  /** Admits up to the allowed rate. The worse of the key's and the overall mean counts, since a fleet-wide overload need not show
-   * in a single key. Work over a quota has less worth and lower thresholds, so that it is shed first. */
+  /** Admits up to the allowed rate. The worse of the key's and the overall mean counts: a fleet-wide overload
+   * belongs to no single key. Work over a quota has less worth and lower thresholds, so it is shed first. */
   private boolean admit(PendingRequest r) {
     count(r, Metric.OFFERED, 1);
-    Window source = r.key.total(now, Metric.SAMPLES) >= MIN_SAMPLES
+    Window own = r.key.total(now, Metric.SAMPLES) >= MIN_SAMPLES
         ? r.key
         : !isSparse() || r.endpoint.total(now, Metric.SAMPLES) >= MIN_SAMPLES
             ? r.endpoint
             : r.quotaGroup;
-    double mean = Math.max(source.mean(now, MIN_SAMPLES), fleet.mean(now, MIN_SAMPLES));
-    double maxRate = source.totalOfSamples(now, Metric.OFFERED, MIN_SAMPLES) * RATE_HEADROOM;
+    double mean = Math.max(own.mean(now, MIN_SAMPLES), fleet.mean(now, MIN_SAMPLES));
+    double maxRate = own.totalOfSamples(now, Metric.OFFERED, MIN_SAMPLES) * RATE_HEADROOM;
     double scale = r.excess ? EXCESS_PART + (1 - EXCESS_PART) * settings.overShareWorth() : 1;
     double allowed =
         allowedRate(mean, MIN_RATIO * scale, MAX_RATIO * scale, maxRate, maxRate * MIN_RATE_PART);
     // Work inside a quota passes while no more is in flight than usual: other work is the cause.
-    boolean noMoreThanUsual =
-        quotaTokens.containsKey(r.request.tenant()) && readyLoad < usualInFlight * ready;
-    if (source.totalOfSamples(now, Metric.ADMITTED, MIN_SAMPLES) >= allowed
-        && (r.excess || !noMoreThanUsual)) {
+    boolean idle = quotaTokens.containsKey(r.request.tenant()) && readyLoad < usualInFlight * ready;
+    if (own.totalOfSamples(now, Metric.ADMITTED, MIN_SAMPLES) >= allowed && (r.excess || !idle)) {
       return false;
     }
     count(r, Metric.ADMITTED, 1);
@@ -362,7 +360,7 @@
     return r.type.worth() * (r.excess ? settings.overShareWorth() : 1);
   }
 
-  /** Returns the hinted load in mean requests: a few heavy ones may fill an upstream that seems half empty by their number. */
+  /** Returns the hinted load in mean requests: counted as one each, heavy ones would overload. */
   private double hintedLoad(long hint) {
     meanHint += hint <= 0 ? 0 : (hint - meanHint) * (meanHint == 0 ? 1 : EWMA_STEP);
     return hint <= 0 ? 1 : Math.min(MAX_HINT_RATIO, Math.max(1 / MAX_HINT_RATIO, hint / meanHint));
@@ -476,9 +474,9 @@
         Math.max(1, Math.ceil((1 + LOAD_SLACK) * (readyLoad + 1) / ready)), capacity(u));
   }
 
-  /** Returns the capacity by Little's law: answers per second times the sum of the intended latency and the overhead in this
-   * balancer. Prevents queues longer than the aim. No limit applies before enough answers, or a restarted balancer would
-   * starve itself; overhead is included, or a slow balancer would. */
+  /** Little's law: answers per second times the intended latency plus the overhead in this balancer.
+   * Prevents queues longer than the aim. No limit before enough answers, or a restarted balancer would
+   * starve itself; overhead is included, or a slow balancer would too. */
   private double capacity(Upstream u) {
     if (u.firstServed == 0
         || now - u.firstServed < window / 4 && u.window.total(now, Metric.SAMPLES) < MIN_SAMPLES) {
@@ -492,21 +490,20 @@
             / served);
   }
 
-  /** Returns whether the upstream has been silent far longer than usual, which detects a frozen or dead one before a time-out.
-   * The balancer's own overhead is allowed for: otherwise a slow balancer would hedge, exclude healthy upstreams and slow down
-   * further. In exchange, a slow balancer detects a dead upstream that much later. */
+  /** Returns whether the upstream has been silent far longer than usual: frozen or dead, before a time-out
+   * shows it. The balancer's own overhead is allowed for: else a slow one would hedge, exclude healthy
+   * upstreams and slow down further. In exchange, it detects a dead upstream that much later. */
   private boolean isSilent(Upstream u) {
     if (u.inFlight == 0) {
       // Checked first, as it holds for most: a sweep checks all upstreams.
       return false;
     }
     double gap = u.window.mean(now, 1) / u.inFlight;
-    double ownOverhead =
+    double overhead =
         u.window.total(now, Metric.OVERHEAD) / Math.max(1, u.window.total(now, Metric.SAMPLES));
     return gap > 0
         && now - u.lastAnswerAt
-            > Math.max(SILENT_GAPS * gap, SILENT_AIMS * shortestAim)
-                + SILENT_OVERHEADS * ownOverhead;
+            > Math.max(SILENT_GAPS * gap, SILENT_AIMS * shortestAim) + SILENT_OVERHEADS * overhead;
   }
 
   // Retries without repeated effects: where a request may still be sent
@@ -546,9 +543,9 @@
     return u.started <= 0 || part >= 1 ? 1 : settings.contract().coldFrom() * (1 - part) + part;
   }
 
-  /** Returns the sends left to a cold upstream: its warmth times a warm one's usual rate. The minimum rate prevents a deadlock
-   * if the whole fleet is cold and waits for traffic. It does not apply while any upstream is warm, since balancers that do not
-   * know how many they are would each send all of it. */
+  /** Returns the sends left to a cold upstream: its warmth times a warm one's usual rate. The minimum rate
+   * prevents a deadlock if the whole fleet is cold and waits for traffic; it is 0 while any upstream is warm,
+   * since balancers that do not know how many they are would each send all of it. */
   private double coldTokens(Upstream u) {
     double minRate = anyWarm() ? 0 : MIN_COLD_RATE / settings.groupSize();
     double rate = Math.max(minRate, warmth(u) * usualSendRate);
@@ -564,10 +561,9 @@
     return anyWarm;
   }
 
-  /** Returns the cold upstream that the request's draw selects, or null. With hardly a request per upstream, a balancer would
-   * accumulate a budget for a cold one until after its warm-up, and if all did so it would stay idle. Instead each request draws
-   * one upstream by its id, not its key (a hot key's upstream would get too much), and a cold one gets its warmth's part of
-   * those. The same request always draws the same. */
+  /** With hardly a request per upstream, a balancer would save up a cold one's budget until it is warm, and
+   * if all did so it would stay idle. Instead each request draws one upstream by its id, not its key (a
+   * hot key's upstream would get too much); a cold one gets its warmth's part. The draw of an id is fixed. */
   private Upstream drawColdUpstream(PendingRequest r) {
     Upstream u = ring.owner(ring.positionOf(r.request.id()));
     double part = warmth(u) * ready / Math.max(ready, usualReady * MIN_READY_PART);
@@ -619,7 +615,7 @@
   private void send(PendingRequest r, Upstream u) {
     Attempt a = new Attempt(u, now);
     r.attempts.add(a);
-    r.attemptsInFlight++;
+    r.inFlight++;
     u.onProbation = u.ejections > 0;
     u.coldBudget.tokens -= warmth(u) < 1 ? 1 : 0;
     if (!r.bodyPending) {
@@ -650,7 +646,7 @@
     r.arrived = now;
     r.deadline = deadline;
     r.attempts.stream().filter(a -> a.inFlight).forEach(a -> startWork(r, a));
-    if (r.attemptsInFlight > 0 && !r.ended) {
+    if (r.inFlight > 0 && !r.ended) {
       scheduleCheck(r);
     }
   }
@@ -665,9 +661,9 @@
     }
   }
 
-  /** Sends a second copy if the upstream is silent; not while latencies exceed the threshold, since copies add load. */
+  /** Sends a copy if the upstream is silent, unless latencies exceed the threshold: copies add load. */
   private void hedge(PendingRequest r) {
-    boolean mayCopy = r.attemptsInFlight == 1
+    boolean mayCopy = r.inFlight == 1
         && !r.request.bodyPending()
         && settings.limits().secondCopies()
         && settings.limits().cancel()
@@ -692,7 +688,7 @@
   private void endRequest(PendingRequest r) {
     r.ended = true;
     held.remove(r);
-    if (r.attemptsInFlight == 0) {
+    if (r.inFlight == 0) {
       open.remove(r.request.id());
     }
     for (int i = 0; i < r.attempts.size() && settings.limits().cancel(); i++) {
@@ -711,7 +707,7 @@
     a.inFlight = false;
     a.mayHaveRun &= !o.status().provesNotRun();
     r.bodyConsumed |= o.bodyConsumed();
-    r.attemptsInFlight--;
+    r.inFlight--;
     if (a.started) {
       a.upstream.inFlight--;
       a.upstream.load -= a.upstream.inFlight == 0 ? a.upstream.load : r.load;
@@ -724,14 +720,13 @@
     a.upstream.inFlightTime.add(now, Metric.SUM, correction);
     inFlightTime.add(now, Metric.SUM, correction);
     recordOutcome(r, a, o);
-    if (r.ended && r.attemptsInFlight == 0) {
+    if (r.ended && r.inFlight == 0) {
       open.remove(o.id());
     } else if (!r.ended && o.finished()) {
       hedgeTokens = Math.min(
-          MAX_HEDGE_TOKENS,
-          hedgeTokens + (r.attemptsInFlight > 0 && o.attempt() > 0 ? HEDGE_PER_WIN : 0));
+          MAX_HEDGE_TOKENS, hedgeTokens + (r.inFlight > 0 && o.attempt() > 0 ? HEDGE_PER_WIN : 0));
       endRequest(r);
-    } else if (!r.ended && r.attemptsInFlight == 0) {
+    } else if (!r.ended && r.inFlight == 0) {
       advance(r);
     }
     int triesLeft = OUTCOME_TRIES;
@@ -777,8 +772,7 @@
 
   private void addFailureSample(PendingRequest r, Status status) {
     if (status == Status.RESET || status == Status.ERROR) {
-      // Its latency, but at least one aim, or for errors the critical ratio. More would count
-      // broken
+      // Its latency, but at least one aim, for errors the critical ratio. More would count broken
       // connections, corrupt answers or one upstream's errors as load.
       double minimum = status == Status.RESET ? 1 : MAX_RATIO;
       addSample(r, Math.max(minimum, (double) (now - r.arrived) / r.type.aimNanos()));
@@ -788,8 +782,8 @@
     }
   }
 
-  /** Returns an attempt's time in this balancer outside its latency, in which no upstream worked: neither thresholds nor capacity
-   * may include it. A few ticks are clock rounding. */
+  /** Returns an attempt's time in this balancer outside its latency, in which no upstream worked: neither
+   * thresholds nor capacity may include it. A few ticks are clock rounding. */
   private long overhead(Attempt a, Outcome o) {
     long rest = now - a.sentAt - o.latencyNanos();
     return rest <= MIN_OVERHEAD_TICKS * settings.tickNanos() ? 0 : rest;
@@ -819,7 +813,7 @@
         .count();
     panic = unhealthy > PANIC_FRACTION * ready;
     for (PendingRequest r : List.copyOf(open.values())) {
-      if (r.attemptsInFlight > 0 && !r.ended && !r.streaming) {
+      if (r.inFlight > 0 && !r.ended && !r.streaming) {
         if (now >= r.deadline + settings.contract().answerSlackNanos() / 2) {
           finish(r);
         } else {
--- a/src/main/java/pumicekeel/PendingRequest.java
+++ b/src/main/java/pumicekeel/PendingRequest.java
@@ -29,7 +29,9 @@
   final int maxAttempts;
 
   final List<Attempt> attempts = new ArrayList<>(1);
-  int attemptsInFlight;
+  /** The number of its attempts in flight. */
+  int inFlight;
+
   boolean ended;
   boolean streaming;
 
