--- a/src/main/java/pumicekeel/lab/experiment/Experiment.java
+++ b/src/main/java/pumicekeel/lab/experiment/Experiment.java
@@ -76,7 +76,7 @@
     String name = s.requiredText("name", "the experiment's name");
     List<String> worlds = chosen(s, "worlds", Worlds.names(), Worlds.names()::contains);
     List<String> policies = chosen(s, "policies", Policies.names(), p -> Policies.of(p) != null);
-    List<Integer> balancers = s.integers("balancers", 1, WorldSpec.MOST_BALANCERS);
+    List<Integer> balancers = s.integers("balancers", 1, WorldSpec.MAX_BALANCERS);
     Double each = s.number("servers-per-balancer", 0.01, 1_000);
     Long first = s.integer("first-seed", 0, Long.MAX_VALUE);
     Long seeds = s.integer("seeds", 1, MOST_SEEDS);
@@ -87,9 +87,10 @@
     List<Double> values = List.of(0.0);
     if (sweep != null) {
       Set<String> keys = new TreeSet<>(sweep.keys());
-      if (keys.size() != 1 || !WorldSpec.SWEPT.containsAll(keys)) {
+      if (keys.size() != 1 || !WorldSpec.SWEEPABLE.containsAll(keys)) {
         s.addFault(
-            "sweep", "expected one of " + WorldSpec.SWEPT + " with a list of values, got " + keys);
+            "sweep",
+            "expected one of " + WorldSpec.SWEEPABLE + " with a list of values, got " + keys);
       } else {
         swept = keys.iterator().next();
         values = values(sweep, swept);
--- a/src/main/java/pumicekeel/lab/fleet/ClientPopulation.java
+++ b/src/main/java/pumicekeel/lab/fleet/ClientPopulation.java
@@ -43,8 +43,8 @@
   private final Histogram latency = new Histogram(LONGEST_MICROS, 3);
   private final double[] askedBySecond;
   private final double[] earnedBySecond;
-  private final double[] askedByClass = new double[RequestKind.BRIEF.size()];
-  private final double[] earnedByClass = new double[RequestKind.BRIEF.size()];
+  private final double[] askedByClass = new double[RequestKind.STANDARD_MIX.size()];
+  private final double[] earnedByClass = new double[RequestKind.STANDARD_MIX.size()];
   private final double[] askedByTenant = new double[Traffic.TENANTS.size()];
   private final double[] earnedByTenant = new double[Traffic.TENANTS.size()];
   private long asked;
@@ -73,7 +73,7 @@
 
   /** It is dead, and the front layer finds out some time later. */
   void down(Host host) {
-    scheduler.in((long) (spec.frontNanos() * random.between(0.5, 1)), () -> {
+    scheduler.in((long) (spec.maxFrontDelayNanos() * random.between(0.5, 1)), () -> {
       if (!host.up()) {
         believed.remove(host);
       }
@@ -86,7 +86,7 @@
     asked++;
     double worth = worth(ask);
     askedBySecond[second()] += worth;
-    askedByClass[RequestKind.BRIEF.indexOf(ask.kind())] += worth;
+    askedByClass[RequestKind.STANDARD_MIX.indexOf(ask.kind())] += worth;
     askedByTenant[ask.tenant()] += worth;
     go(ask, 0, scheduler.now());
   }
@@ -96,12 +96,12 @@
   }
 
   private static double worth(Arrival ask) {
-    return ask.kind().type().worth() * ask.work();
+    return ask.kind().requestClass().worth() * ask.work();
   }
 
   private void go(Arrival ask, int number, long askedAt) {
     tries++;
-    ClientAttempt t = new ClientAttempt(ask, number, askedAt, scheduler.now() + ask.patience());
+    ClientAttempt t = new ClientAttempt(ask, number, askedAt, scheduler.now() + ask.timeoutNanos());
     Host host = believed.isEmpty() ? null : believed.get(random.below(believed.size()));
     run.trace(
         t,
@@ -109,8 +109,9 @@
             + (host == null
                 ? "nobody: no balancer is known to be there"
                 : "balancer " + host.number)
-            + ", " + ask.kind().type().name() + " of " + ask.work() / 1e6 + " ms of work, waits "
-            + ask.patience() / MS + " ms");
+            + ", " + ask.kind().requestClass().name() + " of " + ask.work() / 1e6
+            + " ms of work, waits "
+            + ask.timeoutNanos() / MS + " ms");
     if (host == null || !host.up()) {
       scheduler.in(MS, () -> unreached(t));
     } else {
@@ -124,12 +125,12 @@
     served++;
     long took = scheduler.now() - t.askedAt;
     latency.recordValue(Math.min(LONGEST_MICROS, took / 1_000));
-    boolean inTime = took <= t.ask.kind().type().aimNanos();
+    boolean inTime = took <= t.ask.kind().requestClass().aimNanos();
     run.trace(t, "served after " + took / MS + " ms" + (inTime ? "" : ", too late"));
     if (inTime) {
       double worth = worth(t.ask);
       earnedBySecond[(int) Math.min(earnedBySecond.length - 1, t.askedAt / SECOND)] += worth;
-      earnedByClass[RequestKind.BRIEF.indexOf(t.ask.kind())] += worth;
+      earnedByClass[RequestKind.STANDARD_MIX.indexOf(t.ask.kind())] += worth;
       earnedByTenant[t.ask.tenant()] += worth;
     }
   }
@@ -153,20 +154,20 @@
 
   private void again(ClientAttempt t, long told) {
     int storm = storm();
-    int most = storm > 0 ? storm : t.ask.retries() ? 1 : 0;
+    int most = storm > 0 ? storm : t.ask.retriesOnce() ? 1 : 0;
     if (t.number >= most) {
       return;
     }
     long own = storm > 0 ? MS : (long) (OWN_WAIT * random.between(0.2, 1));
-    long wait = storm == 0 && t.ask.follows() && told > 0 ? told : own;
+    long wait = storm == 0 && t.ask.honorsRetryAfter() && told > 0 ? told : own;
     scheduler.in(wait, () -> go(t.ask, t.number + 1, t.askedAt));
   }
 
   private int storm() {
     double second = scheduler.now() / 1e9;
     for (FaultSpec fault : spec.faults()) {
-      if (fault instanceof FaultSpec.RetryStorm s && second >= s.from() && second < s.to()) {
-        return s.tries();
+      if (fault instanceof FaultSpec.RetryStorm s && second >= s.start() && second < s.end()) {
+        return s.maxRetries();
       }
     }
     return 0;
--- a/src/main/java/pumicekeel/lab/fleet/Deployment.java
+++ b/src/main/java/pumicekeel/lab/fleet/Deployment.java
@@ -71,7 +71,7 @@
         (long) (SECOND * random.between(19, 39)),
         0.75,
         400,
-        spec.weighed() ? cores * speed * random.lognormal(WEIGHT_SIGMA) : 1);
+        spec.weightedLists() ? cores * speed * random.lognormal(WEIGHT_SIGMA) : 1);
   }
 
   /** What one balancer is told. */
@@ -79,21 +79,24 @@
     List<Tenant> tenants = IntStream.range(0, Traffic.TENANTS.size())
         .mapToObj(i -> new Tenant(
             Traffic.TENANTS.get(i),
-            Traffic.SHARES[i],
-            Traffic.SHARES[i] * 1.5 * capacity / RequestKind.meanWork(RequestKind.BRIEF)))
+            Traffic.TENANT_SHARES[i],
+            Traffic.TENANT_SHARES[i]
+                * 1.5
+                * capacity
+                / RequestKind.meanWork(RequestKind.STANDARD_MIX)))
         .toList();
     return new Settings(
         me,
         spec.balancers(),
         zone,
-        RequestKind.BRIEF.stream().map(RequestKind::type).toList(),
+        RequestKind.STANDARD_MIX.stream().map(RequestKind::requestClass).toList(),
         tenants,
         new Limits(
             true, false, false, true, true, 2 * SECOND, 6, MOST_OPEN, 1, 250 * MS, 15 * SECOND),
         new Contract(8 * MS, 0, 2 * SECOND, 0.32, 8_500 * MS, 3, 3 * SECOND),
         new Prices(0, 0.02, 0.03),
         false,
-        spec.weighed() ? WeightKind.ROUGH : WeightKind.NONE,
+        spec.weightedLists() ? WeightKind.ROUGH : WeightKind.NONE,
         0.2,
         true,
         MS);
--- a/src/main/java/pumicekeel/lab/fleet/FaultInjector.java
+++ b/src/main/java/pumicekeel/lab/fleet/FaultInjector.java
@@ -36,39 +36,39 @@
   void plan(List<FaultSpec> faults) {
     for (FaultSpec t : faults) {
       if (t instanceof FaultSpec.Crash c) {
-        at(c.at(), () -> some(c.part()).forEach(s -> crash(s, c.backAfter())));
-      } else if (t instanceof FaultSpec.ZoneLost z) {
+        at(c.start(), () -> some(c.share()).forEach(s -> crash(s, c.downtime())));
+      } else if (t instanceof FaultSpec.ZoneOutage z) {
         at(
-            z.at(),
+            z.start(),
             () -> run.servers().stream()
                 .filter(s -> s.zone.equals(Deployment.zone(z.zone())))
                 .toList()
-                .forEach(s -> crash(s, z.lasts())));
+                .forEach(s -> crash(s, z.duration())));
       } else if (t instanceof FaultSpec.Slow s) {
         at(
-            s.at(),
-            () -> some(s.part()).forEach(one -> {
-              one.slow(s.times());
-              in(s.lasts(), () -> one.slow(1));
+            s.start(),
+            () -> some(s.share()).forEach(one -> {
+              one.slow(s.factor());
+              in(s.duration(), () -> one.slow(1));
             }));
       } else if (t instanceof FaultSpec.Failing f) {
         at(
-            f.at(),
-            () -> some(f.part()).forEach(one -> {
-              one.fail(f.share());
-              in(f.lasts(), () -> one.fail(0));
+            f.start(),
+            () -> some(f.share()).forEach(one -> {
+              one.fail(f.errorShare());
+              in(f.duration(), () -> one.fail(0));
             }));
-      } else if (t instanceof FaultSpec.Mute m) {
+      } else if (t instanceof FaultSpec.ResponseLoss m) {
         at(
-            m.at(),
-            () -> some(m.part()).forEach(one -> {
-              one.mute(true);
-              in(m.lasts(), () -> one.mute(false));
+            m.start(),
+            () -> some(m.share()).forEach(one -> {
+              one.loseResponses(true);
+              in(m.duration(), () -> one.loseResponses(false));
             }));
-      } else if (t instanceof FaultSpec.ListLate l) {
+      } else if (t instanceof FaultSpec.ListDelay l) {
         long usual = run.list().lateNanos();
-        at(l.from(), () -> run.list().late((long) (l.seconds() * SECOND)));
-        at(l.to(), () -> run.list().late(usual));
+        at(l.start(), () -> run.list().late((long) (l.delay() * SECOND)));
+        at(l.end(), () -> run.list().late(usual));
       } else {
         planFleet(t);
       }
@@ -78,21 +78,26 @@
   private void planFleet(FaultSpec t) {
     if (t instanceof FaultSpec.Deploy d) {
       at(
-          d.from(),
+          d.start(),
           () -> inGroups(
-              some(d.part()), d.atOnce() * run.servers().size(), d.lasts(), s -> drain(s, true)));
+              some(d.share()),
+              d.batchShare() * run.servers().size(),
+              d.duration(),
+              s -> drain(s, true)));
     } else if (t instanceof FaultSpec.Shrink s) {
-      at(s.from(), () -> inGroups(some(1 - s.to()), 1, s.lasts(), one -> drain(one, false)));
+      at(
+          s.start(),
+          () -> inGroups(some(1 - s.remainingShare()), 1, s.duration(), one -> drain(one, false)));
     } else if (t instanceof FaultSpec.Restart r) {
       at(
-          r.from(),
+          r.start(),
           () -> inGroups(
-              hosts(r.part()),
-              Math.max(1, r.atOnce() * run.hosts().size()),
-              r.lasts(),
+              hosts(r.share()),
+              Math.max(1, r.batchShare() * run.hosts().size()),
+              r.duration(),
               h -> away(h, BALANCER_START)));
     } else if (t instanceof FaultSpec.BalancerCrash b) {
-      at(b.at(), () -> hosts(b.part()).forEach(h -> away(h, (long) (b.backAfter() * SECOND))));
+      at(b.start(), () -> hosts(b.share()).forEach(h -> away(h, (long) (b.downtime() * SECOND))));
     }
   }
 
--- a/src/main/java/pumicekeel/lab/fleet/FleetRun.java
+++ b/src/main/java/pumicekeel/lab/fleet/FleetRun.java
@@ -88,10 +88,10 @@
     deployment = new Deployment(spec, scheduler, seed);
     byId = deployment.servers();
     capacity = deployment.capacity();
-    list = new NodeList(scheduler, seed, hosts, spec.listNanos());
+    list = new NodeList(scheduler, seed, hosts, spec.maxListDelayNanos());
     byId.values().forEach(list::enter);
     settings = deployment.settings(0, Deployment.zone(0));
-    judge = new Judge(settings.contract(), RequestKind.meanWork(RequestKind.BRIEF));
+    judge = new Judge(settings.contract(), RequestKind.meanWork(RequestKind.STANDARD_MIX));
     for (int i = 0; i < spec.balancers(); i++) {
       hosts.add(new Host(i, this, Deployment.zone(i % spec.zones()), seed));
     }
@@ -192,7 +192,8 @@
       h.start(list.lines());
       clients.up(h);
     });
-    Traffic traffic = new Traffic(scheduler, spec, RequestKind.BRIEF, capacity, seed, clients::ask);
+    Traffic traffic =
+        new Traffic(scheduler, spec, RequestKind.STANDARD_MIX, capacity, seed, clients::ask);
     traffic.start();
     new FaultInjector(this, seed).plan(spec.faults());
     look();
--- a/src/main/java/pumicekeel/lab/fleet/Host.java
+++ b/src/main/java/pumicekeel/lab/fleet/Host.java
@@ -158,9 +158,9 @@
     });
     tell(new Request(
         t.id,
-        t.ask.kind().type().name(),
+        t.ask.kind().requestClass().name(),
         run.tenant(t.ask.tenant()),
-        t.ask.key(),
+        t.ask.sessionKey(),
         t.deadline + origin,
         t.ask.hintNanos(),
         t.number > 0));
@@ -196,7 +196,7 @@
     if (answers(t)) {
       t.refused = true;
       boolean ran = t.attempts.stream().anyMatch(a -> !a.over) || t.cell >= 0;
-      if (ran && t.ask.kind().type().effect() != Balancer.Effect.SAFE) {
+      if (ran && t.ask.kind().requestClass().effect() != Balancer.Effect.SAFE) {
         run.judge().broken("twice", run.scheduler().now(), t.id + " was refused, and may have run");
       }
       run.trace(t, "refused, come back in " + retryAfter / MS + " ms");
@@ -260,7 +260,7 @@
 
   private long oneWay(Server server) {
     return (long) (MS * random.between(0.1, 0.6))
-        + (server.zone.equals(zone) ? 0 : run.spec().zoneNanos());
+        + (server.zone.equals(zone) ? 0 : run.spec().crossZoneNanos());
   }
 
   private void connect(int of, ClientAttempt t, int number, ClientAttempt.Attempt attempt) {
@@ -300,20 +300,20 @@
     }
     server.submit(
         new Server.Job(
-            t.ask.key(),
+            t.ask.sessionKey(),
             "q" + t.ask.number(),
-            t.ask.kind().type().effect(),
-            t.ask.kind().type().dedupWindowNanos(),
+            t.ask.kind().requestClass().effect(),
+            t.ask.kind().requestClass().dedupWindowNanos(),
             t.ask.work(),
             t.ask.waitNanos(),
-            new Server.Sender() {
+            new Server.JobListener() {
               @Override
-              public void begins() {
+              public void onStart() {
                 run.judge().runs(t, server.cellNumber, run.scheduler().now());
               }
 
               @Override
-              public void ended(Status status, double work) {
+              public void onEnd(Status status, double work) {
                 run.scheduler()
                     .in(oneWay(server), () -> heard(of, t, number, attempt, status, work));
               }
--- a/src/main/java/pumicekeel/lab/fleet/Judge.java
+++ b/src/main/java/pumicekeel/lab/fleet/Judge.java
@@ -100,15 +100,15 @@
 
   /** An attempt of one try begins to run in a cell. */
   void runs(ClientAttempt t, int cell, long now) {
-    if (t.refused && t.ask.kind().type().effect() != Effect.SAFE) {
+    if (t.refused && t.ask.kind().requestClass().effect() != Effect.SAFE) {
       broken("twice", now, t.id + " ran after it was refused");
     }
-    if (t.ask.kind().type().effect() == Effect.KEYED) {
+    if (t.ask.kind().requestClass().effect() == Effect.KEYED) {
       if (t.cell >= 0 && t.cell != cell) {
         broken("twice", now, t.id + " ran in two cells");
       }
       t.cell = cell;
-    } else if (t.ask.kind().type().effect() == Effect.UNSAFE && t.cell >= 0) {
+    } else if (t.ask.kind().requestClass().effect() == Effect.UNSAFE && t.cell >= 0) {
       broken("twice", now, t.id + " ran twice");
     }
     t.cell = cell;
--- a/src/main/java/pumicekeel/lab/real/Asker.java
+++ b/src/main/java/pumicekeel/lab/real/Asker.java
@@ -76,9 +76,9 @@
   /** Asks now. */
   void ask(Arrival ask) {
     asked++;
-    worthAsked += ask.kind().type().worth() * ask.work();
+    worthAsked += ask.kind().requestClass().worth() * ask.work();
     Call call = new Call(ask, System.nanoTime());
-    call.late = loop.schedule(call::giveUp, ask.patience(), TimeUnit.NANOSECONDS);
+    call.late = loop.schedule(call::giveUp, ask.timeoutNanos(), TimeUnit.NANOSECONDS);
     go(call);
   }
 
@@ -135,8 +135,8 @@
       }
       on = channel;
       channel.pipeline().get(Reader.class).call = this;
-      boolean keyed = ask.kind().type().effect() == Effect.KEYED;
-      String name = ask.kind().type().name();
+      boolean keyed = ask.kind().requestClass().effect() == Effect.KEYED;
+      String name = ask.kind().requestClass().name();
       byte[] body = keyed ? ("q" + ask.number()).getBytes(StandardCharsets.US_ASCII) : new byte[0];
       var request = new DefaultFullHttpRequest(
           HttpVersion.HTTP_1_1,
@@ -149,10 +149,10 @@
           .set("X-Correlation-Id", "q" + ask.number())
           .set("X-Service-Class", name)
           .set("X-Account", Traffic.TENANTS.get(ask.tenant()))
-          .set("X-Time-Left-Ms", ask.patience() / 1_000_000)
+          .set("X-Time-Left-Ms", ask.timeoutNanos() / 1_000_000)
           .set("X-Weight-Hint", ask.hintNanos() / 1_000);
-      if (ask.key() != null) {
-        request.headers().set("X-Session-Key", ask.key());
+      if (ask.sessionKey() != null) {
+        request.headers().set("X-Session-Key", ask.sessionKey());
       }
       if (keyed) {
         request
@@ -193,8 +193,9 @@
         wrong +=
             answer.content().toString(StandardCharsets.US_ASCII).equals("q" + ask.number()) ? 0 : 1;
         latency.recordValue(Math.min(LONGEST_MICROS, took / 1_000));
-        worthEarned +=
-            took <= ask.kind().type().aimNanos() ? ask.kind().type().worth() * ask.work() : 0;
+        worthEarned += took <= ask.kind().requestClass().aimNanos()
+            ? ask.kind().requestClass().worth() * ask.work()
+            : 0;
       } else if (status == 429 || status == 503) {
         refused++;
       } else {
--- a/src/main/java/pumicekeel/lab/real/Pump.java
+++ b/src/main/java/pumicekeel/lab/real/Pump.java
@@ -21,7 +21,7 @@
 
   /** Lets all happen that is due by now, and comes back for what is next; the world's present time. */
   long now() {
-    long due = scheduler.nextAt();
+    long due = scheduler.nextEventAt();
     long now = System.nanoTime() - origin;
     if (due <= now) {
       worstLate = Math.max(worstLate, now - due);
@@ -35,7 +35,7 @@
     if (next != null) {
       next.cancel(false);
     }
-    long due = scheduler.nextAt();
+    long due = scheduler.nextEventAt();
     next = due == Long.MAX_VALUE
         ? null
         : loop.schedule(
--- a/src/main/java/pumicekeel/lab/real/RealRun.java
+++ b/src/main/java/pumicekeel/lab/real/RealRun.java
@@ -147,8 +147,8 @@
     RandomStream choice = new RandomStream(seed, "front");
     loop.execute(() -> {
       long from = pump.now();
-      Traffic traffic =
-          new Traffic(scheduler, spec, RequestKind.BRIEF, deployment.capacity(), seed, ask -> {
+      Traffic traffic = new Traffic(
+          scheduler, spec, RequestKind.STANDARD_MIX, deployment.capacity(), seed, ask -> {
             asks.put("q" + ask.number(), ask);
             askers.get(choice.below(askers.size())).ask(ask);
           });
--- a/src/main/java/pumicekeel/lab/real/ServerSocketSide.java
+++ b/src/main/java/pumicekeel/lab/real/ServerSocketSide.java
@@ -101,18 +101,18 @@
       pump.now();
       server.submit(
           new Server.Job(
-              ask.key(),
+              ask.sessionKey(),
               "q" + ask.number(),
-              ask.kind().type().effect(),
-              ask.kind().type().dedupWindowNanos(),
+              ask.kind().requestClass().effect(),
+              ask.kind().requestClass().dedupWindowNanos(),
               ask.work(),
               ask.waitNanos(),
-              new Server.Sender() {
+              new Server.JobListener() {
                 @Override
-                public void begins() {}
+                public void onStart() {}
 
                 @Override
-                public void ended(Status status, double work) {
+                public void onEnd(Status status, double work) {
                   answer(ctx, status, id);
                 }
               }),
--- a/src/main/java/pumicekeel/lab/world/EventScheduler.java
+++ b/src/main/java/pumicekeel/lab/world/EventScheduler.java
@@ -1,83 +1,86 @@
 package pumicekeel.lab.world;
 
 import java.util.PriorityQueue;
+import java.util.function.BooleanSupplier;
 
 /**
- * A discrete-event scheduler: virtual time in nanoseconds, and the events due in it. Events due at the same nanosecond run in the order
- * in which they were scheduled, so a run depends on nothing but its seed. Not thread-safe: one thread runs a world.
+ * A discrete-event scheduler with virtual time in nanoseconds. Events due at the same nanosecond run in the order in which they were
+ * scheduled, so a run depends on its seed alone. Not thread-safe: one thread runs a world.
  */
 public final class EventScheduler {
 
-  /** A scheduled event, which can be cancelled. */
+  /** A scheduled event that can be cancelled. */
   public static final class Timer implements Comparable<Timer> {
-    private final long at;
-    private final long order;
-    private Runnable what;
+    private final long dueAt;
+    private final long sequence;
+    private Runnable event;
 
-    private Timer(long at, long order, Runnable what) {
-      this.at = at;
-      this.order = order;
-      this.what = what;
+    private Timer(long dueAt, long sequence, Runnable event) {
+      this.dueAt = dueAt;
+      this.sequence = sequence;
+      this.event = event;
     }
 
-    /** Cancels the event; no effect once it has run, or while it does. */
+    /** Cancels the event. Has no effect while the event runs or after it has run. */
     public void cancel() {
-      what = null;
+      event = null;
     }
 
     @Override
     public int compareTo(Timer other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+      return dueAt != other.dueAt
+          ? Long.compare(dueAt, other.dueAt)
+          : Long.compare(sequence, other.sequence);
     }
   }
 
-  /** Events between two checks of whether the run is to end early. */
+  /** Number of events between two checks of whether to stop the run early. */
   private static final int STOP_CHECK_INTERVAL = 1 << 14;
 
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private long now;
-  private long order;
+  private long nextSequence;
   private long processedEvents;
 
-  /** The current virtual time. */
+  /** Returns the current virtual time in nanoseconds. */
   public long now() {
     return now;
   }
 
-  /** Events that have run; cancelled ones do not count. */
+  /** Returns the number of events that have run, without cancelled ones. */
   public long processedEvents() {
     return processedEvents;
   }
 
-  /** Schedules an event at a virtual time; one that is due in the past runs now, after those scheduled before it. */
-  public Timer at(long when, Runnable what) {
-    Timer timer = new Timer(Math.max(now, when), order++, what);
+  /** Schedules an event at a virtual time. An event due in the past runs now, after those already scheduled for now. */
+  public Timer at(long dueNanos, Runnable event) {
+    Timer timer = new Timer(Math.max(now, dueNanos), nextSequence++, event);
     timers.add(timer);
     return timer;
   }
 
   /** Schedules an event after a delay in nanoseconds. */
-  public Timer in(long nanos, Runnable what) {
-    return at(now + nanos, what);
+  public Timer in(long delayNanos, Runnable event) {
+    return at(now + delayNanos, event);
   }
 
-  /** When the next event is due; {@link Long#MAX_VALUE} where there is none. */
-  public long nextAt() {
-    while (!timers.isEmpty() && timers.peek().what == null) {
+  /** Returns the time at which the next event is due, or {@link Long#MAX_VALUE} if there is none. */
+  public long nextEventAt() {
+    while (!timers.isEmpty() && timers.peek().event == null) {
       timers.poll();
     }
-    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
+    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueAt;
   }
 
-  /** Runs all events due before {@code end}; returns false if {@code stop} ended the run before that. */
-  public boolean run(long end, java.util.function.BooleanSupplier stop) {
-    for (Timer next = timers.peek(); next != null && next.at < end; next = timers.peek()) {
+  /** Runs all events due before {@code end}. Returns false if {@code stop} ended the run earlier. */
+  public boolean run(long end, BooleanSupplier stop) {
+    for (Timer next = timers.peek(); next != null && next.dueAt < end; next = timers.peek()) {
       timers.poll();
-      Runnable what = next.what;
-      if (what != null) {
-        now = next.at;
-        next.what = null;
-        what.run();
+      Runnable event = next.event;
+      if (event != null) {
+        now = next.dueAt;
+        next.event = null;
+        event.run();
         if (++processedEvents % STOP_CHECK_INTERVAL == 0 && stop.getAsBoolean()) {
           return false;
         }
--- a/src/main/java/pumicekeel/lab/world/FaultSpec.java
+++ b/src/main/java/pumicekeel/lab/world/FaultSpec.java
@@ -1,44 +1,47 @@
 package pumicekeel.lab.world;
 
 /**
- * A fault of a world and when it strikes: seconds from the start of the run, parts of its fleet from 0 to 1. The brief's ranges ("Seen in service") are the source
- * of the figures in {@link Worlds}.
+ * A fault that a world injects. Times and durations are in seconds, times counted from the start of the run; shares are fractions of the
+ * fleet from 0 to 1. The figures in {@link Worlds} come from the ranges that the operators have observed in service.
  */
 public sealed interface FaultSpec {
 
-  /** Clients ask so many times as much. */
-  record Burst(double from, double to, double times) implements FaultSpec {}
+  /** Multiplies the clients' request rate. */
+  record Burst(double start, double end, double factor) implements FaultSpec {}
 
-  /** A part of the upstreams dies at once and is back cold under the same ids. */
-  record Crash(double at, double part, double backAfter) implements FaultSpec {}
+  /** Upstreams crash at the same time and return cold under the same ids. */
+  record Crash(double start, double share, double downtime) implements FaultSpec {}
 
-  /** A part of the upstreams runs so many times slower. */
-  record Slow(double at, double part, double times, double lasts) implements FaultSpec {}
+  /** Upstreams process work slower by a factor. */
+  record Slow(double start, double share, double factor, double duration) implements FaultSpec {}
 
-  /** A part of the upstreams ends this share of requests at once in errors: an upstream that lies about being well. */
-  record Failing(double at, double part, double share, double lasts) implements FaultSpec {}
+  /** Upstreams end a share of their requests immediately with an error although discovery lists them as ready. */
+  record Failing(double start, double share, double errorShare, double duration)
+      implements FaultSpec {}
 
-  /** What a part of the upstreams answers is not heard: a network cut one way. */
-  record Mute(double at, double part, double lasts) implements FaultSpec {}
+  /** Responses of upstreams are lost while requests still reach them: a partition in one direction. */
+  record ResponseLoss(double start, double share, double duration) implements FaultSpec {}
 
-  /** A zone with all its upstreams is gone, and back cold. */
-  record ZoneLost(double at, int zone, double lasts) implements FaultSpec {}
+  /** All upstreams of a zone crash and return cold. */
+  record ZoneOutage(double start, int zone, double duration) implements FaultSpec {}
 
-  /** A part of the upstreams is drained, ended and replaced by cold ones under new ids, so much of the fleet at a time. */
-  record Deploy(double from, double lasts, double part, double atOnce) implements FaultSpec {}
+  /** Upstreams are drained, stopped and replaced by cold ones with new ids; {@code batchShare} of the fleet at a time. */
+  record Deploy(double start, double duration, double share, double batchShare)
+      implements FaultSpec {}
 
-  /** The fleet shrinks to a part by drains, and what clients ask for shrinks with it. */
-  record Shrink(double from, double lasts, double to) implements FaultSpec {}
+  /** Drains reduce the fleet to a share of its size; the clients' request rate shrinks with it. */
+  record Shrink(double start, double duration, double remainingShare) implements FaultSpec {}
 
-  /** A part of the balancers is restarted, so many at a time, and comes back with the list that it had. */
-  record Restart(double from, double lasts, double part, double atOnce) implements FaultSpec {}
+  /** Balancers are restarted, {@code batchShare} of them at a time, and start with the list that they had. */
+  record Restart(double start, double duration, double share, double batchShare)
+      implements FaultSpec {}
 
-  /** A part of the balancers dies at once; the front layer finds out late. */
-  record BalancerCrash(double at, double part, double backAfter) implements FaultSpec {}
+  /** Balancers crash at the same time; the front layer detects it with a delay. */
+  record BalancerCrash(double start, double share, double downtime) implements FaultSpec {}
 
-  /** News of the list take so long. */
-  record ListLate(double from, double to, double seconds) implements FaultSpec {}
+  /** List updates arrive with this maximum delay. */
+  record ListDelay(double start, double end, double delay) implements FaultSpec {}
 
-  /** Clients ask again up to so many times whatever they were told, without waiting. */
-  record RetryStorm(double from, double to, int tries) implements FaultSpec {}
+  /** Clients retry immediately up to {@code maxRetries} times and ignore Retry-After. */
+  record RetryStorm(double start, double end, int maxRetries) implements FaultSpec {}
 }
--- a/src/main/java/pumicekeel/lab/world/RequestKind.java
+++ b/src/main/java/pumicekeel/lab/world/RequestKind.java
@@ -5,13 +5,19 @@
 import pumicekeel.Balancer.Effect;
 import pumicekeel.Balancer.RequestClass;
 
-/** A class of requests with its part of the traffic and what it costs; the middles of the brief's table. */
-public record RequestKind(RequestClass type, double part, long workNanos, long waitNanos) {
+/**
+ * A request class with its share of the traffic and its costs.
+ *
+ * @param share of all requests, from 0 to 1
+ * @param workNanos mean work, as time on a core of the reference speed
+ * @param waitNanos mean time that a request waits for other systems while it holds its slot
+ */
+public record RequestKind(RequestClass requestClass, double share, long workNanos, long waitNanos) {
 
   private static final long MS = 1_000_000L;
 
-  /** The operators' four classes. */
-  public static final List<RequestKind> BRIEF = List.of(
+  /** The operators' four classes. Shares and costs are the middles of the ranges in their requirements. */
+  public static final List<RequestKind> STANDARD_MIX = List.of(
       kind("rate-lookup", Effect.SAFE, 0, 400, 2_000, 3, 0.29, 21, 52),
       kind("draft-save", Effect.SAFE, 0, 750, 4_000, 2, 0.25, 29, 107),
       kind("quote-issue", Effect.KEYED, 2_000, 750, 3_000, 3, 0.24, 61, 145),
@@ -20,23 +26,32 @@
   private static RequestKind kind(
       String name,
       Effect effect,
-      long dedup,
-      long aim,
-      long deadline,
+      long dedupWindowMs,
+      long aimMs,
+      long deadlineMs,
       double worth,
-      double part,
-      long work,
-      long wait) {
+      double share,
+      long workMs,
+      long waitMs) {
     return new RequestKind(
         new RequestClass(
-            name, effect, DedupScope.CELL, dedup * MS, aim * MS, 0, deadline * MS, worth, 0, false),
-        part,
-        work * MS,
-        wait * MS);
+            name,
+            effect,
+            DedupScope.CELL,
+            dedupWindowMs * MS,
+            aimMs * MS,
+            0,
+            deadlineMs * MS,
+            worth,
+            0,
+            false),
+        share,
+        workMs * MS,
+        waitMs * MS);
   }
 
-  /** Work of a request on average. */
+  /** Returns the mean work of a request in nanoseconds. */
   public static double meanWork(List<RequestKind> kinds) {
-    return kinds.stream().mapToDouble(k -> k.part() * k.workNanos()).sum();
+    return kinds.stream().mapToDouble(kind -> kind.share() * kind.workNanos()).sum();
   }
 }
--- a/src/main/java/pumicekeel/lab/world/Server.java
+++ b/src/main/java/pumicekeel/lab/world/Server.java
@@ -11,72 +11,80 @@
 import pumicekeel.Balancer.Status;
 
 /**
- * One upstream: a fixed number of slots in front of cores that all requests in work share evenly (processor sharing; with as many
- * slots as cores it is the plain M/M/c queue). A request takes work on a core and then waits for others, holding its slot. What was
- * begun runs to its end, whoever still wants it.
+ * Model of one upstream: a fixed number of slots in front of cores that all running requests share evenly (processor sharing; with as
+ * many slots as cores it is the plain M/M/c queue). A request does its work on a core and then waits for other systems while it holds
+ * its slot. A started request runs to its end even if nobody waits for it any more.
  *
- * <p>Assumptions: the cores share evenly and at no cost up to four requests a core, beyond it at {@code thrash} (BENCH: "holding too
- * many makes it less efficient"); capacity of a cold one rises evenly with time (BENCH); a key met lately saves a stated part of the
- * work (BRIEF); repeats of a key are dropped by the servers of a cell for the class's time, at no work (BRIEF).
+ * <p>Assumptions: sharing a core costs nothing up to four requests per core and {@code contentionCost} for each one beyond (the operators'
+ * simulator: holding too many requests makes an upstream less efficient); the capacity of a cold upstream rises linearly with time (the
+ * operators' simulator); a recently used session key saves a fixed share of the work, and the servers of a cell drop repeats of an
+ * idempotency key within the class's dedup window without any work (both from the operators' requirements).
  */
 public final class Server {
 
-  /** Who sent a request. */
-  public interface Sender {
+  /** Receives the progress of a request. */
+  public interface JobListener {
 
-    /** It begins to run. */
-    void begins();
+    /** The request starts to run. */
+    void onStart();
 
-    /** It has ended; {@code work} is what was done for it, at the yardstick's speed. */
-    void ended(Status status, double work);
+    /** The request has ended; {@code work} was done for it, in nanoseconds on a core of the reference speed. */
+    void onEnd(Status status, double work);
   }
 
-  /** A request as an upstream sees it. {@code work} at the yardstick's speed, before what a remembered key saves. */
+  /**
+   * A request as an upstream sees it.
+   *
+   * @param work in nanoseconds on a core of the reference speed, without the saving of a remembered session key
+   * @param waitNanos time in which the request waits for other systems after its work
+   */
   public record Job(
-      String key,
-      String effectKey,
+      String sessionKey,
+      String idempotencyKey,
       Effect effect,
-      long dedupNanos,
+      long dedupWindowNanos,
       double work,
       long waitNanos,
-      Sender sender) {}
+      JobListener listener) {}
 
-  private static final class Running implements Comparable<Running> {
+  /** A request that does its work, or the work of a new connection's handshake if {@code job} is null. */
+  private static final class RunningJob implements Comparable<RunningJob> {
     private final Job job;
-    private final double until;
+    private final double finishAtService;
     private final long order;
     private final double work;
 
-    private Running(Job job, double until, double work, long order) {
+    private RunningJob(Job job, double finishAtService, double work, long order) {
       this.job = job;
-      this.until = until;
+      this.finishAtService = finishAtService;
       this.work = work;
       this.order = order;
     }
 
     @Override
-    public int compareTo(Running other) {
-      return until != other.until
-          ? Double.compare(until, other.until)
+    public int compareTo(RunningJob other) {
+      return finishAtService != other.finishAtService
+          ? Double.compare(finishAtService, other.finishAtService)
           : Long.compare(order, other.order);
     }
   }
 
-  /** What all servers of a cell remember together: when a keyed request first ran, and of which effect. */
+  /** State that all servers of a cell share: when each keyed request first ran. */
   public static final class Cell {
-    private final Map<String, Long> ran = new HashMap<>();
+    private final Map<String, Long> firstRunAt = new HashMap<>();
 
-    /** Whether it ran here within the time that it is remembered for. */
-    private boolean drops(String key, long now, long window) {
-      Long at = ran.get(key);
-      return at != null && now - at <= window;
+    /** Returns whether the request has run in this cell within the dedup window. */
+    private boolean isDuplicate(String idempotencyKey, long now, long window) {
+      Long ranAt = firstRunAt.get(idempotencyKey);
+      return ranAt != null && now - ranAt <= window;
     }
   }
 
-  /** A cold server's speed is looked at so often. */
-  private static final long WARMING_STEP = 100_000_000L;
+  /** Interval at which the speed of a cold server is recalculated. */
+  private static final long WARM_UP_STEP_NANOS = 100_000_000L;
 
-  private static final int FREE_PER_CORE = 4;
+  /** Requests per core that share the cores without {@code contentionCost}. */
+  private static final int EFFICIENT_JOBS_PER_CORE = 4;
 
   public final long id;
   public final String zone;
@@ -84,25 +92,28 @@
   private final ServerSpec spec;
   private final Cell cell;
   private final EventScheduler scheduler;
-  private final PriorityQueue<Running> running = new PriorityQueue<>();
-  private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-  private final LinkedHashMap<String, Long> keys;
-  /** Jobs that have a slot and have done their work, or wait on others. */
-  private final List<Job> holding = new ArrayList<>();
-
-  private double served;
-  private long servedAt;
-  private long order;
-  private EventScheduler.Timer next;
+  private final PriorityQueue<RunningJob> running = new PriorityQueue<>();
+  private final ArrayDeque<Job> queued = new ArrayDeque<>();
+  private final LinkedHashMap<String, Long> keyLastUsedAt;
+  /** Jobs that have done their work and hold their slot while they wait for other systems. */
+  private final List<Job> inExternalWait = new ArrayList<>();
+
+  /** Work that a job running since the beginning would have got; a job is done when this reaches its {@code finishAtService}. */
+  private double attainedService;
+
+  private long advancedAt;
+  private long nextOrder;
+  private EventScheduler.Timer nextStep;
   private long startedAt;
   private boolean up = true;
-  private boolean mute;
-  private double slowness = 1;
-  private double failing;
+  private boolean responsesLost;
+  private double slowdown = 1;
+  private double failureShare;
   private int connections;
-  private int life;
+  private int incarnation;
   private double workDone;
 
+  /** Creates a server; a negative {@code startedAt} means that it is warm. */
   public Server(
       long id,
       String zone,
@@ -118,253 +129,265 @@
     this.cell = cell;
     this.scheduler = scheduler;
     this.startedAt = startedAt;
-    servedAt = scheduler.now();
-    int most = spec.keys();
-    keys = new LinkedHashMap<>(16, 0.75f, true) {
+    advancedAt = scheduler.now();
+    int maxKeys = spec.maxKeys();
+    keyLastUsedAt = new LinkedHashMap<>(16, 0.75f, true) {
       private static final long serialVersionUID = 1L;
 
       @Override
       protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-        return size() > most;
+        return size() > maxKeys;
       }
     };
   }
 
-  // What is known of it
+  // State
 
+  /** Returns the properties of this server. */
   public ServerSpec spec() {
     return spec;
   }
 
+  /** Returns whether the process runs. */
   public boolean up() {
     return up;
   }
 
-  /** When it was started; negative for long ago. */
+  /** Returns the time of the last start; negative if the server is warm since before the run. */
   public long startedAt() {
     return startedAt;
   }
 
-  /** Requests that it holds, waiting ones too. */
+  /** Returns the number of requests that it holds, including queued ones. */
   public int held() {
-    return running.size() + holding.size() + waiting.size();
+    return running.size() + inExternalWait.size() + queued.size();
   }
 
-  /** Work that it has done, in the yardstick's nanoseconds. */
+  /** Returns the work that it has done, in nanoseconds on a core of the reference speed. */
   public double workDone() {
     return workDone;
   }
 
-  /** The part of its capacity that it has by being warm. */
+  /** Returns the share of its full capacity that it has reached since its start. */
   public double warmth(long now) {
-    return startedAt < 0 || spec.warmNanos() == 0
+    return startedAt < 0 || spec.warmUpNanos() == 0
         ? 1
         : Math.min(
-            1, spec.coldFrom() + (1 - spec.coldFrom()) * (now - startedAt) / spec.warmNanos());
+            1, spec.coldFrom() + (1 - spec.coldFrom()) * (now - startedAt) / spec.warmUpNanos());
   }
 
-  // What happens to it
+  // Faults and requests
 
-  /** It ends without a word: what it holds is reset, and nothing more gets through. */
+  /** Crashes: all requests that it holds are reset, and new ones too. */
   public void crash() {
     if (!up) {
       return;
     }
     advance();
     up = false;
-    life++;
-    List<Job> lost = new ArrayList<>(holding);
-    running.forEach(r -> lost.add(r.job));
-    lost.addAll(waiting);
-    holding.clear();
+    incarnation++;
+    List<Job> lost = new ArrayList<>(inExternalWait);
+    running.forEach(runningJob -> lost.add(runningJob.job));
+    lost.addAll(queued);
+    inExternalWait.clear();
     running.clear();
-    waiting.clear();
-    keys.clear();
+    queued.clear();
+    keyLastUsedAt.clear();
     connections = 0;
     reschedule();
-    lost.stream().filter(j -> j != null).forEach(j -> j.sender().ended(Status.RESET, 0));
+    lost.stream().filter(job -> job != null).forEach(job -> job.listener().onEnd(Status.RESET, 0));
   }
 
-  /** It is back, cold. */
+  /** Starts again, cold. */
   public void restart() {
     up = true;
     startedAt = scheduler.now();
-    slowness = 1;
-    failing = 0;
-    servedAt = scheduler.now();
+    slowdown = 1;
+    failureShare = 0;
+    advancedAt = scheduler.now();
   }
 
-  /** From now on each of its cores is so many times slower. */
-  public void slow(double times) {
+  /** Makes each core slower by a factor from now on; 1 is the normal speed. */
+  public void slow(double factor) {
     advance();
-    slowness = times;
+    slowdown = factor;
     reschedule();
   }
 
-  /** From now on this part of its requests ends at once in an error, having run. */
-  public void fail(double part) {
-    failing = part;
+  /** Makes a share of the requests end in an error from now on, 1 ms after they start to run. */
+  public void fail(double share) {
+    failureShare = share;
   }
 
-  /** From now on nothing of what it says is heard, or all is again; it works on. */
-  public void mute(boolean silent) {
-    mute = silent;
+  /** Sets whether responses are lost from now on. Requests still arrive and run. */
+  public void loseResponses(boolean lost) {
+    responsesLost = lost;
   }
 
-  /** A new connection; false where it takes no more. */
+  /** Opens a connection. Returns false if the server is down or has reached its limit. */
   public boolean connect() {
-    if (!up || connections >= spec.connections()) {
+    if (!up || connections >= spec.maxConnections()) {
       return false;
     }
     connections++;
-    if (spec.handshakeNanos() > 0) {
+    if (spec.handshakeWorkNanos() > 0) {
       advance();
-      running.add(
-          new Running(null, served + spec.handshakeNanos(), spec.handshakeNanos(), order++));
+      running.add(new RunningJob(
+          null,
+          attainedService + spec.handshakeWorkNanos(),
+          spec.handshakeWorkNanos(),
+          nextOrder++));
       reschedule();
     }
     return true;
   }
 
+  /** Closes a connection. */
   public void disconnect() {
     connections = Math.max(0, connections - 1);
   }
 
-  /** A request arrives; the reply says how it ended, at once for one that is turned away. */
+  /** Accepts a request. The job's listener is told how it ends, within this call if the request is rejected or reset. */
   public void submit(Job job, RandomStream random) {
     if (!up) {
-      job.sender().ended(Status.RESET, 0);
-    } else if (running.size() + holding.size() >= spec.slots()) {
-      if (waiting.size() >= spec.queue()) {
-        job.sender().ended(Status.FULL, 0);
+      job.listener().onEnd(Status.RESET, 0);
+    } else if (running.size() + inExternalWait.size() >= spec.slots()) {
+      if (queued.size() >= spec.queueLength()) {
+        job.listener().onEnd(Status.FULL, 0);
       } else {
-        waiting.add(job);
+        queued.add(job);
       }
-    } else if (failing > 0 && random.uniform() < failing) {
-      note(job);
-      int of = life;
+    } else if (failureShare > 0 && random.uniform() < failureShare) {
+      recordStart(job);
+      int ownIncarnation = incarnation;
       scheduler.in(1_000_000L, () -> {
-        if (of == life) {
-          reply(job, Status.ERROR, 0);
+        if (ownIncarnation == incarnation) {
+          respond(job, Status.ERROR, 0);
         }
       });
     } else {
-      begin(job);
+      start(job);
     }
   }
 
-  private void begin(Job job) {
+  private void start(Job job) {
     advance();
-    run(job);
+    execute(job);
     reschedule();
   }
 
-  private void run(Job job) {
-    boolean repeat = job.effect() == Effect.KEYED
-        && cell.drops(job.effectKey(), scheduler.now(), job.dedupNanos());
-    note(job);
-    double work = repeat ? 0 : job.work() * (1 - (knows(job.key()) ? spec.keySaving() : 0));
-    running.add(new Running(job, served + work, work, order++));
+  private void execute(Job job) {
+    boolean duplicate = job.effect() == Effect.KEYED
+        && cell.isDuplicate(job.idempotencyKey(), scheduler.now(), job.dedupWindowNanos());
+    recordStart(job);
+    double work =
+        duplicate ? 0 : job.work() * (1 - (remembers(job.sessionKey()) ? spec.keyHitSaving() : 0));
+    running.add(new RunningJob(job, attainedService + work, work, nextOrder++));
   }
 
-  private void note(Job job) {
-    job.sender().begins();
+  private void recordStart(Job job) {
+    job.listener().onStart();
     if (job.effect() == Effect.KEYED) {
-      cell.ran.putIfAbsent(job.effectKey(), scheduler.now());
+      cell.firstRunAt.putIfAbsent(job.idempotencyKey(), scheduler.now());
     }
   }
 
-  private boolean knows(String key) {
-    if (key == null || spec.keys() == 0) {
+  private boolean remembers(String sessionKey) {
+    if (sessionKey == null || spec.maxKeys() == 0) {
       return false;
     }
-    Long at = keys.put(key, scheduler.now());
-    return at != null && scheduler.now() - at <= spec.keyMemoryNanos();
+    Long lastUsedAt = keyLastUsedAt.put(sessionKey, scheduler.now());
+    return lastUsedAt != null && scheduler.now() - lastUsedAt <= spec.keyRetentionNanos();
   }
 
-  private void reply(Job job, Status status, double work) {
-    if (!mute) {
-      job.sender().ended(status, work);
+  private void respond(Job job, Status status, double work) {
+    if (!responsesLost) {
+      job.listener().onEnd(status, work);
     }
   }
 
-  // Sharing the cores
+  // Processor sharing
 
-  /** Work that each request gets done in a second of time. */
-  private double rate() {
-    int in = running.size();
-    if (in == 0 || !up) {
+  /** Returns the work that each running request gets per nanosecond. */
+  private double currentRate() {
+    int runningJobs = running.size();
+    if (runningJobs == 0 || !up) {
       return 0;
     }
-    double crowd = Math.max(0, in + holding.size() - FREE_PER_CORE * spec.cores());
+    double excessJobs =
+        Math.max(0, runningJobs + inExternalWait.size() - EFFICIENT_JOBS_PER_CORE * spec.cores());
     return spec.speed()
         * warmth(scheduler.now())
-        / slowness
-        * Math.min(1, spec.cores() / (double) in)
-        / (1 + spec.thrash() * crowd);
+        / slowdown
+        * Math.min(1, spec.cores() / (double) runningJobs)
+        / (1 + spec.contentionCost() * excessJobs);
   }
 
-  private double ratedAt;
+  private double ratePerJob;
 
-  /** Books the work that was done since the last change. */
+  /** Accounts for the work done since the last change. */
   private void advance() {
     long now = scheduler.now();
-    double done = (now - servedAt) * ratedAt;
-    served += done;
+    double done = (now - advancedAt) * ratePerJob;
+    attainedService += done;
     workDone += done * running.size();
-    servedAt = now;
+    advancedAt = now;
   }
 
   private void reschedule() {
-    if (next != null) {
-      next.cancel();
-      next = null;
+    if (nextStep != null) {
+      nextStep.cancel();
+      nextStep = null;
     }
-    ratedAt = rate();
-    if (running.isEmpty() || ratedAt == 0) {
+    ratePerJob = currentRate();
+    if (running.isEmpty() || ratePerJob == 0) {
       return;
     }
-    long takes = (long) Math.ceil(Math.max(0, running.peek().until - served) / ratedAt);
-    boolean warming = warmth(scheduler.now()) < 1;
-    next = scheduler.in(warming ? Math.min(takes, WARMING_STEP) : takes, this::step);
+    long untilNextNanos = (long)
+        Math.ceil(Math.max(0, running.peek().finishAtService - attainedService) / ratePerJob);
+    boolean warmingUp = warmth(scheduler.now()) < 1;
+    nextStep = scheduler.in(
+        warmingUp ? Math.min(untilNextNanos, WARM_UP_STEP_NANOS) : untilNextNanos,
+        this::completeDueJobs);
   }
 
-  private void step() {
-    next = null;
+  private void completeDueJobs() {
+    nextStep = null;
     advance();
-    // The grain of a nanosecond, so that one that is due is not left for another round.
-    double grain = Math.max(1e-6, served * 1e-12) + ratedAt;
-    while (!running.isEmpty() && running.peek().until <= served + grain) {
-      Running done = running.poll();
+    // Time has a resolution of 1 ns: without the tolerance a due job could be left for another
+    // round.
+    double tolerance = Math.max(1e-6, attainedService * 1e-12) + ratePerJob;
+    while (!running.isEmpty() && running.peek().finishAtService <= attainedService + tolerance) {
+      RunningJob done = running.poll();
       if (done.job != null) {
-        afterWork(done.job, done.work);
+        finishWork(done.job, done.work);
       }
     }
     reschedule();
   }
 
-  private void afterWork(Job job, double work) {
+  private void finishWork(Job job, double work) {
     if (job.waitNanos() == 0) {
-      leave(job, work);
+      complete(job, work);
       return;
     }
-    holding.add(job);
-    int of = life;
+    inExternalWait.add(job);
+    int ownIncarnation = incarnation;
     scheduler.in(job.waitNanos(), () -> {
-      if (of == life) {
+      if (ownIncarnation == incarnation) {
         advance();
-        holding.remove(job);
-        leave(job, work);
+        inExternalWait.remove(job);
+        complete(job, work);
         reschedule();
       }
     });
   }
 
-  /** Its slot is free again; the next one that waits takes it. */
-  private void leave(Job job, double work) {
-    if (!waiting.isEmpty()) {
-      run(waiting.poll());
+  /** Ends a request and gives its slot to the next queued one. */
+  private void complete(Job job, double work) {
+    if (!queued.isEmpty()) {
+      execute(queued.poll());
     }
-    reply(job, Status.SERVED, work);
+    respond(job, Status.SERVED, work);
   }
 }
--- a/src/main/java/pumicekeel/lab/world/WorldSpec.java
+++ b/src/main/java/pumicekeel/lab/world/WorldSpec.java
@@ -3,17 +3,19 @@
 import java.util.List;
 
 /**
- * A world without its seed.
+ * The parameters of a world without its seed.
  *
- * @param load what clients ask for, as a part of what the upstreams could do if no key were ever remembered
- * @param keysPerServer distinct keys for each upstream; {@code keySkew} is the exponent of Zipf's law
- * @param zones data centres over which upstreams and balancers are spread; a way to another costs {@code zoneNanos}
- * @param cellSize upstreams that drop each other's repeats
- * @param listNanos how late news of the list are at most
- * @param frontNanos how long the front layer goes on sending to a dead balancer
- * @param retryPart clients that ask once more after a failure or a refusal
- * @param followPart those among them that wait as long as they were told
- * @param weighed whether lists tell each upstream's size, roughly
+ * @param load work that clients request, relative to what the upstreams can do if they remember no session keys
+ * @param keysPerServer number of distinct session keys per upstream
+ * @param keySkew exponent of Zipf's law by which session keys are drawn
+ * @param zones number of data centres over which upstreams and balancers are spread
+ * @param crossZoneNanos additional one-way latency to another zone
+ * @param cellSize number of upstreams that drop each other's repeats
+ * @param maxListDelayNanos maximum delay of a list update
+ * @param maxFrontDelayNanos maximum time for which the front layer sends to a crashed balancer
+ * @param retryShare share of requests whose client retries once after a failure or a refusal
+ * @param honorRetryAfterShare share of clients that wait for the time given in Retry-After
+ * @param weightedLists whether lists contain each upstream's approximate size
  */
 public record WorldSpec(
     String name,
@@ -24,32 +26,39 @@
     double keysPerServer,
     double keySkew,
     int zones,
-    long zoneNanos,
+    long crossZoneNanos,
     int cellSize,
-    long listNanos,
-    long frontNanos,
-    double retryPart,
-    double followPart,
-    boolean weighed,
+    long maxListDelayNanos,
+    long maxFrontDelayNanos,
+    double retryShare,
+    double honorRetryAfterShare,
+    boolean weightedLists,
     List<FaultSpec> faults) {
 
-  public static final int MOST_BALANCERS = 1_000;
-  public static final int MOST_SERVERS = 20_000;
+  /** Maximum number of balancers. */
+  public static final int MAX_BALANCERS = 1_000;
+  /** Maximum number of upstreams. */
+  public static final int MAX_SERVERS = 20_000;
 
+  /** Checks the ranges of the parameters. */
   public WorldSpec {
     faults = List.copyOf(faults);
     check(
-        balancers >= 1 && balancers <= MOST_BALANCERS,
+        balancers >= 1 && balancers <= MAX_BALANCERS,
         "balancers",
-        "1 to " + MOST_BALANCERS,
+        "1 to " + MAX_BALANCERS,
         balancers);
-    check(servers >= 1 && servers <= MOST_SERVERS, "servers", "1 to " + MOST_SERVERS, servers);
+    check(servers >= 1 && servers <= MAX_SERVERS, "servers", "1 to " + MAX_SERVERS, servers);
     check(seconds > 0 && seconds <= 3_600, "seconds", "above 0 and at most 3600", seconds);
     check(load > 0 && load <= 100, "load", "above 0 and at most 100", load);
     check(keysPerServer >= 0, "keys-per-server", "0 or more", keysPerServer);
     check(zones >= 1 && zones <= servers, "zones", "1 to the number of servers", zones);
-    check(retryPart >= 0 && retryPart <= 1, "retry-part", "0 to 1", retryPart);
-    check(followPart >= 0 && followPart <= 1, "follow-part", "0 to 1", followPart);
+    check(retryShare >= 0 && retryShare <= 1, "retry-part", "0 to 1", retryShare);
+    check(
+        honorRetryAfterShare >= 0 && honorRetryAfterShare <= 1,
+        "follow-part",
+        "0 to 1",
+        honorRetryAfterShare);
   }
 
   private static void check(boolean holds, String key, String expected, Object got) {
@@ -58,6 +67,7 @@
     }
   }
 
+  /** Returns this world at another size. */
   public WorldSpec withSize(int newBalancers, int newServers) {
     return new WorldSpec(
         name,
@@ -68,37 +78,39 @@
         keysPerServer,
         keySkew,
         Math.min(zones, newServers),
-        zoneNanos,
+        crossZoneNanos,
         cellSize,
-        listNanos,
-        frontNanos,
-        retryPart,
-        followPart,
-        weighed,
+        maxListDelayNanos,
+        maxFrontDelayNanos,
+        retryShare,
+        honorRetryAfterShare,
+        weightedLists,
         faults);
   }
 
-  public WorldSpec withSeconds(double next) {
+  /** Returns this world with another duration. */
+  public WorldSpec withSeconds(double newSeconds) {
     return new WorldSpec(
         name,
         balancers,
         servers,
-        next,
+        newSeconds,
         load,
         keysPerServer,
         keySkew,
         zones,
-        zoneNanos,
+        crossZoneNanos,
         cellSize,
-        listNanos,
-        frontNanos,
-        retryPart,
-        followPart,
-        weighed,
+        maxListDelayNanos,
+        maxFrontDelayNanos,
+        retryShare,
+        honorRetryAfterShare,
+        weightedLists,
         faults);
   }
 
-  public WorldSpec withFaults(List<FaultSpec> next) {
+  /** Returns this world with other faults. */
+  public WorldSpec withFaults(List<FaultSpec> newFaults) {
     return new WorldSpec(
         name,
         balancers,
@@ -108,40 +120,44 @@
         keysPerServer,
         keySkew,
         zones,
-        zoneNanos,
+        crossZoneNanos,
         cellSize,
-        listNanos,
-        frontNanos,
-        retryPart,
-        followPart,
-        weighed,
-        next);
+        maxListDelayNanos,
+        maxFrontDelayNanos,
+        retryShare,
+        honorRetryAfterShare,
+        weightedLists,
+        newFaults);
   }
 
   /**
-   * This world with one figure changed.
+   * Returns this world with one parameter changed.
    *
-   * @param key one of {@link #SWEPT}
-   * @throws IllegalArgumentException naming what is expected, for another key or a value out of range
+   * @param key one of {@link #SWEEPABLE}
+   * @throws IllegalArgumentException for another key or a value out of range; its message says what is expected
    */
   public WorldSpec with(String key, double value) {
     return switch (key) {
-      case "load" -> withSwept(value, keysPerServer, listNanos, retryPart, followPart);
-      case "keys-per-server" -> withSwept(load, value, listNanos, retryPart, followPart);
+      case "load" ->
+        withSweepable(value, keysPerServer, maxListDelayNanos, retryShare, honorRetryAfterShare);
+      case "keys-per-server" ->
+        withSweepable(load, value, maxListDelayNanos, retryShare, honorRetryAfterShare);
       case "list-late-s" ->
-        withSwept(load, keysPerServer, (long) (value * 1e9), retryPart, followPart);
-      case "retry-part" -> withSwept(load, keysPerServer, listNanos, value, followPart);
-      case "follow-part" -> withSwept(load, keysPerServer, listNanos, retryPart, value);
-      default -> throw new IllegalArgumentException(key + ": expected one of " + SWEPT);
+        withSweepable(load, keysPerServer, (long) (value * 1e9), retryShare, honorRetryAfterShare);
+      case "retry-part" ->
+        withSweepable(load, keysPerServer, maxListDelayNanos, value, honorRetryAfterShare);
+      case "follow-part" ->
+        withSweepable(load, keysPerServer, maxListDelayNanos, retryShare, value);
+      default -> throw new IllegalArgumentException(key + ": expected one of " + SWEEPABLE);
     };
   }
 
-  private WorldSpec withSwept(
+  private WorldSpec withSweepable(
       double newLoad,
       double newKeysPerServer,
-      long newListNanos,
-      double newRetryPart,
-      double newFollowPart) {
+      long newMaxListDelayNanos,
+      double newRetryShare,
+      double newHonorRetryAfterShare) {
     return new WorldSpec(
         name,
         balancers,
@@ -151,17 +167,17 @@
         newKeysPerServer,
         keySkew,
         zones,
-        zoneNanos,
+        crossZoneNanos,
         cellSize,
-        newListNanos,
-        frontNanos,
-        newRetryPart,
-        newFollowPart,
-        weighed,
+        newMaxListDelayNanos,
+        maxFrontDelayNanos,
+        newRetryShare,
+        newHonorRetryAfterShare,
+        weightedLists,
         faults);
   }
 
-  /** What can be swept. */
-  public static final List<String> SWEPT =
+  /** Names of the parameters that an experiment can sweep. */
+  public static final List<String> SWEEPABLE =
       List.of("load", "keys-per-server", "list-late-s", "retry-part", "follow-part");
 }
--- a/src/main/java/pumicekeel/lab/world/Worlds.java
+++ b/src/main/java/pumicekeel/lab/world/Worlds.java
@@ -4,69 +4,73 @@
 import java.util.List;
 import java.util.Map;
 
-/** Worlds by name; figures are the middles of the brief's ranges. */
+/** The named worlds. Their figures are the middles of the ranges in the operators' requirements. */
 public final class Worlds {
 
   private static final long MS = 1_000_000L;
-  /** Worlds after the days of the standing test (STANDING): lists tell sizes there. */
-  private static final String MASS = "mass-";
+
+  /** Prefix of the worlds that follow the scenarios of the standing test; their lists contain the upstreams' sizes. */
+  private static final String MASS_PREFIX = "mass-";
 
   private static final Map<String, List<FaultSpec>> FAULTS = faults();
 
   private Worlds() {}
 
   private static Map<String, List<FaultSpec>> faults() {
-    Map<String, List<FaultSpec>> t = new LinkedHashMap<>();
-    t.put("calm", List.of());
-    t.put("burst", List.of(new FaultSpec.Burst(15, 30, 2)));
-    t.put("shrink", List.of(new FaultSpec.Shrink(12, 16, 0.45)));
-    t.put("rolling-restart", List.of(new FaultSpec.Restart(10, 18, 0.96, 0.3)));
-    t.put("rolling-deploy", List.of(new FaultSpec.Deploy(8, 30, 0.95, 0.18)));
-    t.put("quarter-crashed", List.of(new FaultSpec.Crash(15, 0.25, 15)));
-    t.put("fifth-slow", List.of(new FaultSpec.Slow(12, 0.2, 6, 20)));
-    t.put("zone-lost", List.of(new FaultSpec.ZoneLost(15, 1, 20)));
-    t.put(
+    Map<String, List<FaultSpec>> faults = new LinkedHashMap<>();
+    faults.put("calm", List.of());
+    faults.put("burst", List.of(new FaultSpec.Burst(15, 30, 2)));
+    faults.put("shrink", List.of(new FaultSpec.Shrink(12, 16, 0.45)));
+    faults.put("rolling-restart", List.of(new FaultSpec.Restart(10, 18, 0.96, 0.3)));
+    faults.put("rolling-deploy", List.of(new FaultSpec.Deploy(8, 30, 0.95, 0.18)));
+    faults.put("quarter-crashed", List.of(new FaultSpec.Crash(15, 0.25, 15)));
+    faults.put("fifth-slow", List.of(new FaultSpec.Slow(12, 0.2, 6, 20)));
+    faults.put("zone-lost", List.of(new FaultSpec.ZoneOutage(15, 1, 20)));
+    faults.put(
         "lists-late",
-        List.of(new FaultSpec.ListLate(0, 60, 6), new FaultSpec.Deploy(8, 30, 0.6, 0.18)));
-    t.put(
+        List.of(new FaultSpec.ListDelay(0, 60, 6), new FaultSpec.Deploy(8, 30, 0.6, 0.18)));
+    faults.put(
         "retry-storm",
         List.of(new FaultSpec.Burst(15, 25, 1.6), new FaultSpec.RetryStorm(0, 60, 3)));
-    t.put("balancers-crashed", List.of(new FaultSpec.BalancerCrash(15, 0.3, 8)));
-    t.put("failing", List.of(new FaultSpec.Failing(12, 0.15, 0.9, 20)));
-    t.put("mute", List.of(new FaultSpec.Mute(12, 0.15, 10)));
-    t.put(
+    faults.put("balancers-crashed", List.of(new FaultSpec.BalancerCrash(15, 0.3, 8)));
+    faults.put("failing", List.of(new FaultSpec.Failing(12, 0.15, 0.9, 20)));
+    faults.put("mute", List.of(new FaultSpec.ResponseLoss(12, 0.15, 10)));
+    faults.put(
         "crash-and-burst",
         List.of(new FaultSpec.Crash(15, 0.25, 15), new FaultSpec.Burst(18, 30, 1.5)));
-    t.put(
+    faults.put(
         "restart-and-slow",
         List.of(new FaultSpec.Restart(10, 18, 0.96, 0.3), new FaultSpec.Slow(12, 0.2, 6, 20)));
-    t.put("mass-calm", List.of(new FaultSpec.Burst(15, 25, 1.5)));
-    t.put(
+    faults.put("mass-calm", List.of(new FaultSpec.Burst(15, 25, 1.5)));
+    faults.put(
         "mass-roll",
         List.of(
             new FaultSpec.Deploy(8, 20, 0.5, 0.1),
             new FaultSpec.Restart(8, 25, 1, 0.1),
-            new FaultSpec.Mute(12, 0.05, 15)));
-    t.put(
+            new FaultSpec.ResponseLoss(12, 0.05, 15)));
+    faults.put(
         "mass-herd",
         List.of(
-            new FaultSpec.ListLate(10, 18, 8),
+            new FaultSpec.ListDelay(10, 18, 8),
             new FaultSpec.Deploy(16, 15, 0.5, 0.1),
             new FaultSpec.BalancerCrash(20, 0.7, 3),
             new FaultSpec.Failing(12, 0.125, 0.9, 20)));
-    t.put(
+    faults.put(
         "mass-zone",
-        List.of(new FaultSpec.ZoneLost(15, 1, 5), new FaultSpec.Slow(12, 0.125, 6, 20)));
-    t.put("mass-split", List.of(new FaultSpec.Mute(15, 0.2, 6), new FaultSpec.ListLate(14, 22, 4)));
-    t.put("mass-join", List.of(new FaultSpec.Deploy(8, 7, 0.6, 0.02)));
-    return t;
+        List.of(new FaultSpec.ZoneOutage(15, 1, 5), new FaultSpec.Slow(12, 0.125, 6, 20)));
+    faults.put(
+        "mass-split",
+        List.of(new FaultSpec.ResponseLoss(15, 0.2, 6), new FaultSpec.ListDelay(14, 22, 4)));
+    faults.put("mass-join", List.of(new FaultSpec.Deploy(8, 7, 0.6, 0.02)));
+    return faults;
   }
 
+  /** Returns the names of all worlds. */
   public static List<String> names() {
     return List.copyOf(FAULTS.keySet());
   }
 
-  /** A world by name, of this size; null for no such name. */
+  /** Returns the named world at the given size, or null if there is no such world. */
   public static WorldSpec of(String name, int balancers, int servers) {
     List<FaultSpec> faults = FAULTS.get(name);
     if (faults == null) {
@@ -88,7 +92,7 @@
         2_000 * MS,
         0.7,
         0.5,
-        name.startsWith(MASS),
+        name.startsWith(MASS_PREFIX),
         faults);
   }
 }
--- a/src/test/java/pumicekeel/lab/world/EventSchedulerTest.java
+++ b/src/test/java/pumicekeel/lab/world/EventSchedulerTest.java
@@ -8,14 +8,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Virtual time. */
+/** Tests order, cancellation and time of the scheduler. */
 class EventSchedulerTest {
 
   private final EventScheduler scheduler = new EventScheduler();
   private final List<String> log = new ArrayList<>();
 
   @Test
-  void whatIsDueTogetherHappensInTheOrderOfItsAsking() {
+  void simultaneousEventsRunInTheOrderOfScheduling() {
     scheduler.at(5, () -> {
       log.add("a");
       scheduler.at(5, () -> log.add("c"));
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void timerTakenBackDoesNotHappenAndOneTakenBackWhileItDoesHas() {
+  void cancelledEventDoesNotRunAndCancellingARunningEventHasNoEffect() {
     EventScheduler.Timer[] own = new EventScheduler.Timer[1];
     EventScheduler.Timer other = scheduler.at(2, () -> log.add("other"));
     own[0] = scheduler.at(1, () -> {
@@ -41,14 +41,14 @@
   }
 
   @Test
-  void hourOfNothingIsAnHourAndALongRunCanBeStopped() {
+  void runWithoutEventsAdvancesTheClockAndALongRunCanBeStopped() {
     scheduler.run(3_600_000_000_000L, () -> false);
     assertEquals(3_600_000_000_000L, scheduler.now());
-    again();
+    reschedule();
     assertFalse(scheduler.run(Long.MAX_VALUE, () -> scheduler.processedEvents() > 100_000));
   }
 
-  private void again() {
-    scheduler.in(1, this::again);
+  private void reschedule() {
+    scheduler.in(1, this::reschedule);
   }
 }
