--- a/src/main/java/pumicekeel/cli/LabCommand.java
+++ b/src/main/java/pumicekeel/cli/LabCommand.java
@@ -300,19 +300,20 @@
       }
       out.printf(
           "%d requests, %d tries, %d served, %d refused, %d failed, %d found no upstream; %d events in %.1f s%n",
-          f.asked(),
+          f.requests(),
           f.tries(),
           f.served(),
           f.refused(),
           f.failed(),
-          f.unreached(),
+          f.unreachable(),
           f.events(),
           (System.nanoTime() - from) / 1e9);
-      f.broken().forEach((rule, times) -> out.println("broken: " + rule + ", " + times + " times"));
-      if (f.first() != null) {
-        out.println("first: " + f.first());
+      f.violations()
+          .forEach((rule, times) -> out.println("broken: " + rule + ", " + times + " times"));
+      if (f.firstViolation() != null) {
+        out.println("first: " + f.firstViolation());
       }
-      return f.broken().isEmpty() ? 0 : 1;
+      return f.violations().isEmpty() ? 0 : 1;
     }
   }
 
@@ -351,7 +352,7 @@
       out.printf(
           "%-10s %9d %9.4f %9.4f %9.4f %9.1f %9.1f%n",
           "virtual",
-          model.asked(),
+          model.requests(),
           served,
           model.get("refused-part"),
           model.worth(),
--- a/src/main/java/pumicekeel/lab/experiment/Comparison.java
+++ b/src/main/java/pumicekeel/lab/experiment/Comparison.java
@@ -47,7 +47,7 @@
    */
   public static List<Line> of(
       List<Result> a, String policyA, List<Result> b, String policyB, String metric) {
-    boolean less = Figures.lessIsBetter(metric);
+    boolean less = Figures.lowerIsBetter(metric);
     Map<String, Result> first = new LinkedHashMap<>();
     a.stream()
         .filter(r -> r.ok() && (policyA == null || r.run().policy().equals(policyA)))
--- a/src/main/java/pumicekeel/lab/experiment/Report.java
+++ b/src/main/java/pumicekeel/lab/experiment/Report.java
@@ -165,7 +165,7 @@
     JFreeChart chart = ChartFactory.createBarChart(
         null,
         null,
-        metric + (Figures.lessIsBetter(metric) ? " (less is better)" : ""),
+        metric + (Figures.lowerIsBetter(metric) ? " (less is better)" : ""),
         data,
         PlotOrientation.VERTICAL,
         true,
--- a/src/main/java/pumicekeel/lab/experiment/Result.java
+++ b/src/main/java/pumicekeel/lab/experiment/Result.java
@@ -23,7 +23,8 @@
   static Result of(Run run, String build, Figures figures) {
     Map<String, Double> by = new HashMap<>();
     Figures.NAMES.forEach(n -> by.put(n, figures.get(n)));
-    return new Result(run, build, "ok", figures.first() == null ? "" : figures.first(), by);
+    return new Result(
+        run, build, "ok", figures.firstViolation() == null ? "" : figures.firstViolation(), by);
   }
 
   boolean ok() {
--- a/src/main/java/pumicekeel/lab/experiment/Shrinker.java
+++ b/src/main/java/pumicekeel/lab/experiment/Shrinker.java
@@ -28,7 +28,7 @@
   /** What is broken in a world; null for nothing. */
   private String broken(WorldSpec spec) {
     Figures f = new FleetRun(spec, Policies.of(policy), seed, null).play(() -> false);
-    return f.broken().isEmpty() ? null : f.first();
+    return f.violations().isEmpty() ? null : f.firstViolation();
   }
 
   /** The smallest that was found; null where nothing is broken to begin with. */
--- a/src/main/java/pumicekeel/lab/fleet/ClientAttempt.java
+++ b/src/main/java/pumicekeel/lab/fleet/ClientTry.java
@@ -5,14 +5,14 @@
 import pumicekeel.lab.world.Server;
 import pumicekeel.lab.world.Traffic.Arrival;
 
-/** One attempt of a client at one balancer: the first, or a retry. */
-final class ClientAttempt {
+/** One try of a client at one balancer: the first, or a retry. The balancer may make several attempts for it. */
+final class ClientTry {
 
   /** An attempt at an upstream. */
   static final class Attempt {
     final Server server;
     final long sentAt;
-    boolean over;
+    boolean ended;
 
     Attempt(Server server, long sentAt) {
       this.server = server;
@@ -20,25 +20,27 @@
     }
   }
 
-  final Arrival ask;
+  final Arrival arrival;
   final String id;
+  /** Number of the retry; 0 for the first try. */
   final int number;
-  /** When the client first asked, and until when this attempt is waited for. */
-  final long askedAt;
+
+  /** When the client sent its first try. */
+  final long firstSentAt;
 
   final long deadline;
   final List<Attempt> attempts = new ArrayList<>(1);
   boolean answered;
   boolean served;
   boolean refused;
-  /** Where it runs or ran; -1 for nowhere. */
+  /** The cell in which it runs or has run; -1 for none. */
   int cell = -1;
 
-  ClientAttempt(Arrival ask, int number, long askedAt, long deadline) {
-    this.ask = ask;
+  ClientTry(Arrival arrival, int number, long firstSentAt, long deadline) {
+    this.arrival = arrival;
     this.number = number;
-    this.askedAt = askedAt;
+    this.firstSentAt = firstSentAt;
     this.deadline = deadline;
-    id = "q" + ask.number() + (number == 0 ? "" : "r" + number);
+    id = "q" + arrival.number() + (number == 0 ? "" : "r" + number);
   }
 }
--- a/src/main/java/pumicekeel/lab/fleet/Deployment.java
+++ b/src/main/java/pumicekeel/lab/fleet/Deployment.java
@@ -19,42 +19,48 @@
 import pumicekeel.lab.world.Traffic;
 import pumicekeel.lab.world.WorldSpec;
 
-/** The upstreams of a world and what its balancers are told; what the brief gives as a range is drawn by the seed. */
+/**
+ * The upstreams of a world and the settings of its balancers. Values that the operators' requirements state as ranges are drawn by the
+ * seed.
+ */
 public final class Deployment {
 
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1_000 * MS;
-  private static final int MOST_OPEN = 20_000;
+  private static final int MAX_OPEN_REQUESTS = 20_000;
   private static final long FIRST_ID = 100;
 
-  /** How far a rough weight lies from the size that it stands for (an assumption). */
+  /** Deviation (sigma) of an approximate weight from the actual size; an assumption. */
   private static final double WEIGHT_SIGMA = 0.15;
 
   private final WorldSpec spec;
   private final EventScheduler scheduler;
   private final RandomStream random;
-  private final Map<Long, Server> byId = new LinkedHashMap<>();
+  private final Map<Long, Server> serversById = new LinkedHashMap<>();
   private final Map<Integer, Server.Cell> cells = new HashMap<>();
   private final double capacity;
   private long nextId = FIRST_ID;
 
+  /** Creates the upstreams that run when the world starts. */
   public Deployment(WorldSpec spec, EventScheduler scheduler, long seed) {
     this.spec = spec;
     this.scheduler = scheduler;
     random = new RandomStream(seed, "fleet");
     for (int i = 0; i < spec.servers(); i++) {
-      // Those that start with the world are warm: their start was long ago.
-      add(draw(), i % spec.zones(), i / spec.cellSize(), -1);
+      // These upstreams are warm: a negative start time is long ago.
+      add(drawSpec(), i % spec.zones(), i / spec.cellSize(), -1);
     }
-    capacity = byId.values().stream().mapToDouble(s -> s.spec().capacity()).sum();
+    capacity = serversById.values().stream()
+        .mapToDouble(server -> server.spec().capacity())
+        .sum();
   }
 
-  /** Zones by number. */
+  /** Returns the name of a zone by its number. */
   public static String zone(int number) {
     return "z" + number;
   }
 
-  private ServerSpec draw() {
+  private ServerSpec drawSpec() {
     boolean large = random.uniform() < 0.4;
     int cores = large ? 3 : 2;
     double speed = large ? random.between(0.85, 1.1) : random.between(0.51, 0.69);
@@ -74,8 +80,8 @@
         spec.weightedLists() ? cores * speed * random.lognormal(WEIGHT_SIGMA) : 1);
   }
 
-  /** What one balancer is told. */
-  public Settings settings(int me, String zone) {
+  /** Returns the settings of one balancer. */
+  public Settings settings(int index, String zone) {
     List<Tenant> tenants = IntStream.range(0, Traffic.TENANTS.size())
         .mapToObj(i -> new Tenant(
             Traffic.TENANTS.get(i),
@@ -86,13 +92,23 @@
                 / RequestKind.meanWork(RequestKind.STANDARD_MIX)))
         .toList();
     return new Settings(
-        me,
+        index,
         spec.balancers(),
         zone,
         RequestKind.STANDARD_MIX.stream().map(RequestKind::requestClass).toList(),
         tenants,
         new Limits(
-            true, false, false, true, true, 2 * SECOND, 6, MOST_OPEN, 1, 250 * MS, 15 * SECOND),
+            true,
+            false,
+            false,
+            true,
+            true,
+            2 * SECOND,
+            6,
+            MAX_OPEN_REQUESTS,
+            1,
+            250 * MS,
+            15 * SECOND),
         new Contract(8 * MS, 0, 2 * SECOND, 0.32, 8_500 * MS, 3, 3 * SECOND),
         new Prices(0, 0.02, 0.03),
         false,
@@ -102,31 +118,35 @@
         MS);
   }
 
-  /** Work that the upstreams which start with the world can do in a second. */
+  /** Returns the work per second of all upstreams that run when the world starts, in nanoseconds on a core of the reference speed. */
   public double capacity() {
     return capacity;
   }
 
-  /** All upstreams there ever were, by id. */
+  /** Returns all upstreams by id, including those that have ended. */
   public Map<Long, Server> servers() {
-    return byId;
+    return serversById;
   }
 
-  /** Another one, that starts now. */
-  Server successor(Server of) {
-    return add(of.spec(), Integer.parseInt(of.zone.substring(1)), of.cellNumber, scheduler.now());
+  /** Adds a replacement for an upstream; it starts now. */
+  Server addReplacement(Server replaced) {
+    return add(
+        replaced.spec(),
+        Integer.parseInt(replaced.zone.substring(1)),
+        replaced.cellNumber,
+        scheduler.now());
   }
 
-  private Server add(ServerSpec its, int zone, int cell, long startedAt) {
-    Server s = new Server(
+  private Server add(ServerSpec serverSpec, int zone, int cell, long startedAt) {
+    Server server = new Server(
         nextId++,
         zone(zone),
         cell,
-        its,
-        cells.computeIfAbsent(cell, k -> new Server.Cell()),
+        serverSpec,
+        cells.computeIfAbsent(cell, number -> new Server.Cell()),
         scheduler,
         startedAt);
-    byId.put(s.id, s);
-    return s;
+    serversById.put(server.id, server);
+    return server;
   }
 }
--- a/src/main/java/pumicekeel/lab/fleet/FaultInjector.java
+++ b/src/main/java/pumicekeel/lab/fleet/FaultInjector.java
@@ -2,26 +2,29 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.Consumer;
 import pumicekeel.Balancer.State;
 import pumicekeel.lab.world.EventScheduler;
 import pumicekeel.lab.world.FaultSpec;
 import pumicekeel.lab.world.RandomStream;
 import pumicekeel.lab.world.Server;
 
-/** Schedules a world's faults on a fleet; the seed chooses which upstreams and balancers they hit. */
+/** Schedules a world's faults on a fleet. The seed selects the upstreams and balancers that they affect. */
 final class FaultInjector {
 
   private static final double SECOND = 1e9;
 
-  /** The name decides the draws; a new one would change what a recorded seed plays. */
+  /** Purpose of the random stream. It determines the draws: another name would change the runs of recorded seeds. */
   private static final String RANDOM_STREAM = "troubles";
 
-  /** A drained upstream ends when all have been told and have had their grace, and its successor needs so long to start. */
-  private static final long GRACE = 2_500_000_000L;
+  /** Time from when every balancer knows of a drain until the upstream ends: its drain grace, and some more. */
+  private static final long DRAIN_NANOS = 2_500_000_000L;
 
-  private static final long START = 1_000_000_000L;
-  /** A balancer is away for so long at a restart: the next process needs this to its readiness. */
-  private static final long BALANCER_START = 2_500_000_000L;
+  /** Start-up time of an upstream's replacement. */
+  private static final long UPSTREAM_START_NANOS = 1_000_000_000L;
+
+  /** Downtime of a balancer at a restart: the time that the next process needs until it is ready. */
+  private static final long BALANCER_RESTART_NANOS = 2_500_000_000L;
 
   private final FleetRun run;
   private final EventScheduler scheduler;
@@ -33,137 +36,149 @@
     random = new RandomStream(seed, RANDOM_STREAM);
   }
 
-  void plan(List<FaultSpec> faults) {
-    for (FaultSpec t : faults) {
-      if (t instanceof FaultSpec.Crash c) {
-        at(c.start(), () -> some(c.share()).forEach(s -> crash(s, c.downtime())));
-      } else if (t instanceof FaultSpec.ZoneOutage z) {
+  /** Schedules all faults of a world. */
+  void schedule(List<FaultSpec> faults) {
+    for (FaultSpec fault : faults) {
+      if (fault instanceof FaultSpec.Crash crash) {
+        at(
+            crash.start(),
+            () -> randomServers(crash.share()).forEach(server -> crash(server, crash.downtime())));
+      } else if (fault instanceof FaultSpec.ZoneOutage outage) {
         at(
-            z.start(),
+            outage.start(),
             () -> run.servers().stream()
-                .filter(s -> s.zone.equals(Deployment.zone(z.zone())))
+                .filter(server -> server.zone.equals(Deployment.zone(outage.zone())))
                 .toList()
-                .forEach(s -> crash(s, z.duration())));
-      } else if (t instanceof FaultSpec.Slow s) {
+                .forEach(server -> crash(server, outage.duration())));
+      } else if (fault instanceof FaultSpec.Slow slow) {
         at(
-            s.start(),
-            () -> some(s.share()).forEach(one -> {
-              one.slow(s.factor());
-              in(s.duration(), () -> one.slow(1));
+            slow.start(),
+            () -> randomServers(slow.share()).forEach(server -> {
+              server.slow(slow.factor());
+              in(slow.duration(), () -> server.slow(1));
             }));
-      } else if (t instanceof FaultSpec.Failing f) {
+      } else if (fault instanceof FaultSpec.Failing failing) {
         at(
-            f.start(),
-            () -> some(f.share()).forEach(one -> {
-              one.fail(f.errorShare());
-              in(f.duration(), () -> one.fail(0));
+            failing.start(),
+            () -> randomServers(failing.share()).forEach(server -> {
+              server.fail(failing.errorShare());
+              in(failing.duration(), () -> server.fail(0));
             }));
-      } else if (t instanceof FaultSpec.ResponseLoss m) {
+      } else if (fault instanceof FaultSpec.ResponseLoss loss) {
         at(
-            m.start(),
-            () -> some(m.share()).forEach(one -> {
-              one.loseResponses(true);
-              in(m.duration(), () -> one.loseResponses(false));
+            loss.start(),
+            () -> randomServers(loss.share()).forEach(server -> {
+              server.loseResponses(true);
+              in(loss.duration(), () -> server.loseResponses(false));
             }));
-      } else if (t instanceof FaultSpec.ListDelay l) {
-        long usual = run.list().lateNanos();
-        at(l.start(), () -> run.list().late((long) (l.delay() * SECOND)));
-        at(l.end(), () -> run.list().late(usual));
+      } else if (fault instanceof FaultSpec.ListDelay listDelay) {
+        long usualDelay = run.discovery().maxDelayNanos();
+        at(
+            listDelay.start(),
+            () -> run.discovery().setMaxDelay((long) (listDelay.delay() * SECOND)));
+        at(listDelay.end(), () -> run.discovery().setMaxDelay(usualDelay));
       } else {
-        planFleet(t);
+        scheduleFleetChange(fault);
       }
     }
   }
 
-  private void planFleet(FaultSpec t) {
-    if (t instanceof FaultSpec.Deploy d) {
+  private void scheduleFleetChange(FaultSpec fault) {
+    if (fault instanceof FaultSpec.Deploy deploy) {
+      at(
+          deploy.start(),
+          () -> inBatches(
+              randomServers(deploy.share()),
+              deploy.batchShare() * run.servers().size(),
+              deploy.duration(),
+              server -> drain(server, true)));
+    } else if (fault instanceof FaultSpec.Shrink shrink) {
       at(
-          d.start(),
-          () -> inGroups(
-              some(d.share()),
-              d.batchShare() * run.servers().size(),
-              d.duration(),
-              s -> drain(s, true)));
-    } else if (t instanceof FaultSpec.Shrink s) {
+          shrink.start(),
+          () -> inBatches(
+              randomServers(1 - shrink.remainingShare()),
+              1,
+              shrink.duration(),
+              server -> drain(server, false)));
+    } else if (fault instanceof FaultSpec.Restart restart) {
       at(
-          s.start(),
-          () -> inGroups(some(1 - s.remainingShare()), 1, s.duration(), one -> drain(one, false)));
-    } else if (t instanceof FaultSpec.Restart r) {
+          restart.start(),
+          () -> inBatches(
+              randomHosts(restart.share()),
+              Math.max(1, restart.batchShare() * run.hosts().size()),
+              restart.duration(),
+              host -> takeDown(host, BALANCER_RESTART_NANOS)));
+    } else if (fault instanceof FaultSpec.BalancerCrash crash) {
       at(
-          r.start(),
-          () -> inGroups(
-              hosts(r.share()),
-              Math.max(1, r.batchShare() * run.hosts().size()),
-              r.duration(),
-              h -> away(h, BALANCER_START)));
-    } else if (t instanceof FaultSpec.BalancerCrash b) {
-      at(b.start(), () -> hosts(b.share()).forEach(h -> away(h, (long) (b.downtime() * SECOND))));
+          crash.start(),
+          () -> randomHosts(crash.share())
+              .forEach(host -> takeDown(host, (long) (crash.downtime() * SECOND))));
     }
   }
 
-  private void at(double second, Runnable what) {
-    scheduler.at((long) (second * SECOND), what);
+  private void at(double seconds, Runnable action) {
+    scheduler.at((long) (seconds * SECOND), action);
   }
 
-  private void in(double seconds, Runnable what) {
-    scheduler.in((long) (seconds * SECOND), what);
+  private void in(double seconds, Runnable action) {
+    scheduler.in((long) (seconds * SECOND), action);
   }
 
-  /** A part of the upstreams by chance, at least one where the part is not 0. */
-  private List<Server> some(double part) {
-    return part(run.servers().stream().filter(Server::up).toList(), part);
+  /** Returns a random share of the upstreams that are up. */
+  private List<Server> randomServers(double share) {
+    return randomShare(run.servers().stream().filter(Server::up).toList(), share);
   }
 
-  private List<Host> hosts(double part) {
-    return part(run.hosts().stream().filter(Host::up).toList(), part);
+  private List<Host> randomHosts(double share) {
+    return randomShare(run.hosts().stream().filter(Host::up).toList(), share);
   }
 
-  private <T> List<T> part(List<T> of, double part) {
-    List<T> all = new ArrayList<>(of);
-    for (int i = all.size() - 1; i > 0; i--) {
+  private <T> List<T> randomShare(List<T> items, double share) {
+    List<T> shuffled = new ArrayList<>(items);
+    for (int i = shuffled.size() - 1; i > 0; i--) {
       int j = random.below(i + 1);
-      T t = all.get(i);
-      all.set(i, all.get(j));
-      all.set(j, t);
+      T item = shuffled.get(i);
+      shuffled.set(i, shuffled.get(j));
+      shuffled.set(j, item);
     }
-    return all.subList(0, Math.min(all.size(), (int) Math.round(part * all.size())));
+    return shuffled.subList(
+        0, Math.min(shuffled.size(), (int) Math.round(share * shuffled.size())));
   }
 
-  /** Evenly over the time, so many together. */
-  private <T> void inGroups(
-      List<T> all, double size, double lasts, java.util.function.Consumer<T> what) {
-    int group = Math.max(1, (int) size);
-    int groups = (all.size() + group - 1) / group;
-    for (int g = 0; g < groups; g++) {
-      List<T> these = List.copyOf(all.subList(g * group, Math.min(all.size(), (g + 1) * group)));
-      in(lasts * g / Math.max(1, groups), () -> these.forEach(what));
+  /** Applies an action to batches that are distributed evenly over a duration in seconds. */
+  private <T> void inBatches(List<T> items, double batchSize, double duration, Consumer<T> action) {
+    int size = Math.max(1, (int) batchSize);
+    int batches = (items.size() + size - 1) / size;
+    for (int i = 0; i < batches; i++) {
+      List<T> batch = List.copyOf(items.subList(i * size, Math.min(items.size(), (i + 1) * size)));
+      in(duration * i / Math.max(1, batches), () -> batch.forEach(action));
     }
   }
 
-  private void crash(Server s, double backAfter) {
-    run.end(s);
-    run.list().change(s, State.GONE);
-    in(backAfter, () -> run.begin(s));
+  private void crash(Server server, double downtime) {
+    run.crash(server);
+    run.discovery().change(server, State.GONE);
+    in(downtime, () -> run.restart(server));
   }
 
-  private void drain(Server s, boolean replaced) {
-    run.list().change(s, State.DRAINING);
-    scheduler.in(run.list().lateNanos() + GRACE, () -> {
-      run.end(s);
-      run.list().change(s, State.GONE);
-      if (replaced) {
-        scheduler.in(START, () -> run.replace(s));
+  private void drain(Server server, boolean replace) {
+    run.discovery().change(server, State.DRAINING);
+    scheduler.in(run.discovery().maxDelayNanos() + DRAIN_NANOS, () -> {
+      run.crash(server);
+      run.discovery().change(server, State.GONE);
+      if (replace) {
+        scheduler.in(UPSTREAM_START_NANOS, () -> run.replace(server));
       }
     });
   }
 
-  private void away(Host host, long nanos) {
+  private void takeDown(Host host, long downtimeNanos) {
     if (host.up()) {
       host.crash();
-      run.clients().down(host);
-      scheduler.in(nanos, () -> {
+      run.clients().balancerDown(host);
+      scheduler.in(downtimeNanos, () -> {
         host.restart();
-        run.clients().up(host);
+        run.clients().balancerUp(host);
       });
     }
   }
--- a/src/main/java/pumicekeel/lab/fleet/Figures.java
+++ b/src/main/java/pumicekeel/lab/fleet/Figures.java
@@ -4,22 +4,28 @@
 import java.util.Map;
 
 /**
- * What a run came to. Shares are of 1. {@code worth}: what was earned in time of what was asked for, by work; {@code goal} is the
- * operators' mix of the whole run, the worst ten seconds, the worst class and the worst tenant. {@code broken}: rules by how often,
- * empty where all held; {@code first} says where the first was.
+ * The results of a run. Shares are fractions of 1.
+ *
+ * @param worth worth of the requests answered within their aim, relative to that of all requests; weighted by work
+ * @param goal the operators' weighted mean of {@code worth} and of its value for the worst ten seconds, class and tenant
+ * @param wastedWork share of the upstreams' work whose result reached no client
+ * @param coldShare maximum share of its cold budget that any cold upstream was sent
+ * @param violations number of violations by rule; empty if all rules held
+ * @param firstViolation description of the first violation, or null
+ * @param events number of events that the run processed
  */
 public record Figures(
     double worth,
     double goal,
-    double worstTen,
+    double worstTenSeconds,
     double worstClass,
     double worstTenant,
-    long asked,
+    long requests,
     long tries,
     long served,
     long refused,
     long failed,
-    long unreached,
+    long unreachable,
     double p50Millis,
     double p99Millis,
     long attempts,
@@ -27,11 +33,11 @@
     double wastedWork,
     double utilization,
     double coldShare,
-    Map<String, Long> broken,
-    String first,
+    Map<String, Long> violations,
+    String firstViolation,
     long events) {
 
-  /** The figures that experiments compare, by name. */
+  /** Names of the figures that experiments compare. */
   public static final List<String> NAMES = List.of(
       "worth",
       "goal",
@@ -49,35 +55,35 @@
       "cold-share",
       "broken");
 
-  /** One of {@link #NAMES}. */
+  /** Returns a figure by its name, one of {@link #NAMES}. */
   public double get(String name) {
     return switch (name) {
       case "worth" -> worth;
       case "goal" -> goal;
-      case "worst-ten" -> worstTen;
+      case "worst-ten" -> worstTenSeconds;
       case "worst-class" -> worstClass;
       case "worst-tenant" -> worstTenant;
-      case "refused-part" -> part(refused);
-      case "failed-part" -> part(failed + unreached);
+      case "refused-part" -> perTry(refused);
+      case "failed-part" -> perTry(failed + unreachable);
       case "p50-ms" -> p50Millis;
       case "p99-ms" -> p99Millis;
-      case "attempts-per-try" -> part(attempts);
+      case "attempts-per-try" -> perTry(attempts);
       case "connections" -> connections;
       case "wasted-work" -> wastedWork;
       case "utilization" -> utilization;
       case "cold-share" -> coldShare;
-      case "broken" -> broken.values().stream().mapToLong(l -> l).sum();
+      case "broken" -> violations.values().stream().mapToLong(count -> count).sum();
       default ->
         throw new IllegalArgumentException("metric: expected one of " + NAMES + ", got " + name);
     };
   }
 
-  private double part(long count) {
+  private double perTry(long count) {
     return tries == 0 ? 0 : (double) count / tries;
   }
 
-  /** Whether less of it is better. */
-  public static boolean lessIsBetter(String name) {
+  /** Returns whether a lower value of the named figure is better. */
+  public static boolean lowerIsBetter(String name) {
     return !List.of("worth", "goal", "worst-ten", "worst-class", "worst-tenant", "utilization")
         .contains(name);
   }
--- a/src/main/java/pumicekeel/lab/fleet/FleetRun.java
+++ b/src/main/java/pumicekeel/lab/fleet/FleetRun.java
@@ -17,33 +17,33 @@
 import pumicekeel.lab.world.WorldSpec;
 
 /**
- * One run: a world, a policy and a seed, in virtual time and one thread. The same three give the same run to the last figure. The
- * limits of the deployment are the brief's; what it gives as a range is drawn by the seed.
+ * One run of a world with a policy and a seed, in virtual time and on one thread. The same three always give exactly the same figures.
+ * The properties of the deployment come from the operators' requirements; values that they state as ranges are drawn by the seed.
  */
 public final class FleetRun {
 
-  /** Notes what becomes of one request, for {@code lab explain}. */
+  /** Receives the events of each request, for {@code lab explain}. */
   public interface Trace {
-    /** A line about a request, by its number. */
-    void line(long number, long atNanos, String what);
+    /** Reports an event of the request with the given number. */
+    void line(long number, long atNanos, String event);
   }
 
-  /** Counts of what was sent. */
-  static final class Count {
+  /** Counters of what the balancers sent. */
+  static final class Counters {
     private long attempts;
     private long connections;
-    private double useful;
+    private double usefulWork;
 
-    void attempt() {
+    void addAttempt() {
       attempts++;
     }
 
-    void connection() {
+    void addConnection() {
       connections++;
     }
 
-    void useful(double work) {
-      useful += work;
+    void addUsefulWork(double work) {
+      usefulWork += work;
     }
 
     long attempts() {
@@ -57,48 +57,50 @@
 
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1_000 * MS;
-  /** After the last arrival a day runs on until all is answered: the longest deadline twice, and its waits. */
-  private static final long TAIL = 15 * SECOND;
-  /** How old the true state is that the policy with an oracle sees. */
-  private static final long ORACLE_AGE = 100 * MS;
+
+  /** Time after the last arrival in which all requests are answered: two tries with the longest deadline, and the wait between them. */
+  private static final long TAIL_NANOS = 15 * SECOND;
+
+  /** Maximum age of the true state that a policy sees through its oracle. */
+  private static final long ORACLE_AGE_NANOS = 100 * MS;
 
   private final WorldSpec spec;
-  private final Policies.Maker maker;
+  private final Policies.Maker factory;
   private final long seed;
   private final Trace trace;
   private final EventScheduler scheduler = new EventScheduler();
   private final Deployment deployment;
-  private final Map<Long, Server> byId;
-  private final Map<Long, Integer> lives = new HashMap<>();
+  private final Map<Long, Server> serversById;
+  private final Map<Long, Integer> incarnations = new HashMap<>();
   private final List<Host> hosts = new ArrayList<>();
-  private final Map<Long, Double> crowds = new HashMap<>();
-  private final Count count = new Count();
-  private final NodeList list;
+  private final Map<Long, Double> sampledLoads = new HashMap<>();
+  private final Counters counters = new Counters();
+  private final SimulatedDiscovery discovery;
   private final Settings settings;
-  private final Judge judge;
+  private final RuleChecker checker;
   private final ClientPopulation clients;
   private final double capacity;
 
-  /** A run; {@code trace} may be null. */
-  public FleetRun(WorldSpec spec, Policies.Maker maker, long seed, Trace trace) {
+  /** Creates a run; {@code trace} may be null. */
+  public FleetRun(WorldSpec spec, Policies.Maker factory, long seed, Trace trace) {
     this.spec = spec;
-    this.maker = maker;
+    this.factory = factory;
     this.seed = seed;
     this.trace = trace;
     deployment = new Deployment(spec, scheduler, seed);
-    byId = deployment.servers();
+    serversById = deployment.servers();
     capacity = deployment.capacity();
-    list = new NodeList(scheduler, seed, hosts, spec.maxListDelayNanos());
-    byId.values().forEach(list::enter);
+    discovery = new SimulatedDiscovery(scheduler, seed, hosts, spec.maxListDelayNanos());
+    serversById.values().forEach(discovery::addInitial);
     settings = deployment.settings(0, Deployment.zone(0));
-    judge = new Judge(settings.contract(), RequestKind.meanWork(RequestKind.STANDARD_MIX));
+    checker = new RuleChecker(settings.contract(), RequestKind.meanWork(RequestKind.STANDARD_MIX));
     for (int i = 0; i < spec.balancers(); i++) {
       hosts.add(new Host(i, this, Deployment.zone(i % spec.zones()), seed));
     }
     clients = new ClientPopulation(this, seed);
   }
 
-  // For those that play in it
+  // Access for the other parts of the run
 
   EventScheduler scheduler() {
     return scheduler;
@@ -112,20 +114,20 @@
     return settings;
   }
 
-  Judge judge() {
-    return judge;
+  RuleChecker checker() {
+    return checker;
   }
 
   ClientPopulation clients() {
     return clients;
   }
 
-  NodeList list() {
-    return list;
+  SimulatedDiscovery discovery() {
+    return discovery;
   }
 
-  Count count() {
-    return count;
+  Counters counters() {
+    return counters;
   }
 
   List<Host> hosts() {
@@ -133,94 +135,95 @@
   }
 
   List<Server> servers() {
-    return new ArrayList<>(byId.values());
+    return new ArrayList<>(serversById.values());
   }
 
   Server server(long id) {
-    return byId.get(id);
+    return serversById.get(id);
   }
 
-  int lifeOf(Server s) {
-    return lives.getOrDefault(s.id, 0);
+  int incarnationOf(Server server) {
+    return incarnations.getOrDefault(server.id, 0);
   }
 
   String tenant(int number) {
     return Traffic.TENANTS.get(number);
   }
 
-  void trace(ClientAttempt t, String what) {
+  void trace(ClientTry clientTry, String event) {
     if (trace != null) {
-      trace.line(t.ask.number(), scheduler.now(), t.id + ": " + what);
+      trace.line(clientTry.arrival.number(), scheduler.now(), clientTry.id + ": " + event);
     }
   }
 
-  Balancer policyOf(Host host, long itsSeed) {
-    Oracle oracle = id -> crowds.getOrDefault(id, 0.0);
-    return maker.make(deployment.settings(host.number, host.zone()), itsSeed, oracle);
+  Balancer policyOf(Host host, long policySeed) {
+    Oracle oracle = id -> sampledLoads.getOrDefault(id, 0.0);
+    return factory.make(deployment.settings(host.number, host.zone()), policySeed, oracle);
   }
 
   // Upstreams
 
-  /** Its process ends, with all that it holds. */
-  void end(Server s) {
-    s.crash();
-    lives.merge(s.id, 1, Integer::sum);
+  /** Crashes an upstream; the requests that it holds are lost. */
+  void crash(Server server) {
+    server.crash();
+    incarnations.merge(server.id, 1, Integer::sum);
   }
 
-  /** It is back under its id, cold. */
-  void begin(Server s) {
-    s.restart();
-    list.change(s, State.READY);
+  /** Restarts an upstream with the same id, cold. */
+  void restart(Server server) {
+    server.restart();
+    discovery.change(server, State.READY);
   }
 
-  /** A cold successor under a new id takes the place of one that has gone; it remembers nothing, not even repeats. */
-  void replace(Server s) {
-    list.change(deployment.successor(s), State.READY);
+  /** Starts a cold replacement with a new id for an upstream that has ended. */
+  void replace(Server server) {
+    discovery.change(deployment.addReplacement(server), State.READY);
   }
 
-  /** Pushed over by all together: it stays down. */
-  void fall(Server s) {
-    end(s);
-    list.change(s, State.GONE);
+  /** Crashes a cold upstream that was sent more than its budget; it stays down. */
+  void overload(Server server) {
+    crash(server);
+    discovery.change(server, State.GONE);
   }
 
-  // The run
+  // Run
 
-  /** Plays it; null where {@code stop} ended it early. */
+  /** Plays the run. Returns its figures, or null if {@code stop} ended it early. */
   public Figures play(BooleanSupplier stop) {
-    hosts.forEach(h -> {
-      h.start(list.lines());
-      clients.up(h);
+    hosts.forEach(host -> {
+      host.start(discovery.entries());
+      clients.balancerUp(host);
     });
     Traffic traffic =
-        new Traffic(scheduler, spec, RequestKind.STANDARD_MIX, capacity, seed, clients::ask);
+        new Traffic(scheduler, spec, RequestKind.STANDARD_MIX, capacity, seed, clients::submit);
     traffic.start();
-    new FaultInjector(this, seed).plan(spec.faults());
-    look();
+    new FaultInjector(this, seed).schedule(spec.faults());
+    sampleLoads();
     long end = (long) (spec.seconds() * SECOND);
     if (!scheduler.run(end, stop)) {
       return null;
     }
-    double done = byId.values().stream().mapToDouble(Server::workDone).sum();
-    double utilization = done / (capacity * spec.seconds());
-    if (!scheduler.run(end + TAIL, stop)) {
+    double workDone =
+        serversById.values().stream().mapToDouble(Server::workDone).sum();
+    double utilization = workDone / (capacity * spec.seconds());
+    if (!scheduler.run(end + TAIL_NANOS, stop)) {
       return null;
     }
-    done = byId.values().stream().mapToDouble(Server::workDone).sum();
-    double wasted = Math.max(0, 1 - count.useful / Math.max(1, done));
-    return clients.figures(judge, count, wasted, utilization, scheduler.processedEvents());
+    workDone = serversById.values().stream().mapToDouble(Server::workDone).sum();
+    double wasted = Math.max(0, 1 - counters.usefulWork / Math.max(1, workDone));
+    return clients.figures(checker, counters, wasted, utilization, scheduler.processedEvents());
   }
 
-  private void look() {
-    for (Server s : byId.values()) {
-      crowds.put(
-          s.id,
-          s.up()
-              ? s.held() / (s.spec().capacity() * s.warmth(scheduler.now()) / 1e9)
+  private void sampleLoads() {
+    for (Server server : serversById.values()) {
+      sampledLoads.put(
+          server.id,
+          server.up()
+              ? server.held() / (server.spec().capacity() * server.warmth(scheduler.now()) / 1e9)
               : Double.POSITIVE_INFINITY);
     }
     if (scheduler.now() < spec.seconds() * SECOND) {
-      scheduler.in(ORACLE_AGE, this::look);
+      scheduler.in(ORACLE_AGE_NANOS, this::sampleLoads);
     }
   }
 }
--- a/src/main/java/pumicekeel/lab/fleet/Host.java
+++ b/src/main/java/pumicekeel/lab/fleet/Host.java
@@ -25,38 +25,41 @@
 import pumicekeel.lab.world.Server;
 
 /**
- * One balancer: a policy and the serving rules around it, as the table of open requests has them. Its clock has an origin of its own,
- * as machines' have. Connections to an upstream are kept and used one request at a time; a new one costs a round trip and work.
+ * One balancer: a policy and the serving rules around it, as the table of open requests applies them. Its clock has its own origin, as
+ * the clocks of real machines do. Connections to an upstream are kept and carry one request at a time; a new one costs a round trip and
+ * work at the upstream.
  */
 final class Host {
 
   private static final long MS = 1_000_000L;
 
-  /** Connections to one upstream. */
-  private static final class Links {
+  /** Kept connections to one upstream. */
+  private static final class UpstreamConnections {
     private int idle;
-    private int life;
+    private int upstreamIncarnation;
   }
 
   final int number;
   private final FleetRun run;
   private final RandomStream random;
   private final String zone;
-  private final long origin;
-  private final Map<String, ClientAttempt> open = new HashMap<>();
-  private final Map<Long, Long> toldAt = new HashMap<>();
-  private final Map<Long, Long> startsKnown = new HashMap<>();
-  private final Map<Long, Links> links = new HashMap<>();
+  private final long clockOrigin;
+  private final Map<String, ClientTry> open = new HashMap<>();
+  private final Map<Long, Long> drainKnownSince = new HashMap<>();
+  private final Map<Long, Long> knownStarts = new HashMap<>();
+  private final Map<Long, UpstreamConnections> connections = new HashMap<>();
   private Balancer policy;
-  private int life;
-  private List<Listed> known = List.of();
+  /** Number of starts and crashes; callbacks that an earlier process scheduled are ignored. */
+  private int incarnation;
+
+  private List<Listed> lastList = List.of();
 
   Host(int number, FleetRun run, String zone, long seed) {
     this.number = number;
     this.run = run;
     this.zone = zone;
     random = new RandomStream(seed, "host " + number);
-    origin = Math.floorMod(random.next(), 1_000_000_000_000_000L);
+    clockOrigin = Math.floorMod(random.next(), 1_000_000_000_000_000L);
   }
 
   boolean up() {
@@ -67,307 +70,337 @@
     return zone;
   }
 
-  // Its life
+  // Start and crash
 
   void start(List<Listed> list) {
-    life++;
+    incarnation++;
     policy = run.policyOf(this, random.next());
-    toldAt.clear();
-    startsKnown.clear();
-    tell(new ListUpdate(ListKind.CACHED, own(list)));
+    drainKnownSince.clear();
+    knownStarts.clear();
+    deliver(new ListUpdate(ListKind.CACHED, toOwnClock(list)));
   }
 
-  /** What it held is lost; its clients find their connections closed. What runs at upstreams runs on. */
+  /** Crashes: open requests are lost and their clients' connections close. Attempts that run at upstreams run on. */
   void crash() {
-    life++;
+    incarnation++;
     policy = null;
-    known = run.list().lines();
-    links.values().forEach(l -> l.idle = 0);
-    links.forEach((id, l) -> run.server(id).disconnect());
-    links.clear();
-    List<ClientAttempt> lost = new ArrayList<>(open.values());
+    lastList = run.discovery().entries();
+    connections.values().forEach(kept -> kept.idle = 0);
+    connections.forEach((id, kept) -> run.server(id).disconnect());
+    connections.clear();
+    List<ClientTry> lost = new ArrayList<>(open.values());
     open.clear();
-    lost.stream().filter(t -> !t.answered).forEach(t -> {
-      t.answered = true;
-      run.clients().unreached(t);
+    lost.stream().filter(clientTry -> !clientTry.answered).forEach(clientTry -> {
+      clientTry.answered = true;
+      run.clients().recordUnreachable(clientTry);
     });
   }
 
-  /** Starts with the list that it had when it ended; the present one comes a moment later. */
+  /** Starts with the list that was current at the crash. The current list arrives up to a second later. */
   void restart() {
-    start(known);
-    int of = life;
+    start(lastList);
+    int ownIncarnation = incarnation;
     run.scheduler().in((long) (random.uniform() * 1_000 * MS), () -> {
-      if (of == life) {
-        tell(new ListUpdate(ListKind.FULL, own(run.list().lines())));
+      if (ownIncarnation == incarnation) {
+        deliver(new ListUpdate(ListKind.FULL, toOwnClock(run.discovery().entries())));
       }
     });
   }
 
-  private List<Listed> own(List<Listed> lines) {
-    return lines.stream()
-        .map(l -> new Listed(
-            l.upstream(),
-            l.zone(),
-            l.cell(),
-            l.state(),
-            l.startedNanos() == 0 ? 0 : l.startedNanos() + origin,
-            l.weight()))
+  private List<Listed> toOwnClock(List<Listed> entries) {
+    return entries.stream()
+        .map(entry -> new Listed(
+            entry.upstream(),
+            entry.zone(),
+            entry.cell(),
+            entry.state(),
+            entry.startedNanos() == 0 ? 0 : entry.startedNanos() + clockOrigin,
+            entry.weight()))
         .toList();
   }
 
-  void news(Listed line) {
+  /** Handles a change of one entry in discovery's list. */
+  void listEntryChanged(Listed entry) {
     if (up()) {
-      tell(new ListUpdate(ListKind.DELTA, own(List.of(line))));
+      deliver(new ListUpdate(ListKind.DELTA, toOwnClock(List.of(entry))));
     }
   }
 
-  private void tell(Event event) {
-    if (event instanceof ListUpdate news) {
-      hear(news);
+  private void deliver(Event event) {
+    if (event instanceof ListUpdate update) {
+      recordEntries(update);
     }
     List<Action> actions = new ArrayList<>(2);
-    policy.handle(run.scheduler().now() + origin, event, actions::add);
+    policy.handle(run.scheduler().now() + clockOrigin, event, actions::add);
     actions.forEach(this::perform);
   }
 
-  private void hear(ListUpdate news) {
-    for (Listed l : news.entries()) {
-      startsKnown.put(l.upstream(), l.startedNanos() == 0 ? 0 : l.startedNanos() - origin);
-      if (l.state() == State.READY) {
-        toldAt.remove(l.upstream());
+  private void recordEntries(ListUpdate update) {
+    for (Listed entry : update.entries()) {
+      knownStarts.put(
+          entry.upstream(), entry.startedNanos() == 0 ? 0 : entry.startedNanos() - clockOrigin);
+      if (entry.state() == State.READY) {
+        drainKnownSince.remove(entry.upstream());
       } else {
-        toldAt.putIfAbsent(l.upstream(), run.scheduler().now());
+        drainKnownSince.putIfAbsent(entry.upstream(), run.scheduler().now());
       }
     }
   }
 
   // Requests
 
-  void take(ClientAttempt t) {
-    open.put(t.id, t);
-    int of = life;
-    run.scheduler().at(t.deadline + run.settings().contract().answerSlackNanos() + 1, () -> {
-      if (of == life && !t.answered) {
-        run.judge()
-            .broken("lost", run.scheduler().now(), t.id + " had no answer from balancer " + number);
-        t.answered = true;
-        run.clients().failed(t);
-        tell(new ClientDisconnected(t.id));
-      }
-    });
-    tell(new Request(
-        t.id,
-        t.ask.kind().requestClass().name(),
-        run.tenant(t.ask.tenant()),
-        t.ask.sessionKey(),
-        t.deadline + origin,
-        t.ask.hintNanos(),
-        t.number > 0));
+  /** Accepts a client's try and checks that it is answered by its deadline. */
+  void accept(ClientTry clientTry) {
+    open.put(clientTry.id, clientTry);
+    int ownIncarnation = incarnation;
+    run.scheduler()
+        .at(clientTry.deadline + run.settings().contract().answerSlackNanos() + 1, () -> {
+          if (ownIncarnation == incarnation && !clientTry.answered) {
+            run.checker()
+                .recordViolation(
+                    "lost",
+                    run.scheduler().now(),
+                    clientTry.id + " had no answer from balancer " + number);
+            clientTry.answered = true;
+            run.clients().recordFailed(clientTry);
+            deliver(new ClientDisconnected(clientTry.id));
+          }
+        });
+    deliver(new Request(
+        clientTry.id,
+        clientTry.arrival.kind().requestClass().name(),
+        run.tenant(clientTry.arrival.tenant()),
+        clientTry.arrival.sessionKey(),
+        clientTry.deadline + clockOrigin,
+        clientTry.arrival.hintNanos(),
+        clientTry.number > 0));
   }
 
   private void perform(Action action) {
-    if (action instanceof Send a) {
-      send(a);
-    } else if (action instanceof Refuse a) {
-      refuse(open.get(a.id()), a.retryAfterNanos());
-    } else if (action instanceof Fail a) {
-      ClientAttempt t = open.get(a.id());
-      if (answers(t)) {
-        run.trace(t, "failed, no promise");
-        run.clients().failed(t);
+    if (action instanceof Send send) {
+      send(send);
+    } else if (action instanceof Refuse refuse) {
+      refuse(open.get(refuse.id()), refuse.retryAfterNanos());
+    } else if (action instanceof Fail fail) {
+      ClientTry clientTry = open.get(fail.id());
+      if (claimFinalAnswer(clientTry)) {
+        run.trace(clientTry, "failed, may have run");
+        run.clients().recordFailed(clientTry);
       }
-    } else if (action instanceof Cancel a) {
-      ClientAttempt t = open.get(a.id());
-      if (t != null && a.attempt() < t.attempts.size()) {
-        end(t, a.attempt(), Status.CANCELLED);
+    } else if (action instanceof Cancel cancel) {
+      ClientTry clientTry = open.get(cancel.id());
+      if (clientTry != null && cancel.attempt() < clientTry.attempts.size()) {
+        end(clientTry, cancel.attempt(), Status.CANCELLED);
       }
-    } else if (action instanceof SetTimer a) {
-      int of = life;
-      run.scheduler().at(a.atNanos() - origin, () -> {
-        if (of == life) {
-          tell(new TimerFired(a.token()));
+    } else if (action instanceof SetTimer timer) {
+      int ownIncarnation = incarnation;
+      run.scheduler().at(timer.atNanos() - clockOrigin, () -> {
+        if (ownIncarnation == incarnation) {
+          deliver(new TimerFired(timer.token()));
         }
       });
     }
   }
 
-  private void refuse(ClientAttempt t, long retryAfter) {
-    if (answers(t)) {
-      t.refused = true;
-      boolean ran = t.attempts.stream().anyMatch(a -> !a.over) || t.cell >= 0;
-      if (ran && t.ask.kind().requestClass().effect() != Balancer.Effect.SAFE) {
-        run.judge().broken("twice", run.scheduler().now(), t.id + " was refused, and may have run");
+  private void refuse(ClientTry clientTry, long retryAfterNanos) {
+    if (claimFinalAnswer(clientTry)) {
+      clientTry.refused = true;
+      boolean ran =
+          clientTry.attempts.stream().anyMatch(attempt -> !attempt.ended) || clientTry.cell >= 0;
+      if (ran && clientTry.arrival.kind().requestClass().effect() != Balancer.Effect.SAFE) {
+        run.checker()
+            .recordViolation(
+                "twice", run.scheduler().now(), clientTry.id + " was refused, and may have run");
       }
-      run.trace(t, "refused, come back in " + retryAfter / MS + " ms");
-      run.clients().refused(t, retryAfter);
-      forget(t);
+      run.trace(clientTry, "refused, retry after " + retryAfterNanos / MS + " ms");
+      run.clients().recordRefused(clientTry, retryAfterNanos);
+      removeIfDone(clientTry);
     }
   }
 
-  /** True once: the caller then gives the only final answer. A second one, and one to nobody, is no answer. */
-  private boolean answers(ClientAttempt t) {
-    if (t == null || t.served) {
+  /** Returns true if the caller may give the final answer. Records a violation if there already is one. */
+  private boolean claimFinalAnswer(ClientTry clientTry) {
+    if (clientTry == null || clientTry.served) {
       return false;
     }
-    if (t.answered) {
-      run.judge().broken("lost", run.scheduler().now(), t.id + " has two final answers");
+    if (clientTry.answered) {
+      run.checker()
+          .recordViolation("lost", run.scheduler().now(), clientTry.id + " has two final answers");
       return false;
     }
-    t.answered = true;
+    clientTry.answered = true;
     return true;
   }
 
-  private void forget(ClientAttempt t) {
-    if (t.answered && t.attempts.stream().allMatch(a -> a.over)) {
-      open.remove(t.id);
+  private void removeIfDone(ClientTry clientTry) {
+    if (clientTry.answered && clientTry.attempts.stream().allMatch(attempt -> attempt.ended)) {
+      open.remove(clientTry.id);
     }
   }
 
   // Attempts
 
-  private void send(Send a) {
-    ClientAttempt t = open.get(a.id());
-    Server server = run.server(a.upstream());
+  private void send(Send action) {
+    ClientTry clientTry = open.get(action.id());
+    Server server = run.server(action.upstream());
     long now = run.scheduler().now();
-    if (t == null) {
+    if (clientTry == null) {
       return;
     }
-    int number = t.attempts.size();
-    ClientAttempt.Attempt attempt = new ClientAttempt.Attempt(server, now);
-    t.attempts.add(attempt);
-    if (t.answered) {
-      // As the table of open requests does: nothing goes out for one that has its answer.
-      end(t, number, Status.NOT_SENT);
+    int number = clientTry.attempts.size();
+    ClientTry.Attempt attempt = new ClientTry.Attempt(server, now);
+    clientTry.attempts.add(attempt);
+    if (clientTry.answered) {
+      // As in the table of open requests: nothing is sent for an answered request.
+      end(clientTry, number, Status.NOT_SENT);
       return;
     }
-    run.judge().sent(a.upstream(), now - toldAt.getOrDefault(a.upstream(), now), now);
-    run.trace(t, "attempt " + number + " to " + server.id + ", which holds " + server.held());
-    run.count().attempt();
+    run.checker()
+        .checkDrain(
+            action.upstream(), now - drainKnownSince.getOrDefault(action.upstream(), now), now);
+    run.trace(
+        clientTry, "attempt " + number + " to " + server.id + ", which holds " + server.held());
+    run.counters().addAttempt();
     if (server.up()
-        && startsKnown.getOrDefault(server.id, 0L) == Math.max(0, server.startedAt())
-        && run.judge().pushesOver(server, t.ask.work(), now)) {
-      run.fall(server);
+        && knownStarts.getOrDefault(server.id, 0L) == Math.max(0, server.startedAt())
+        && run.checker().overloadsCold(server, clientTry.arrival.work(), now)) {
+      run.overload(server);
     }
-    int of = life;
-    long left = Math.max(1, t.deadline - now);
+    int ownIncarnation = incarnation;
+    long remainingNanos = Math.max(1, clientTry.deadline - now);
     run.scheduler()
         .in(
-            a.timeoutNanos() == 0 ? left : Math.min(a.timeoutNanos(), left),
-            () -> ended(of, t, number, Status.TIMEOUT));
-    connect(of, t, number, attempt);
+            action.timeoutNanos() == 0
+                ? remainingNanos
+                : Math.min(action.timeoutNanos(), remainingNanos),
+            () -> endUnlessRestarted(ownIncarnation, clientTry, number, Status.TIMEOUT));
+    connect(ownIncarnation, clientTry, number, attempt);
   }
 
-  private long oneWay(Server server) {
+  private long drawOneWayNanos(Server server) {
     return (long) (MS * random.between(0.1, 0.6))
         + (server.zone.equals(zone) ? 0 : run.spec().crossZoneNanos());
   }
 
-  private void connect(int of, ClientAttempt t, int number, ClientAttempt.Attempt attempt) {
+  private void connect(
+      int ownIncarnation, ClientTry clientTry, int number, ClientTry.Attempt attempt) {
     Server server = attempt.server;
-    Links l = links.computeIfAbsent(server.id, k -> new Links());
-    if (l.life != run.lifeOf(server)) {
-      // Kept connections went with the process behind them; using one is a reset that proves
-      // nothing.
-      l.life = run.lifeOf(server);
-      l.idle = 0;
+    UpstreamConnections kept =
+        connections.computeIfAbsent(server.id, id -> new UpstreamConnections());
+    if (kept.upstreamIncarnation != run.incarnationOf(server)) {
+      // The connections were lost with the upstream's former process. Using one would end in a
+      // reset, which does not prove that the
+      // request has not run.
+      kept.upstreamIncarnation = run.incarnationOf(server);
+      kept.idle = 0;
     }
-    long way = oneWay(server);
-    if (l.idle > 0) {
-      l.idle--;
-      run.scheduler().in(way, () -> arrive(of, t, number, attempt));
+    long oneWayNanos = drawOneWayNanos(server);
+    if (kept.idle > 0) {
+      kept.idle--;
+      run.scheduler().in(oneWayNanos, () -> arrive(ownIncarnation, clientTry, number, attempt));
       return;
     }
-    run.scheduler().in(2 * way, () -> {
-      if (of != life || attempt.over) {
+    run.scheduler().in(2 * oneWayNanos, () -> {
+      if (ownIncarnation != incarnation || attempt.ended) {
         return;
       }
-      run.count().connection();
+      run.counters().addConnection();
       if (!server.connect()) {
-        ended(of, t, number, Status.CONNECT_FAILED);
+        endUnlessRestarted(ownIncarnation, clientTry, number, Status.CONNECT_FAILED);
         return;
       }
-      run.scheduler().in(way, () -> arrive(of, t, number, attempt));
+      run.scheduler().in(oneWayNanos, () -> arrive(ownIncarnation, clientTry, number, attempt));
     });
   }
 
-  private void arrive(int of, ClientAttempt t, int number, ClientAttempt.Attempt attempt) {
+  private void arrive(
+      int ownIncarnation, ClientTry clientTry, int number, ClientTry.Attempt attempt) {
     Server server = attempt.server;
-    if (attempt.over) {
-      // Given up while it was on its way: its connection is closed.
+    if (attempt.ended) {
+      // The attempt ended before its request arrived, and its connection was closed.
       server.disconnect();
       return;
     }
     server.submit(
         new Server.Job(
-            t.ask.sessionKey(),
-            "q" + t.ask.number(),
-            t.ask.kind().requestClass().effect(),
-            t.ask.kind().requestClass().dedupWindowNanos(),
-            t.ask.work(),
-            t.ask.waitNanos(),
+            clientTry.arrival.sessionKey(),
+            "q" + clientTry.arrival.number(),
+            clientTry.arrival.kind().requestClass().effect(),
+            clientTry.arrival.kind().requestClass().dedupWindowNanos(),
+            clientTry.arrival.work(),
+            clientTry.arrival.waitNanos(),
             new Server.JobListener() {
               @Override
               public void onStart() {
-                run.judge().runs(t, server.cellNumber, run.scheduler().now());
+                run.checker()
+                    .checkStart(clientTry, server.cellNumber, run.scheduler().now());
               }
 
               @Override
               public void onEnd(Status status, double work) {
                 run.scheduler()
-                    .in(oneWay(server), () -> heard(of, t, number, attempt, status, work));
+                    .in(
+                        drawOneWayNanos(server),
+                        () -> responseArrived(
+                            ownIncarnation, clientTry, number, attempt, status, work));
               }
             }),
         random);
   }
 
-  /** What the upstream says has come back. */
-  private void heard(
-      int of,
-      ClientAttempt t,
+  private void responseArrived(
+      int ownIncarnation,
+      ClientTry clientTry,
       int number,
-      ClientAttempt.Attempt attempt,
+      ClientTry.Attempt attempt,
       Status status,
       double work) {
-    if (of != life || attempt.over || status == Status.RESET) {
+    if (ownIncarnation != incarnation || attempt.ended || status == Status.RESET) {
       attempt.server.disconnect();
     } else {
-      links.computeIfAbsent(attempt.server.id, k -> new Links()).idle++;
+      connections.computeIfAbsent(attempt.server.id, id -> new UpstreamConnections()).idle++;
     }
-    if (of == life && !attempt.over && status == Status.SERVED && !t.answered) {
-      run.count().useful(work);
+    if (ownIncarnation == incarnation
+        && !attempt.ended
+        && status == Status.SERVED
+        && !clientTry.answered) {
+      run.counters().addUsefulWork(work);
     }
-    ended(of, t, number, status);
+    endUnlessRestarted(ownIncarnation, clientTry, number, status);
   }
 
-  private void ended(int of, ClientAttempt t, int number, Status status) {
-    if (of == life) {
-      end(t, number, status);
+  private void endUnlessRestarted(
+      int ownIncarnation, ClientTry clientTry, int number, Status status) {
+    if (ownIncarnation == incarnation) {
+      end(clientTry, number, status);
     }
   }
 
-  private void end(ClientAttempt t, int number, Status status) {
-    ClientAttempt.Attempt attempt = t.attempts.get(number);
-    if (attempt.over) {
+  private void end(ClientTry clientTry, int number, Status status) {
+    ClientTry.Attempt attempt = clientTry.attempts.get(number);
+    if (attempt.ended) {
       return;
     }
-    attempt.over = true;
-    long took = run.scheduler().now() - attempt.sentAt;
+    attempt.ended = true;
+    long latencyNanos = run.scheduler().now() - attempt.sentAt;
     if (status != Status.NOT_SENT) {
-      run.trace(t, "attempt " + number + " ended after " + took / MS + " ms: " + status);
+      run.trace(
+          clientTry, "attempt " + number + " ended after " + latencyNanos / MS + " ms: " + status);
     }
-    if (status == Status.SERVED && !t.answered) {
-      t.answered = true;
-      t.served = true;
-      run.clients().served(t);
+    if (status == Status.SERVED && !clientTry.answered) {
+      clientTry.answered = true;
+      clientTry.served = true;
+      run.clients().recordServed(clientTry);
     }
-    // As on sockets: told later, never from within an action.
-    int of = life;
-    boolean finished = t.answered;
+    // As on sockets, the outcome arrives as an event of its own and never while an action is
+    // performed.
+    int ownIncarnation = incarnation;
+    boolean finished = clientTry.answered;
     run.scheduler().in(0, () -> {
-      if (of == life) {
-        tell(new Outcome(t.id, number, attempt.server.id, status, took, finished, Map.of()));
-        forget(t);
+      if (ownIncarnation == incarnation) {
+        deliver(new Outcome(
+            clientTry.id, number, attempt.server.id, status, latencyNanos, finished, Map.of()));
+        removeIfDone(clientTry);
       }
     });
   }
--- a/src/main/java/pumicekeel/lab/fleet/package-info.java
+++ b/src/main/java/pumicekeel/lab/fleet/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Discrete-event simulation of a whole fleet of balancers: hosts, clients, discovery, injected
- * faults, and the checks held against each run.
+ * Discrete-event simulation of a fleet of balancers: hosts, clients, discovery, injected
+ * faults, and the checks of the serving rules.
  *
  * <p>Threads: One thread per run; time is virtual and a seed determines the run.
  *
--- a/src/test/java/pumicekeel/lab/experiment/ExperimentTest.java
+++ b/src/test/java/pumicekeel/lab/experiment/ExperimentTest.java
@@ -204,7 +204,7 @@
     assertEquals(null, new Shrinker(Policies.OWN, 1, said::add).shrink(from));
     assertTrue(new FleetRun(from, Policies.of(Policies.OWN), 1, null)
         .play(() -> false)
-        .broken()
+        .violations()
         .isEmpty());
   }
 }
--- a/src/test/java/pumicekeel/lab/fleet/FleetRunTest.java
+++ b/src/test/java/pumicekeel/lab/fleet/FleetRunTest.java
@@ -16,7 +16,7 @@
 import pumicekeel.lab.world.WorldSpec;
 import pumicekeel.lab.world.Worlds;
 
-/** Whole fleets: the same seed gives the same run, the rules hold for every policy, and the judge finds what breaks them. */
+/** Tests whole fleets: a seed determines the run, the module keeps the rules, and policies that break a rule are detected. */
 class FleetRunTest {
 
   private static final long SEED = 3;
@@ -25,16 +25,16 @@
     return Worlds.of(name, 3, 9).withSeconds(40);
   }
 
-  private static Figures play(String world, Policies.Maker maker) {
-    return new FleetRun(world(world), maker, SEED, null).play(() -> false);
+  private static Figures play(String world, Policies.Maker factory) {
+    return new FleetRun(world(world), factory, SEED, null).play(() -> false);
   }
 
   @Test
-  void sameSeedGivesTheSameRunToTheLastFigureAndAnotherSeedAnother() {
-    Figures once = play("crash-and-burst", Policies.of(Policies.OWN));
-    assertEquals(once, play("crash-and-burst", Policies.of(Policies.OWN)));
+  void sameSeedGivesTheSameFiguresAndAnotherSeedOthers() {
+    Figures first = play("crash-and-burst", Policies.of(Policies.OWN));
+    assertEquals(first, play("crash-and-burst", Policies.of(Policies.OWN)));
     assertNotEquals(
-        once,
+        first,
         new FleetRun(world("crash-and-burst"), Policies.of(Policies.OWN), SEED + 1, null)
             .play(() -> false));
   }
@@ -42,161 +42,168 @@
   @Test
   void rulesHoldForTheModuleInEveryWorld() {
     for (String world : Worlds.names()) {
-      Figures f = play(world, Policies.of(Policies.OWN));
-      assertEquals(Map.of(), f.broken(), world + ", seed " + SEED + ": " + f.first());
-      assertTrue(f.worth() > 0.5, world + ": " + f);
+      Figures figures = play(world, Policies.of(Policies.OWN));
       assertEquals(
-          f.tries(),
-          f.served() + f.refused() + f.failed() + f.unreached(),
-          world + ": one answer to each try");
+          Map.of(),
+          figures.violations(),
+          world + ", seed " + SEED + ": " + figures.firstViolation());
+      assertTrue(figures.worth() > 0.5, world + ": " + figures);
+      assertEquals(
+          figures.tries(),
+          figures.served() + figures.refused() + figures.failed() + figures.unreachable(),
+          world + ": each try must have one answer");
     }
   }
 
   @Test
-  void policiesUnderOneSeedMeetTheSameRequests() {
-    Figures own = play("burst", Policies.of(Policies.OWN));
+  void policiesWithTheSameSeedGetTheSameRequests() {
+    Figures module = play("burst", Policies.of(Policies.OWN));
     for (String policy : Policies.names()) {
-      assertEquals(own.asked(), play("burst", Policies.of(policy)).asked(), policy);
+      assertEquals(module.requests(), play("burst", Policies.of(policy)).requests(), policy);
     }
   }
 
   @Test
-  void runThatIsStoppedHasNoFigures() {
+  void stoppedRunHasNoFigures() {
     assertNull(new FleetRun(world("calm"), Policies.of("random"), SEED, null).play(() -> true));
   }
 
   @Test
-  void traceTellsOneRequestsWayToItsEnd() {
-    Map<Long, String> last = new HashMap<>();
-    Figures f = new FleetRun(
+  void traceReportsARequestToItsEnd() {
+    Map<Long, String> lastEvents = new HashMap<>();
+    Figures figures = new FleetRun(
             world("calm"),
             Policies.of(Policies.OWN),
             SEED,
-            (number, at, what) -> last.put(number, what))
+            (number, at, event) -> lastEvents.put(number, event))
         .play(() -> false);
-    assertEquals(f.asked(), last.size());
+    assertEquals(figures.requests(), lastEvents.size());
     assertTrue(
-        last.get(7L).contains("served after") || last.get(7L).contains("ended"), last.get(7L));
+        lastEvents.get(7L).contains("served after") || lastEvents.get(7L).contains("ended"),
+        lastEvents.get(7L));
   }
 
-  /** The module with something changed on its way in or out. */
-  private static Policies.Maker changed(
-      java.util.function.BiFunction<Balancer, Balancer.Settings, Balancer> by) {
+  /** Returns a factory of the module with a wrapper that changes its events or settings. */
+  private static Policies.Maker wrapped(
+      java.util.function.BiFunction<Balancer, Balancer.Settings, Balancer> wrapper) {
     return (settings, seed, oracle) ->
-        by.apply(Policies.of(Policies.OWN).make(settings, seed, oracle), settings);
+        wrapper.apply(Policies.of(Policies.OWN).make(settings, seed, oracle), settings);
   }
 
-  private static void finds(String rule, String world, Policies.Maker maker) {
-    Figures f = play(world, maker);
-    assertTrue(f.broken().containsKey(rule), "expected " + rule + ", got " + f.broken());
+  private static void assertViolationFound(String rule, String world, Policies.Maker factory) {
+    Figures figures = play(world, factory);
+    assertTrue(
+        figures.violations().containsKey(rule),
+        "expected " + rule + ", got " + figures.violations());
   }
 
   @Test
-  void policyThatForgetsRequestsIsFound() {
-    finds("lost", "calm", changed((own, settings) -> (now, event, out) -> {
-      if (!(event instanceof Balancer.Request r) || !r.id().endsWith("77")) {
-        own.handle(now, event, out);
+  void policyThatLosesRequestsIsDetected() {
+    assertViolationFound("lost", "calm", wrapped((module, settings) -> (now, event, out) -> {
+      if (!(event instanceof Balancer.Request request) || !request.id().endsWith("77")) {
+        module.handle(now, event, out);
       }
     }));
   }
 
   @Test
-  void policyThatHearsOfNoDrainIsFound() {
-    finds(
+  void policyThatIgnoresDrainsIsDetected() {
+    assertViolationFound(
         "drain",
         "rolling-deploy",
-        changed((own, settings) -> (now, event, out) -> own.handle(now, drainless(event), out)));
+        wrapped((module, settings) ->
+            (now, event, out) -> module.handle(now, withoutDrains(event), out)));
   }
 
-  private static Event drainless(Event event) {
-    return event instanceof Balancer.ListUpdate n
+  private static Event withoutDrains(Event event) {
+    return event instanceof Balancer.ListUpdate update
         ? new Balancer.ListUpdate(
-            n.kind(),
-            n.entries().stream()
-                .map(l -> new Balancer.Listed(
-                    l.upstream(),
-                    l.zone(),
-                    l.cell(),
+            update.kind(),
+            update.entries().stream()
+                .map(entry -> new Balancer.Listed(
+                    entry.upstream(),
+                    entry.zone(),
+                    entry.cell(),
                     Balancer.State.READY,
-                    l.startedNanos(),
-                    l.weight()))
+                    entry.startedNanos(),
+                    entry.weight()))
                 .toList())
         : event;
   }
 
   @Test
-  void policyThatRepeatsWhereNobodyDropsItIsFound() {
-    finds(
+  void policyThatRepeatsKeyedRequestsOutsideTheirCellIsDetected() {
+    assertViolationFound(
         "twice",
         "quarter-crashed",
-        changed((own, settings) -> Policies.of(Policies.OWN).make(safe(settings), 1, id -> 0)));
+        wrapped((module, settings) -> Policies.of(Policies.OWN).make(safe(settings), 1, id -> 0)));
   }
 
-  private static Balancer.Settings safe(Balancer.Settings s) {
+  private static Balancer.Settings safe(Balancer.Settings settings) {
     return new Balancer.Settings(
-        s.me(),
-        s.groupSize(),
-        s.zone(),
-        s.classes().stream()
-            .map(c -> new Balancer.RequestClass(
-                c.name(),
+        settings.me(),
+        settings.groupSize(),
+        settings.zone(),
+        settings.classes().stream()
+            .map(requestClass -> new Balancer.RequestClass(
+                requestClass.name(),
                 Balancer.Effect.SAFE,
-                c.dedupScope(),
+                requestClass.dedupScope(),
                 0,
-                c.aimNanos(),
-                c.aimStretch(),
-                c.deadlineNanos(),
-                c.worth(),
-                c.lateWorth(),
-                c.stream()))
+                requestClass.aimNanos(),
+                requestClass.aimStretch(),
+                requestClass.deadlineNanos(),
+                requestClass.worth(),
+                requestClass.lateWorth(),
+                requestClass.stream()))
             .toList(),
-        s.tenants(),
-        s.limits(),
-        s.contract(),
-        s.prices(),
-        s.listOnRequest(),
-        s.weightKind(),
-        s.overShareWorth(),
-        s.warmKeys(),
-        s.tickNanos());
-  }
-
-  /** All that comes goes to the newest one. */
+        settings.tenants(),
+        settings.limits(),
+        settings.contract(),
+        settings.prices(),
+        settings.listOnRequest(),
+        settings.weightKind(),
+        settings.overShareWorth(),
+        settings.warmKeys(),
+        settings.tickNanos());
+  }
+
+  /** The policy sends all requests to the upstream that was started last. */
   @Test
-  void policyThatPushesAColdOneOverIsFound() {
-    finds("cold", "rolling-deploy", (settings, seed, oracle) -> new Balancer() {
+  void policyThatExceedsAColdBudgetIsDetected() {
+    assertViolationFound("cold", "rolling-deploy", (settings, seed, oracle) -> new Balancer() {
       private final Map<Long, Listed> ready = new HashMap<>();
 
       @Override
       public void handle(long now, Event event, Consumer<Action> out) {
-        if (event instanceof ListUpdate n) {
-          n.entries().forEach(l -> ready.put(l.upstream(), l));
-          ready.values().removeIf(l -> l.state() != State.READY);
-        } else if (event instanceof Request r && ready.isEmpty()) {
-          out.accept(new Refuse(r.id(), 0));
-        } else if (event instanceof Request r) {
+        if (event instanceof ListUpdate update) {
+          update.entries().forEach(entry -> ready.put(entry.upstream(), entry));
+          ready.values().removeIf(entry -> entry.state() != State.READY);
+        } else if (event instanceof Request request && ready.isEmpty()) {
+          out.accept(new Refuse(request.id(), 0));
+        } else if (event instanceof Request request) {
           out.accept(new Send(
-              r.id(),
+              request.id(),
               ready.values().stream()
                   .max(java.util.Comparator.comparingLong(Listed::startedNanos))
                   .orElseThrow()
                   .upstream(),
               0));
-        } else if (event instanceof Outcome o && !o.finished()) {
-          out.accept(new Fail(o.id()));
+        } else if (event instanceof Outcome outcome && !outcome.finished()) {
+          out.accept(new Fail(outcome.id()));
         }
       }
     });
   }
 
   @Test
-  void zonesAreLostWhole() {
+  void zoneOutageWorldHasAllZones() {
     Figures lost = play("zone-lost", Policies.of("random"));
     Figures calm = play("calm", Policies.of("random"));
     assertTrue(lost.attempts() > 0 && calm.attempts() > 0);
     assertEquals(
         List.of("z0", "z1", "z2"),
         new FleetRun(world("zone-lost"), Policies.of("random"), SEED, null)
-            .servers().stream().map(s -> s.zone).distinct().sorted().toList());
+            .servers().stream().map(server -> server.zone).distinct().sorted().toList());
   }
 }
