--- a/src/main/java/pumicekeel/lab/fleet/FleetRun.java
+++ b/src/main/java/pumicekeel/lab/fleet/FleetRun.java
@@ -65,7 +65,7 @@
   private static final long ORACLE_AGE_NANOS = 100 * MS;
 
   private final WorldSpec spec;
-  private final Policies.Maker factory;
+  private final Policies.Factory factory;
   private final long seed;
   private final Trace trace;
   private final EventScheduler scheduler = new EventScheduler();
@@ -82,7 +82,7 @@
   private final double capacity;
 
   /** Creates a run; {@code trace} may be null. */
-  public FleetRun(WorldSpec spec, Policies.Maker factory, long seed, Trace trace) {
+  public FleetRun(WorldSpec spec, Policies.Factory factory, long seed, Trace trace) {
     this.spec = spec;
     this.factory = factory;
     this.seed = seed;
--- a/src/main/java/pumicekeel/lab/policy/Oracle.java
+++ b/src/main/java/pumicekeel/lab/policy/Oracle.java
@@ -1,8 +1,8 @@
 package pumicekeel.lab.policy;
 
-/** What no real balancer can see: the true state of an upstream, as it was a moment ago. */
+/** Access to the true state of upstreams at the last sample, which no real balancer has. */
 public interface Oracle {
 
-  /** Requests that it held, over its capacity when it was looked at; positive infinity for one that is down. */
+  /** Returns the number of requests that an upstream held relative to its capacity; positive infinity if it was down. */
   double crowd(long upstream);
 }
--- a/src/main/java/pumicekeel/lab/policy/Policies.java
+++ b/src/main/java/pumicekeel/lab/policy/Policies.java
@@ -14,68 +14,76 @@
 import pumicekeel.subset.SubsetBalancer;
 import pumicekeel.subset.Subsets;
 
-/** Policies by name: the project's own, and what a user would pick instead. */
+/** The policies by name: the project's own, and common alternatives. */
 public final class Policies {
 
-  /** Makes one balancer's policy. */
-  public interface Maker {
+  /** Creates policies. */
+  public interface Factory {
+    /** Creates the policy of one balancer. */
     Balancer make(Settings settings, long seed, Oracle oracle);
   }
 
-  /** The project's own module. */
+  /** Name of the project's own module. */
   public static final String OWN = "adaptive";
 
-  private static final Map<String, Maker> ALL = all();
+  private static final Map<String, Factory> ALL = all();
 
   private static final Pattern SUBSET =
       Pattern.compile("adaptive-(random|rounds|rendezvous|aperture)-(\\d{1,4})");
-  /** As the lab's worlds have them where nothing else is said. */
-  private static final int UPSTREAMS_EACH = 5;
+
+  /** Default number of upstreams per balancer in the lab's worlds. */
+  private static final int UPSTREAMS_PER_BALANCER = 5;
 
   private Policies() {}
 
-  private static Map<String, Maker> all() {
-    Map<String, Maker> all = new LinkedHashMap<>();
+  private static Map<String, Factory> all() {
+    Map<String, Factory> all = new LinkedHashMap<>();
     all.put(OWN, (settings, seed, oracle) -> new AdaptiveBalancer(settings, seed));
-    all.put("random", textbook(Choice::random));
-    all.put("round-robin", textbook(Choice::roundRobin));
-    all.put("least-outstanding", textbook(r -> Choice.least(r, p -> p.out)));
-    all.put("two-peak-ewma", textbook(Choice::twoByPeakEwma));
-    // Own requests count beside the late truth: a fleet that all sees one idle server would else
-    // fall upon it.
+    all.put("random", textbook(SelectionStrategy::random));
+    all.put("round-robin", textbook(SelectionStrategy::roundRobin));
+    all.put(
+        "least-outstanding",
+        textbook(random -> SelectionStrategy.leastLoaded(random, upstream -> upstream.inFlight)));
+    all.put("two-peak-ewma", textbook(SelectionStrategy::twoChoicesByPeakEwma));
+    // The delayed true state alone would make all balancers send to the same idle upstream, so own
+    // requests in flight count too.
     all.put(
         "true-state-late",
         (settings, seed, oracle) -> new TextbookBalancer(
-            settings, seed, r -> Choice.least(r, p -> oracle.crowd(p.id) + p.out)));
+            settings,
+            seed,
+            random -> SelectionStrategy.leastLoaded(
+                random, upstream -> oracle.crowd(upstream.id) + upstream.inFlight)));
     return all;
   }
 
-  /** The project's own on a subset: {@code adaptive-rounds-25} and the like, of so many upstreams. */
-  private static Maker subset(String name) {
-    Matcher m = SUBSET.matcher(name);
-    if (!m.matches() || Integer.parseInt(m.group(2)) < 1) {
+  /** Returns the module on a subset of the upstreams, with a name such as {@code adaptive-rounds-25}; null for another name. */
+  private static Factory subset(String name) {
+    Matcher matcher = SUBSET.matcher(name);
+    if (!matcher.matches() || Integer.parseInt(matcher.group(2)) < 1) {
       return null;
     }
-    Subsets way = Subsets.valueOf(m.group(1).toUpperCase(Locale.ROOT));
-    int size = Integer.parseInt(m.group(2));
+    Subsets subsets = Subsets.valueOf(matcher.group(1).toUpperCase(Locale.ROOT));
+    int size = Integer.parseInt(matcher.group(2));
     return (settings, seed, oracle) -> new SubsetBalancer(
         settings,
-        way,
+        subsets,
         size,
-        settings.groupSize() * UPSTREAMS_EACH,
-        s -> new AdaptiveBalancer(s, seed));
+        settings.groupSize() * UPSTREAMS_PER_BALANCER,
+        subsetSettings -> new AdaptiveBalancer(subsetSettings, seed));
   }
 
-  private static Maker textbook(Function<SplittableRandom, Choice> choice) {
-    return (settings, seed, oracle) -> new TextbookBalancer(settings, seed, choice);
+  private static Factory textbook(Function<SplittableRandom, SelectionStrategy> strategy) {
+    return (settings, seed, oracle) -> new TextbookBalancer(settings, seed, strategy);
   }
 
+  /** Returns the names of all policies without the subset variants. */
   public static List<String> names() {
     return List.copyOf(ALL.keySet());
   }
 
-  /** The policy of a name; null for none. */
-  public static Maker of(String name) {
+  /** Returns the factory of the named policy, or null if there is none. */
+  public static Factory of(String name) {
     return ALL.containsKey(name) ? ALL.get(name) : subset(name);
   }
 }
--- a/src/main/java/pumicekeel/lab/policy/SelectionStrategy.java
+++ b/src/main/java/pumicekeel/lab/policy/SelectionStrategy.java
@@ -4,45 +4,48 @@
 import java.util.SplittableRandom;
 import java.util.function.ToDoubleFunction;
 
-/** How one of the upstreams that may be used is chosen. The list is never empty. */
-interface Choice {
+/** Selects one of the upstreams that may be used. The list is never empty. */
+interface SelectionStrategy {
 
-  Peer of(List<Peer> ready, long now);
+  /** Selects one of the ready upstreams. */
+  UpstreamState of(List<UpstreamState> ready, long now);
 
-  static Choice random(SplittableRandom random) {
+  /** Selects a random upstream. */
+  static SelectionStrategy random(SplittableRandom random) {
     return (ready, now) -> ready.get(random.nextInt(ready.size()));
   }
 
-  /** In turn, each balancer from its own place. */
-  static Choice roundRobin(SplittableRandom random) {
-    int[] turn = {random.nextInt(1 << 20)};
-    return (ready, now) -> ready.get(Math.floorMod(turn[0]++, ready.size()));
+  /** Selects upstreams in turn. Each balancer starts at a random position. */
+  static SelectionStrategy roundRobin(SplittableRandom random) {
+    int[] nextIndex = {random.nextInt(1 << 20)};
+    return (ready, now) -> ready.get(Math.floorMod(nextIndex[0]++, ready.size()));
   }
 
-  /** The least of all; ties by chance. */
-  static Choice least(SplittableRandom random, ToDoubleFunction<Peer> load) {
+  /** Selects the upstream with the least load; ties are broken at random. */
+  static SelectionStrategy leastLoaded(
+      SplittableRandom random, ToDoubleFunction<UpstreamState> load) {
     return (ready, now) -> {
-      Peer best = null;
-      double least = Double.POSITIVE_INFINITY;
-      int from = random.nextInt(ready.size());
+      UpstreamState best = null;
+      double leastLoad = Double.POSITIVE_INFINITY;
+      int start = random.nextInt(ready.size());
       for (int i = 0; i < ready.size(); i++) {
-        Peer p = ready.get((from + i) % ready.size());
-        double has = load.applyAsDouble(p);
-        if (best == null || has < least) {
-          best = p;
-          least = has;
+        UpstreamState candidate = ready.get((start + i) % ready.size());
+        double candidateLoad = load.applyAsDouble(candidate);
+        if (best == null || candidateLoad < leastLoad) {
+          best = candidate;
+          leastLoad = candidateLoad;
         }
       }
       return best;
     };
   }
 
-  /** The better of two (Mitzenmacher 2001) by peak EWMA, as Finagle does. */
-  static Choice twoByPeakEwma(SplittableRandom random) {
+  /** Selects the better of two random upstreams (Mitzenmacher 2001) by peak EWMA, as Finagle does. */
+  static SelectionStrategy twoChoicesByPeakEwma(SplittableRandom random) {
     return (ready, now) -> {
-      Peer a = ready.get(random.nextInt(ready.size()));
-      Peer b = ready.get(random.nextInt(ready.size()));
-      return a.cost(now) <= b.cost(now) ? a : b;
+      UpstreamState first = ready.get(random.nextInt(ready.size()));
+      UpstreamState second = ready.get(random.nextInt(ready.size()));
+      return first.cost(now) <= second.cost(now) ? first : second;
     };
   }
 }
--- a/src/main/java/pumicekeel/lab/policy/TextbookBalancer.java
+++ b/src/main/java/pumicekeel/lab/policy/TextbookBalancer.java
@@ -9,197 +9,214 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import java.util.function.Function;
 import pumicekeel.Balancer;
 
 /**
- * A policy as a user would pick it elsewhere, behind the same serving rules as the project's own module: one final answer in time, a
- * retry only where the class allows, nothing to one that drains, slow start for a cold one (Envoy's: its chance is its warmth). It
- * refuses only where nothing is ready or too much is open, and tries a request three times.
+ * A common policy behind the same serving rules as the project's own module: one final answer in time, retries only if the class allows
+ * them, no sends to a draining upstream, and slow start for a cold one (as in Envoy: it is used with a probability equal to its warmth).
+ * It refuses a request only if no upstream is ready or too many requests are open, and makes at most three attempts.
  */
 public final class TextbookBalancer implements Balancer {
 
-  private static final int TRIES = 3;
+  private static final int MAX_ATTEMPTS = 3;
 
-  private static final class Open {
+  private static final class OpenRequest {
     private final Request request;
-    private final RequestClass type;
+    private final RequestClass requestClass;
     private final Set<Long> tried = new HashSet<>();
     private int attempts;
-    private int out;
+    private int inFlight;
     private boolean mayHaveRun;
-    private Listed ranAt;
-    private long ranSince;
+    private Listed firstRunEntry;
+    private long firstRunSince;
     private boolean answered;
 
-    private Open(Request request, RequestClass type) {
+    private OpenRequest(Request request, RequestClass requestClass) {
       this.request = request;
-      this.type = type;
+      this.requestClass = requestClass;
     }
   }
 
   private final Settings settings;
-  private final Choice choice;
+  private final SelectionStrategy strategy;
   private final SplittableRandom random;
-  private final Map<Long, Peer> peers = new LinkedHashMap<>();
-  private final List<Peer> ready = new ArrayList<>();
-  private final Map<String, Open> open = new HashMap<>();
-  private final Map<String, List<Peer>> sent = new HashMap<>();
+  private final Map<Long, UpstreamState> upstreams = new LinkedHashMap<>();
+  private final List<UpstreamState> ready = new ArrayList<>();
+  private final Map<String, OpenRequest> open = new HashMap<>();
+  /** The upstreams of a request's attempts, by the attempt's number. */
+  private final Map<String, List<UpstreamState>> attemptTargets = new HashMap<>();
+
   private final Map<String, RequestClass> classes = new HashMap<>();
   private long now;
   private Consumer<Action> actions;
 
   TextbookBalancer(
-      Settings settings, long seed, java.util.function.Function<SplittableRandom, Choice> choice) {
+      Settings settings, long seed, Function<SplittableRandom, SelectionStrategy> strategy) {
     this.settings = settings;
     random = new SplittableRandom(seed);
-    this.choice = choice.apply(random);
-    settings.classes().forEach(c -> classes.put(c.name(), c));
+    this.strategy = strategy.apply(random);
+    settings.classes().forEach(requestClass -> classes.put(requestClass.name(), requestClass));
   }
 
   @Override
   public void handle(long nowNanos, Event event, Consumer<Action> out) {
     now = nowNanos;
     actions = out;
-    if (event instanceof Request r) {
-      request(r);
-    } else if (event instanceof Outcome o) {
-      outcome(o);
-    } else if (event instanceof ListUpdate news) {
-      list(news);
-    } else if (event instanceof TimerFired t && open.containsKey(t.token())) {
-      giveUp(open.get(t.token()));
+    if (event instanceof Request request) {
+      request(request);
+    } else if (event instanceof Outcome result) {
+      outcome(result);
+    } else if (event instanceof ListUpdate update) {
+      list(update);
+    } else if (event instanceof TimerFired timer && open.containsKey(timer.token())) {
+      giveUp(open.get(timer.token()));
     } else if (event instanceof ClientDisconnected gone && open.containsKey(gone.id())) {
       open.get(gone.id()).answered = true;
-      forget(open.get(gone.id()));
+      removeRequest(open.get(gone.id()));
     }
   }
 
-  private void list(ListUpdate news) {
-    if (news.kind() == ListKind.FULL) {
-      peers.keySet().retainAll(news.entries().stream().map(Listed::upstream).toList());
+  private void list(ListUpdate update) {
+    if (update.kind() == ListKind.FULL) {
+      upstreams
+          .keySet()
+          .retainAll(update.entries().stream().map(Listed::upstream).toList());
     }
-    for (Listed l : news.entries()) {
-      if (l.state() == State.GONE) {
-        peers.remove(l.upstream());
+    for (Listed entry : update.entries()) {
+      if (entry.state() == State.GONE) {
+        upstreams.remove(entry.upstream());
       } else {
-        peers.computeIfAbsent(l.upstream(), Peer::new).listed = l;
+        upstreams.computeIfAbsent(entry.upstream(), UpstreamState::new).entry = entry;
       }
     }
     ready.clear();
-    peers.values().stream().filter(p -> p.listed.state() == State.READY).forEach(ready::add);
+    upstreams.values().stream()
+        .filter(upstream -> upstream.entry.state() == State.READY)
+        .forEach(ready::add);
   }
 
   private void request(Request request) {
-    Open o = new Open(request, classes.get(request.className()));
-    if (o.type == null || open.size() >= settings.limits().maxOpen()) {
+    OpenRequest openRequest = new OpenRequest(request, classes.get(request.className()));
+    if (openRequest.requestClass == null || open.size() >= settings.limits().maxOpen()) {
       actions.accept(new Refuse(request.id(), 0));
       return;
     }
-    open.put(request.id(), o);
+    open.put(request.id(), openRequest);
     actions.accept(new SetTimer(request.id(), request.deadlineNanos()));
-    send(o);
+    send(openRequest);
   }
 
-  private void send(Open o) {
-    Peer to = pick(o);
-    if (to == null
-        || o.attempts >= Math.min(TRIES, settings.limits().maxAttempts())
-        || now >= o.request.deadlineNanos()) {
-      giveUp(o);
+  private void send(OpenRequest openRequest) {
+    UpstreamState target = select(openRequest);
+    if (target == null
+        || openRequest.attempts >= Math.min(MAX_ATTEMPTS, settings.limits().maxAttempts())
+        || now >= openRequest.request.deadlineNanos()) {
+      giveUp(openRequest);
       return;
     }
-    o.attempts++;
-    o.out++;
-    o.tried.add(to.id);
-    to.out++;
-    sent.computeIfAbsent(o.request.id(), k -> new ArrayList<>(1)).add(to);
-    actions.accept(new Send(o.request.id(), to.id, Math.max(1, o.request.deadlineNanos() - now)));
+    openRequest.attempts++;
+    openRequest.inFlight++;
+    openRequest.tried.add(target.id);
+    target.inFlight++;
+    attemptTargets
+        .computeIfAbsent(openRequest.request.id(), id -> new ArrayList<>(1))
+        .add(target);
+    actions.accept(new Send(
+        openRequest.request.id(),
+        target.id,
+        Math.max(1, openRequest.request.deadlineNanos() - now)));
   }
 
-  private Peer pick(Open o) {
-    List<Peer> may =
-        o.ranAt == null ? ready : ready.stream().filter(p -> mayRepeat(o, p)).toList();
-    Peer found = null;
-    for (int i = 0; i < 4 && !may.isEmpty(); i++) {
-      found = choice.of(may, now);
-      boolean cold = random.nextDouble() > warmth(found.listed);
-      if (!cold && !o.tried.contains(found.id)) {
-        return found;
+  private UpstreamState select(OpenRequest openRequest) {
+    List<UpstreamState> candidates = openRequest.firstRunEntry == null
+        ? ready
+        : ready.stream().filter(upstream -> allowsRepeat(openRequest, upstream)).toList();
+    UpstreamState selected = null;
+    for (int i = 0; i < 4 && !candidates.isEmpty(); i++) {
+      selected = strategy.of(candidates, now);
+      boolean cold = random.nextDouble() > warmth(selected.entry);
+      if (!cold && !openRequest.tried.contains(selected.id)) {
+        return selected;
       }
     }
-    // Twice in vain: any that is warm, tried or not.
-    for (int i = 0; i < may.size(); i++) {
-      Peer p = may.get(random.nextInt(may.size()));
-      if (warmth(p.listed) >= 1) {
-        return p;
+    // No untried upstream was accepted: use a fully warm one, tried or not.
+    for (int i = 0; i < candidates.size(); i++) {
+      UpstreamState upstream = candidates.get(random.nextInt(candidates.size()));
+      if (warmth(upstream.entry) >= 1) {
+        return upstream;
       }
     }
-    return found;
+    return selected;
   }
 
-  private boolean mayRepeat(Open o, Peer p) {
-    return o.type.effect() == Effect.SAFE
-        || o.type.dedupScope().covers(o.ranAt, p.listed)
-            && now - o.ranSince < o.type.dedupWindowNanos();
+  private boolean allowsRepeat(OpenRequest openRequest, UpstreamState upstream) {
+    return openRequest.requestClass.effect() == Effect.SAFE
+        || openRequest.requestClass.dedupScope().covers(openRequest.firstRunEntry, upstream.entry)
+            && now - openRequest.firstRunSince < openRequest.requestClass.dedupWindowNanos();
   }
 
-  private double warmth(Listed l) {
-    Contract c = settings.contract();
-    return l.startedNanos() == 0
+  private double warmth(Listed entry) {
+    Contract contract = settings.contract();
+    return entry.startedNanos() == 0
         ? 1
         : Math.min(
             1,
-            c.coldFrom()
-                + (1 - c.coldFrom()) * (now - l.startedNanos()) / Math.max(1, c.warmWithinNanos()));
+            contract.coldFrom()
+                + (1 - contract.coldFrom())
+                    * (now - entry.startedNanos())
+                    / Math.max(1, contract.warmWithinNanos()));
   }
 
-  private void outcome(Outcome e) {
-    List<Peer> to = sent.get(e.id());
-    Peer peer = to == null || e.attempt() >= to.size() ? null : to.get(e.attempt());
-    if (peer != null) {
-      peer.out--;
-      if (e.status() != Status.NOT_SENT && e.status() != Status.CANCELLED) {
-        peer.learn(e.latencyNanos(), now);
+  private void outcome(Outcome outcome) {
+    List<UpstreamState> targets = attemptTargets.get(outcome.id());
+    UpstreamState upstream = targets == null || outcome.attempt() >= targets.size()
+        ? null
+        : targets.get(outcome.attempt());
+    if (upstream != null) {
+      upstream.inFlight--;
+      if (outcome.status() != Status.NOT_SENT && outcome.status() != Status.CANCELLED) {
+        upstream.recordLatency(outcome.latencyNanos(), now);
       }
     }
-    Open o = open.get(e.id());
-    if (o == null) {
+    OpenRequest openRequest = open.get(outcome.id());
+    if (openRequest == null) {
       return;
     }
-    o.out--;
-    if (e.finished() || e.status() == Status.SERVED) {
-      o.answered = true;
-      forget(o);
+    openRequest.inFlight--;
+    if (outcome.finished() || outcome.status() == Status.SERVED) {
+      openRequest.answered = true;
+      removeRequest(openRequest);
       return;
     }
-    if (!e.status().provesNotRun() && peer != null && o.ranAt == null) {
-      o.mayHaveRun = true;
-      o.ranAt = peer.listed;
-      o.ranSince = now - e.latencyNanos();
+    if (!outcome.status().provesNotRun() && upstream != null && openRequest.firstRunEntry == null) {
+      openRequest.mayHaveRun = true;
+      openRequest.firstRunEntry = upstream.entry;
+      openRequest.firstRunSince = now - outcome.latencyNanos();
     }
-    if (o.mayHaveRun && o.type.effect() == Effect.UNSAFE) {
-      giveUp(o);
-    } else if (!o.answered) {
-      send(o);
+    if (openRequest.mayHaveRun && openRequest.requestClass.effect() == Effect.UNSAFE) {
+      giveUp(openRequest);
+    } else if (!openRequest.answered) {
+      send(openRequest);
     }
   }
 
-  private void giveUp(Open o) {
-    if (!o.answered) {
-      o.answered = true;
-      boolean runs = o.mayHaveRun || o.out > 0;
+  private void giveUp(OpenRequest openRequest) {
+    if (!openRequest.answered) {
+      openRequest.answered = true;
+      boolean mayRun = openRequest.mayHaveRun || openRequest.inFlight > 0;
       actions.accept(
-          runs && o.type.effect() != Effect.SAFE
-              ? new Fail(o.request.id())
-              : new Refuse(o.request.id(), 0));
+          mayRun && openRequest.requestClass.effect() != Effect.SAFE
+              ? new Fail(openRequest.request.id())
+              : new Refuse(openRequest.request.id(), 0));
     }
-    forget(o);
+    removeRequest(openRequest);
   }
 
-  private void forget(Open o) {
-    open.remove(o.request.id());
-    if (o.out <= 0) {
-      sent.remove(o.request.id());
+  private void removeRequest(OpenRequest openRequest) {
+    open.remove(openRequest.request.id());
+    if (openRequest.inFlight <= 0) {
+      attemptTargets.remove(openRequest.request.id());
     }
   }
 }
--- a/src/main/java/pumicekeel/lab/policy/UpstreamState.java
+++ b/src/main/java/pumicekeel/lab/policy/UpstreamState.java
@@ -2,32 +2,33 @@
 
 import pumicekeel.Balancer.Listed;
 
-/** What a textbook policy keeps of an upstream. */
-final class Peer {
+/** State that a textbook policy keeps for each upstream. */
+final class UpstreamState {
 
-  /** Weight of what is old in the mean of latencies after this time (Finagle's peak EWMA: ten seconds). */
-  private static final double DECAY_NANOS = 10e9;
+  /** Time constant of the moving average of latencies; Finagle's peak EWMA uses ten seconds. */
+  private static final double DECAY_TIME_NANOS = 10e9;
 
   final long id;
-  Listed listed;
-  int out;
+  Listed entry;
+  int inFlight;
   private double latency;
-  private long at;
+  private long updatedAt;
 
-  Peer(long id) {
+  UpstreamState(long id) {
     this.id = id;
   }
 
-  /** A peak counts at once, what is better only slowly: "peak EWMA". */
-  void learn(long nanos, long now) {
-    double keep = Math.exp(-Math.max(0, now - at) / DECAY_NANOS);
-    latency = nanos > latency ? nanos : latency * keep + nanos * (1 - keep);
-    at = now;
+  /** Updates the moving average ("peak EWMA"): a higher latency counts at once, a lower one gradually. */
+  void recordLatency(long latencyNanos, long now) {
+    double retained = Math.exp(-Math.max(0, now - updatedAt) / DECAY_TIME_NANOS);
+    latency =
+        latencyNanos > latency ? latencyNanos : latency * retained + latencyNanos * (1 - retained);
+    updatedAt = now;
   }
 
-  /** Expected latency with one more request on it; one that nobody knows is cheap, so that it is tried. */
+  /** Returns the expected latency with one more request. An upstream without measurements is cheap, so that it is tried. */
   double cost(long now) {
-    double known = latency * Math.exp(-Math.max(0, now - at) / DECAY_NANOS);
-    return (known + 1) * (out + 1);
+    double decayed = latency * Math.exp(-Math.max(0, now - updatedAt) / DECAY_TIME_NANOS);
+    return (decayed + 1) * (inFlight + 1);
   }
 }
--- a/src/main/java/pumicekeel/lab/policy/package-info.java
+++ b/src/main/java/pumicekeel/lab/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Balancing policies that the lab compares: the project's own module and textbook baselines behind
+ * Balancing policies that the lab compares: the project's own module, and textbook baselines with
  * the same serving rules.
  *
  * <p>Threads: One thread per run.
--- a/src/test/java/pumicekeel/lab/fleet/FleetRunTest.java
+++ b/src/test/java/pumicekeel/lab/fleet/FleetRunTest.java
@@ -25,7 +25,7 @@
     return Worlds.of(name, 3, 9).withSeconds(40);
   }
 
-  private static Figures play(String world, Policies.Maker factory) {
+  private static Figures play(String world, Policies.Factory factory) {
     return new FleetRun(world(world), factory, SEED, null).play(() -> false);
   }
 
@@ -84,13 +84,13 @@
   }
 
   /** Returns a factory of the module with a wrapper that changes its events or settings. */
-  private static Policies.Maker wrapped(
+  private static Policies.Factory wrapped(
       java.util.function.BiFunction<Balancer, Balancer.Settings, Balancer> wrapper) {
     return (settings, seed, oracle) ->
         wrapper.apply(Policies.of(Policies.OWN).make(settings, seed, oracle), settings);
   }
 
-  private static void assertViolationFound(String rule, String world, Policies.Maker factory) {
+  private static void assertViolationFound(String rule, String world, Policies.Factory factory) {
     Figures figures = play(world, factory);
     assertTrue(
         figures.violations().containsKey(rule),
