--- a/src/main/java/pumicekeel/lab/fleet/Host.java
+++ b/src/main/java/pumicekeel/lab/fleet/Host.java
@@ -289,8 +289,7 @@
         connections.computeIfAbsent(server.id, id -> new UpstreamConnections());
     if (kept.upstreamIncarnation != run.incarnationOf(server)) {
       // The connections were lost with the upstream's former process. Using one would end in a
-      // reset, which does not prove that the
-      // request has not run.
+      // reset, which does not prove that the request has not run.
       kept.upstreamIncarnation = run.incarnationOf(server);
       kept.idle = 0;
     }
--- a/src/main/java/pumicekeel/lab/fleet/SimulatedDiscovery.java
+++ b/src/main/java/pumicekeel/lab/fleet/SimulatedDiscovery.java
@@ -12,8 +12,9 @@
 import pumicekeel.lab.world.Server;
 
 /**
- * The simulated discovery service. By the operators' requirements it knows only whether a process runs. It notifies each balancer of
- * a change after a random delay, drawn for each balancer up to a maximum. A notification that is outdated when it is due is dropped, so those of one upstream stay in order.
+ * The simulated discovery service. By the operators' requirements it knows only whether a process runs. It notifies each balancer of a
+ * change after a random delay, drawn for each balancer up to a maximum. A notification that is outdated when it is due is dropped, so
+ * those of one upstream stay in order.
  */
 final class SimulatedDiscovery {
 
--- a/src/main/java/pumicekeel/lab/world/Server.java
+++ b/src/main/java/pumicekeel/lab/world/Server.java
@@ -86,9 +86,15 @@
   /** Requests per core that share the cores without {@code contentionCost}. */
   private static final int EFFICIENT_JOBS_PER_CORE = 4;
 
+  /** Identifies the upstream in lists. */
   public final long id;
+
+  /** Name of the zone that it runs in. */
   public final String zone;
+
+  /** Number of its cell; the servers of a cell drop each other's repeats. */
   public final int cellNumber;
+
   private final ServerSpec spec;
   private final Cell cell;
   private final EventScheduler scheduler;
@@ -153,7 +159,7 @@
     return up;
   }
 
-  /** Returns the time of the last start; negative if the server is warm since before the run. */
+  /** Returns the time of the last start; negative if it was long before the run, so that the server is warm. */
   public long startedAt() {
     return startedAt;
   }
@@ -355,7 +361,7 @@
     nextStep = null;
     advance();
     // Time has a resolution of 1 ns: without the tolerance a due job could be left for another
-    // round.
+    // step.
     double tolerance = Math.max(1e-6, attainedService * 1e-12) + ratePerJob;
     while (!running.isEmpty() && running.peek().finishAtService <= attainedService + tolerance) {
       RunningJob done = running.poll();
