--- a/src/main/java/pumicekeel/cli/LabCommand.java
+++ b/src/main/java/pumicekeel/cli/LabCommand.java
@@ -102,7 +102,7 @@
                 err::println)
             .run(results);
         return unfinished == 0 ? 0 : 1;
-      } catch (Experiment.Faulty e) {
+      } catch (Experiment.InvalidExperimentException e) {
         e.lines().forEach(err::println);
         return 2;
       } catch (IOException e) {
--- a/src/main/java/pumicekeel/lab/experiment/Comparison.java
+++ b/src/main/java/pumicekeel/lab/experiment/Comparison.java
@@ -8,12 +8,12 @@
 import pumicekeel.lab.fleet.Figures;
 
 /**
- * Two sets of results against each other, run by run: only runs of the same world, size and seed are compared, so that what the seed
- * does to both cancels out. The mean of the differences has a confidence interval by Student's t (a paired t-test).
+ * Compares two sets of results run by run. Only runs with the same world, size and seed are paired, so that the effects of the seed on
+ * both cancel out. The mean difference has a confidence interval by Student's t-distribution (a paired t-test).
  */
 public final class Comparison {
 
-  /** Better by so much, worse, or neither can be said. */
+  /** Whether B is better or worse than A, or the difference is not significant. */
   public enum Verdict {
     BETTER,
     WORSE,
@@ -21,9 +21,13 @@
   }
 
   /**
-   * One setting's pairs.
+   * The comparison of all pairs of one setting.
    *
-   * @param mean of B less A; {@code low} and {@code high} bound it at 95 %
+   * @param a mean of the metric in the first set of results
+   * @param b mean of the metric in the second set of results
+   * @param mean mean difference, B minus A
+   * @param low lower bound of the 95 % confidence interval of the mean difference
+   * @param high upper bound of the 95 % confidence interval of the mean difference
    */
   public record Line(
       String setting,
@@ -36,65 +40,71 @@
       Verdict verdict) {}
 
   private static final double CONFIDENCE = 0.95;
-  /** With fewer pairs no interval is worth its name. */
-  private static final int LEAST_PAIRS = 3;
+
+  /** Minimum number of pairs; with fewer the interval is unbounded. */
+  private static final int MIN_PAIRS = 3;
 
   private Comparison() {}
 
   /**
-   * Compares by a metric of {@link Figures#NAMES}. {@code policyA} and {@code policyB} choose among the results; null for whatever
-   * policy has the same name in both.
+   * Compares two sets of results by a metric of {@link Figures#NAMES}. {@code policyA} and {@code policyB} select the results of one
+   * policy in each set; if they are null, results of the same policy are paired.
    */
   public static List<Line> of(
       List<Result> a, String policyA, List<Result> b, String policyB, String metric) {
-    boolean less = Figures.lowerIsBetter(metric);
-    Map<String, Result> first = new LinkedHashMap<>();
+    boolean lowerIsBetter = Figures.lowerIsBetter(metric);
+    Map<String, Result> resultsOfA = new LinkedHashMap<>();
     a.stream()
-        .filter(r -> r.ok() && (policyA == null || r.run().policy().equals(policyA)))
-        .forEach(r -> first.put(key(r, policyA == null), r));
+        .filter(
+            result -> result.ok() && (policyA == null || result.run().policy().equals(policyA)))
+        .forEach(result -> resultsOfA.put(pairingKey(result, policyA == null), result));
     Map<String, List<double[]>> pairs = new LinkedHashMap<>();
-    for (Result r : b) {
-      Result other = r.ok() && (policyB == null || r.run().policy().equals(policyB))
-          ? first.get(key(r, policyA == null))
-          : null;
-      if (other != null) {
+    for (Result result : b) {
+      Result resultOfA =
+          result.ok() && (policyB == null || result.run().policy().equals(policyB))
+              ? resultsOfA.get(pairingKey(result, policyA == null))
+              : null;
+      if (resultOfA != null) {
         pairs
             .computeIfAbsent(
-                r.run().setting() + (policyA == null ? " " + r.run().policy() : ""),
-                k -> new ArrayList<>())
+                result.run().setting() + (policyA == null ? " " + result.run().policy() : ""),
+                setting -> new ArrayList<>())
             .add(new double[] {
-              other.figures().getOrDefault(metric, 0.0), r.figures().getOrDefault(metric, 0.0)
+              resultOfA.figures().getOrDefault(metric, 0.0),
+              result.figures().getOrDefault(metric, 0.0)
             });
       }
     }
     List<Line> lines = new ArrayList<>();
-    pairs.forEach((setting, of) -> lines.add(line(setting, of, less)));
+    pairs.forEach((setting, values) -> lines.add(line(setting, values, lowerIsBetter)));
     if (pairs.size() > 1) {
-      lines.add(line("all", pairs.values().stream().flatMap(List::stream).toList(), less));
+      lines.add(line("all", pairs.values().stream().flatMap(List::stream).toList(), lowerIsBetter));
     }
     return lines;
   }
 
-  private static String key(Result r, boolean withPolicy) {
-    return withPolicy ? r.run().key() : r.run().pair();
+  private static String pairingKey(Result result, boolean withPolicy) {
+    return withPolicy ? result.run().key() : result.run().pair();
   }
 
-  private static Line line(String setting, List<double[]> pairs, boolean less) {
-    int n = pairs.size();
-    double a = pairs.stream().mapToDouble(p -> p[0]).average().orElse(0);
-    double b = pairs.stream().mapToDouble(p -> p[1]).average().orElse(0);
+  private static Line line(String setting, List<double[]> pairs, boolean lowerIsBetter) {
+    int count = pairs.size();
+    double a = pairs.stream().mapToDouble(pair -> pair[0]).average().orElse(0);
+    double b = pairs.stream().mapToDouble(pair -> pair[1]).average().orElse(0);
     double mean = b - a;
-    double squares =
-        pairs.stream().mapToDouble(p -> p[1] - p[0] - mean).map(d -> d * d).sum();
-    double half = n < LEAST_PAIRS
+    double squaredDeviations = pairs.stream()
+        .mapToDouble(pair -> pair[1] - pair[0] - mean)
+        .map(deviation -> deviation * deviation)
+        .sum();
+    double halfWidth = count < MIN_PAIRS
         ? Double.POSITIVE_INFINITY
-        : TDistribution.of(n - 1).inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2)
-            * Math.sqrt(squares / (n - 1) / n);
-    double low = mean - half;
-    double high = mean + half;
+        : TDistribution.of(count - 1).inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2)
+            * Math.sqrt(squaredDeviations / (count - 1) / count);
+    double low = mean - halfWidth;
+    double high = mean + halfWidth;
     Verdict verdict = low > 0
-        ? less ? Verdict.WORSE : Verdict.BETTER
-        : high < 0 ? less ? Verdict.BETTER : Verdict.WORSE : Verdict.UNKNOWN;
-    return new Line(setting, n, a, b, mean, low, high, verdict);
+        ? lowerIsBetter ? Verdict.WORSE : Verdict.BETTER
+        : high < 0 ? lowerIsBetter ? Verdict.BETTER : Verdict.WORSE : Verdict.UNKNOWN;
+    return new Line(setting, count, a, b, mean, low, high, verdict);
   }
 }
--- a/src/main/java/pumicekeel/lab/experiment/Experiment.java
+++ b/src/main/java/pumicekeel/lab/experiment/Experiment.java
@@ -14,10 +14,11 @@
 import pumicekeel.lab.world.Worlds;
 
 /**
- * What is to be tried: every policy in every world, at every size, with every value of what is swept, under every seed.
+ * An experiment: every policy in every world, at every size, with every value of the swept parameter and every seed.
  *
- * @param sweep the figure of the world that is swept; null for none
- * @param runLimitSeconds real time after which a run is given up
+ * @param sweep name of the world's parameter that is swept, one of {@link WorldSpec#SWEEPABLE}; null for none
+ * @param values values of the swept parameter
+ * @param runLimitSeconds real time after which a run is stopped
  */
 public record Experiment(
     String name,
@@ -32,93 +33,101 @@
     List<Double> values,
     int runLimitSeconds) {
 
-  private static final int MOST_RUNS = 1_000_000;
-  private static final int MOST_SEEDS = 100_000;
+  private static final int MAX_RUNS = 1_000_000;
+  private static final int MAX_SEEDS = 100_000;
 
-  /** A file that is no good: a line for each fault. */
-  public static final class Faulty extends Exception {
+  /** An experiment file is invalid; has one line per fault. */
+  public static final class InvalidExperimentException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient List<String> lines;
 
-    Faulty(List<String> lines) {
+    InvalidExperimentException(List<String> lines) {
       super(lines.get(0));
       this.lines = lines;
     }
 
-    /** {@code FILE:LINE: KEY: what was expected}. */
+    /** Returns the faults, each as {@code FILE:LINE: KEY: what was expected}. */
     public List<String> lines() {
       return lines;
     }
   }
 
   /** Reads and checks a file; blocks. */
-  public static Experiment read(Path file) throws Faulty {
+  public static Experiment read(Path file) throws InvalidExperimentException {
     try {
       return read(OperatorFile.read(file), file.toString());
     } catch (OperatorFile.UnreadableFileException e) {
-      throw new Faulty(List.of(new Fault(1, "file", e.getMessage()).in(file.toString())));
+      throw new InvalidExperimentException(
+          List.of(new Fault(1, "file", e.getMessage()).in(file.toString())));
     }
   }
 
-  /** Reads and checks a text that came from a file of this name. */
-  public static Experiment read(String text, String file) throws Faulty {
+  /** Checks the text of an experiment file; {@code file} is its name. */
+  public static Experiment read(String text, String file) throws InvalidExperimentException {
     List<Fault> faults = new ArrayList<>();
     Section root = Section.parse(text, faults);
     Experiment experiment = root == null ? null : read(root);
     if (!faults.isEmpty()) {
       faults.sort(null);
-      throw new Faulty(faults.stream().map(f -> f.in(file)).toList());
+      throw new InvalidExperimentException(
+          faults.stream().map(fault -> fault.in(file)).toList());
     }
     return experiment;
   }
 
-  private static Experiment read(Section s) {
-    String name = s.requiredText("name", "the experiment's name");
-    List<String> worlds = chosen(s, "worlds", Worlds.names(), Worlds.names()::contains);
-    List<String> policies = chosen(s, "policies", Policies.names(), p -> Policies.of(p) != null);
-    List<Integer> balancers = s.integers("balancers", 1, WorldSpec.MAX_BALANCERS);
-    Double each = s.number("servers-per-balancer", 0.01, 1_000);
-    Long first = s.integer("first-seed", 0, Long.MAX_VALUE);
-    Long seeds = s.integer("seeds", 1, MOST_SEEDS);
-    Double seconds = s.number("seconds", 10, 3_600);
-    Long limit = s.integer("run-limit-s", 1, 86_400);
-    Section sweep = s.table("sweep");
-    String swept = null;
+  private static Experiment read(Section section) {
+    String name = section.requiredText("name", "the experiment's name");
+    List<String> worlds =
+        selectedNames(section, "worlds", Worlds.names(), Worlds.names()::contains);
+    List<String> policies =
+        selectedNames(section, "policies", Policies.names(), policy -> Policies.of(policy) != null);
+    List<Integer> balancers = section.integers("balancers", 1, WorldSpec.MAX_BALANCERS);
+    Double serversPerBalancer = section.number("servers-per-balancer", 0.01, 1_000);
+    Long firstSeed = section.integer("first-seed", 0, Long.MAX_VALUE);
+    Long seeds = section.integer("seeds", 1, MAX_SEEDS);
+    Double seconds = section.number("seconds", 10, 3_600);
+    Long runLimitSeconds = section.integer("run-limit-s", 1, 86_400);
+    Section sweep = section.table("sweep");
+    String sweptKey = null;
     List<Double> values = List.of(0.0);
     if (sweep != null) {
       Set<String> keys = new TreeSet<>(sweep.keys());
       if (keys.size() != 1 || !WorldSpec.SWEEPABLE.containsAll(keys)) {
-        s.addFault(
+        section.addFault(
             "sweep",
             "expected one of " + WorldSpec.SWEEPABLE + " with a list of values, got " + keys);
       } else {
-        swept = keys.iterator().next();
-        values = values(sweep, swept);
+        sweptKey = keys.iterator().next();
+        values = values(sweep, sweptKey);
       }
       sweep.reportUnknownKeys();
     }
-    s.reportUnknownKeys();
+    section.reportUnknownKeys();
     if (balancers == null || balancers.isEmpty()) {
-      s.addFault("balancers", "expected numbers of balancers, as [2, 20], got nothing");
+      section.addFault("balancers", "expected numbers of balancers, as [2, 20], got nothing");
       balancers = List.of(1);
     }
-    Experiment e = new Experiment(
+    Experiment experiment = new Experiment(
         name,
         worlds,
         policies,
         balancers,
-        each == null ? 5 : each,
-        first == null ? 1 : first,
+        serversPerBalancer == null ? 5 : serversPerBalancer,
+        firstSeed == null ? 1 : firstSeed,
         seeds == null ? 8 : seeds.intValue(),
         seconds == null ? 45 : seconds,
-        swept,
+        sweptKey,
         values,
-        limit == null ? 300 : limit.intValue());
-    if ((long) e.worlds.size() * e.policies.size() * e.balancers.size() * e.seeds * e.values.size()
-        > MOST_RUNS) {
-      s.addFault("seeds", "expected at most " + MOST_RUNS + " runs in all");
+        runLimitSeconds == null ? 300 : runLimitSeconds.intValue());
+    if ((long) experiment.worlds.size()
+            * experiment.policies.size()
+            * experiment.balancers.size()
+            * experiment.seeds
+            * experiment.values.size()
+        > MAX_RUNS) {
+      section.addFault("seeds", "expected at most " + MAX_RUNS + " runs in all");
     }
-    return e;
+    return experiment;
   }
 
   private static List<Double> values(Section sweep, String key) {
@@ -136,22 +145,22 @@
     return values.isEmpty() ? List.of(0.0) : values;
   }
 
-  private static List<String> chosen(
-      Section s, String key, List<String> known, Predicate<String> good) {
-    List<String> chosen = s.textList(key);
-    if (chosen == null || chosen.isEmpty()) {
-      s.addFault(key, "expected some of " + known + ", got nothing");
+  private static List<String> selectedNames(
+      Section section, String key, List<String> known, Predicate<String> valid) {
+    List<String> selectedNames = section.textList(key);
+    if (selectedNames == null || selectedNames.isEmpty()) {
+      section.addFault(key, "expected some of " + known + ", got nothing");
       return known;
     }
-    for (String one : chosen) {
-      if (!good.test(one)) {
-        s.addFault(key, "expected one of " + known + ", got \"" + one + "\"");
+    for (String name : selectedNames) {
+      if (!valid.test(name)) {
+        section.addFault(key, "expected one of " + known + ", got \"" + name + "\"");
       }
     }
-    return chosen.stream().distinct().toList();
+    return selectedNames.stream().distinct().toList();
   }
 
-  /** All runs, seed by seed, so that a part of them holds pairs. */
+  /** Returns all runs, ordered by seed, so that an unfinished experiment contains complete pairs. */
   public List<Run> runs() {
     List<Run> runs = new ArrayList<>();
     for (int i = 0; i < seeds; i++) {
@@ -176,7 +185,7 @@
     return runs;
   }
 
-  /** One run, without what came of it. */
+  /** The parameters of one run. */
   public record Run(
       String world,
       String policy,
@@ -187,23 +196,23 @@
       double value,
       long seed) {
 
-    /** What its figures are kept under. */
+    /** Returns the key that identifies the run in a result file. */
     public String key() {
       return pair() + " " + policy;
     }
 
-    /** Runs of the same pair differ in the policy alone. */
+    /** Returns the key of the run's pair; the runs of a pair differ only in the policy. */
     public String pair() {
       return setting() + " seed " + seed;
     }
 
-    /** World and size, whatever the seed. */
+    /** Returns the run's parameters without seed and policy. */
     public String setting() {
       return world + " " + balancers + "x" + servers + " " + seconds + "s"
           + (sweep.isEmpty() ? "" : " " + sweep + "=" + value);
     }
 
-    /** The world that it is played in. */
+    /** Returns the world of the run. */
     public WorldSpec spec() {
       WorldSpec spec = Worlds.of(world, balancers, servers).withSeconds(seconds);
       return sweep.isEmpty() ? spec : spec.with(sweep, value);
--- a/src/main/java/pumicekeel/lab/experiment/Report.java
+++ b/src/main/java/pumicekeel/lab/experiment/Report.java
@@ -30,7 +30,7 @@
 import pumicekeel.lab.policy.Policies;
 import pumicekeel.lab.world.Worlds;
 
-/** One self-contained page of what an experiment came to: tables by world and size, and plots beside them. */
+/** Renders the results of an experiment as one self-contained HTML page with a table and plots for each size. */
 public final class Report {
 
   private static final int WIDTH = 1_000;
@@ -49,7 +49,7 @@
       "wasted-work",
       "cold-share",
       "broken");
-  private static final Color[] COLOURS = {
+  private static final Color[] COLORS = {
     new Color(0x1b6ca8),
     new Color(0xb0b0b0),
     new Color(0x8c8c8c),
@@ -60,10 +60,10 @@
 
   private Report() {}
 
-  /** The page, HTML. */
-  public static String html(String title, List<Result> all) {
-    // Runs end in any order; a policy has its place and its colour on every page.
-    List<Result> results = all.stream()
+  /** Returns the page as HTML. */
+  public static String html(String title, List<Result> unordered) {
+    // Runs end in any order; sorting gives each policy the same place and color on every page.
+    List<Result> results = unordered.stream()
         .sorted(
             Comparator.<Result>comparingInt(r -> Worlds.names().indexOf(r.run().world()))
                 .thenComparingInt(r -> Policies.names().indexOf(r.run().policy()))
@@ -83,13 +83,14 @@
         .append("</h1>");
     Set<String> builds = new LinkedHashSet<>();
     results.forEach(r -> builds.add(r.build()));
-    long without = results.stream().filter(r -> !r.ok()).count();
+    long withoutFigures = results.stream().filter(r -> !r.ok()).count();
     out.append("<p>")
         .append(results.size())
         .append(" runs of ")
         .append(text(String.join(", ", builds)))
-        .append(without == 0 ? "." : "; <b>" + without + " came to no figures</b>.")
-        .append(" Figures are means over the seeds; worth is of what was asked for.</p>");
+        .append(withoutFigures == 0 ? "." : "; <b>" + withoutFigures + " without figures</b>.")
+        .append(
+            " Figures are means over the seeds; worth is relative to that of all requests.</p>");
     Map<String, List<Result>> bySize = new LinkedHashMap<>();
     results.stream()
         .filter(Result::ok)
@@ -99,20 +100,20 @@
                     + (r.run().sweep().isEmpty()
                         ? ""
                         : ", " + r.run().sweep() + " " + r.run().value()),
-                k -> new ArrayList<>())
+                key -> new ArrayList<>())
             .add(r));
-    bySize.forEach((size, of) -> {
+    bySize.forEach((size, sizeResults) -> {
       out.append("<h2>").append(text(size)).append("</h2>");
-      PLOTTED.forEach(metric -> out.append(plot(metric, of)));
-      out.append(table(of));
+      PLOTTED.forEach(metric -> out.append(plot(metric, sizeResults)));
+      out.append(table(sizeResults));
     });
     return out.append("</body></html>\n").toString();
   }
 
   private static Map<String, Map<String, List<Result>>> byWorldAndPolicy(List<Result> results) {
     Map<String, Map<String, List<Result>>> by = new LinkedHashMap<>();
-    results.forEach(r -> by.computeIfAbsent(r.run().world(), k -> new LinkedHashMap<>())
-        .computeIfAbsent(r.run().policy(), k -> new ArrayList<>())
+    results.forEach(r -> by.computeIfAbsent(r.run().world(), key -> new LinkedHashMap<>())
+        .computeIfAbsent(r.run().policy(), key -> new ArrayList<>())
         .add(r));
     return by;
   }
@@ -126,19 +127,19 @@
 
   private static String table(List<Result> results) {
     StringBuilder out = new StringBuilder("<table><tr><th>world</th><th>policy</th><th>seeds</th>");
-    SHOWN.forEach(m -> out.append("<th>").append(m).append("</th>"));
+    SHOWN.forEach(metric -> out.append("<th>").append(metric).append("</th>"));
     out.append("</tr>");
     byWorldAndPolicy(results)
-        .forEach((world, policies) -> policies.forEach((policy, of) -> {
+        .forEach((world, policies) -> policies.forEach((policy, policyResults) -> {
           out.append(policy.equals(Policies.OWN) ? "<tr class=\"own\"><td>" : "<tr><td>")
               .append(text(world))
               .append("</td><td>")
               .append(text(policy))
               .append("</td><td>")
-              .append(of.size())
+              .append(policyResults.size())
               .append("</td>");
           for (String metric : SHOWN) {
-            double value = mean(of, metric);
+            double value = mean(policyResults, metric);
             boolean bad = metric.equals("broken") && value > 0;
             out.append(bad ? "<td class=\"bad\">" : "<td>").append(shown(value)).append("</td>");
           }
@@ -156,16 +157,16 @@
   }
 
   private static String plot(String metric, List<Result> results) {
-    // Else rotated labels come as outlines of letters and not as text.
+    // With the workaround, rotated labels would be drawn as outlines and not as text.
     TextUtils.setUseDrawRotatedStringWorkaround(false);
     DefaultCategoryDataset data = new DefaultCategoryDataset();
     byWorldAndPolicy(results)
-        .forEach((world, policies) ->
-            policies.forEach((policy, of) -> data.addValue(mean(of, metric), policy, world)));
+        .forEach((world, policies) -> policies.forEach(
+            (policy, policyResults) -> data.addValue(mean(policyResults, metric), policy, world)));
     JFreeChart chart = ChartFactory.createBarChart(
         null,
         null,
-        metric + (Figures.lowerIsBetter(metric) ? " (less is better)" : ""),
+        metric + (Figures.lowerIsBetter(metric) ? " (lower is better)" : ""),
         data,
         PlotOrientation.VERTICAL,
         true,
@@ -185,7 +186,7 @@
     renderer.setItemMargin(0.02);
     for (int i = 0; i < data.getRowCount(); i++) {
       renderer.setSeriesPaint(
-          i, COLOURS[Math.max(0, Policies.names().indexOf(data.getRowKey(i))) % COLOURS.length]);
+          i, COLORS[Math.max(0, Policies.names().indexOf(data.getRowKey(i))) % COLORS.length]);
     }
     VectorGraphics2D drawn = new VectorGraphics2D();
     chart.draw(drawn, new Rectangle2D.Double(0, 0, WIDTH, HEIGHT));
@@ -198,7 +199,7 @@
       throw new UncheckedIOException(e);
     }
     String svg = out.toString(StandardCharsets.UTF_8);
-    // Without the document's head: it stands inside a page.
+    // The SVG is embedded in a page, so its XML prolog is removed.
     return svg.substring(svg.indexOf("<svg"));
   }
 
--- a/src/main/java/pumicekeel/lab/experiment/Result.java
+++ b/src/main/java/pumicekeel/lab/experiment/Result.java
@@ -12,8 +12,12 @@
 import pumicekeel.lab.fleet.Figures;
 
 /**
- * A line of a result file: a run, how it ended ({@code ok}, {@code stopped} at its limit of real time, {@code error}) and its figures
- * by name. {@code build} says which program it was.
+ * The result of a run, one line of a result file.
+ *
+ * @param build name of the program's build
+ * @param status how the run ended: {@code ok}, {@code stopped} at its limit of real time, or {@code error}
+ * @param note description of the first violation, of the exceeded limit or of the error; may be empty
+ * @param figures figures by name, empty if the run has none
  */
 public record Result(
     Run run, String build, String status, String note, Map<String, Double> figures) {
@@ -21,65 +25,66 @@
   private static final JsonFactory JSON = new JsonFactory();
 
   static Result of(Run run, String build, Figures figures) {
-    Map<String, Double> by = new HashMap<>();
-    Figures.NAMES.forEach(n -> by.put(n, figures.get(n)));
+    Map<String, Double> byName = new HashMap<>();
+    Figures.NAMES.forEach(name -> byName.put(name, figures.get(name)));
     return new Result(
-        run, build, "ok", figures.firstViolation() == null ? "" : figures.firstViolation(), by);
+        run, build, "ok", figures.firstViolation() == null ? "" : figures.firstViolation(), byName);
   }
 
   boolean ok() {
     return status.equals("ok");
   }
 
-  /** As a line of JSON without its end. */
+  /** Returns the result as a line of JSON without a line break. */
   String line() {
     StringWriter out = new StringWriter();
-    try (JsonGenerator g = JSON.createGenerator(out)) {
-      g.writeStartObject();
-      g.writeStringField("world", run.world());
-      g.writeStringField("policy", run.policy());
-      g.writeNumberField("balancers", run.balancers());
-      g.writeNumberField("servers", run.servers());
-      g.writeNumberField("seconds", run.seconds());
-      g.writeStringField("sweep", run.sweep());
-      g.writeNumberField("value", run.value());
-      g.writeNumberField("seed", run.seed());
-      g.writeStringField("build", build);
-      g.writeStringField("status", status);
-      g.writeStringField("note", note);
-      g.writeObjectFieldStart("figures");
+    try (JsonGenerator generator = JSON.createGenerator(out)) {
+      generator.writeStartObject();
+      generator.writeStringField("world", run.world());
+      generator.writeStringField("policy", run.policy());
+      generator.writeNumberField("balancers", run.balancers());
+      generator.writeNumberField("servers", run.servers());
+      generator.writeNumberField("seconds", run.seconds());
+      generator.writeStringField("sweep", run.sweep());
+      generator.writeNumberField("value", run.value());
+      generator.writeNumberField("seed", run.seed());
+      generator.writeStringField("build", build);
+      generator.writeStringField("status", status);
+      generator.writeStringField("note", note);
+      generator.writeObjectFieldStart("figures");
       for (String name : Figures.NAMES) {
         if (figures.containsKey(name)) {
-          g.writeNumberField(name, figures.get(name));
+          generator.writeNumberField(name, figures.get(name));
         }
       }
-      g.writeEndObject();
-      g.writeEndObject();
+      generator.writeEndObject();
+      generator.writeEndObject();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
     return out.toString();
   }
 
-  /** Reads a line; an IOException says what is wrong with it. */
+  /** Parses a line; the message of the IOException says what is wrong with it. */
   static Result of(String line) throws IOException {
     try {
-      Fields f = Fields.parse("result", line);
+      Fields fields = Fields.parse("result", line);
       Map<String, Double> figures = new HashMap<>();
-      Fields of = f.nested("figures");
-      for (Object name : of.values().keySet()) {
-        figures.put(String.valueOf(name), of.number(String.valueOf(name), 0));
+      Fields figureFields = fields.nested("figures");
+      for (Object name : figureFields.values().keySet()) {
+        figures.put(String.valueOf(name), figureFields.number(String.valueOf(name), 0));
       }
       Run run = new Run(
-          f.text("world"),
-          f.text("policy"),
-          (int) f.integer("balancers"),
-          (int) f.integer("servers"),
-          f.number("seconds", 0),
-          f.text("sweep", ""),
-          f.number("value", 0),
-          f.integer("seed"));
-      return new Result(run, f.text("build", ""), f.text("status"), f.text("note", ""), figures);
+          fields.text("world"),
+          fields.text("policy"),
+          (int) fields.integer("balancers"),
+          (int) fields.integer("servers"),
+          fields.number("seconds", 0),
+          fields.text("sweep", ""),
+          fields.number("value", 0),
+          fields.integer("seed"));
+      return new Result(
+          run, fields.text("build", ""), fields.text("status"), fields.text("note", ""), figures);
     } catch (WireException | IllegalArgumentException e) {
       throw new IOException(e.getMessage());
     }
--- a/src/main/java/pumicekeel/lab/experiment/ResultFile.java
+++ b/src/main/java/pumicekeel/lab/experiment/ResultFile.java
@@ -10,70 +10,72 @@
 import java.util.List;
 
 /**
- * A file of results, a line each, written as they come. A run that was killed may have left half a line: it is cut off when the file is
- * opened again, and that run is played again. A line that is whole and no result is a mistake, and the file is left alone.
+ * A file of results with one line each, appended as the runs end. A process that was killed may leave an incomplete last line, which is
+ * removed when the file is opened again; its run is repeated. A complete line that is not a result is an error, and the file is not
+ * changed.
  */
 public final class ResultFile implements Closeable {
 
   private final RandomAccessFile out;
-  private final List<Result> before;
-  private final boolean cut;
+  private final List<Result> existing;
+  private final boolean truncated;
 
-  private ResultFile(RandomAccessFile out, List<Result> before, boolean cut) {
+  private ResultFile(RandomAccessFile out, List<Result> existing, boolean truncated) {
     this.out = out;
-    this.before = before;
-    this.cut = cut;
+    this.existing = existing;
+    this.truncated = truncated;
   }
 
-  /** Opens a file to go on with, or a new one. */
+  /** Opens an existing file to continue it, or creates a new one. */
   public static ResultFile open(Path file) throws IOException {
     byte[] bytes = Files.exists(file) ? Files.readAllBytes(file) : new byte[0];
-    int whole = bytes.length;
-    while (whole > 0 && bytes[whole - 1] != '\n') {
-      whole--;
+    int completeLength = bytes.length;
+    while (completeLength > 0 && bytes[completeLength - 1] != '\n') {
+      completeLength--;
     }
-    List<Result> before = lines(file, new String(bytes, 0, whole, StandardCharsets.UTF_8));
+    List<Result> existing =
+        parseLines(file, new String(bytes, 0, completeLength, StandardCharsets.UTF_8));
     RandomAccessFile out = new RandomAccessFile(file.toFile(), "rw");
-    out.setLength(whole);
-    out.seek(whole);
-    return new ResultFile(out, before, whole < bytes.length);
+    out.setLength(completeLength);
+    out.seek(completeLength);
+    return new ResultFile(out, existing, completeLength < bytes.length);
   }
 
-  /** Reads all whole lines of a file. */
+  /** Reads all complete lines of a file. */
   public static List<Result> read(Path file) throws IOException {
     if (!Files.isRegularFile(file)) {
       throw new IOException(file + ": expected a file of results, found none");
     }
     String text = Files.readString(file);
-    return lines(file, text.substring(0, text.lastIndexOf('\n') + 1));
+    return parseLines(file, text.substring(0, text.lastIndexOf('\n') + 1));
   }
 
-  private static List<Result> lines(Path file, String text) throws IOException {
+  private static List<Result> parseLines(Path file, String text) throws IOException {
     List<Result> out = new ArrayList<>();
-    int number = 0;
+    int lineNumber = 0;
     for (String line : text.lines().toList()) {
-      number++;
+      lineNumber++;
       try {
         out.add(Result.of(line));
       } catch (IOException e) {
-        throw new IOException(file + ":" + number + ": expected a result: "
+        throw new IOException(file + ":" + lineNumber + ": expected a result: "
             + String.valueOf(e.getMessage()).replace('\n', ' '));
       }
     }
     return out;
   }
 
-  /** What it held when it was opened. */
-  public List<Result> before() {
-    return before;
+  /** Returns the results that the file contained when it was opened. */
+  public List<Result> existing() {
+    return existing;
   }
 
-  /** Whether half a line was cut off. */
-  public boolean cut() {
-    return cut;
+  /** Returns whether an incomplete last line was removed. */
+  public boolean truncated() {
+    return truncated;
   }
 
-  /** Adds a line; by one thread at a time. */
+  /** Appends a result. Not thread-safe. */
   void add(Result result) throws IOException {
     out.write((result.line() + "\n").getBytes(StandardCharsets.UTF_8));
   }
--- a/src/main/java/pumicekeel/lab/experiment/Runner.java
+++ b/src/main/java/pumicekeel/lab/experiment/Runner.java
@@ -17,14 +17,14 @@
 import pumicekeel.lab.fleet.FleetRun;
 import pumicekeel.lab.policy.Policies;
 
-/** Plays an experiment's runs side by side, one thread each, and writes each result down as it comes. */
+/** Plays the runs of an experiment in parallel, each on one thread, and writes each result when its run ends. */
 public final class Runner {
 
-  private static final long LINE_NANOS = 2_000_000_000L;
+  private static final long PROGRESS_INTERVAL_NANOS = 2_000_000_000L;
 
   /** Plays one run. */
   interface Player {
-    /** Its figures; null where it was stopped. */
+    /** Returns the figures of the run, or null if it was stopped. */
     Figures play(Run run, java.util.function.BooleanSupplier stop);
   }
 
@@ -34,7 +34,7 @@
   private final Consumer<String> progress;
   private final Player player;
 
-  /** {@code build}: the program that runs, for the results; {@code progress} gets lines for people. */
+  /** Creates a runner. {@code build} is the program's build for the results; {@code progress} receives lines for the user. */
   public Runner(Experiment experiment, String build, int threads, Consumer<String> progress) {
     this(
         experiment,
@@ -54,53 +54,55 @@
     this.player = player;
   }
 
-  /** Plays what the file does not hold yet; the number of runs that came to no figures. */
+  /** Plays the runs that have no figures in the file yet. Returns the number of runs that ended without figures. */
   public int run(ResultFile file) throws IOException, InterruptedException {
     Set<String> done = new HashSet<>();
-    file.before().stream().filter(Result::ok).forEach(r -> done.add(r.run().key()));
-    List<Run> left = new ArrayList<>(experiment.runs());
-    left.removeIf(r -> done.contains(r.key()));
-    progress.accept(left.size() + " runs, " + done.size() + " done before"
-        + (file.cut() ? ", half a line cut off" : ""));
-    ExecutorService pool = Executors.newFixedThreadPool(threads);
+    file.existing().stream()
+        .filter(Result::ok)
+        .forEach(result -> done.add(result.run().key()));
+    List<Run> remaining = new ArrayList<>(experiment.runs());
+    remaining.removeIf(run -> done.contains(run.key()));
+    progress.accept(remaining.size() + " runs to play, " + done.size() + " already done"
+        + (file.truncated() ? ", incomplete last line removed" : ""));
+    ExecutorService executor = Executors.newFixedThreadPool(threads);
     try {
-      CompletionService<Result> results = new ExecutorCompletionService<>(pool);
-      left.forEach(run -> results.submit(() -> play(run)));
-      return collect(results, left.size(), file);
+      CompletionService<Result> results = new ExecutorCompletionService<>(executor);
+      remaining.forEach(run -> results.submit(() -> play(run)));
+      return collect(results, remaining.size(), file);
     } finally {
-      pool.shutdownNow();
+      executor.shutdownNow();
     }
   }
 
   private int collect(CompletionService<Result> results, int count, ResultFile file)
       throws IOException, InterruptedException {
-    long from = System.nanoTime();
-    long toldAt = from;
-    int without = 0;
+    long startedAt = System.nanoTime();
+    long reportedAt = startedAt;
+    int withoutFigures = 0;
     for (int i = 1; i <= count; i++) {
-      Result r;
+      Result result;
       try {
-        r = results.take().get();
+        result = results.take().get();
       } catch (ExecutionException e) {
         throw new IllegalStateException(e.getCause());
       }
-      file.add(r);
-      without += r.ok() ? 0 : 1;
-      if (!r.ok() || r.figures().getOrDefault("broken", 0.0) > 0) {
-        progress.accept(
-            r.run().key() + ": " + (r.ok() ? "a rule was broken: " : r.status() + ": ") + r.note());
+      file.add(result);
+      withoutFigures += result.ok() ? 0 : 1;
+      if (!result.ok() || result.figures().getOrDefault("broken", 0.0) > 0) {
+        progress.accept(result.run().key() + ": "
+            + (result.ok() ? "a rule was broken: " : result.status() + ": ") + result.note());
       }
       long now = System.nanoTime();
-      if (now - toldAt > LINE_NANOS || i == count) {
-        toldAt = now;
+      if (now - reportedAt > PROGRESS_INTERVAL_NANOS || i == count) {
+        reportedAt = now;
         progress.accept(i + " of " + count + ", "
-            + TimeUnit.NANOSECONDS.toSeconds((now - from) / i * (count - i)) + " s left");
+            + TimeUnit.NANOSECONDS.toSeconds((now - startedAt) / i * (count - i)) + " s left");
       }
     }
-    return without;
+    return withoutFigures;
   }
 
-  /** One run that fails or hangs does not end the others. */
+  /** Plays one run. A run that fails or exceeds its time does not end the others. */
   private Result play(Run run) {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(experiment.runLimitSeconds());
     try {
@@ -115,8 +117,8 @@
               java.util.Map.of())
           : Result.of(run, build, figures);
     } catch (RuntimeException | StackOverflowError e) {
-      String where = e.getStackTrace().length == 0 ? "" : " at " + e.getStackTrace()[0];
-      return new Result(run, build, "error", e + where, java.util.Map.of());
+      String location = e.getStackTrace().length == 0 ? "" : " at " + e.getStackTrace()[0];
+      return new Result(run, build, "error", e + location, java.util.Map.of());
     }
   }
 }
--- a/src/main/java/pumicekeel/lab/experiment/Shrinker.java
+++ b/src/main/java/pumicekeel/lab/experiment/Shrinker.java
@@ -10,8 +10,8 @@
 import pumicekeel.lab.world.WorldSpec;
 
 /**
- * Cuts a world in which a rule is broken down to a smaller one in which it still is: fewer faults, fewer balancers and upstreams, a
- * shorter day. Greedy, one part at a time (delta debugging, Zeller and Hildebrandt 2002, with parts of one).
+ * Reduces a world in which a rule is broken to a smaller one in which a rule is still broken: fewer faults, fewer balancers and
+ * upstreams, a shorter duration. Greedy, one element at a time (delta debugging, Zeller and Hildebrandt 2002, with chunks of one).
  */
 public final class Shrinker {
 
@@ -19,35 +19,37 @@
   private final long seed;
   private final Consumer<String> progress;
 
+  /** Creates a shrinker; {@code progress} receives a line per reduction. */
   public Shrinker(String policy, long seed, Consumer<String> progress) {
     this.policy = policy;
     this.seed = seed;
     this.progress = progress;
   }
 
-  /** What is broken in a world; null for nothing. */
-  private String broken(WorldSpec spec) {
-    Figures f = new FleetRun(spec, Policies.of(policy), seed, null).play(() -> false);
-    return f.violations().isEmpty() ? null : f.firstViolation();
+  /** Returns the first violation in a world, or null. */
+  private String firstViolation(WorldSpec spec) {
+    Figures figures = new FleetRun(spec, Policies.of(policy), seed, null).play(() -> false);
+    return figures.violations().isEmpty() ? null : figures.firstViolation();
   }
 
-  /** The smallest that was found; null where nothing is broken to begin with. */
+  /** Returns the smallest world found, or null if no rule is broken in the given one. */
   public WorldSpec shrink(WorldSpec from) {
-    String first = broken(from);
+    String first = firstViolation(from);
     if (first == null) {
       return null;
     }
     progress.accept("broken: " + first);
     WorldSpec best = from;
-    for (boolean again = true; again; ) {
-      again = false;
-      for (WorldSpec smaller : smaller(best)) {
-        String still = broken(smaller);
-        if (still != null) {
-          progress.accept(smaller.balancers() + " balancers, " + smaller.servers() + " servers, "
-              + smaller.seconds() + " s, " + smaller.faults().size() + " troubles: " + still);
-          best = smaller;
-          again = true;
+    for (boolean reduced = true; reduced; ) {
+      reduced = false;
+      for (WorldSpec candidate : reductions(best)) {
+        String violation = firstViolation(candidate);
+        if (violation != null) {
+          progress.accept(candidate.balancers() + " balancers, " + candidate.servers()
+              + " servers, " + candidate.seconds() + " s, " + candidate.faults().size()
+              + " faults: " + violation);
+          best = candidate;
+          reduced = true;
           break;
         }
       }
@@ -55,23 +57,23 @@
     return best;
   }
 
-  private static List<WorldSpec> smaller(WorldSpec of) {
-    List<WorldSpec> out = new ArrayList<>();
-    for (int i = 0; i < of.faults().size(); i++) {
-      List<FaultSpec> fewer = new ArrayList<>(of.faults());
-      fewer.remove(i);
-      out.add(of.withFaults(fewer));
+  private static List<WorldSpec> reductions(WorldSpec world) {
+    List<WorldSpec> candidates = new ArrayList<>();
+    for (int i = 0; i < world.faults().size(); i++) {
+      List<FaultSpec> fewerFaults = new ArrayList<>(world.faults());
+      fewerFaults.remove(i);
+      candidates.add(world.withFaults(fewerFaults));
     }
-    if (of.balancers() > 1) {
-      out.add(of.withSize(of.balancers() / 2, Math.max(1, of.servers() / 2)));
-      out.add(of.withSize(of.balancers() - 1, of.servers()));
+    if (world.balancers() > 1) {
+      candidates.add(world.withSize(world.balancers() / 2, Math.max(1, world.servers() / 2)));
+      candidates.add(world.withSize(world.balancers() - 1, world.servers()));
     }
-    if (of.servers() > 1) {
-      out.add(of.withSize(of.balancers(), of.servers() - 1));
+    if (world.servers() > 1) {
+      candidates.add(world.withSize(world.balancers(), world.servers() - 1));
     }
-    if (of.seconds() > 10) {
-      out.add(of.withSeconds(Math.max(10, of.seconds() / 2)));
+    if (world.seconds() > 10) {
+      candidates.add(world.withSeconds(Math.max(10, world.seconds() / 2)));
     }
-    return out;
+    return candidates;
   }
 }
--- a/src/test/java/pumicekeel/lab/experiment/ExperimentTest.java
+++ b/src/test/java/pumicekeel/lab/experiment/ExperimentTest.java
@@ -19,28 +19,29 @@
 import pumicekeel.lab.fleet.FleetRun;
 import pumicekeel.lab.policy.Policies;
 
-/** Experiments: what is read, played, kept and compared. */
+/** Tests reading, playing, storing and comparing experiments. */
 class ExperimentTest {
 
-  private static final String GOOD =
+  private static final String VALID =
       "name = \"n\"\nworlds = [\"calm\"]\npolicies = [\"adaptive\", \"random\"]\nbalancers = [2, 4]\n"
           + "seeds = 3\nrun-limit-s = 1\n[sweep]\nload = [0.5, 1.5]\n";
 
   @TempDir
   private Path folder;
 
-  private final List<String> said = java.util.Collections.synchronizedList(new ArrayList<>());
+  private final List<String> progress = java.util.Collections.synchronizedList(new ArrayList<>());
 
-  private static String faultOf(String text) {
+  private static String faultsOf(String text) {
     return String.join(
         "\n",
-        assertThrows(Experiment.Faulty.class, () -> Experiment.read(text, "e.toml"))
+        assertThrows(
+                Experiment.InvalidExperimentException.class, () -> Experiment.read(text, "e.toml"))
             .lines());
   }
 
   @Test
-  void goodFileIsAllItsRunsAndEachHasItsKey() throws Exception {
-    List<Run> runs = Experiment.read(GOOD, "e.toml").runs();
+  void validFileYieldsAllRunsWithDistinctKeys() throws Exception {
+    List<Run> runs = Experiment.read(VALID, "e.toml").runs();
     assertEquals(2 * 2 * 2 * 3, runs.size());
     assertEquals(runs.size(), runs.stream().map(Run::key).distinct().count());
     assertEquals(1.5, runs.get(2).spec().load());
@@ -48,23 +49,24 @@
   }
 
   @Test
-  void experimentThatCannotBeRightIsALineForEachFault() {
+  void invalidExperimentHasALinePerFault() {
     assertEquals(
         "e.toml:2: worlds: expected one of " + pumicekeel.lab.world.Worlds.names()
             + ", got \"clam\"",
-        faultOf(GOOD.replace("calm", "clam")));
-    assertTrue(faultOf(GOOD.replace("random", "rnd"))
+        faultsOf(VALID.replace("calm", "clam")));
+    assertTrue(faultsOf(VALID.replace("random", "rnd"))
         .startsWith("e.toml:3: policies: expected one of [adaptive, random,"));
-    assertTrue(faultOf(GOOD.replace("[0.5, 1.5]", "[]"))
+    assertTrue(faultsOf(VALID.replace("[0.5, 1.5]", "[]"))
         .contains("e.toml:8: sweep.load: expected values to sweep, got nothing"));
-    assertTrue(faultOf(GOOD.replace("load = [0.5", "retry-part = [0.5"))
+    assertTrue(faultsOf(VALID.replace("load = [0.5", "retry-part = [0.5"))
         .contains("retry-part: expected 0 to 1, got 1.5"));
-    assertTrue(faultOf(GOOD.replace("load =", "lod =")).contains("sweep: expected one of [load,"));
-    assertTrue(faultOf(GOOD.replace("seeds", "sedes")).contains("e.toml:5: sedes: "));
-    assertTrue(faultOf(GOOD.replace("seeds = 3", "seeds = 0")).contains("e.toml:5: seeds: "));
-    assertTrue(faultOf(GOOD.replace("balancers = [2, 4]\n", ""))
+    assertTrue(
+        faultsOf(VALID.replace("load =", "lod =")).contains("sweep: expected one of [load,"));
+    assertTrue(faultsOf(VALID.replace("seeds", "sedes")).contains("e.toml:5: sedes: "));
+    assertTrue(faultsOf(VALID.replace("seeds = 3", "seeds = 0")).contains("e.toml:5: seeds: "));
+    assertTrue(faultsOf(VALID.replace("balancers = [2, 4]\n", ""))
         .contains("balancers: expected numbers of balancers"));
-    assertTrue(faultOf("name = [").contains("TOML"));
+    assertTrue(faultsOf("name = [").contains("TOML"));
   }
 
   private static Figures figures(double worth) {
@@ -74,11 +76,11 @@
   }
 
   private Runner runner(Runner.Player player) throws Exception {
-    return new Runner(Experiment.read(GOOD, "e.toml"), "b", 3, said::add, player);
+    return new Runner(Experiment.read(VALID, "e.toml"), "b", 3, progress::add, player);
   }
 
   @Test
-  void runKilledHalfWayGoesOnAndHalfALineIsPlayedAgain() throws Exception {
+  void killedExperimentContinuesAndRepeatsTheRunOfAnIncompleteLine() throws Exception {
     Path file = folder.resolve("r.jsonl");
     AtomicInteger played = new AtomicInteger();
     try (ResultFile results = ResultFile.open(file)) {
@@ -91,14 +93,14 @@
               .run(results));
     }
     assertEquals(24, played.get());
-    String whole = Files.readString(file);
-    // Ten whole lines and a part of the next.
-    int tenth =
-        whole.length() - whole.lines().skip(10).mapToInt(l -> l.length() + 1).sum();
-    Files.writeString(file, whole.substring(0, tenth + 25));
+    String complete = Files.readString(file);
+    // Keep ten complete lines and a part of the next.
+    int lengthOfTenLines = complete.length()
+        - complete.lines().skip(10).mapToInt(line -> line.length() + 1).sum();
+    Files.writeString(file, complete.substring(0, lengthOfTenLines + 25));
     played.set(0);
     try (ResultFile results = ResultFile.open(file)) {
-      assertTrue(results.cut());
+      assertTrue(results.truncated());
       runner((run, stop) -> {
             played.incrementAndGet();
             return figures(run.seed());
@@ -107,11 +109,12 @@
     }
     assertEquals(14, played.get());
     assertEquals(
-        whole.lines().sorted().toList(), Files.readString(file).lines().sorted().toList());
+        complete.lines().sorted().toList(),
+        Files.readString(file).lines().sorted().toList());
   }
 
   @Test
-  void lineThatIsNoResultIsToldAndTheFileIsLeftAlone() throws Exception {
+  void invalidLineIsReportedAndTheFileIsNotChanged() throws Exception {
     Path file = Files.writeString(folder.resolve("r.jsonl"), "{\"world\":1}\n");
     assertTrue(assertThrows(IOException.class, () -> ResultFile.open(file))
         .getMessage()
@@ -120,7 +123,7 @@
   }
 
   @Test
-  void oneThatHangsAndOneThatBreaksDoNotEndTheOthers() throws Exception {
+  void hangingAndFailingRunsDoNotEndTheOthers() throws Exception {
     Path file = folder.resolve("r.jsonl");
     try (ResultFile results = ResultFile.open(file)) {
       assertEquals(
@@ -143,18 +146,23 @@
     assertEquals(24, all.size());
     assertEquals(
         List.of("error", "stopped"),
-        all.stream().map(Result::status).filter(s -> !s.equals("ok")).sorted().toList());
-    assertTrue(said.stream().anyMatch(l -> l.contains("a defect")), said.toString());
+        all.stream()
+            .map(Result::status)
+            .filter(status -> !status.equals("ok"))
+            .sorted()
+            .toList());
+    assertTrue(progress.stream().anyMatch(line -> line.contains("a defect")), progress.toString());
   }
 
   private static Result result(String policy, long seed, double worth) {
-    Map<String, Double> by = new HashMap<>();
-    Figures.NAMES.forEach(n -> by.put(n, figures(worth).get(n)));
-    return new Result(new Run("calm", policy, 2, 10, 45, "", 0, seed), "b", "ok", "", by);
+    Map<String, Double> figuresByName = new HashMap<>();
+    Figures.NAMES.forEach(name -> figuresByName.put(name, figures(worth).get(name)));
+    return new Result(
+        new Run("calm", policy, 2, 10, 45, "", 0, seed), "b", "ok", "", figuresByName);
   }
 
   @Test
-  void pairsTellASmallGainFromALargeSpreadAndNoiseIsCalledNoise() {
+  void pairingDetectsASmallDifferenceInALargeSpreadAndNotInNoise() {
     List<Result> all = new ArrayList<>();
     for (int seed = 0; seed < 10; seed++) {
       double world = 0.3 + 0.06 * seed;
@@ -175,22 +183,22 @@
         Comparison.of(all, "adaptive", all, "random", "worth").get(0);
     assertEquals(10, line.pairs());
     assertEquals(-0.0109, line.mean(), 1e-9);
-    // Student's t of 9 degrees at 97.5 %: 2.262.
+    // Student's t with 9 degrees of freedom at 97.5 % is 2.262.
     assertEquals(2.262 * 0.00087559 / Math.sqrt(10), line.high() - line.mean(), 1e-6);
     assertEquals(
         Comparison.Verdict.UNKNOWN,
         Comparison.of(all.subList(0, 6), "adaptive", all.subList(0, 6), "random", "worth")
             .get(0)
             .verdict(),
-        "two pairs are no measurement");
+        "two pairs are too few for an interval");
   }
 
   @Test
-  void lineOfAResultReadsBackAndThePageStandsAlone() throws Exception {
-    Result r =
+  void resultSurvivesARoundTripAndThePageIsSelfContained() throws Exception {
+    Result result =
         Result.of(new Run("calm", "adaptive", 2, 10, 45, "load", 1.5, 3), "b", figures(0.25));
-    assertEquals(r, Result.of(r.line()));
-    String page = Report.html("<x>", List.of(r));
+    assertEquals(result, Result.of(result.line()));
+    String page = Report.html("<x>", List.of(result));
     assertTrue(page.contains("&lt;x&gt;")
         && page.contains("<svg")
         && page.contains("0.250")
@@ -198,11 +206,12 @@
   }
 
   @Test
-  void brokenRunShrinksToASmallOne() {
-    // The true state, late, is a policy without a budget for cold ones.
-    var from = pumicekeel.lab.world.Worlds.of("calm", 2, 4).withSeconds(10);
-    assertEquals(null, new Shrinker(Policies.OWN, 1, said::add).shrink(from));
-    assertTrue(new FleetRun(from, Policies.of(Policies.OWN), 1, null)
+  void worldWithoutAViolationIsNotShrunk() {
+    // The module keeps a budget for cold upstreams, other than the policy true-state-late, so it
+    // breaks no rule here.
+    var world = pumicekeel.lab.world.Worlds.of("calm", 2, 4).withSeconds(10);
+    assertEquals(null, new Shrinker(Policies.OWN, 1, progress::add).shrink(world));
+    assertTrue(new FleetRun(world, Policies.of(Policies.OWN), 1, null)
         .play(() -> false)
         .violations()
         .isEmpty());
