--- a/src/main/java/pumicekeel/cli/LabCommand.java
+++ b/src/main/java/pumicekeel/cli/LabCommand.java
@@ -361,18 +361,18 @@
       out.printf(
           "%-10s %9d %9.4f %9.4f %9.4f %9.1f %9.1f%n",
           "sockets",
-          real.asked(),
-          real.servedPart(),
-          real.refusedPart(),
+          real.requests(),
+          real.servedShare(),
+          real.refusedShare(),
           real.worth(),
           real.p50Millis(),
           real.p99Millis());
       out.printf(
           "without an answer or failed %d, answers to other requests %d; the test environment itself was late by at most %.1f ms%n",
-          real.otherOrNone(), real.wrong(), real.lateMillis());
-      boolean close = Math.abs(real.servedPart() - served) <= MAX_SERVED_SHARE_DIFFERENCE
+          real.failedOrTimedOut(), real.mismatched(), real.maxLatenessMillis());
+      boolean close = Math.abs(real.servedShare() - served) <= MAX_SERVED_SHARE_DIFFERENCE
           && Math.abs(real.p50Millis() / model.p50Millis() - 1) <= MAX_MEDIAN_DIFFERENCE
-          && real.wrong() == 0;
+          && real.mismatched() == 0;
       out.println(close ? "close" : "not close");
       return close ? 0 : 1;
     }
--- a/src/main/java/pumicekeel/lab/real/RealRun.java
+++ b/src/main/java/pumicekeel/lab/real/RealRun.java
@@ -30,25 +30,34 @@
 import pumicekeel.standin.StandInDiscovery;
 
 /**
- * A small world on real sockets: the same upstreams, traffic and settings as {@link pumicekeel.lab.fleet.FleetRun} has under the seed,
- * with the real program between them, all of it in this process. Without faults but bursts, and without clients' second tries.
+ * Plays a small world on real sockets, with the real program between clients and upstreams, all in this process. Upstreams, traffic and
+ * settings are those of {@link pumicekeel.lab.fleet.FleetRun} with the same seed. Of the world's faults only bursts are played, and
+ * clients do not retry.
  */
 public final class RealRun {
 
-  /** What came of it, beside what the world itself was late by. */
+  /**
+   * The results of a run.
+   *
+   * @param failedOrTimedOut number of requests that failed or were not answered within the client's timeout
+   * @param mismatched number of answers whose body belongs to another request
+   * @param worth worth of the requests answered within their aim, relative to that of all requests
+   * @param maxLatenessMillis maximum lateness of an event of the world itself
+   */
   public record Figures(
-      long asked,
-      double servedPart,
-      double refusedPart,
-      long otherOrNone,
-      long wrong,
+      long requests,
+      double servedShare,
+      double refusedShare,
+      long failedOrTimedOut,
+      long mismatched,
       double worth,
       double p50Millis,
       double p99Millis,
-      double lateMillis) {}
+      double maxLatenessMillis) {}
 
-  private static final int SOCKETS = 8_192;
-  private static final long ASK_WITHIN = 10_000_000_000L;
+  private static final int MAX_SOCKETS = 8_192;
+  private static final long ASK_WITHIN_NANOS = 10_000_000_000L;
+  /** Time after the last arrival in which the remaining requests end. */
   private static final long TAIL_SECONDS = 7;
 
   private final WorldSpec spec;
@@ -56,30 +65,31 @@
   private final EventScheduler scheduler = new EventScheduler();
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private final Pump pump = new Pump(scheduler, loop);
-  private final Map<String, Arrival> asks = new HashMap<>();
+  private final RealTimeDriver driver = new RealTimeDriver(scheduler, loop);
+  private final Map<String, Arrival> arrivalsById = new HashMap<>();
   private final AtomicBoolean crashed = new AtomicBoolean();
 
+  /** Creates a run of a world with a seed. */
   public RealRun(WorldSpec spec, long seed) {
     this.spec = spec;
     this.seed = seed;
   }
 
-  /** Plays it in real time. */
+  /** Plays the run in real time and returns its results. */
   public Figures play() throws IOException, InterruptedException {
     Deployment deployment = new Deployment(spec, scheduler, seed);
-    List<ServerSocketSide> sides = new ArrayList<>();
+    List<SocketServer> socketServers = new ArrayList<>();
     List<Node> nodes = new ArrayList<>();
-    MultiThreadIoEventLoopGroup other =
+    MultiThreadIoEventLoopGroup discoveryLoops =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try {
       RandomStream random = new RandomStream(seed, "sockets");
-      for (Server s : deployment.servers().values()) {
-        sides.add(new ServerSocketSide(s, loop, pump, random, asks::get));
+      for (Server server : deployment.servers().values()) {
+        socketServers.add(new SocketServer(server, loop, driver, random, arrivalsById::get));
       }
-      StandInDiscovery discovery = new StandInDiscovery(other);
-      tell(deployment, sides, discovery);
-      List<Asker> askers = new ArrayList<>();
+      StandInDiscovery discovery = new StandInDiscovery(discoveryLoops);
+      announce(deployment, socketServers, discovery);
+      List<SocketClients> clients = new ArrayList<>();
       for (int i = 0; i < spec.balancers(); i++) {
         Node node = new Node(
             new Configuration(
@@ -87,105 +97,107 @@
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 discovery.address(),
                 seed + i,
-                SOCKETS,
+                MAX_SOCKETS,
                 new HostList(0, true, List.of()),
-                asked(deployment.settings(i, "a"))),
+                withListOnRequest(deployment.settings(i, "a"))),
             null,
             () -> crashed.set(true));
         nodes.add(node);
-        askers.add(new Asker(loop, node.start()));
+        clients.add(new SocketClients(loop, node.start()));
         node.awaitReady();
       }
-      drive(deployment, askers);
+      drive(deployment, clients);
       discovery.close();
-      return account(askers);
+      return collectFigures(clients);
     } finally {
       nodes.forEach(Node::close);
-      sides.forEach(ServerSocketSide::close);
-      pump.stop();
+      socketServers.forEach(SocketServer::close);
+      driver.stop();
       loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
-      other.shutdownGracefully(0, 0, TimeUnit.SECONDS);
+      discoveryLoops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
   }
 
-  /** The same settings for a list that is asked for, as the platform's is. */
-  private static Settings asked(Settings s) {
-    Contract c = s.contract();
+  /** Returns the settings with a list that is requested from discovery, as on the platform, instead of a pushed one. */
+  private static Settings withListOnRequest(Settings settings) {
+    Contract contract = settings.contract();
     return new Settings(
-        s.me(),
-        s.groupSize(),
-        s.zone(),
-        s.classes(),
-        s.tenants(),
-        s.limits(),
+        settings.me(),
+        settings.groupSize(),
+        settings.zone(),
+        settings.classes(),
+        settings.tenants(),
+        settings.limits(),
         new Contract(
-            c.answerSlackNanos(),
-            ASK_WITHIN,
-            c.drainGraceNanos(),
-            c.coldFrom(),
-            c.warmWithinNanos(),
-            c.fallMultiple(),
-            c.fallWindowNanos()),
-        s.prices(),
+            contract.answerSlackNanos(),
+            ASK_WITHIN_NANOS,
+            contract.drainGraceNanos(),
+            contract.coldFrom(),
+            contract.warmWithinNanos(),
+            contract.fallMultiple(),
+            contract.fallWindowNanos()),
+        settings.prices(),
         true,
-        s.weightKind(),
-        s.overShareWorth(),
-        s.warmKeys(),
-        s.tickNanos());
+        settings.weightKind(),
+        settings.overShareWorth(),
+        settings.warmKeys(),
+        settings.tickNanos());
   }
 
-  private static void tell(
-      Deployment deployment, List<ServerSocketSide> sides, StandInDiscovery discovery) {
+  private static void announce(
+      Deployment deployment, List<SocketServer> socketServers, StandInDiscovery discovery) {
     int i = 0;
-    for (Server s : deployment.servers().values()) {
-      discovery.announce("s" + s.id, sides.get(i++).address(), s.cellNumber, "in_service", 0);
+    for (Server server : deployment.servers().values()) {
+      discovery.announce(
+          "s" + server.id, socketServers.get(i++).address(), server.cellNumber, "in_service", 0);
     }
   }
 
-  private void drive(Deployment deployment, List<Asker> askers) throws InterruptedException {
-    CountDownLatch over = new CountDownLatch(1);
+  private void drive(Deployment deployment, List<SocketClients> clients)
+      throws InterruptedException {
+    CountDownLatch finished = new CountDownLatch(1);
     RandomStream choice = new RandomStream(seed, "front");
     loop.execute(() -> {
-      long from = pump.now();
+      long startNanos = driver.now();
       Traffic traffic = new Traffic(
-          scheduler, spec, RequestKind.STANDARD_MIX, deployment.capacity(), seed, ask -> {
-            asks.put("q" + ask.number(), ask);
-            askers.get(choice.below(askers.size())).ask(ask);
+          scheduler, spec, RequestKind.STANDARD_MIX, deployment.capacity(), seed, arrival -> {
+            arrivalsById.put("q" + arrival.number(), arrival);
+            clients.get(choice.below(clients.size())).submit(arrival);
           });
-      traffic.start(from);
-      pump.plan();
+      traffic.start(startNanos);
+      driver.scheduleNext();
       loop.schedule(
-          over::countDown,
+          finished::countDown,
           (long) (spec.seconds() * 1_000) + TAIL_SECONDS * 1_000,
           TimeUnit.MILLISECONDS);
     });
-    over.await();
+    finished.await();
     if (crashed.get()) {
       throw new IllegalStateException("a balancer crashed");
     }
   }
 
-  private Figures account(List<Asker> askers) throws InterruptedException {
-    List<Asker.Account> all = new ArrayList<>();
-    CountDownLatch read = new CountDownLatch(1);
+  private Figures collectFigures(List<SocketClients> clients) throws InterruptedException {
+    List<SocketClients.Totals> totals = new ArrayList<>();
+    CountDownLatch collected = new CountDownLatch(1);
     loop.execute(() -> {
-      askers.forEach(a -> all.add(a.account()));
-      read.countDown();
+      clients.forEach(client -> totals.add(client.totals()));
+      collected.countDown();
     });
-    read.await();
+    collected.await();
     Histogram latency = new Histogram(3);
-    all.forEach(a -> latency.add(a.latency()));
-    double asked = all.stream().mapToLong(Asker.Account::asked).sum();
+    totals.forEach(total -> latency.add(total.latency()));
+    double requests = totals.stream().mapToLong(SocketClients.Totals::requests).sum();
     return new Figures(
-        (long) asked,
-        all.stream().mapToLong(Asker.Account::served).sum() / asked,
-        all.stream().mapToLong(Asker.Account::refused).sum() / asked,
-        all.stream().mapToLong(a -> a.other() + a.unanswered()).sum(),
-        all.stream().mapToLong(Asker.Account::wrong).sum(),
-        all.stream().mapToDouble(Asker.Account::worthEarned).sum()
-            / all.stream().mapToDouble(Asker.Account::worthAsked).sum(),
+        (long) requests,
+        totals.stream().mapToLong(SocketClients.Totals::served).sum() / requests,
+        totals.stream().mapToLong(SocketClients.Totals::refused).sum() / requests,
+        totals.stream().mapToLong(total -> total.failed() + total.timedOut()).sum(),
+        totals.stream().mapToLong(SocketClients.Totals::mismatched).sum(),
+        totals.stream().mapToDouble(SocketClients.Totals::worthEarned).sum()
+            / totals.stream().mapToDouble(SocketClients.Totals::worthOffered).sum(),
         latency.getValueAtPercentile(50) / 1e3,
         latency.getValueAtPercentile(99) / 1e3,
-        pump.worstLateNanos() / 1e6);
+        driver.maxLatenessNanos() / 1e6);
   }
 }
--- a/src/main/java/pumicekeel/lab/real/ServerSocketSide.java
+++ b/src/main/java/pumicekeel/lab/real/SocketServer.java
@@ -25,25 +25,29 @@
 import pumicekeel.lab.world.Server;
 import pumicekeel.lab.world.Traffic.Arrival;
 
-/** A world's upstream on a socket: the model says when each request ends and how. Only on the world's loop. */
-final class ServerSocketSide {
+/** An upstream of a world on a socket; the server model decides when and how each request ends. For use on the world's event loop only. */
+final class SocketServer {
 
-  private static final int MOST_BODY = 1 << 16;
+  private static final int MAX_BODY_BYTES = 1 << 16;
 
   private final Server server;
-  private final Pump pump;
+  private final RealTimeDriver driver;
   private final RandomStream random;
-  private final Function<String, Arrival> asks;
+  private final Function<String, Arrival> arrivalById;
   private final Channel listener;
 
-  /** {@code asks} knows a request by its id. Waits for the bind, so it is not for the loop. */
-  ServerSocketSide(
-      Server server, EventLoop loop, Pump pump, RandomStream random, Function<String, Arrival> asks)
+  /** Binds to a free port. {@code arrivalById} finds a request by its id. Blocks, so it must not be called on the event loop. */
+  SocketServer(
+      Server server,
+      EventLoop loop,
+      RealTimeDriver driver,
+      RandomStream random,
+      Function<String, Arrival> arrivalById)
       throws InterruptedException {
     this.server = server;
-    this.pump = pump;
+    this.driver = driver;
     this.random = random;
-    this.asks = asks;
+    this.arrivalById = arrivalById;
     listener = new ServerBootstrap()
         .group(loop, loop)
         .channel(NioServerSocketChannel.class)
@@ -54,7 +58,10 @@
           protected void initChannel(Channel channel) {
             channel
                 .pipeline()
-                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Handler());
+                .addLast(
+                    new HttpServerCodec(),
+                    new HttpObjectAggregator(MAX_BODY_BYTES),
+                    new RequestHandler());
           }
         })
         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -70,14 +77,14 @@
     listener.close();
   }
 
-  private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private boolean connected;
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      pump.now();
+      driver.now();
       connected = server.connect();
-      pump.plan();
+      driver.scheduleNext();
       if (!connected) {
         ctx.close();
       }
@@ -93,34 +100,34 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
       String id = request.headers().get("X-Correlation-Id", "");
-      Arrival ask = asks.apply(id);
-      if (ask == null) {
+      Arrival arrival = arrivalById.apply(id);
+      if (arrival == null) {
         write(ctx, HttpResponseStatus.NOT_FOUND, "", false);
         return;
       }
-      pump.now();
+      driver.now();
       server.submit(
           new Server.Job(
-              ask.sessionKey(),
-              "q" + ask.number(),
-              ask.kind().requestClass().effect(),
-              ask.kind().requestClass().dedupWindowNanos(),
-              ask.work(),
-              ask.waitNanos(),
+              arrival.sessionKey(),
+              "q" + arrival.number(),
+              arrival.kind().requestClass().effect(),
+              arrival.kind().requestClass().dedupWindowNanos(),
+              arrival.work(),
+              arrival.waitNanos(),
               new Server.JobListener() {
                 @Override
                 public void onStart() {}
 
                 @Override
                 public void onEnd(Status status, double work) {
-                  answer(ctx, status, id);
+                  respond(ctx, status, id);
                 }
               }),
           random);
-      pump.plan();
+      driver.scheduleNext();
     }
 
-    private void answer(ChannelHandlerContext ctx, Status status, String id) {
+    private void respond(ChannelHandlerContext ctx, Status status, String id) {
       switch (status) {
         case SERVED -> write(ctx, HttpResponseStatus.OK, id, false);
         case FULL -> write(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true);
@@ -131,13 +138,13 @@
 
     private void write(
         ChannelHandlerContext ctx, HttpResponseStatus status, String body, boolean unprocessed) {
-      var answer = new DefaultFullHttpResponse(
+      var response = new DefaultFullHttpResponse(
           HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
-      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
+      response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
       if (unprocessed) {
-        answer.headers().set("X-Unprocessed", "1");
+        response.headers().set("X-Unprocessed", "1");
       }
-      ctx.writeAndFlush(answer);
+      ctx.writeAndFlush(response);
     }
 
     @Override
