--- a/src/main/java/pumicekeel/lab/fleet/Host.java
+++ b/src/main/java/pumicekeel/lab/fleet/Host.java
@@ -12,7 +12,7 @@
 import pumicekeel.Balancer.Fail;
 import pumicekeel.Balancer.ListKind;
 import pumicekeel.Balancer.ListUpdate;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.Outcome;
 import pumicekeel.Balancer.Refuse;
 import pumicekeel.Balancer.Request;
@@ -52,7 +52,7 @@
   /** Number of starts and crashes; callbacks that an earlier process scheduled are ignored. */
   private int incarnation;
 
-  private List<Listed> lastList = List.of();
+  private List<ListedUpstream> lastList = List.of();
 
   Host(int number, FleetRun run, String zone, long seed) {
     this.number = number;
@@ -72,7 +72,7 @@
 
   // Start and crash
 
-  void start(List<Listed> list) {
+  void start(List<ListedUpstream> list) {
     incarnation++;
     policy = run.policyOf(this, random.next());
     drainKnownSince.clear();
@@ -107,9 +107,9 @@
     });
   }
 
-  private List<Listed> toOwnClock(List<Listed> entries) {
+  private List<ListedUpstream> toOwnClock(List<ListedUpstream> entries) {
     return entries.stream()
-        .map(entry -> new Listed(
+        .map(entry -> new ListedUpstream(
             entry.upstream(),
             entry.zone(),
             entry.cell(),
@@ -120,7 +120,7 @@
   }
 
   /** Handles a change of one entry in discovery's list. */
-  void listEntryChanged(Listed entry) {
+  void listEntryChanged(ListedUpstream entry) {
     if (up()) {
       deliver(new ListUpdate(ListKind.DELTA, toOwnClock(List.of(entry))));
     }
@@ -136,7 +136,7 @@
   }
 
   private void recordEntries(ListUpdate update) {
-    for (Listed entry : update.entries()) {
+    for (ListedUpstream entry : update.entries()) {
       knownStarts.put(
           entry.upstream(), entry.startedNanos() == 0 ? 0 : entry.startedNanos() - clockOrigin);
       if (entry.state() == State.READY) {
--- a/src/main/java/pumicekeel/lab/fleet/SimulatedDiscovery.java
+++ b/src/main/java/pumicekeel/lab/fleet/SimulatedDiscovery.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.State;
 import pumicekeel.lab.world.EventScheduler;
 import pumicekeel.lab.world.RandomStream;
@@ -21,7 +21,7 @@
   private final EventScheduler scheduler;
   private final RandomStream random;
   private final List<Host> hosts;
-  private final Map<Long, Listed> entries = new LinkedHashMap<>();
+  private final Map<Long, ListedUpstream> entries = new LinkedHashMap<>();
   private final Map<Long, Long> versions = new HashMap<>();
   private long maxDelayNanos;
 
@@ -42,7 +42,7 @@
   }
 
   /** Returns the entries of all upstreams that run or drain. */
-  List<Listed> entries() {
+  List<ListedUpstream> entries() {
     return new ArrayList<>(entries.values());
   }
 
@@ -51,8 +51,8 @@
     entries.put(server.id, entry(server, State.READY));
   }
 
-  private static Listed entry(Server server, State state) {
-    return new Listed(
+  private static ListedUpstream entry(Server server, State state) {
+    return new ListedUpstream(
         server.id,
         server.zone,
         server.cellNumber,
@@ -63,7 +63,7 @@
 
   /** Publishes a change of an upstream's state. */
   void change(Server server, State state) {
-    Listed entry = entry(server, state);
+    ListedUpstream entry = entry(server, state);
     if (state == State.GONE) {
       entries.remove(server.id);
     } else {
--- a/src/main/java/pumicekeel/lab/policy/TextbookBalancer.java
+++ b/src/main/java/pumicekeel/lab/policy/TextbookBalancer.java
@@ -28,7 +28,7 @@
     private int attempts;
     private int inFlight;
     private boolean mayHaveRun;
-    private Listed firstRunEntry;
+    private ListedUpstream firstRunEntry;
     private long firstRunSince;
     private boolean answered;
 
@@ -81,9 +81,9 @@
     if (update.kind() == ListKind.FULL) {
       upstreams
           .keySet()
-          .retainAll(update.entries().stream().map(Listed::upstream).toList());
+          .retainAll(update.entries().stream().map(ListedUpstream::upstream).toList());
     }
-    for (Listed entry : update.entries()) {
+    for (ListedUpstream entry : update.entries()) {
       if (entry.state() == State.GONE) {
         upstreams.remove(entry.upstream());
       } else {
@@ -156,7 +156,7 @@
             && now - openRequest.firstRunSince < openRequest.requestClass.dedupWindowNanos();
   }
 
-  private double warmth(Listed entry) {
+  private double warmth(ListedUpstream entry) {
     Contract contract = settings.contract();
     return entry.startedNanos() == 0
         ? 1
--- a/src/main/java/pumicekeel/lab/policy/UpstreamState.java
+++ b/src/main/java/pumicekeel/lab/policy/UpstreamState.java
@@ -1,6 +1,6 @@
 package pumicekeel.lab.policy;
 
-import pumicekeel.Balancer.Listed;
+import pumicekeel.Balancer.ListedUpstream;
 
 /** State that a textbook policy keeps for each upstream. */
 final class UpstreamState {
@@ -9,7 +9,7 @@
   private static final double DECAY_TIME_NANOS = 10e9;
 
   final long id;
-  Listed entry;
+  ListedUpstream entry;
   int inFlight;
   private double latency;
   private long updatedAt;
--- a/src/test/java/pumicekeel/lab/fleet/FleetRunTest.java
+++ b/src/test/java/pumicekeel/lab/fleet/FleetRunTest.java
@@ -120,7 +120,7 @@
         ? new Balancer.ListUpdate(
             update.kind(),
             update.entries().stream()
-                .map(entry -> new Balancer.Listed(
+                .map(entry -> new Balancer.ListedUpstream(
                     entry.upstream(),
                     entry.zone(),
                     entry.cell(),
@@ -172,7 +172,7 @@
   @Test
   void policyThatExceedsAColdBudgetIsDetected() {
     assertViolationFound("cold", "rolling-deploy", (settings, seed, oracle) -> new Balancer() {
-      private final Map<Long, Listed> ready = new HashMap<>();
+      private final Map<Long, ListedUpstream> ready = new HashMap<>();
 
       @Override
       public void handle(long now, Event event, Consumer<Action> out) {
@@ -185,7 +185,7 @@
           out.accept(new Send(
               request.id(),
               ready.values().stream()
-                  .max(java.util.Comparator.comparingLong(Listed::startedNanos))
+                  .max(java.util.Comparator.comparingLong(ListedUpstream::startedNanos))
                   .orElseThrow()
                   .upstream(),
               0));
