--- a/src/main/java/pumicekeel/lab/program/ProgramShrinker.java
+++ b/src/main/java/pumicekeel/lab/program/ProgramShrinker.java
@@ -5,17 +5,24 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a run in which something is broken down to the fewest steps in which the same still is (delta debugging, Zeller and Hildebrandt
- * 2002): halves are left out first, then smaller parts, then single steps.
+ * Reduces a run in which a rule is violated to few steps that still violate it (delta debugging, Zeller and Hildebrandt 2002): leaves out
+ * halves first, then smaller parts, then single steps.
  */
 public final class ProgramShrinker {
 
-  /** What is left: which steps of the seed's script, what they say, and what they break. */
-  public record Shrunk(List<Integer> steps, List<String> told, String breach) {}
+  /**
+   * A reduced run.
+   *
+   * @param steps numbers of the remaining steps in the seed's script
+   * @param descriptions the remaining steps as text
+   * @param violation the rule that they violate
+   */
+  public record Shrunk(List<Integer> steps, List<String> descriptions, String violation) {}
 
   private final Script script;
   private final Consumer<String> progress;
 
+  /** Creates a shrinker for the run of a seed; {@code progress} receives one line per round. */
   public ProgramShrinker(long seed, Consumer<String> progress) {
     this(Script.of(seed), progress);
   }
@@ -25,45 +32,46 @@
     this.progress = progress;
   }
 
-  /** The fewest steps that were found; null where nothing is broken to begin with. */
+  /** Returns the smallest run that was found, or null if the whole run violates no rule. */
   public Shrunk shrink() {
-    List<Integer> kept = new ArrayList<>();
+    List<Integer> remaining = new ArrayList<>();
     for (int i = 0; i < script.steps().size(); i++) {
-      kept.add(i);
+      remaining.add(i);
     }
-    String breach = play(kept);
-    if (breach == null) {
+    String violation = play(remaining);
+    if (violation == null) {
       return null;
     }
-    String kind = kindOf(breach);
-    for (int part = kept.size() / 2; part >= 1; ) {
-      boolean smaller = false;
-      for (int from = 0; from < kept.size(); from += part) {
-        List<Integer> fewer = new ArrayList<>(kept.subList(0, from));
-        fewer.addAll(kept.subList(Math.min(kept.size(), from + part), kept.size()));
-        String still = play(fewer);
-        if (still != null && kindOf(still).equals(kind)) {
-          kept = fewer;
-          breach = still;
-          smaller = true;
-          from -= part;
+    String original = withoutNumbers(violation);
+    for (int chunk = remaining.size() / 2; chunk >= 1; ) {
+      boolean reduced = false;
+      for (int from = 0; from < remaining.size(); from += chunk) {
+        List<Integer> candidate = new ArrayList<>(remaining.subList(0, from));
+        candidate.addAll(
+            remaining.subList(Math.min(remaining.size(), from + chunk), remaining.size()));
+        String result = play(candidate);
+        if (result != null && withoutNumbers(result).equals(original)) {
+          remaining = candidate;
+          violation = result;
+          reduced = true;
+          from -= chunk;
         }
       }
-      progress.accept(kept.size() + " steps left: " + breach);
-      part = smaller && part == 1 ? 1 : part / 2;
+      progress.accept(remaining.size() + " steps left: " + violation);
+      chunk = reduced && chunk == 1 ? 1 : chunk / 2;
     }
     return new Shrunk(
-        List.copyOf(kept),
-        kept.stream().map(i -> script.steps().get(i).toString()).toList(),
-        breach);
+        List.copyOf(remaining),
+        remaining.stream().map(i -> script.steps().get(i).toString()).toList(),
+        violation);
   }
 
   private String play(List<Integer> steps) {
-    return new ProgramRun(script.only(steps), null).play().breach();
+    return new ProgramRun(script.withSteps(steps), null).play().violation();
   }
 
-  /** A breach without its numbers and times: the same fault elsewhere is the same fault. */
-  static String kindOf(String breach) {
-    return breach.replaceAll("[0-9.]+", "#");
+  /** Returns a violation without its numbers and times, to recognize the same fault in another run. */
+  static String withoutNumbers(String violation) {
+    return violation.replaceAll("[0-9.]+", "#");
   }
 }
--- a/src/main/java/pumicekeel/lab/program/VirtualLoop.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualLoop.java
@@ -14,102 +14,105 @@
 import java.util.function.Consumer;
 
 /**
- * An event loop without a thread, whose time is the world's: it stands still while a task runs and jumps to the next timer when
- * nothing is left to do. Tasks run in the order in which they came, timers by their time and then in the order in which they were set,
- * so a run is the same each time. What is handed to it from outside is done, with all that follows at once, before the call returns:
- * code that waits for the loop elsewhere finds its result there.
+ * An event loop without a thread, in virtual time: time stands still while a task runs and jumps to the next timer when no task is
+ * left. Tasks run in order of submission, timers in order of their time and then of submission, so runs are deterministic. A task that
+ * is submitted from outside the loop runs, with all tasks that it submits, before the call returns: code that would wait for a loop on
+ * another thread finds its result there.
  */
 final class VirtualLoop extends AbstractScheduledEventExecutor implements EventLoop {
 
-  /** A run whose loop has done so much without time going on turns in a circle. */
-  private static final int MOST_AT_ONCE = 2_000_000;
+  /** More tasks than this without an advance of time are taken for an endless cycle. */
+  private static final int MAX_TASKS_WITHOUT_ADVANCE = 2_000_000;
 
-  private static final long START = 1_000_000_000L;
+  private static final long START_NANOS = 1_000_000_000L;
 
   private final Ticker ticker = new Ticker() {
     @Override
     public long initialNanoTime() {
-      return START;
+      return START_NANOS;
     }
 
     @Override
     public long nanoTime() {
-      return now;
+      return nowNanos;
     }
 
     @Override
     public void sleep(long delay, TimeUnit unit) {
-      throw new UnsupportedOperationException("nothing sleeps on the loop");
+      throw new UnsupportedOperationException("the event loop must not sleep");
     }
   };
   private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
-  private long now = START;
-  private Consumer<Throwable> failed = e -> {};
-  private boolean inside;
-  private long done;
+  private long nowNanos = START_NANOS;
+  private Consumer<Throwable> failureHandler = e -> {};
+  private boolean running;
+  private long executed;
 
+  /** Returns the virtual time in nanoseconds. */
   long now() {
-    return now;
+    return nowNanos;
   }
 
-  /** Tasks and timers that have run. */
-  long done() {
-    return done;
+  /** Returns the number of tasks and timers that have run. */
+  long executed() {
+    return executed;
   }
 
-  void at(long when, Runnable what) {
-    schedule(what, Math.max(0, when - now), TimeUnit.NANOSECONDS);
+  /** Runs a task at this virtual time, in nanoseconds; a time in the past counts as now. */
+  void runAt(long atNanos, Runnable task) {
+    schedule(task, Math.max(0, atNanos - nowNanos), TimeUnit.NANOSECONDS);
   }
 
-  /** Lets all happen that is due by then. */
-  void runUntil(long end) {
-    enter(() -> {
-      drain();
+  /** Runs all tasks and all timers that are due up to this virtual time, in nanoseconds. */
+  void runUntil(long untilNanos) {
+    runInLoop(() -> {
+      runPendingTasks();
       for (long next = nextScheduledTaskDeadlineNanos();
-          next >= 0 && next <= end;
+          next >= 0 && next <= untilNanos;
           next = nextScheduledTaskDeadlineNanos()) {
-        now = Math.max(now, next);
-        Runnable due = pollScheduledTask(now);
+        nowNanos = Math.max(nowNanos, next);
+        Runnable due = pollScheduledTask(nowNanos);
         if (due != null) {
-          done++;
-          carryOut(due);
+          executed++;
+          runReportingFailure(due);
         }
-        drain();
+        runPendingTasks();
       }
-      now = Math.max(now, end);
+      nowNanos = Math.max(nowNanos, untilNanos);
     });
   }
 
-  private void enter(Runnable what) {
-    boolean before = inside;
-    inside = true;
+  private void runInLoop(Runnable task) {
+    boolean wasRunning = running;
+    running = true;
     try {
-      what.run();
+      task.run();
     } finally {
-      inside = before;
+      running = wasRunning;
     }
   }
 
-  /** Told of what a task throws: nothing of the program may. */
-  void onFailure(Consumer<Throwable> to) {
-    failed = to;
+  /** Sets the receiver of what tasks throw; the program's tasks must not throw. */
+  void onFailure(Consumer<Throwable> handler) {
+    failureHandler = handler;
   }
 
-  private void carryOut(Runnable what) {
+  private void runReportingFailure(Runnable task) {
     try {
-      what.run();
+      task.run();
     } catch (RuntimeException | AssertionError e) {
-      failed.accept(e);
+      failureHandler.accept(e);
     }
   }
 
-  private void drain() {
+  private void runPendingTasks() {
     int count = 0;
     for (Runnable next = tasks.poll(); next != null; next = tasks.poll()) {
-      done++;
-      carryOut(next);
-      if (++count > MOST_AT_ONCE) {
-        throw new IllegalStateException("the loop turns in a circle");
+      executed++;
+      runReportingFailure(next);
+      if (++count > MAX_TASKS_WITHOUT_ADVANCE) {
+        throw new IllegalStateException(
+            "more than " + MAX_TASKS_WITHOUT_ADVANCE + " tasks ran without an advance of time");
       }
     }
   }
@@ -117,8 +120,8 @@
   @Override
   public void execute(Runnable task) {
     tasks.add(task);
-    if (!inside) {
-      enter(this::drain);
+    if (!running) {
+      runInLoop(this::runPendingTasks);
     }
   }
 
@@ -129,7 +132,7 @@
 
   @Override
   public boolean inEventLoop(Thread thread) {
-    return inside;
+    return running;
   }
 
   @Override
@@ -160,7 +163,7 @@
     return promise;
   }
 
-  // It ends with its run
+  // The loop ends with its run and has no resources to release
 
   @Override
   public Future<?> shutdownGracefully(long quiet, long timeout, TimeUnit unit) {
@@ -175,7 +178,7 @@
   @Deprecated
   @Override
   public void shutdown() {
-    // Nothing to end.
+    // Nothing to release.
   }
 
   @Override
--- a/src/test/java/pumicekeel/lab/program/ProgramRunTest.java
+++ b/src/test/java/pumicekeel/lab/program/ProgramRunTest.java
@@ -15,98 +15,102 @@
 class ProgramRunTest {
 
   private static final int SEEDS = 30;
-  /** So few that a crowd of clients has nowhere to go: what must break breaks. */
-  private static final int TOO_FEW = 6;
+  /** Too few for the connections of idle clients, so that some run must violate a rule. */
+  private static final int TOO_FEW_SOCKETS = 6;
 
   @Test
   void allRulesHold() {
-    int asked = 0;
+    int requests = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       ProgramRun.Report r = new ProgramRun(seed).play();
-      assertNull(r.breach(), "lab program --seed " + seed + " --trace: " + r.breach());
-      asked += r.asked();
+      assertNull(r.violation(), "lab program --seed " + seed + " --trace: " + r.violation());
+      requests += r.requests();
     }
-    assertTrue(asked > SEEDS * 50, "asked " + asked);
+    assertTrue(requests > SEEDS * 50, "requests: " + requests);
   }
 
   @Test
-  void aSeedIsTheSameRunEachTime() {
+  void sameSeedGivesTheSameRun() {
     for (long seed = 100; seed < 105; seed++) {
       assertEquals(new ProgramRun(seed).play(), new ProgramRun(seed).play(), "seed " + seed);
     }
-    assertNotEquals(new ProgramRun(100).play().sum(), new ProgramRun(101).play().sum());
+    assertNotEquals(
+        new ProgramRun(100).play().checksum(), new ProgramRun(101).play().checksum());
   }
 
   @Test
-  void everyKindOfTroubleIsMetWithinAThousandSeeds() {
-    List<Kind> met = new ArrayList<>();
+  void everyKindOfStepOccursWithinAThousandSeeds() {
+    List<Kind> kinds = new ArrayList<>();
     for (long seed = 1; seed <= 1_000; seed++) {
-      Script.of(seed).steps().forEach(s -> met.add(s.kind()));
+      Script.of(seed).steps().forEach(s -> kinds.add(s.kind()));
     }
     for (Kind k : Kind.values()) {
-      assertTrue(met.contains(k), k.toString());
+      assertTrue(kinds.contains(k), k.toString());
     }
   }
 
-  /** A crowd beyond what the program may hold of connections waits in the kernel, and is answered late. */
+  /** Clients beyond the program's limit of connections wait in the kernel's backlog and are answered too late. */
   @Test
-  void whatIsBrokenIsCutDownToWhatBreaksIt() {
-    Script broken = crowded();
+  void failingRunIsReducedToFewerStepsWithTheSameViolation() {
+    Script failing = failingScript();
     List<String> progress = new ArrayList<>();
-    ProgramShrinker.Shrunk left = new ProgramShrinker(broken, progress::add).shrink();
-    assertNotNull(left);
+    ProgramShrinker.Shrunk shrunk = new ProgramShrinker(failing, progress::add).shrink();
+    assertNotNull(shrunk);
     assertTrue(
-        left.steps().size() < broken.steps().size(),
-        left.steps() + " of " + broken.steps().size());
+        shrunk.steps().size() < failing.steps().size(),
+        shrunk.steps() + " of " + failing.steps().size());
     assertEquals(
-        left.breach(), new ProgramRun(broken.only(left.steps()), null).play().breach());
+        shrunk.violation(),
+        new ProgramRun(failing.withSteps(shrunk.steps()), null).play().violation());
     assertTrue(progress.size() > 1);
   }
 
-  private static Script crowded() {
+  private static Script failingScript() {
     for (long seed = 1; ; seed++) {
       Script s = Script.of(seed);
-      Script crowded = new Script(seed, s.servers(), TOO_FEW, s.perSecond(), false, s.steps());
-      if (s.steps().size() < 150 && new ProgramRun(crowded, null).play().breach() != null) {
-        return crowded;
+      Script fewSockets =
+          new Script(seed, s.servers(), TOO_FEW_SOCKETS, s.requestsPerSecond(), false, s.steps());
+      if (s.steps().size() < 150 && new ProgramRun(fewSockets, null).play().violation() != null) {
+        return fewSockets;
       }
     }
   }
 
-  /** All upstreams vanish while large bodies are on their way: without a limit their clients would wait for twenty minutes. */
+  /** All upstreams become unreachable during large uploads: without a time limit their clients would wait for twenty minutes. */
   @Test
-  void uploadsToUpstreamsThatVanishEnd() {
-    Script any = Script.of(5);
+  void uploadsToUnreachableUpstreamsEnd() {
+    Script script = Script.of(5);
     List<Step> steps = new ArrayList<>();
     for (int number = 0; number < 600; number++) {
-      RequestScenario f = new RequestScenario(any, number);
-      if (f.bodySize > 200_000
-          && f.owed()
-          && !f.slowReader
-          && f.effect != pumicekeel.Balancer.Effect.SAFE) {
-        steps.add(new Step(500 * Script.MS, Kind.ASK, number, 0));
+      RequestScenario scenario = new RequestScenario(script, number);
+      if (scenario.bodyBytes > 200_000
+          && scenario.requiresAnswer()
+          && !scenario.slowReader
+          && scenario.effect != pumicekeel.Balancer.Effect.SAFE) {
+        steps.add(new Step(500 * Script.NANOS_PER_MS, Kind.REQUEST, number, 0));
       }
     }
-    for (int i = 0; i < any.servers(); i++) {
-      steps.add(new Step(503 * Script.MS, Kind.CUT_OFF, i, 60 * Script.SECOND));
+    for (int i = 0; i < script.servers(); i++) {
+      steps.add(new Step(503 * Script.NANOS_PER_MS, Kind.ISOLATE, i, 60 * Script.NANOS_PER_SECOND));
     }
-    assertTrue(steps.size() > any.servers() + 3, "uploads: " + steps.size());
-    assertNull(new ProgramRun(new Script(5, any.servers(), 200, 20, false, steps), null)
+    assertTrue(steps.size() > script.servers() + 3, "uploads: " + steps.size());
+    assertNull(new ProgramRun(new Script(5, script.servers(), 200, 20, false, steps), null)
         .play()
-        .breach());
+        .violation());
   }
 
   @Test
-  void theTraceTellsWhatWasAskedAndAnswered() {
-    List<String> told = new ArrayList<>();
-    ProgramRun.Report r = new ProgramRun(3, null, told::add).play();
-    assertEquals(r.asked(), told.stream().filter(t -> t.contains("  asked ")).count());
+  void traceContainsEveryRequestAndEveryServedAnswer() {
+    List<String> lines = new ArrayList<>();
+    ProgramRun.Report r = new ProgramRun(3, null, lines::add).play();
     assertEquals(
-        r.served(), told.stream().filter(t -> t.contains(", status 200")).count());
+        r.requests(), lines.stream().filter(t -> t.contains("  request ")).count());
+    assertEquals(
+        r.served(), lines.stream().filter(t -> t.contains(", status 200")).count());
   }
 
   @Test
-  void stepsThatAreNotThereAreRefused() {
+  void unknownStepNumbersAreRejected() {
     assertThrows(IllegalArgumentException.class, () -> new ProgramRun(1, List.of(100_000), null));
   }
 }
