--- a/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
+++ b/src/main/java/pumicekeel/lab/program/VirtualNetwork.java
@@ -86,13 +86,13 @@
   }
 
   @Override
-  public void drainBacklogAndClose(Channel listener, int most) {
-    ((VirtualListener) listener).drainBacklogAndClose(most);
+  public void drainBacklogAndClose(Channel listener, int maxConnections) {
+    ((VirtualListener) listener).drainBacklogAndClose(maxConnections);
   }
 
   @Override
-  public int discardUnread(Channel channel, int most) {
-    return channel instanceof VirtualSocket socket ? socket.discardUnread(most) : 0;
+  public int discardUnread(Channel channel, int maxBytes) {
+    return channel instanceof VirtualSocket socket ? socket.discardUnread(maxBytes) : 0;
   }
 
   @Override
