--- a/src/main/java/pumicekeel/cli/LabCommand.java
+++ b/src/main/java/pumicekeel/cli/LabCommand.java
@@ -102,7 +102,7 @@
                 err::println)
             .run(results);
         return unfinished == 0 ? 0 : 1;
-      } catch (Experiment.Faulty e) {
+      } catch (Experiment.InvalidExperimentException e) {
         e.lines().forEach(err::println);
         return 2;
       } catch (IOException e) {
@@ -300,19 +300,20 @@
       }
       out.printf(
           "%d requests, %d tries, %d served, %d refused, %d failed, %d found no upstream; %d events in %.1f s%n",
-          f.asked(),
+          f.requests(),
           f.tries(),
           f.served(),
           f.refused(),
           f.failed(),
-          f.unreached(),
+          f.unreachable(),
           f.events(),
           (System.nanoTime() - from) / 1e9);
-      f.broken().forEach((rule, times) -> out.println("broken: " + rule + ", " + times + " times"));
-      if (f.first() != null) {
-        out.println("first: " + f.first());
+      f.violations()
+          .forEach((rule, times) -> out.println("broken: " + rule + ", " + times + " times"));
+      if (f.firstViolation() != null) {
+        out.println("first: " + f.firstViolation());
       }
-      return f.broken().isEmpty() ? 0 : 1;
+      return f.violations().isEmpty() ? 0 : 1;
     }
   }
 
@@ -351,7 +352,7 @@
       out.printf(
           "%-10s %9d %9.4f %9.4f %9.4f %9.1f %9.1f%n",
           "virtual",
-          model.asked(),
+          model.requests(),
           served,
           model.get("refused-part"),
           model.worth(),
@@ -360,18 +361,18 @@
       out.printf(
           "%-10s %9d %9.4f %9.4f %9.4f %9.1f %9.1f%n",
           "sockets",
-          real.asked(),
-          real.servedPart(),
-          real.refusedPart(),
+          real.requests(),
+          real.servedShare(),
+          real.refusedShare(),
           real.worth(),
           real.p50Millis(),
           real.p99Millis());
       out.printf(
           "without an answer or failed %d, answers to other requests %d; the test environment itself was late by at most %.1f ms%n",
-          real.otherOrNone(), real.wrong(), real.lateMillis());
-      boolean close = Math.abs(real.servedPart() - served) <= MAX_SERVED_SHARE_DIFFERENCE
+          real.failedOrTimedOut(), real.mismatched(), real.maxLatenessMillis());
+      boolean close = Math.abs(real.servedShare() - served) <= MAX_SERVED_SHARE_DIFFERENCE
           && Math.abs(real.p50Millis() / model.p50Millis() - 1) <= MAX_MEDIAN_DIFFERENCE
-          && real.wrong() == 0;
+          && real.mismatched() == 0;
       out.println(close ? "close" : "not close");
       return close ? 0 : 1;
     }
