--- a/src/main/java/pumicekeel/rig/soak/CallFaults.java
+++ b/src/main/java/pumicekeel/rig/soak/CallFaults.java
@@ -36,7 +36,7 @@
     build();
     this.folder = folder;
     this.seed = seed;
-    // Outside the folder, or the faults would affect the page itself.
+    // Outside the folder, else the file faults would affect the page itself.
     page = Files.createTempFile("call-faults", ".page");
     int bytes = SLOT_BYTES * CallKind.values().length;
     Files.write(page, new byte[bytes]);
--- a/src/main/java/pumicekeel/rig/soak/ChangeNotifications.java
+++ b/src/main/java/pumicekeel/rig/soak/ChangeNotifications.java
@@ -13,7 +13,7 @@
  */
 public final class ChangeNotifications {
 
-  /** Time after which a change in a reachable discovery counts as notified, whether or not it arrived. */
+  /** Time after which balancers count as notified of a change in a reachable discovery, whether or not it arrived. */
   static final long MAX_NOTIFICATION_NANOS = TimeUnit.SECONDS.toNanos(6);
 
   private record Change(long index, long atNanos, boolean leaves) {}
@@ -29,7 +29,7 @@
 
   private final List<Outage> outages = new ArrayList<>();
 
-  /** Records that discovery has had a change since this time. */
+  /** Records that discovery has had a change of an upstream since this time. */
   public synchronized void changed(String upstream, long index, long atNanos, boolean leaves) {
     changes
         .computeIfAbsent(upstream, k -> new ArrayList<>())
@@ -50,14 +50,14 @@
    * Returns how many nanoseconds ago the balancer was notified that the upstream leaves; -1 if its latest notification says that the
    * upstream serves.
    */
-  public synchronized long leavingFor(String balancer, String upstream, long atNanos) {
+  public synchronized long nanosSinceLeavingNotified(
+      String balancer, String upstream, long atNanos) {
     Change last = null;
     long lastNotifiedAt = 0;
     for (Change change : changes.getOrDefault(upstream, List.of())) {
       long notifiedAt = notifiedAt(balancer, change);
       if (notifiedAt <= atNanos && (last == null || change.index() > last.index())) {
-        // The earliest notification of the leaving counts: a repeated one does not extend the
-        // grace.
+        // The earliest notification counts: a repeated one does not extend the grace.
         lastNotifiedAt = last != null && last.leaves() && change.leaves()
             ? Math.min(lastNotifiedAt, notifiedAt)
             : notifiedAt;
--- a/src/main/java/pumicekeel/rig/soak/ListTrouble.java
+++ b/src/main/java/pumicekeel/rig/soak/ListTrouble.java
@@ -15,7 +15,7 @@
   RESET(5, 0, false, CallFate.RESET, 700),
   /** The first balancer's calls are accepted and never answered. */
   IGNORED(5, 0, false, CallFate.IGNORE, 0),
-  /** Discovery can serve one list to every balancer in 5.6 s; calls that wait for more than 2 s are answered 503. */
+  /** Discovery needs 5.6 s to serve one list to every balancer; calls that wait for more than 2 s are answered 503. */
   CROWDED(Constants.SHARED_CAPACITY, Constants.MAX_WAIT_MILLIS, false, CallFate.RESPOND, 0),
   /** The same capacity, but a call waits until its caller gives up. */
   CROWDED_PATIENT(Constants.SHARED_CAPACITY, 0, false, CallFate.RESPOND, 0),
@@ -25,7 +25,7 @@
   OUTAGE(5, 0, false, CallFate.RESPOND, 0);
 
   private static final class Constants {
-    /** Derives the service time of a call from {@link #ALL_LISTS_MILLIS}, which is the time for one list to each balancer. */
+    /** In place of a service time: a call takes {@link #ALL_LISTS_MILLIS} divided by the number of balancers. */
     private static final int SHARED_CAPACITY = -1;
 
     private static final int ALL_LISTS_MILLIS = 5_600;
@@ -51,7 +51,7 @@
     this.perMille = perMille;
   }
 
-  /** Returns the terms of a discovery service that is used by this number of balancers. */
+  /** Returns the timing and faults of a discovery service that is used by this number of balancers. */
   Terms terms(int balancers, long seed) {
     int millis = serviceMillis == Constants.SHARED_CAPACITY
         ? Constants.ALL_LISTS_MILLIS / balancers
--- a/src/main/java/pumicekeel/rig/soak/RequestLog.java
+++ b/src/main/java/pumicekeel/rig/soak/RequestLog.java
@@ -14,13 +14,13 @@
   public enum EventType {
     /** Client: the last byte was written; the value is the time left in ms, the text the class. */
     SENT,
-    /** Client: sent again on a new connection, since the first one was closed while the request was sent. */
+    /** Client: sent again on a new connection, since the kept one was closed while the request was on its way. */
     SENT_AGAIN,
     /** Client: a complete answer was received; the value is the status, the text the body. */
     ANSWERED,
     /** Client: the connection closed without a complete answer; the text is the reason. */
     CLOSED,
-    /** Client: the connection was closed while the request was sent, and a new one could not be opened. */
+    /** Client: a kept connection was closed while the request was on its way, and a new one could not be opened. */
     UNREACHABLE,
     /** Client: it abandoned the request and closed its connection. */
     LEFT,
@@ -28,7 +28,7 @@
     RECEIVED,
     /** Upstream: an answer was written; the value is the status. */
     REPLIED,
-    /** Upstream: the connection closed before the answer. */
+    /** Upstream: the connection was closed before the answer was written. */
     GIVEN_UP,
     /** Balancer: a log line names the request. */
     LOGGED
@@ -36,6 +36,7 @@
 
   /** An event with its System.nanoTime time and the name of its client, upstream or balancer. */
   public record Event(long atNanos, String source, EventType type, long value, String text) {
+
     private String format(long startNanos) {
       return String.format(
           "  %9.1f ms  %-12s %-10s %d %s", (atNanos - startNanos) / 1e6, source, type, value, text);
--- a/src/main/java/pumicekeel/rig/soak/RunQueueWaits.java
+++ b/src/main/java/pumicekeel/rig/soak/RunQueueWaits.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 
 /**
- * Samples how long the event loops of processes were runnable without a processor, as the kernel counts it (schedstat). On a busy machine
+ * Samples how long the event loops of processes were ready to run but waited for a processor, as the kernel counts it (schedstat). On a busy machine
  * that delay is not caused by the program and must not count against it.
  */
 final class RunQueueWaits {
@@ -19,7 +19,7 @@
   /** Netty's name of the event loop thread, as the kernel truncates it. */
   private static final String LOOP_THREAD_PREFIX = "multiThreadIoEv";
 
-  /** Cumulative wait by the time of the sample, for the process behind each group of clients. */
+  /** Cumulative wait in ns by the time of the sample, for the balancer process of each group of clients. */
   private final Map<String, TreeMap<Long, Long>> waits = new ConcurrentHashMap<>();
 
   /** Samples the event loop of a process until the process exits. */
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Returns the wait between two System.nanoTime times; includes the first sample after the end, as samples lag. */
+  /** Returns the wait in ns between two System.nanoTime times; includes the first sample after the end, as samples lag. */
   long between(String clients, long from, long to) {
     TreeMap<Long, Long> samples = waits.get(clients);
     if (samples == null) {
--- a/src/main/java/pumicekeel/rig/soak/SoakBalancer.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakBalancer.java
@@ -21,14 +21,16 @@
 
   /** Time from SIGTERM to the earliest allowed SIGKILL, in addition to the longest deadline. */
   private static final long KILL_DELAY_MILLIS = 700;
-  /** Clients open new connections for this time after SIGTERM. */
+  /** How long clients still open new connections after SIGTERM. */
   private static final long NEW_CONNECTIONS_MILLIS = 300;
 
+  /** Number of simultaneous connections in the check after the faults. */
   private static final int PROBES = 40;
+
   private static final int PROBE_TIMEOUT_MILLIS = 2_000;
   private static final int SOCKET_LIMIT = 512;
   private static final int CROWDED_SOCKET_LIMIT = 160;
-  /** Allows for connections to upstreams, a watch and files that are open without load. */
+  /** Descriptors that may be open in addition to those at the start: connections to upstreams, a watch, files. */
   private static final int MAX_EXTRA_DESCRIPTORS = 60;
 
   private static final int MAX_LOG_LINES = 60;
@@ -55,14 +57,14 @@
     discoveryLink = new TcpLink(run.standIns.next(), run.discovery.address(), plan.seed() + number);
     port = FreePorts.findBlock(1);
     peerPort = FreePorts.findBlock(1);
-    boolean manyAbandon = plan.has(Disturbance.LEAVING_CLIENTS);
+    boolean manyClientsLeave = plan.has(Disturbance.LEAVING_CLIENTS);
     clients = new SoakClients(
         name + "c",
         run.clientLoops.next(),
         run.log,
         plan.settings(),
         new SoakClients.Profile(
-            plan.perSecond() / plan.balancers(), 0.15, manyAbandon ? 0.15 : 0.02, 0.2),
+            plan.perSecond() / plan.balancers(), 0.15, manyClientsLeave ? 0.15 : 0.02, 0.2),
         run::lateness,
         plan.seed() * 17 + number);
   }
@@ -177,7 +179,7 @@
     }
   }
 
-  /** Checks that many simultaneous new connections are accepted and answered, so that no limit stayed lowered. */
+  /** Checks that many simultaneous new connections are accepted and answered, so that no limit is still lowered by an earlier fault. */
   void checkServes() throws InterruptedException {
     if (!process.isRunning()) {
       run.problems.add(name + " exited with status " + process.awaitExit(EXIT_TIMEOUT_MILLIS));
@@ -220,7 +222,7 @@
     }
   }
 
-  /** Checks that the log has neither a violation reported by the program's guard nor a defect. */
+  /** Checks that the log has neither a violation reported by the program's own guard nor a line about a defect. */
   void checkGuard() {
     List<String> lines = new ArrayList<>(previousLines);
     lines.addAll(process.timedLines());
--- a/src/main/java/pumicekeel/rig/soak/SoakClients.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakClients.java
@@ -41,13 +41,15 @@
       double abandonShare,
       double halvedTimeLeftShare) {}
 
-  /** When a kept connection closes within this time of a request, the request and the close may have crossed on the network. */
+  /** If a kept connection closes within this time after a request was sent, the request and the close may have crossed on the network. */
   static final long CROSSING_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** Delay after which the lateness of the machine up to a given time is known. */
+  /** Time after which the samples of the machine's lateness up to a given moment have arrived. */
   private static final long LATENESS_DELAY_MILLIS = 50;
 
+  /** Maximum number of idle connections that are kept for further requests. */
   private static final int MAX_KEPT_CONNECTIONS = 24;
+
   private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
 
   private final String name;
@@ -285,8 +287,8 @@
         return;
       }
       // The machine may just have delayed this thread, or the balancer's between its check for
-      // input
-      // and its close.
+      // input and its close; the samples
+      // that show it arrive a little later.
       loop.schedule(
           () -> recordClose(interrupted, endedAt), LATENESS_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/pumicekeel/rig/soak/SoakDisturbances.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakDisturbances.java
@@ -13,11 +13,12 @@
 
   private static final long HOUR_NANOS = 3_600_000_000_000L;
   /**
-   * Together with the time that the signals take, less than the 0.1 s within which a client's disconnect has to be detected. A longer
-   * suspension between that check and the next write cannot be guarded against.
+   * Together with the time that the signals take, less than the 0.1 s within which a client's disconnect has to be detected. The program
+   * cannot guard against a longer suspension between its check for a disconnect and its next write.
    */
   private static final int MAX_SUSPENSION_MILLIS = 70;
 
+  /** Idle connections that each balancer gets in one round of {@link Disturbance#CROWD}. */
   private static final int IDLE_CLIENTS = 90;
 
   private final SoakRun run;
--- a/src/main/java/pumicekeel/rig/soak/SoakJudge.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakJudge.java
@@ -36,10 +36,10 @@
   /** A violation of a rule by a request. */
   public record Violation(Rule rule, String id, String detail) {}
 
-  /** Delay caused by the machine: of the test's own threads, and of the balancer waiting for a processor. It widens each limit. */
+  /** Delay caused by the machine: of the test's own threads, and of the balancer waiting for a processor. It is added to each limit. */
   @FunctionalInterface
   public interface Lateness {
-    /** Returns the delay for requests of these clients between two System.nanoTime times. */
+    /** Returns the delay in ns for requests of these clients between two System.nanoTime times. */
     long nanos(String clients, long from, long to);
   }
 
@@ -56,18 +56,19 @@
   private static final int OK = 200;
   private static final int TOO_MANY_REQUESTS = 429;
   private static final int SERVICE_UNAVAILABLE = 503;
-  private static final int SMALL_BUDGET = 30;
+  /** Below this number of requests a cold budget has a wider allowance for chance. */
+  private static final int SMALL_BUDGET_REQUESTS = 30;
 
   private final RequestLog log;
   private final SoakSettings settings;
   private final Map<String, Integer> cells;
   /** When each balancer counts as notified of changes of upstreams. */
   private final ChangeNotifications notifications;
-  /** When each cold upstream was announced. */
+  /** When each cold upstream was announced, by System.nanoTime. */
   private final Map<String, Long> cold;
-  /** Processes that were killed without a SIGTERM before. */
+  /** Kills of balancers without a SIGTERM before. */
   private final List<Killed> killed;
-  /** Whether idle clients used up all descriptors, so that new connections may be closed unread. */
+  /** Whether idle clients may have used up all descriptors, so that new connections may be closed before a request is read. */
   private final boolean crowded;
 
   private final Lateness lateness;
@@ -111,13 +112,13 @@
     Event resent = first(events, EventType.SENT_AGAIN);
     Event effective = resent == null ? sent : resent;
     long deadline = effective.atNanos() + TimeUnit.MILLISECONDS.toNanos(effective.value());
-    RequestClass type = typeOf(sent);
+    RequestClass requestClass = classOf(sent);
     checkAnswer(id, events, sent, deadline);
     checkAttempts(id, events, sent, deadline);
-    checkEffect(id, events, type, sent);
+    checkEffect(id, events, requestClass, sent);
   }
 
-  private RequestClass typeOf(Event sent) {
+  private RequestClass classOf(Event sent) {
     String name = sent.text().substring(0, sent.text().indexOf(' '));
     return settings.classes().stream()
         .filter(c -> c.name().equals(name))
@@ -134,15 +135,15 @@
       return;
     }
     if (answered != null) {
-      long late = lateness.nanos(sent.source(), sent.atNanos(), answered.atNanos());
-      if (answered.atNanos() - deadline > ANSWER_SLACK_NANOS + late) {
+      long lateNanos = lateness.nanos(sent.source(), sent.atNanos(), answered.atNanos());
+      if (answered.atNanos() - deadline > ANSWER_SLACK_NANOS + lateNanos) {
         report(
             Rule.NEVER_ANSWERED,
             id,
             "answered " + (answered.atNanos() - deadline) / 1_000_000 + " ms after the deadline");
       }
       if (answered.value() == OK
-          && (!answered.text().equals(id) || !replied(events, answered.atNanos()))) {
+          && (!answered.text().equals(id) || !repliedOk(events, answered.atNanos()))) {
         report(Rule.WRONG_ANSWER, id, answered.text());
       }
     } else if (closed != null) {
@@ -156,41 +157,44 @@
     }
   }
 
-  private boolean wasKilled(String who, long from, long to) {
+  private boolean wasKilled(String clients, long from, long to) {
     return killed.stream()
-        .anyMatch(k -> k.clients().equals(who)
+        .anyMatch(k -> k.clients().equals(clients)
             && k.atNanos() >= from - KILL_DELAY_NANOS
             && k.atNanos() <= to + 2 * ANSWER_SLACK_NANOS);
   }
 
-  private static boolean replied(List<Event> events, long before) {
+  private static boolean repliedOk(List<Event> events, long atNanos) {
     return events.stream()
-        .anyMatch(e -> e.type() == EventType.REPLIED && e.value() == OK && e.atNanos() <= before);
+        .anyMatch(e -> e.type() == EventType.REPLIED && e.value() == OK && e.atNanos() <= atNanos);
   }
 
   private void checkAttempts(String id, List<Event> events, Event sent, long deadline) {
-    Event left = first(events, EventType.LEFT);
+    Event abandoned = first(events, EventType.LEFT);
     Event answered = first(events, EventType.ANSWERED);
     for (Event e : events) {
       if (e.type() != EventType.RECEIVED) {
         continue;
       }
-      long late = lateness.nanos(sent.source(), sent.atNanos(), e.atNanos());
-      long slack = ATTEMPT_SLACK_NANOS + late;
-      if (left != null && e.atNanos() - left.atNanos() > slack
-          || answered != null && e.atNanos() - answered.atNanos() > slack) {
+      long lateNanos = lateness.nanos(sent.source(), sent.atNanos(), e.atNanos());
+      long slackNanos = ATTEMPT_SLACK_NANOS + lateNanos;
+      if (abandoned != null && e.atNanos() - abandoned.atNanos() > slackNanos
+          || answered != null && e.atNanos() - answered.atNanos() > slackNanos) {
         report(Rule.BEGUN_AFTER_END, id, "at " + e.source());
       }
-      long leftMillis = (deadline - e.atNanos()) / 1_000_000;
-      if (e.value() > leftMillis + TIME_LEFT_SLACK_MILLIS + late / 1_000_000) {
-        report(Rule.TOLD_TOO_MUCH, id, "announced " + e.value() + " ms left, actual " + leftMillis);
+      long timeLeftMillis = (deadline - e.atNanos()) / 1_000_000;
+      if (e.value() > timeLeftMillis + TIME_LEFT_SLACK_MILLIS + lateNanos / 1_000_000) {
+        report(
+            Rule.TOLD_TOO_MUCH,
+            id,
+            "announced " + e.value() + " ms left, actual " + timeLeftMillis);
       }
-      long sinceLeavingNanos =
-          notifications.leavingFor(balancerOf(sent.source()), e.source(), e.atNanos());
+      long sinceLeavingNanos = notifications.nanosSinceLeavingNotified(
+          balancerOf(sent.source()), e.source(), e.atNanos());
       if (sinceLeavingNanos
           > TimeUnit.MILLISECONDS.toNanos(SoakSettings.DRAIN_GRACE_MILLIS)
               + GRACE_SLACK_NANOS
-              + late) {
+              + lateNanos) {
         report(
             Rule.SENT_TO_LEAVING,
             id,
@@ -199,12 +203,12 @@
     }
   }
 
-  /** Returns the balancer of these clients, whose name is that of the balancer plus one letter. */
+  /** Returns the balancer of these clients; their name is the balancer's name and one more letter. */
   private static String balancerOf(String clients) {
     return clients.substring(0, clients.length() - 1);
   }
 
-  /** Returns the receptions by upstreams that did not answer that the request never ran. */
+  /** Returns the attempts that may have run: those that an upstream received and did not reject as never run. */
   private static List<Event> mayHaveRun(List<Event> events) {
     List<Event> ran = new ArrayList<>();
     Map<String, Event> last = new HashMap<>();
@@ -219,27 +223,28 @@
     return ran;
   }
 
-  private void checkEffect(String id, List<Event> events, RequestClass type, Event sent) {
+  private void checkEffect(String id, List<Event> events, RequestClass requestClass, Event sent) {
     List<Event> ran = mayHaveRun(events);
     Event answered = first(events, EventType.ANSWERED);
     boolean refused = answered != null
         && (answered.value() == TOO_MANY_REQUESTS || answered.value() == SERVICE_UNAVAILABLE);
-    boolean refusalMustBeTrue =
-        type.effect() == Effect.UNSAFE || type.effect() == Effect.KEYED_BY_CELL;
-    if (refusalMustBeTrue
+    boolean refusalMeansNeverRan =
+        requestClass.effect() == Effect.UNSAFE || requestClass.effect() == Effect.KEYED_BY_CELL;
+    if (refusalMeansNeverRan
         && refused
         && !ran.isEmpty()
         && ran.get(0).atNanos() < answered.atNanos()) {
       report(Rule.REPEATED_EFFECT, id, "refused after it may have run");
     }
-    if (type.effect() == Effect.UNSAFE && ran.size() > 1) {
+    if (requestClass.effect() == Effect.UNSAFE && ran.size() > 1) {
       report(Rule.REPEATED_EFFECT, id, "unsafe, ran " + ran.size() + " times");
     }
-    if (type.effect() == Effect.KEYED_BY_CELL || type.effect() == Effect.KEYED_BY_ALL) {
+    if (requestClass.effect() == Effect.KEYED_BY_CELL
+        || requestClass.effect() == Effect.KEYED_BY_ALL) {
       long window = TimeUnit.MILLISECONDS.toNanos(settings.windowMillis());
       for (Event e : ran) {
         Event firstRun = ran.get(0);
-        boolean outside = type.effect() == Effect.KEYED_BY_CELL
+        boolean outside = requestClass.effect() == Effect.KEYED_BY_CELL
             && !cells.get(e.source()).equals(cells.get(firstRun.source()));
         if (outside
             || e.atNanos() - firstRun.atNanos()
@@ -274,7 +279,7 @@
     int usualCount = others.values().stream().mapToInt(n -> n).max().orElse(0);
     double allowed = SoakSettings.COLD_MULTIPLE * SoakSettings.COLD_FROM * usualCount;
     double chance =
-        allowed < SMALL_BUDGET ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
+        allowed < SMALL_BUDGET_REQUESTS ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
     long received = arrivals.stream().filter(at -> at - since < window).count();
     if (received > allowed + chance) {
       report(
--- a/src/main/java/pumicekeel/rig/soak/SoakPlan.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakPlan.java
@@ -10,10 +10,11 @@
 /**
  * The plan of one run: which calls fail, how often, and which other disturbances occur. A random plan is determined by its seed.
  *
- * @param seconds of load under faults; a few more seconds without faults follow
+ * @param seconds duration of the load under faults; a few more seconds without faults follow
+ * @param perSecond requests per second to all balancers together
  * @param rates failures per thousand calls of each kind, in the windows in which calls fail
  * @param settings deadlines and windows
- * @param lists how upstream lists fail to arrive while upstreams drain, stop and return; null for no such trouble
+ * @param lists how upstream lists fail to arrive while upstreams drain, stop and return; null if they arrive
  * @param peers whether balancers may send each other datagrams
  */
 public record SoakPlan(
@@ -45,7 +46,7 @@
     COLD_UPSTREAM,
     /** Connections to discovery are cut, delayed, reset or refused. */
     DISCOVERY_TROUBLE,
-    /** Connections to upstreams are reset. */
+    /** At random times, all connections of a random upstream are reset. */
     RESETS,
     /** The wall clock is stepped. */
     WALL_CLOCK,
@@ -60,11 +61,11 @@
   }
 
   private static final double REQUESTS_PER_SECOND_PER_BALANCER = 25;
-  /** Limit of what the threads of one test program can send and check. */
+  /** Maximum that the threads of one test program can send and check. */
   private static final double MAX_REQUESTS_PER_SECOND = 500;
 
   private static final SoakSettings SHORT_DEADLINES = new SoakSettings(500, 900, 600);
-  /** Kinds that end a connection or its setup; at usual rates nothing else would be exercised. */
+  /** Kinds that end a connection or its setup; at the rates of the others no connection would live long enough to test anything else. */
   private static final Set<CallKind> RARE_KINDS = EnumSet.of(
       CallKind.CONNECTION_ERROR, CallKind.SOCKET_ERROR, CallKind.THREAD, CallKind.SHUTDOWN);
 
--- a/src/main/java/pumicekeel/rig/soak/SoakRun.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakRun.java
@@ -26,10 +26,10 @@
 import pumicekeel.standin.DiscoveryFaults;
 import pumicekeel.standin.StandInDiscovery;
 
-/** Runs one plan with processes, upstreams, clients and faults, then checks the logged events. For a single use. */
+/** Runs one plan with processes, upstreams, clients and faults, then checks the logged events. An object runs its plan once. */
 public final class SoakRun {
 
-  /** The counts, violations and logs of a run. */
+  /** The counts, violations and logs of a run; {@code wholeLists} counts the complete upstream lists that discovery sent. */
   public record Result(
       SoakPlan plan,
       int requests,
@@ -58,7 +58,9 @@
     }
   }
 
+  /** Number of upstreams in runs without list trouble; a cold one may join. */
   static final int UPSTREAMS = 6;
+
   /** Number of upstreams in runs with list trouble, so that some always serve while others drain, are stopped or are cold. */
   private static final int LIST_TROUBLE_UPSTREAMS = 16;
 
@@ -70,7 +72,9 @@
   /** Time between the end of the faults and the check that each process serves again. */
   private static final long RECOVERY_MILLIS = 2_500;
 
+  /** Violations that are reported with the timeline of their request. */
   private static final int MAX_TIMELINES = 6;
+
   private static final int LATENESS_SAMPLE_MILLIS = 5;
 
   final SoakPlan plan;
@@ -83,10 +87,14 @@
   final List<TcpLink> upstreamLinks = new CopyOnWriteArrayList<>();
   final Map<String, Integer> cells = new ConcurrentHashMap<>();
   final ChangeNotifications notifications = new ChangeNotifications();
+  /** When each cold upstream was announced, by System.nanoTime. */
   final Map<String, Long> cold = new ConcurrentHashMap<>();
+
   final List<SoakJudge.Killed> killed = new CopyOnWriteArrayList<>();
   final List<String> problems = new CopyOnWriteArrayList<>();
+  /** Largest lateness of this program's own event loops, in ns. */
   final AtomicLong ownLateness = new AtomicLong();
+
   final RunQueueWaits runQueueWaits = new RunQueueWaits();
   StandInDiscovery discovery;
   private DiscoveryFaults discoveryFaults = DiscoveryFaults.none();
@@ -131,7 +139,7 @@
     }
   }
 
-  /** Samples the lateness of the test's own threads, which widens every limit: else a busy machine would appear as a violation. */
+  /** Samples the lateness of the test's own threads. It is added to every limit; else a busy machine would appear as a violation. */
   private void sampleOwnLateness(EventExecutor loop) {
     long due = System.nanoTime() + LATENESS_SAMPLE_MILLIS * NANOS_PER_MILLI;
     loop.schedule(
@@ -165,7 +173,8 @@
     for (SoakBalancer balancer : balancers) {
       balancer.awaitServing();
     }
-    // Lets code and connections warm up first, so that only the effects of faults are checked.
+    // The first second is without faults: slow answers of code that is not yet compiled are no
+    // effect of a fault.
     pause(1_000);
     standIns.forEach(this::sampleOwnLateness);
     clientLoops.forEach(this::sampleOwnLateness);
@@ -303,12 +312,12 @@
         "reproduce with: rig soak --seed " + plan.seed() + " --runs 1" + lists + "; plan " + plan);
     lines.add("own lateness at most " + ownLateness.get() / NANOS_PER_MILLI + " ms");
     problems.forEach(p -> lines.add("problem: " + p));
-    violations.stream().limit(MAX_TIMELINES).forEach(b -> {
-      lines.add(b.rule() + " " + b.id() + ": " + b.detail());
-      lines.addAll(log.timeline(b.id()));
+    violations.stream().limit(MAX_TIMELINES).forEach(v -> {
+      lines.add(v.rule() + " " + v.id() + ": " + v.detail());
+      lines.addAll(log.timeline(v.id()));
     });
     Map<SoakJudge.Rule, Integer> counts = new EnumMap<>(SoakJudge.Rule.class);
-    violations.forEach(b -> counts.merge(b.rule(), 1, Integer::sum));
+    violations.forEach(v -> counts.merge(v.rule(), 1, Integer::sum));
     lines.add("broken: " + counts);
     lines.addAll(lastLines());
     return lines;
--- a/src/main/java/pumicekeel/rig/soak/SoakSettings.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakSettings.java
@@ -2,7 +2,13 @@
 
 import java.util.List;
 
-/** The settings of a soak run: one class of each effect, with deadlines that the plan chooses. */
+/**
+ * The settings of a soak run: one class of each effect, with deadlines that the plan chooses.
+ *
+ * @param shortMillis deadline of the class that is safe to repeat
+ * @param longMillis deadline of the other classes
+ * @param windowMillis time within which upstreams drop repeats of a keyed request
+ */
 public record SoakSettings(long shortMillis, long longMillis, long windowMillis) {
 
   /** Whether and where requests of a class may be repeated. */
@@ -25,12 +31,12 @@
 
   /** Grace after which nothing may be sent to a draining upstream. */
   public static final long DRAIN_GRACE_MILLIS = 2_000;
-  /** Window of the cold budget. */
+  /** Window in which the cold budget limits the requests to a cold upstream. */
   public static final long COLD_WINDOW_MILLIS = 3_000;
   /** Share of its capacity that a cold upstream can serve at the start. */
   public static final double COLD_FROM = 0.3;
 
-  /** How many times that share a cold upstream may receive. */
+  /** Multiple of {@link #COLD_FROM} that the cold budget allows a cold upstream to receive. */
   public static final double COLD_MULTIPLE = 3;
   /** Time until an upstream counts as warm. */
   public static final long WARM_WITHIN_MILLIS = 8_000;
--- a/src/main/java/pumicekeel/rig/soak/SoakUpstream.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakUpstream.java
@@ -31,9 +31,11 @@
 
   /** How the upstream handles requests. */
   enum Behaviour {
+    /** Answers with status 200 and the request's id as the body. */
     SERVE,
+    /** Answers with status 500. */
     ERROR,
-    /** Rejects requests with the header that says that they never ran. */
+    /** Answers with status 503 and the header X-Unprocessed: the request did not run. */
     FULL,
     /** Does not answer. */
     HANG,
@@ -87,7 +89,7 @@
     behaviour = next;
   }
 
-  /** Sets the average time in which a request is answered. */
+  /** Sets the average time in milliseconds after which a request is answered. */
   void setDelay(int millis) {
     delayMillis = millis;
   }
--- a/src/main/java/pumicekeel/rig/soak/UpstreamReplacement.java
+++ b/src/main/java/pumicekeel/rig/soak/UpstreamReplacement.java
@@ -8,7 +8,9 @@
  */
 final class UpstreamReplacement {
 
+  /** Maximum number of upstreams that are being replaced at the same time. */
   private static final int MAX_REPLACED = 5;
+
   private static final int MAX_PAUSE_MILLIS = 900;
   private static final int MIN_ABSENCE_MILLIS = 1_000;
   private static final int MAX_ABSENCE_MILLIS = 4_000;
@@ -60,7 +62,7 @@
     }
   }
 
-  /** Starts one replacement. The slots have disjoint upstreams, so that none is replaced twice at once. */
+  /** Starts one replacement. Each slot chooses among its own upstreams, so that none is replaced twice at once. */
   private Thread replace(int slot) {
     int upstream = slot + MAX_REPLACED * random.nextInt(run.upstreams.size() / MAX_REPLACED);
     long drainMillis = random.nextInt(MAX_DRAIN_MILLIS);
--- a/src/test/java/pumicekeel/rig/soak/CallFaultsTest.java
+++ b/src/test/java/pumicekeel/rig/soak/CallFaultsTest.java
@@ -20,7 +20,7 @@
     for (CallKind kind : plan.rates().keySet()) {
       assertTrue(
           result.injected().getOrDefault(kind, 0L) > 0,
-          "the fault was injected: " + kind + ", " + result.summary());
+          "no failure was injected: " + kind + ", " + result.summary());
     }
     assertTrue(result.passed(), () -> result.summary() + "\n" + String.join("\n", result.report()));
   }
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void requestsAreAnsweredWhileInterestInEventsCannotBeRegistered() throws Exception {
+  void requestsAreAnsweredWhileEpollCallsFail() throws Exception {
     runAndCheck(SoakPlan.calls(seed(), PER_MILLE, CallKind.EPOLL_CTL, CallKind.EPOLL_WAIT));
   }
 
--- a/src/test/java/pumicekeel/rig/soak/SoakClientsTest.java
+++ b/src/test/java/pumicekeel/rig/soak/SoakClientsTest.java
@@ -22,7 +22,7 @@
 class SoakClientsTest {
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
-  /** Longer than a close may take to cross a request, and shorter than that plus the lateness that the first test reports. */
+  /** Longer than the time within which a close may cross a request; the lateness that the first test reports extends that time. */
   private static final long CLOSE_DELAY_MILLIS = SoakClients.CROSSING_NANOS / NANOS_PER_MILLI + 100;
 
   private final EventLoop loop =
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Returns how the first request whose kept connection was closed before its answer ended. */
+  /** Returns the outcome of the first request whose kept connection was closed before the answer. */
   private EventType outcome(long latenessNanos) throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         SoakClients clients = new SoakClients(
@@ -86,12 +86,12 @@
   }
 
   @Test
-  void closeThatMachineLatenessExplainsCausesAResend() throws Exception {
+  void closeWithinTheLatenessOfTheMachineCausesAResend() throws Exception {
     assertEquals(EventType.SENT_AGAIN, outcome(10_000 * NANOS_PER_MILLI));
   }
 
   @Test
-  void closeThatMachineLatenessDoesNotExplainIsALoss() throws Exception {
+  void closeBeyondTheLatenessOfTheMachineIsALoss() throws Exception {
     assertEquals(EventType.CLOSED, outcome(0));
   }
 }
--- a/src/test/java/pumicekeel/rig/soak/SoakJudgeTest.java
+++ b/src/test/java/pumicekeel/rig/soak/SoakJudgeTest.java
@@ -11,29 +11,29 @@
 import pumicekeel.rig.soak.SoakJudge.Rule;
 import pumicekeel.rig.soak.SoakJudge.Violation;
 
-/** Each rule of the soak test is reported for logs that violate it, and for no others. */
+/** Checks that the judge reports each rule for logs that violate it, and for no others. */
 class SoakJudgeTest {
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
-  private static final long SENT = 1_000 * NANOS_PER_MILLI;
+  private static final long SENT_AT_NANOS = 1_000 * NANOS_PER_MILLI;
 
   private final RequestLog log = new RequestLog();
   private final Map<String, Integer> cells = Map.of("s0", 0, "s1", 0, "s2", 1, "cold", 1);
 
-  private void at(long millis, String id, String who, EventType type, long value, String text) {
-    log.add(id, new Event(SENT + millis * NANOS_PER_MILLI, who, type, value, text));
+  private void at(long millis, String id, String source, EventType type, long value, String text) {
+    log.add(id, new Event(SENT_AT_NANOS + millis * NANOS_PER_MILLI, source, type, value, text));
   }
 
-  private void sent(String id, String type, long left) {
-    at(0, id, "c", EventType.SENT, left, type + " new connection");
+  private void sent(String id, String className, long timeLeftMillis) {
+    at(0, id, "c", EventType.SENT, timeLeftMillis, className + " new connection");
   }
 
-  private void received(long millis, String id, String at, long told) {
-    at(millis, id, at, EventType.RECEIVED, told, "");
+  private void received(long millis, String id, String upstream, long announcedMillis) {
+    at(millis, id, upstream, EventType.RECEIVED, announcedMillis, "");
   }
 
-  private void replied(long millis, String id, String at) {
-    at(millis, id, at, EventType.REPLIED, 200, "");
+  private void replied(long millis, String id, String upstream) {
+    at(millis, id, upstream, EventType.REPLIED, 200, "");
   }
 
   private void answered(long millis, String id, int status) {
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void wholeRightAnswerInTimeBreaksNothing() {
+  void correctAnswerInTimeViolatesNoRule() {
     sent("r", "rate-lookup", 1_000);
     received(10, "r", "s0", 900);
     replied(20, "r", "s0");
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void noAnswerAndLateAnswer() {
+  void missingAndLateAnswersAreReported() {
     sent("r", "rate-lookup", 1_000);
     sent("late", "rate-lookup", 1_000);
     answered(1_501, "late", 502);
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void closedConnectionButNotByAKillNorInACrowdUnread() {
+  void closedConnectionIsReportedUnlessByAKillOrUnreadInACrowd() {
     sent("r", "rate-lookup", 1_000);
     at(40, "r", "c", EventType.CLOSED, 0, "new connection, end of stream");
     assertEquals(List.of(Rule.CLOSED_UNANSWERED), violatedRules());
@@ -88,7 +88,7 @@
         violatedRules(
             new ChangeNotifications(),
             Map.of(),
-            List.of(new SoakJudge.Killed("c", SENT + 39 * NANOS_PER_MILLI)),
+            List.of(new SoakJudge.Killed("c", SENT_AT_NANOS + 39 * NANOS_PER_MILLI)),
             false));
     assertEquals(List.of(), violatedRules(new ChangeNotifications(), Map.of(), List.of(), true));
     received(10, "r", "s0", 900);
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void answerThatNoUpstreamMade() {
+  void answerThatNoUpstreamSentIsReported() {
     sent("r", "rate-lookup", 1_000);
     received(10, "r", "s0", 900);
     answered(30, "r", 200);
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void attemptAfterTheClientLeftOrHadItsAnswer() {
+  void attemptAfterTheClientLeftOrHadItsAnswerIsReported() {
     sent("left", "rate-lookup", 1_000);
     at(20, "left", "c", EventType.LEFT, 0, "");
     received(119, "left", "s0", 800);
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void moreTimeToldThanTheClientHas() {
+  void moreTimeLeftAnnouncedThanTheClientHasIsReported() {
     sent("r", "rate-lookup", 1_000);
     received(300, "r", "s0", 850);
     replied(310, "r", "s0");
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void unsafeWorkTwiceAndARefusalOfWhatMayHaveRun() {
+  void unsafeRequestRunTwiceOrRefusedAfterItMayHaveRunIsReported() {
     sent("twice", "order-place", 1_000);
     received(10, "twice", "s0", 900);
     received(50, "twice", "s1", 900);
@@ -145,11 +145,11 @@
     received(10, "full", "s0", 900);
     at(11, "full", "s0", EventType.REPLIED, 503, "never ran");
     answered(60, "full", 429);
-    assertEquals(2, violatedRules().size(), "what never ran may be refused");
+    assertEquals(2, violatedRules().size(), "a request that never ran may be refused");
   }
 
   @Test
-  void keyedWorkInAnotherCellOrBeyondItsWindow() {
+  void keyedRequestRunInAnotherCellOrBeyondItsWindowIsReported() {
     sent("cell", "quote-issue", 2_500);
     received(10, "cell", "s0", 900);
     received(50, "cell", "s1", 900);
@@ -166,9 +166,9 @@
 
   /** Records a change of s0 that discovery has had since the given number of ms before the request was sent. */
   private static ChangeNotifications changed(
-      ChangeNotifications told, long index, long before, boolean leaves) {
-    told.changed("s0", index, SENT - before * NANOS_PER_MILLI, leaves);
-    return told;
+      ChangeNotifications notifications, long index, long millisBefore, boolean leaves) {
+    notifications.changed("s0", index, SENT_AT_NANOS - millisBefore * NANOS_PER_MILLI, leaves);
+    return notifications;
   }
 
   private void requestAtS0() {
@@ -178,23 +178,23 @@
     answered(60, "r", 200);
   }
 
-  private List<Rule> violatedRules(ChangeNotifications told) {
-    return violatedRules(told, Map.of(), List.of(), false);
+  private List<Rule> violatedRules(ChangeNotifications notifications) {
+    return violatedRules(notifications, Map.of(), List.of(), false);
   }
 
   @Test
-  void sendToALeavingUpstreamAfterItsLeavingWasWritten() {
+  void sendAfterTheGraceOfAWrittenDrainIsReported() {
     requestAtS0();
     ChangeNotifications inTime = changed(new ChangeNotifications(), 2, 3_000, true);
-    inTime.written("", 2, SENT - 2_000 * NANOS_PER_MILLI);
+    inTime.written("", 2, SENT_AT_NANOS - 2_000 * NANOS_PER_MILLI);
     assertEquals(List.of(), violatedRules(inTime));
     ChangeNotifications late = changed(new ChangeNotifications(), 2, 3_000, true);
-    late.written("", 2, SENT - 2_001 * NANOS_PER_MILLI);
+    late.written("", 2, SENT_AT_NANOS - 2_001 * NANOS_PER_MILLI);
     assertEquals(List.of(Rule.SENT_TO_LEAVING), violatedRules(late));
   }
 
   @Test
-  void sendToALeavingUpstreamSixSecondsAndTheGraceAfterItsLeaving() {
+  void sendSixSecondsAndTheGraceAfterAnUnwrittenDrainIsReported() {
     requestAtS0();
     assertEquals(List.of(), violatedRules(changed(new ChangeNotifications(), 2, 8_000, true)));
     assertEquals(
@@ -203,21 +203,22 @@
   }
 
   @Test
-  void sendToAReturnedUpstreamCountsUntilItsReturnIsTold() {
+  void sendToAReturnedUpstreamIsReportedUntilItsReturnIsNotified() {
     requestAtS0();
     ChangeNotifications returned =
         changed(changed(new ChangeNotifications(), 2, 9_000, true), 3, 5_000, false);
     assertEquals(List.of(Rule.SENT_TO_LEAVING), violatedRules(returned));
-    returned.written("", 3, SENT);
+    returned.written("", 3, SENT_AT_NANOS);
     assertEquals(List.of(), violatedRules(returned));
   }
 
   @Test
-  void whatDiscoveryHadInAnOutageCountsFromItsEnd() {
+  void changeDuringAnOutageCountsFromTheEndOfTheOutage() {
     requestAtS0();
-    ChangeNotifications told = changed(new ChangeNotifications(), 2, 9_000, true);
-    told.outage(SENT - 20_000 * NANOS_PER_MILLI, SENT - 8_000 * NANOS_PER_MILLI);
-    assertEquals(List.of(), violatedRules(told));
+    ChangeNotifications notifications = changed(new ChangeNotifications(), 2, 9_000, true);
+    notifications.outage(
+        SENT_AT_NANOS - 20_000 * NANOS_PER_MILLI, SENT_AT_NANOS - 8_000 * NANOS_PER_MILLI);
+    assertEquals(List.of(), violatedRules(notifications));
   }
 
   private void servedRequests(String upstream, int count) {
@@ -231,16 +232,16 @@
   }
 
   @Test
-  void coldUpstreamBeyondItsBudget() {
+  void coldUpstreamBeyondItsBudgetIsReported() {
     // The limit is 0.9 x 100 requests plus twice the square root of that plus 2: 110.
     servedRequests("s0", 100);
     servedRequests("cold", 110);
     assertEquals(
         List.of(),
-        violatedRules(new ChangeNotifications(), Map.of("cold", SENT), List.of(), false));
+        violatedRules(new ChangeNotifications(), Map.of("cold", SENT_AT_NANOS), List.of(), false));
     servedRequests("cold", 112);
     List<Rule> all = new ArrayList<>(
-        violatedRules(new ChangeNotifications(), Map.of("cold", SENT), List.of(), false));
+        violatedRules(new ChangeNotifications(), Map.of("cold", SENT_AT_NANOS), List.of(), false));
     assertEquals(List.of(Rule.COLD_OVERLOADED), all);
   }
 }
