--- a/src/main/java/pumicekeel/rig/soak/SoakRun.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakRun.java
@@ -22,7 +22,7 @@
 import pumicekeel.mesh.TcpLink;
 import pumicekeel.rig.soak.SoakJudge.Violation;
 import pumicekeel.rig.soak.SoakPlan.Disturbance;
-import pumicekeel.standin.CallFate;
+import pumicekeel.standin.CallHandling;
 import pumicekeel.standin.DiscoveryFaults;
 import pumicekeel.standin.StandInDiscovery;
 
@@ -158,7 +158,7 @@
 
   private void startAll() throws IOException, InterruptedException {
     if (plan.lists() != null) {
-      discoveryFaults = new DiscoveryFaults(plan.lists().terms(plan.balancers(), plan.seed()));
+      discoveryFaults = new DiscoveryFaults(plan.lists().discoverySettings(plan.balancers(), plan.seed()));
     }
     discovery = new StandInDiscovery(standIns, discoveryFaults);
     for (int i = 0; i < (plan.lists() == null ? UPSTREAMS : LIST_TROUBLE_UPSTREAMS); i++) {
@@ -200,7 +200,7 @@
 
   /** Makes discovery accept all calls of the first balancer and never answer them. */
   void ignoreCallsOfFirstBalancer() {
-    discoveryFaults.always(caller(balancers.get(0)), CallFate.IGNORE);
+    discoveryFaults.always(caller(balancers.get(0)), CallHandling.IGNORE);
   }
 
   private static String caller(SoakBalancer balancer) {
--- a/src/main/java/pumicekeel/standin/CallFate.java
+++ b/src/main/java/pumicekeel/standin/CallHandling.java
@@ -1,7 +1,7 @@
 package pumicekeel.standin;
 
 /** How a stand-in discovery handles a call. */
-public enum CallFate {
+public enum CallHandling {
   /** Responds with the full list. */
   RESPOND,
   /** Sends half of the list and leaves the connection open. */
--- a/src/main/java/pumicekeel/standin/CallQueue.java
+++ b/src/main/java/pumicekeel/standin/CallQueue.java
@@ -11,28 +11,28 @@
   private record WaitingCall(DiscoveryCall call, long since) {}
 
   private final EventLoop loop;
-  private final DiscoveryFaults.Terms terms;
+  private final DiscoveryFaults.Settings settings;
   private final Consumer<DiscoveryCall> serve;
   private final ArrayDeque<WaitingCall> waiting = new ArrayDeque<>();
   private boolean busy;
 
   CallQueue(EventLoop loop, DiscoveryFaults faults, Consumer<DiscoveryCall> serve) {
     this.loop = loop;
-    terms = faults.terms();
+    settings = faults.settings();
     this.serve = serve;
   }
 
   /** Queues a call, or serves it at once if it does not queue. */
   void add(DiscoveryCall call) {
-    if (!call.fate().queues() || terms.serviceMillis() == 0) {
+    if (!call.handling().queues() || settings.serviceMillis() == 0) {
       serve.accept(call);
       return;
     }
     loop.execute(() -> {
       WaitingCall entry = new WaitingCall(call, System.nanoTime());
       waiting.add(entry);
-      if (terms.maxWaitMillis() > 0 && !terms.refusalsTakeTime()) {
-        loop.schedule(() -> reject(entry), terms.maxWaitMillis(), TimeUnit.MILLISECONDS);
+      if (settings.maxWaitMillis() > 0 && !settings.refusalsTakeTime()) {
+        loop.schedule(() -> reject(entry), settings.maxWaitMillis(), TimeUnit.MILLISECONDS);
       }
       next();
     });
@@ -62,15 +62,15 @@
     }
     busy = true;
     WaitingCall served = entry;
-    loop.schedule(() -> finish(served), terms.serviceMillis(), TimeUnit.MILLISECONDS);
+    loop.schedule(() -> finish(served), settings.serviceMillis(), TimeUnit.MILLISECONDS);
   }
 
   private void finish(WaitingCall entry) {
     busy = false;
     long waited = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - entry.since());
-    if (terms.refusalsTakeTime()
-        && terms.maxWaitMillis() > 0
-        && waited - terms.serviceMillis() > terms.maxWaitMillis()) {
+    if (settings.refusalsTakeTime()
+        && settings.maxWaitMillis() > 0
+        && waited - settings.serviceMillis() > settings.maxWaitMillis()) {
       StandInDiscovery.refuse(entry.call().channel());
     } else {
       serve.accept(entry.call());
--- a/src/main/java/pumicekeel/standin/DiscoveryFaults.java
+++ b/src/main/java/pumicekeel/standin/DiscoveryFaults.java
@@ -21,38 +21,38 @@
    * @param perMille how many calls of a thousand fail
    * @param seed seed of the choice of failing calls
    */
-  public record Terms(
+  public record Settings(
       int serviceMillis,
       int maxWaitMillis,
       boolean refusalsTakeTime,
       boolean quietAfterList,
-      CallFate failing,
+      CallHandling failing,
       int perMille,
       long seed) {}
 
   /** A list update that was sent, with the time by System.nanoTime. */
   public record SentList(String caller, long index, long atNanos) {}
 
-  private final Terms terms;
+  private final Settings settings;
   private final Random random;
-  private final Map<String, CallFate> byCaller = new ConcurrentHashMap<>();
+  private final Map<String, CallHandling> handlingByCaller = new ConcurrentHashMap<>();
   private final List<SentList> written = new CopyOnWriteArrayList<>();
   private final AtomicLong calls = new AtomicLong();
   private volatile boolean down;
 
-  public DiscoveryFaults(Terms terms) {
-    this.terms = terms;
-    random = new Random(terms.seed());
+  public DiscoveryFaults(Settings settings) {
+    this.settings = settings;
+    random = new Random(settings.seed());
   }
 
   /** Returns no faults. */
   public static DiscoveryFaults none() {
-    return new DiscoveryFaults(new Terms(0, 0, false, false, CallFate.RESPOND, 0, 0));
+    return new DiscoveryFaults(new Settings(0, 0, false, false, CallHandling.RESPOND, 0, 0));
   }
 
   /** Handles all calls of a caller, identified by its Host header, in this way. */
-  public void always(String caller, CallFate fate) {
-    byCaller.put(caller, fate);
+  public void always(String caller, CallHandling handling) {
+    handlingByCaller.put(caller, handling);
   }
 
   /** Returns the list updates that were sent. */
@@ -60,12 +60,12 @@
     return written;
   }
 
-  Terms terms() {
-    return terms;
+  Settings settings() {
+    return settings;
   }
 
   boolean quietAfterList() {
-    return terms.quietAfterList();
+    return settings.quietAfterList();
   }
 
   void down(boolean on) {
@@ -81,15 +81,15 @@
     return calls.get();
   }
 
-  CallFate fateOf(String caller) {
+  CallHandling handlingOf(String caller) {
     calls.incrementAndGet();
     if (down) {
-      return CallFate.RESET;
+      return CallHandling.RESET;
     }
-    CallFate own = byCaller.get(caller);
+    CallHandling own = handlingByCaller.get(caller);
     synchronized (random) {
-      boolean fails = random.nextInt(1_000) < terms.perMille();
-      return own != null ? own : fails ? terms.failing() : CallFate.RESPOND;
+      boolean fails = random.nextInt(1_000) < settings.perMille();
+      return own != null ? own : fails ? settings.failing() : CallHandling.RESPOND;
     }
   }
 }
--- a/src/main/java/pumicekeel/standin/StandInDiscovery.java
+++ b/src/main/java/pumicekeel/standin/StandInDiscovery.java
@@ -143,7 +143,7 @@
 
   /** Serves a call that has reached the head of the queue. */
   private void serve(DiscoveryCall call) {
-    switch (call.fate()) {
+    switch (call.handling()) {
       case RESPOND -> sendList(call);
       case CUT -> sendHalf(call);
       case REFUSE -> refuse(call.channel());
@@ -212,7 +212,7 @@
     protected void channelRead0(ChannelHandlerContext ctx, Object message) {
       if (message instanceof HttpRequest request) {
         String host = request.headers().get(HttpHeaderNames.HOST, "");
-        queue.add(new DiscoveryCall(ctx.channel(), host, faults.fateOf(host)));
+        queue.add(new DiscoveryCall(ctx.channel(), host, faults.handlingOf(host)));
       }
     }
 
