--- a/src/main/java/pumicekeel/mesh/DatagramMesh.java
+++ b/src/main/java/pumicekeel/mesh/DatagramMesh.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Datagram links between members, one for each ordered pair: a member knows each other one by an address that is used by no one else, and
- * what it sends there is forwarded from the address by which the receiver knows the sender. So each direction of each pair can be broken
- * alone.
+ * Datagram links between members, one for each ordered pair. Each member knows every other member by an address that only it uses; what it
+ * sends there is forwarded from the address by which the receiver knows the sender. So faults can be injected into each direction of each
+ * pair separately.
  */
 public final class DatagramMesh implements Closeable {
 
@@ -71,21 +71,21 @@
     }
   }
 
-  private Channel open(int a, int b) throws InterruptedException {
+  private Channel open(int from, int to) throws InterruptedException {
     return new Bootstrap()
         .group(loop)
         .channel(NioDatagramChannel.class)
         .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
           @Override
           protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            if (packet.sender().equals(memberAddresses[a])) {
-              forward(a, b, packet.content());
+            if (packet.sender().equals(memberAddresses[from])) {
+              forward(from, to, packet.content());
             }
           }
 
           @Override
           public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // No one listens at the target: the datagram is lost, as on a real network.
+            // Nothing listens at the target: the datagram is lost, as on a real network.
           }
         })
         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -93,8 +93,8 @@
         .channel();
   }
 
-  private void forward(int a, int b, ByteBuf bytes) {
-    Fault fault = faults[a][b];
+  private void forward(int from, int to, ByteBuf bytes) {
+    Fault fault = faults[from][to];
     if (fault.cut() || random.nextDouble() < fault.loss()) {
       return;
     }
@@ -104,7 +104,7 @@
           + (fault.jitterMicros() == 0 ? 0 : random.nextLong(fault.jitterMicros() + 1));
       Runnable send = () -> {
         delivered++;
-        links[b][a].writeAndFlush(new DatagramPacket(copy, memberAddresses[b]));
+        links[to][from].writeAndFlush(new DatagramPacket(copy, memberAddresses[to]));
       };
       if (delayMicros == 0) {
         send.run();
--- a/src/main/java/pumicekeel/mesh/Fault.java
+++ b/src/main/java/pumicekeel/mesh/Fault.java
@@ -1,8 +1,8 @@
 package pumicekeel.mesh;
 
 /**
- * A fault of one direction of a link. Loss and duplicates apply to datagrams only: a cut delays the bytes of a connection, as TCP
- * retransmits them after it.
+ * A fault of one direction of a link. Loss and duplicates apply to datagrams only. The bytes of a connection are never lost: those sent
+ * during a cut arrive after it, as TCP would retransmit them.
  *
  * @param cut whether nothing arrives; connections stay open and silent
  * @param delayMicros minimum delay of each datagram or chunk
--- a/src/main/java/pumicekeel/mesh/Member.java
+++ b/src/main/java/pumicekeel/mesh/Member.java
@@ -16,7 +16,7 @@
 
 /**
  * A child process of the program. A guard shell kills it as soon as the shell's input ends, so that it does not outlive the process that
- * started it, however that one ends.
+ * started it, even if that one is killed.
  */
 public final class Member implements Closeable {
 
@@ -105,7 +105,7 @@
     while (address == null) {
       long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
       if (ended || left <= 0) {
-        throw new IOException(name + " did not come up: " + log);
+        throw new IOException(name + " did not start: " + log);
       }
       wait(left);
     }
--- a/src/main/java/pumicekeel/mesh/Mesh.java
+++ b/src/main/java/pumicekeel/mesh/Mesh.java
@@ -21,11 +21,11 @@
 
 /**
  * Child processes of the program with fault injection on each link: each process has its own address for every upstream, for discovery and,
- * if they are members of one fleet, for every other member. What the processes did is judged by the logs of the stand-ins only.
+ * if they are members of one fleet, for every other member. Tests check only the logs of the stand-ins, not those of the processes.
  */
 public final class Mesh implements Closeable {
 
-  /** Processes started concurrently; more would compete for processor time. */
+  /** Maximum number of processes that start at the same time; more would compete for processor time. */
   private static final int MAX_CONCURRENT_STARTS = 16;
 
   private static final long UPSTREAM_DELAY_MICROS = 3_000;
@@ -39,11 +39,11 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final List<Member> members = new ArrayList<>();
   private final List<StandInDiscovery> discoveries = new ArrayList<>();
-  private final List<TcpLink> toDiscovery = new ArrayList<>();
-  private final List<Map<String, TcpLink>> toUpstream = new ArrayList<>();
+  private final List<TcpLink> discoveryLinks = new ArrayList<>();
+  private final List<Map<String, TcpLink>> upstreamLinks = new ArrayList<>();
   private final Map<String, StandInUpstream> upstreams = new TreeMap<>();
   private final Map<String, Integer> cells = new TreeMap<>();
-  private final Map<String, Long> announcedLast = new LinkedHashMap<>();
+  private final Map<String, Long> lastAnnouncedAt = new LinkedHashMap<>();
   private final DatagramMesh datagrams;
   private long nextSeed;
 
@@ -57,7 +57,7 @@
       throws IOException, InterruptedException {
     this.seed = seed;
     folder = Files.createTempDirectory("mesh");
-    boolean up = false;
+    boolean started = false;
     try {
       datagrams = peers ? new DatagramMesh(linkLoops.next(), processes, seed) : null;
       List<String> command = new ArrayList<>(
@@ -68,9 +68,9 @@
       for (int i = 0; i < processes; i++) {
         members.add(new Member("n" + i, command, folder));
         discoveries.add(new StandInDiscovery(group));
-        toDiscovery.add(
+        discoveryLinks.add(
             new TcpLink(linkLoops.next(), discoveries.get(i).address(), seed + nextSeed++));
-        toUpstream.add(new TreeMap<>());
+        upstreamLinks.add(new TreeMap<>());
       }
       for (int i = 0; i < upstreams; i++) {
         add("s" + i, 0);
@@ -85,9 +85,9 @@
           m.awaitReady();
         }
       }
-      up = true;
+      started = true;
     } finally {
-      if (!up) {
+      if (!started) {
         close();
       }
     }
@@ -100,7 +100,7 @@
         .replaceFirst("\\{", "{\"me\":" + i + ",\"group-size\":" + members.size() + ",");
     m.start(
         "{\"name\":\"" + m.name() + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
-            + toDiscovery.get(i).address().getPort() + "\",\"seed\":\""
+            + discoveryLinks.get(i).address().getPort() + "\",\"seed\":\""
             + Long.toHexString(seed + nextSeed++)
             + "\",\"limits\":{\"sockets\":512},\"known\":{\"index\":0,\"snapshot\":true,\"endpoints\":[]},\"settings\":"
             + settings + "}",
@@ -127,12 +127,12 @@
 
   /** Returns the link from a process to an upstream. */
   public TcpLink link(int member, String upstream) {
-    return toUpstream.get(member).get(upstream);
+    return upstreamLinks.get(member).get(upstream);
   }
 
   /** Returns the link from a process to discovery. */
   public TcpLink discoveryLink(int member) {
-    return toDiscovery.get(member);
+    return discoveryLinks.get(member);
   }
 
   /** Returns the links between the members; null if the processes are not members of one fleet. */
@@ -145,7 +145,7 @@
     StandInUpstream upstream = new StandInUpstream(name, group, UPSTREAM_DELAY_MICROS);
     cells.put(name, upstreams.size() / UPSTREAMS_PER_CELL);
     upstreams.put(name, upstream);
-    for (Map<String, TcpLink> links : toUpstream) {
+    for (Map<String, TcpLink> links : upstreamLinks) {
       links.put(name, new TcpLink(linkLoops.next(), upstream.address(), seed + nextSeed++));
     }
     announce(name, "in_service", sinceMillis);
@@ -157,14 +157,14 @@
       discoveries
           .get(i)
           .announce(
-              name, toUpstream.get(i).get(name).address(), cells.get(name), status, sinceMillis);
+              name, upstreamLinks.get(i).get(name).address(), cells.get(name), status, sinceMillis);
     }
-    announcedLast.put(name + ' ' + status, System.nanoTime());
+    lastAnnouncedAt.put(name + ' ' + status, System.nanoTime());
   }
 
   /** Returns when the last of the discovery services announced a status, by System.nanoTime. */
   public long announcedAt(String name, String status) {
-    return announcedLast.get(name + ' ' + status);
+    return lastAnnouncedAt.get(name + ' ' + status);
   }
 
   /** Kills a process and restarts it under its name, with no state kept. */
@@ -181,11 +181,11 @@
   }
 
   /** Clears all faults and continues processes that were stopped. */
-  public void heal() throws IOException, InterruptedException {
+  public void clearFaults() throws IOException, InterruptedException {
     for (int a = 0; a < members.size(); a++) {
-      toDiscovery.get(a).faults(Fault.NONE, Fault.NONE);
-      toDiscovery.get(a).refuse(false);
-      for (TcpLink link : toUpstream.get(a).values()) {
+      discoveryLinks.get(a).faults(Fault.NONE, Fault.NONE);
+      discoveryLinks.get(a).refuse(false);
+      for (TcpLink link : upstreamLinks.get(a).values()) {
         link.faults(Fault.NONE, Fault.NONE);
         link.refuse(false);
       }
@@ -206,8 +206,8 @@
   @Override
   public void close() {
     members.forEach(Member::close);
-    toDiscovery.forEach(TcpLink::close);
-    toUpstream.forEach(byName -> byName.values().forEach(TcpLink::close));
+    discoveryLinks.forEach(TcpLink::close);
+    upstreamLinks.forEach(byName -> byName.values().forEach(TcpLink::close));
     if (datagrams != null) {
       datagrams.close();
     }
--- a/src/main/java/pumicekeel/mesh/TcpLink.java
+++ b/src/main/java/pumicekeel/mesh/TcpLink.java
@@ -91,12 +91,12 @@
     channel.close();
   }
 
-  private void accepted(Channel near) {
+  private void accepted(Channel processSide) {
     if (refuses) {
-      reset(near);
+      reset(processSide);
       return;
     }
-    track(near);
+    track(processSide);
     new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
@@ -106,15 +106,15 @@
         .connect(target)
         .addListener(done -> {
           if (!done.isSuccess()) {
-            reset(near);
+            reset(processSide);
             return;
           }
-          Channel far = ((io.netty.channel.ChannelFuture) done).channel();
-          track(far);
-          near.pipeline().addLast(new Direction(far, true));
-          far.pipeline().addLast(new Direction(near, false));
-          near.read();
-          far.read();
+          Channel targetSide = ((io.netty.channel.ChannelFuture) done).channel();
+          track(targetSide);
+          processSide.pipeline().addLast(new Direction(targetSide, true));
+          targetSide.pipeline().addLast(new Direction(processSide, false));
+          processSide.read();
+          targetSide.read();
         });
   }
 
@@ -132,15 +132,17 @@
   /** One direction of one connection. */
   private final class Direction extends ChannelInboundHandlerAdapter {
 
-    /** Bytes and when they are to be forwarded; null bytes stand for the end of the sender's stream. */
-    private record Chunk(ByteBuf bytes, long at) {}
+    /** Bytes and when they are to be forwarded, by System.nanoTime; null bytes stand for the end of the sender's stream. */
+    private record Chunk(ByteBuf bytes, long dueAtNanos) {}
 
     private final Channel to;
     private final boolean isForward;
     private final ArrayDeque<Chunk> queue = new ArrayDeque<>();
     private boolean scheduled;
-    private boolean broken;
-    private long freeAt;
+    /** Whether the sender's side ended with an error, such as a reset. */
+    private boolean failed;
+    /** When the last queued chunk will have been transmitted, by System.nanoTime. */
+    private long freeAtNanos;
 
     private Direction(Channel to, boolean isForward) {
       this.to = to;
@@ -163,18 +165,20 @@
     private void enqueue(ByteBuf bytes) {
       Fault fault = fault();
       long now = System.nanoTime();
-      long delay = TimeUnit.MICROSECONDS.toNanos(fault.delayMicros()
+      long delayNanos = TimeUnit.MICROSECONDS.toNanos(fault.delayMicros()
           + (fault.jitterMicros() == 0 ? 0 : random.nextLong(fault.jitterMicros() + 1)));
-      long transmission = bytes == null || fault.bytesPerSecond() == 0
+      long transmissionNanos = bytes == null || fault.bytesPerSecond() == 0
           ? 0
           : bytes.readableBytes() * 1_000_000_000L / fault.bytesPerSecond();
-      freeAt = Math.max(now + delay, freeAt) + transmission;
-      queue.add(new Chunk(bytes, freeAt));
+      freeAtNanos = Math.max(now + delayNanos, freeAtNanos) + transmissionNanos;
+      queue.add(new Chunk(bytes, freeAtNanos));
     }
 
     private void forwardDue(ChannelHandlerContext ctx) {
       boolean wrote = false;
-      while (!queue.isEmpty() && !fault().cut() && queue.peek().at() - System.nanoTime() <= 0) {
+      while (!queue.isEmpty()
+          && !fault().cut()
+          && queue.peek().dueAtNanos() - System.nanoTime() <= 0) {
         Chunk chunk = queue.poll();
         wrote = true;
         if (chunk.bytes() == null) {
@@ -191,7 +195,7 @@
         scheduled = true;
         long wait = fault().cut()
             ? TimeUnit.MILLISECONDS.toNanos(CUT_CHECK_INTERVAL_MILLIS)
-            : queue.peek().at() - System.nanoTime();
+            : queue.peek().dueAtNanos() - System.nanoTime();
         loop.schedule(
             () -> {
               scheduled = false;
@@ -204,9 +208,9 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      if (broken) {
+      if (failed) {
         reset(to);
-        queue.forEach(p -> ReferenceCountUtil.release(p.bytes()));
+        queue.forEach(chunk -> ReferenceCountUtil.release(chunk.bytes()));
         queue.clear();
       } else {
         enqueue(null);
@@ -216,7 +220,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      broken = true;
+      failed = true;
       ctx.close();
     }
   }
--- a/src/test/java/pumicekeel/mesh/MeshTest.java
+++ b/src/test/java/pumicekeel/mesh/MeshTest.java
@@ -24,7 +24,7 @@
 import pumicekeel.load.LoadProfile;
 import pumicekeel.load.LoadResults.Outcome;
 
-/** Tests of several processes with faults on their links; results are judged by what the upstreams received. */
+/** Tests several processes with faults on their links; the checks use what the upstreams received. */
 class MeshTest {
 
   private static final List<String> FLAGS =
@@ -70,8 +70,8 @@
       mesh.link(0, "s0").faults(Fault.NONE, Fault.CUT);
       mesh.link(1, "s0").faults(Fault.CUT, Fault.NONE);
       long[] before = all.stream().mapToLong(l -> l.count(Outcome.SERVED)).toArray();
-      until(() -> allGrew(all, before, 60), "served past the cut");
-      mesh.heal();
+      until(() -> allGrew(all, before, 60), "served during the cut");
+      mesh.clearFaults();
       for (Load l : all) {
         l.stop();
       }
@@ -106,20 +106,21 @@
       mesh.members().get(2).signal("STOP");
       mesh.announce("s1", "terminating", 0);
       Thread.sleep(3_500);
-      long woken = System.nanoTime();
+      long continuedAt = System.nanoTime();
       mesh.members().get(2).signal("CONT");
       long served = all.get(2).count(Outcome.SERVED);
-      until(() -> all.get(2).count(Outcome.SERVED) > served + 60, "served after it woke");
+      until(() -> all.get(2).count(Outcome.SERVED) > served + 60, "served after it was continued");
       for (Load l : all) {
         l.stop();
       }
-      // A read and the sends it causes may be in the same iteration of the event loop: sends
-      // decided
-      // on before the stall go out at once.
+      // A read and the sends that it causes may be in the same iteration of the event loop, so
+      // sends that were decided on before the
+      // stall go out right after it.
       long late = mesh.upstreams().get("s1").seen().stream()
-          .filter(s -> s.atNanos() - woken > 500_000_000L)
+          .filter(s -> s.atNanos() - continuedAt > 500_000_000L)
           .count();
-      assertEquals(0, late, "sent to an upstream that left, half a second after the process woke");
+      assertEquals(
+          0, late, "sent to an upstream that left, half a second after the process was continued");
       Verdict verdict = mesh.verdict();
       verdict.checkAllAnswered(
           "requests", all.subList(0, 2).stream().map(Load::results).toList());
