--- a/src/main/java/pumicekeel/rig/soak/ListTrouble.java
+++ b/src/main/java/pumicekeel/rig/soak/ListTrouble.java
@@ -20,7 +20,8 @@
   /** The same capacity, but a call waits until its caller gives up. */
   CROWDED_PATIENT(Constants.SHARED_CAPACITY, 0, false, CallHandling.RESPOND, 0),
   /** Like CROWDED, but a rejected call takes the same service time as a served one. */
-  CROWDED_COSTLY(Constants.SHARED_CAPACITY, Constants.MAX_WAIT_MILLIS, true, CallHandling.RESPOND, 0),
+  CROWDED_COSTLY(
+      Constants.SHARED_CAPACITY, Constants.MAX_WAIT_MILLIS, true, CallHandling.RESPOND, 0),
   /** Watches work; discovery is down for some time and resets all calls. */
   OUTAGE(5, 0, false, CallHandling.RESPOND, 0);
 
--- a/src/main/java/pumicekeel/rig/soak/SoakRun.java
+++ b/src/main/java/pumicekeel/rig/soak/SoakRun.java
@@ -158,7 +158,8 @@
 
   private void startAll() throws IOException, InterruptedException {
     if (plan.lists() != null) {
-      discoveryFaults = new DiscoveryFaults(plan.lists().discoverySettings(plan.balancers(), plan.seed()));
+      discoveryFaults =
+          new DiscoveryFaults(plan.lists().discoverySettings(plan.balancers(), plan.seed()));
     }
     discovery = new StandInDiscovery(standIns, discoveryFaults);
     for (int i = 0; i < (plan.lists() == null ? UPSTREAMS : LIST_TROUBLE_UPSTREAMS); i++) {
--- a/src/main/java/pumicekeel/standin/CallQueue.java
+++ b/src/main/java/pumicekeel/standin/CallQueue.java
@@ -22,7 +22,7 @@
     this.serve = serve;
   }
 
-  /** Queues a call, or serves it at once if it does not queue. */
+  /** Queues a call, or serves it at once if calls that are handled in its way do not queue. */
   void add(DiscoveryCall call) {
     if (!call.handling().queues() || settings.serviceMillis() == 0) {
       serve.accept(call);
--- a/src/main/java/pumicekeel/standin/DiscoveryFaults.java
+++ b/src/main/java/pumicekeel/standin/DiscoveryFaults.java
@@ -16,7 +16,7 @@
    * @param serviceMillis time for which a call occupies the service; calls are served one at a time
    * @param maxWaitMillis time after which a waiting call is answered 503; 0 for never
    * @param refusalsTakeTime whether a call that has waited too long is refused only when it is served, and takes service time too
-   * @param quietAfterList whether each watch is silent after its first list
+   * @param quietAfterList whether each watch sends nothing more after its first list
    * @param failing how failing calls are handled
    * @param perMille how many calls of a thousand fail
    * @param seed seed of the choice of failing calls
@@ -45,17 +45,17 @@
     random = new Random(settings.seed());
   }
 
-  /** Returns no faults. */
+  /** Returns an object that injects no faults. */
   public static DiscoveryFaults none() {
     return new DiscoveryFaults(new Settings(0, 0, false, false, CallHandling.RESPOND, 0, 0));
   }
 
-  /** Handles all calls of a caller, identified by its Host header, in this way. */
+  /** Handles all calls of a caller, identified by its Host header, in this way instead of by the settings. */
   public void always(String caller, CallHandling handling) {
     handlingByCaller.put(caller, handling);
   }
 
-  /** Returns the list updates that were sent. */
+  /** Returns the list updates that were sent, full lists and changes. */
   public List<SentList> written() {
     return written;
   }
--- a/src/main/java/pumicekeel/standin/StandInDiscovery.java
+++ b/src/main/java/pumicekeel/standin/StandInDiscovery.java
@@ -84,7 +84,7 @@
     return (InetSocketAddress) listener.localAddress();
   }
 
-  /** Announces a new upstream or a change of status: in_service, terminating or terminated. */
+  /** Announces a new upstream or a change of status: in_service, terminating or terminated; {@code sinceMillis} is its wall-clock start. */
   public synchronized void announce(
       String name, InetSocketAddress address, int group, String status, long sinceMillis) {
     Entry entry = new Entry(name, address, group, status, sinceMillis);
@@ -122,6 +122,7 @@
     return announcedAt.get(name + " " + status);
   }
 
+  /** Returns the number of open watches. */
   public int watches() {
     return watches.size();
   }
--- a/src/main/java/pumicekeel/standin/StandInRpcClient.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcClient.java
@@ -28,11 +28,12 @@
 public final class StandInRpcClient implements Closeable {
 
   private static final Limits LIMITS = new Limits(64 << 20, Limits.MAX_DEPTH, 1_000_000);
-  private static final int MAX_KEPT = 1_000_000;
+  /** Maximum number of received messages that are kept; later ones are dropped. */
+  private static final int MAX_KEPT_MESSAGES = 1_000_000;
 
   private final Framing framing;
   private final Channel channel;
-  private final BlockingQueue<String> messages = new LinkedBlockingQueue<>(MAX_KEPT);
+  private final BlockingQueue<String> messages = new LinkedBlockingQueue<>(MAX_KEPT_MESSAGES);
   private final CountDownLatch ended = new CountDownLatch(1);
 
   /** Connects; fails with an exception if that is not possible. */
@@ -99,6 +100,7 @@
     return messages.poll(millis, TimeUnit.MILLISECONDS);
   }
 
+  /** Returns the number of received messages that {@link #next} has not yet returned. */
   public int waiting() {
     return messages.size();
   }
@@ -108,10 +110,12 @@
     return ended.await(millis, TimeUnit.MILLISECONDS);
   }
 
+  /** Sets whether the client reads from the connection. */
   public void reads(boolean on) {
     channel.config().setAutoRead(on);
   }
 
+  /** Closes the sending direction; answers can still be received. */
   public void halfClose() {
     ((DuplexChannel) channel).shutdownOutput().syncUninterruptibly();
   }
--- a/src/main/java/pumicekeel/standin/StandInRpcFaults.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcFaults.java
@@ -21,28 +21,33 @@
   @Override
   public void on(Seen call, Connection c) {
     int draw;
-    int kind;
+    int faultKind;
     synchronized (random) {
       draw = random.nextInt(100_000);
-      kind = random.nextInt(9);
+      faultKind = random.nextInt(9);
     }
     if (draw >= perHundredThousand) {
       c.later(delayMillis, () -> StandInRpcServer.ECHO.on(call, c));
       return;
     }
-    switch (kind) {
+    switch (faultKind) {
       case 0 -> c.close();
       case 1 -> c.reset();
+      // Two answers to the same call.
       case 2 -> {
         StandInRpcServer.ECHO.on(call, c);
         StandInRpcServer.ECHO.on(call, c);
       }
+      // Half a message.
       case 3 -> c.raw("{\"jsonrpc\":\"2.0\",\"result\":{\"half\":");
       case 4 -> c.error(call.id(), -32603, "broken");
+      // Not a message.
       case 5 -> c.raw("noise\n");
+      // An answer to a call that was never made.
       case 6 -> c.result(call.id() + 1_000_000, "\"nobody's\"");
+      // An answer after the caller's deadline.
       case 7 -> c.later(3_000, () -> StandInRpcServer.ECHO.on(call, c));
-      default -> {}
+      default -> {} // No answer.
     }
   }
 }
--- a/src/main/java/pumicekeel/standin/StandInRpcServer.java
+++ b/src/main/java/pumicekeel/standin/StandInRpcServer.java
@@ -89,6 +89,7 @@
     return address;
   }
 
+  /** Sets the script for calls that are received from now on. */
   public StandInRpcServer script(Script next) {
     script = next;
     return this;
@@ -106,10 +107,12 @@
     }
   }
 
+  /** Returns the number of connections accepted so far. */
   public int opened() {
     return opened.get();
   }
 
+  /** Returns the number of connections that are open now. */
   public int open() {
     return connections.size();
   }
@@ -177,6 +180,7 @@
       script.on(next, this);
     }
 
+    /** Returns the number of this connection, counted from 1 in the order of accepting. */
     public int number() {
       return number;
     }
@@ -186,6 +190,7 @@
       message(MessageWriter.result(Id.of(id), result.getBytes(StandardCharsets.UTF_8)));
     }
 
+    /** Responds to a call with an error. */
     public void error(long id, int code, String text) {
       message(MessageWriter.error(Id.of(id), MessageWriter.errorObject(code, text, null)));
     }
@@ -213,6 +218,7 @@
       }
     }
 
+    /** Runs a task on the connection's event loop after a delay. */
     public void later(long millis, Runnable what) {
       ctx.executor().schedule(what, millis, TimeUnit.MILLISECONDS);
     }
@@ -222,6 +228,7 @@
       ctx.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> ctx.close());
     }
 
+    /** Resets the connection. */
     public void reset() {
       StandInRpcServer.reset(ctx.channel());
     }
--- a/src/main/java/pumicekeel/standin/StandInUpstream.java
+++ b/src/main/java/pumicekeel/standin/StandInUpstream.java
@@ -32,11 +32,17 @@
 
   /** How requests are answered. */
   public enum Mode {
+    /** Status 200 with the request's id as the body. */
     SERVE,
+    /** Status 500. */
     ERROR,
+    /** Status 503 with the header X-Unprocessed: the request did not run. */
     FULL,
+    /** No answer; the connection stays open. */
     HANG,
+    /** The connection is reset. */
     RESET,
+    /** Bytes that are not an HTTP response. */
     SPOILT
   }
 
@@ -99,10 +105,12 @@
     return address;
   }
 
+  /** Sets how requests that are received from now on are answered. */
   public void mode(Mode next) {
     mode = next;
   }
 
+  /** Sets the time between a request and its answer. */
   public void delayMicros(long micros) {
     delayMicros = micros;
   }
@@ -144,14 +152,17 @@
     }
   }
 
+  /** Returns the number of connections that are open now. */
   public int open() {
     return connections.size();
   }
 
+  /** Returns the largest number of connections that were open at the same time. */
   public int maxOpen() {
     return maxOpen.get();
   }
 
+  /** Returns the number of connections accepted so far. */
   public int opened() {
     return opened.get();
   }
