--- a/src/main/java/pumicekeel/load/HttpRequestTemplate.java
+++ b/src/main/java/pumicekeel/load/HttpRequestTemplate.java
@@ -24,7 +24,10 @@
     implements RequestTemplate {
 
   private static final int MAX_BODY_BYTES = 1 << 20;
+  /** Number of different paths. */
   private static final int PATHS = 1_000;
+
+  /** Number of different session keys. */
   private static final int SESSIONS = 500;
 
   @Override
--- a/src/main/java/pumicekeel/load/Load.java
+++ b/src/main/java/pumicekeel/load/Load.java
@@ -26,7 +26,7 @@
  */
 public final class Load {
 
-  /** Time after a client's deadline before a request counts as late or lost, to allow for a busy machine. */
+  /** Time after a client's deadline until a request counts as late or lost, to allow for a busy machine. */
   private static final long GRACE_MILLIS = 250;
 
   private static final long RECONNECT_DELAY_MILLIS = 20;
@@ -246,6 +246,7 @@
           late ? "after " + millis + " ms" : reply.description());
     }
 
+    /** Ends requests whose deadline and grace have passed, at regular intervals while the connection is open. */
     private void checkLost(ChannelHandlerContext ctx) {
       long latestSent = System.nanoTime()
           - TimeUnit.MILLISECONDS.toNanos(template.deadlineMillis() + GRACE_MILLIS);
@@ -271,7 +272,7 @@
       if (abandoning) {
         results.abandoned(open.size());
       } else {
-        open.values().forEach(s -> lost(s, "connection closed"));
+        open.values().forEach(request -> lost(request, "connection closed"));
       }
       open.clear();
       if (!stopped && ctx.channel() == channel) {
--- a/src/main/java/pumicekeel/load/LoadProfile.java
+++ b/src/main/java/pumicekeel/load/LoadProfile.java
@@ -7,7 +7,7 @@
  *     request as soon as the depth allows
  * @param depth maximum number of pending requests on one connection
  * @param batch number of requests in one write, at most {@code depth}
- * @param abandonsPerThousand at how many of a thousand sends the client closes the connection with requests pending instead
+ * @param abandonsPerThousand at how many of a thousand sends the client closes the connection instead, with requests pending
  */
 public record LoadProfile(
     int connections, double perSecond, int depth, int batch, int abandonsPerThousand) {
@@ -25,7 +25,10 @@
     }
   }
 
-  /** Returns an open loop: one request at a time per connection at a steady rate. Open only while answers arrive within the gap. */
+  /**
+   * Returns an open loop: one request at a time per connection, at a steady rate. A connection sends its next request late if an answer
+   * takes longer than the time between two requests.
+   */
   public static LoadProfile openLoop(int connections, double perSecond) {
     return new LoadProfile(connections, perSecond, 1, 1, 0);
   }
--- a/src/main/java/pumicekeel/load/LoadResults.java
+++ b/src/main/java/pumicekeel/load/LoadResults.java
@@ -13,17 +13,25 @@
  */
 public final class LoadResults {
 
-  /** How a request ended. LATE, WRONG and LOST are violations; {@link #ended} depends on the order. */
+  /** How a request ended. LATE and the values after it are violations; {@link #ended} depends on the order. */
   public enum Outcome {
+    /** The expected result. */
     SERVED,
+    /** The balancer refused the request, with status 429 or 503 or the corresponding error code. */
     REFUSED,
+    /** The balancer reported a failure, with status 502 or the corresponding error code. */
     FAILED,
+    /** An answer after the deadline and a grace. */
     LATE,
+    /** Any other answer: to another request, to none, or with another status or error code. */
     WRONG,
+    /** No answer: the connection was closed, or the deadline and a grace passed. */
     LOST
   }
 
+  /** Maximum number of violations that are kept with a description. */
   private static final int MAX_FAULTS = 20;
+
   private static final long MAX_LATENCY_MICROS = 60_000_000L;
 
   private final AtomicLong sent = new AtomicLong();
--- a/src/main/java/pumicekeel/load/RpcRequestTemplate.java
+++ b/src/main/java/pumicekeel/load/RpcRequestTemplate.java
@@ -20,7 +20,7 @@
 import pumicekeel.load.LoadResults.Outcome;
 
 /**
- * Template of JSON-RPC calls of one method. The params of each call carry its unique name, which a server echoes, so that the answer to
+ * Template of JSON-RPC calls of one method. The params of each call contain its unique name, which a server echoes, so that an answer to
  * another call is detected.
  *
  * @param deadlineMillis how long the client waits; sent to the balancer as the time left
@@ -29,6 +29,7 @@
     implements RequestTemplate {
 
   private static final Limits LIMITS = new Limits(4 << 20, Limits.MAX_DEPTH, 1_000);
+  /** Number of different session keys. */
   private static final int SESSIONS = 500;
 
   @Override
