--- a/src/main/java/pumicekeel/demo/Demo.java
+++ b/src/main/java/pumicekeel/demo/Demo.java
@@ -25,15 +25,16 @@
 
 /**
  * HTTP demonstration: one balancer with two pools that share an upstream, under load on both. During the run one upstream is killed, the
- * shared one drains from one pool only, and a cold one joins both. The logs of the stand-ins are then checked against the four rules.
+ * shared one drains from one pool only, and a cold one joins both. The logs of the stand-ins are then checked against the four rules of
+ * {@link Verdict}.
  */
 public final class Demo {
 
   private static final int UPSTREAMS = 4;
   private static final int CLIENTS = 24;
   private static final double REQUESTS_PER_SECOND = 400;
-  private static final long DELAY_MICROS = 3_000;
-  private static final long GRACE_MILLIS = 2_000;
+  private static final long UPSTREAM_DELAY_MICROS = 3_000;
+  private static final long DRAIN_GRACE_MILLIS = 2_000;
 
   private final int seconds;
   private final PrintStream out;
@@ -78,7 +79,7 @@
 
   private void addUpstream(String name, int cell, StandInDiscovery... discoveries)
       throws InterruptedException {
-    StandInUpstream upstream = new StandInUpstream(name, standIns, DELAY_MICROS);
+    StandInUpstream upstream = new StandInUpstream(name, standIns, UPSTREAM_DELAY_MICROS);
     upstreams.put(name, upstream);
     cells.put(name, cell);
     for (StandInDiscovery discovery : discoveries) {
@@ -237,23 +238,27 @@
     out.println(
         "pool class               sent  served refused  failed    p50 ms  p99 ms   received by upstreams");
     Map<String, Load> rows = new TreeMap<>(byPool);
-    rows.forEach((name, c) -> out.printf(
+    rows.forEach((name, load) -> out.printf(
         "%-20s %8d %7d %7d %7d  %8.1f %7.1f  %8d%n",
         name,
-        c.sent(),
-        c.count(Outcome.SERVED),
-        c.count(Outcome.REFUSED),
-        c.count(Outcome.FAILED),
-        c.results().latency().getValueAtPercentile(50) / 1e3,
-        c.results().latency().getValueAtPercentile(99) / 1e3,
+        load.sent(),
+        load.count(Outcome.SERVED),
+        load.count(Outcome.REFUSED),
+        load.count(Outcome.FAILED),
+        load.results().latency().getValueAtPercentile(50) / 1e3,
+        load.results().latency().getValueAtPercentile(99) / 1e3,
         received(name.split(" ")[1])));
     Verdict verdict = Verdict.ofUpstreams(upstreams, cells);
-    rows.forEach((name, c) -> verdict.checkAllAnswered(name, c.results()));
+    rows.forEach((name, load) -> verdict.checkAllAnswered(name, load.results()));
     verdict.checkNoDuplicateEffect();
     verdict.checkDrain(
-        "shared", "quote-issue", quoteDiscovery.announcedAt("shared", "terminating"), GRACE_MILLIS);
+        "shared",
+        "quote-issue",
+        quoteDiscovery.announcedAt("shared", "terminating"),
+        DRAIN_GRACE_MILLIS);
     verdict.checkStillServing(
         "shared", "rate-lookup", quoteDiscovery.announcedAt("shared", "terminating"));
+    // The values of the contract in DemoSettings.
     verdict.checkColdBudget("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
--- a/src/main/java/pumicekeel/demo/RpcDemo.java
+++ b/src/main/java/pumicekeel/demo/RpcDemo.java
@@ -26,13 +26,13 @@
 /**
  * JSON-RPC demonstration: many client connections send single calls and batches, and some close with calls pending. Servers inject
  * occasional faults; one is killed, one drains, and a cold one joins. The logs of clients and servers are then checked against the four
- * rules and against each other.
+ * rules of {@link Verdict} and against each other.
  */
 public final class RpcDemo {
 
   private static final int SERVERS = 6;
-  private static final long DELAY_MILLIS = 3;
-  private static final long GRACE_MILLIS = 2_000;
+  private static final long SERVER_DELAY_MILLIS = 3;
+  private static final long DRAIN_GRACE_MILLIS = 2_000;
   private static final Map<String, Integer> CELLS =
       Map.of("s0", 0, "s1", 0, "s2", 1, "s3", 1, "s4", 2, "s5", 2, "cold", 3);
 
@@ -113,7 +113,8 @@
 
   private void addServer(String name) throws InterruptedException {
     StandInRpcServer server = new StandInRpcServer(standIns, Framing.NEWLINE);
-    server.script(new StandInRpcFaults(seed + servers.size(), DELAY_MILLIS, faultsPer100000));
+    server.script(
+        new StandInRpcFaults(seed + servers.size(), SERVER_DELAY_MILLIS, faultsPer100000));
     servers.put(name, server);
     discovery.announce(
         name,
@@ -184,8 +185,8 @@
     addServer("cold");
     log("cold joins");
     waitUntil(loads, 1);
-    for (Load c : loads.values()) {
-      c.stop();
+    for (Load load : loads.values()) {
+      load.stop();
     }
     node.drain();
     node.awaitDrained();
@@ -198,13 +199,13 @@
     while (System.nanoTime() - end < 0) {
       TimeUnit.NANOSECONDS.sleep(Math.min(1_000_000_000L, Math.max(1, end - System.nanoTime())));
       StringBuilder line = new StringBuilder();
-      loads.forEach((name, c) -> line.append(String.format(
+      loads.forEach((name, load) -> line.append(String.format(
           "  %s %d sent %d served %d refused %d failed",
           name,
-          c.sent(),
-          c.count(Outcome.SERVED),
-          c.count(Outcome.REFUSED),
-          c.count(Outcome.FAILED))));
+          load.sent(),
+          load.count(Outcome.SERVED),
+          load.count(Outcome.REFUSED),
+          load.count(Outcome.FAILED))));
       log(line.toString().strip());
     }
   }
@@ -216,27 +217,28 @@
   private boolean report(Map<String, Load> loads) {
     out.println();
     out.println("calls                   sent  served refused  failed abandoned  p50 ms  p99 ms");
-    loads.forEach((name, c) -> out.printf(
+    loads.forEach((name, load) -> out.printf(
         "%-20s %8d %7d %7d %7d %7d  %8.1f %7.1f%n",
         name,
-        c.sent(),
-        c.count(Outcome.SERVED),
-        c.count(Outcome.REFUSED),
-        c.count(Outcome.FAILED),
-        c.results().abandoned(),
-        c.results().latency().getValueAtPercentile(50) / 1e3,
-        c.results().latency().getValueAtPercentile(99) / 1e3));
+        load.sent(),
+        load.count(Outcome.SERVED),
+        load.count(Outcome.REFUSED),
+        load.count(Outcome.FAILED),
+        load.results().abandoned(),
+        load.results().latency().getValueAtPercentile(50) / 1e3,
+        load.results().latency().getValueAtPercentile(99) / 1e3));
     Verdict verdict = Verdict.ofServers(servers, CELLS, call -> nameIn(call));
-    loads.forEach((name, c) -> verdict.checkAllAnswered(name, c.results()));
+    loads.forEach((name, load) -> verdict.checkAllAnswered(name, load.results()));
     loads
         .values()
-        .forEach(c -> verdict.checkServedWasReceived(c.results(), Verdict.Execution::name));
+        .forEach(load -> verdict.checkServedWasReceived(load.results(), Verdict.Execution::name));
     verdict.checkRefusedNeverRan(loads.get("quotes, singly").results());
     verdict.checkNoDuplicateEffect();
     verdict.checkDrain(
-        "s3", "quote.issue", discovery.announcedAt("s3", "terminating"), GRACE_MILLIS);
+        "s3", "quote.issue", discovery.announcedAt("s3", "terminating"), DRAIN_GRACE_MILLIS);
     verdict.checkDrain(
-        "s3", "rate.lookup", discovery.announcedAt("s3", "terminating"), GRACE_MILLIS);
+        "s3", "rate.lookup", discovery.announcedAt("s3", "terminating"), DRAIN_GRACE_MILLIS);
+    // The values of the contract in DemoSettings.
     verdict.checkColdBudget("cold", coldAt, 0.3, 8, 3, 3);
     out.println();
     verdict.lines().forEach(out::println);
--- a/src/main/java/pumicekeel/demo/Verdict.java
+++ b/src/main/java/pumicekeel/demo/Verdict.java
@@ -14,10 +14,14 @@
 import pumicekeel.standin.StandInRpcServer;
 import pumicekeel.standin.StandInUpstream;
 
-/** Checks the four rules against the logs of the stand-ins and their clients, never against those of the balancer. */
+/**
+ * Checks the four rules of the balancer: each request gets exactly one answer, correct and in time; no keyed request runs in two cells;
+ * nothing is sent to a draining upstream after its grace; no cold upstream gets more than its budget. Uses the logs of the stand-ins and
+ * of their clients, never those of the balancer.
+ */
 public final class Verdict {
 
-  /** A request that an upstream ran or may have run; {@code key} is null if it has none or certainly did not run. */
+  /** A request that an upstream received; {@code key} is null if the request has none or the upstream rejected it as not run. */
   public record Execution(String name, String key, String className, long atNanos) {}
 
   private final Map<String, Supplier<List<Execution>>> upstreams;
@@ -30,7 +34,7 @@
     this.cells = cells;
   }
 
-  /** Creates a check of HTTP upstreams by name, with the cell of each: those of one cell drop each other's repeats. */
+  /** Creates a check of HTTP upstreams by name, with the cell of each: an upstream drops repeats of what ran in its cell. */
   public static Verdict ofUpstreams(
       Map<String, StandInUpstream> upstreams, Map<String, Integer> cells) {
     Map<String, Supplier<List<Execution>>> logs = new TreeMap<>();
@@ -112,7 +116,9 @@
         clients.served().size() + " served, " + missing + " of them received by no server");
   }
 
-  /** Checks that no refused keyed call ran, where only servers of one cell drop repeats. */
+  /**
+   * Checks that no server received a refused keyed call: its client may repeat it, and servers of another cell would not drop the repeat.
+   */
   public void checkRefusedNeverRan(LoadResults clients) {
     Set<String> ran = new HashSet<>();
     upstreams.values().forEach(u -> u.get().forEach(r -> ran.add(r.key())));
@@ -186,11 +192,11 @@
     long last =
         times.values().stream().flatMapToLong(java.util.Arrays::stream).max().orElse(0);
     double maxUsed = 0;
-    boolean held = true;
+    boolean withinBudget = true;
     for (long at = startedAt; at + window <= Math.max(last, startedAt + window); at += step) {
       long from = at;
       double received = countWithin(times.get(cold), from, window);
-      double warmAverage = upstreams.keySet().stream()
+      double averageOfWarm = upstreams.keySet().stream()
           .filter(n -> !n.equals(cold))
           .mapToLong(n -> countWithin(times.get(n), from, window))
           .filter(n -> n > 0)
@@ -198,14 +204,14 @@
           .orElse(0);
       double capacityShare =
           Math.min(1, coldFrom + (1 - coldFrom) * (from - startedAt) / 1e9 / warmSeconds);
-      double budget = multiple * capacityShare * warmAverage;
+      double budget = multiple * capacityShare * averageOfWarm;
       maxUsed = Math.max(maxUsed, budget == 0 ? 0 : received / budget);
-      held &= received <= budget + 3 * Math.sqrt(budget);
+      withinBudget &= received <= budget + 3 * Math.sqrt(budget);
     }
     long all = times.get(cold).length;
     addResult(
         "no cold upstream overloaded",
-        held && all > 0,
+        withinBudget && all > 0,
         all + " requests at " + cold + ", at most " + Math.round(maxUsed * 100)
             + " % of its budget in any " + windowSeconds + " s");
   }
