--- a/src/main/java/pumicekeel/sim/FleetNetwork.java
+++ b/src/main/java/pumicekeel/sim/FleetNetwork.java
@@ -3,7 +3,7 @@
 import java.util.BitSet;
 import java.util.SplittableRandom;
 
-/** Simulated network between the members of a fleet: loses, duplicates and delays datagrams, as its random generator decides. */
+/** Simulated network between the members of a fleet; loses, duplicates and delays datagrams at random. */
 final class FleetNetwork {
 
   private static final long MS = 1_000_000L;
@@ -21,6 +21,7 @@
     this.size = size;
   }
 
+  /** Sets the shares of datagrams that are lost and that arrive twice, and the maximum of the usual delay. */
   void setConditions(double lossShare, double duplicateShare, long newMaxDelayNanos) {
     loss = lossShare;
     duplication = duplicateShare;
@@ -41,7 +42,8 @@
     blocked.set(from * size + to);
   }
 
-  void heal() {
+  /** Unblocks all links, ends loss and duplication, and restores the usual delay. */
+  void clearFaults() {
     blocked.clear();
     setConditions(0, 0, 20 * MS);
   }
--- a/src/main/java/pumicekeel/sim/FleetSim.java
+++ b/src/main/java/pumicekeel/sim/FleetSim.java
@@ -17,12 +17,21 @@
  */
 public final class FleetSim {
 
+  /** One millisecond of virtual time, in nanoseconds. */
   private static final long MS = 1_000_000L;
+
   private static final long SECOND = 1_000 * MS;
-  /** Covers the longest suspicion that can be pending when the faults end, one round of probes, and the dissemination. */
+  /**
+   * Protocol periods from the last fault to the check of the views. Cover the longest suspicion that can be pending when the faults end,
+   * one round of probes, and the dissemination.
+   */
   private static final long SETTLING_PERIODS = 70;
 
-  /** Results of a run; {@code fault} is null if all checks passed. */
+  /**
+   * Results of a run; {@code fault} is null if all checks passed. {@code firstDetections} and {@code allDetections} are the times from each
+   * kill until the first and until every running member considers the killed one dead; {@code falseDeaths} counts running members that
+   * were declared dead, {@code refuted} suspicions that the suspected member refuted.
+   */
   public record Report(
       long seed,
       int size,
@@ -99,7 +108,7 @@
       injectFault();
       run(now + random.nextLong(6 * SECOND), false);
     }
-    network.heal();
+    network.clearFaults();
     for (int i = 0; i < size; i++) {
       pausedUntil[i] = 0;
       if (members[i] != null) {
@@ -111,7 +120,7 @@
     return report();
   }
 
-  /** Counts false deaths in a run with packet loss only, then kills members one by one and measures the detection times. */
+  /** Counts running members that are declared dead under datagram loss, then kills members one by one and measures the detection times. */
   public Report detection(double loss, int kills, long quietNanos) {
     for (int i = 0; i < size; i++) {
       start(i);
@@ -127,16 +136,16 @@
     long quietDatagrams = datagrams;
     long quietBytes = bytes;
     for (int k = 0; k < kills && fault == null; k++) {
-      int victim = random.nextInt(size);
-      if (!running[victim] || runningCount() < 3) {
+      int killed = random.nextInt(size);
+      if (!running[killed] || runningCount() < 3) {
         continue;
       }
-      kill(victim);
+      kill(killed);
       long at = now;
       long first = -1;
-      while (now - at < 120 * SECOND && viewsWithDead(victim) < runningCount()) {
+      while (now - at < 120 * SECOND && viewsWithDead(killed) < runningCount()) {
         run(now + 50 * MS, false);
-        first = first < 0 && viewsWithDead(victim) > 0 ? now - at : first;
+        first = first < 0 && viewsWithDead(killed) > 0 ? now - at : first;
       }
       firstDetections.add(first);
       allDetections.add(now - at);
@@ -172,7 +181,7 @@
         refuted);
   }
 
-  /** Returns the real time that all members spent in the protocol in the fault-free phase; the only result a seed does not determine. */
+  /** Returns the real time that all members spent in the protocol before the first kill; the only result that a seed does not determine. */
   public long quietWorkNanos() {
     return quietWorkNanos;
   }
@@ -195,7 +204,7 @@
             random.nextDouble() * 0.5, random.nextDouble() * 0.3, (1 + random.nextLong(200)) * MS);
       case 5 -> network.partition(randomSide(random.nextInt(size + 1)));
       case 6 -> network.blockOneWay(member, random.nextInt(size));
-      case 7 -> network.heal();
+      case 7 -> network.clearFaults();
       case 8 -> restartMany(true);
       case 9 -> restartMany(false);
       default -> injectDatagram(member);
@@ -362,10 +371,10 @@
   }
 
   /** Returns the number of views in which a member is dead. */
-  private int viewsWithDead(int victim) {
+  private int viewsWithDead(int killed) {
     int dead = 0;
     for (int i = 0; i < size; i++) {
-      dead += running[i] && members[i].stateOf(victim) == State.DEAD ? 1 : 0;
+      dead += running[i] && members[i].stateOf(killed) == State.DEAD ? 1 : 0;
     }
     return dead;
   }
--- a/src/main/java/pumicekeel/sim/ModuleSim.java
+++ b/src/main/java/pumicekeel/sim/ModuleSim.java
@@ -1,7 +1,7 @@
 package pumicekeel.sim;
 
 import static pumicekeel.sim.ModuleSimSettings.ARRIVALS_PER_SECOND;
-import static pumicekeel.sim.ModuleSimSettings.CAPACITY;
+import static pumicekeel.sim.ModuleSimSettings.CAPACITY_MULTIPLE;
 import static pumicekeel.sim.ModuleSimSettings.SECOND;
 
 import java.util.ArrayList;
@@ -23,11 +23,12 @@
  */
 public final class ModuleSim {
 
-  private static final long END = 30 * SECOND;
+  /** Virtual time after which no more requests arrive. */
+  private static final long END_NANOS = 30 * SECOND;
   /** Longest delay of a list update; an instance that starts from a list this old misses the latest changes. */
-  private static final long MAX_LIST_DELAY = 6 * SECOND;
+  private static final long MAX_LIST_DELAY_NANOS = 6 * SECOND;
 
-  /** Results of a run; {@code fault} is null if no rule was broken. {@code coldShare} is the largest used share of a cold budget. */
+  /** Results of a run; {@code fault} is null if no rule was violated. {@code coldShare} is the largest used part of a cold budget. */
   public record Report(
       long seed, int size, String fault, long requests, long served, double coldShare) {}
 
@@ -51,7 +52,7 @@
     }
   }
 
-  /** Runs until no events are left or a rule is broken. */
+  /** Runs until no events are left or a rule is violated. */
   public Report run() {
     for (int i = 0; i < size; i++) {
       SimulatedInstance instance =
@@ -60,7 +61,7 @@
       instance.start(list());
       scheduleRequests(instance, 0);
     }
-    for (long at = SECOND; at < END; at += 1 + random.nextLong(4 * SECOND)) {
+    for (long at = SECOND; at < END_NANOS; at += 1 + random.nextLong(4 * SECOND)) {
       queue.schedule(at, this::injectFault);
     }
     boolean eventsLeft = true;
@@ -81,13 +82,13 @@
 
   /** Returns the capacity of one upstream in requests per second. */
   private double capacity() {
-    return CAPACITY * size * ARRIVALS_PER_SECOND / upstreams.size();
+    return CAPACITY_MULTIPLE * size * ARRIVALS_PER_SECOND / upstreams.size();
   }
 
   private void scheduleRequests(SimulatedInstance instance, int number) {
     long next =
         queue.now() + (long) (-Math.log(1 - random.nextDouble()) * SECOND / ARRIVALS_PER_SECOND);
-    if (next < END) {
+    if (next < END_NANOS) {
       queue.schedule(next, () -> {
         if (instance.isUp()) {
           instance.request(
@@ -114,7 +115,8 @@
     for (SimulatedInstance instance : instances) {
       ListedUpstream entry = upstream.listed();
       queue.schedule(
-          queue.now() + random.nextLong(random.nextInt(10) == 0 ? MAX_LIST_DELAY : SECOND), () -> {
+          queue.now() + random.nextLong(random.nextInt(10) == 0 ? MAX_LIST_DELAY_NANOS : SECOND),
+          () -> {
             if (instance.isUp() && upstream.listed().equals(entry)) {
               instance.deliver(
                   new ListUpdate(ListKind.DELTA, instance.withLocalClock(List.of(entry))));
@@ -159,7 +161,7 @@
     }
     upstream.state = State.DRAINING;
     announce(upstream);
-    queue.schedule(queue.now() + MAX_LIST_DELAY + 4 * SECOND, () -> {
+    queue.schedule(queue.now() + MAX_LIST_DELAY_NANOS + 4 * SECOND, () -> {
       upstream.down = true;
       queue.schedule(queue.now() + SECOND, () -> returnCold(upstream));
     });
--- a/src/main/java/pumicekeel/sim/QuotaSim.java
+++ b/src/main/java/pumicekeel/sim/QuotaSim.java
@@ -17,22 +17,27 @@
  */
 public final class QuotaSim {
 
+  /** One millisecond of virtual time, in nanoseconds. */
   private static final long MS = 1_000_000L;
+
   private static final long SECOND = 1_000 * MS;
-  private static final long STEP = 50 * MS;
-  private static final long FAULTS_UNTIL = 40 * SECOND;
-  private static final long END = 60 * SECOND;
-  /** Time until utilization is measured, after start and faults: shares held back and leases of departed members expire first. */
-  private static final long SETTLING_TIME = 8 * SECOND;
+  private static final long STEP_NANOS = 50 * MS;
+  private static final long FAULTS_UNTIL_NANOS = 40 * SECOND;
+  private static final long END_NANOS = 60 * SECOND;
+  /** Time from the start and from the last fault to the measurement: shares held back and leases of departed members expire first. */
+  private static final long SETTLING_NANOS = 8 * SECOND;
 
   private static final Map<String, Double> QUOTAS = Map.of("a", 1_000.0, "b", 300.0, "c", 40.0);
   /** Tolerance for the rounding of sums of doubles. */
   private static final double ROUNDING_TOLERANCE = 1 + 1e-9;
 
-  /** Course of a run: faults with abrupt changes of demand, abrupt changes alone, or demand that rises in small steps at one member. */
+  /** How demand and network behave during a run. */
   public enum Course {
+    /** Faults, and abrupt changes of demand. */
     FAULTS,
+    /** Abrupt changes of demand without faults. */
     CALM,
+    /** Demand that rises in small steps at one member, without faults. */
     RISING
   }
 
@@ -77,7 +82,9 @@
   private long incarnations;
   private long datagrams;
   private long bytes;
+  /** Sums over the measured steps: demand within the quotas, and the parts of it admitted with lending and with fixed even parts. */
   private double admissible;
+
   private double shared;
   private double fixed;
   private String fault;
@@ -106,8 +113,8 @@
     }
     long shiftAt = course == Course.RISING ? 0 : 10 * SECOND;
     long faultAt = SECOND;
-    while (now < END && fault == null) {
-      now += STEP;
+    while (now < END_NANOS && fault == null) {
+      now += STEP_NANOS;
       if (now >= shiftAt && course == Course.RISING) {
         raiseDemand(member);
         shiftAt = now + 250 * MS;
@@ -115,11 +122,11 @@
         shiftDemand();
         shiftAt = now + 5 * SECOND + random.nextLong(10 * SECOND);
       }
-      if (faults && now >= faultAt && now < FAULTS_UNTIL) {
+      if (faults && now >= faultAt && now < FAULTS_UNTIL_NANOS) {
         injectFault();
         faultAt = now + random.nextLong(3 * SECOND);
-      } else if (now >= FAULTS_UNTIL && now < FAULTS_UNTIL + STEP) {
-        heal();
+      } else if (now >= FAULTS_UNTIL_NANOS && now < FAULTS_UNTIL_NANOS + STEP_NANOS) {
+        endFaults();
       }
       step();
     }
@@ -138,7 +145,7 @@
     for (int i = 0; i < size; i++) {
       if (isUp(i)) {
         for (int t = 0; t < names.size(); t++) {
-          members[i].recordRequests(names.get(t), poisson(demand[i][t] * STEP / SECOND), now);
+          members[i].recordRequests(names.get(t), poisson(demand[i][t] * STEP_NANOS / SECOND), now);
         }
         send(i, members[i].tick(now, view(i)));
       }
@@ -153,11 +160,13 @@
         arrivals.add(new Arrival(pausedUntil[a.to()] + 1, sequence++, a.to(), a.from(), a.bytes()));
         continue;
       }
-      send(a.to(), members[a.to()].receive(a.from(), a.bytes(), Math.max(a.at(), now - STEP)));
+      send(
+          a.to(), members[a.to()].receive(a.from(), a.bytes(), Math.max(a.at(), now - STEP_NANOS)));
       checkQuotas();
     }
     checkQuotas();
-    if (now >= SETTLING_TIME && (now < FAULTS_UNTIL || now >= FAULTS_UNTIL + SETTLING_TIME)) {
+    if (now >= SETTLING_NANOS
+        && (now < FAULTS_UNTIL_NANOS || now >= FAULTS_UNTIL_NANOS + SETTLING_NANOS)) {
       measure();
     }
   }
@@ -264,7 +273,7 @@
         }
         network.partition(side);
       }
-      case 7 -> network.heal();
+      case 7 -> network.clearFaults();
       case 8 -> {
         for (int i = 0; i < size; i += 2) {
           running[i] = false;
@@ -287,8 +296,8 @@
     }
   }
 
-  private void heal() {
-    network.heal();
+  private void endFaults() {
+    network.clearFaults();
     for (int i = 0; i < size; i++) {
       pausedUntil[i] = 0;
       start(i);
--- a/src/main/java/pumicekeel/sim/RequestRecord.java
+++ b/src/main/java/pumicekeel/sim/RequestRecord.java
@@ -12,7 +12,7 @@
   /** One attempt of a request. */
   static final class Attempt {
     final SimulatedUpstream upstream;
-    /** The instance has an outcome for the attempt. */
+    /** Whether the instance has an outcome for the attempt. */
     boolean ended;
 
     Attempt(SimulatedUpstream upstream) {
@@ -20,21 +20,25 @@
     }
   }
 
-  final RequestClass type;
+  final RequestClass requestClass;
   final long deadline;
   final List<Attempt> attempts = new ArrayList<>();
   /** Time of its first run in each cell. */
   final Map<Integer, Long> ranAt = new HashMap<>();
 
+  /** Number of attempts that started to run at an upstream. */
   int runs;
+
+  /** Whether the client has its final answer. */
   boolean answered;
-  /** An upstream's answer was forwarded to the client; the module is notified of it shortly afterwards. */
+  /** Whether an upstream's answer was forwarded to the client; the module is notified of it shortly afterwards. */
   boolean served;
 
+  /** Whether the final answer is a refusal. */
   boolean refused;
 
-  RequestRecord(RequestClass type, long deadline) {
-    this.type = type;
+  RequestRecord(RequestClass requestClass, long deadline) {
+    this.requestClass = requestClass;
     this.deadline = deadline;
   }
 }
--- a/src/main/java/pumicekeel/sim/RuleChecker.java
+++ b/src/main/java/pumicekeel/sim/RuleChecker.java
@@ -1,11 +1,11 @@
 package pumicekeel.sim;
 
-import static pumicekeel.sim.ModuleSimSettings.DEDUP;
+import static pumicekeel.sim.ModuleSimSettings.COLD_BUDGET_MULTIPLE;
+import static pumicekeel.sim.ModuleSimSettings.COLD_WINDOW_NANOS;
+import static pumicekeel.sim.ModuleSimSettings.DEDUP_WINDOW_NANOS;
 import static pumicekeel.sim.ModuleSimSettings.MS;
-import static pumicekeel.sim.ModuleSimSettings.MULTIPLE;
 import static pumicekeel.sim.ModuleSimSettings.SECOND;
-import static pumicekeel.sim.ModuleSimSettings.WARM;
-import static pumicekeel.sim.ModuleSimSettings.WINDOW;
+import static pumicekeel.sim.ModuleSimSettings.WARM_AFTER_NANOS;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -27,9 +27,9 @@
     this.queue = queue;
   }
 
-  /** Records a violation if {@code broken} is true and none was recorded before. */
-  void recordIf(boolean broken, String violation) {
-    fault = broken && fault == null ? violation + " at " + queue.now() / MS + " ms" : fault;
+  /** Records a violation if {@code violated} is true and none was recorded before. */
+  void recordIf(boolean violated, String violation) {
+    fault = violated && fault == null ? violation + " at " + queue.now() / MS + " ms" : fault;
   }
 
   /** Returns the first violation, or null if there was none. */
@@ -55,7 +55,7 @@
 
   /** Checks that an attempt of a request may start to run in a cell. */
   void checkRun(RequestRecord request, int cell) {
-    Effect effect = request.type.effect();
+    Effect effect = request.requestClass.effect();
     request.runs++;
     recordIf(request.refused && effect != Effect.SAFE, "ran after a refusal");
     if (effect == Effect.UNSAFE) {
@@ -69,7 +69,7 @@
     Long before = request.ranAt.get(cell);
     recordIf(!request.ranAt.isEmpty() && before == null, "a keyed request ran in two cells");
     recordIf(
-        before != null && queue.now() - before > DEDUP + 2 * MS,
+        before != null && queue.now() - before > DEDUP_WINDOW_NANOS + 2 * MS,
         "a keyed request ran again after the dedup window of its cell");
     request.ranAt.putIfAbsent(cell, queue.now());
   }
@@ -79,7 +79,7 @@
     for (RequestRecord request : requests) {
       recordIf(!request.answered, "a request has no final answer");
       recordIf(
-          request.refused && request.runs > 0 && request.type.effect() != Effect.SAFE,
+          request.refused && request.runs > 0 && request.requestClass.effect() != Effect.SAFE,
           "refused although it had run");
     }
     upstreams.forEach(upstream -> checkCold(upstream, capacity));
@@ -98,7 +98,7 @@
   }
 
   private static double budget(SimulatedUpstream upstream, long from, double capacity) {
-    return MULTIPLE * upstream.warmth(from) * capacity * WINDOW / SECOND;
+    return COLD_BUDGET_MULTIPLE * upstream.warmth(from) * capacity * COLD_WINDOW_NANOS / SECOND;
   }
 
   /** Returns the largest share of a cold upstream's budget that was used in a window. */
@@ -107,7 +107,7 @@
     for (SimulatedUpstream upstream : upstreams) {
       for (int i = 0; upstream.startedAt > 0 && i < upstream.sends.size(); i++) {
         long from = upstream.sends.get(i);
-        if (from < upstream.startedAt + WARM) {
+        if (from < upstream.startedAt + WARM_AFTER_NANOS) {
           max = Math.max(max, upstream.sendsInWindow(from) / budget(upstream, from, capacity));
         }
       }
--- a/src/main/java/pumicekeel/sim/SimulatedInstance.java
+++ b/src/main/java/pumicekeel/sim/SimulatedInstance.java
@@ -1,10 +1,10 @@
 package pumicekeel.sim;
 
-import static pumicekeel.sim.ModuleSimSettings.DEADLINE;
-import static pumicekeel.sim.ModuleSimSettings.GRACE;
+import static pumicekeel.sim.ModuleSimSettings.ANSWER_SLACK_NANOS;
+import static pumicekeel.sim.ModuleSimSettings.DEADLINE_NANOS;
+import static pumicekeel.sim.ModuleSimSettings.DRAIN_GRACE_NANOS;
 import static pumicekeel.sim.ModuleSimSettings.MS;
 import static pumicekeel.sim.ModuleSimSettings.SECOND;
-import static pumicekeel.sim.ModuleSimSettings.SLACK;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -45,7 +45,7 @@
   private final Map<Long, SimulatedUpstream> upstreams;
   private final RuleChecker rules;
   /** Reading of this instance's clock at the start of the run. */
-  private final long origin;
+  private final long clockOriginNanos;
   /** Virtual time at which this instance was notified that an upstream drains or has departed. */
   private final Map<Long, Long> departureNotifiedAt = new HashMap<>();
   /** Virtual time of each upstream's latest start that this instance was notified of. */
@@ -72,7 +72,7 @@
     this.settings = settings;
     this.upstreams = upstreams;
     this.rules = rules;
-    origin = random.nextLong(1_000_000 * SECOND);
+    clockOriginNanos = random.nextLong(1_000_000 * SECOND);
   }
 
   /** Starts with a possibly outdated list; later updates arrive by {@link #deliver}. */
@@ -115,7 +115,7 @@
             l.zone(),
             l.cell(),
             l.state(),
-            l.startedNanos() == 0 ? 0 : l.startedNanos() + origin,
+            l.startedNanos() == 0 ? 0 : l.startedNanos() + clockOriginNanos,
             l.weight()))
         .toList();
   }
@@ -133,7 +133,8 @@
     }
     if (event instanceof ListUpdate update) {
       update.entries().forEach(e -> {
-        knownStarts.put(e.upstream(), e.startedNanos() == 0 ? 0 : e.startedNanos() - origin);
+        knownStarts.put(
+            e.upstream(), e.startedNanos() == 0 ? 0 : e.startedNanos() - clockOriginNanos);
         if (e.state() == State.READY) {
           departureNotifiedAt.remove(e.upstream());
         } else {
@@ -142,7 +143,7 @@
       });
     }
     List<Action> actions = new ArrayList<>();
-    module.handle(queue.now() + origin, event, actions::add);
+    module.handle(queue.now() + clockOriginNanos, event, actions::add);
     actions.forEach(this::perform);
   }
 
@@ -157,7 +158,7 @@
       end(a.id(), open.get(a.id()).attempts.get(a.attempt()), a.attempt(), Status.CANCELLED);
     } else if (action instanceof SetTimer a) {
       int scheduledIn = incarnation;
-      queue.schedule(Math.max(queue.now(), a.atNanos() - origin), () -> {
+      queue.schedule(Math.max(queue.now(), a.atNanos() - clockOriginNanos), () -> {
         if (scheduledIn == incarnation) {
           deliver(new TimerFired(a.token()));
         }
@@ -166,11 +167,12 @@
   }
 
   /** A client sends a request. */
-  void request(String id, RequestClass type, String key) {
-    RequestRecord request = new RequestRecord(type, queue.now() + DEADLINE);
+  void request(String id, RequestClass requestClass, String key) {
+    RequestRecord request = new RequestRecord(requestClass, queue.now() + DEADLINE_NANOS);
     rules.add(request);
     open.put(id, request);
-    deliver(new Request(id, type.name(), null, key, request.deadline + origin, 0, false));
+    deliver(new Request(
+        id, requestClass.name(), null, key, request.deadline + clockOriginNanos, 0, false));
   }
 
   private void answer(String id, boolean refusal) {
@@ -182,7 +184,8 @@
     request.answered = true;
     request.refused = refusal;
     rules.recordIf(
-        queue.now() > request.deadline + SLACK && pausedUntil < request.deadline - DEADLINE,
+        queue.now() > request.deadline + ANSWER_SLACK_NANOS
+            && pausedUntil < request.deadline - DEADLINE_NANOS,
         "answered late: " + id);
   }
 
@@ -192,7 +195,7 @@
     rules.recordIf(request.answered && !request.served, "sent after the final answer: " + a.id());
     rules.recordIf(
         departureNotifiedAt.containsKey(a.upstream())
-            && queue.now() - departureNotifiedAt.get(a.upstream()) > GRACE,
+            && queue.now() - departureNotifiedAt.get(a.upstream()) > DRAIN_GRACE_NANOS,
         "instance " + number + " sent to " + a.upstream() + " "
             + (queue.now() - departureNotifiedAt.getOrDefault(a.upstream(), queue.now())) / MS
             + " ms after the notification that it departs");
@@ -200,7 +203,7 @@
     int attempt = request.attempts.size();
     request.attempts.add(t);
     if (request.served) {
-      // Like the real table of open requests: nothing is sent for a request that is already
+      // As in the real table of open requests, nothing is sent for a request that is already
       // answered.
       end(a.id(), t, attempt, Status.NOT_SENT);
       return;
@@ -233,7 +236,7 @@
     if (t.upstream.hung) {
       return;
     }
-    int chance = random.nextInt(100);
+    int draw = random.nextInt(100);
     long durationNanos = 2 * MS
         + (long) (-Math.log(1 - random.nextDouble()) * 20 * MS / t.upstream.warmth(queue.now()));
     queue.schedule(
@@ -243,9 +246,9 @@
             id,
             t,
             attempt,
-            t.upstream.down || chance == 0
+            t.upstream.down || draw == 0
                 ? Status.RESET
-                : chance == 1 ? Status.ERROR : Status.SERVED));
+                : draw == 1 ? Status.ERROR : Status.SERVED));
   }
 
   private void endLater(int scheduledIn, String id, Attempt t, int attempt, Status status) {
--- a/src/main/java/pumicekeel/sim/SimulatedUpstream.java
+++ b/src/main/java/pumicekeel/sim/SimulatedUpstream.java
@@ -10,15 +10,15 @@
 
   final long id;
   final int cell;
-  /** Times of requests from instances that knew of its latest start. */
+  /** Virtual times of requests from instances that knew of its latest start. */
   final List<Long> sends = new ArrayList<>();
   /** Time of its latest start; 0 if it was warm from the beginning. */
   long startedAt;
 
   State state = State.READY;
-  /** Connections to it are refused. */
+  /** Whether connections to it are refused. */
   boolean down;
-  /** It accepts requests and never answers them. */
+  /** Whether it accepts requests and never answers them. */
   boolean hung;
 
   SimulatedUpstream(long id, int cell) {
@@ -40,13 +40,13 @@
             ModuleSimSettings.COLD_FROM
                 + (1 - ModuleSimSettings.COLD_FROM)
                     * (at - startedAt)
-                    / (double) ModuleSimSettings.WARM);
+                    / (double) ModuleSimSettings.WARM_AFTER_NANOS);
   }
 
   /** Returns the number of requests sent to it in the window that starts at {@code from}. */
   long sendsInWindow(long from) {
     return sends.stream()
-        .filter(at -> at >= from && at < from + ModuleSimSettings.WINDOW)
+        .filter(at -> at >= from && at < from + ModuleSimSettings.COLD_WINDOW_NANOS)
         .count();
   }
 }
--- a/src/test/java/pumicekeel/sim/FleetSimTest.java
+++ b/src/test/java/pumicekeel/sim/FleetSimTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void nobodyIsDeclaredDeadWithoutFaults() {
+  void noMemberIsDeclaredDeadWithoutFaults() {
     for (long seed = 1; seed <= 10; seed++) {
       FleetSim.Report faultless = new FleetSim(seed, 20).detection(0, 0, 120 * SECOND);
       assertEquals(0, faultless.falseDeaths(), "seed " + seed);
@@ -45,8 +45,8 @@
   void deathIsDetectedInTimeWithBoundedTraffic() {
     FleetSim.Report r = new FleetSim(4, 20).detection(0, 6, 60 * SECOND);
     List<Long> all = r.allDetections();
-    // A period until the probe, one until the suspicion, 5 x log10(20) of suspicion, and the
-    // dissemination.
+    // One period until the probe, one until the suspicion, 5 x log10(20) periods of suspicion, and
+    // the dissemination.
     all.forEach(nanos -> assertTrue(nanos < 20 * SECOND, all.toString()));
     assertTrue(r.bytes() * 1e9 / r.virtualNanos() / 20 < 600, "bytes per second and member");
   }
--- a/src/test/java/pumicekeel/sim/ModuleSimTest.java
+++ b/src/test/java/pumicekeel/sim/ModuleSimTest.java
@@ -10,7 +10,7 @@
 class ModuleSimTest {
 
   @Test
-  void rulesHoldInFleetsOfThreeToTwenty() {
+  void rulesHoldInFleetsOfThreeToTwentyInstances() {
     long served = 0;
     long requests = 0;
     for (long seed = 1; seed <= 40; seed++) {
@@ -29,14 +29,17 @@
     assertEquals(new ModuleSim(5, 8).run(), new ModuleSim(5, 8).run());
   }
 
-  /** When five of six upstreams drained, the load of all was treated as the capacity of the last, cold one: 102 sent of 68 allowed. */
+  /**
+   * When five of six upstreams drained, the load of all six was treated as the capacity of the last one, which was cold: it got 102
+   * requests in a window whose budget allowed 68.
+   */
   @Test
-  void lastReadyUpstreamDoesNotGetTheLoadOfAll() {
+  void lastReadyUpstreamStaysWithinItsColdBudget() {
     assertNull(new ModuleSim(5596, 7).run().fault());
   }
 
   @Test
-  void rulesHoldInAFleetOfAHundred() {
+  void rulesHoldInAFleetOfAHundredInstances() {
     ModuleSim.Report r = new ModuleSim(3, 100).run();
     assertNull(r.fault());
     assertTrue(r.served() > 0);
--- a/src/test/java/pumicekeel/sim/QuotaSimTest.java
+++ b/src/test/java/pumicekeel/sim/QuotaSimTest.java
@@ -18,7 +18,7 @@
     }
   }
 
-  /** A member that was lent a little must be lent more as its demand rises, while the other members are idle. */
+  /** A member that was lent a small part must be lent more as its demand rises, while the other members are idle. */
   @Test
   void demandThatRisesInSmallStepsIsLentAsMuchAsDemandThatJumps() {
     for (int size : new int[] {2, 3, 8, 20}) {
