--- a/src/main/java/pumicekeel/measure/Measure.java
+++ b/src/main/java/pumicekeel/measure/Measure.java
@@ -147,6 +147,7 @@
     return out;
   }
 
+  /** An address of discovery where nothing listens; all upstreams are known from the start. */
   private static final InetSocketAddress UNREACHABLE = new InetSocketAddress("127.0.0.1", 1);
 
   private static String staticSource(List<StandInUpstream> upstreams) {
@@ -220,6 +221,7 @@
     relayLoop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
+  /** Starts load on pool a or faults of its upstreams; closing the result ends it. */
   private interface Disturbance {
     AutoCloseable begin(InetSocketAddress balancer, List<StandInUpstream> ofA) throws Exception;
   }
@@ -349,19 +351,19 @@
           load(thisBuildFirst ? thisBuildAt : otherBuildAt, "h", CLOSED_LOOP, CONNECTIONS, "x" + i);
       Rate second =
           load(thisBuildFirst ? otherBuildAt : thisBuildAt, "h", CLOSED_LOOP, CONNECTIONS, "y" + i);
-      Rate m = thisBuildFirst ? first : second;
-      Rate t = thisBuildFirst ? second : first;
+      Rate thisRate = thisBuildFirst ? first : second;
+      Rate otherRate = thisBuildFirst ? second : first;
       out.printf(
           "%s this %.0f/s p99 %.2f ms, other %.0f/s p99 %.2f ms%n",
           i == 0 ? "warm-up:" : "round " + i + ":",
-          m.perSecond(),
-          m.p99Millis(),
-          t.perSecond(),
-          t.p99Millis());
+          thisRate.perSecond(),
+          thisRate.p99Millis(),
+          otherRate.perSecond(),
+          otherRate.p99Millis());
       out.flush();
       if (i > 0) {
-        rate.add(m.perSecond() / t.perSecond());
-        p99.add(m.p99Millis() / t.p99Millis());
+        rate.add(thisRate.perSecond() / otherRate.perSecond());
+        p99.add(thisRate.p99Millis() / otherRate.p99Millis());
       }
     }
     out.println(
@@ -371,24 +373,24 @@
     upstreams.forEach(StandInUpstream::close);
   }
 
-  /** Measures keyed requests without a journal, with one that survives the process, and with one that survives the host. */
+  /** Measures keyed requests without a journal, and with journals that survive a crash of the process and a crash of the host. */
   public void journal() throws Exception {
     List<StandInUpstream> upstreams = upstreams("u", UPSTREAMS, 0);
     Path folder = Files.createTempDirectory("measure");
     List<Node> nodes = new ArrayList<>();
-    List<InetSocketAddress> at = new ArrayList<>();
+    List<InetSocketAddress> addresses = new ArrayList<>();
     for (String durability : List.of("off", "process", "host")) {
-      String part = durability.equals("off")
+      String journalSection = durability.equals("off")
           ? ""
           : "[journal]\ndirectory = \"" + folder.resolve(durability) + "\"\ndurability = \""
               + durability + "\"\n";
       Node node = node(
           upstreams,
-          part + "[sources.s]\nstatic = " + staticSource(upstreams)
+          journalSection + "[sources.s]\nstatic = " + staticSource(upstreams)
               + "\n[pools.p]\nsource = \"s\"\nclasses = [{ name = \"quote-issue\", effect = \"keyed\", dedup-scope = \"all\", "
               + "dedup-window-ms = 2000, aim-ms = 400, deadline-ms = 3000 }]\n[[routes]]\npool = \"p\"\n");
       nodes.add(node);
-      at.add(node.start());
+      addresses.add(node.start());
       node.awaitReady();
     }
     List<List<Double>> ratios = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
@@ -397,7 +399,7 @@
       Rate[] rates = new Rate[3];
       for (int k = 0; k < 3; k++) {
         int n = (i + k) % 3;
-        rates[n] = keyed(at.get(n), "j" + i + "-" + n);
+        rates[n] = keyedLoad(addresses.get(n), "j" + i + "-" + n);
       }
       out.printf(
           "%s off %.0f/s p99 %.2f ms, process %.0f/s p99 %.2f ms, host %.0f/s p99 %.2f ms, not served %d %d %d%n",
@@ -424,7 +426,7 @@
     upstreams.forEach(StandInUpstream::close);
   }
 
-  private Rate keyed(InetSocketAddress address, String prefix) throws InterruptedException {
+  private Rate keyedLoad(InetSocketAddress address, String prefix) throws InterruptedException {
     return load(
         address,
         new HttpRequestTemplate("h", "quote-issue", true, "t", 3_000),
--- a/src/main/java/pumicekeel/measure/Relay.java
+++ b/src/main/java/pumicekeel/measure/Relay.java
@@ -37,7 +37,7 @@
     this(loop, null, null, UnaryOperator.identity(), upstreams);
   }
 
-  /** Creates a relay that decodes messages with these handlers and forwards the result of {@code transform}, if not null. */
+  /** Creates a relay that decodes messages with these handlers and forwards what {@code transform} returns, unless that is null. */
   Relay(
       EventLoopGroup loop,
       Supplier<ChannelHandler> clientDecoder,
@@ -78,17 +78,17 @@
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel upstream) {
-            connectTo(upstream, upstreamDecoder, client);
+            addForwarder(upstream, upstreamDecoder, client);
           }
         })
         .connect(upstreams[next++ % upstreams.length])
         .addListener(done -> {
-          connectTo(client, clientDecoder, ((ChannelFuture) done).channel());
+          addForwarder(client, clientDecoder, ((ChannelFuture) done).channel());
           client.config().setAutoRead(true);
         });
   }
 
-  private void connectTo(Channel channel, Supplier<ChannelHandler> decoder, Channel other) {
+  private void addForwarder(Channel channel, Supplier<ChannelHandler> decoder, Channel other) {
     if (decoder != null) {
       channel.pipeline().addLast(decoder.get());
     }
@@ -100,6 +100,7 @@
     listener.close().syncUninterruptibly();
   }
 
+  /** Writes what it reads to the other connection. */
   private static final class Forwarder extends ChannelInboundHandlerAdapter {
     private final Channel other;
 
--- a/src/main/java/pumicekeel/measure/RpcMeasure.java
+++ b/src/main/java/pumicekeel/measure/RpcMeasure.java
@@ -130,37 +130,37 @@
         new ArrayList<>(),
         new ArrayList<>());
     for (int i = 0; i <= rounds; i++) {
-      Rate relayed = calls(relay.address(), 1, balancerThreads, "a" + i);
-      Rate one = calls(rpc, 1, balancerThreads, "b" + i);
+      Rate relayedOneOpen = calls(relay.address(), 1, balancerThreads, "a" + i);
+      Rate oneOpen = calls(rpc, 1, balancerThreads, "b" + i);
       Rate requests = requests(http, balancerThreads, "c" + i);
-      Rate relayedDeep = calls(relay.address(), 8, balancerThreads, "d" + i);
-      Rate deep = calls(rpc, 8, balancerThreads, "e" + i);
+      Rate relayedEightOpen = calls(relay.address(), 8, balancerThreads, "d" + i);
+      Rate eightOpen = calls(rpc, 8, balancerThreads, "e" + i);
       out.printf(
           "%s relay %.0f/s p99 %.2f ms, calls %.0f/s p99 %.2f ms %.0f B, HTTP %.0f/s p99 %.2f ms %.0f B; 8 open: "
               + "relay %.0f/s p99 %.2f ms, calls %.0f/s p99 %.2f ms; not served %d %d %d%n",
           i == 0 ? "warm-up:" : "round " + i + ":",
-          relayed.perSecond(),
-          relayed.p99Millis(),
-          one.perSecond(),
-          one.p99Millis(),
-          one.bytesPerCall(),
+          relayedOneOpen.perSecond(),
+          relayedOneOpen.p99Millis(),
+          oneOpen.perSecond(),
+          oneOpen.p99Millis(),
+          oneOpen.bytesPerCall(),
           requests.perSecond(),
           requests.p99Millis(),
           requests.bytesPerCall(),
-          relayedDeep.perSecond(),
-          relayedDeep.p99Millis(),
-          deep.perSecond(),
-          deep.p99Millis(),
-          one.notServed(),
+          relayedEightOpen.perSecond(),
+          relayedEightOpen.p99Millis(),
+          eightOpen.perSecond(),
+          eightOpen.p99Millis(),
+          oneOpen.notServed(),
           requests.notServed(),
-          deep.notServed());
+          eightOpen.notServed());
       out.flush();
       if (i > 0) {
-        ratios.get(0).add(one.perSecond() / relayed.perSecond());
-        ratios.get(1).add(one.perSecond() / requests.perSecond());
-        ratios.get(2).add(one.p99Millis() / requests.p99Millis());
-        ratios.get(3).add(deep.perSecond() / relayedDeep.perSecond());
-        ratios.get(4).add(one.bytesPerCall());
+        ratios.get(0).add(oneOpen.perSecond() / relayedOneOpen.perSecond());
+        ratios.get(1).add(oneOpen.perSecond() / requests.perSecond());
+        ratios.get(2).add(oneOpen.p99Millis() / requests.p99Millis());
+        ratios.get(3).add(eightOpen.perSecond() / relayedEightOpen.perSecond());
+        ratios.get(4).add(oneOpen.bytesPerCall());
         ratios.get(5).add(requests.bytesPerCall());
       }
     }
--- a/src/main/java/pumicekeel/measure/SlowSenders.java
+++ b/src/main/java/pumicekeel/measure/SlowSenders.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** Clients of pool a that send the request head and then the body byte by byte, and reconnect when they are closed. */
+/** Clients of pool a that send a request's head and then its body byte by byte, and reconnect when their connection is closed. */
 final class SlowSenders implements AutoCloseable {
 
   private static final long BYTE_INTERVAL_MILLIS = 50;
--- a/src/main/java/pumicekeel/measure/Torture.java
+++ b/src/main/java/pumicekeel/measure/Torture.java
@@ -32,16 +32,16 @@
 import pumicekeel.standin.StandInUpstream.Seen;
 
 /**
- * Crash test of the journal: kills balancer processes under load at random moments and compares each answer of their journals with
- * the stand-ins' own logs. No request that an upstream received is reported as never sent, every request that an upstream received
- * is recorded for that upstream, and every request that a client saw served is recorded as answered or run.
+ * Crash test of the journal: kills balancer processes under load at random moments and compares what their journals report about
+ * each request with the stand-ins' own logs. No request that an upstream received may be reported as never sent, every request that an
+ * upstream received must be recorded for that upstream, and every request that a client saw served must be recorded as answered or run.
  */
 public final class Torture {
 
   private static final int CLIENTS = 8;
-  private static final double PER_SECOND = 600;
+  private static final double REQUESTS_PER_SECOND = 600;
   /** Long enough that requests are in flight at any moment, so that kills fall between any two records of a request. */
-  private static final long DELAY_MICROS = 2_000;
+  private static final long UPSTREAM_DELAY_MICROS = 2_000;
 
   private static final int MAX_KILL_DELAY_MILLIS = 250;
   /** Kills after which the journal is read and a new one begun; reading everything after each kill would take quadratic time. */
@@ -78,13 +78,13 @@
     this.out = out;
   }
 
-  /** Performs this many kills. Returns true if every answer was correct. */
+  /** Performs this many kills. Returns whether every report of the journals was correct. */
   public boolean run(int kills) throws Exception {
     EventLoopGroup standIns = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     EventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try {
       for (int i = 0; i < 3; i++) {
-        upstreams.add(new StandInUpstream("s" + i, standIns, DELAY_MICROS));
+        upstreams.add(new StandInUpstream("s" + i, standIns, UPSTREAM_DELAY_MICROS));
       }
       Set<String> served = new HashSet<>();
       for (int i = 0; i < kills && wrongAnswers.isEmpty(); i++) {
@@ -115,8 +115,8 @@
     return wrongAnswers.isEmpty() && all > 0;
   }
 
-  private Path journal(int generation) {
-    return folder.resolve("journal-" + generation);
+  private Path journal(int journalNumber) {
+    return folder.resolve("journal-" + journalNumber);
   }
 
   private void killOnce(int kill, EventLoopGroup group, Set<String> served) throws Exception {
@@ -134,7 +134,7 @@
               address,
               group,
               new HttpRequestTemplate("h", "quote-issue", true, "t", 3_000),
-              LoadProfile.openLoop(CLIENTS, PER_SECOND),
+              LoadProfile.openLoop(CLIENTS, REQUESTS_PER_SECOND),
               "k" + kill,
               kill,
               true)
@@ -152,7 +152,7 @@
     }
   }
 
-  private Process start(int generation) throws IOException {
+  private Process start(int journalNumber) throws IOException {
     Path config = Files.writeString(folder.resolve("config.json"), CONFIG);
     StringBuilder list = new StringBuilder();
     for (int i = 0; i < upstreams.size(); i++) {
@@ -167,7 +167,7 @@
     }
     Path operator = Files.writeString(
         folder.resolve("operator.toml"),
-        "[journal]\ndirectory = \"" + journal(generation)
+        "[journal]\ndirectory = \"" + journal(journalNumber)
             + "\"\ndurability = \"" + durability + "\"\n[sources.s]\nstatic = [" + list
             + "]\n[pools.quotes]\nsource = \"s\"\n[[routes]]\npool = \"quotes\"\n");
     List<String> all = new ArrayList<>(command);
@@ -192,9 +192,9 @@
   }
 
   /** Compares the journal of the last kills with what the stand-ins and the clients saw during them. */
-  private void verify(Set<String> served, int generation) throws IOException {
+  private void verify(Set<String> served, int journalNumber) throws IOException {
     History history = new History(e -> true);
-    history.read(journal(generation));
+    history.read(journal(journalNumber));
     Map<String, RequestHistory> requests = new HashMap<>();
     history.requests().forEach(s -> requests.put(s.firstIntent().id(), s));
     Map<String, Set<String>> seen = new HashMap<>();
