--- a/src/main/java/pumicekeel/cli/CallCommand.java
+++ b/src/main/java/pumicekeel/cli/CallCommand.java
@@ -115,7 +115,8 @@
         throw usageError(
             "--batch: expected a file of at most " + MAX_BATCH_FILE_BYTES + " bytes, got " + batch);
       }
-      // With newline framing a message is one line; line breaks between JSON tokens mean nothing.
+      // With newline framing a message is one line; line breaks between JSON tokens have no
+      // meaning.
       return Files.readString(batch).replaceAll("[\r\n]+", " ").getBytes(StandardCharsets.UTF_8);
     }
     byte[] raw = params == null ? null : params.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/pumicekeel/cli/Commands.java
+++ b/src/main/java/pumicekeel/cli/Commands.java
@@ -43,7 +43,7 @@
     throw new ParameterException(spec.commandLine(), "expected a command");
   }
 
-  /** Declared for the help text; {@link Main} runs the platform's own start line without the command-line library. */
+  /** Declared for the help text; {@link Main} runs {@code rehearse} itself, without the command-line library. */
   @Command(
       name = "rehearse",
       mixinStandardHelpOptions = true,
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Declared for the help text; {@link Main} runs it. */
+  /** Declared for the help text; {@link Main} runs {@code adapter} itself. */
   @Command(
       name = "adapter",
       mixinStandardHelpOptions = true,
--- a/src/main/java/pumicekeel/cli/FleetCommand.java
+++ b/src/main/java/pumicekeel/cli/FleetCommand.java
@@ -231,6 +231,7 @@
     @Spec
     protected CommandSpec spec;
 
+    /** Calls the daemon of the run directory and returns its answer. */
     protected String callDaemon(String call) throws IOException {
       Path runDirectory = directory == null ? fleet.directory : directory;
       if (runDirectory == null) {
@@ -239,6 +240,7 @@
       return Control.call(runDirectory, call);
     }
 
+    /** Prints whether the daemon accepted a call; returns the exit status. */
     protected int printOutcome(String answer) {
       boolean accepted = answer.equals("{\"ok\":true}");
       (accepted ? spec.commandLine().getOut() : spec.commandLine().getErr())
@@ -247,7 +249,7 @@
     }
   }
 
-  /** Prints the state of each instance. */
+  /** Prints the state of each instance and the daemon's work in progress. */
   @Command(
       name = "status",
       mixinStandardHelpOptions = true,
--- a/src/main/java/pumicekeel/cli/JournalCommand.java
+++ b/src/main/java/pumicekeel/cli/JournalCommand.java
@@ -134,7 +134,7 @@
     return Instant.ofEpochMilli(millis).toString();
   }
 
-  /** Returns readable text: a line with the verdict, then a line for each attempt. */
+  /** Returns a line with the verdict on a request, then a line for each of its attempts. */
   static String line(RequestHistory request, String gap) {
     RequestHistory.Verdict verdict = request.verdict(gap);
     RequestHistory.Attempt lastRun = null;
@@ -251,7 +251,7 @@
     }
   }
 
-  /** Lists damage by segment and offset. */
+  /** Lists gaps and damaged places by segment and offset. */
   @Command(
       name = "verify",
       mixinStandardHelpOptions = true,
@@ -268,14 +268,14 @@
                   + (h.length() > 0 ? " at " + h.offset() + ", " + h.length() + " bytes" : "")
                   + ": " + h.why()));
       history.unreadableFiles().forEach(r -> out().println(r.file() + ": " + r.why()));
-      boolean good = history.holes().isEmpty() && history.unreadableFiles().isEmpty();
+      boolean complete = history.holes().isEmpty() && history.unreadableFiles().isEmpty();
       out()
           .println(history.segments().size() + " segments, "
-              + (good
+              + (complete
                   ? "all complete"
                   : history.holes().size() + " holes, "
                       + history.unreadableFiles().size() + " unreadable"));
-      return good ? 0 : 1;
+      return complete ? 0 : 1;
     }
   }
 
@@ -340,8 +340,8 @@
         throw new ParameterException(
             spec.commandLine(), "--kills: expected 1 to 1,000,000, got " + kills);
       }
-      long start = seed == null ? System.nanoTime() : seed;
-      spec.commandLine().getOut().println("seed " + start);
+      long usedSeed = seed == null ? System.nanoTime() : seed;
+      spec.commandLine().getOut().println("seed " + usedSeed);
       Path jar = Path.of(JournalCommand.class
           .getProtectionDomain()
           .getCodeSource()
@@ -357,7 +357,7 @@
                   java,
                   Files.createTempDirectory("torture"),
                   durability,
-                  start,
+                  usedSeed,
                   spec.commandLine().getOut())
               .run(kills)
           ? 0
--- a/src/main/java/pumicekeel/cli/LabCommand.java
+++ b/src/main/java/pumicekeel/cli/LabCommand.java
@@ -214,7 +214,7 @@
     }
   }
 
-  /** Base of the commands that play one run. */
+  /** Base of the commands that simulate one run. */
   private abstract static class SingleRunCommand implements Callable<Integer> {
 
     @Option(
@@ -283,7 +283,7 @@
     }
   }
 
-  /** Plays one run. */
+  /** Simulates one run and prints its figures. */
   @Command(
       name = "play",
       mixinStandardHelpOptions = true,
@@ -530,7 +530,7 @@
           total.violations().size());
       total
           .violations()
-          .forEach((runSeed, breach) -> out.println("seed " + runSeed + ": " + breach
+          .forEach((runSeed, violation) -> out.println("seed " + runSeed + ": " + violation
               + "; repeat with lab program --seed " + runSeed + " --trace"));
       return total.violations().isEmpty() ? 0 : 1;
     }
--- a/src/main/java/pumicekeel/cli/MeasureCommand.java
+++ b/src/main/java/pumicekeel/cli/MeasureCommand.java
@@ -22,7 +22,7 @@
             + " query and recovery alone; jsonrpc: calls compared with a relay that only frames messages, and with HTTP.")
 final class MeasureCommand implements Callable<Integer> {
 
-  /** The measurements; their names are the values of the parameter. */
+  /** The measurements, described in the command's help; their names are the values of the parameter. */
   enum What {
     relay,
     isolation,
--- a/src/main/java/pumicekeel/cli/RigScaleCommand.java
+++ b/src/main/java/pumicekeel/cli/RigScaleCommand.java
@@ -124,20 +124,20 @@
         json ? spec.commandLine().getErr() : spec.commandLine().getOut());
     try (Watchdog watchdog = new Watchdog(timeLimit, () -> Runtime.getRuntime().halt(1))) {
       Deadline deadline = Deadline.after(timeLimit, TimeUnit.SECONDS);
-      ScaleRun.Outcome end = new ScaleRun(plan, results, deadline, progress).run();
+      ScaleRun.Outcome outcome = new ScaleRun(plan, results, deadline, progress).run();
       if (json) {
         spec.commandLine().getOut().print(ResultFile.toJsonLines(results.samples()));
         spec.commandLine().getOut().flush();
       }
       progress.println(
-          switch (end) {
+          switch (outcome) {
             case COMPLETE -> "complete: " + result;
             case OUT_OF_TIME ->
               "the time limit was reached; repeat the same command to continue: " + result;
             case NOT_REACHED ->
               "stopped: a state was not reached; the points measured before are in " + result;
           });
-      return end == ScaleRun.Outcome.COMPLETE ? 0 : 1;
+      return outcome == ScaleRun.Outcome.COMPLETE ? 0 : 1;
     }
   }
 
@@ -169,7 +169,7 @@
     return sizes;
   }
 
-  /** Returns whether the plan cannot run, after printing the reason: a point exceeds this machine, or the folder is missing. */
+  /** Returns whether the plan cannot run, after printing why: a point exceeds the limits of this machine, or the folder is missing. */
   private boolean reportsObjection(ScaleRun.Plan plan) {
     MachineLimits limits = MachineLimits.current();
     for (Scenario scenario : plan.scenarios()) {
--- a/src/main/java/pumicekeel/cli/RoutesCommand.java
+++ b/src/main/java/pumicekeel/cli/RoutesCommand.java
@@ -169,9 +169,9 @@
 
   private static void explain(
       PrintWriter out, List<RouteTable.Explanation> explanations, Route matched, String pool) {
-    for (RouteTable.Explanation v : explanations) {
-      out.println(v.route().order() + 1 + " " + v.route().name() + ": "
-          + (v.objection() == null ? "takes it" : "no: " + v.objection()));
+    for (RouteTable.Explanation explanation : explanations) {
+      out.println(explanation.route().order() + 1 + " " + explanation.route().name() + ": "
+          + (explanation.objection() == null ? "takes it" : "no: " + explanation.objection()));
     }
     out.println(
         matched == null
@@ -194,11 +194,11 @@
       g.writeStringField("pool", pool);
       g.writeStringField("fallback", matched == null ? null : matched.fallback());
       g.writeArrayFieldStart("tried");
-      for (RouteTable.Explanation v : explanations) {
+      for (RouteTable.Explanation explanation : explanations) {
         g.writeStartObject();
-        g.writeNumberField("order", v.route().order() + 1);
-        g.writeStringField("name", v.route().name());
-        g.writeStringField("objection", v.objection());
+        g.writeNumberField("order", explanation.route().order() + 1);
+        g.writeStringField("name", explanation.route().name());
+        g.writeStringField("objection", explanation.objection());
         g.writeEndObject();
       }
       g.writeEndArray();
--- a/src/main/java/pumicekeel/cli/SimCommand.java
+++ b/src/main/java/pumicekeel/cli/SimCommand.java
@@ -76,10 +76,10 @@
             spec.commandLine(), "expected --runs 1 to 10000000, --size 3 to 1000, --loss 0 to 0.9");
       }
       PrintWriter out = spec.commandLine().getOut();
-      return detect ? measureDetection(out) : playFaults(out);
+      return detect ? measureDetection(out) : runFaults(out);
     }
 
-    private int playFaults(PrintWriter out) {
+    private int runFaults(PrintWriter out) {
       for (long i = 0; i < runs; i++) {
         long runSeed = seed + i;
         FleetSim.Report r = new FleetSim(runSeed, sizeOf(size, runSeed)).faults();
@@ -102,12 +102,12 @@
         long falseDeaths = 0;
         double bytes = 0;
         double datagrams = 0;
-        double work = 0;
+        double workMicros = 0;
         int fleets = n >= 1_000 ? 1 : n >= 100 ? 3 : SMALL_FLEET_RUNS;
         for (int i = 0; i < fleets; i++) {
           FleetSim sim = new FleetSim(seed + i, n);
           FleetSim.Report r = sim.detection(loss, n >= 1_000 ? 2 : 1, 60 * SECOND);
-          work += sim.quietWorkNanos() / 1e3 * 1e9 / r.virtualNanos() / n / fleets;
+          workMicros += sim.quietWorkNanos() / 1e3 * 1e9 / r.virtualNanos() / n / fleets;
           first.addAll(r.firstDetections());
           all.addAll(r.allDetections());
           falseDeaths += r.falseDeaths();
@@ -116,7 +116,13 @@
         }
         out.printf(
             "%7d  %15s  %12s  %12d  %16.0f  %20.1f  %23.1f%n",
-            n, medianAndRange(first), medianAndRange(all), falseDeaths, bytes, datagrams, work);
+            n,
+            medianAndRange(first),
+            medianAndRange(all),
+            falseDeaths,
+            bytes,
+            datagrams,
+            workMicros);
         out.flush();
       }
       return 0;
@@ -136,7 +142,9 @@
   private abstract static class SeededCommand implements Callable<Integer> {
 
     private static final int MIN_DEFAULT_SIZE = 3;
+    /** Number of different sizes that seeds choose from if none is given. */
     private static final int DEFAULT_SIZES = 18;
+
     private static final int PROGRESS_LINES = 20;
 
     @Option(
@@ -157,12 +165,14 @@
     @Spec
     protected CommandSpec spec;
 
+    /** Returns the requested size or, if it is null, one of 3 to 20 by the seed. */
     protected static int sizeOf(Integer requested, long seed) {
       return requested == null
           ? MIN_DEFAULT_SIZE + (int) Math.floorMod(seed * 7, (long) DEFAULT_SIZES)
           : requested;
     }
 
+    /** Prints the number of finished runs about 20 times in all. */
     protected void progress(long done) {
       if (runs > 1 && done % Math.max(1, runs / PROGRESS_LINES) == 0) {
         spec.commandLine().getOut().println(done + " of " + runs);
--- a/src/test/java/pumicekeel/cli/CallCommandTest.java
+++ b/src/test/java/pumicekeel/cli/CallCommandTest.java
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void exitStatusTellsResultErrorAndTimeoutApart() throws Exception {
+  void exitStatusDistinguishesResultErrorAndTimeout() throws Exception {
     try (StandInRpcServer server = new StandInRpcServer(group, Framing.NEWLINE)) {
       String at = "127.0.0.1:" + server.address().getPort();
       assertEquals(0, run("call", at, "rate.lookup", "{\"a\":1.0}"), err.toString());
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void jsonRpcDemoAndFuzzRunPass() throws Exception {
+  void shortJsonRpcDemoAndFuzzRunPass() throws Exception {
     assertEquals(
         0, run("demo", "--jsonrpc", "--seconds", "6", "--connections", "24"), out.toString());
     assertTrue(out.toString().contains("held    logs agree"), out.toString());
--- a/src/test/java/pumicekeel/cli/CommandsTest.java
+++ b/src/test/java/pumicekeel/cli/CommandsTest.java
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void everyCommandHasHelpAndTheVersionEqualsThePom() throws Exception {
+  void commandsHaveHelpAndTheVersionEqualsThePom() throws Exception {
     for (String command :
         new String[] {"serve", "rehearse", "adapter", "check", "routes", "demo"}) {
       assertEquals(0, run(command, "--help"), command);
@@ -145,9 +145,9 @@
     assertEquals(2, run("chek"));
   }
 
-  /** The demo checks its own rules on a short run and returns 1 if one was broken. */
+  /** The demo checks its rules itself and returns 1 if one was violated. */
   @Test
-  void demoPassesItsRules() throws Exception {
+  void shortDemoViolatesNoRule() throws Exception {
     assertEquals(0, run("demo", "--seconds", "6"), out.toString());
     assertTrue(out.toString().contains("held    no cold upstream overloaded"), out.toString());
     assertFalse(out.toString().contains("BROKEN"), out.toString());
--- a/src/test/java/pumicekeel/cli/FleetCommandsTest.java
+++ b/src/test/java/pumicekeel/cli/FleetCommandsTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void simulationRunsSeedsAndMeasuresDetection() throws Exception {
+  void membershipSimulationRunsSeedsAndMeasuresDetection() throws Exception {
     assertEquals(0, run("sim", "fleet", "--seed", "7", "--runs", "5"));
     assertTrue(
         out.toString().contains("5 runs from seed 7: every view was the truth"), out.toString());
@@ -81,7 +81,7 @@
     assertEquals(2, run("rig", "fleet", "--instances", "1"));
   }
 
-  /** A small fleet of real processes, judged by the rig's own checks. */
+  /** A small fleet of real processes; the rig itself checks the results. */
   @Test
   void rigOfThreeInstancesPassesARollingRestart() throws Exception {
     assertEquals(
--- a/src/test/java/pumicekeel/cli/RigScaleCommandTest.java
+++ b/src/test/java/pumicekeel/cli/RigScaleCommandTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Output, exit statuses and result files of {@code rig scale}. */
 class RigScaleCommandTest {
 
   @TempDir
@@ -76,7 +77,7 @@
   }
 
   @Test
-  void pointBeyondTheMachineIsRejectedWithOneLine() throws Exception {
+  void pointBeyondTheLimitsOfTheMachineIsRejectedWithOneLine() throws Exception {
     assertEquals(2, run("--scenario", "membership", "--sizes", "1000000", "--result", result()));
     assertEquals(1, err.toString().lines().count());
     assertFalse(Files.exists(Path.of(result())));
