--- a/src/main/java/pumicekeel/pool/FairQueue.java
+++ b/src/main/java/pumicekeel/pool/FairQueue.java
@@ -5,8 +5,9 @@
 
 /**
  * A round-robin queue of tasks for the event loop, one sub-queue for each pool: at most one task of each other pool runs
- * before a pool's next one, however many are waiting. Tasks are of similar size (the admission of one request), so no
- * deficit is kept. A run ends after a quantum; the rest runs after the loop has read its sockets again.
+ * before a pool's next one, however many are waiting. Tasks are of similar size (the admission of one request), so the
+ * deficit counters of deficit round robin are not needed. A run ends after a quantum; the rest runs after the loop has read
+ * its sockets again.
  */
 public final class FairQueue {
 
@@ -38,7 +39,7 @@
 
   private final ArrayDeque<PoolQueue> readyQueues = new ArrayDeque<>();
 
-  /** Creates a queue that holds at most {@code capacity} tasks. */
+  /** Creates a pool's sub-queue, which holds at most {@code capacity} tasks. */
   public PoolQueue queue(int capacity) {
     return new PoolQueue(capacity);
   }
@@ -50,9 +51,9 @@
   /** Runs tasks until none is left or the quantum has passed, but at least one of each non-empty queue. */
   public void run(long quantumNanos, LongSupplier clock) {
     long end = clock.getAsLong() + quantumNanos;
-    int first = readyQueues.size();
+    int readyAtStart = readyQueues.size();
     for (int done = 0;
-        !readyQueues.isEmpty() && (done < first || clock.getAsLong() - end < 0);
+        !readyQueues.isEmpty() && (done < readyAtStart || clock.getAsLong() - end < 0);
         done++) {
       PoolQueue queue = readyQueues.poll();
       Runnable work = queue.waiting.poll();
--- a/src/main/java/pumicekeel/pool/RequestCounters.java
+++ b/src/main/java/pumicekeel/pool/RequestCounters.java
@@ -3,10 +3,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts the final outcomes of the requests of a process, by pool and class; bounded, since both are names of the settings. */
+/** Counts the final outcomes of a process's requests, by pool and class; bounded in size, since pools and classes are configured. */
 public final class RequestCounters {
 
-  /** How a request ended for its client. */
+  /** How a request ended for its client; LEFT if the client closed its connection or stopped waiting first. */
   public enum End {
     SERVED,
     REFUSED,
--- a/src/main/java/pumicekeel/pool/ResidenceTime.java
+++ b/src/main/java/pumicekeel/pool/ResidenceTime.java
@@ -10,7 +10,7 @@
   private static final double STEP = 0.05;
   /** The initial mean, before the first sample. */
   private static final long INITIAL_MEAN_NANOS = 100_000_000L;
-  /** Minimum advice: the client's network round trip takes as long. */
+  /** Minimum Retry-After: a network round trip of the client takes about as long. */
   private static final long MIN_RETRY_AFTER_NANOS = 10_000_000L;
 
   private double mean = INITIAL_MEAN_NANOS;
@@ -20,7 +20,7 @@
     mean += (Math.max(0, nanos) - mean) * STEP;
   }
 
-  /** Returns the Retry-After in nanoseconds, at most {@code maxNanos}; 0 if no advice is allowed. */
+  /** Returns the Retry-After in nanoseconds, at most {@code maxNanos}; 0 if the settings allow none. */
   public long retryAfter(boolean allowed, long maxNanos) {
     return allowed ? Math.min(maxNanos, Math.max(MIN_RETRY_AFTER_NANOS, (long) mean)) : 0;
   }
--- a/src/main/java/pumicekeel/pool/SharedCapacity.java
+++ b/src/main/java/pumicekeel/pool/SharedCapacity.java
@@ -2,8 +2,8 @@
 
 /**
  * The capacity of one kind of resource (sockets, open requests, bytes of bodies) divided between owners. Each owner's
- * guaranteed part is reserved for it alone; beyond that it borrows unreserved capacity up to its own maximum. Guarantees
- * need no reclaiming, so nothing is ever taken back. All operations are O(1).
+ * guaranteed part is reserved for it alone; beyond that it borrows unreserved capacity up to its own maximum. Reserved
+ * capacity is not lent, so borrowed capacity never has to be reclaimed from its user. All operations are O(1).
  */
 public final class SharedCapacity {
 
@@ -34,7 +34,7 @@
     /** Releases an amount, at most what is in use. */
     public void release(long amount) {
       if (amount > used) {
-        throw new IllegalStateException("gave back " + amount + " of " + used);
+        throw new IllegalStateException("cannot release " + amount + ", in use: " + used);
       }
       long before = reservedForOwner();
       used -= amount;
--- a/src/main/java/pumicekeel/pool/SharedUpstreams.java
+++ b/src/main/java/pumicekeel/pool/SharedUpstreams.java
@@ -19,17 +19,17 @@
 public final class SharedUpstreams<A> {
 
   private static final class AddressEntry {
-    /** By pool, then by the id under which that pool's list names it. */
-    private final Map<Object, Map<Long, ListedUpstream>> lines = new LinkedHashMap<>();
+    /** The entries of the lists that name this address, by pool and then by the upstream's id in that list. */
+    private final Map<Object, Map<Long, ListedUpstream>> listedByPool = new LinkedHashMap<>();
 
     private int sharers;
     private long started;
 
     private boolean recount() {
-      int ready = (int) lines.values().stream()
+      int ready = (int) listedByPool.values().stream()
           .filter(l -> l.values().stream().anyMatch(x -> x.state() == State.READY))
           .count();
-      long newest = lines.values().stream()
+      long newest = listedByPool.values().stream()
           .flatMap(l -> l.values().stream())
           .mapToLong(ListedUpstream::startedNanos)
           .max()
@@ -56,9 +56,9 @@
     if (listed.state() != State.GONE) {
       known.put(listed.upstream(), address);
       AddressEntry entry = entriesByAddress.computeIfAbsent(address, k -> new AddressEntry());
-      entry.lines.computeIfAbsent(pool, k -> new HashMap<>()).put(listed.upstream(), listed);
+      entry.listedByPool.computeIfAbsent(pool, k -> new HashMap<>()).put(listed.upstream(), listed);
       if (entry.recount()) {
-        others.addAll(entry.lines.keySet());
+        others.addAll(entry.listedByPool.keySet());
       }
     }
     others.remove(pool);
@@ -68,16 +68,16 @@
   private Set<Object> remove(Object pool, A address, long id) {
     addresses.get(pool).remove(id);
     AddressEntry entry = entriesByAddress.get(address);
-    Map<Long, ListedUpstream> lines = entry.lines.get(pool);
-    lines.remove(id);
-    if (lines.isEmpty()) {
-      entry.lines.remove(pool);
+    Map<Long, ListedUpstream> listedById = entry.listedByPool.get(pool);
+    listedById.remove(id);
+    if (listedById.isEmpty()) {
+      entry.listedByPool.remove(pool);
     }
-    if (entry.lines.isEmpty()) {
+    if (entry.listedByPool.isEmpty()) {
       entriesByAddress.remove(address);
       return Set.of();
     }
-    return entry.recount() ? Set.copyOf(entry.lines.keySet()) : Set.of();
+    return entry.recount() ? Set.copyOf(entry.listedByPool.keySet()) : Set.of();
   }
 
   /** Removes a pool; returns the addresses that other pools must be notified of again. */
@@ -114,7 +114,7 @@
     AddressEntry entry = entriesByAddress.get(address);
     Set<ListedUpstream> out = new HashSet<>();
     if (entry != null) {
-      entry.lines.getOrDefault(pool, Map.of()).values().forEach(out::add);
+      entry.listedByPool.getOrDefault(pool, Map.of()).values().forEach(out::add);
     }
     return out;
   }
@@ -127,6 +127,6 @@
   /** Returns the pools that list an address. */
   public Set<Object> poolsAt(A address) {
     AddressEntry entry = entriesByAddress.get(address);
-    return entry == null ? Set.of() : Set.copyOf(entry.lines.keySet());
+    return entry == null ? Set.of() : Set.copyOf(entry.listedByPool.keySet());
   }
 }
--- a/src/main/java/pumicekeel/quota/QuotaExchange.java
+++ b/src/main/java/pumicekeel/quota/QuotaExchange.java
@@ -30,7 +30,7 @@
     private final long id;
     private final QuotaLedger ledger;
     private final Map<Integer, Long> declineBackoffUntil = new HashMap<>();
-    /** The last epoch and sequence number of each borrower; repeated and reordered messages are discarded by them. */
+    /** The last epoch and sequence number received from each borrower, by which repeated and reordered messages are recognized. */
     private final Map<Integer, long[]> lastMessage = new HashMap<>();
 
     private Tenant(long id, QuotaLedger ledger) {
@@ -39,9 +39,9 @@
     }
   }
 
-  /** Smaller fractions of a share are not worth a datagram. */
+  /** Smallest loan that is requested, as a fraction of the member's share: less is not worth a datagram. */
   private static final double MIN_SHARE_FRACTION = 0.02;
-  /** Loans are returned once the surplus exceeds this fraction of the demand. */
+  /** A loan is returned if the surplus without it still exceeds this fraction of the demand. */
   private static final double MAX_SURPLUS_FRACTION = 0.25;
   /** Messages sent in one round over all tenants; at 42 bytes each at most some 7 kB/s. */
   private static final int MAX_REQUESTS_PER_ROUND = 32;
@@ -165,7 +165,8 @@
     pending.values().removeIf(a -> now - a.at() >= settings.declineBackoffNanos());
     List<OutgoingDatagram> out = new ArrayList<>();
     List<Tenant> all = new ArrayList<>(tenants.values());
-    // Starts at another tenant each round, so that the limit on requests starves none.
+    // Starts at another tenant each round, so that the limit on messages does not starve any of
+    // them.
     firstTenantOfRound++;
     for (int i = 0; i < all.size() && out.size() < MAX_REQUESTS_PER_ROUND; i++) {
       requestAndReturn(all.get((int) ((firstTenantOfRound + i) % all.size())), now, live, out);
@@ -208,12 +209,12 @@
       }
     }
     double missing = -surplus - pendingLoans(t);
-    int[] chooseLenders = missing > minimum ? chooseLenders(t, missing, now, live) : new int[0];
-    for (int lender : chooseLenders) {
+    int[] chosen = missing > minimum ? chooseLenders(t, missing, now, live) : new int[0];
+    for (int lender : chosen) {
       sendRequest(
           t,
           lender,
-          t.ledger.borrowedFrom(lender) + Math.max(minimum, missing / chooseLenders.length),
+          t.ledger.borrowedFrom(lender) + Math.max(minimum, missing / chosen.length),
           now,
           out);
     }
--- a/src/main/java/pumicekeel/quota/QuotaMessage.java
+++ b/src/main/java/pumicekeel/quota/QuotaMessage.java
@@ -18,7 +18,7 @@
     long tenant,
     double perSecond) {
 
-  /** The purpose of a message. */
+  /** The purpose of a message: ASK requests a loan, LEND answers it, RETURN gives back loans. */
   enum Kind {
     ASK,
     LEND,
@@ -28,7 +28,7 @@
   static final int BYTES = 42;
   static final short MAGIC = 0x4851;
   private static final byte VERSION = 1;
-  /** The operator file's limit on a quota. */
+  /** The operator file's limit on a quota, in requests per second. */
   private static final double MAX_PER_SECOND = 10_000_000;
 
   byte[] bytes() {
--- a/src/main/java/pumicekeel/quota/QuotaSettings.java
+++ b/src/main/java/pumicekeel/quota/QuotaSettings.java
@@ -20,11 +20,17 @@
     int lendersPerRound,
     long declineBackoffNanos) {
 
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MS = 1_000_000L;
 
-  /** Leases of 3 s: for that time a restarted member reserves its lendable part, and a lender may wait for its own share. */
-  public static final QuotaSettings DEFAULTS =
-      new QuotaSettings(3_000 * MS, 0.01, 10 * MS, 250 * MS, 0.9, 4, 500 * MS);
+  /** Leases last 3 s: so long does a restarted member reserve its lendable part, and a lender at most wait for what it lent. */
+  public static final QuotaSettings DEFAULTS = new QuotaSettings(
+      3_000 * NANOS_PER_MS,
+      0.01,
+      10 * NANOS_PER_MS,
+      250 * NANOS_PER_MS,
+      0.9,
+      4,
+      500 * NANOS_PER_MS);
 
   /** Returns how long the lender treats a lease as lent. */
   long lenderLeaseNanos() {
--- a/src/main/java/pumicekeel/route/PathIndex.java
+++ b/src/main/java/pumicekeel/route/PathIndex.java
@@ -38,23 +38,23 @@
       values.computeIfAbsent(route.headers().get(name), k -> new ArrayList<>(1)).add(route);
     }
 
-    private Route best(RequestAttributes f, Route best) {
-      Route found = first(plain, f, best);
+    private Route best(RequestAttributes request, Route best) {
+      Route found = first(plain, request, best);
       for (int i = 0; i < byHeader.size(); i++) {
-        String sent = f.header(byHeader.get(i).getKey());
+        String sent = request.header(byHeader.get(i).getKey());
         List<Route> routes = sent == null ? null : byHeader.get(i).getValue().get(sent);
-        found = routes == null ? found : first(routes, f, found);
+        found = routes == null ? found : first(routes, request, found);
       }
       return found;
     }
 
-    private static Route first(List<Route> routes, RequestAttributes f, Route best) {
+    private static Route first(List<Route> routes, RequestAttributes request, Route best) {
       for (int i = 0; i < routes.size(); i++) {
         Route r = routes.get(i);
         if (best != null && best.order() < r.order()) {
           return best;
         }
-        if (r.matchesConditions(f)) {
+        if (r.matchesConditions(request)) {
           return r;
         }
       }
@@ -166,22 +166,23 @@
   }
 
   /** Returns the earliest matching route, out of this index and {@code best}, the one found so far; null if there is none. */
-  Route best(String path, RequestAttributes f, Route best) {
-    return walk(root, path, 0, f, best);
+  Route best(String path, RequestAttributes request, Route best) {
+    return walk(root, path, 0, request, best);
   }
 
-  /** Matches the path from {@code slash}, the start of the remaining path or its end. The patterns bound the depth. */
-  private static Route walk(Node node, String path, int slash, RequestAttributes f, Route best) {
-    Route found = node.prefix == null ? best : node.prefix.best(f, best);
+  /** Matches the path from {@code slash}, the start of its rest or its end. The recursion is no deeper than the longest pattern. */
+  private static Route walk(
+      Node node, String path, int slash, RequestAttributes request, Route best) {
+    Route found = node.prefix == null ? best : node.prefix.best(request, best);
     if (slash >= path.length()) {
-      return node.whole == null ? found : node.whole.best(f, found);
+      return node.whole == null ? found : node.whole.best(request, found);
     }
     int end = path.indexOf('/', slash + 1);
     int to = end < 0 ? path.length() : end;
     Node next = node.children.get(path, slash + 1, to);
-    found = next == null ? found : walk(next, path, to, f, found);
+    found = next == null ? found : walk(next, path, to, request, found);
     return node.wildcard == null || to == slash + 1
         ? found
-        : walk(node.wildcard, path, to, f, found);
+        : walk(node.wildcard, path, to, request, found);
   }
 }
--- a/src/main/java/pumicekeel/route/PathPattern.java
+++ b/src/main/java/pumicekeel/route/PathPattern.java
@@ -18,7 +18,7 @@
 
   /** A template segment that matches any one non-empty segment. */
   static final String WILDCARD = "{}";
-  /** Deeper than the patterns of any service; bounds the depth of an index lookup. */
+  /** Maximum number of segments, more than the patterns of any service have; bounds the recursion of an index lookup. */
   public static final int MAX_SEGMENTS = 32;
   /** Matches every path. */
   public static final PathPattern ANY = new PathPattern(Kind.ANY, "", List.of());
--- a/src/main/java/pumicekeel/route/Route.java
+++ b/src/main/java/pumicekeel/route/Route.java
@@ -29,19 +29,19 @@
   public static final String PRESENT = "*";
 
   /** Returns whether all conditions except host and path hold; the index has checked those two. */
-  boolean matchesConditions(RequestAttributes f) {
-    return (listener == null || listener.equals(f.listener()))
-        && (className == null || className.equals(f.className()))
-        && (method == null || method.equals(f.method()))
-        && matchesHeaders(f);
+  boolean matchesConditions(RequestAttributes request) {
+    return (listener == null || listener.equals(request.listener()))
+        && (className == null || className.equals(request.className()))
+        && (method == null || method.equals(request.method()))
+        && matchesHeaders(request);
   }
 
-  private boolean matchesHeaders(RequestAttributes f) {
+  private boolean matchesHeaders(RequestAttributes request) {
     if (headers.isEmpty()) {
       return true;
     }
     for (Map.Entry<String, String> wanted : headers.entrySet()) {
-      if (!matchesHeader(wanted.getValue(), f.header(wanted.getKey()))) {
+      if (!matchesHeader(wanted.getValue(), request.header(wanted.getKey()))) {
         return false;
       }
     }
@@ -52,10 +52,10 @@
     return sent != null && (wanted == PRESENT || wanted.equals(PRESENT) || wanted.equals(sent));
   }
 
-  /** Returns why this route does not match a request with canonical host and path; null if it matches. */
-  String objection(RequestAttributes f, String host, String path) {
-    if (listener != null && !listener.equals(f.listener())) {
-      return "listener: wanted " + listener + ", got " + f.listener();
+  /** Returns the first condition that a request with canonical host and path does not meet, as text; null if the route matches. */
+  String objection(RequestAttributes request, String host, String path) {
+    if (listener != null && !listener.equals(request.listener())) {
+      return "listener: wanted " + listener + ", got " + request.listener();
     }
     if (!hosts.isEmpty() && hosts.stream().noneMatch(h -> hostMatches(h, host))) {
       return "host: wanted " + String.join(" or ", hosts) + ", got "
@@ -64,15 +64,15 @@
     if (!this.path.matches(path)) {
       return "path: wanted " + this.path + ", got " + path;
     }
-    if (className != null && !className.equals(f.className())) {
+    if (className != null && !className.equals(request.className())) {
       return "class: wanted " + className + ", got "
-          + (f.className() == null ? "none" : f.className());
+          + (request.className() == null ? "none" : request.className());
     }
-    if (method != null && !method.equals(f.method())) {
-      return "method: wanted " + method + ", got " + f.method();
+    if (method != null && !method.equals(request.method())) {
+      return "method: wanted " + method + ", got " + request.method();
     }
     for (Map.Entry<String, String> wanted : headers.entrySet()) {
-      String sent = f.header(wanted.getKey());
+      String sent = request.header(wanted.getKey());
       if (!matchesHeader(wanted.getValue(), sent)) {
         return "header " + wanted.getKey() + ": wanted "
             + (wanted.getValue().equals(PRESENT) ? "any value" : wanted.getValue()) + ", got "
@@ -106,13 +106,11 @@
     return hosts.isEmpty()
         || !other.hosts.isEmpty()
             && other.hosts.stream()
-                .allMatch(otherSegment -> hosts.stream()
-                    .anyMatch(ours -> ours.equals(otherSegment)
-                        || ours.startsWith("*.")
+                .allMatch(otherHost -> hosts.stream()
+                    .anyMatch(ownHost -> ownHost.equals(otherHost)
+                        || ownHost.startsWith("*.")
                             && hostMatches(
-                                ours,
-                                otherSegment.startsWith("*.")
-                                    ? otherSegment.substring(2)
-                                    : otherSegment)));
+                                ownHost,
+                                otherHost.startsWith("*.") ? otherHost.substring(2) : otherHost)));
   }
 }
--- a/src/main/java/pumicekeel/route/RouteTable.java
+++ b/src/main/java/pumicekeel/route/RouteTable.java
@@ -26,7 +26,7 @@
   /** The host or path is ambiguous or malformed; the text says which. */
   public record Malformed(String why) implements MatchResult {}
 
-  /** Why a route does not match a request; null if it does. */
+  /** A route, and the condition that a request does not meet; the latter is null if the route matches. */
   public record Explanation(Route route, String objection) {}
 
   private static final NoRoute NO_ROUTE = new NoRoute();
@@ -34,22 +34,25 @@
   private static final Malformed BAD_PATH = new Malformed("a path that can be read in two ways");
 
   private final List<Route> routes;
-  private final Matched[] found;
+  /** The result for each route by its order, created once so that a match allocates nothing. */
+  private final Matched[] matches;
+  /** Indexes by the whole host name. */
   private final Map<String, PathIndex> exact = new HashMap<>();
   /** Indexes by the suffix after {@code *.}. */
   private final Map<String, PathIndex> suffixes = new HashMap<>();
 
+  /** The index of routes without a host condition. */
   private final PathIndex any = new PathIndex();
 
   /** Compiles routes, given in file order. */
   public RouteTable(List<Route> routes) {
     this.routes = List.copyOf(routes);
-    found = new Matched[routes.size()];
+    matches = new Matched[routes.size()];
     for (Route r : this.routes) {
-      if (r.order() != 0 && found[r.order() - 1] == null) {
+      if (r.order() != 0 && matches[r.order() - 1] == null) {
         throw new IllegalArgumentException("routes must be numbered from 0 without a gap");
       }
-      found[r.order()] = new Matched(r);
+      matches[r.order()] = new Matched(r);
       if (r.hosts().isEmpty()) {
         any.add(r);
       }
@@ -67,43 +70,43 @@
   }
 
   /** Finds the route of a request; allocates nothing unless its host or path has to be normalized. */
-  public MatchResult match(RequestAttributes f) {
-    String host = HostName.of(f.host());
+  public MatchResult match(RequestAttributes request) {
+    String host = HostName.of(request.host());
     if (host == null) {
       return BAD_HOST;
     }
-    String path = RequestPath.of(f.path());
+    String path = RequestPath.of(request.path());
     if (path == null) {
       return BAD_PATH;
     }
-    Route best = any.best(path, f, null);
+    Route best = any.best(path, request, null);
     PathIndex own = exact.get(host);
-    best = own == null ? best : own.best(path, f, best);
+    best = own == null ? best : own.best(path, request, best);
     if (!suffixes.isEmpty()) {
       for (int dot = host.indexOf('.'); dot >= 0; dot = host.indexOf('.', dot + 1)) {
         PathIndex index = suffixes.get(host.substring(dot + 1));
-        best = index == null ? best : index.best(path, f, best);
+        best = index == null ? best : index.best(path, request, best);
       }
     }
-    return best == null ? NO_ROUTE : found[best.order()];
+    return best == null ? NO_ROUTE : matches[best.order()];
   }
 
   /** Explains each route up to and including the matching one, by trying them in order without the index. */
-  public List<Explanation> explain(RequestAttributes f) {
-    List<Explanation> verdicts = new ArrayList<>();
-    String host = HostName.of(f.host());
-    String path = RequestPath.of(f.path());
+  public List<Explanation> explain(RequestAttributes request) {
+    List<Explanation> explanations = new ArrayList<>();
+    String host = HostName.of(request.host());
+    String path = RequestPath.of(request.path());
     if (host == null || path == null) {
-      return verdicts;
+      return explanations;
     }
     for (Route r : routes) {
-      String objection = r.objection(f, host, path);
-      verdicts.add(new Explanation(r, objection));
+      String objection = r.objection(request, host, path);
+      explanations.add(new Explanation(r, objection));
       if (objection == null) {
         break;
       }
     }
-    return verdicts;
+    return explanations;
   }
 
   /** An unreachable route, and the earlier route that matches all of its requests. */
--- a/src/main/java/pumicekeel/subset/SubsetBalancer.java
+++ b/src/main/java/pumicekeel/subset/SubsetBalancer.java
@@ -21,9 +21,9 @@
   private final int members;
   private final int size;
   private final Balancer delegate;
-  /** The latest list, and the entries that the module has received. */
+  /** The latest list, by upstream. */
   private final TreeMap<Long, ListedUpstream> known = new TreeMap<>();
-
+  /** The entries of the subset as the module last received them, by upstream. */
   private final Map<Long, ListedUpstream> sent = new HashMap<>();
 
   /** {@code delegate} creates the module from its settings; {@code size} upstreams are in its subset. */
--- a/src/main/java/pumicekeel/subset/SubsetFigures.java
+++ b/src/main/java/pumicekeel/subset/SubsetFigures.java
@@ -40,11 +40,11 @@
     double mean = (double) balancers / upstreams;
     double[] loads =
         ids.stream().mapToDouble(id -> load.getOrDefault(id, 0.0) / mean).toArray();
-    double square = 0;
+    double variance = 0;
     double maxLoad = 0;
     double minLoad = Double.MAX_VALUE;
     for (double l : loads) {
-      square += (l - 1) * (l - 1) / upstreams;
+      variance += (l - 1) * (l - 1) / upstreams;
       maxLoad = Math.max(maxLoad, l);
       minLoad = Math.min(minLoad, l);
     }
@@ -53,7 +53,7 @@
     return new SubsetFigures(
         maxLoad,
         minLoad,
-        Math.sqrt(square),
+        Math.sqrt(variance),
         connections.values().stream().mapToInt(Integer::intValue).max().orElse(0),
         movedFraction(before, subsetsOf(method, balancers, replaced, size)),
         movedFraction(before, subsetsOf(method, balancers + 1, ids, size).subList(0, balancers)));
--- a/src/main/java/pumicekeel/subset/Subsets.java
+++ b/src/main/java/pumicekeel/subset/Subsets.java
@@ -18,7 +18,7 @@
     @Override
     public Map<Long, Double> of(int member, int members, List<Long> upstreams, int size) {
       List<Long> all = shuffled(upstreams, SEED + member);
-      return even(all.subList(0, Math.min(size, all.size())));
+      return usedInFull(all.subList(0, Math.min(size, all.size())));
     }
   },
 
@@ -35,7 +35,7 @@
       // The remainder is spread over the parts, one each, so that every upstream is in a part.
       int from = (int) ((long) upstreams.size() * part / parts);
       int to = (int) ((long) upstreams.size() * (part + 1) / parts);
-      return even(all.subList(from, to));
+      return usedInFull(all.subList(from, to));
     }
   },
 
@@ -43,7 +43,7 @@
   RENDEZVOUS {
     @Override
     public Map<Long, Double> of(int member, int members, List<Long> upstreams, int size) {
-      return even(upstreams.stream()
+      return usedInFull(upstreams.stream()
           .sorted(Comparator.comparingLong((Long id) -> mix(id ^ mix(member + SEED))))
           .limit(size)
           .toList());
@@ -65,17 +65,19 @@
       Map<Long, Double> out = new LinkedHashMap<>();
       double from = (double) member / members * n;
       double to = from + Math.min(1, width) * n;
-      for (double at = from; at < to - EDGE; at = Math.floor(at + EDGE) + 1) {
-        double part = Math.min(to, Math.floor(at + EDGE) + 1) - at;
-        out.merge(ring.get((int) Math.floor(at + EDGE) % n), part, Double::sum);
+      for (double at = from;
+          at < to - POSITION_TOLERANCE;
+          at = Math.floor(at + POSITION_TOLERANCE) + 1) {
+        double part = Math.min(to, Math.floor(at + POSITION_TOLERANCE) + 1) - at;
+        out.merge(ring.get((int) Math.floor(at + POSITION_TOLERANCE) % n), part, Double::sum);
       }
       return out;
     }
   };
 
   private static final long SEED = 0x5eed;
-  /** Rounding of positions on the ring. */
-  private static final double EDGE = 1e-9;
+  /** Tolerance for rounding errors of positions on the ring. */
+  private static final double POSITION_TOLERANCE = 1e-9;
 
   /**
    * Returns the upstreams of one balancer with the used fraction of each.
@@ -86,7 +88,7 @@
    */
   public abstract Map<Long, Double> of(int member, int members, List<Long> upstreams, int size);
 
-  private static Map<Long, Double> even(List<Long> ids) {
+  private static Map<Long, Double> usedInFull(List<Long> ids) {
     Map<Long, Double> out = new LinkedHashMap<>();
     ids.forEach(id -> out.put(id, 1.0));
     return out;
@@ -96,8 +98,8 @@
     // Ordered by hash, not by position: an added or removed upstream does not change the order of
     // the others.
     List<Long> out = new ArrayList<>(ids);
-    long by = new SplittableRandom(seed).nextLong();
-    out.sort(Comparator.comparingLong(id -> mix(id ^ by)));
+    long salt = new SplittableRandom(seed).nextLong();
+    out.sort(Comparator.comparingLong(id -> mix(id ^ salt)));
     return out;
   }
 
--- a/src/test/java/pumicekeel/route/RouteTableTest.java
+++ b/src/test/java/pumicekeel/route/RouteTableTest.java
@@ -48,8 +48,8 @@
         null);
   }
 
-  private static Integer match(RouteTable table, RequestAttributes f) {
-    return table.match(f) instanceof RouteTable.Matched t ? t.route().order() : null;
+  private static Integer match(RouteTable table, RequestAttributes request) {
+    return table.match(request) instanceof RouteTable.Matched t ? t.route().order() : null;
   }
 
   @Test
--- a/src/test/java/pumicekeel/subset/SubsetsTest.java
+++ b/src/test/java/pumicekeel/subset/SubsetsTest.java
@@ -16,30 +16,31 @@
 import pumicekeel.Balancer.ListedUpstream;
 import pumicekeel.Balancer.State;
 
+/** Size, load and stability of the subsets of each method, and the list that a module receives. */
 class SubsetsTest {
 
   private static final List<Long> IDS = LongStream.range(0, 103).boxed().toList();
 
   @ParameterizedTest
   @EnumSource(Subsets.class)
-  void allOfThemWhereThereAreNoMoreThanWanted(Subsets way) {
-    assertEquals(103, way.of(3, 20, IDS, 103).size());
-    assertEquals(103, way.of(0, 1, IDS, 200).size());
+  void wholeListIsUsedIfItIsNoLargerThanTheSubset(Subsets method) {
+    assertEquals(103, method.of(3, 20, IDS, 103).size());
+    assertEquals(103, method.of(0, 1, IDS, 200).size());
   }
 
   @ParameterizedTest
   @EnumSource(Subsets.class)
-  void theSameAnswerEachTimeAndAboutAsManyAsWanted(Subsets way) {
+  void resultIsRepeatableAndNearTheWantedSize(Subsets method) {
     for (int m = 0; m < 20; m++) {
-      Map<Long, Double> own = way.of(m, 20, IDS, 25);
-      assertEquals(own, way.of(m, 20, IDS, 25));
-      assertTrue(own.size() >= 25 && own.size() <= 32, way + " gives " + own.size());
+      Map<Long, Double> subset = method.of(m, 20, IDS, 25);
+      assertEquals(subset, method.of(m, 20, IDS, 25));
+      assertTrue(subset.size() >= 25 && subset.size() <= 32, method + " gives " + subset.size());
     }
   }
 
   /** Finagle's claim: with weighted ends, every upstream has the same load whatever the numbers are. */
   @Test
-  void apertureLoadsAllAlike() {
+  void apertureLoadsAllUpstreamsEqually() {
     for (int balancers : new int[] {1, 3, 20, 37}) {
       SubsetFigures f = SubsetFigures.of(Subsets.APERTURE, balancers, 103, 25);
       assertEquals(1, f.maxLoad(), 1e-6, balancers + " balancers");
@@ -48,14 +49,14 @@
   }
 
   @Test
-  void roundsLoadAllAlikeWhereTheyFit() {
+  void roundsLoadAllUpstreamsEquallyIfSubsetsDivideTheList() {
     SubsetFigures f = SubsetFigures.of(Subsets.ROUNDS, 20, 100, 25);
     assertEquals(1, f.maxLoad(), 1e-9);
     assertEquals(5, f.maxConnections());
   }
 
   @Test
-  void rendezvousMovesLeast() {
+  void rendezvousMovesFewPairs() {
     SubsetFigures f = SubsetFigures.of(Subsets.RENDEZVOUS, 40, 200, 20);
     assertTrue(f.movedByUpstream() < 0.02, "moved " + f.movedByUpstream());
     assertEquals(0, f.movedByBalancer());
@@ -66,18 +67,21 @@
   void moduleReceivesOnlyItsSubset() {
     List<ListUpdate> received = new ArrayList<>();
     Balancer module = (now, event, out) -> received.add((ListUpdate) event);
-    Balancer own = new SubsetBalancer(settings(), Subsets.RENDEZVOUS, 5, 50, s -> module);
-    List<ListedUpstream> lines =
-        IDS.subList(0, 50).stream().map(id -> line(id, State.READY)).toList();
-    own.handle(0, new ListUpdate(ListKind.FULL, lines), a -> {});
+    Balancer balancer = new SubsetBalancer(settings(), Subsets.RENDEZVOUS, 5, 50, s -> module);
+    List<ListedUpstream> entries =
+        IDS.subList(0, 50).stream().map(id -> entry(id, State.READY)).toList();
+    balancer.handle(0, new ListUpdate(ListKind.FULL, entries), a -> {});
     assertEquals(5, received.get(0).entries().size());
     ListedUpstream mine = received.get(0).entries().get(0);
-    own.handle(
-        1, new ListUpdate(ListKind.DELTA, List.of(line(mine.upstream(), State.DRAINING))), a -> {});
-    List<ListedUpstream> then = received.get(1).entries();
-    assertEquals(2, then.size(), "the one that drains, and another in its place: " + then);
-    own.handle(
-        2, new ListUpdate(ListKind.DELTA, List.of(line(mine.upstream(), State.READY))), a -> {});
+    balancer.handle(
+        1,
+        new ListUpdate(ListKind.DELTA, List.of(entry(mine.upstream(), State.DRAINING))),
+        a -> {});
+    List<ListedUpstream> secondUpdate = received.get(1).entries();
+    assertEquals(
+        2, secondUpdate.size(), "the one that drains, and its replacement: " + secondUpdate);
+    balancer.handle(
+        2, new ListUpdate(ListKind.DELTA, List.of(entry(mine.upstream(), State.READY))), a -> {});
     assertTrue(received.get(2).entries().stream()
         .anyMatch(l -> l.upstream() == mine.upstream() && l.state() == State.READY));
     assertEquals(
@@ -87,7 +91,7 @@
             .count());
   }
 
-  private static ListedUpstream line(long id, State state) {
+  private static ListedUpstream entry(long id, State state) {
     return new ListedUpstream(id, "a", 0, state, 0, 1);
   }
 
