--- a/src/main/java/pumicekeel/upstream/SocketUser.java
+++ b/src/main/java/pumicekeel/upstream/SocketUser.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import pumicekeel.pool.SharedCapacity;
 
-/** One of the users that share the sockets to upstreams. */
+/** The connections of one pool, as a user of the sockets that all pools share. */
 public interface SocketUser {
 
   SharedCapacity.Owner share();
--- a/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamAttempt.java
@@ -20,8 +20,8 @@
     void ended(UpstreamAttempt attempt, Status status, Answer answer);
 
     /**
-     * Called when an answer starts that is not buffered; returns where its pieces go, or null to decline it. The outcome is reported as
-     * usual.
+     * Called when an answer starts that is not buffered; returns where its pieces go, or null to decline it. The end of the attempt is
+     * still reported by {@link #ended}.
      */
     default BodySink answerStarted(UpstreamAttempt attempt, AnswerStart start, FlowControl source) {
       return null;
@@ -36,7 +36,7 @@
   private long timeoutNanos;
   /** When the client's time limit passes. */
   private long deadline;
-  /** Set for a large answer, which may take longer than that as long as data arrives. */
+  /** Set for a large answer, which may arrive after the deadline as long as data keeps coming. */
   private boolean exemptFromTimeout;
 
   private boolean sent;
@@ -134,7 +134,7 @@
     return deadline - clock.now();
   }
 
-  /** Runs the callback for the last byte having been sent. */
+  /** Runs the callback that waits for the request's last byte to be sent. */
   protected final void notifyWritten() {
     if (onWritten != null) {
       onWritten.run();
--- a/src/main/java/pumicekeel/upstream/UpstreamLink.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamLink.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 
-/** All connections to one upstream. They belong to the upstream and not to its address. */
+/** All connections to one upstream. A successor at the same address gets a link of its own. */
 public interface UpstreamLink {
 
   InetSocketAddress address();
--- a/src/main/java/pumicekeel/upstream/UpstreamTable.java
+++ b/src/main/java/pumicekeel/upstream/UpstreamTable.java
@@ -113,7 +113,7 @@
     removeIfUnused(e);
   }
 
-  /** Bounds the memory where upstreams are continually replaced under new IDs. */
+  /** Forgets an upstream, which bounds the table where upstreams are continually replaced under new IDs. */
   private void removeIfUnused(Entry e) {
     if (e.removed && e.inFlight == 0) {
       entries.remove(e.id, e);
--- a/src/main/java/pumicekeel/upstream/http/AnswerDecoder.java
+++ b/src/main/java/pumicekeel/upstream/http/AnswerDecoder.java
@@ -50,7 +50,10 @@
     return super.isContentAlwaysEmpty(message);
   }
 
-  /** Determines how strictly headers are read, and whether a body may lack a length, which a request's may not. */
+  /**
+   * Netty reads headers as strictly as a request's if this is true, and then also requires a length of a body, which an answer may lack.
+   * Therefore true only while headers are read.
+   */
   @Override
   protected boolean isDecodingRequest() {
     return readingHeaders;
--- a/src/main/java/pumicekeel/upstream/http/AnswerHead.java
+++ b/src/main/java/pumicekeel/upstream/http/AnswerHead.java
@@ -52,7 +52,8 @@
     if (code == 200) {
       return Status.SERVED;
     }
-    boolean never = (code == 503 || code == 504) && "1".equals(head.headers().get("X-Unprocessed"));
-    return never ? Status.FULL : Status.ERROR;
+    boolean notRun =
+        (code == 503 || code == 504) && "1".equals(head.headers().get("X-Unprocessed"));
+    return notRun ? Status.FULL : Status.ERROR;
   }
 }
--- a/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
+++ b/src/main/java/pumicekeel/upstream/http/HttpAttempt.java
@@ -20,7 +20,7 @@
 /** An attempt with exclusive use of an HTTP connection; if it ends without an answer, the connection is closed too. */
 final class HttpAttempt extends UpstreamAttempt {
 
-  /** A kept connection that breaks within this time of the request was broken before: no upstream answers as fast. */
+  /** A kept connection that breaks this soon after the request was sent was broken before: no upstream answers so fast. */
   private static final long STALE_RESET_NANOS = 50_000_000L;
 
   private final UpstreamPool pool;
@@ -169,9 +169,9 @@
       }
     }
     if (status == Status.TIMEOUT && !pool.receivedWithin(timeoutNanos())) {
-      // A machine that vanished leaves its connections open and silent: none of them is used again.
-      // One that still answers other requests
-      // was only slow, and closing all its connections would cause a storm of new ones.
+      // A machine that has crashed or become unreachable leaves its connections open and silent, so
+      // none of them is used again. One that still answers other requests was only slow: closing
+      // all its connections would cause a surge of new ones.
       pool.closeIdle();
     }
   }
--- a/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamConnection.java
@@ -45,14 +45,17 @@
    * client's time limit has passed, it no longer waits for missing data, and needs an end that it can detect.
    */
   private static final long STREAM_STALL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
-  /** An answer that is still arriving after this time is streamed: nothing may be held back for two seconds. */
+  /** An answer that is still arriving after this time is streamed: no part of an answer may be held back for as long as 2 s. */
   private static final long MAX_BUFFERING_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
   /**
-   * An upstream that accepts nothing of a body for this long has vanished, or as good as: the client that sends it must not be kept
+   * An attempt fails if its upstream accepts nothing of the request's body for this long: the client that sends the body must not be kept
    * waiting.
    */
   private static final long UPLOAD_STALL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
-  /** Or for this fraction of the time that its client allows: the client may have written its last byte long before. */
+  /**
+   * The upload stall time-out is at most the time that the client allows, divided by this: the client may have written the body's last byte
+   * long before.
+   */
   private static final int UPLOAD_STALL_DIVISOR = 2;
   /** From the first byte of a complete request to its last: well below the slack of the time limit announced to the upstream. */
   private static final long WRITE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
@@ -92,14 +95,15 @@
   /** When its last answer was complete; 0 if no request was sent on it. */
   private long answeredAt;
 
-  public UpstreamConnection(UpstreamPool pool, Reactor on, Channel channel, AnswerDecoder decoder) {
+  public UpstreamConnection(
+      UpstreamPool pool, Reactor reactor, Channel channel, AnswerDecoder decoder) {
     this.pool = pool;
-    reactor = on;
+    this.reactor = reactor;
     this.channel = channel;
     this.decoder = decoder;
   }
 
-  /** Returns false if the peer has closed the connection, or has sent data that no request called for. */
+  /** Returns false if the peer has closed the connection, or has sent data without a request. */
   public boolean usable() {
     return reactor.sockets().isQuiet(channel);
   }
@@ -252,35 +256,35 @@
    */
   private void releaseStreams() {
     BodySink open = sink;
-    Upload coming = upload;
+    Upload unsent = upload;
     sink = null;
     upload = null;
-    if (coming != null) {
-      coming.detach();
+    if (unsent != null) {
+      unsent.detach();
     }
     if (open != null) {
       open.onTruncated();
     }
   }
 
-  /** Filters raw bytes: an answer whose first bytes are already invalid is not waited for any longer. */
+  /** Filters raw bytes before decoding; an answer whose first bytes are not those of a status line fails at once. */
   boolean accepts(ByteBuf bytes) {
     pool.dataReceived();
     if (attempt == null || answerComplete || unexpectedData) {
       unexpectedData = true;
       return false;
     }
-    boolean noise = false;
+    boolean invalidStart = false;
     for (int i = 0;
         rawBytesReceived + i < STATUS_LINE_START.length && i < bytes.readableBytes();
         i++) {
-      noise |=
+      invalidStart |=
           bytes.getByte(bytes.readerIndex() + i) != STATUS_LINE_START[(int) rawBytesReceived + i];
     }
     rawBytesReceived += bytes.readableBytes();
     lastReceivedAt = reactor.clock().now();
-    unexpectedData = noise;
-    return !noise;
+    unexpectedData = invalidStart;
+    return !invalidStart;
   }
 
   @Override
@@ -350,7 +354,7 @@
     return response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
   }
 
-  /** Handles the end of a read: a complete answer counts, whatever followed it; anything else beyond the protocol does not. */
+  /** Handles the end of a read. A complete answer is used whatever data followed it; invalid data before its end fails the attempt. */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     if (answerComplete && attempt != null) {
@@ -449,7 +453,7 @@
     fail();
   }
 
-  /** Closes an unusable connection: its attempt may have run if its last byte was sent or any of an answer arrived. */
+  /** Closes an unusable connection: its attempt may have run if the request's last byte was sent or any part of an answer arrived. */
   private void fail() {
     UpstreamAttempt ended = attempt;
     close();
--- a/src/main/java/pumicekeel/upstream/http/UpstreamPool.java
+++ b/src/main/java/pumicekeel/upstream/http/UpstreamPool.java
@@ -26,10 +26,10 @@
   private boolean closed;
   private long lastReceivedAt;
 
-  public UpstreamPool(ConnectionPool connections, InetSocketAddress address, Reactor on) {
+  public UpstreamPool(ConnectionPool connections, InetSocketAddress address, Reactor reactor) {
     this.connections = connections;
-    clock = on.clock();
-    loop = on.loop();
+    clock = reactor.clock();
+    loop = reactor.loop();
     lastReceivedAt = clock.now();
     this.address = address;
   }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcAttempt.java
@@ -8,7 +8,7 @@
 /** A call on a shared connection, which stays open when the call ends early. */
 final class RpcAttempt extends UpstreamAttempt {
 
-  /** As with HTTP: a reused connection that breaks this soon after a send was already broken. */
+  /** As with HTTP: a reused connection that breaks this soon after a send was broken before. */
   private static final long STALE_NANOS = 50_000_000L;
 
   private final RpcLink link;
@@ -19,8 +19,8 @@
   private long framesAtSend;
   private boolean stale;
 
-  RpcAttempt(int number, long upstream, long decidedAt, RpcLink link, Observer ending) {
-    super(number, upstream, decidedAt, ending);
+  RpcAttempt(int number, long upstream, long decidedAt, RpcLink link, Observer observer) {
+    super(number, upstream, decidedAt, observer);
     this.link = link;
   }
 
@@ -36,8 +36,8 @@
   }
 
   /** Records that the call is being sent under this id. */
-  void sendStarted(long as) {
-    id = as;
+  void sendStarted(long callId) {
+    id = callId;
     framesAtSend = connection.frames();
     markSending();
   }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcConnection.java
@@ -45,8 +45,10 @@
   private static final MessageReader READER = new MessageReader(LIMITS);
   /** Time from the first byte of an answer to its last, as with HTTP. */
   private static final long ANSWER_TIMEOUT_MILLIS = 300;
-  /** A call that is not written within this time shows that the server does not read. No call may be sent after the drain
-   * grace, and the core sends until 200 ms before its end. */
+  /**
+   * If a call is not written within this time, the server does not read. No call may be sent after the drain grace, and the core sends
+   * until 200 ms before its end.
+   */
   private static final long WRITE_TIMEOUT_MILLIS = 150;
 
   private record Waiting(RpcAttempt attempt, ClientRequest request, BooleanSupplier maySend) {}
@@ -103,12 +105,12 @@
     });
   }
 
-  private void opened(Channel now) {
+  private void opened(Channel connected) {
     if (closed) {
-      now.close();
+      connected.close();
       return;
     }
-    channel = now;
+    channel = connected;
     List<Waiting> first = List.copyOf(waiting);
     waiting.clear();
     first.forEach(w -> write(w.attempt(), w.request(), w.maySend()));
@@ -220,8 +222,10 @@
     return body;
   }
 
-  /** Flushes once for all calls of one event loop iteration. Netty's FlushConsolidationHandler also flushes on close, which would
-   * send calls that were just reported as never sent. */
+  /**
+   * Flushes once for all calls of one event loop iteration. Netty's FlushConsolidationHandler is not used: it also flushes on close, which
+   * would send calls that were just reported as never sent.
+   */
   private void flush() {
     flushScheduled = false;
     if (!closed) {
@@ -229,8 +233,8 @@
     }
   }
 
-  private void writeCompleted(long id, RpcAttempt attempt, boolean whole) {
-    if (!whole) {
+  private void writeCompleted(long id, RpcAttempt attempt, boolean complete) {
+    if (!complete) {
       return;
     }
     // Writes complete in their order.
@@ -298,11 +302,11 @@
       return;
     }
     frames++;
-    if (!(frame instanceof Frame.Complete whole)) {
+    if (!(frame instanceof Frame.Complete complete)) {
       fail("malformed frame: " + ((Frame.Fault) frame).why());
       return;
     }
-    Message message = READER.read(whole.bytes());
+    Message message = READER.read(complete.bytes());
     if (message instanceof Message.Single one && one.entry() instanceof Message.Reply reply) {
       reply(reply);
     } else if (!(message instanceof Message.Single one
@@ -344,22 +348,23 @@
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     if (!closed && answerTimer == null && decoder.hasBufferedBytes()) {
-      long then = frames;
+      long framesBefore = frames;
       answerTimer = ctx.executor()
-          .schedule(() -> closeIfStalled(then), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+          .schedule(
+              () -> closeIfStalled(framesBefore), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
     ctx.fireChannelReadComplete();
   }
 
-  private void closeIfStalled(long then) {
+  private void closeIfStalled(long framesBefore) {
     answerTimer = null;
-    if (!closed && decoder.hasBufferedBytes() && frames == then) {
+    if (!closed && decoder.hasBufferedBytes() && frames == framesBefore) {
       fail("incomplete response, no further bytes in time");
     } else if (!closed && decoder.hasBufferedBytes()) {
-      long now = frames;
+      long framesNow = frames;
       answerTimer = channel
           .eventLoop()
-          .schedule(() -> closeIfStalled(now), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+          .schedule(() -> closeIfStalled(framesNow), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -407,7 +412,7 @@
     Set<Long> notWritten = Set.copyOf(unwritten);
     List<Map.Entry<Long, RpcAttempt>> ended = new ArrayList<>(open.entrySet());
     openCallsAtFailure = ended.size();
-    List<Waiting> never = List.copyOf(waiting);
+    List<Waiting> neverSent = List.copyOf(waiting);
     open.clear();
     waiting.clear();
     if (answerTimer != null) {
@@ -417,7 +422,7 @@
       writeTimer.cancel(false);
     }
     (channel != null ? channel : connecting.channel()).close();
-    never.forEach(w -> w.attempt().end(Status.CONNECT_FAILED, null));
+    neverSent.forEach(w -> w.attempt().end(Status.CONNECT_FAILED, null));
     ended.stream()
         .sorted(Map.Entry.comparingByKey())
         .forEach(e -> e.getValue()
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLink.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLink.java
@@ -9,13 +9,13 @@
 /** The connections to one server. A call uses the one with the fewest open calls, and a new one only if all are full. */
 final class RpcLink implements UpstreamLink {
 
-  private final RpcLinks all;
+  private final RpcLinks links;
   private final InetSocketAddress address;
   private final List<RpcConnection> connections = new ArrayList<>(1);
   private boolean closed;
 
-  RpcLink(RpcLinks all, InetSocketAddress address) {
-    this.all = all;
+  RpcLink(RpcLinks links, InetSocketAddress address) {
+    this.links = links;
     this.address = address;
   }
 
@@ -26,12 +26,12 @@
 
   @Override
   public UpstreamAttempt attempt(
-      int number, long upstream, long decidedAt, UpstreamAttempt.Observer ending) {
-    return new RpcAttempt(number, upstream, decidedAt, this, ending);
+      int number, long upstream, long decidedAt, UpstreamAttempt.Observer observer) {
+    return new RpcAttempt(number, upstream, decidedAt, this, observer);
   }
 
   ServerSettings settings() {
-    return all.settings();
+    return links.settings();
   }
 
   /** Returns a connection with capacity for a call, possibly still connecting; null if none can be opened. */
@@ -43,7 +43,7 @@
       }
     }
     if (best == null) {
-      best = all.connect(this);
+      best = links.connect(this);
       if (best != null && !best.isClosed()) {
         connections.add(best);
       }
@@ -79,6 +79,6 @@
   public void close() {
     closed = true;
     List.copyOf(connections).forEach(RpcConnection::retire);
-    all.forget(this);
+    links.forget(this);
   }
 }
--- a/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
+++ b/src/main/java/pumicekeel/upstream/jsonrpc/RpcLinks.java
@@ -91,15 +91,15 @@
     if (!sockets.acquire(this, link.address())) {
       return null;
     }
-    Channel made = reactor.newConnectingChannel();
-    if (made == null) {
+    Channel channel = reactor.newConnectingChannel();
+    if (channel == null) {
       sockets.release(this, link.address());
       return null;
     }
     RpcConnection connection = new RpcConnection(link, settings, reactor);
     var connecting = bootstrap
         .clone()
-        .channelFactory(() -> made)
+        .channelFactory(() -> channel)
         .handler(connection.pipeline())
         .connect(link.address());
     connecting.channel().closeFuture().addListener(closed -> sockets.release(this, link.address()));
@@ -137,15 +137,15 @@
 
   @Override
   public boolean closeIdleAt(InetSocketAddress address) {
-    return closed(oldest(address));
+    return closeIfPresent(oldest(address));
   }
 
   @Override
   public boolean closeLongestIdle() {
-    return closed(oldest(null));
+    return closeIfPresent(oldest(null));
   }
 
-  private static boolean closed(RpcConnection connection) {
+  private static boolean closeIfPresent(RpcConnection connection) {
     if (connection != null) {
       connection.close();
     }
--- a/src/test/java/pumicekeel/upstream/jsonrpc/RpcConnectionTest.java
+++ b/src/test/java/pumicekeel/upstream/jsonrpc/RpcConnectionTest.java
@@ -40,7 +40,7 @@
 /** Which calls may have run when a connection breaks during a write, compared with what a plain server socket received. */
 class RpcConnectionTest {
 
-  private static final long LONG = 60_000_000_000L;
+  private static final long LONG_NANOS = 60_000_000_000L;
 
   private final EventLoop loop =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -55,8 +55,8 @@
 
   private UpstreamLink link(InetSocketAddress address) throws Exception {
     return loop.submit(() -> {
-          RpcLinks links =
-              new RpcLinks(Reactor.of(loop), LONG, LONG, new UpstreamSockets(10), settings);
+          RpcLinks links = new RpcLinks(
+              Reactor.of(loop), LONG_NANOS, LONG_NANOS, new UpstreamSockets(10), settings);
           links.resize(0, 1, 0);
           return links.of(address);
         })
@@ -64,8 +64,8 @@
   }
 
   private UpstreamAttempt send(UpstreamLink link, int n, String text, boolean maySend, long nanos) {
-    RequestClass type =
-        new RequestClass("c", Effect.KEYED, DedupScope.ALL, LONG, LONG, 0, LONG, 1, 0, false);
+    RequestClass type = new RequestClass(
+        "c", Effect.KEYED, DedupScope.ALL, LONG_NANOS, LONG_NANOS, 0, LONG_NANOS, 1, 0, false);
     byte[] params = ("[" + n + ",\"" + text + "\"]").getBytes(StandardCharsets.US_ASCII);
     UpstreamAttempt attempt =
         link.attempt(n, 1, 0, (a, status, answer) -> outcomes.add(Map.entry(a.number, status)));
@@ -117,24 +117,25 @@
       List<UpstreamAttempt> sent = new ArrayList<>();
       // Until the connection accepts no more calls and one call gets no connection.
       for (int i = 0; i < 900 && outcomes.isEmpty(); i++) {
-        sent.add(send(link, i, text, true, LONG));
+        sent.add(send(link, i, text, true, LONG_NANOS));
         loop.submit(() -> {}).sync();
       }
-      Set<Integer> may = new HashSet<>();
-      Set<Integer> never = new HashSet<>();
+      Set<Integer> mayHaveRun = new HashSet<>();
+      Set<Integer> notRun = new HashSet<>();
       // On a slow machine the last call may use a new connection after the failed one, where it has
       // no outcome.
-      for (Map.Entry<Integer, Status> o = outcome();
-          o != null;
-          o = outcomes.poll(1, TimeUnit.SECONDS)) {
+      for (Map.Entry<Integer, Status> outcome = outcome();
+          outcome != null;
+          outcome = outcomes.poll(1, TimeUnit.SECONDS)) {
         assertTrue(
-            o.getValue() == Status.RESET || o.getValue() == Status.CONNECT_FAILED, o.toString());
-        (o.getValue() == Status.RESET ? may : never).add(o.getKey());
+            outcome.getValue() == Status.RESET || outcome.getValue() == Status.CONNECT_FAILED,
+            outcome.toString());
+        (outcome.getValue() == Status.RESET ? mayHaveRun : notRun).add(outcome.getKey());
       }
-      assertFalse(may.isEmpty(), "some calls were written completely");
+      assertFalse(mayHaveRun.isEmpty(), "some calls were written completely");
       assertTrue(
-          may.size() + never.size() >= sent.size() - 1 && !never.isEmpty(),
-          "some calls were not: " + never);
+          mayHaveRun.size() + notRun.size() >= sent.size() - 1 && !notRun.isEmpty(),
+          "some calls were not: " + notRun);
       Set<Integer> arrived = new HashSet<>();
       try (Socket socket = server.accept();
           BufferedReader in = new BufferedReader(
@@ -146,10 +147,11 @@
           }
         }
       }
-      assertEquals(may, arrived, "calls that arrived completely are those that may have run");
+      assertEquals(
+          mayHaveRun, arrived, "calls that arrived completely are those that may have run");
       sent.stream()
           .filter(a -> !a.inFlight())
-          .forEach(a -> assertEquals(may.contains(a.number), a.mayHaveRun()));
+          .forEach(a -> assertEquals(mayHaveRun.contains(a.number), a.mayHaveRun()));
     }
   }
 
@@ -174,15 +176,16 @@
           }
         });
         reader.start();
-        send(link, 0, "y".repeat(40_000), true, LONG);
-        Map.Entry<Integer, Status> o = outcome();
+        send(link, 0, "y".repeat(40_000), true, LONG_NANOS);
+        Map.Entry<Integer, Status> outcome = outcome();
         reader.join();
         if (whole.get()) {
           complete++;
-          assertEquals(Status.RESET, o.getValue(), "the server received the whole call");
+          assertEquals(Status.RESET, outcome.getValue(), "the server received the whole call");
         } else {
           assertTrue(
-              o.getValue() == Status.RESET || o.getValue() == Status.CONNECT_FAILED, o.toString());
+              outcome.getValue() == Status.RESET || outcome.getValue() == Status.CONNECT_FAILED,
+              outcome.toString());
         }
       }
     }
@@ -194,7 +197,7 @@
     try (ServerSocket server = server(0)) {
       UpstreamLink link = link(address(server));
       for (int i = 0; i < 5; i++) {
-        send(link, i, "", i != 2, LONG);
+        send(link, i, "", i != 2, LONG_NANOS);
       }
       try (Socket socket = server.accept();
           BufferedReader in = new BufferedReader(
@@ -223,7 +226,7 @@
       InetSocketAddress nobody = address(closed);
       closed.close();
       UpstreamLink link = link(nobody);
-      send(link, 7, "", true, LONG);
+      send(link, 7, "", true, LONG_NANOS);
       assertEquals(Map.entry(7, Status.CONNECT_FAILED), outcome());
     }
   }
@@ -238,7 +241,7 @@
         assertEquals('{', silent.getInputStream().read());
         // Nothing was received during the whole time-out: the next call uses a new connection, as
         // the machine may be down.
-        send(link, 2, "", true, LONG);
+        send(link, 2, "", true, LONG_NANOS);
         try (Socket next = server.accept();
             BufferedReader in = new BufferedReader(
                 new InputStreamReader(next.getInputStream(), StandardCharsets.US_ASCII))) {
@@ -256,7 +259,7 @@
   void staleConnectionIsDistinguishedFromAFailingServer() throws Exception {
     try (ServerSocket server = server(0)) {
       UpstreamLink link = link(address(server));
-      UpstreamAttempt first = send(link, 1, "", true, LONG);
+      UpstreamAttempt first = send(link, 1, "", true, LONG_NANOS);
       Socket socket = server.accept();
       BufferedReader in = new BufferedReader(
           new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
@@ -268,14 +271,13 @@
       assertEquals(Map.entry(1, Status.SERVED), outcome());
       assertFalse(first.stale());
       // The next call reuses the connection; the server closes it at the first byte.
-      UpstreamAttempt second = send(link, 2, "", true, LONG);
+      UpstreamAttempt second = send(link, 2, "", true, LONG_NANOS);
       assertTrue(in.readLine().contains("[2,"));
       socket.close();
       assertEquals(Map.entry(2, Status.RESET), outcome());
-      // Takes less than 50 ms on an idle machine; on a busy one it may take longer and the server
-      // is
-      // then held responsible, which is safe.
-      UpstreamAttempt third = send(link, 3, "", true, LONG);
+      // The reset arrives within 50 ms on an idle machine. On a busy one it may take longer, and
+      // the attempt then counts as a failure of the server, which is safe.
+      UpstreamAttempt third = send(link, 3, "", true, LONG_NANOS);
       Socket again = server.accept();
       again.close();
       assertEquals(Map.entry(3, Status.RESET), outcome());
