--- a/src/main/java/pumicekeel/config/OperatorConfiguration.java
+++ b/src/main/java/pumicekeel/config/OperatorConfiguration.java
@@ -47,7 +47,15 @@
   public record Process(
       Long clientSockets, Long upstreamSockets, Long openRequests, Long bodyBytes) {}
 
-  /** Where and how attempts of keyed and unsafe requests are recorded; takes effect only at start-up. */
+  /**
+   * Where and how attempts of keyed and unsafe requests are recorded; takes effect only at start-up.
+   *
+   * @param refusesInTrouble whether requests that cannot be recorded are refused; otherwise they are sent without a record
+   * @param maxWaitNanos how long an attempt waits for its record
+   * @param segmentBytes the size of one journal file
+   * @param keepBytes the total size up to which old files are kept
+   * @param keepMillis how long old files are kept
+   */
   public record Journal(
       Path directory,
       Durability durability,
@@ -57,8 +65,12 @@
       long keepBytes,
       long keepMillis) {}
 
-  /** A listener in addition to the platform's; {@code maxConnections} is null for an even share of the remaining connections,
-   * {@code rpc} is null if it speaks HTTP. */
+  /**
+   * A listener in addition to the platform's.
+   *
+   * @param maxConnections its limit on connections; null for an even share of the remaining ones
+   * @param rpc its JSON-RPC settings; null if it speaks HTTP
+   */
   public record Listener(
       String name, InetSocketAddress address, Long maxConnections, CallSettings rpc) {}
 
@@ -149,7 +161,7 @@
     }
   }
 
-  /** Values of the four rules for a pool's upstreams; null where the platform's apply. */
+  /** Parameters of the platform's rules ({@link Contract}) for a pool; null where the platform's values apply. */
   public record ContractOverrides(
       Long drainGraceNanos,
       Double coldFrom,
--- a/src/main/java/pumicekeel/config/RpcReader.java
+++ b/src/main/java/pumicekeel/config/RpcReader.java
@@ -58,22 +58,22 @@
 
   /** Reads {@code [[methods]]}, each for one listener or for all JSON-RPC listeners. */
   void methods(Section root, Map<String, Section> listeners) {
-    List<String> speaking = listeners.entrySet().stream()
+    List<String> jsonRpcListeners = listeners.entrySet().stream()
         .filter(e -> "json-rpc".equals(e.getValue().text("protocol", null)))
         .map(Map.Entry::getKey)
         .toList();
-    speaking.forEach(name -> methods.put(name, new LinkedHashMap<>()));
+    jsonRpcListeners.forEach(name -> methods.put(name, new LinkedHashMap<>()));
     List<Section> entries = root.tables("methods");
     if (entries.size() > MAX_METHODS) {
       root.addFault("methods", "expected at most " + MAX_METHODS + ", got " + entries.size());
       return;
     }
     for (Section s : entries) {
-      method(s, speaking);
+      method(s, jsonRpcListeners);
     }
   }
 
-  private void method(Section s, List<String> speaking) {
+  private void method(Section s, List<String> jsonRpcListeners) {
     String listener = s.text("listener", null);
     String name = s.requiredText("name", "the method's name as clients call it");
     String className = s.requiredText("class", "the class that the method's calls are of");
@@ -90,12 +90,12 @@
       s.addFault("host", "expected a host name");
     }
     s.reportUnknownKeys();
-    if (listener != null && !speaking.contains(listener)) {
+    if (listener != null && !jsonRpcListeners.contains(listener)) {
       s.addFault(
           "listener",
           "expected a listener of this file with protocol = \"json-rpc\", got \"" + listener
               + "\"");
-    } else if (speaking.isEmpty()) {
+    } else if (jsonRpcListeners.isEmpty()) {
       s.addFault("name", "expected a listener with protocol = \"json-rpc\" for it");
     }
     if (name != null && (name.length() > Limits.MAX_METHOD_LENGTH || name.startsWith("rpc."))) {
@@ -108,10 +108,13 @@
       return;
     }
     MethodMapping mapping = new MethodMapping(name, className, host, sources, path);
-    for (String at : listener == null ? speaking : List.of(listener)) {
-      if (methods.containsKey(at) && methods.get(at).putIfAbsent(name, mapping) != null) {
+    for (String listenerName : listener == null ? jsonRpcListeners : List.of(listener)) {
+      if (methods.containsKey(listenerName)
+          && methods.get(listenerName).putIfAbsent(name, mapping) != null) {
         s.addFault(
-            "name", "expected a name of its own at listener " + at + ", \"" + name + "\" is taken");
+            "name",
+            "expected a name of its own at listener " + listenerName + ", \"" + name
+                + "\" is taken");
       }
     }
   }
@@ -123,11 +126,11 @@
       return null;
     }
     if (s.holds(key, Map.class)) {
-      Section at = s.table(key);
-      JsonPointer pointer =
-          pointer(at, at.requiredText("pointer", "a JSON Pointer into the params"));
-      Boolean optional = at.bool("optional");
-      at.reportUnknownKeys();
+      Section pointerTable = s.table(key);
+      JsonPointer pointer = pointer(
+          pointerTable, pointerTable.requiredText("pointer", "a JSON Pointer into the params"));
+      Boolean optional = pointerTable.bool("optional");
+      pointerTable.reportUnknownKeys();
       return pointer == null ? null : new MethodMapping.At(pointer, Boolean.TRUE.equals(optional));
     }
     if (number) {
@@ -191,10 +194,10 @@
 
   /** Reads a listener's JSON-RPC settings; null if it speaks HTTP. */
   CallSettings listener(String name, Section s) {
-    Boolean speaks = s.choice("protocol", PROTOCOLS);
-    Section own = s.table("json-rpc");
-    if (!Boolean.TRUE.equals(speaks)) {
-      if (own != null) {
+    Boolean jsonRpc = s.choice("protocol", PROTOCOLS);
+    Section table = s.table("json-rpc");
+    if (!Boolean.TRUE.equals(jsonRpc)) {
+      if (table != null) {
         s.addFault("json-rpc", "expected only with protocol = \"json-rpc\"");
       }
       return null;
@@ -228,9 +231,9 @@
 
   /** Reads a pool's JSON-RPC settings; null if its upstreams speak HTTP. */
   static ServerSettings pool(Section s) {
-    Boolean speaks = s.choice("protocol", PROTOCOLS);
+    Boolean jsonRpc = s.choice("protocol", PROTOCOLS);
     Section r = s.table("json-rpc");
-    if (!Boolean.TRUE.equals(speaks)) {
+    if (!Boolean.TRUE.equals(jsonRpc)) {
       if (r != null) {
         s.addFault("json-rpc", "expected only with protocol = \"json-rpc\"");
       }
--- a/src/main/java/pumicekeel/config/TomlDiagnosis.java
+++ b/src/main/java/pumicekeel/config/TomlDiagnosis.java
@@ -69,7 +69,7 @@
     } catch (JsonProcessingException e) {
       return fromParserException(text, e, reader.line());
     } catch (DateTimeParseException e) {
-      return fault(lineOfDate(text, reader.line(), e.getParsedString()), "a date that there is");
+      return fault(lineOfDate(text, reader.line(), e.getParsedString()), "an existing date");
     } catch (IOException | RuntimeException | AssertionError e) {
       return fault(reader.line(), "text that can be read");
     }
--- a/src/test/java/pumicekeel/config/RpcReaderTest.java
+++ b/src/test/java/pumicekeel/config/RpcReaderTest.java
@@ -134,30 +134,31 @@
         "host = \"Rates.Example.org\"|host = \"a b\"|methods[0].host: expected a host name",
         "[pools.h]|[pools.h]\\nprotocol = \"grpc\"|pools.h.protocol: expected one of http, json-rpc"
       })
-  void eachFaultIsReportedWithItsKey(String was, String now, String told) {
+  void eachFaultIsReportedWithItsKey(String before, String after, String expectedFault) {
     String text = GOOD.replace("\\n", "\n");
-    String from = was.replace("\\n", "\n");
+    String from = before.replace("\\n", "\n");
     assertTrue(text.contains(from), from);
     OperatorReader.Result result =
-        OperatorReader.read(text.replace(from, now.replace("\\n", "\n")));
+        OperatorReader.read(text.replace(from, after.replace("\\n", "\n")));
     assertNull(result.operator());
     assertTrue(
-        result.faults().stream().anyMatch(f -> (f.key() + ": " + f.expected()).startsWith(told)),
-        () -> told + " not among " + result.faults());
+        result.faults().stream()
+            .anyMatch(f -> (f.key() + ": " + f.expected()).startsWith(expectedFault)),
+        () -> expectedFault + " not among " + result.faults());
   }
 
   @Test
   void listenerWithoutMethodsAndMethodsWithoutAListenerAreFaults() {
-    OperatorReader.Result none =
+    OperatorReader.Result withoutMethods =
         OperatorReader.read("[listeners.a]\naddress = \"127.0.0.1:7001\"\nprotocol = \"json-rpc\"\n"
             + "[pools.p]\n[[routes]]\npool = \"p\"\n");
     assertTrue(
-        none.faults().toString().contains("expected at least one method"),
-        none.faults().toString());
-    OperatorReader.Result nobody = OperatorReader.read(
+        withoutMethods.faults().toString().contains("expected at least one method"),
+        withoutMethods.faults().toString());
+    OperatorReader.Result withoutListener = OperatorReader.read(
         "[[methods]]\nname = \"m\"\nclass = \"c\"\n[pools.p]\n[[routes]]\n" + "pool = \"p\"\n");
     assertTrue(
-        nobody.faults().toString().contains("expected a listener with protocol"),
-        nobody.faults().toString());
+        withoutListener.faults().toString().contains("expected a listener with protocol"),
+        withoutListener.faults().toString());
   }
 }
--- a/src/test/java/pumicekeel/config/TomlDocumentTest.java
+++ b/src/test/java/pumicekeel/config/TomlDocumentTest.java
@@ -148,8 +148,8 @@
   @Test
   void faultHasItsOwnLineNotThatOfTheNextToken() {
     onlyFault("[[routes]\n\n# c\npool = \"a\"\n", 1, "STD_TABLE_CLOSE");
-    onlyFault("a = 1\nb = 2026-13-45\n# c\n\nc = 1\n", 2, "a date that there is");
-    onlyFault("a = 1\nb = { d = 2026-13-45, e = 1 }\nc = 1\n", 2, "a date that there is");
+    onlyFault("a = 1\nb = 2026-13-45\n# c\n\nc = 1\n", 2, "an existing date");
+    onlyFault("a = 1\nb = { d = 2026-13-45, e = 1 }\nc = 1\n", 2, "an existing date");
     onlyFault("a = \"one\nb = 1\n", 1, "Newline");
     onlyFault("a = tru\nb = 1\n", 1, "TOML");
     onlyFault("a = 1\nb = " + "9".repeat(100_000) + "\nc = 1\n", 2, "number");
