--- a/src/main/java/pumicekeel/call/Client.java
+++ b/src/main/java/pumicekeel/call/Client.java
@@ -3,6 +3,7 @@
 /** Receives the final answer of a request. */
 public interface Client {
 
+  /** Called with the answer of an upstream, which is final. */
   void served(Answer answer);
 
   /**
@@ -22,8 +23,10 @@
     return true;
   }
 
+  /** Called when the request is refused, so that its client may repeat it; 0 nanoseconds mean that no Retry-After is sent. */
   void refused(long retryAfterNanos);
 
+  /** Called when the request has failed: no answer arrived, and it may have run. */
   void failed();
 
   /**
--- a/src/main/java/pumicekeel/call/ClientRequest.java
+++ b/src/main/java/pumicekeel/call/ClientRequest.java
@@ -9,7 +9,14 @@
 import pumicekeel.Balancer.RequestClass;
 import pumicekeel.Balancer.Settings;
 
-/** A client's request, validated against the protocol and the settings. */
+/**
+ * A client's request, validated against the protocol and the settings.
+ *
+ * @param key the session key, or null
+ * @param leftNanos time left for an answer, at most the class's deadline
+ * @param hintNanos the client's estimate of the work; 0 for none
+ * @param retry whether the client declares the request to be a repeat
+ */
 public record ClientRequest(
     String id,
     RequestClass type,
--- a/src/main/java/pumicekeel/call/Upload.java
+++ b/src/main/java/pumicekeel/call/Upload.java
@@ -23,13 +23,13 @@
   private Runnable onComplete = () -> {};
 
   /**
-   * {@code length} is -1 if the client did not declare it; {@code prefix} is what was received; {@code client}
-   * controls the rest.
+   * {@code length} is -1 if the client did not declare it; {@code prefix} is what was received so far; {@code clientFlow}
+   * pauses and resumes the client.
    */
-  public Upload(long length, byte[] kept, FlowControl client) {
+  public Upload(long length, byte[] prefix, FlowControl clientFlow) {
     this.length = length;
-    this.prefix = kept;
-    this.clientFlow = client;
+    this.prefix = prefix;
+    this.clientFlow = clientFlow;
   }
 
   public long length() {
--- a/src/main/java/pumicekeel/operation/Rotation.java
+++ b/src/main/java/pumicekeel/operation/Rotation.java
@@ -24,9 +24,9 @@
     CLOSING_ALL
   }
 
-  /** The front's poll, its 0.2 s and a delayed loop: any earlier, a client could lose its only connection. */
+  /** Covers the front's polling interval, the 0.2 s of forwarding and a delayed loop: earlier, a client could lose its only connection. */
   static final long FINAL_RESPONSES_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
-  /** By then most connections have had a response and were closed with it. */
+  /** Late enough that most connections have had a response and were closed with it. */
   static final long CLOSING_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_400);
   /** Before the limit of 2 s, with a margin for a delayed loop. */
   static final long CLOSING_ALL_NANOS = TimeUnit.MILLISECONDS.toNanos(1_800);
--- a/src/main/java/pumicekeel/runtime/ListeningChannel.java
+++ b/src/main/java/pumicekeel/runtime/ListeningChannel.java
@@ -26,7 +26,7 @@
   /** How long a close waits for the backlog while accepting fails. */
   private static final long MAX_CLOSING_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
-  /** An interrupted poll reports nothing. */
+  /** Polls before the backlog counts as empty: a poll that is interrupted reports nothing. */
   private static final int POLLS = 2;
 
   private record PendingDescriptor(JdkSockets.AcceptedDescriptor accepted, long since) {}
@@ -69,26 +69,26 @@
   }
 
   /** Opens the channel of a descriptor; returns false if that fails temporarily. */
-  private boolean openChannel(PendingDescriptor one, List<Object> into) {
+  private boolean openChannel(PendingDescriptor pending, List<Object> into) {
     try {
       SocketChannel socket =
-          jdk.channelOf(one.accepted(), familyOf(one.accepted().peer()));
-      into.add(channelOf(socket, one.since()));
+          jdk.channelOf(pending.accepted(), familyOf(pending.accepted().peer()));
+      into.add(channelOf(socket, pending.since()));
       return true;
     } catch (IOException e) {
-      if (System.nanoTime() - one.since() < MAX_OPENING_NANOS) {
+      if (System.nanoTime() - pending.since() < MAX_OPENING_NANOS) {
         return false;
       }
       Log.rateLimited("closed an accepted connection whose channel could not be opened, from "
-          + one.accepted().peer() + ": " + e);
-      closeDescriptor(one);
+          + pending.accepted().peer() + ": " + e);
+      closeDescriptor(pending);
       return true;
     }
   }
 
-  private void closeDescriptor(PendingDescriptor one) {
+  private void closeDescriptor(PendingDescriptor pending) {
     try {
-      jdk.close(one.accepted());
+      jdk.close(pending.accepted());
     } catch (IOException e) {
       Log.rateLimited("could not close a descriptor: " + e);
     }
@@ -136,17 +136,17 @@
 
   private void retryPending() {
     retryScheduled = false;
-    List<Object> made = new ArrayList<>();
-    pendingDescriptors.removeIf(one -> openChannel(one, made));
-    fireAccepted(made);
+    List<Object> openedChannels = new ArrayList<>();
+    pendingDescriptors.removeIf(pending -> openChannel(pending, openedChannels));
+    fireAccepted(openedChannels);
     if (!pendingDescriptors.isEmpty()) {
       scheduleRetry();
     }
   }
 
-  private void fireAccepted(List<Object> made) {
-    if (!made.isEmpty()) {
-      made.forEach(pipeline()::fireChannelRead);
+  private void fireAccepted(List<Object> openedChannels) {
+    if (!openedChannels.isEmpty()) {
+      openedChannels.forEach(pipeline()::fireChannelRead);
       pipeline().fireChannelReadComplete();
     }
   }
@@ -170,24 +170,24 @@
   }
 
   private void drainBacklogAndClose(int maxConnections, long closeAt) {
-    List<Object> line = new ArrayList<>();
+    List<Object> acceptedChannels = new ArrayList<>();
     boolean drained = false;
     try {
       int accepted = 1;
-      while (line.size() < maxConnections && accepted > 0) {
-        accepted = doReadMessages(line);
+      while (acceptedChannels.size() < maxConnections && accepted > 0) {
+        accepted = doReadMessages(acceptedChannels);
       }
       drained = true;
     } catch (IOException e) {
       Log.rateLimited("accepting the backlog at the close failed: " + e);
     }
-    fireAccepted(line);
+    fireAccepted(acceptedChannels);
     if (System.nanoTime() - closeAt >= 0 || drained && pendingDescriptors.isEmpty()) {
       pendingDescriptors.forEach(this::closeDescriptor);
       preCloseSocket();
       close();
     } else {
-      int left = maxConnections - line.size();
+      int left = maxConnections - acceptedChannels.size();
       eventLoop()
           .schedule(() -> drainBacklogAndClose(left, closeAt), RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/pumicekeel/runtime/Log.java
+++ b/src/main/java/pumicekeel/runtime/Log.java
@@ -17,19 +17,19 @@
   private static final AtomicInteger RATE_LIMITED_IN_SECOND = new AtomicInteger();
 
   /**
-   * Receives this thread's lines instead of standard error; null for none. Used by simulations to read a program's
+   * Receives this thread's lines in place of standard error; null for none. Used by simulations to read a program's
    * log.
    */
-  private static final ThreadLocal<Consumer<String>> READER = new ThreadLocal<>();
+  private static final ThreadLocal<Consumer<String>> REDIRECTION = new ThreadLocal<>();
 
   private Log() {}
 
   /** Redirects this thread's lines; null for standard error. */
-  public static void redirect(Consumer<String> reader) {
-    if (reader == null) {
-      READER.remove();
+  public static void redirect(Consumer<String> receiver) {
+    if (receiver == null) {
+      REDIRECTION.remove();
     } else {
-      READER.set(reader);
+      REDIRECTION.set(receiver);
     }
   }
 
@@ -38,7 +38,7 @@
    * without a notice. A redirected thread's lines are not limited.
    */
   public static void rateLimited(String text) {
-    if (READER.get() != null) {
+    if (REDIRECTION.get() != null) {
       line(text);
       return;
     }
@@ -58,9 +58,9 @@
 
   /** Logs a line; never waits for the reader of the log. */
   public static void line(String text) {
-    Consumer<String> reader = READER.get();
-    if (reader != null) {
-      reader.accept(text);
+    Consumer<String> receiver = REDIRECTION.get();
+    if (receiver != null) {
+      receiver.accept(text);
       return;
     }
     LogWriter.SYSTEM.line(text.replace('\n', ' ').replace('\r', ' '));
--- a/src/main/java/pumicekeel/runtime/LoopLag.java
+++ b/src/main/java/pumicekeel/runtime/LoopLag.java
@@ -92,10 +92,10 @@
   public long undeliveredSince() {
     long now = clock.now();
     Stall last = lastStall;
-    long looked = Math.min(now, due - PERIOD_NANOS);
+    long lastTick = Math.min(now, due - PERIOD_NANOS);
     return last != null && now - last.until < SIGNAL_DELIVERY_NANOS
-        ? Math.min(last.from, looked)
-        : looked;
+        ? Math.min(last.from, lastTick)
+        : lastTick;
   }
 
   /** Returns how long bytes read now have waited in their socket, on average. Loop thread only. */
--- a/src/main/java/pumicekeel/runtime/PeriodicTask.java
+++ b/src/main/java/pumicekeel/runtime/PeriodicTask.java
@@ -10,11 +10,11 @@
   private PeriodicTask() {}
 
   /** Repeats a task, each run the given time after the end of the last one, until the future is cancelled. */
-  public static Future<?> every(long millis, EventLoop loop, Runnable round) {
+  public static Future<?> every(long millis, EventLoop loop, Runnable task) {
     return loop.scheduleWithFixedDelay(
         () -> {
           try {
-            round.run();
+            task.run();
           } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             Log.rateLimited(
--- a/src/main/java/pumicekeel/runtime/Retry.java
+++ b/src/main/java/pumicekeel/runtime/Retry.java
@@ -17,8 +17,8 @@
   private Retry() {}
 
   /**
-   * Returns the result of a call, which is repeated for up to {@code maxMillis} while it fails temporarily or for a
-   * single descriptor; then, or if it fails in another way, throws its error. Each retry is logged.
+   * Returns the result of a call, which is repeated for up to {@code maxMillis} while it fails with a known error that is
+   * not {@link FailureScope#PERMANENT}; then, or after any other error, throws that error. Each retry is logged.
    */
   public static <T> T call(String what, long maxMillis, Call<T> call)
       throws IOException, InterruptedException {
--- a/src/main/java/pumicekeel/runtime/TolerantSocketChannel.java
+++ b/src/main/java/pumicekeel/runtime/TolerantSocketChannel.java
@@ -26,7 +26,7 @@
   private static final int MAX_OPTION_ATTEMPTS = 500;
   /** Immediate attempts at a direct read; if all fail, the state is unknown. */
   private static final int MAX_READ_ATTEMPTS = 16;
-  /** An interrupted poll reports nothing. */
+  /** Polls before the socket counts as having no input: a poll that is interrupted reports nothing. */
   private static final int POLLS = 2;
 
   /** Since when reads fail; 0 if the last one succeeded. */
--- a/src/test/java/pumicekeel/runtime/LogWriterTest.java
+++ b/src/test/java/pumicekeel/runtime/LogWriterTest.java
@@ -34,14 +34,14 @@
   @Test
   @Timeout(30)
   void stalledReaderDelaysNobodyAndDiscardedLinesAreCounted() {
-    CountDownLatch goesOn = new CountDownLatch(1);
+    CountDownLatch resume = new CountDownLatch(1);
     ByteArrayOutputStream read = new ByteArrayOutputStream();
-    PrintStream out = stalled(goesOn, read);
+    PrintStream out = stalled(resume, read);
     LogWriter log = new LogWriter(() -> out);
     for (int i = 0; i < 10_000; i++) {
       log.line("line " + i);
     }
-    goesOn.countDown();
+    resume.countDown();
     log.flush(20_000);
     List<String> lines = read.toString().lines().toList();
     assertEquals("line 0", lines.get(0));
--- a/src/test/java/pumicekeel/runtime/RetryTest.java
+++ b/src/test/java/pumicekeel/runtime/RetryTest.java
@@ -13,29 +13,30 @@
 
   private int calls;
 
-  private int failing(int times, Throwable how) throws IOException {
+  private int failing(int times, Throwable error) throws IOException {
     calls++;
     if (calls <= times) {
-      if (how instanceof Error error) {
-        throw error;
+      if (error instanceof Error fatal) {
+        throw fatal;
       }
-      throw (IOException) how;
+      throw (IOException) error;
     }
     return calls;
   }
 
-  private int tryIt(int times, Throwable how, long mostMillis)
+  private int callWithRetry(int times, Throwable error, long maxMillis)
       throws IOException, InterruptedException {
-    return Retry.call("a test", mostMillis, () -> failing(times, how));
+    return Retry.call("a test", maxMillis, () -> failing(times, error));
   }
 
   @Test
   void temporaryFailureIsRetried() throws Exception {
-    assertEquals(4, tryIt(3, new IOException("Too many open files"), 60_000));
+    assertEquals(4, callWithRetry(3, new IOException("Too many open files"), 60_000));
     calls = 0;
-    assertEquals(2, tryIt(1, new OutOfMemoryError("unable to create native thread"), 60_000));
+    assertEquals(
+        2, callWithRetry(1, new OutOfMemoryError("unable to create native thread"), 60_000));
     calls = 0;
-    assertEquals(2, tryIt(1, new IOException("/x: Input/output error"), 60_000));
+    assertEquals(2, callWithRetry(1, new IOException("/x: Input/output error"), 60_000));
   }
 
   @Test
@@ -46,7 +47,7 @@
       new IOException("line 3: expected a number")
     }) {
       calls = 0;
-      assertEquals(e, assertThrows(IOException.class, () -> tryIt(1, e, 60_000)));
+      assertEquals(e, assertThrows(IOException.class, () -> callWithRetry(1, e, 60_000)));
       assertEquals(1, calls);
     }
   }
@@ -54,6 +55,7 @@
   @Test
   void lastErrorIsThrownOnceTheTimeIsUp() {
     assertThrows(
-        IOException.class, () -> tryIt(1_000_000, new IOException("Cannot allocate memory"), 50));
+        IOException.class,
+        () -> callWithRetry(1_000_000, new IOException("Cannot allocate memory"), 50));
   }
 }
