--- a/src/main/java/pumicekeel/node/AdmittedRequest.java
+++ b/src/main/java/pumicekeel/node/AdmittedRequest.java
@@ -26,7 +26,7 @@
 
   private final ServicePools pools;
   private final Route route;
-  /** Whether an earlier request with the same idempotency key ties this one to its pool. */
+  /** Whether the request has to stay in its pool, because that may have run an earlier one with the same idempotency key. */
   private final boolean pinned;
 
   private final long startedAt;
@@ -73,7 +73,7 @@
   }
 
   @Override
-  public boolean submit(ClientRequest accepted, Client to) throws InvalidRequest {
+  public boolean submit(ClientRequest accepted, Client recipient) throws InvalidRequest {
     String reason = pool.objection(accepted);
     if (reason != null) {
       throw new InvalidRequest(400, reason);
@@ -82,7 +82,7 @@
       return false;
     }
     request = accepted;
-    client = to;
+    client = recipient;
     acceptedAt = pools.now();
     queued = true;
     if (!pools.offer(pool, this::begin)) {
@@ -100,43 +100,43 @@
     send(request.withTimeLeft(request.leftNanos() - (pools.now() - acceptedAt)));
   }
 
-  private void send(ClientRequest now) {
-    if (now.type().effect() == Effect.KEYED && now.idempotencyKey() != null) {
-      pools.recordHome(now, pool);
+  private void send(ClientRequest sent) {
+    if (sent.type().effect() == Effect.KEYED && sent.idempotencyKey() != null) {
+      pools.recordHome(sent, pool);
       keyRecorded = true;
     }
-    if (!pools.isJournaled(now, pool) ? !pool.core().submit(now, this) : !record(now)) {
+    if (!pools.isJournaled(sent, pool) ? !pool.core().submit(sent, this) : !record(sent)) {
       // A request with this id ended just before and one of its attempts is still in flight: this
       // one has not run.
       refused(pools.retryAfter(pool));
     }
   }
 
-  /** Admits a journalled request: refused while the journal cannot be written, and subject to earlier attempts of its key. */
-  private boolean record(ClientRequest now) {
+  /** Submits a journalled request with the earlier attempts of its key; refuses it while the journal cannot be written. */
+  private boolean record(ClientRequest sent) {
     long wait = pools.journal().retryAfterNanos();
     if (wait > 0) {
       refused(pools.cappedRetryAfter(pool, wait));
       return true;
     }
-    return pool.core().submit(now, this, pools.journal().earlier(now), this);
+    return pool.core().submit(sent, this, pools.journal().earlier(sent), this);
   }
 
   @Override
   public void beforeAttempt(
-      ClientRequest of, int attempt, HostList.Host upstream, Runnable proceed, Runnable cancel) {
+      ClientRequest sent, int attempt, HostList.Host upstream, Runnable proceed, Runnable cancel) {
     recorded = true;
-    pools.journal().before(of, pool.home(), attempt, upstream, proceed, cancel);
+    pools.journal().before(sent, pool.home(), attempt, upstream, proceed, cancel);
   }
 
   @Override
-  public void requestWritten(ClientRequest of, int attempt) {
-    pools.journal().written(of, attempt);
+  public void requestWritten(ClientRequest sent, int attempt) {
+    pools.journal().written(sent, attempt);
   }
 
   @Override
-  public void attemptEnded(ClientRequest of, int attempt, Status status) {
-    pools.journal().ended(of, attempt, status);
+  public void attemptEnded(ClientRequest sent, int attempt, Status status) {
+    pools.journal().ended(sent, attempt, status);
   }
 
   private void recordOutcome(Told outcome) {
@@ -190,26 +190,26 @@
   /** A streamed answer ends when its last piece is written or when it is cut off. */
   @Override
   public BodySink beginStream(AnswerStart start, FlowControl source) {
-    BodySink to = client.beginStream(start, source);
-    return to == null
+    BodySink recipient = client.beginStream(start, source);
+    return recipient == null
         ? null
         : new BodySink() {
           @Override
           public void onChunk(ByteBuf bytes) {
-            to.onChunk(bytes);
+            recipient.onChunk(bytes);
           }
 
           @Override
           public void onComplete() {
             finish(End.SERVED);
-            to.onComplete();
+            recipient.onComplete();
             recordOutcome(Told.SERVED);
           }
 
           @Override
           public void onTruncated() {
             finish(End.FAILED);
-            to.onTruncated();
+            recipient.onTruncated();
             recordOutcome(Told.FAILED);
           }
         };
--- a/src/main/java/pumicekeel/node/AttemptJournal.java
+++ b/src/main/java/pumicekeel/node/AttemptJournal.java
@@ -19,8 +19,8 @@
 /** Journals the attempts of keyed and unsafe requests and tracks which of them may have run. Event loop only. */
 final class AttemptJournal {
 
-  /** Shortest retry-after advice while the disk fails. */
-  private static final long MIN_RETRY_NANOS = 10_000_000L;
+  /** Minimum Retry-After while the disk fails. */
+  private static final long MIN_RETRY_AFTER_NANOS = 10_000_000L;
 
   private final EventLoop loop;
   private final Clock clock;
@@ -42,10 +42,10 @@
     return memory;
   }
 
-  /** Returns the retry-after advice while the disk fails; 0 if requests may be admitted. */
+  /** Returns the Retry-After while the disk fails; 0 if requests may be admitted. */
   long retryAfterNanos() {
-    long trouble = writer.refusesInTrouble() ? writer.retryDelayNanos() : 0;
-    return trouble == 0 ? 0 : Math.max(MIN_RETRY_NANOS, trouble);
+    long retryDelay = writer.refusesInTrouble() ? writer.retryDelayNanos() : 0;
+    return retryDelay == 0 ? 0 : Math.max(MIN_RETRY_AFTER_NANOS, retryDelay);
   }
 
   private static String nameOf(ClientRequest request) {
--- a/src/main/java/pumicekeel/node/DeliveredConfiguration.java
+++ b/src/main/java/pumicekeel/node/DeliveredConfiguration.java
@@ -69,7 +69,7 @@
         inForce = stored.version();
         Duration age =
             Duration.ofMillis(Math.max(0, System.currentTimeMillis() - stored.storedAtMillis()));
-        Log.line("configuration: version " + inForce + ", taken " + age.toSeconds()
+        Log.line("configuration: version " + inForce + ", stored " + age.toSeconds()
             + " s ago, is in force until the control machines deliver a newer one");
         return;
       }
--- a/src/main/java/pumicekeel/node/DepartureSharing.java
+++ b/src/main/java/pumicekeel/node/DepartureSharing.java
@@ -32,30 +32,30 @@
   private long tickAt;
   private boolean closed;
 
-  private DepartureSharing(Reactor on, Configuration configuration, PeerAddresses addresses) {
-    loop = on.loop();
-    clock = on.clock();
+  private DepartureSharing(Reactor reactor, Configuration configuration, PeerAddresses addresses) {
+    loop = reactor.loop();
+    clock = reactor.clock();
     seed = configuration.seed() ^ configuration.name().hashCode();
     size = addresses.members().size();
     peers = new PeerBroadcast(loop, addresses, configuration.settings().me(), this::onDatagram);
   }
 
   /** Returns an instance if the settings allow datagrams between peers and lists are fetched on request; else null. */
-  static DepartureSharing of(Reactor on, Configuration configuration) {
+  static DepartureSharing of(Reactor reactor, Configuration configuration) {
     Settings settings = configuration.settings();
     PeerAddresses addresses = PeerAddresses.of(configuration.read());
     return addresses == null || !settings.limits().peers() || !settings.listOnRequest()
         ? null
-        : new DepartureSharing(on, configuration, addresses);
+        : new DepartureSharing(reactor, configuration, addresses);
   }
 
   /** Starts sharing the departures of this list. */
-  void share(UpstreamSource of) {
-    if (of == null || of.currency() == null) {
+  void share(UpstreamSource listSource) {
+    if (listSource == null || listSource.currency() == null) {
       return;
     }
-    source = of;
-    exchange = new DepartureExchange(of.currency(), size, seed);
+    source = listSource;
+    exchange = new DepartureExchange(listSource.currency(), size, seed);
     source.shareDepartures(exchange);
     peers.open();
     scheduleTick();
--- a/src/main/java/pumicekeel/node/LentQuotas.java
+++ b/src/main/java/pumicekeel/node/LentQuotas.java
@@ -12,7 +12,7 @@
 import pumicekeel.quota.QuotaExchange;
 import pumicekeel.quota.QuotaSettings;
 
-/** Enters the pools' tenants in the fleet's quota exchange and carries its datagrams on the members' socket. Event loop only. */
+/** Connects the pools' tenants to the fleet's quota exchange, whose datagrams use the members' socket. Event loop only. */
 final class LentQuotas implements PeerService {
 
   private final QuotaExchange exchange;
@@ -30,10 +30,10 @@
     Map<String, Double> quotas = new HashMap<>();
     tenants.clear();
     for (ServicePool pool : pools) {
-      List<Tenant> with =
+      List<Tenant> limited =
           pool.settings().tenants().stream().filter(t -> t.quotaPerSecond() > 0).toList();
-      tenants.put(pool.name(), with.stream().map(Tenant::name).toList());
-      with.forEach(t -> quotas.put(key(pool.name(), t.name()), t.quotaPerSecond()));
+      tenants.put(pool.name(), limited.stream().map(Tenant::name).toList());
+      limited.forEach(t -> quotas.put(key(pool.name(), t.name()), t.quotaPerSecond()));
     }
     exchange.setQuotas(quotas, System.nanoTime());
     version++;
@@ -46,17 +46,17 @@
   /** Returns the source of one pool's rates. */
   QuotaSource of(String pool) {
     return new QuotaSource() {
-      private long seen;
+      private long seenVersion;
 
       @Override
       public Map<String, Double> requestArrived(String tenant, long now) {
         long at = System.nanoTime();
         exchange.recordRequests(key(pool, tenant), 1, at);
         version += exchange.ratesChanged(at) ? 1 : 0;
-        if (seen == version) {
+        if (seenVersion == version) {
           return null;
         }
-        seen = version;
+        seenVersion = version;
         Map<String, Double> rates = new HashMap<>();
         tenants
             .getOrDefault(pool, List.of())
@@ -66,7 +66,7 @@
     };
   }
 
-  /** Lowest rate passed to a module, which treats 0 as no quota at all. */
+  /** Lowest rate passed to a module, in requests per second: 0 would mean that the tenant has no quota. */
   private static final double MIN_RATE = 1e-6;
 
   /** Returns the requests per second of a tenant's quota that this instance may admit now. */
--- a/src/main/java/pumicekeel/node/Listeners.java
+++ b/src/main/java/pumicekeel/node/Listeners.java
@@ -23,10 +23,10 @@
 
   /** Interval at which the connections of a removed listener are checked. */
   private static final long POLL_MILLIS = 20;
-  /** Requests that clients of a removed listener still begin are answered within this time; then the connections are closed. */
+  /** After this time, connections of a removed listener on which a request is still incomplete are closed. */
   private static final long CLOSE_GRACE_MILLIS = 2_000;
 
-  private record Side(OperatorConfiguration.Listener spec, Front side) {}
+  private record ActiveListener(OperatorConfiguration.Listener spec, Front front) {}
 
   private final Reactor reactor;
   private final LoopLag lag;
@@ -35,7 +35,7 @@
   private final HttpFront platform;
   private final int maxTotal;
   private final RequestIds ids;
-  private final Map<String, Side> sides = new LinkedHashMap<>();
+  private final Map<String, ActiveListener> active = new LinkedHashMap<>();
   private final List<Front> retired = new ArrayList<>();
 
   Listeners(
@@ -84,22 +84,22 @@
   Map<String, Front> bind(OperatorConfiguration next) throws IOException, InterruptedException {
     Map<String, Front> bound = new LinkedHashMap<>();
     List<Integer> plan = plan(maxTotal, next);
-    Map<String, Side> present =
-        loop.submit(() -> Map.copyOf(sides)).syncUninterruptibly().getNow();
+    Map<String, ActiveListener> present =
+        loop.submit(() -> Map.copyOf(active)).syncUninterruptibly().getNow();
     int i = 1;
     for (OperatorConfiguration.Listener l : next.listeners().values()) {
       int maxConnections = plan.get(i++);
-      Side now = present.get(l.name());
+      ActiveListener now = present.get(l.name());
       if (now != null
           && now.spec().address().equals(l.address())
           && (now.spec().rpc() == null) == (l.rpc() == null)) {
         continue;
       }
-      Front side = l.rpc() == null
+      Front front = l.rpc() == null
           ? new HttpFront(reactor, lag, l.name(), router, maxConnections, null)
           : new RpcFront(reactor, l.name(), router, maxConnections, l.rpc(), ids);
       try {
-        side.listen(l.address(), false);
+        front.listen(l.address(), false);
       } catch (Exception e) {
         bound.values().forEach(Front::stopListening);
         if (e instanceof InterruptedException interrupted) {
@@ -108,7 +108,7 @@
         throw new IOException("listeners." + l.name() + ".address: cannot listen at " + l.address()
             + ": " + e.getMessage());
       }
-      bound.put(l.name(), side);
+      bound.put(l.name(), front);
     }
     return bound;
   }
@@ -117,53 +117,53 @@
   void apply(OperatorConfiguration next, Map<String, Front> bound, boolean ready) {
     List<Integer> plan = plan(maxTotal, next);
     platform.setMaxConnections(plan.get(0));
-    List.copyOf(sides.keySet()).stream()
+    List.copyOf(active.keySet()).stream()
         .filter(name -> !next.listeners().containsKey(name) || bound.containsKey(name))
-        .forEach(name -> retire(sides.remove(name).side()));
+        .forEach(name -> retire(active.remove(name).front()));
     int i = 1;
     for (OperatorConfiguration.Listener l : next.listeners().values()) {
       int maxConnections = plan.get(i++);
-      Front side = bound.containsKey(l.name())
+      Front front = bound.containsKey(l.name())
           ? bound.get(l.name())
-          : sides.get(l.name()).side();
-      sides.put(l.name(), new Side(l, side));
-      side.setMaxConnections(maxConnections);
-      if (side instanceof RpcFront calls) {
+          : active.get(l.name()).front();
+      active.put(l.name(), new ActiveListener(l, front));
+      front.setMaxConnections(maxConnections);
+      if (front instanceof RpcFront calls) {
         calls.settings(l.rpc());
       }
       if (bound.containsKey(l.name())) {
         if (ready) {
-          side.setReady();
+          front.setReady();
         }
-        side.startAccepting();
-        Log.line("listens as " + l.name() + " at " + side.address());
+        front.startAccepting();
+        Log.line("listens as " + l.name() + " at " + front.address());
       }
     }
   }
 
   /** Returns the address at which a listener of the operator file is bound; null if there is none of that name. */
   InetSocketAddress address(String name) {
-    return sides.containsKey(name) ? sides.get(name).side().address() : null;
+    return active.containsKey(name) ? active.get(name).front().address() : null;
   }
 
-  private void retire(Front side) {
-    side.drain();
-    side.stopListening();
-    retired.add(side);
+  private void retire(Front front) {
+    front.drain();
+    front.stopListening();
+    retired.add(front);
     long end = reactor.clock().now() + TimeUnit.MILLISECONDS.toNanos(CLOSE_GRACE_MILLIS);
-    closeRetired(side, end);
+    closeRetired(front, end);
   }
 
   /** Closes each connection after its next answer, idle ones at once and those with a partly received request after a grace. */
-  private void closeRetired(Front side, long end) {
-    side.closeIdle();
+  private void closeRetired(Front front, long end) {
+    front.closeIdle();
     if (reactor.clock().now() - end >= 0) {
-      side.closeIncomplete();
+      front.closeIncomplete();
     }
-    if (side.isClosed()) {
-      retired.remove(side);
+    if (front.isClosed()) {
+      retired.remove(front);
     } else {
-      loop.schedule(() -> closeRetired(side, end), POLL_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> closeRetired(front, end), POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -187,27 +187,27 @@
     all().forEach(Front::stopListening);
   }
 
-  void lastAnswers() {
+  void closeAfterAnswers() {
     all().forEach(Front::closeAfterAnswers);
   }
 
-  void closeUntaken() {
+  void closeIncomplete() {
     all().forEach(Front::closeIncomplete);
   }
 
-  int open() {
+  int openConnections() {
     return all().stream().mapToInt(Front::openConnections).sum();
   }
 
   /** Whether no listener has an open connection or can get another. */
-  boolean ended() {
+  boolean isClosed() {
     return all().stream().allMatch(Front::isClosed);
   }
 
   private List<Front> all() {
     List<Front> all = new ArrayList<>();
     all.add(platform);
-    sides.values().forEach(s -> all.add(s.side()));
+    active.values().forEach(s -> all.add(s.front()));
     all.addAll(retired);
     return all;
   }
--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -34,13 +34,15 @@
 import pumicekeel.runtime.Retry;
 import sun.misc.Signal;
 
-/** A balancer that serves on sockets, all of it on one event-loop thread. */
+/** A balancer that serves on sockets, with a single event-loop thread. */
 public final class Node {
 
-  /** New clients still arrive for 0.4 s after SIGTERM, and SIGKILL follows after the longest deadline (at most 3 s) plus 0.7 s. Requests
+  /**
+   * New clients still arrive for 0.4 s after SIGTERM, and SIGKILL follows after the longest deadline (at most 3 s) plus 0.7 s. Requests
    * accepted before SIGTERM expire by that deadline, so all are answered by then; the 0.7 s cover a process that is stalled at the worst
-   * moment. Clients reuse their connections while these are open, and another balancer may be down: until one second before the end they
-   * are served as usual. */
+   * moment. Clients reuse their connections while these are open, and another balancer may be down: until one second before the longest
+   * deadline they are served as usual.
+   */
   private static final long ACCEPT_MILLIS = 500;
 
   private static final long MAX_DEADLINE_MILLIS = 3_000;
@@ -50,7 +52,7 @@
   private static final long START_RETRY_MILLIS = 15_000;
   /** How long the process waits for the last log lines to be written. */
   private static final long LOG_FLUSH_MILLIS = 100;
-  /** Connections of the warm-up to the balancer itself, if it can't use the clients' socket. */
+  /** Limit on the warm-up's connections to the balancer itself, if these can't use the clients' socket. */
   private static final int WARM_UP_SOCKETS = 64;
   /** Interval at which the step of an evacuation is checked. */
   private static final long EVACUATION_POLL_MILLIS = 20;
@@ -221,10 +223,10 @@
     Map<String, Front> bound = firstGeneration == null
         ? Map.of()
         : Retry.call("listeners", START_RETRY_MILLIS, () -> listeners.bind(firstGeneration));
-    HttpFront warmUpSide = configuration.inherited()
+    HttpFront warmUpFront = configuration.inherited()
         ? new HttpFront(reactor, lag, "warm-up", pools.router(), WARM_UP_SOCKETS, warmUpPath)
         : null;
-    InetSocketAddress address = warmUpSide == null
+    InetSocketAddress address = warmUpFront == null
         ? Retry.call(
             "listener",
             START_RETRY_MILLIS,
@@ -232,12 +234,12 @@
         : Retry.call(
             "listener", START_RETRY_MILLIS, () -> listeners.platform().adopt(inheritedSocket()));
     // Other processes that share an inherited socket may accept the connections of the warm-up.
-    InetSocketAddress self = warmUpSide == null
+    InetSocketAddress self = warmUpFront == null
         ? address
         : Retry.call(
             "warm-up listener",
             START_RETRY_MILLIS,
-            () -> warmUpSide.listen(new InetSocketAddress(address.getAddress(), 0)));
+            () -> warmUpFront.listen(new InetSocketAddress(address.getAddress(), 0)));
     loop.execute(() -> {
       pools.start();
       if (departures != null) {
@@ -247,20 +249,20 @@
         listeners.apply(firstGeneration, bound, false);
         Log.line("serves the pools " + servicePools.summary());
       }
-      Runnable then = () -> serve(warmUpSide, address);
+      Runnable onWarm = () -> serve(warmUpFront, address);
       if (warmsUp) {
-        WarmUp.run(reactor, lag, self, warmUpPath, configuration.settings(), then);
+        WarmUp.run(reactor, lag, self, warmUpPath, configuration.settings(), onWarm);
       } else {
-        then.run();
+        onWarm.run();
       }
     });
     return address;
   }
 
-  private void serve(HttpFront warmUpSide, InetSocketAddress address) {
-    if (warmUpSide != null) {
-      warmUpSide.stopListening();
-      warmUpSide.closeIdle();
+  private void serve(HttpFront warmUpFront, InetSocketAddress address) {
+    if (warmUpFront != null) {
+      warmUpFront.stopListening();
+      warmUpFront.closeIdle();
     }
     listeners.setReady();
     acceptsRequests = true;
@@ -316,7 +318,7 @@
       if (firstGeneration.peers().lendQuotas()) {
         LentQuotas quotas = new LentQuotas(me, all.size(), epoch, configuration.seed() - me);
         loop.submit(() -> {
-              servicePools.lend(quotas);
+              servicePools.setQuotas(quotas);
               peers.attach(quotas);
             })
             .syncUninterruptibly();
@@ -478,9 +480,9 @@
       return;
     }
     switch (step) {
-      case FINAL_RESPONSES -> listeners.lastAnswers();
+      case FINAL_RESPONSES -> listeners.closeAfterAnswers();
       case CLOSING_IDLE -> listeners.closeIdle();
-      case CLOSING_ALL -> listeners.closeUntaken();
+      case CLOSING_ALL -> listeners.closeIncomplete();
       default -> {}
     }
     loop.schedule(this::advanceEvacuation, EVACUATION_POLL_MILLIS, TimeUnit.MILLISECONDS);
@@ -503,7 +505,7 @@
               .max()
               .orElse(0));
       long delay = reactor.clock().now() - signalledAt;
-      pools.endBy(Math.max(0, TimeUnit.MILLISECONDS.toNanos(end) - delay));
+      pools.limitDeadlines(Math.max(0, TimeUnit.MILLISECONDS.toNanos(end) - delay));
       // On a socket shared with other processes the next process accepts already, or the kernel
       // queues clients until it does.
       long accept = configuration.inherited() ? 0 : ACCEPT_MILLIS;
@@ -511,7 +513,7 @@
       if (configuration.supervised() || configuration.inherited()) {
         // Other instances can serve the clients, so they are told with a response: a bare close may
         // cross a request in transit.
-        loop.schedule(listeners::lastAnswers, accept, TimeUnit.MILLISECONDS);
+        loop.schedule(listeners::closeAfterAnswers, accept, TimeUnit.MILLISECONDS);
       }
       loop.schedule(
           this::finishDrain,
@@ -523,8 +525,8 @@
   }
 
   private void finishDrain() {
-    listeners.closeUntaken();
-    if (listeners.ended()) {
+    listeners.closeIncomplete();
+    if (listeners.isClosed()) {
       Log.line(configuration.name() + " has drained");
       drained.countDown();
     } else {
--- a/src/main/java/pumicekeel/node/NodePools.java
+++ b/src/main/java/pumicekeel/node/NodePools.java
@@ -22,8 +22,8 @@
   /** Applies what the platform's configuration may change at run time: discovery and settings. Event loop only. */
   void reload(Configuration next);
 
-  /** Has all open requests answered before the process ends, after this time. Event loop only. */
-  void endBy(long nanos);
+  /** Limits the time left of all open requests, so that they are answered before the process ends. Event loop only. */
+  void limitDeadlines(long nanos);
 
   /** Answers all open requests at once, before an immediate end of the process. Event loop only. */
   void answerAll();
--- a/src/main/java/pumicekeel/node/ServicePool.java
+++ b/src/main/java/pumicekeel/node/ServicePool.java
@@ -42,7 +42,7 @@
 
   /** The objects shared by all pools of a process. */
   record Shared(
-      Reactor on,
+      Reactor reactor,
       LoopLag lag,
       UpstreamSockets sockets,
       SharedCapacity open,
@@ -52,7 +52,7 @@
       Consumer<RuntimeException> defect) {}
 
   private OperatorConfiguration.Pool spec;
-  /** Built once, since a repeat of a key compares it with that of each pool. A change of its parts creates a new pool. */
+  /** Built once, since it is compared for each repeat of a key. A change of one of its parts creates a new pool. */
   private final String home;
 
   private final Shared shared;
@@ -65,7 +65,7 @@
   final FairQueue.PoolQueue queue;
   /** The upstreams that this pool selects from the list, as the list has them. */
   private final Map<Long, HostList.Host> hosts = new LinkedHashMap<>();
-  /** Receives the other pools whose view of an upstream has changed, with its addresses. */
+  /** Receives the other pools whose modules have to be notified again, each with the addresses of the changed upstreams. */
   private final Consumer<Map<ServicePool, Set<InetSocketAddress>>> onSharedChange;
 
   ServicePool(
@@ -87,7 +87,7 @@
     core = new BalancerCore(
         settings,
         new AdaptiveBalancer(settings, seed),
-        shared.on(),
+        shared.reactor(),
         shared.lag(),
         connections,
         shared.defect());
@@ -99,14 +99,14 @@
     var limits = settings.limits();
     return spec.rpc() == null
         ? new ConnectionPool(
-            shared.on(),
+            shared.reactor(),
             limits.connectTimeoutNanos(),
             limits.connectionIdleNanos(),
             shared.sockets(),
             0,
             0)
         : new RpcLinks(
-            shared.on(),
+            shared.reactor(),
             limits.connectTimeoutNanos(),
             limits.connectionIdleNanos(),
             shared.sockets(),
@@ -142,14 +142,14 @@
   }
 
   /** Applies changed settings. */
-  void retune(Settings next) {
+  void applySettings(Settings next) {
     connections.setTimeouts(
         next.limits().connectTimeoutNanos(), next.limits().connectionIdleNanos());
     core.applySettings(next);
   }
 
   /** Sets the exchange that lends and borrows tenants' quotas; null for even shares. */
-  void lend(LentQuotas quotas) {
+  void setQuotas(LentQuotas quotas) {
     core.setQuotaSource(quotas == null ? null : quotas.of(name()));
   }
 
@@ -275,7 +275,7 @@
     return host.withListed(shared.upstreams().withSharing(this, host.address(), host.listed()));
   }
 
-  /** Reports the upstreams at these addresses to the module again after another pool has received an update of them. */
+  /** Passes the upstreams at these addresses to the module again, after an update by which another pool changed what they share. */
   void reannounce(Set<InetSocketAddress> addresses) {
     List<HostList.Host> again = hosts.values().stream()
         .filter(h -> addresses.contains(h.address()))
--- a/src/main/java/pumicekeel/node/ServicePools.java
+++ b/src/main/java/pumicekeel/node/ServicePools.java
@@ -80,7 +80,7 @@
   private RouteTable table;
   private InetSocketAddress platformDiscovery;
   private AttemptJournal journal;
-  private LentQuotas lending;
+  private LentQuotas quotas;
   private boolean queueScheduled;
   private boolean sweepScheduled;
   private boolean started;
@@ -146,7 +146,7 @@
     return journal != null && pool.spec().journal().covers(request.type());
   }
 
-  /** Returns a retry-after advice within the pool's limits; 0 if its clients are given none. */
+  /** Returns this Retry-After within the pool's limits; 0 if the pool's clients get none. */
   long cappedRetryAfter(ServicePool pool, long nanos) {
     var limits = pool.settings().limits();
     return limits.retryAfter() ? Math.min(nanos, limits.maxRetryAfterNanos()) : 0;
@@ -257,7 +257,7 @@
   @Override
   public void reload(Configuration next) {
     configuration = next;
-    pools.values().forEach(p -> p.retune(settingsOf(p.spec())));
+    pools.values().forEach(p -> p.applySettings(settingsOf(p.spec())));
     quotasChanged();
     platformDiscovery = next.discovery();
     sources
@@ -310,12 +310,12 @@
     for (OperatorConfiguration.Pool spec : next.pools().values()) {
       Settings settings = settingsOf(spec);
       ServicePool pool = pools.get(spec.name());
-      if (pool == null || !sameUpstreams(pool, spec, before) || !retuned(pool, settings)) {
+      if (pool == null || !sameUpstreams(pool, spec, before) || !appliesSettings(pool, settings)) {
         pool = newPool(spec, settings);
         added.add(pool);
       }
       pool.spec(spec);
-      pool.lend(lending);
+      pool.setQuotas(quotas);
       after.put(spec.name(), pool);
     }
     List<CapacityPlan.Allocation> socketParts =
@@ -340,8 +340,8 @@
         && Objects.equals(was.rpc(), spec.rpc());
   }
 
-  /** Applies other settings to a pool if its module supports the change; false if it needs a new module. */
-  private static boolean retuned(ServicePool pool, Settings next) {
+  /** Applies changed settings to a pool if its module supports the change; false if the pool needs a new module. */
+  private static boolean appliesSettings(ServicePool pool, Settings next) {
     Settings now = pool.settings();
     if (now.equals(next)) {
       return true;
@@ -349,7 +349,7 @@
     if (!withTenants(now, next.tenants()).equals(next)) {
       return false;
     }
-    pool.retune(next);
+    pool.applySettings(next);
     return true;
   }
 
@@ -381,19 +381,19 @@
   }
 
   /** Sets the exchange that lends and borrows tenants' quotas between the members of the fleet; null for even shares. */
-  void lend(LentQuotas quotas) {
-    lending = quotas;
-    pools.values().forEach(p -> p.lend(quotas));
+  void setQuotas(LentQuotas quotas) {
+    this.quotas = quotas;
+    pools.values().forEach(p -> p.setQuotas(quotas));
     quotasChanged();
   }
 
-  LentQuotas lending() {
-    return lending;
+  LentQuotas quotas() {
+    return quotas;
   }
 
   private void quotasChanged() {
-    if (lending != null) {
-      lending.pools(pools.values());
+    if (quotas != null) {
+      quotas.pools(pools.values());
     }
   }
 
@@ -486,17 +486,17 @@
       counters.countMalformed();
       throw new InvalidRequest(400, malformed.why());
     }
-    if (!(found instanceof RouteTable.Matched taken)) {
+    if (!(found instanceof RouteTable.Matched matched)) {
       counters.countNoRoute();
       throw new InvalidRequest(404, "no route");
     }
     ServicePool home = home(head);
-    ServicePool pool = home == null ? poolFor(taken.route(), head) : home;
+    ServicePool pool = home == null ? poolFor(matched.route(), head) : home;
     if (!pool.open.tryAcquire(1)) {
       counters.countPoolFull();
       throw new InvalidRequest(503, "this pool is full", retryAfter(pool));
     }
-    return new AdmittedRequest(this, taken.route(), pool, home != null, clock.now());
+    return new AdmittedRequest(this, matched.route(), pool, home != null, clock.now());
   }
 
   /** Returns the pool that may have run a request with the same idempotency key, or null. */
@@ -609,7 +609,7 @@
   // Stop
 
   @Override
-  public void endBy(long nanos) {
+  public void limitDeadlines(long nanos) {
     Log.line("requests: " + counters.logLine());
     all().forEach(p -> p.core().limitDeadlines(nanos));
   }
--- a/src/main/java/pumicekeel/node/SinglePool.java
+++ b/src/main/java/pumicekeel/node/SinglePool.java
@@ -88,7 +88,7 @@
   }
 
   @Override
-  public void endBy(long nanos) {
+  public void limitDeadlines(long nanos) {
     core.limitDeadlines(nanos);
   }
 
--- a/src/main/java/pumicekeel/node/WarmUp.java
+++ b/src/main/java/pumicekeel/node/WarmUp.java
@@ -51,7 +51,7 @@
   private final Clock clock;
   private final ConnectionPool pool;
   private final BalancerCore core;
-  private final HttpFront side;
+  private final HttpFront front;
   private final Runnable done;
   private final long endAt;
   private final List<Tenant> tenants;
@@ -113,7 +113,7 @@
         lag,
         pool,
         e -> Log.line("defect of the module while warming up: " + e));
-    side = new HttpFront(reactor, lag, "warm-up", new SinglePoolRouter(core), CONCURRENCY, null);
+    front = new HttpFront(reactor, lag, "warm-up", new SinglePoolRouter(core), CONCURRENCY, null);
     tenants = served.tenants();
   }
 
@@ -124,7 +124,7 @@
     }
     core.start(new HostList(0, true, hosts), active -> {});
     for (int i = 0; i < CONCURRENCY; i++) {
-      ClientHandler handler = new ClientHandler(side);
+      ClientHandler handler = new ClientHandler(front);
       clients.add(new EmbeddedChannel(
           new RequestDecoder(handler::acceptBytes), new HttpResponseEncoder(), handler));
     }
--- a/src/test/java/pumicekeel/node/AdminCallsTest.java
+++ b/src/test/java/pumicekeel/node/AdminCallsTest.java
@@ -106,7 +106,7 @@
         TestClient.Reply reply = open.read();
         assertEquals("fine", reply.body(), "a request accepted before is answered");
         assertTrue(reply.head().contains("connection: close"));
-        TestNode.until(() -> node.node.listeners().open() == 0);
+        TestNode.until(() -> node.node.listeners().openConnections() == 0);
         assertTrue(call(admin, "activate\n").startsWith("YES"));
         assertTrue(call(admin, "readyz\n").startsWith("YES"));
         try (TestClient again = new TestClient(node.address)) {
--- a/src/test/java/pumicekeel/node/BalancerCoreTest.java
+++ b/src/test/java/pumicekeel/node/BalancerCoreTest.java
@@ -100,13 +100,13 @@
   }
 
   private ClientRequest request(String id, String type, long leftMillis) {
-    var of = settings.classes().stream()
+    var requestClass = settings.classes().stream()
         .filter(c -> c.name().equals(type))
         .findFirst()
         .orElseThrow();
     return new ClientRequest(
         id,
-        of,
+        requestClass,
         "acme",
         "k",
         leftMillis * 1_000_000,
@@ -117,17 +117,17 @@
         null);
   }
 
-  private void take(String id, String type, long leftMillis) throws Exception {
-    take(id, type, leftMillis, () -> {});
+  private void admit(String id, String type, long leftMillis) throws Exception {
+    admit(id, type, leftMillis, () -> {});
   }
 
   /** Admits a request and runs a task on the loop before anything more is read. */
-  private void take(String id, String type, long leftMillis, Runnable then) throws Exception {
+  private void admit(String id, String type, long leftMillis, Runnable then) throws Exception {
     ClientRequest request = request(id, type, leftMillis);
     assertTrue(loop.submit(() -> {
-          boolean taken = core.submit(request, client);
+          boolean admitted = core.submit(request, client);
           then.run();
-          return taken;
+          return admitted;
         })
         .get());
   }
@@ -160,7 +160,7 @@
 
   /** Beyond 1.25 times the aim of 2 s up to 1 s is reserved for a stall before the answer, below that 60 ms. */
   @Test
-  void timeOfNoWorthIsReservedForAStallOfTheProcess() throws Exception {
+  void timeInWhichAnswersAreWorthLittleIsReservedForAStall() throws Exception {
     start((event, out) -> {});
     assertEquals(19_000, BalancerCore.serviceTimeNanos(request("1", "look", 20_000)) / 1_000_000);
     assertEquals(2_600, BalancerCore.serviceTimeNanos(request("2", "look", 2_700)) / 1_000_000);
@@ -192,16 +192,16 @@
   @Test
   void requestIsAnsweredWithoutTheModulesDecision() throws Exception {
     start((event, out) -> {});
-    take("1", "order", 200);
+    admit("1", "order", 200);
     assertEquals("refused", answer(), "nothing ran");
-    take("1", "order", 200);
+    admit("1", "order", 200);
   }
 
   @Test
   void requestThatMayHaveRunFailsWithoutTheModulesDecision() throws Exception {
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {})) {
       start(BalancerCoreTest::sendOnRequest, upstream);
-      take("1", "order", 1_000);
+      admit("1", "order", 1_000);
       assertEquals("failed", answer());
     }
   }
@@ -223,13 +223,13 @@
             }
           },
           upstream);
-      take("1", "look", 15_000);
+      admit("1", "look", 15_000);
       Outcome late = outcome();
       assertEquals(Status.SERVED, late.status());
       assertTrue(late.finished());
       assertEquals("refused", answer());
       assertTrue(answers.isEmpty());
-      take("1", "look", 15_000);
+      admit("1", "look", 15_000);
     }
   }
 
@@ -238,9 +238,9 @@
     long stallNanos = 2_000_000_000L;
     try (FakeServer upstream = FakeServer.serving("fine")) {
       start(BalancerCoreTest::sendOnRequest, upstream);
-      take("1", "look", 15_000);
+      admit("1", "look", 15_000);
       outcome();
-      take("2", "look", 15_000, () -> {
+      admit("2", "look", 15_000, () -> {
         for (long end = System.nanoTime() + stallNanos; System.nanoTime() < end; ) {
           LockSupport.parkNanos(end - System.nanoTime());
         }
@@ -255,7 +255,7 @@
   @Test
   void plannedStopAnswersOpenRequestsBeforeItsEnd() throws Exception {
     start((event, out) -> {});
-    take("1", "look", 600_000);
+    admit("1", "look", 600_000);
     loop.submit(() -> core.limitDeadlines(100_000_000L)).get();
     assertEquals("refused", answer());
   }
@@ -272,12 +272,12 @@
       }
     })) {
       start(BalancerCoreTest::sendOnRequest, upstream);
-      take("1", "look", 15_000);
+      admit("1", "look", 15_000);
       assertFalse(outcome().staleConnection());
       broken.set(true);
-      take("2", "look", 15_000);
+      admit("2", "look", 15_000);
       assertTrue(outcome().staleConnection(), "kept");
-      take("3", "look", 15_000);
+      admit("3", "look", 15_000);
       Outcome onNew = outcome();
       assertEquals(Status.RESET, onNew.status());
       assertFalse(onNew.staleConnection(), "new");
@@ -291,8 +291,8 @@
         throw new IllegalStateException("defect");
       }
     });
-    take("1", "look", 15_000);
-    take("2", "look", 15_000);
+    admit("1", "look", 15_000);
+    admit("2", "look", 15_000);
     assertEquals("refused", answer());
     assertEquals("refused", answer());
     assertEquals("defect", defects.poll(30, TimeUnit.SECONDS).getMessage());
@@ -305,7 +305,7 @@
         out.accept(new FetchList());
       }
     });
-    take("1", "look", 15_000);
+    admit("1", "look", 15_000);
     assertTrue(defects.poll(30, TimeUnit.SECONDS).getMessage().contains("FetchList"));
   }
 
@@ -315,13 +315,13 @@
       start(BalancerCoreTest::sendOnRequest, upstream);
       Balancer.ListedUpstream leaving =
           new Balancer.ListedUpstream(UPSTREAM, "a", 1, State.DRAINING, 0, 1);
-      take("1", "look", 15_000);
+      admit("1", "look", 15_000);
       assertEquals(
           Status.SERVED, outcome().status(), "an idle connection makes the next send end at once");
       loop.submit(() -> core.updateList(
               new HostList(8, false, List.of(new HostList.Host(upstream.address(), leaving)))))
           .get();
-      take("2", "look", 15_000);
+      admit("2", "look", 15_000);
       assertEquals(Status.NOT_SENT, outcome().status());
       assertEquals(1, upstream.requests.size());
       assertFalse(nested);
@@ -347,7 +347,7 @@
             }
           },
           upstream);
-      take("1", "order", 15_000);
+      admit("1", "order", 15_000);
       assertEquals(Status.ERROR, outcome().status());
       assertEquals(Status.NOT_SENT, outcome().status());
       assertEquals(1, upstream.requests.size());
--- a/src/test/java/pumicekeel/node/ClientDisconnectBetweenAttemptsTest.java
+++ b/src/test/java/pumicekeel/node/ClientDisconnectBetweenAttemptsTest.java
@@ -75,7 +75,7 @@
       assertEquals(200, stays.call(TestClient.look("stays", LEFT_MILLIS, "")).status());
     }
     node.awaitLoopPass();
-    assertEquals(1, attemptsOf(upstream, "leaves"), () -> "sent on: " + upstream.requests);
+    assertEquals(1, attemptsOf(upstream, "leaves"), () -> "forwarded: " + upstream.requests);
   }
 
   @ParameterizedTest
@@ -193,7 +193,7 @@
               200, first.call(TestClient.look("again" + i, LEFT_MILLIS, "")).status());
         }
         node.awaitLoopPass();
-        assertEquals(0, attemptsOf(upstream, "leaves"), () -> "sent on: " + upstream.requests);
+        assertEquals(0, attemptsOf(upstream, "leaves"), () -> "forwarded: " + upstream.requests);
       }
     }
   }
--- a/src/test/java/pumicekeel/node/ClientDisconnectTest.java
+++ b/src/test/java/pumicekeel/node/ClientDisconnectTest.java
@@ -57,7 +57,7 @@
     }
     assertTrue(
         upstream.requests.stream().allMatch(r -> r.contains("stays")),
-        () -> "sent on: " + upstream.requests);
+        () -> "forwarded: " + upstream.requests);
     assertEquals(calls, upstream.requests.size());
   }
 
@@ -112,7 +112,7 @@
             "throttled for as long, starting later");
       }
       TestNode.until(() -> node.node.listeners().platform().openConnections() == 0);
-      assertEquals(1, upstream.requests.size(), () -> "sent on: " + upstream.requests);
+      assertEquals(1, upstream.requests.size(), () -> "forwarded: " + upstream.requests);
     }
   }
 
--- a/src/test/java/pumicekeel/node/DeliveryProcessTest.java
+++ b/src/test/java/pumicekeel/node/DeliveryProcessTest.java
@@ -119,7 +119,7 @@
     control.kill();
     balancer.kill();
     Program again = balancer(address);
-    assertTrue(again.await("configuration: version").contains("version " + one + ", taken "));
+    assertTrue(again.await("configuration: version").contains("version " + one + ", stored "));
     again.await(" serves at ");
     Program controlAgain = control();
     InetSocketAddress newAddress = addressOf(controlAgain);
--- a/src/test/java/pumicekeel/node/DiscoveryTest.java
+++ b/src/test/java/pumicekeel/node/DiscoveryTest.java
@@ -36,8 +36,8 @@
     FakeServer.write(out, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
   }
 
-  private static String list(long index, boolean whole, String... endpoints) {
-    return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":["
+  private static String list(long index, boolean snapshot, String... endpoints) {
+    return "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":["
         + String.join(",", endpoints) + "]}\n";
   }
 
@@ -280,7 +280,7 @@
       assertTrue(terms.silenceMillis() > 2_500, "a heartbeat comes every 2 s");
       long delays = terms.connectMillis() + (onRequest ? 0 : terms.answerMillis());
       long known = onRequest
-          ? terms.silenceMillis() + BACK_OFF[0] + delays + BACK_OFF[1]
+          ? terms.silenceMillis() + BACK_OFF_MILLIS[0] + delays + BACK_OFF_MILLIS[1]
           : terms.silenceMillis() + 4 * (delays + terms.reopenMillis());
       assertTrue(known < due, "asked " + onRequest + ": " + known);
     }
@@ -290,7 +290,7 @@
         "a list that an agent has after its return is due at once");
   }
 
-  private static final long[] BACK_OFF = {500, 1_000};
+  private static final long[] BACK_OFF_MILLIS = {500, 1_000};
 
   private static Settings settings(boolean onRequest) {
     String json = onRequest
--- a/src/test/java/pumicekeel/node/GenerationsTest.java
+++ b/src/test/java/pumicekeel/node/GenerationsTest.java
@@ -95,26 +95,26 @@
     TestNode.until(() -> t.upstreams.get("q0").open() + t.upstreams.get("q1").open() >= 4);
     t.reload(file("limits = { max-attempts = 2 }", ""));
     assertEquals(1, retired(), "open requests stay in the pool that admitted them");
-    long then = quotes.count(Outcome.SERVED);
-    TestNode.until(() -> quotes.count(Outcome.SERVED) > then + 8);
+    long servedBefore = quotes.count(Outcome.SERVED);
+    TestNode.until(() -> quotes.count(Outcome.SERVED) > servedBefore + 8);
     t.reload(file(null, ""));
     TestNode.until(() -> quotes.count(Outcome.WRONG) > 0);
     TestNode.until(() -> retired() == 0);
     TestNode.until(() -> t.upstreams.get("q0").open() + t.upstreams.get("q1").open() == 0);
     assertNoneLost(quotes, true);
     assertNoneLost(rates, false);
-    // By the upstreams' logs no key ran twice.
-    long ran = t.upstreams.values().stream()
+    // The upstreams' logs show that no key ran twice.
+    long distinctKeys = t.upstreams.values().stream()
         .flatMap(u -> u.seen().stream())
         .filter(s -> s.key() != null)
         .map(StandInUpstream.Seen::key)
         .distinct()
         .count();
-    long seen = t.upstreams.values().stream()
+    long keyedRequests = t.upstreams.values().stream()
         .flatMap(u -> u.seen().stream())
         .filter(s -> s.key() != null)
         .count();
-    assertEquals(ran, seen);
+    assertEquals(distinctKeys, keyedRequests);
   }
 
   /** A new generation every 50 ms: changed settings and limits, an added route, an invalid file. */
--- a/src/test/java/pumicekeel/node/IsolationTest.java
+++ b/src/test/java/pumicekeel/node/IsolationTest.java
@@ -15,7 +15,7 @@
 import pumicekeel.standin.StandInUpstream;
 import pumicekeel.standin.StandInUpstream.Mode;
 
-/** Whatever happens in pool a, pool b's rate-lookup is answered within the wanted time. */
+/** Whatever happens in pool a, the rate-lookup requests of pool b are answered within the time limit. */
 class IsolationTest {
 
   /** Half the time-out of b's clients: longer than pauses of a busy machine, shorter than the faults in pool a. */
@@ -134,7 +134,7 @@
       thread.start();
       slow.add(thread);
     }
-    TestNode.until(() -> noRooms() > 50);
+    TestNode.until(() -> poolFullCount() > 50);
     List<Long> micros = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       long before = System.nanoTime();
@@ -217,7 +217,7 @@
         .mapToLong(StandInUpstream.Seen::atNanos);
   }
 
-  private long noRooms() {
+  private long poolFullCount() {
     try {
       return t.onLoop(() -> t.node.servicePools().counters().poolFullCount());
     } catch (Exception e) {
--- a/src/test/java/pumicekeel/node/LargeBodyTest.java
+++ b/src/test/java/pumicekeel/node/LargeBodyTest.java
@@ -363,8 +363,8 @@
         assertTrue(
             readHead(new DataInputStream(stops.getInputStream())).startsWith("HTTP/1.1 408"));
         TestNode.until(() -> upstream.open.stream().allMatch(LargeBodyTest::closedByPeer));
-        assertTrue(upstream.bodies.isEmpty(), "no request came whole");
-        TestNode.until(() -> node.node.listeners().open() == 0);
+        assertTrue(upstream.bodies.isEmpty(), "no request arrived completely");
+        TestNode.until(() -> node.node.listeners().openConnections() == 0);
       }
     }
   }
@@ -492,7 +492,7 @@
         } catch (IOException e) {
           // Closed by the balancer during the upload.
         }
-        TestNode.until(() -> node.node.listeners().open() <= 1);
+        TestNode.until(() -> node.node.listeners().openConnections() <= 1);
         assertTrue(upstream.bodies.isEmpty());
       }
     }
--- a/src/test/java/pumicekeel/node/PeersTest.java
+++ b/src/test/java/pumicekeel/node/PeersTest.java
@@ -119,7 +119,7 @@
 
   private static double rate(Node node) {
     return node.loop()
-        .submit(() -> node.servicePools().lending().rate("p", "t"))
+        .submit(() -> node.servicePools().quotas().rate("p", "t"))
         .syncUninterruptibly()
         .getNow();
   }
--- a/src/test/java/pumicekeel/node/RpcClientDisconnectTest.java
+++ b/src/test/java/pumicekeel/node/RpcClientDisconnectTest.java
@@ -60,9 +60,9 @@
     awaitLoopPass(stays, "b");
     t.standIns.submit(resets.peek()).sync();
     awaitLoopPass(stays, "c");
-    assertEquals(1, attempts(), () -> "sent on: " + server.seen());
+    assertEquals(1, attempts(), () -> "forwarded: " + server.seen());
     boolean behindSent = server.seen().stream().anyMatch(s -> s.params().contains("behind"));
-    assertFalse(behindSent, () -> "sent on: " + server.seen());
+    assertFalse(behindSent, () -> "forwarded: " + server.seen());
   }
 
   /** Makes some calls; with their answers the loop has read what had arrived at its sockets before. */
--- a/src/test/java/pumicekeel/node/RpcFrontTest.java
+++ b/src/test/java/pumicekeel/node/RpcFrontTest.java
@@ -339,7 +339,7 @@
     assertEquals(result("1", "1"), other.send(RpcFiles.lookup("1", "1")).next(TIMEOUT_MILLIS));
     TestNode.until(() -> {
       try {
-        return t.onLoop(() -> t.node.listeners().open()) == 1;
+        return t.onLoop(() -> t.node.listeners().openConnections()) == 1;
       } catch (Exception e) {
         throw new AssertionError(e);
       }
--- a/src/test/java/pumicekeel/node/SettingsReloadTest.java
+++ b/src/test/java/pumicekeel/node/SettingsReloadTest.java
@@ -15,7 +15,7 @@
 import pumicekeel.core.ActiveSettings;
 
 /** Changed settings at a reload, on sockets: added and removed classes, another effect, and invalid files. */
-class RetuneReloadTest {
+class SettingsReloadTest {
 
   @TempDir
   private Path folder;
--- a/src/test/java/pumicekeel/node/StopTest.java
+++ b/src/test/java/pumicekeel/node/StopTest.java
@@ -43,12 +43,12 @@
    * SIGKILL is not delayed for a process that handles SIGTERM late: its end is counted from the earliest time at which SIGTERM may have
    * arrived, whichever of its threads was delayed.
    */
-  @ParameterizedTest(name = "signal heard {0}")
+  @ParameterizedTest(name = "signal handled {0}")
   @ValueSource(
       strings = {
-        "at once, by a loop that stands still",
-        "as the process goes on",
-        "a moment after it goes on"
+        "at once, while the loop is stalled",
+        "when the process resumes",
+        "shortly after the process resumes"
       })
   void endIsCountedFromTheEarliestTimeOfTheSignal(String handled) throws Exception {
     long delayNanos = 1_000_000_000L;
@@ -58,14 +58,14 @@
       try (TestClient client = new TestClient(node.address)) {
         assertEquals(200, client.call(TestClient.look("before", 15_000, "")).status());
         CountDownLatch resume = node.stallLoop();
-        long asked = System.nanoTime();
+        long startedAt = System.nanoTime();
         if (handled.startsWith("at once")) {
           node.node.drain();
         }
-        TestNode.until(() -> System.nanoTime() - asked > delayNanos);
-        if (handled.startsWith("as")) {
+        TestNode.until(() -> System.nanoTime() - startedAt > delayNanos);
+        if (handled.startsWith("when")) {
           node.node.drain();
-        } else if (handled.startsWith("a moment")) {
+        } else if (handled.startsWith("shortly")) {
           // Queued behind the loop's own time check, since the signal's thread may run only after
           // that.
           node.node.loop().execute(() -> node.node.loop().execute(node.node::drain));
@@ -85,15 +85,15 @@
   @ParameterizedTest(name = "half {0}")
   @ValueSource(strings = {"a head", "a body"})
   void partlyReceivedRequestIsRefusedAtTheEnd(String half) throws Exception {
-    String whole = TestClient.order("1", 15_000);
-    int split = half.equals("a head") ? 60 : whole.length() - 2;
+    String request = TestClient.order("1", 15_000);
+    int split = half.equals("a head") ? 60 : request.length() - 2;
     try (FakeServer upstream = FakeServer.serving("fine")) {
       TestNode node = new TestNode(TestNode.unusedAddress(), 3, upstream);
       try (TestClient client = new TestClient(node.address)) {
-        client.send(whole.substring(0, split));
+        client.send(request.substring(0, split));
         node.awaitLoopPass();
-        node.node.loop().submit(() -> node.node.listeners().closeUntaken()).sync();
-        client.send(whole.substring(split));
+        node.node.loop().submit(() -> node.node.listeners().closeIncomplete()).sync();
+        client.send(request.substring(split));
         assertEquals(503, client.read().status());
         assertTrue(client.closedWithoutReset(), "and not by a reset");
       }
@@ -104,11 +104,11 @@
   /** Closing a socket with unread bytes resets the connection, and the last answer may be lost. */
   @Test
   void lastAnswerReachesAClientThatStillSends() throws Exception {
-    CountDownLatch asked = new CountDownLatch(1);
+    CountDownLatch received = new CountDownLatch(1);
     CountDownLatch release = new CountDownLatch(1);
     CountDownLatch answered = new CountDownLatch(1);
     try (FakeServer upstream = new FakeServer((request, connection, out) -> {
-      asked.countDown();
+      received.countDown();
       release.await();
       FakeServer.write(out, FakeServer.ok("fine"));
       answered.countDown();
@@ -116,7 +116,7 @@
       TestNode node = new TestNode(TestNode.unusedAddress(), 3, upstream);
       try (TestClient client = new TestClient(node.address)) {
         client.send(TestClient.look("1", 15_000, "Connection: close\r\n"));
-        asked.await();
+        received.await();
         CountDownLatch resume = node.stallLoop();
         AtomicBoolean reset = new AtomicBoolean();
         // More than is dropped at a time, and some of it before the answer.
