--- a/src/main/java/pumicekeel/journal/Codec.java
+++ b/src/main/java/pumicekeel/journal/Codec.java
@@ -195,12 +195,12 @@
       out.putShort((short) 0xffff);
       return;
     }
-    byte[] bytes = cut(text).getBytes(StandardCharsets.UTF_8);
+    byte[] bytes = truncate(text).getBytes(StandardCharsets.UTF_8);
     out.putShort((short) bytes.length).put(bytes);
   }
 
   /** Truncates a text as the journal stores it. A text to be looked up must be truncated in the same way. */
-  static String cut(String text) {
+  static String truncate(String text) {
     return text == null || text.length() <= MAX_TEXT_CHARS
         ? text
         : text.substring(0, MAX_TEXT_CHARS) + "~" + digest(text);
--- a/src/main/java/pumicekeel/journal/History.java
+++ b/src/main/java/pumicekeel/journal/History.java
@@ -201,7 +201,7 @@
 
   /** Whether a recorded text, which may be truncated, is this one. */
   public static boolean matchesRecorded(String text, String recorded) {
-    return Codec.cut(text).equals(recorded);
+    return Codec.truncate(text).equals(recorded);
   }
 
   public List<RequestHistory> requests() {
--- a/src/main/java/pumicekeel/journal/JournalWriter.java
+++ b/src/main/java/pumicekeel/journal/JournalWriter.java
@@ -144,9 +144,8 @@
       rejected.incrementAndGet();
       return;
     }
-    // No callback waits for it: it is written with the next intent or at the next poll, which saves
-    // the
-    // loop a wake-up.
+    // No callback waits for it: it is written with the next intent or at the next poll, so the loop
+    // need not wake the writer.
     queue.add(new QueuedRecord(entry, null));
     queued.incrementAndGet();
   }
@@ -313,9 +312,8 @@
     long bytes = stored.stream().mapToLong(Disk.Stored::bytes).sum();
     for (Disk.Stored s : stored) {
       if (openAttemptsBySegment.getOrDefault(s.name(), 0) > 0) {
-        // An attempt in it has no outcome yet: without its intent there would be no record that it
-        // may
-        // have run.
+        // An attempt in it has no outcome yet: without its intent there would be no record that the
+        // attempt may have run.
         continue;
       }
       boolean old = ageCounts && wall.getAsLong() - s.modifiedMillis() > settings.keepMillis();
@@ -368,9 +366,9 @@
       }
       openAttemptsBySegment.merge(name, 1, Integer::sum);
     } else if (entry instanceof Entry.Ended e) {
-      String in = segmentOfAttempt.remove(e.id() + "#" + e.attempt());
-      if (in != null) {
-        openAttemptsBySegment.computeIfPresent(in, (k, n) -> n == 1 ? null : n - 1);
+      String segmentName = segmentOfAttempt.remove(e.id() + "#" + e.attempt());
+      if (segmentName != null) {
+        openAttemptsBySegment.computeIfPresent(segmentName, (k, n) -> n == 1 ? null : n - 1);
       }
     }
   }
--- a/src/main/java/pumicekeel/journal/KeyMemory.java
+++ b/src/main/java/pumicekeel/journal/KeyMemory.java
@@ -9,8 +9,8 @@
 
 /**
  * Remembers the attempts of keyed and unsafe requests that may have run, from this process and from the tail of its
- * predecessor's journal. Repeats are decided on these facts. Bounded; the oldest entries are evicted first. Does no I/O; the
- * time is a parameter, in nanoseconds of the balancer's clock.
+ * predecessor's journal; they decide whether and where a repeat is sent. Bounded; the oldest entries are evicted first. Does
+ * no I/O; the time is a parameter, in nanoseconds of the balancer's clock.
  */
 public final class KeyMemory {
 
@@ -44,7 +44,7 @@
   /** Returns the entry name of a request: from its key, or from its id if it must not be repeated at all. */
   public static String entryName(Effect effect, String id, String key) {
     // Truncated as in the journal; otherwise a long key would not be recognized after a restart.
-    return entryNameOfRecord(effect, Codec.cut(id), Codec.cut(key));
+    return entryNameOfRecord(effect, Codec.truncate(id), Codec.truncate(key));
   }
 
   /** Returns the entry name for texts from the journal, which are truncated already. */
@@ -58,7 +58,7 @@
       String pool,
       String id,
       int attempt,
-      PriorAttempt fact,
+      PriorAttempt priorAttempt,
       long windowNanos,
       long now) {
     evictExpired(now);
@@ -67,9 +67,9 @@
       entry = new Remembered(pool);
       byName.put(name, entry);
     }
-    entry.attempts.put(id + "#" + attempt, fact);
-    entry.expiresAt =
-        Math.max(entry.expiresAt, fact.sentAtNanos() + windowNanos + RETENTION_MARGIN_NANOS);
+    entry.attempts.put(id + "#" + attempt, priorAttempt);
+    entry.expiresAt = Math.max(
+        entry.expiresAt, priorAttempt.sentAtNanos() + windowNanos + RETENTION_MARGIN_NANOS);
   }
 
   /** Removes an attempt whose outcome proves that it did not run. */
@@ -90,9 +90,9 @@
       return List.of();
     }
     List<PriorAttempt> out = new ArrayList<>(1);
-    entry.attempts.forEach((of, fact) -> {
-      if (!of.startsWith(id + "#")) {
-        out.add(fact);
+    entry.attempts.forEach((attemptName, priorAttempt) -> {
+      if (!attemptName.startsWith(id + "#")) {
+        out.add(priorAttempt);
       }
     });
     return out;
--- a/src/main/java/pumicekeel/journal/Recovery.java
+++ b/src/main/java/pumicekeel/journal/Recovery.java
@@ -13,13 +13,13 @@
 
   private record Sent(Entry.Intent intent, String hostBoot) {}
 
-  private final Map<String, Sent> open = new LinkedHashMap<>();
-  private final int maxOpen;
+  private final Map<String, Sent> mayHaveRun = new LinkedHashMap<>();
+  private final int maxAttempts;
   private String hostBoot = "";
   private long records;
 
-  public Recovery(int maxOpen) {
-    this.maxOpen = maxOpen;
+  public Recovery(int maxAttempts) {
+    this.maxAttempts = maxAttempts;
   }
 
   /** Adds the next record, in journal order. */
@@ -28,12 +28,12 @@
     if (entry instanceof Entry.Boot e) {
       hostBoot = e.hostBoot() == null ? "" : e.hostBoot();
     } else if (entry instanceof Entry.Intent e) {
-      open.put(e.id() + "#" + e.attempt(), new Sent(e, hostBoot));
-      if (open.size() > maxOpen) {
-        open.remove(open.keySet().iterator().next());
+      mayHaveRun.put(e.id() + "#" + e.attempt(), new Sent(e, hostBoot));
+      if (mayHaveRun.size() > maxAttempts) {
+        mayHaveRun.remove(mayHaveRun.keySet().iterator().next());
       }
     } else if (entry instanceof Entry.Ended e && e.status().provesNotRun()) {
-      open.remove(e.id() + "#" + e.attempt());
+      mayHaveRun.remove(e.id() + "#" + e.attempt());
     }
   }
 
@@ -49,7 +49,7 @@
   public int restoreTo(
       KeyMemory memory, String thisHostBoot, long wallMillis, long monoNanos, long now) {
     Map<String, Boolean> names = new HashMap<>();
-    for (Sent sent : open.values()) {
+    for (Sent sent : mayHaveRun.values()) {
       Entry.Intent e = sent.intent();
       boolean sameBoot = !sent.hostBoot().isEmpty() && sent.hostBoot().equals(thisHostBoot);
       long elapsedNanos =
--- a/src/main/java/pumicekeel/jsonrpc/FrameDecoder.java
+++ b/src/main/java/pumicekeel/jsonrpc/FrameDecoder.java
@@ -23,10 +23,15 @@
   private final ValueScanner scanner;
   private final BooleanSupplier accepting;
   private Framing framing;
+  /** The number of buffered bytes of the current message that need not be scanned again. */
   private int scanned;
+  /** The length that the last header states; -1 while no header is complete. */
   private int length = -1;
+
   private boolean failed;
+  /** A read is in progress; see {@link #resume}. */
   private boolean reading;
+
   private ChannelHandlerContext ctx;
 
   public FrameDecoder(Framing framing, Limits limits, BooleanSupplier accepting) {
--- a/src/main/java/pumicekeel/jsonrpc/MessageReader.java
+++ b/src/main/java/pumicekeel/jsonrpc/MessageReader.java
@@ -98,7 +98,7 @@
     List<Message.Entry> entries = new ArrayList<>();
     for (JsonToken t = p.nextToken(); t != JsonToken.END_ARRAY; t = p.nextToken()) {
       if (t == null) {
-        throw new IOException("cut");
+        throw new IOException("truncated");
       }
       if (entries.size() == limits.calls()) {
         throw new LimitExceededException("more than " + limits.calls() + " calls in a batch");
@@ -135,7 +135,7 @@
     Members m = new Members();
     while (p.nextToken() != JsonToken.END_OBJECT) {
       if (p.currentToken() != JsonToken.FIELD_NAME) {
-        throw new IOException("cut");
+        throw new IOException("truncated");
       }
       String name = p.currentName();
       JsonToken t = p.nextToken();
@@ -225,7 +225,7 @@
     boolean message = false;
     while (p.nextToken() != JsonToken.END_OBJECT) {
       if (p.currentToken() != JsonToken.FIELD_NAME) {
-        throw new IOException("cut");
+        throw new IOException("truncated");
       }
       String name = p.currentName();
       JsonToken t = p.nextToken();
@@ -253,7 +253,7 @@
     do {
       JsonToken t = p.currentToken();
       if (t == null) {
-        throw new IOException("cut");
+        throw new IOException("truncated");
       }
       if (t.isStructStart()) {
         open++;
--- a/src/main/java/pumicekeel/jsonrpc/ValueScanner.java
+++ b/src/main/java/pumicekeel/jsonrpc/ValueScanner.java
@@ -15,7 +15,7 @@
 
   private boolean batch;
   private int commas;
-  private boolean string;
+  private boolean inString;
   private boolean escaped;
   private int code;
   private boolean failed;
@@ -29,7 +29,7 @@
     depth = 0;
     kinds = 0;
     commas = 0;
-    string = false;
+    inString = false;
     escaped = false;
     failed = false;
     fault = null;
@@ -39,7 +39,7 @@
     return failed;
   }
 
-  /** Returns the reason for the failure, or null if the code says enough. */
+  /** Returns the details of the failure; null if there are none besides the code. */
   String fault() {
     return fault;
   }
@@ -62,7 +62,7 @@
   }
 
   private boolean step(byte b) {
-    if (string) {
+    if (inString) {
       if (b >= 0 && b < 0x20) {
         fail(ErrorCodes.PARSE, "a control character in a string");
       } else if (escaped) {
@@ -70,12 +70,12 @@
       } else if (b == '\\') {
         escaped = true;
       } else if (b == '"') {
-        string = false;
+        inString = false;
       }
       return false;
     }
     switch (b) {
-      case '"' -> string = true;
+      case '"' -> inString = true;
       case '{', '[' -> open(b == '{');
       case '}', ']' -> {
         return close(b == '}');
@@ -113,9 +113,9 @@
     return --depth == 0;
   }
 
-  private void fail(int with, String why) {
+  private void fail(int errorCode, String why) {
     failed = true;
-    code = with;
+    code = errorCode;
     fault = why;
   }
 }
--- a/src/test/java/pumicekeel/journal/RecoveryTest.java
+++ b/src/test/java/pumicekeel/journal/RecoveryTest.java
@@ -13,8 +13,8 @@
 /** Recovery from the records of a crashed process, and the conclusions about single requests. */
 class RecoveryTest {
 
-  private static final long SECOND = 1_000_000_000L;
-  private static final long NOW = 1_000_000 * SECOND;
+  private static final long SECOND_NANOS = 1_000_000_000L;
+  private static final long NOW = 1_000_000 * SECOND_NANOS;
   private final KeyMemory memory = new KeyMemory(10);
   private final Recovery recovery = new Recovery(100);
 
@@ -25,7 +25,7 @@
         "quote-issue",
         key == null ? Effect.UNSAFE : Effect.KEYED,
         DedupScope.CELL,
-        2 * SECOND,
+        2 * SECOND_NANOS,
         "acme",
         "quotes",
         0,
@@ -44,10 +44,11 @@
   @Test
   void elapsedTimeIsFromTheMonotonicClockWithinOneHostBoot() {
     boot("b1");
-    recovery.add(sent("r1", "k1", 50_000, 10 * SECOND));
+    recovery.add(sent("r1", "k1", 50_000, 10 * SECOND_NANOS));
     // The wall clock was set back by 40 s meanwhile.
-    assertEquals(1, recovery.restoreTo(memory, "b1", 10_500, 11 * SECOND, NOW));
-    assertEquals(NOW - SECOND, memory.earlierAttempts("kk1", "r2", NOW).get(0).sentAtNanos());
+    assertEquals(1, recovery.restoreTo(memory, "b1", 10_500, 11 * SECOND_NANOS, NOW));
+    assertEquals(
+        NOW - SECOND_NANOS, memory.earlierAttempts("kk1", "r2", NOW).get(0).sentAtNanos());
     assertEquals("quotes", memory.poolOf("kk1", NOW));
     assertEquals(3, memory.earlierAttempts("kk1", "r2", NOW).get(0).cell());
   }
@@ -55,15 +56,15 @@
   @Test
   void wallClockIsUsedAfterAHostRebootAndOneSetBackEndsTheWindow() {
     boot("b1");
-    recovery.add(sent("r1", "k1", 50_000, 10 * SECOND));
-    recovery.add(sent("r2", "k2", 50_000, 10 * SECOND));
-    recovery.restoreTo(memory, "b2", 50_500, SECOND, NOW);
+    recovery.add(sent("r1", "k1", 50_000, 10 * SECOND_NANOS));
+    recovery.add(sent("r2", "k2", 50_000, 10 * SECOND_NANOS));
+    recovery.restoreTo(memory, "b2", 50_500, SECOND_NANOS, NOW);
     assertEquals(
-        NOW - SECOND / 2, memory.earlierAttempts("kk1", "x", NOW).get(0).sentAtNanos());
+        NOW - SECOND_NANOS / 2, memory.earlierAttempts("kk1", "x", NOW).get(0).sentAtNanos());
     KeyMemory other = new KeyMemory(10);
-    recovery.restoreTo(other, "b2", 40_000, SECOND, NOW);
+    recovery.restoreTo(other, "b2", 40_000, SECOND_NANOS, NOW);
     assertEquals(
-        NOW - 2 * SECOND,
+        NOW - 2 * SECOND_NANOS,
         other.earlierAttempts("kk2", "x", NOW).get(0).sentAtNanos(),
         "unknown elapsed time: the window is over");
   }
@@ -71,13 +72,14 @@
   @Test
   void attemptsThatDidNotRunOrExpiredAreNotRestored() {
     boot("b1");
-    recovery.add(sent("r1", "k1", 50_000, 10 * SECOND));
+    recovery.add(sent("r1", "k1", 50_000, 10 * SECOND_NANOS));
     recovery.add(new Entry.Ended("r1", 0, Status.CONNECT_FAILED, 50_001));
-    recovery.add(sent("r2", "k2", 50_000, 10 * SECOND));
+    recovery.add(sent("r2", "k2", 50_000, 10 * SECOND_NANOS));
     recovery.add(new Entry.Ended("r2", 0, Status.TIMEOUT, 50_001));
-    recovery.add(sent("old", "k3", 1_000, SECOND));
-    recovery.add(sent("r4", null, 50_000, 10 * SECOND));
-    assertEquals(2, recovery.restoreTo(memory, "b1", 100_000, 73 * SECOND - 2 * SECOND, NOW));
+    recovery.add(sent("old", "k3", 1_000, SECOND_NANOS));
+    recovery.add(sent("r4", null, 50_000, 10 * SECOND_NANOS));
+    assertEquals(
+        2, recovery.restoreTo(memory, "b1", 100_000, 73 * SECOND_NANOS - 2 * SECOND_NANOS, NOW));
     assertNull(memory.poolOf("kk1", NOW));
     assertEquals("quotes", memory.poolOf("kk2", NOW));
     assertNull(memory.poolOf("kk3", NOW), "a minute past its window");
@@ -92,8 +94,8 @@
   void longKeyIsRecognizedAfterARestart() {
     String key = "a\nb".repeat(1_400);
     boot("b1");
-    recovery.add(sent("r1", Codec.cut(key), 50_000, 10 * SECOND));
-    recovery.restoreTo(memory, "b1", 50_000, 10 * SECOND, NOW);
+    recovery.add(sent("r1", Codec.truncate(key), 50_000, 10 * SECOND_NANOS));
+    recovery.restoreTo(memory, "b1", 50_000, 10 * SECOND_NANOS, NOW);
     assertEquals(
         1,
         memory
@@ -103,14 +105,21 @@
         .earlierAttempts(KeyMemory.entryName(Effect.KEYED, "x", key + "c"), "x", NOW)
         .isEmpty());
     // Two texts with the same String.hashCode.
-    assertTrue(!Codec.cut("x".repeat(400) + "Aa").equals(Codec.cut("x".repeat(400) + "BB")));
+    assertTrue(
+        !Codec.truncate("x".repeat(400) + "Aa").equals(Codec.truncate("x".repeat(400) + "BB")));
   }
 
   @Test
   void memoryIsBoundedAndOmitsARequestsOwnAttempts() {
     for (int i = 0; i < 30; i++) {
       memory.recordAttempt(
-          "k" + i, "p", "r" + i, 0, new pumicekeel.Balancer.PriorAttempt("a", 1, NOW), SECOND, NOW);
+          "k" + i,
+          "p",
+          "r" + i,
+          0,
+          new pumicekeel.Balancer.PriorAttempt("a", 1, NOW),
+          SECOND_NANOS,
+          NOW);
     }
     assertEquals(10, memory.size());
     assertEquals(20, memory.evicted());
@@ -118,7 +127,7 @@
     assertEquals(1, memory.earlierAttempts("k29", "r30", NOW).size());
     memory.removeAttempt("k29", "r29", 0);
     assertTrue(memory.earlierAttempts("k29", "r30", NOW).isEmpty());
-    assertTrue(memory.earlierAttempts("k28", "x", NOW + 62 * SECOND).isEmpty(), "expired");
+    assertTrue(memory.earlierAttempts("k28", "x", NOW + 62 * SECOND_NANOS).isEmpty(), "expired");
   }
 
   // Conclusions
--- a/src/test/java/pumicekeel/journal/SegmentTest.java
+++ b/src/test/java/pumicekeel/journal/SegmentTest.java
@@ -192,7 +192,7 @@
     String one = "\u20ac".repeat(5_000) + "1";
     String two = "\u20ac".repeat(5_000) + "2";
     Read read = read(segment(List.of(intent(one, "k", 0), intent(two, "k", 0))));
-    assertEquals(Codec.cut(one), ((Entry.Intent) read.entries().get(0)).id());
-    assertTrue(!Codec.cut(one).equals(Codec.cut(two)));
+    assertEquals(Codec.truncate(one), ((Entry.Intent) read.entries().get(0)).id());
+    assertTrue(!Codec.truncate(one).equals(Codec.truncate(two)));
   }
 }
--- a/src/test/java/pumicekeel/jsonrpc/FrameDecoderTest.java
+++ b/src/test/java/pumicekeel/jsonrpc/FrameDecoderTest.java
@@ -18,10 +18,10 @@
 class FrameDecoderTest {
 
   private static final Limits LIMITS = new Limits(1_000, 8, 5);
-  private boolean open = true;
+  private boolean accepting = true;
 
   private EmbeddedChannel channel(Framing framing) {
-    return new EmbeddedChannel(new FrameDecoder(framing, LIMITS, () -> open));
+    return new EmbeddedChannel(new FrameDecoder(framing, LIMITS, () -> accepting));
   }
 
   private static List<String> read(EmbeddedChannel channel) {
@@ -53,8 +53,8 @@
     long seed = System.nanoTime();
     Random random = new Random(seed);
     String lines = String.join("\n", SPLIT) + "\r\n\n";
-    StringBuilder counted = new StringBuilder();
-    SPLIT.forEach(s -> counted
+    StringBuilder withLengths = new StringBuilder();
+    SPLIT.forEach(s -> withLengths
         .append("Content-Length: ")
         .append(s.length())
         .append("\r\ncontent-type: application/json\r\n\r\n")
@@ -62,11 +62,11 @@
     for (int i = 0; i < 200; i++) {
       for (Framing framing : Framing.values()) {
         for (String text : framing == Framing.DETECT
-            ? new String[] {VALUES, counted.toString()}
+            ? new String[] {VALUES, withLengths.toString()}
             : new String[] {
               framing == Framing.NEWLINE
                   ? lines
-                  : framing == Framing.VALUES ? VALUES : counted.toString()
+                  : framing == Framing.VALUES ? VALUES : withLengths.toString()
             }) {
           EmbeddedChannel channel = channel(framing);
           List<String> got = new ArrayList<>();
@@ -144,12 +144,12 @@
 
   @Test
   void nothingIsEmittedWhilePausedAndNothingIsLost() throws Exception {
-    FrameDecoder decoder = new FrameDecoder(Framing.DETECT, LIMITS, () -> open);
+    FrameDecoder decoder = new FrameDecoder(Framing.DETECT, LIMITS, () -> accepting);
     EmbeddedChannel channel = new EmbeddedChannel(decoder);
-    open = false;
+    accepting = false;
     assertEquals(List.of(), all(channel, "{}[]"));
     assertTrue(decoder.hasBufferedBytes());
-    open = true;
+    accepting = true;
     decoder.resume();
     assertEquals(List.of("{}", "[]"), read(channel));
     assertFalse(decoder.hasBufferedBytes());
--- a/src/test/java/pumicekeel/jsonrpc/JsonPointerSetTest.java
+++ b/src/test/java/pumicekeel/jsonrpc/JsonPointerSetTest.java
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void severalAreFoundInOnePassEvenNestedOnes() {
+  void pointersIntoOneAnotherAreResolvedInOnePass() {
     Found[] found = new JsonPointerSet(List.of(
             JsonPointer.of("/a/b"),
             JsonPointer.of("/a"),
--- a/src/test/java/pumicekeel/jsonrpc/MessageReaderTest.java
+++ b/src/test/java/pumicekeel/jsonrpc/MessageReaderTest.java
@@ -27,7 +27,7 @@
         Message.Call.class, assertInstanceOf(Message.Single.class, read(text)).entry());
   }
 
-  private void broken(int code, String text) {
+  private void assertMalformed(int code, String text) {
     assertEquals(
         code, assertInstanceOf(Message.Malformed.class, read(text), text).code(), text);
   }
@@ -149,7 +149,7 @@
         "// x\n{}"
       })
   void ambiguousJsonIsRejected(String text) {
-    broken(ErrorCodes.PARSE, text);
+    assertMalformed(ErrorCodes.PARSE, text);
   }
 
   @Test
@@ -181,9 +181,9 @@
 
   @Test
   void limitsApplyAtAnyPosition() {
-    broken(ErrorCodes.INVALID_REQUEST, "[" + "1,".repeat(5) + "1]");
-    broken(ErrorCodes.INVALID_REQUEST, "{\"a\":" + "[".repeat(8) + "]".repeat(8) + "}");
-    broken(
+    assertMalformed(ErrorCodes.INVALID_REQUEST, "[" + "1,".repeat(5) + "1]");
+    assertMalformed(ErrorCodes.INVALID_REQUEST, "{\"a\":" + "[".repeat(8) + "]".repeat(8) + "}");
+    assertMalformed(
         ErrorCodes.INVALID_REQUEST,
         "{\"jsonrpc\":\"2.0\",\"method\":\"m\",\"params\":[" + "9".repeat(1_001) + "]}");
     assertInstanceOf(Message.Single.class, read("{\"a\":" + "[".repeat(7) + "]".repeat(7) + "}"));
