--- a/src/main/java/pumicekeel/adapter/Decoder.java
+++ b/src/main/java/pumicekeel/adapter/Decoder.java
@@ -112,7 +112,7 @@
     };
   }
 
-  /** Reads the tenant; sites without tenants omit the field or write 0. */
+  /** Reads the tenant; where there are no tenants the field is absent or 0. */
   private static String tenant(Fields f) {
     return f.values().get("user-group") instanceof Long none && none == 0
         ? null
--- a/src/main/java/pumicekeel/fleet/Limits.java
+++ b/src/main/java/pumicekeel/fleet/Limits.java
@@ -23,10 +23,10 @@
     int maxCrashes,
     long crashWindowNanos) {
 
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MS = 1_000_000L;
 
   /** Far longer than a garbage collection or a shortage of processors lasts; meanwhile clients use the other instances. */
-  public static final long HANG_NANOS = 15_000 * MS;
+  public static final long HANG_NANOS = 15_000 * NANOS_PER_MS;
 
   /** Returns the default limits with this number of unavailable instances and this time to stay ready. */
   public static Limits of(int maxUnavailable, long watchNanos) {
@@ -37,13 +37,13 @@
   public static Limits of(int maxUnavailable, long watchNanos, long hangNanos) {
     return new Limits(
         maxUnavailable,
-        30_000 * MS,
-        10_000 * MS,
+        30_000 * NANOS_PER_MS,
+        10_000 * NANOS_PER_MS,
         watchNanos,
-        500 * MS,
-        30_000 * MS,
+        500 * NANOS_PER_MS,
+        30_000 * NANOS_PER_MS,
         hangNanos,
         5,
-        60_000 * MS);
+        60_000 * NANOS_PER_MS);
   }
 }
--- a/src/main/java/pumicekeel/fleet/Supervisor.java
+++ b/src/main/java/pumicekeel/fleet/Supervisor.java
@@ -12,7 +12,10 @@
  */
 public final class Supervisor {
 
-  /** State of an instance. */
+  /**
+   * State of an instance. WAITING: it crashed and is started again after a delay. GIVEN_UP: it crashed too often and stays down until a
+   * rolling restart.
+   */
   public enum State {
     DOWN,
     STARTING,
@@ -192,13 +195,15 @@
     if (limits.hangNanos() == 0) {
       return;
     }
-    long ending = instances.stream().filter(it -> it.hung).count();
+    long hungCount = instances.stream().filter(it -> it.hung).count();
     for (int i = 0; i < size(); i++) {
       Instance it = instances.get(i);
       it.respondedAt = suspended ? now : it.respondedAt;
-      if (silentFor(i, now) > limits.hangNanos() && !it.hung && ending < limits.maxUnavailable()) {
+      if (silentFor(i, now) > limits.hangNanos()
+          && !it.hung
+          && hungCount < limits.maxUnavailable()) {
         it.hung = true;
-        ending++;
+        hungCount++;
         actions.add(new LogLine("instance " + i + " has not responded for "
             + silentFor(i, now) / 1_000_000 + " ms: killed"));
         actions.add(new Kill(i));
--- a/src/test/java/pumicekeel/adapter/SimulatorSessionTest.java
+++ b/src/test/java/pumicekeel/adapter/SimulatorSessionTest.java
@@ -52,12 +52,12 @@
           + "\"write\":false}}";
 
   @Test
-  void anEmptyBatch() throws IOException {
+  void emptyBatchGetsAnEmptyReply() throws IOException {
     assertEquals("{\"groups\":[]}\n", run("{\"clock-ns\":1,\"groups\":[]}"));
   }
 
   @Test
-  void everyEventOfAnInstance() throws IOException {
+  void everyEventIsDecoded() throws IOException {
     String expected = reply("{\"Observe\":{\"enable\":true}}")
         + reply("{\"Deliver\":{\"rid\":\"c:a\",\"patience-ns\":1400000000,\"upstream\":7}},"
             + "{\"SetTimer\":{\"handle\":\"sweep\",\"fire-at-ns\":1150000000}}")
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void everyAction() throws IOException {
+  void everyActionIsEncoded() throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
       g.writeStartArray();
@@ -118,7 +118,7 @@
 
   /** The instance refuses requests of unknown classes and continues. */
   @Test
-  void aRequestOfAnUnknownClassIsRefusedAndLogged() throws IOException {
+  void requestOfAnUnknownClassIsRefusedAndLogged() throws IOException {
     String out = run(
         PROVISION, batch(1_100_000_000L, JOB.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
     assertTrue(
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void anExceptionInTheModuleIsAFault() throws IOException {
+  void exceptionInTheModuleIsReportedAsAFault() throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
       Encoder.writeFault(g, new IllegalStateException("odd"));
--- a/src/test/java/pumicekeel/fleet/DaemonTest.java
+++ b/src/test/java/pumicekeel/fleet/DaemonTest.java
@@ -27,7 +27,7 @@
 /** Tests of a daemon with real instances: starts, adoption of running instances, and what remains after it is killed. */
 class DaemonTest {
 
-  private static final long GENEROUS_NANOS = 60_000_000_000L;
+  private static final long TIMEOUT_NANOS = 60_000_000_000L;
   private static final Pattern PID = Pattern.compile("\"pid\":(\\d+)");
 
   @TempDir
@@ -160,14 +160,14 @@
   private List<ProcessHandle> processes() {
     String marker = java.util
         .UUID
-        .nameUUIDFromBytes(real().getBytes(java.nio.charset.StandardCharsets.UTF_8))
+        .nameUUIDFromBytes(realRunPath().getBytes(java.nio.charset.StandardCharsets.UTF_8))
         .toString();
     return ProcessHandle.allProcesses()
         .filter(p -> p.isAlive() && p.info().commandLine().orElse("").contains(marker))
         .toList();
   }
 
-  private String real() {
+  private String realRunPath() {
     try {
       return run.toRealPath().toString();
     } catch (IOException e) {
@@ -176,7 +176,7 @@
   }
 
   private static void until(BooleanSupplier condition) throws InterruptedException {
-    long end = System.nanoTime() + GENEROUS_NANOS;
+    long end = System.nanoTime() + TIMEOUT_NANOS;
     boolean holds = condition.getAsBoolean();
     while (!holds && System.nanoTime() < end) {
       TimeUnit.MILLISECONDS.sleep(20);
--- a/src/test/java/pumicekeel/fleet/OneAddressTest.java
+++ b/src/test/java/pumicekeel/fleet/OneAddressTest.java
@@ -27,7 +27,7 @@
 /** Tests of a fleet on one listening socket passed by a service manager: a rolling restart refuses no client's connection. */
 class OneAddressTest {
 
-  private static final long GENEROUS_NANOS = 90_000_000_000L;
+  private static final long TIMEOUT_NANOS = 90_000_000_000L;
   /** Acts as the service manager: listens, and starts the daemon with the socket as descriptor 0. */
   private static final String MANAGER = """
       use Socket; $| = 1;
@@ -53,7 +53,7 @@
   }
 
   private static void until(BooleanSupplier condition) throws InterruptedException {
-    long end = System.nanoTime() + GENEROUS_NANOS;
+    long end = System.nanoTime() + TIMEOUT_NANOS;
     boolean holds = condition.getAsBoolean();
     while (!holds && System.nanoTime() - end < 0) {
       TimeUnit.MILLISECONDS.sleep(20);
@@ -131,12 +131,12 @@
   private static void client(
       int number,
       InetSocketAddress address,
-      AtomicBoolean over,
+      AtomicBoolean finished,
       AtomicInteger served,
       AtomicInteger refused,
       AtomicInteger broken) {
     Socket socket = null;
-    for (int i = 0; !over.get(); i++) {
+    for (int i = 0; !finished.get(); i++) {
       try {
         if (socket == null) {
           socket = new Socket(address.getAddress(), address.getPort());
@@ -222,14 +222,15 @@
       List<String> output = java.util.Collections.synchronizedList(new ArrayList<>());
       daemonThread(() -> lines.lines().forEach(output::add));
       until(() -> ready(2));
-      AtomicBoolean over = new AtomicBoolean();
+      AtomicBoolean finished = new AtomicBoolean();
       AtomicInteger served = new AtomicInteger();
       AtomicInteger refused = new AtomicInteger();
       AtomicInteger broken = new AtomicInteger();
       List<Thread> clients = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
         int number = i;
-        Thread client = new Thread(() -> client(number, address, over, served, refused, broken));
+        Thread client =
+            new Thread(() -> client(number, address, finished, served, refused, broken));
         client.start();
         clients.add(client);
       }
@@ -242,9 +243,9 @@
       assertTrue(
           !after.replaceAll("\"for-ms\":\\d+", "").equals(before.replaceAll("\"for-ms\":\\d+", "")),
           "instances are other processes");
-      int then = served.get();
-      until(() -> served.get() > then + 100);
-      over.set(true);
+      int servedBefore = served.get();
+      until(() -> served.get() > servedBefore + 100);
+      finished.set(true);
       for (Thread client : clients) {
         client.join();
       }
@@ -252,9 +253,8 @@
           0,
           broken.get(),
           "of " + served.get() + " requests, these met a refused, reset or unread connection");
-      // With a grace of zero every upstream was once treated as drained, and no request was
-      // answered
-      // with 200.
+      // Guards against a drain grace of zero: then every upstream counts as drained and no request
+      // is answered with 200.
       assertTrue(
           refused.get() < served.get() / 10,
           refused.get() + " of " + served.get() + " were not answered with 200");
--- a/src/test/java/pumicekeel/fleet/SupervisorTest.java
+++ b/src/test/java/pumicekeel/fleet/SupervisorTest.java
@@ -16,14 +16,14 @@
 /** Tests of the supervisor's decisions in virtual time. */
 class SupervisorTest {
 
-  private static final long SECOND = 1_000_000_000L;
+  private static final long SECOND_NANOS = 1_000_000_000L;
 
   private Supervisor s;
   private long now;
   private final List<String> log = new ArrayList<>();
 
   private Supervisor fleet(int count, int maxUnavailable) {
-    s = new Supervisor(count, Limits.of(maxUnavailable, 5 * SECOND));
+    s = new Supervisor(count, Limits.of(maxUnavailable, 5 * SECOND_NANOS));
     record(s.start(now));
     for (int i = 0; i < count; i++) {
       record(s.ready(i, now));
@@ -61,25 +61,25 @@
   @Test
   void crashedInstanceIsRestartedWithGrowingDelayAndFinallyGivenUp() {
     fleet(2, 1);
-    long wait = SECOND / 2;
+    long wait = SECOND_NANOS / 2;
     for (int crash = 1; crash <= 5; crash++) {
       record(s.exited(0, 1, now));
       assertEquals(State.WAITING, s.stateOf(0));
-      pass(wait - SECOND / 5);
+      pass(wait - SECOND_NANOS / 5);
       assertEquals(List.of(), drainLog(), "not before its time");
-      pass(SECOND / 5);
+      pass(SECOND_NANOS / 5);
       assertEquals(List.of("Start 0"), drainLog());
       record(s.ready(0, now));
       wait *= 2;
     }
     record(s.exited(0, 1, now));
     assertEquals(State.GIVEN_UP, s.stateOf(0));
-    pass(600 * SECOND);
+    pass(600 * SECOND_NANOS);
     assertEquals(List.of(), drainLog());
     assertEquals(State.READY, s.stateOf(1));
     // An operator has fixed the cause and requests a restart.
     assertNull(s.begin(Work.RESTART));
-    pass(SECOND);
+    pass(SECOND_NANOS);
     assertEquals(List.of("Start 0"), drainLog());
   }
 
@@ -88,24 +88,24 @@
     fleet(1, 1);
     for (int i = 0; i < 20; i++) {
       record(s.exited(0, 1, now));
-      pass(2 * SECOND);
+      pass(2 * SECOND_NANOS);
       record(s.ready(0, now));
-      pass(60 * SECOND);
+      pass(60 * SECOND_NANOS);
     }
     assertEquals(State.READY, s.stateOf(0));
   }
 
   @Test
-  void oneThatDoesNotBecomeReadyIsKilledOnce() {
-    s = new Supervisor(1, Limits.of(1, SECOND));
+  void instanceThatDoesNotBecomeReadyIsKilledOnce() {
+    s = new Supervisor(1, Limits.of(1, SECOND_NANOS));
     record(s.start(now));
     drainLog();
-    pass(29 * SECOND);
+    pass(29 * SECOND_NANOS);
     assertEquals(List.of(), drainLog());
-    pass(10 * SECOND);
+    pass(10 * SECOND_NANOS);
     assertEquals(List.of("Kill 0"), drainLog());
     record(s.exited(0, 137, now));
-    pass(SECOND);
+    pass(SECOND_NANOS);
     assertEquals(List.of("Start 0"), drainLog());
   }
 
@@ -114,23 +114,23 @@
     fleet(5, 2);
     assertNull(s.begin(Work.RESTART));
     assertNotNull(s.begin(Work.RELOAD), "one work at a time");
-    pass(SECOND);
+    pass(SECOND_NANOS);
     assertEquals(List.of("Terminate 0", "Terminate 1"), drainLog());
     record(s.exited(1, 0, now));
     record(s.ready(1, now));
     assertEquals(List.of("Start 1"), drainLog());
-    pass(4 * SECOND);
+    pass(4 * SECOND_NANOS);
     assertEquals(List.of(), drainLog(), "1 has to stay ready first");
-    pass(2 * SECOND);
+    pass(2 * SECOND_NANOS);
     assertEquals(List.of("Terminate 2"), drainLog(), "0 is still down");
-    pass(4 * SECOND);
+    pass(4 * SECOND_NANOS);
     assertEquals(List.of("Kill 0"), drainLog(), "it took too long to end");
     record(s.exited(0, 137, now));
     record(s.ready(0, now));
     for (int i = 2; i < 5; i++) {
       record(s.exited(i, 0, now));
       record(s.ready(i, now));
-      pass(6 * SECOND);
+      pass(6 * SECOND_NANOS);
     }
     assertEquals(Work.NONE, s.work());
     assertNull(s.halted());
@@ -143,13 +143,13 @@
   void newBuildThatNeverBecomesReadyHaltsAndOtherInstancesKeepRunning() {
     fleet(3, 1);
     s.begin(Work.RESTART);
-    pass(SECOND);
+    pass(SECOND_NANOS);
     record(s.exited(0, 0, now));
-    pass(31 * SECOND);
+    pass(31 * SECOND_NANOS);
     assertEquals(Work.NONE, s.work());
     assertTrue(s.halted().contains("instance 0"), s.halted());
     record(s.exited(0, 137, now));
-    pass(600 * SECOND);
+    pass(600 * SECOND_NANOS);
     assertTrue(
         drainLog().stream().noneMatch(a -> a.startsWith("Terminate") && !a.endsWith(" 0")),
         "no other instance is terminated");
@@ -162,16 +162,16 @@
     fleet(20, 1);
     s.begin(Work.RESTART);
     for (int i = 0; i < 4; i++) {
-      pass(SECOND);
+      pass(SECOND_NANOS);
       record(s.exited(i, 0, now));
       record(s.ready(i, now));
-      pass(6 * SECOND);
+      pass(6 * SECOND_NANOS);
     }
     record(s.exited(0, 1, now));
     assertEquals(Work.NONE, s.work());
     assertTrue(s.halted().contains("instance 0 ended with 1 after it was restarted"), s.halted());
     drainLog();
-    pass(60 * SECOND);
+    pass(60 * SECOND_NANOS);
     assertTrue(drainLog().stream().noneMatch(a -> a.startsWith("Terminate")));
   }
 
@@ -179,15 +179,15 @@
   void crashOfAnInstanceNotYetRestartedDelaysTheWork() {
     fleet(4, 1);
     s.begin(Work.RESTART);
-    pass(SECOND);
+    pass(SECOND_NANOS);
     record(s.exited(0, 0, now));
     record(s.ready(0, now));
     drainLog();
     record(s.exited(3, 1, now));
-    pass(7 * SECOND);
+    pass(7 * SECOND_NANOS);
     assertEquals(List.of("Start 3"), drainLog(), "two would be unavailable");
     record(s.ready(3, now));
-    pass(SECOND);
+    pass(SECOND_NANOS);
     assertEquals(List.of("Terminate 1"), drainLog());
     assertNull(s.halted());
   }
@@ -196,11 +196,11 @@
   void reloadReachesAllInstancesWithoutEndingAProcess() {
     fleet(3, 1);
     assertNull(s.begin(Work.RELOAD));
-    pass(20 * SECOND);
+    pass(20 * SECOND_NANOS);
     assertEquals(List.of("Hangup 0", "Hangup 1", "Hangup 2"), drainLog());
     assertEquals(Work.NONE, s.work());
     s.begin(Work.RELOAD);
-    pass(SECOND);
+    pass(SECOND_NANOS);
     record(s.exited(0, 1, now));
     assertTrue(s.halted().contains("after it was reloaded"), s.halted());
   }
@@ -209,7 +209,7 @@
   void stopIsOrderedAndBoundedDuringARollingRestart() {
     fleet(4, 2);
     s.begin(Work.RESTART);
-    pass(SECOND);
+    pass(SECOND_NANOS);
     record(s.exited(0, 0, now));
     drainLog();
     record(s.exited(2, 1, now));
@@ -217,22 +217,22 @@
     assertEquals(List.of("Terminate 3"), drainLog(), "1 is ending already");
     assertEquals("the fleet is being stopped", s.begin(Work.RESTART));
     record(s.exited(1, 0, now));
-    pass(SECOND);
+    pass(SECOND_NANOS);
     assertEquals(List.of("Terminate 0"), drainLog());
-    pass(11 * SECOND);
+    pass(11 * SECOND_NANOS);
     assertEquals(
         List.of("Kill 3", "Kill 0"),
         drainLog().stream().sorted(java.util.Comparator.reverseOrder()).toList());
     record(s.exited(3, 137, now));
     record(s.exited(0, 137, now));
-    pass(SECOND);
+    pass(SECOND_NANOS);
     assertTrue(s.isStopped());
     assertEquals(List.of(), drainLog());
   }
 
   @Test
   void adoptedInstanceHasToReportReadyAndIsNotStartedAgain() {
-    s = new Supervisor(2, Limits.of(1, SECOND));
+    s = new Supervisor(2, Limits.of(1, SECOND_NANOS));
     record(s.adopted(1, now));
     record(s.start(now));
     assertEquals(List.of("Start 0"), drainLog());
@@ -247,12 +247,12 @@
       SplittableRandom random = new SplittableRandom(seed);
       int n = 1 + random.nextInt(6);
       int maxUnavailable = 1 + random.nextInt(n);
-      s = new Supervisor(n, Limits.of(maxUnavailable, 2 * SECOND));
+      s = new Supervisor(n, Limits.of(maxUnavailable, 2 * SECOND_NANOS));
       boolean[] runs = new boolean[n];
       boolean[] ending = new boolean[n];
       apply(s.start(now), runs, ending, seed);
       for (int step = 0; step < 400; step++) {
-        now += random.nextLong(SECOND);
+        now += random.nextLong(SECOND_NANOS);
         int i = random.nextInt(n);
         switch (random.nextInt(8)) {
           case 0 -> s.begin(random.nextBoolean() ? Work.RESTART : Work.RELOAD);
@@ -295,7 +295,7 @@
 
   private void passWithResponsesOf(long nanos, int... responding) {
     for (long end = now + nanos; now < end; ) {
-      now = Math.min(end, now + SECOND / 10);
+      now = Math.min(end, now + SECOND_NANOS / 10);
       for (int i : responding) {
         s.responded(i, now);
       }
@@ -306,39 +306,39 @@
   @Test
   void unresponsiveInstanceIsKilledAndRestarted() {
     fleet(2, 1);
-    passWithResponsesOf(14 * SECOND, 1);
+    passWithResponsesOf(14 * SECOND_NANOS, 1);
     assertEquals(List.of(), drainLog(), "it may be short of processor time");
-    passWithResponsesOf(2 * SECOND, 1);
+    passWithResponsesOf(2 * SECOND_NANOS, 1);
     assertEquals(List.of("Kill 0"), drainLog());
     record(s.exited(0, 137, now));
-    passWithResponsesOf(SECOND, 1);
+    passWithResponsesOf(SECOND_NANOS, 1);
     assertEquals(List.of("Start 0"), drainLog());
     record(s.ready(0, now));
-    passWithResponsesOf(20 * SECOND, 0, 1);
+    passWithResponsesOf(20 * SECOND_NANOS, 0, 1);
     assertEquals(List.of(), drainLog());
   }
 
   @Test
   void ifAllAreUnresponsiveNoMoreAreKilledThanMayBeUnavailable() {
     fleet(5, 2);
-    passWithResponsesOf(60 * SECOND);
+    passWithResponsesOf(60 * SECOND_NANOS);
     assertEquals(List.of("Kill 0", "Kill 1"), drainLog(), "the machine may be the cause");
     record(s.exited(0, 137, now));
-    passWithResponsesOf(SECOND);
+    passWithResponsesOf(SECOND_NANOS);
     record(s.ready(0, now));
-    passWithResponsesOf(SECOND, 0);
+    passWithResponsesOf(SECOND_NANOS, 0);
     assertEquals(List.of("Start 0", "Kill 2"), drainLog());
   }
 
   @Test
   void instancesAreNotHungBecauseTheDaemonWasSuspended() {
     fleet(3, 3);
-    passWithResponsesOf(SECOND, 0, 1, 2);
-    now += 3_600 * SECOND;
+    passWithResponsesOf(SECOND_NANOS, 0, 1, 2);
+    now += 3_600 * SECOND_NANOS;
     record(s.tick(now));
-    passWithResponsesOf(14 * SECOND, 1);
+    passWithResponsesOf(14 * SECOND_NANOS, 1);
     assertEquals(List.of(), drainLog());
-    passWithResponsesOf(2 * SECOND, 1);
+    passWithResponsesOf(2 * SECOND_NANOS, 1);
     assertEquals(List.of("Kill 0", "Kill 2"), drainLog());
   }
 
@@ -348,7 +348,7 @@
     record(s.start(now));
     record(s.ready(0, now));
     drainLog();
-    passWithResponsesOf(3_600 * SECOND);
+    passWithResponsesOf(3_600 * SECOND_NANOS);
     assertEquals(List.of(), drainLog());
   }
 }
--- a/src/test/java/pumicekeel/peers/MembershipTest.java
+++ b/src/test/java/pumicekeel/peers/MembershipTest.java
@@ -11,7 +11,7 @@
 /** Tests one member in virtual time; the test plays all others. */
 class MembershipTest {
 
-  private static final long SECOND = 1_000_000_000L;
+  private static final long SECOND_NANOS = 1_000_000_000L;
   private static final long EPOCH = 1_000;
 
   private final Membership member = new Membership(MembershipSettings.DEFAULTS, 0, 8, EPOCH, 1, 0);
@@ -72,7 +72,7 @@
 
   @Test
   void unknownMemberIsProbedWithoutAConsequence() {
-    List<Datagram> out = tickUntil(60 * SECOND);
+    List<Datagram> out = tickUntil(60 * SECOND_NANOS);
     assertTrue(out.stream().anyMatch(d -> d.kind() == Kind.PING));
     for (int i = 1; i < 8; i++) {
       assertEquals(State.UNKNOWN, member.stateOf(i));
@@ -90,20 +90,20 @@
   @Test
   void silenceLeadsToIndirectProbesThenSuspicionThenDeathAndAMessageOfItsOwnClearsIt() {
     markAllAlive();
-    Datagram ping = tickUntil(now + 1 * SECOND).stream()
+    Datagram ping = tickUntil(now + 1 * SECOND_NANOS).stream()
         .filter(d -> d.kind() == Kind.PING)
         .findFirst()
         .orElseThrow();
-    List<Datagram> indirect = tickUntil(now + SECOND / 2 + SECOND / 10);
+    List<Datagram> indirect = tickUntil(now + SECOND_NANOS / 2 + SECOND_NANOS / 10);
     assertTrue(indirect.stream()
         .filter(d -> d.kind() == Kind.PING_REQUEST)
         .allMatch(d -> d.target() == ping.target()));
-    tickUntil(now + 3 * SECOND);
+    tickUntil(now + 3 * SECOND_NANOS);
     assertEquals(State.SUSPECT, member.stateOf(ping.target()));
     // It announces itself with the next incarnation.
     receive(ping.target(), Kind.PING, 500, 1, 1, 0);
     assertEquals(State.ALIVE, member.stateOf(ping.target()));
-    tickUntil(now + 600 * SECOND);
+    tickUntil(now + 600 * SECOND_NANOS);
     assertEquals(State.DEAD, member.stateOf(ping.target()));
     assertEquals(1, member.live(), "no member responds any more");
   }
@@ -235,8 +235,10 @@
     }
     assertTrue(probes <= 64, probes + " probes");
     // After the timeout the requesters get a NACK.
-    assertTrue(
-        tickUntil(now + SECOND).stream().filter(d -> d.kind() == Kind.NACK).count() >= 64);
+    assertTrue(tickUntil(now + SECOND_NANOS).stream()
+            .filter(d -> d.kind() == Kind.NACK)
+            .count()
+        >= 64);
   }
 
   @Test
@@ -255,8 +257,8 @@
   @Test
   void missedPeriodsAreNotMadeUpAfterAClockJump() {
     markAllAlive();
-    tickUntil(2 * SECOND);
-    now = 3_600 * SECOND;
+    tickUntil(2 * SECOND_NANOS);
+    now = 3_600 * SECOND_NANOS;
     int sent = member.tick(now).size() + member.tick(now).size();
     assertTrue(sent <= 6, sent + " datagrams at once after an hour");
   }
