--- a/src/main/java/pumicekeel/delivery/FileConfigurationStore.java
+++ b/src/main/java/pumicekeel/delivery/FileConfigurationStore.java
@@ -21,7 +21,7 @@
  */
 public final class FileConfigurationStore implements ConfigurationStore, Closeable {
 
-  /** The version in force, and its predecessor in case the newest file is damaged. */
+  /** How many versions are kept: the one in force, and its predecessor in case the newest file is damaged. */
   private static final int KEPT_VERSIONS = 2;
   /** Far above the size of any configuration; a larger file counts as damaged. */
   static final long MAX_BYTES = 64L << 20;
@@ -99,18 +99,18 @@
 
   @Override
   public List<StoredConfiguration> load() throws IOException {
-    List<StoredConfiguration> whole = new ArrayList<>();
+    List<StoredConfiguration> intact = new ArrayList<>();
     for (Path file : files()) {
       String name = file.getFileName().toString();
       if (name.endsWith(TEMPORARY_SUFFIX)) {
         deleteTemporary(file);
       } else if (name.endsWith(SUFFIX)) {
-        readInto(whole, file);
+        readInto(intact, file);
       }
     }
-    whole.sort(Comparator.comparing(
+    intact.sort(Comparator.comparing(
         StoredConfiguration::version, (a, b) -> a.isNewerThan(b) ? -1 : b.isNewerThan(a) ? 1 : 0));
-    return whole;
+    return intact;
   }
 
   /** Deletes a temporary file. A failure is only logged: the file does no harm. */
@@ -123,7 +123,7 @@
   }
 
   /** Reads a file. A read error does not mean that the file is damaged: it is thrown, and the whole load must be repeated. */
-  private void readInto(List<StoredConfiguration> whole, Path file) throws IOException {
+  private void readInto(List<StoredConfiguration> intact, Path file) throws IOException {
     boolean tooLarge = Files.size(file) > MAX_BYTES;
     byte[] bytes = tooLarge ? new byte[0] : reader.read(file);
     try {
@@ -134,11 +134,11 @@
       if (!file.equals(fileOf(stored.version()))) {
         throw new IllegalArgumentException("it holds version " + stored.version());
       }
-      whole.add(stored);
+      intact.add(stored);
     } catch (IOException | IllegalArgumentException e) {
       Path damaged = file.resolveSibling(file.getFileName() + DAMAGED_SUFFIX);
       Files.move(file, damaged, StandardCopyOption.REPLACE_EXISTING);
-      log.accept("configuration store: " + file + " is damaged and put aside: " + e.getMessage());
+      log.accept("configuration store: " + file + " is damaged and was renamed: " + e.getMessage());
     }
   }
 
--- a/src/main/java/pumicekeel/delivery/IncreasingSubsequence.java
+++ b/src/main/java/pumicekeel/delivery/IncreasingSubsequence.java
@@ -11,21 +11,21 @@
    */
   static boolean[] longest(int[] values) {
     int[] tails = new int[values.length];
-    int[] before = new int[values.length];
+    int[] predecessors = new int[values.length];
     int length = 0;
     for (int i = 0; i < values.length; i++) {
       if (values[i] < 0) {
         continue;
       }
-      int at = length > 0 && values[tails[length - 1]] < values[i]
+      int position = length > 0 && values[tails[length - 1]] < values[i]
           ? length
           : firstNotBelow(values, tails, length, values[i]);
-      before[i] = at == 0 ? -1 : tails[at - 1];
-      tails[at] = i;
-      length = Math.max(length, at + 1);
+      predecessors[i] = position == 0 ? -1 : tails[position - 1];
+      tails[position] = i;
+      length = Math.max(length, position + 1);
     }
     boolean[] member = new boolean[values.length];
-    for (int i = length == 0 ? -1 : tails[length - 1]; i >= 0; i = before[i]) {
+    for (int i = length == 0 ? -1 : tails[length - 1]; i >= 0; i = predecessors[i]) {
       member[i] = true;
     }
     return member;
--- a/src/main/java/pumicekeel/delivery/StoredFormat.java
+++ b/src/main/java/pumicekeel/delivery/StoredFormat.java
@@ -6,8 +6,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * File format of a stored version: one header line {@code honeyvalve-configuration 1 EPOCH.SEQUENCE.HASH TAKEN_AT_MILLIS LENGTH CRC}, where
- * CRC is the CRC-32C of the line before it, then the text. Header and text have checksums, so any flipped bit is detected.
+ * File format of a stored version: one header line {@code honeyvalve-configuration 1 EPOCH.SEQUENCE.HASH STORED_AT_MILLIS LENGTH CRC}, then
+ * the text. CRC is the CRC-32C of the line before it. Header and text have checksums, so any flipped bit is detected.
  */
 final class StoredFormat {
 
--- a/src/main/java/pumicekeel/delivery/client/ControlApi.java
+++ b/src/main/java/pumicekeel/delivery/client/ControlApi.java
@@ -33,7 +33,7 @@
   private static final Duration PUBLISH_TIMEOUT = Duration.ofSeconds(60);
   /** All other calls are answered at once; a stalled machine must not delay the others. */
   private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(5);
-  /** How many busy replies to retry: the machine serves its maximum of snapshots. */
+  /** Number of busy replies after which a fetch fails; a machine is busy while it serves its maximum number of snapshots. */
   private static final int MAX_BUSY_REPLIES = 10;
 
   /** A command is not a replica, so it has no name. */
@@ -137,7 +137,7 @@
         subscription.replied(callOf(step), reply, System.nanoTime());
       }
     }
-    throw new IOException("all snapshots are under way");
+    throw new IOException("the control machine is busy with other snapshots");
   }
 
   private static long callOf(Subscription.Step step) {
--- a/src/main/java/pumicekeel/delivery/client/VersionApplier.java
+++ b/src/main/java/pumicekeel/delivery/client/VersionApplier.java
@@ -21,5 +21,6 @@
   /** The version cannot be applied now. */
   record Postponed(String reason) implements Outcome {}
 
+  /** Applies a version and returns the result. */
   Outcome take(Candidate candidate);
 }
--- a/src/main/java/pumicekeel/delivery/control/ConfigurationHistory.java
+++ b/src/main/java/pumicekeel/delivery/control/ConfigurationHistory.java
@@ -23,7 +23,7 @@
   private static final long SNAPSHOT_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   /** A whole text that is served in parts. */
-  record Snapshot(ConfigurationVersion version, byte[] text, long madeAt) {}
+  record Snapshot(ConfigurationVersion version, byte[] text, long createdAt) {}
 
   private final Map<ConfigurationVersion, ConfigurationDocument> documents = new LinkedHashMap<>();
   private final Deque<Snapshot> snapshots = new ArrayDeque<>();
@@ -64,20 +64,20 @@
   /** Returns the snapshot to begin a transfer with; a new one if the last is too old or not newer than the known version. */
   Snapshot snapshotFor(ConfigurationVersion known, long now) {
     Snapshot last = snapshots.peekLast();
-    boolean serves = last != null
+    boolean isUsable = last != null
         && last.version().isNewerThan(known)
-        && (last.version().equals(current) || now - last.madeAt() < SNAPSHOT_RETENTION_NANOS);
-    return serves ? last : snapshotOfCurrent(now);
+        && (last.version().equals(current) || now - last.createdAt() < SNAPSHOT_RETENTION_NANOS);
+    return isUsable ? last : snapshotOfCurrent(now);
   }
 
   private Snapshot snapshotOfCurrent(long now) {
     byte[] text = documents.get(current).text().getBytes(StandardCharsets.UTF_8);
-    Snapshot made = new Snapshot(current, text, now);
-    snapshots.addLast(made);
+    Snapshot created = new Snapshot(current, text, now);
+    snapshots.addLast(created);
     if (snapshots.size() > MAX_SNAPSHOTS) {
       snapshots.removeFirst();
     }
-    return made;
+    return created;
   }
 
   /** Returns the snapshot to continue a transfer with, maybe one begun at another machine; null if the version is not kept. */
--- a/src/main/java/pumicekeel/delivery/control/ControlServer.java
+++ b/src/main/java/pumicekeel/delivery/control/ControlServer.java
@@ -44,7 +44,7 @@
  */
 public final class ControlServer implements Closeable {
 
-  /** Twice the largest operator file that is read. */
+  /** About twice the size of the largest known configuration, 3.5 MB. */
   static final int MAX_BODY_BYTES = 8 << 20;
 
   private static final int MAX_HEADER_BYTES = 8 << 10;
--- a/src/test/java/pumicekeel/delivery/FileConfigurationStoreTest.java
+++ b/src/test/java/pumicekeel/delivery/FileConfigurationStoreTest.java
@@ -63,7 +63,7 @@
 
   /** A file truncated at any byte, or with any flipped bit, is logged, and the previous version is loaded. */
   @Test
-  void damagedFileIsSetAsideAndThePreviousVersionIsUsed() throws IOException {
+  void damagedFileIsRenamedAndThePreviousVersionIsUsed() throws IOException {
     saveThenLoad(1, 2);
     byte[] whole = Files.readAllBytes(fileOf(2));
     for (int i = 0; i < whole.length; i++) {
@@ -75,14 +75,14 @@
       assertEquals(List.of(configuration(1)), load(), "flipped at " + i);
     }
     assertEquals(2 * whole.length, lines.size());
-    assertTrue(lines.stream().allMatch(l -> l.contains("put aside")), lines.get(0));
+    assertTrue(lines.stream().allMatch(l -> l.contains("damaged and was renamed")), lines.get(0));
     assertTrue(lines.stream().anyMatch(l -> l.contains("bytes of text of")));
     assertTrue(Files.exists(directory.resolve("1-2.configuration.damaged")));
   }
 
   /** A file that cannot be read for a moment is not treated as damaged: the next load reads it. */
   @Test
-  void transientReadFailureSetsNoVersionAside() throws IOException {
+  void transientReadFailureRenamesNoFile() throws IOException {
     saveThenLoad(1, 2);
     int[] failures = {1};
     FileConfigurationStore.WholeReader once = file -> {
--- a/src/test/java/pumicekeel/delivery/SubscriptionTest.java
+++ b/src/test/java/pumicekeel/delivery/SubscriptionTest.java
@@ -109,10 +109,10 @@
     FetchPart next = assertInstanceOf(FetchPart.class, step());
     assertEquals(10, next.offset());
     reply(next.call(), part(6, 12, 20));
-    FetchPart cutOff = assertInstanceOf(FetchPart.class, step());
-    assertEquals(10, cutOff.offset(), "a part that is not the next one changes nothing");
-    assertTrue(cutOff.server() != next.server(), "the transfer continues at another machine");
-    reply(cutOff.call(), new Reply.Failed("connection ended"));
+    FetchPart repeated = assertInstanceOf(FetchPart.class, step());
+    assertEquals(10, repeated.offset(), "a part that is not the next one changes nothing");
+    assertTrue(repeated.server() != next.server(), "the transfer continues at another machine");
+    reply(repeated.call(), new Reply.Failed("connection ended"));
     reply(assertInstanceOf(FetchPart.class, step()).call(), part(6, 10, TEXT.length()));
     Apply apply = assertInstanceOf(Apply.class, step());
     assertArrayEquals(
--- a/src/test/java/pumicekeel/delivery/control/ControlServerTest.java
+++ b/src/test/java/pumicekeel/delivery/control/ControlServerTest.java
@@ -76,7 +76,7 @@
   /** A subscriber whose applied texts can be awaited. */
   private final class Subscriber implements Closeable, VersionApplier {
     private final BlockingQueue<String> texts = new LinkedBlockingQueue<>();
-    private final Reactor on = Reactor.start();
+    private final Reactor reactor = Reactor.start();
     private final ExecutorService worker = Executors.newSingleThreadExecutor();
     private final ConfigurationSubscriber subscriber;
     private String held = "";
@@ -85,7 +85,7 @@
       List<InetSocketAddress> addresses =
           java.util.Arrays.stream(machines).map(ControlServer::address).toList();
       subscriber = new ConfigurationSubscriber(
-          on, name, addresses, ConfigurationVersion.NONE, 1, worker, this);
+          reactor, name, addresses, ConfigurationVersion.NONE, 1, worker, this);
       subscriber.start();
       open.add(this);
     }
@@ -113,7 +113,7 @@
 
     @Override
     public void close() {
-      on.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
+      reactor.loop().parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
       worker.shutdown();
     }
   }
--- a/src/test/java/pumicekeel/delivery/control/SnapshotSlotsTest.java
+++ b/src/test/java/pumicekeel/delivery/control/SnapshotSlotsTest.java
@@ -12,7 +12,7 @@
 /** Limit of concurrent snapshot transfers. */
 class SnapshotSlotsTest {
 
-  private static final long SECOND = 1_000_000_000L;
+  private static final long SECOND_NANOS = 1_000_000_000L;
 
   private final SnapshotSlots slots = new SnapshotSlots(5);
 
@@ -22,18 +22,19 @@
       assertTrue(slots.acquire("n" + i, 0));
     }
     assertFalse(slots.acquire("late", 0));
-    assertTrue(slots.acquire("n0", 4 * SECOND), "a transfer in progress continues");
+    assertTrue(slots.acquire("n0", 4 * SECOND_NANOS), "a transfer in progress continues");
     slots.release("n1");
-    assertTrue(slots.acquire("late", 4 * SECOND));
-    assertFalse(slots.acquire("later", 4 * SECOND));
-    assertTrue(slots.acquire("later", 6 * SECOND), "the other transfers have been silent for 6 s");
+    assertTrue(slots.acquire("late", 4 * SECOND_NANOS));
+    assertFalse(slots.acquire("later", 4 * SECOND_NANOS));
+    assertTrue(
+        slots.acquire("later", 6 * SECOND_NANOS), "the other transfers have been silent for 6 s");
     assertEquals(3, slots.used());
   }
 
   @Test
   void retryTimesOfRejectedTransfersAreSpread() {
     Set<Long> seconds = IntStream.range(0, 200)
-        .mapToObj(i -> slots.retryAfterNanos() / SECOND)
+        .mapToObj(i -> slots.retryAfterNanos() / SECOND_NANOS)
         .collect(Collectors.toSet());
     assertEquals(Set.of(1L, 2L, 3L, 4L), seconds);
   }
--- a/src/test/java/pumicekeel/delivery/control/VirtualFleet.java
+++ b/src/test/java/pumicekeel/delivery/control/VirtualFleet.java
@@ -18,13 +18,13 @@
 /** Control machines and subscribers in virtual time, with a network that drops, duplicates and delays replies at random. */
 final class VirtualFleet {
 
-  static final long MS = 1_000_000L;
-  private static final long TIMEOUT_NANOS = 5_500 * MS;
+  static final long NANOS_PER_MS = 1_000_000L;
+  private static final long TIMEOUT_NANOS = 5_500 * NANOS_PER_MS;
 
   /** A control machine that may be down. */
   final class Machine {
     final ControlState state = new ControlState(random.nextLong());
-    final TreeMap<Long, Integer> callsByTenth = new TreeMap<>();
+    final TreeMap<Long, Integer> callsByTenthOfASecond = new TreeMap<>();
     final List<Runnable> waiting = new ArrayList<>();
     boolean up = true;
     int maxSnapshots;
@@ -38,7 +38,7 @@
 
     private void call(Replica from, Object request, long call, boolean again) {
       if (!again) {
-        callsByTenth.merge(now / (100 * MS), 1, Integer::sum);
+        callsByTenthOfASecond.merge(now / (100 * NANOS_PER_MS), 1, Integer::sum);
       }
       Reply reply = !up
           ? new Reply.Failed("down")
@@ -52,7 +52,7 @@
       }
       Runnable release = () -> call(from, request, call, true);
       waiting.add(release);
-      at(now + ((ConfigurationRequest) request).waitMillis() * MS, () -> {
+      at(now + ((ConfigurationRequest) request).waitMillis() * NANOS_PER_MS, () -> {
         if (waiting.remove(release)) {
           send(from, call, new Reply.Unchanged());
         }
@@ -91,7 +91,7 @@
         parts++;
         call(next.server(), new PartRequest(name, next.version(), next.offset()), next.call());
       } else if (step instanceof Subscription.Apply apply) {
-        at(now + 20 * MS, () -> apply(apply.call(), apply.candidate()));
+        at(now + 20 * NANOS_PER_MS, () -> apply(apply.call(), apply.candidate()));
       }
     }
 
@@ -123,19 +123,19 @@
     }
   }
 
-  private record Event(long at, long order, Runnable what) {}
+  private record Event(long at, long order, Runnable task) {}
 
   final SplittableRandom random;
   final List<Machine> machines = new ArrayList<>();
   final List<Replica> replicas = new ArrayList<>();
   private final PriorityQueue<Event> events = new PriorityQueue<>(
       java.util.Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-  long now = 1_000 * MS;
+  long now = 1_000 * NANOS_PER_MS;
   /** Percentages of lost and of duplicated replies. */
   int lostPercent;
 
   int duplicatedPercent;
-  long maxLatencyNanos = 10 * MS;
+  long maxLatencyNanos = 10 * NANOS_PER_MS;
   private long order;
 
   VirtualFleet(int machineCount, long seed) {
@@ -153,8 +153,8 @@
     return this;
   }
 
-  void at(long time, Runnable what) {
-    events.add(new Event(time, order++, what));
+  void at(long time, Runnable task) {
+    events.add(new Event(time, order++, task));
   }
 
   void runFor(long nanos) {
@@ -162,7 +162,7 @@
     while (!events.isEmpty() && events.peek().at() <= end) {
       Event next = events.poll();
       now = Math.max(now, next.at());
-      next.what().run();
+      next.task().run();
     }
     now = end;
   }
@@ -184,6 +184,6 @@
   }
 
   private long latency() {
-    return MS + random.nextLong(maxLatencyNanos);
+    return NANOS_PER_MS + random.nextLong(maxLatencyNanos);
   }
 }
--- a/src/test/java/pumicekeel/delivery/control/VirtualFleetTest.java
+++ b/src/test/java/pumicekeel/delivery/control/VirtualFleetTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pumicekeel.delivery.control.VirtualFleet.MS;
+import static pumicekeel.delivery.control.VirtualFleet.NANOS_PER_MS;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -50,7 +50,7 @@
       assertEquals(version, replica.subscription.held(), replica.name);
       ConfigurationVersion before = ConfigurationVersion.NONE;
       for (ConfigurationVersion applied : replica.applied) {
-        assertTrue(applied.isNewerThan(before), replica.name + " took " + replica.applied);
+        assertTrue(applied.isNewerThan(before), replica.name + " applied " + replica.applied);
         before = applied;
       }
       assertEquals(
@@ -62,9 +62,9 @@
     return fleet.replicas.stream().mapToLong(r -> r.lastAppliedAt).max().orElseThrow();
   }
 
-  private static int maxCallsInATenth(VirtualFleet fleet) {
+  private static int maxCallsInATenthOfASecond(VirtualFleet fleet) {
     return fleet.machines.stream()
-        .flatMap(m -> m.callsByTenth.values().stream())
+        .flatMap(m -> m.callsByTenthOfASecond.values().stream())
         .mapToInt(n -> n)
         .max()
         .orElse(0);
@@ -73,12 +73,12 @@
   @Test
   void changeIsInForceEverywhereAtOnceAndAsADelta() {
     VirtualFleet fleet = fleet(4, FLEET, 11);
-    fleet.runFor(10_000 * MS);
+    fleet.runFor(10_000 * NANOS_PER_MS);
     long published = fleet.now;
     ConfigurationVersion two = fleet.publish(1, 2, text(2));
-    fleet.runFor(1_000 * MS);
+    fleet.runFor(1_000 * NANOS_PER_MS);
     assertAllHold(fleet, two);
-    assertTrue(lastAppliedAt(fleet) - published < 100 * MS);
+    assertTrue(lastAppliedAt(fleet) - published < 100 * NANOS_PER_MS);
     assertEquals(0, fleet.replicas.stream().mapToInt(r -> r.parts).sum());
   }
 
@@ -86,32 +86,37 @@
   @Test
   void snapshotsForAFleetWithoutAVersionAreLimited() {
     VirtualFleet fleet = new VirtualFleet(4, 12);
-    fleet.maxLatencyNanos = 100 * MS;
+    fleet.maxLatencyNanos = 100 * NANOS_PER_MS;
     ConfigurationVersion one = fleet.publish(1, 1, LARGE);
     fleet.replicas(FLEET, ConfigurationVersion.NONE, "");
-    fleet.runFor(30_000 * MS);
+    fleet.runFor(30_000 * NANOS_PER_MS);
     assertAllHold(fleet, one);
     for (VirtualFleet.Machine machine : fleet.machines) {
       assertEquals(SnapshotSlots.MAX_SLOTS, machine.maxSnapshots, "the limit was reached");
     }
-    assertTrue(maxCallsInATenth(fleet) < FLEET / 8, "calls in 0.1 s " + maxCallsInATenth(fleet));
+    assertTrue(
+        maxCallsInATenthOfASecond(fleet) < FLEET / 8,
+        "calls in 0.1 s " + maxCallsInATenthOfASecond(fleet));
   }
 
   @Test
   void recoveryOfAllControlMachinesCausesNoCallStorm() {
     VirtualFleet fleet = fleet(4, FLEET, 13);
-    fleet.runFor(3_000 * MS);
+    fleet.runFor(3_000 * NANOS_PER_MS);
     fleet.machines.forEach(m -> m.up = false);
-    fleet.runFor(60_000 * MS);
-    fleet.replicas.forEach(r -> assertTrue(fleet.now - r.subscription.lastReplyAt() > 50_000 * MS));
-    fleet.machines.forEach(m -> m.callsByTenth.clear());
+    fleet.runFor(60_000 * NANOS_PER_MS);
+    fleet.replicas.forEach(
+        r -> assertTrue(fleet.now - r.subscription.lastReplyAt() > 50_000 * NANOS_PER_MS));
+    fleet.machines.forEach(m -> m.callsByTenthOfASecond.clear());
     fleet.machines.forEach(m -> m.up = true);
     long back = fleet.now;
     ConfigurationVersion two = fleet.publish(1, 2, text(2));
-    fleet.runFor(10_000 * MS);
+    fleet.runFor(10_000 * NANOS_PER_MS);
     assertAllHold(fleet, two);
-    assertTrue(lastAppliedAt(fleet) - back < 7_000 * MS);
-    assertTrue(maxCallsInATenth(fleet) < FLEET / 12, "calls in 0.1 s " + maxCallsInATenth(fleet));
+    assertTrue(lastAppliedAt(fleet) - back < 7_000 * NANOS_PER_MS);
+    assertTrue(
+        maxCallsInATenthOfASecond(fleet) < FLEET / 12,
+        "calls in 0.1 s " + maxCallsInATenthOfASecond(fleet));
   }
 
   @Test
@@ -121,9 +126,9 @@
     ConfigurationVersion last = ONE;
     for (int sequence = 2; sequence <= 200; sequence++) {
       last = fleet.publish(1, sequence, text(sequence));
-      fleet.runFor(50 * MS);
+      fleet.runFor(50 * NANOS_PER_MS);
     }
-    fleet.runFor(3_000 * MS);
+    fleet.runFor(3_000 * NANOS_PER_MS);
     assertAllHold(fleet, last);
     int applied = fleet.replicas.get(0).applied.size();
     assertTrue(applied > 50 && applied <= 199, "versions applied " + applied);
@@ -138,7 +143,7 @@
       last = fleet.publish(1, sequence, text(sequence));
     }
     fleet.replicas(1, ONE, FIRST);
-    fleet.runFor(5_000 * MS);
+    fleet.runFor(5_000 * NANOS_PER_MS);
     assertAllHold(fleet, last);
     assertEquals(List.of(last), fleet.replicas.get(0).applied);
   }
@@ -153,10 +158,10 @@
     ConfigurationVersion last = ONE;
     for (int sequence = 2; sequence <= 30; sequence++) {
       last = fleet.publish(1, sequence, text(sequence));
-      fleet.runFor(fleet.random.nextLong(1_500 * MS));
+      fleet.runFor(fleet.random.nextLong(1_500 * NANOS_PER_MS));
     }
     fleet.lostPercent = 0;
-    fleet.runFor(30_000 * MS);
+    fleet.runFor(30_000 * NANOS_PER_MS);
     assertAllHold(fleet, last);
   }
 
@@ -167,12 +172,12 @@
     fleet.replicas(1, ConfigurationVersion.NONE, "");
     VirtualFleet.Replica replica = fleet.replicas.get(0);
     while (replica.parts == 0) {
-      fleet.runFor(MS);
+      fleet.runFor(NANOS_PER_MS);
     }
     VirtualFleet.Machine called =
-        fleet.machines.get(fleet.machines.get(0).callsByTenth.isEmpty() ? 1 : 0);
+        fleet.machines.get(fleet.machines.get(0).callsByTenthOfASecond.isEmpty() ? 1 : 0);
     called.up = false;
-    fleet.runFor(10_000 * MS);
+    fleet.runFor(10_000 * NANOS_PER_MS);
     assertAllHold(fleet, one);
     assertEquals(3, replica.parts, "the first part came with the poll, one call was interrupted");
   }
@@ -182,10 +187,10 @@
     VirtualFleet fleet = fleet(2, 20, 17);
     fleet.machines.get(1).up = false;
     ConfigurationVersion two = fleet.publish(1, 2, text(2));
-    fleet.runFor(10_000 * MS);
+    fleet.runFor(10_000 * NANOS_PER_MS);
     fleet.machines.get(1).up = true;
     fleet.machines.get(0).up = false;
-    fleet.runFor(20_000 * MS);
+    fleet.runFor(20_000 * NANOS_PER_MS);
     assertAllHold(fleet, two);
     // The failure is immediate, so that the next machine is called; a held call would cost its
     // whole wait.
@@ -198,7 +203,7 @@
     assertInstanceOf(Reply.Failed.class, reply);
     fleet.machines.get(0).up = true;
     ConfigurationVersion three = fleet.publish(1, 3, text(3));
-    fleet.runFor(10_000 * MS);
+    fleet.runFor(10_000 * NANOS_PER_MS);
     assertAllHold(fleet, three);
   }
 
@@ -208,7 +213,7 @@
     List<VirtualFleet.Replica> old = fleet.replicas.subList(0, 4);
     old.forEach(r -> r.supportsAllKeys = false);
     ConfigurationVersion two = fleet.publish(1, 2, FIRST + "unknown-key = 1\n");
-    fleet.runFor(10_000 * MS);
+    fleet.runFor(10_000 * NANOS_PER_MS);
     old.forEach(r -> assertEquals(ONE, r.subscription.held()));
     old.forEach(r -> assertEquals(two, r.subscription.refused()));
     assertEquals(
@@ -218,7 +223,7 @@
                 r -> r.report().refused().equals(two) && r.report().trouble().contains("known"))
             .count());
     ConfigurationVersion three = fleet.publish(1, 3, text(3));
-    fleet.runFor(10_000 * MS);
+    fleet.runFor(10_000 * NANOS_PER_MS);
     assertAllHold(fleet, three);
   }
 }
