--- a/src/main/java/pumicekeel/node/Node.java
+++ b/src/main/java/pumicekeel/node/Node.java
@@ -189,7 +189,7 @@
     for (String name : List.of("TERM", "INT")) {
       Signal.handle(new Signal(name), signal -> drain());
     }
-    // Without its event loop the process can serve nobody; the platform starts another one.
+    // Without its event loop the process cannot serve any request; the platform starts another one.
     loop.terminationFuture().addListener(ended -> {
       Log.line("the event loop has ended");
       halt(1);
@@ -511,7 +511,8 @@
       long accept = configuration.inherited() ? 0 : ACCEPT_MILLIS;
       loop.schedule(listeners::stopListening, accept, TimeUnit.MILLISECONDS);
       if (configuration.supervised() || configuration.inherited()) {
-        // Other instances can serve the clients, so they are told with a response: a bare close may
+        // Other instances can serve the clients, so they are informed by a response: a bare close
+        // may
         // cross a request in transit.
         loop.schedule(listeners::closeAfterAnswers, accept, TimeUnit.MILLISECONDS);
       }
--- a/src/main/java/pumicekeel/node/Reload.java
+++ b/src/main/java/pumicekeel/node/Reload.java
@@ -21,7 +21,7 @@
 
   /** Limit on the faults of an operator file shown in the log; {@code check} shows all. */
   private static final int MAX_SHOWN_FAULTS = 10;
-  /** How long a file that cannot be read is retried: nobody sends the signal a second time. */
+  /** How long a file that cannot be read is retried: the signal is sent only once. */
   private static final long RETRY_MILLIS = 60_000;
 
   /** Whether a signal arrived before there was a node to reload. */
--- a/src/main/java/pumicekeel/node/WarmUp.java
+++ b/src/main/java/pumicekeel/node/WarmUp.java
@@ -33,7 +33,7 @@
 
 /**
  * Protects the first clients from a cold JVM: before the balancer reports ready, synthetic requests run through its whole
- * request path, with their own module and connection pool, to a path on the balancer itself that nobody else knows.
+ * request path, with their own module and connection pool, to a path on the balancer itself that no client knows.
  */
 public final class WarmUp {
 
--- a/src/main/java/pumicekeel/runtime/JdkSockets.java
+++ b/src/main/java/pumicekeel/runtime/JdkSockets.java
@@ -168,7 +168,7 @@
 
   /**
    * Ends a channel's socket at once; the channel still has to be closed. A close alone leaves a registered socket open
-   * until its selector's next turn.
+   * until its selector's next select.
    */
   void preCloseSocket(Channel channel) throws IOException {
     try {
--- a/src/main/java/pumicekeel/runtime/LogWriter.java
+++ b/src/main/java/pumicekeel/runtime/LogWriter.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 
 /**
- * Writes lines on its own thread, so that a stalled reader of the log delays nobody. Lines beyond the queue's capacity
+ * Writes lines on its own thread, so that a stalled reader of the log delays no other thread. Lines beyond the queue's capacity
  * are discarded, and their number is logged.
  */
 final class LogWriter {
--- a/src/main/java/pumicekeel/runtime/LoopLag.java
+++ b/src/main/java/pumicekeel/runtime/LoopLag.java
@@ -68,7 +68,7 @@
     scheduleTick();
   }
 
-  /** Returns the longest time since the loop polled its sockets in the turn before this one. Loop thread only. */
+  /** Returns the longest time since the loop polled its sockets in its previous iteration. Loop thread only. */
   public long sincePreviousPollNanos() {
     return clock.now() - previousTickAt;
   }
@@ -76,7 +76,7 @@
   /**
    * Returns the longest time that bytes read now may have waited in their socket; 0 while the loop is hardly behind.
    * The sender's time limit ran meanwhile: treating the bytes as new promises an answer that comes too late. They
-   * arrived after the previous poll, which was in the turn before this one, so after the tick before the last. Loop
+   * arrived after the previous poll, which was in the previous iteration, so after the tick before the last. Loop
    * thread only.
    */
   public long maxReadDelayNanos() {
--- a/src/main/java/pumicekeel/runtime/VerifiedIoHandler.java
+++ b/src/main/java/pumicekeel/runtime/VerifiedIoHandler.java
@@ -18,7 +18,7 @@
 
 /**
  * Ensures that the kernel knows all interest in events. The JDK's selector ignores the result of epoll_ctl: if that
- * fails for lack of memory, a channel receives no events any more, and nobody is notified. After each turn, every
+ * fails for lack of memory, a channel silently receives no events any more. After each loop iteration, every
  * changed interest is set once more by a call whose result is checked, until it succeeds. Event loop only.
  */
 final class VerifiedIoHandler implements IoHandler {
@@ -60,7 +60,7 @@
   }
 
   /**
-   * Does not block while an interest is not verified: the kernel may report events that nobody waits for, and a
+   * Does not block while an interest is not verified: the kernel may report events that no handler waits for, and a
    * blocking select would spin.
    */
   private record NonBlockingContext(IoHandlerContext context) implements IoHandlerContext {
--- a/src/test/java/pumicekeel/node/RpcServersTest.java
+++ b/src/test/java/pumicekeel/node/RpcServersTest.java
@@ -196,7 +196,7 @@
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"twice", "unknown", "null", "text"})
+  @ValueSource(strings = {"twice", "nobody's", "null", "text"})
   void duplicateOrUnknownAnswerClosesTheConnectionAndReachesNoOtherCall(String kind)
       throws Exception {
     AtomicInteger calls = new AtomicInteger();
@@ -209,7 +209,7 @@
             c.result(call.id(), call.params());
             c.result(call.id(), "\"again\"");
           }
-          case "unknown" -> {
+          case "nobody's" -> {
             c.result(call.id() + 1, "\"of the next\"");
             c.result(call.id(), call.params());
           }
--- a/src/test/java/pumicekeel/runtime/LogWriterTest.java
+++ b/src/test/java/pumicekeel/runtime/LogWriterTest.java
@@ -33,7 +33,7 @@
 
   @Test
   @Timeout(30)
-  void stalledReaderDelaysNobodyAndDiscardedLinesAreCounted() {
+  void stalledReaderDelaysNoOtherThreadAndDiscardedLinesAreCounted() {
     CountDownLatch resume = new CountDownLatch(1);
     ByteArrayOutputStream read = new ByteArrayOutputStream();
     PrintStream out = stalled(resume, read);
