--- a/src/main/java/pumicekeel/standin/StandInDiscovery.java
+++ b/src/main/java/pumicekeel/standin/StandInDiscovery.java
@@ -84,7 +84,7 @@
     return (InetSocketAddress) listener.localAddress();
   }
 
-  /** Announces a new upstream or a change of status: in_service, terminating or terminated. */
+  /** Announces a new upstream or a change of status: in_service, terminating or terminated; {@code sinceMillis} is its wall-clock start. */
   public synchronized void announce(
       String name, InetSocketAddress address, int group, String status, long sinceMillis) {
     Entry entry = new Entry(name, address, group, status, sinceMillis);
@@ -122,6 +122,7 @@
     return announcedAt.get(name + " " + status);
   }
 
+  /** Returns the number of open watches. */
   public int watches() {
     return watches.size();
   }
@@ -143,7 +144,7 @@
 
   /** Serves a call that has reached the head of the queue. */
   private void serve(DiscoveryCall call) {
-    switch (call.fate()) {
+    switch (call.handling()) {
       case RESPOND -> sendList(call);
       case CUT -> sendHalf(call);
       case REFUSE -> refuse(call.channel());
@@ -212,7 +213,7 @@
     protected void channelRead0(ChannelHandlerContext ctx, Object message) {
       if (message instanceof HttpRequest request) {
         String host = request.headers().get(HttpHeaderNames.HOST, "");
-        queue.add(new DiscoveryCall(ctx.channel(), host, faults.fateOf(host)));
+        queue.add(new DiscoveryCall(ctx.channel(), host, faults.handlingOf(host)));
       }
     }
 
--- a/src/test/java/pumicekeel/delivery/control/DeliverySimulation.java
+++ b/src/test/java/pumicekeel/delivery/control/DeliverySimulation.java
@@ -18,8 +18,8 @@
 /** Control machines and subscribers in virtual time, with a network that drops, duplicates and delays replies at random. */
 final class DeliverySimulation {
 
-  static final long MS = 1_000_000L;
-  private static final long TIMEOUT_NANOS = 5_500 * MS;
+  static final long NANOS_PER_MS = 1_000_000L;
+  private static final long TIMEOUT_NANOS = 5_500 * NANOS_PER_MS;
 
   /** A control machine that may be down, with the calls that wait there for a newer version. */
   final class Machine {
@@ -38,7 +38,7 @@
 
     private void call(Replica from, Object request, long call, boolean wasHeld) {
       if (!wasHeld) {
-        callsPerTenthSecond.merge(now / (100 * MS), 1, Integer::sum);
+        callsPerTenthSecond.merge(now / (100 * NANOS_PER_MS), 1, Integer::sum);
       }
       Reply reply = !up
           ? new Reply.Failed("down")
@@ -52,7 +52,7 @@
       }
       Runnable release = () -> call(from, request, call, true);
       heldCalls.add(release);
-      schedule(now + ((ConfigurationRequest) request).waitMillis() * MS, () -> {
+      schedule(now + ((ConfigurationRequest) request).waitMillis() * NANOS_PER_MS, () -> {
         if (heldCalls.remove(release)) {
           send(from, call, new Reply.Unchanged());
         }
@@ -91,7 +91,7 @@
         partCalls++;
         call(next.server(), new PartRequest(name, next.version(), next.offset()), next.call());
       } else if (step instanceof Subscription.Apply apply) {
-        schedule(now + 20 * MS, () -> apply(apply.call(), apply.candidate()));
+        schedule(now + 20 * NANOS_PER_MS, () -> apply(apply.call(), apply.candidate()));
       }
     }
 
@@ -130,13 +130,13 @@
   final List<Replica> replicas = new ArrayList<>();
   private final PriorityQueue<Event> events = new PriorityQueue<>(
       java.util.Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-  long now = 1_000 * MS;
+  long now = 1_000 * NANOS_PER_MS;
   /** Percentage of replies that are lost. */
   int lostPercent;
   /** Percentage of replies that arrive a second time, later. */
   int duplicatedPercent;
 
-  long maxLatencyNanos = 10 * MS;
+  long maxLatencyNanos = 10 * NANOS_PER_MS;
   private long order;
 
   DeliverySimulation(int machineCount, long seed) {
@@ -185,6 +185,6 @@
   }
 
   private long latency() {
-    return MS + random.nextLong(maxLatencyNanos);
+    return NANOS_PER_MS + random.nextLong(maxLatencyNanos);
   }
 }
--- a/src/test/java/pumicekeel/delivery/control/DeliverySimulationTest.java
+++ b/src/test/java/pumicekeel/delivery/control/DeliverySimulationTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pumicekeel.delivery.control.DeliverySimulation.MS;
+import static pumicekeel.delivery.control.DeliverySimulation.NANOS_PER_MS;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -51,7 +51,7 @@
       assertEquals(version, replica.subscription.held(), replica.name);
       ConfigurationVersion before = ConfigurationVersion.NONE;
       for (ConfigurationVersion applied : replica.applied) {
-        assertTrue(applied.isNewerThan(before), replica.name + " took " + replica.applied);
+        assertTrue(applied.isNewerThan(before), replica.name + " applied " + replica.applied);
         before = applied;
       }
       assertEquals(
@@ -74,12 +74,12 @@
   @Test
   void changeIsInForceEverywhereAtOnceAndAsADelta() {
     DeliverySimulation simulation = simulation(4, FLEET_SIZE, 11);
-    simulation.runFor(10_000 * MS);
+    simulation.runFor(10_000 * NANOS_PER_MS);
     long published = simulation.now;
     ConfigurationVersion two = simulation.publish(1, 2, text(2));
-    simulation.runFor(1_000 * MS);
+    simulation.runFor(1_000 * NANOS_PER_MS);
     assertAllHold(simulation, two);
-    assertTrue(lastAppliedAt(simulation) - published < 100 * MS);
+    assertTrue(lastAppliedAt(simulation) - published < 100 * NANOS_PER_MS);
     assertEquals(0, simulation.replicas.stream().mapToInt(r -> r.partCalls).sum());
   }
 
@@ -87,10 +87,10 @@
   @Test
   void snapshotsForAFleetWithoutAVersionAreLimited() {
     DeliverySimulation simulation = new DeliverySimulation(4, 12);
-    simulation.maxLatencyNanos = 100 * MS;
+    simulation.maxLatencyNanos = 100 * NANOS_PER_MS;
     ConfigurationVersion one = simulation.publish(1, 1, LARGE);
     simulation.replicas(FLEET_SIZE, ConfigurationVersion.NONE, "");
-    simulation.runFor(30_000 * MS);
+    simulation.runFor(30_000 * NANOS_PER_MS);
     assertAllHold(simulation, one);
     for (DeliverySimulation.Machine machine : simulation.machines) {
       assertEquals(
@@ -104,18 +104,18 @@
   @Test
   void recoveryOfAllControlMachinesCausesNoCallStorm() {
     DeliverySimulation simulation = simulation(4, FLEET_SIZE, 13);
-    simulation.runFor(3_000 * MS);
+    simulation.runFor(3_000 * NANOS_PER_MS);
     simulation.machines.forEach(m -> m.up = false);
-    simulation.runFor(60_000 * MS);
+    simulation.runFor(60_000 * NANOS_PER_MS);
     simulation.replicas.forEach(
-        r -> assertTrue(simulation.now - r.subscription.lastReplyAt() > 50_000 * MS));
+        r -> assertTrue(simulation.now - r.subscription.lastReplyAt() > 50_000 * NANOS_PER_MS));
     simulation.machines.forEach(m -> m.callsPerTenthSecond.clear());
     simulation.machines.forEach(m -> m.up = true);
     long back = simulation.now;
     ConfigurationVersion two = simulation.publish(1, 2, text(2));
-    simulation.runFor(10_000 * MS);
+    simulation.runFor(10_000 * NANOS_PER_MS);
     assertAllHold(simulation, two);
-    assertTrue(lastAppliedAt(simulation) - back < 7_000 * MS);
+    assertTrue(lastAppliedAt(simulation) - back < 7_000 * NANOS_PER_MS);
     assertTrue(
         maxCallsPerTenthSecond(simulation) < FLEET_SIZE / 12,
         "calls in 0.1 s " + maxCallsPerTenthSecond(simulation));
@@ -128,9 +128,9 @@
     ConfigurationVersion last = FIRST_VERSION;
     for (int sequence = 2; sequence <= 200; sequence++) {
       last = simulation.publish(1, sequence, text(sequence));
-      simulation.runFor(50 * MS);
+      simulation.runFor(50 * NANOS_PER_MS);
     }
-    simulation.runFor(3_000 * MS);
+    simulation.runFor(3_000 * NANOS_PER_MS);
     assertAllHold(simulation, last);
     int applied = simulation.replicas.get(0).applied.size();
     assertTrue(applied > 50 && applied <= 199, "versions applied " + applied);
@@ -145,7 +145,7 @@
       last = simulation.publish(1, sequence, text(sequence));
     }
     simulation.replicas(1, FIRST_VERSION, FIRST_TEXT);
-    simulation.runFor(5_000 * MS);
+    simulation.runFor(5_000 * NANOS_PER_MS);
     assertAllHold(simulation, last);
     assertEquals(List.of(last), simulation.replicas.get(0).applied);
   }
@@ -160,10 +160,10 @@
     ConfigurationVersion last = FIRST_VERSION;
     for (int sequence = 2; sequence <= 30; sequence++) {
       last = simulation.publish(1, sequence, text(sequence));
-      simulation.runFor(simulation.random.nextLong(1_500 * MS));
+      simulation.runFor(simulation.random.nextLong(1_500 * NANOS_PER_MS));
     }
     simulation.lostPercent = 0;
-    simulation.runFor(30_000 * MS);
+    simulation.runFor(30_000 * NANOS_PER_MS);
     assertAllHold(simulation, last);
   }
 
@@ -174,12 +174,12 @@
     simulation.replicas(1, ConfigurationVersion.NONE, "");
     DeliverySimulation.Replica replica = simulation.replicas.get(0);
     while (replica.partCalls == 0) {
-      simulation.runFor(MS);
+      simulation.runFor(NANOS_PER_MS);
     }
     DeliverySimulation.Machine called =
         simulation.machines.get(simulation.machines.get(0).callsPerTenthSecond.isEmpty() ? 1 : 0);
     called.up = false;
-    simulation.runFor(10_000 * MS);
+    simulation.runFor(10_000 * NANOS_PER_MS);
     assertAllHold(simulation, one);
     assertEquals(
         3, replica.partCalls, "the first part came with the poll, one call was interrupted");
@@ -190,10 +190,10 @@
     DeliverySimulation simulation = simulation(2, 20, 17);
     simulation.machines.get(1).up = false;
     ConfigurationVersion two = simulation.publish(1, 2, text(2));
-    simulation.runFor(10_000 * MS);
+    simulation.runFor(10_000 * NANOS_PER_MS);
     simulation.machines.get(1).up = true;
     simulation.machines.get(0).up = false;
-    simulation.runFor(20_000 * MS);
+    simulation.runFor(20_000 * NANOS_PER_MS);
     assertAllHold(simulation, two);
     // The failure is immediate, so that the next machine is called; a held call would cost its
     // whole wait.
@@ -206,7 +206,7 @@
     assertInstanceOf(Reply.Failed.class, reply);
     simulation.machines.get(0).up = true;
     ConfigurationVersion three = simulation.publish(1, 3, text(3));
-    simulation.runFor(10_000 * MS);
+    simulation.runFor(10_000 * NANOS_PER_MS);
     assertAllHold(simulation, three);
   }
 
@@ -216,7 +216,7 @@
     List<DeliverySimulation.Replica> old = simulation.replicas.subList(0, 4);
     old.forEach(r -> r.supportsAllKeys = false);
     ConfigurationVersion two = simulation.publish(1, 2, FIRST_TEXT + "unknown-key = 1\n");
-    simulation.runFor(10_000 * MS);
+    simulation.runFor(10_000 * NANOS_PER_MS);
     old.forEach(r -> assertEquals(FIRST_VERSION, r.subscription.held()));
     old.forEach(r -> assertEquals(two, r.subscription.refused()));
     assertEquals(
@@ -226,7 +226,7 @@
                 r -> r.report().refused().equals(two) && r.report().trouble().contains("known"))
             .count());
     ConfigurationVersion three = simulation.publish(1, 3, text(3));
-    simulation.runFor(10_000 * MS);
+    simulation.runFor(10_000 * NANOS_PER_MS);
     assertAllHold(simulation, three);
   }
 }
--- a/src/test/java/pumicekeel/node/RpcClientDisconnectTest.java
+++ b/src/test/java/pumicekeel/node/RpcClientDisconnectTest.java
@@ -60,9 +60,9 @@
     awaitLoopPass(stays, "b");
     t.standIns.submit(resets.peek()).sync();
     awaitLoopPass(stays, "c");
-    assertEquals(1, attempts(), () -> "sent on: " + server.received());
+    assertEquals(1, attempts(), () -> "forwarded: " + server.received());
     boolean behindSent = server.received().stream().anyMatch(s -> s.params().contains("behind"));
-    assertFalse(behindSent, () -> "sent on: " + server.received());
+    assertFalse(behindSent, () -> "forwarded: " + server.received());
   }
 
   /** Makes some calls; with their answers the loop has read what had arrived at its sockets before. */
