--- a/src/main/java/pumicekeel/config/OperatorConfiguration.java
+++ b/src/main/java/pumicekeel/config/OperatorConfiguration.java
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Limits of a pool; null where the platform's apply. */
+  /** Overrides of the limits of a pool; null where the platform's apply. */
   public record LimitOverrides(
       Boolean secondCopies,
       Boolean retryAfter,
--- a/src/main/java/pumicekeel/discovery/Discovery.java
+++ b/src/main/java/pumicekeel/discovery/Discovery.java
@@ -33,7 +33,7 @@
 import pumicekeel.runtime.Reactor;
 
 /**
- * The watch on discovery: opens calls once {@link #watch} is turned on, and again after each failure while it stays on. {@link CallPlan}
+ * The watch on discovery: opens calls once {@link #watch} is turned on, and again after each failure while it stays on. {@link CallBackoff}
  * decides when to call again, {@link WatchCall} when a call has stalled or is over, and {@link ListCurrency} tracks how current the list
  * is. While the only call has stalled a second one is made in parallel; the first that receives something complete is kept, the other is
  * closed.
@@ -53,21 +53,23 @@
   private final Consumer<HostList> onList;
   private final Runnable onFailure;
   private final ListCurrency currency;
-  private final CallPlan plan;
+  private final CallBackoff backoff;
   private final StartTimes startTimes = new StartTimes();
   /** Open calls, the oldest first. */
   private final List<WatchHandler> calls = new ArrayList<>();
 
   private InetSocketAddress address;
   private long index;
-  private boolean wanted;
+  /** Whether the watch is turned on. */
+  private boolean watching;
+
   private ScheduledFuture<?> nextCall;
   private ScheduledFuture<?> currencyCheck;
   private long callCount;
 
   /** Creates a watch that is not started yet; {@code seed} spreads its calls, and {@code onFailure} runs after each call that failed. */
   public Discovery(
-      Reactor on,
+      Reactor reactor,
       InetSocketAddress address,
       long index,
       WatchTerms terms,
@@ -75,14 +77,14 @@
       long seed,
       Consumer<HostList> onList,
       Runnable onFailure) {
-    this.reactor = on;
+    this.reactor = reactor;
     this.address = address;
     this.index = index;
     this.terms = terms;
     this.currency = currency;
     this.onList = onList;
     this.onFailure = onFailure;
-    plan = new CallPlan(seed);
+    backoff = new CallBackoff(seed);
   }
 
   /** Starts watching the list if it is pushed; if it is polled, the module decides when. */
@@ -102,7 +104,7 @@
 
   /** Starts the watch unless it is on already, or ends it. */
   public void watch(boolean on) {
-    wanted = on;
+    watching = on;
     if (!on) {
       closeCalls();
     } else if (calls.isEmpty()) {
@@ -121,9 +123,9 @@
     }
     address = to;
     index = NO_INDEX;
-    plan.reset();
+    backoff.reset();
     closeCalls();
-    if (wanted) {
+    if (watching) {
       openCall();
       checkCurrency();
     }
@@ -203,7 +205,7 @@
 
   private void callIfDue() {
     nextCall = null;
-    if (wanted && callDue(reactor.clock().now())) {
+    if (watching && callDue(reactor.clock().now())) {
       openCall();
     }
   }
@@ -214,14 +216,14 @@
     currency.callFailed(failure, now);
     long pause = terms.pushed()
         ? terms.reopenNanos()
-        : plan.pause(
+        : backoff.pause(
             failure, elapsedNanos, currency.sendableNanosLeft(now), currency.isConfirmedByPeer());
     Log.rateLimited("discovery: watch failed: " + reason + ", " + failure + " after "
         + TimeUnit.NANOSECONDS.toMillis(elapsedNanos) + " ms; list " + index + " is "
         + TimeUnit.NANOSECONDS.toMillis(currency.age(now)) + " ms old, next call in "
         + TimeUnit.NANOSECONDS.toMillis(pause) + " ms");
     logCurrency();
-    if (wanted && nextCall == null) {
+    if (watching && nextCall == null) {
       nextCall = reactor.loop().schedule(this::callIfDue, pause, TimeUnit.NANOSECONDS);
     }
     onFailure.run();
@@ -257,7 +259,7 @@
     private final Channel channel;
     private final ListFrames frames = new ListFrames();
     private final WatchCall call =
-        new WatchCall(terms, plan.crowded(), reactor.clock().now());
+        new WatchCall(terms, backoff.crowded(), reactor.clock().now());
     private final long callNumber = ++callCount;
     /** Whether a list has been received. */
     private boolean listReceived;
@@ -338,13 +340,13 @@
      */
     private void contentReceived(HttpContent piece) {
       long now = reactor.clock().now();
-      boolean whole = listReceived && !frames.hasPartialList();
+      boolean complete = listReceived && !frames.hasPartialList();
       if (piece.content().writerIndex() > 0) {
-        if (whole && !call.hasReceivedList()) {
-          plan.answerReceived(call.elapsedNanos(now));
+        if (complete && !call.hasReceivedList()) {
+          backoff.answerReceived(call.elapsedNanos(now));
         }
-        call.progress(whole, now);
-        if (whole) {
+        call.progress(complete, now);
+        if (complete) {
           keepOnly(this, now);
           logCurrency();
         }
@@ -368,14 +370,14 @@
     /** Handles the content of the response's body, one list at a time. */
     private final class ListHandler extends SimpleChannelInboundHandler<ByteBuf> {
       @Override
-      protected void channelRead0(ChannelHandlerContext ctx, ByteBuf whole) throws IOException {
+      protected void channelRead0(ChannelHandlerContext ctx, ByteBuf json) throws IOException {
         if (!isOpen()) {
           return;
         }
-        HostList list = HostList.of(Fields.parse("list", whole.toString(StandardCharsets.UTF_8)));
+        HostList list = HostList.of(Fields.parse("list", json.toString(StandardCharsets.UTF_8)));
         listReceived = true;
-        boolean beside = calls.get(0) != WatchHandler.this;
-        if (beside && list.index() <= index) {
+        boolean isSecondCall = calls.get(0) != WatchHandler.this;
+        if (isSecondCall && list.index() <= index) {
           // The older call has delivered it already.
           return;
         }
@@ -411,9 +413,9 @@
 
     /** Ends this call once; a call that was replaced or closed does not count as failed. */
     private void finish(String reason, End end) {
-      boolean mine = calls.remove(this);
+      boolean wasOpen = calls.remove(this);
       close();
-      if (mine) {
+      if (wasOpen) {
         long now = reactor.clock().now();
         callFailed(reason, call.failure(end, now), call.elapsedNanos(now));
       }
--- a/src/main/java/pumicekeel/node/AdmittedRequest.java
+++ b/src/main/java/pumicekeel/node/AdmittedRequest.java
@@ -31,16 +31,20 @@
 
   private final long startedAt;
   private ServicePool pool;
-  private long bytes;
+  /** Body memory reserved at the pool. */
+  private long reservedBytes;
+
   private ClientRequest request;
   private Client client;
   private long acceptedAt;
+  /** Whether it waits in the fair queue. */
   private boolean queued;
-  /** Its idempotency key is recorded as one that the pool may have run. */
+
+  /** Whether its idempotency key is recorded as one that the pool may have run. */
   private boolean keyRecorded;
 
   private boolean finished;
-  /** The journal has entries of this request. */
+  /** Whether the journal has entries of this request. */
   private boolean recorded;
 
   /** Creates a request that is already counted among the pool's open requests. */
@@ -68,7 +72,7 @@
       pools.counters().countPoolFull();
       return false;
     }
-    bytes += more;
+    reservedBytes += more;
     return true;
   }
 
@@ -156,7 +160,7 @@
         || !next.open.tryAcquire(1)) {
       return false;
     }
-    if (!next.body.tryAcquire(bytes)) {
+    if (!next.body.tryAcquire(reservedBytes)) {
       next.open.release(1);
       return false;
     }
@@ -243,11 +247,11 @@
     }
   }
 
-  private void finish(End how) {
+  private void finish(End end) {
     if (!finished) {
       finished = true;
       pools.close(request.id());
-      pools.counters().countEnd(pool.name(), request.type().name(), how);
+      pools.counters().countEnd(pool.name(), request.type().name(), end);
       pool.residenceTime().record(pools.now() - startedAt);
     }
   }
@@ -260,6 +264,6 @@
 
   private void releaseCapacity() {
     pool.open.release(1);
-    pool.body.release(bytes);
+    pool.body.release(reservedBytes);
   }
 }
