--- a/src/test/java/pumicekeel/mesh/MeshTest.java
+++ b/src/test/java/pumicekeel/mesh/MeshTest.java
@@ -114,8 +114,7 @@
         l.stop();
       }
       // A read and the sends that it causes may be in the same iteration of the event loop, so
-      // sends that were decided on before the
-      // stall go out right after it.
+      // sends that were decided on before the stall go out right after it.
       long late = mesh.upstreams().get("s1").received().stream()
           .filter(s -> s.atNanos() - continuedAt > 500_000_000L)
           .count();
