--- a/src/main/java/pumicekeel/lab/program/RequestScenario.java
+++ b/src/main/java/pumicekeel/lab/program/RequestScenario.java
@@ -21,7 +21,7 @@
     MISSING_HOST,
     MALFORMED_HEADER,
     CONFLICTING_LENGTHS,
-    HTTP_1_0,
+    OLD_HTTP_VERSION,
     OVERSIZED_HEAD,
     NOT_HTTP,
     PIPELINED
@@ -129,7 +129,7 @@
         .append(" /")
         .append(className)
         .append("/x HTTP/1.")
-        .append(breach == Breach.HTTP_1_0 ? 0 : 1)
+        .append(breach == Breach.OLD_HTTP_VERSION ? 0 : 1)
         .append("\r\n");
     head.append(breach == Breach.MISSING_HOST ? "" : "Host: lab\r\n");
     head.append(breach == Breach.MISSING_ID ? "" : "X-Correlation-Id: " + id + "\r\n");
